--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -113,7 +113,7 @@
 	case wire.CodeHangup:
 		n.Hangup(now, ev.Job.ID)
 	case wire.CodeMessage:
-		n.Told(now, ev.From, ev.Data)
+		n.PeerMessage(now, ev.From, ev.Data)
 	}
 }
 
--- a/cmd/weldscale/config.go
+++ b/cmd/weldscale/config.go
@@ -209,7 +209,7 @@
 
 // nobody is a class that no request can name: where the operator's file stands alone, the platform's service is there
 // and has no workers, no route and no jobs.
-var nobody = decide.Settings{Nodes: 1, Zones: 1, MaxAttempts: 1, ColdFrom: 1, FallMultiple: 1, FallSpan: 1,
+var nobody = decide.Settings{Nodes: 1, Zones: 1, MaxAttempts: 1, ColdFrom: 1, OverloadMultiple: 1, OverloadSpan: 1,
 	Classes: []decide.Class{{Aim: 1e6, Deadline: 1e6, Kind: -1}}}
 
 // fromFile makes a configuration of an operator's file alone, by its scheduler block.
--- a/cmd/weldscale/config_test.go
+++ b/cmd/weldscale/config_test.go
@@ -71,7 +71,7 @@
 			assert.Equal(t, "n", conf.Name, "the file wins")
 			assert.Equal(t, "127.0.0.1:1", conf.Discovery, "a restart must not go back to where discovery once was")
 			assert.Equal(t, []string{"view", "send"}, conf.classes)
-			assert.EqualValues(t, 2000000, conf.engine.Settings.MaxRetry)
+			assert.EqualValues(t, 2000000, conf.engine.Settings.MaxRetryAfter)
 			assert.Equal(t, "10s", conf.idleLimit.String())
 			continue
 		}
--- a/cmd/weldscale/moments_clients_test.go
+++ b/cmd/weldscale/moments_clients_test.go
@@ -75,7 +75,7 @@
 		away(c)
 		b.settled()
 		b.onLoop(func() {
-			assert.Equal(t, 1, b.s.e.Counts.Outcomes[decide.Moot]+b.s.e.Counts.Outcomes[decide.Cancelled], "the attempt is over while the dial is under way")
+			assert.Equal(t, 1, b.s.e.Counts.Outcomes[decide.NotSent]+b.s.e.Counts.Outcomes[decide.Cancelled], "the attempt is over while the dial is under way")
 		})
 		stops.Free("dial")
 		status, _ := b.ask("next", "view", patience)
@@ -416,7 +416,7 @@
 			require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.e.Counts.Pushes == 2 }); return is }, patience, time.Millisecond)
 			away(gone)
 			require.Eventually(t, func() bool { return b.open() == 1 }, patience, time.Millisecond)
-			b.onLoop(func() { assert.Equal(t, 1, b.s.e.Counts.Outcomes[decide.Moot]) })
+			b.onLoop(func() { assert.Equal(t, 1, b.s.e.Counts.Outcomes[decide.NotSent]) })
 			close(release)
 			status, _, err := holds.Answer(patience)
 			require.NoError(t, err)
--- a/decide/api.go
+++ b/decide/api.go
@@ -77,28 +77,28 @@
 	Classes []Class
 	Tenants []Tenant
 
-	CanProbe     bool
-	CanCancel    bool
-	CanTell      bool // nodes may send each other messages
-	SecondCopies bool // a job may have two attempts out
-	MaxAttempts  int
-	MaxRetry     Time // the longest wait that clients respect after a refusal; 0: they are told none
-
-	MustAsk        bool // the worker list comes only when asked for
-	AskWithin      Time // with MustAsk: silence longer than this counts as having been told
-	DrainGrace     Time // how long a told node may go on sending to a draining worker
-	ColdFrom       float64
-	ColdSpan       Time    // a worker starts at ColdFrom of its capacity and is warm after ColdSpan
-	FallMultiple   float64 // sent more than this multiple of its present capacity for FallSpan ...
-	FallSpan       Time    // ... a cold worker falls over
-	AnswerSlack    Time
-	Tick           Time    // the shortest time between two calls with different times
-	TellsStart     bool    // workers note the start of a job
-	OverShareWorth float64 // the part of its worth that a job beyond its tenant's share keeps
-	WorthByWork    bool    // worth counts for each unit of work, not for each job
-	Unpriced       bool    // slots have no price: no job is held back for one that is worth more
-	EchoNoise      Time    // a round trip within twice that tells nothing of a worker's pace
-	PriceCross     float64 // what crossing zones costs, in shares of a job's worth
+	CanProbe        bool
+	CanCancel       bool
+	CanMessagePeers bool // nodes may send each other messages
+	SecondCopies    bool // a job may have two attempts out
+	MaxAttempts     int
+	MaxRetryAfter   Time // the longest wait that clients respect after a refusal; 0: they are told none
+
+	MustAsk          bool // the worker list comes only when asked for
+	AskWithin        Time // with MustAsk: silence longer than this counts as having been told
+	DrainGrace       Time // how long a told node may go on sending to a draining worker
+	ColdFrom         float64
+	ColdSpan         Time    // a worker starts at ColdFrom of its capacity and is warm after ColdSpan
+	OverloadMultiple float64 // sent more than this multiple of its present capacity for OverloadSpan ...
+	OverloadSpan     Time    // ... a cold worker falls over
+	AnswerSlack      Time
+	Tick             Time    // the shortest time between two calls with different times
+	TellsStart       bool    // workers note the start of a job
+	OverShareWorth   float64 // the part of its worth that a job beyond its tenant's share keeps
+	WorthByWork      bool    // worth counts for each unit of work, not for each job
+	Unpriced         bool    // slots have no price: no job is held back for one that is worth more
+	RTTNoise         Time    // a round trip within twice that tells nothing of a worker's pace
+	CrossZoneCost    float64 // what crossing zones costs, in shares of a job's worth
 }
 
 // State is what the worker list says of a worker.
@@ -135,20 +135,20 @@
 
 // Job is one request of a client.
 type Job struct {
-	ID       uint32 // never used twice
-	Class    int
-	Tenant   int
-	Key      uint64 // 0: none
-	GiveUpAt Time
-	Hint     Time    // expected work, or 0
-	Slots    float64 // 0 counts as 1
-	Memory   float64
-	Zone     int      // draws begin in the zone of that number less one; 0: in that of the node
-	Holder   WorkerID // joins the first draw, since it holds what others would do anew; 0: none
-	Saved    float64  // the slots that the holder saves
-	// Enough is how many free slots of the holder, with what it saves, end the draw: another can't be better, or not by what
+	ID         uint32 // never used twice
+	Class      int
+	Tenant     int
+	Key        uint64 // 0: none
+	GiveUpAt   Time
+	Hint       Time    // expected work, or 0
+	Slots      float64 // 0 counts as 1
+	Memory     float64
+	Zone       int      // draws begin in the zone of that number less one; 0: in that of the node
+	Holder     WorkerID // joins the first draw, since it holds what others would do anew; 0: none
+	SavedSlots float64  // the slots that the holder saves
+	// EnoughSlots is how many free slots of the holder, with what it saves, end the draw: another can't be better, or not by what
 	// asking it costs. The holder is asked first then, and the other only where it has less. 0: both are asked at once.
-	Enough float64
+	EnoughSlots float64
 }
 
 // Fields says which figures a Report carries.
@@ -191,11 +191,11 @@
 	ConnectFailed               // no connection; it never ran
 	Reset                       // the connection broke; it may have run
 	Cancelled                   // called off; it may have run
-	Moot                        // not sent at all; it never ran
+	NotSent                     // not sent at all; it never ran
 )
 
 // NeverRan reports whether the outcome proves that the attempt had no effect.
-func (s Status) NeverRan() bool { return s == Full || s == ConnectFailed || s == Moot }
+func (s Status) NeverRan() bool { return s == Full || s == ConnectFailed || s == NotSent }
 
 // Outcome is the end of one attempt.
 type Outcome struct {
@@ -236,8 +236,8 @@
 	Reload()
 	// Wake asks for a call of Dispatcher.Wake with the token, after the span. It can't be taken back.
 	Wake(after Time, token uint64)
-	// Tell sends at most 256 bytes to the node with that number, or to all others with PeerAll.
-	Tell(peer int, data []byte)
+	// SendPeer sends at most 256 bytes to the node with that number, or to all others with PeerAll.
+	SendPeer(peer int, data []byte)
 }
 
 // PeerAll addresses every other node.
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -90,7 +90,7 @@
 	}
 	d.widest = max(d.widest, in.Slots)
 	if in.Class < 0 || in.Class >= len(d.s.Classes) || in.GiveUpAt <= now+2*d.s.Tick {
-		d.act.Refuse(in.ID, min(comeBack, d.s.MaxRetry))
+		d.act.Refuse(in.ID, min(comeBack, d.s.MaxRetryAfter))
 		return
 	}
 	j := d.newJob(in)
@@ -110,7 +110,7 @@
 	origin := min(d.now, j.GiveUpAt-Time(d.share*float64(j.class.Deadline)))
 	j.aimAt = origin + j.class.Aim
 	j.latest = min(d.startBy(j, 1), j.GiveUpAt-j.work)
-	j.nearUntil = d.now + Time(min(1, nearPerPrice*d.s.PriceCross)*float64(j.latest-d.now))
+	j.nearUntil = d.now + Time(min(1, nearPerPrice*d.s.CrossZoneCost)*float64(j.latest-d.now))
 	j.over = !d.withinShare(j.Tenant)
 	if v := d.value(j); d.cheapest == 0 || v < d.cheapest {
 		d.cheapest = v
@@ -157,7 +157,7 @@
 		return
 	}
 	d.probe(j, j.pair[0])
-	j.unasked = j.Enough > 0 && j.pair[0].ID == j.Holder && j.pair[1] != nil
+	j.unasked = j.EnoughSlots > 0 && j.pair[0].ID == j.Holder && j.pair[1] != nil
 	if j.unasked {
 		d.act.Wake(holderWait, wakeProbes|uint64(j.draw)<<32|uint64(j.ID))
 		return
@@ -179,7 +179,7 @@
 		return false
 	}
 	r, _, fits := d.room(j, w, j.load[0])
-	return fits && r.FreeSlots+j.Saved >= j.Enough
+	return fits && r.FreeSlots+j.SavedSlots >= j.EnoughSlots
 }
 
 // pick draws one worker for j. Crossing zones costs time and money, so draws stay near at first: once at
@@ -277,7 +277,7 @@
 	}
 	w.credit += coldShare * warmth * d.bear[d.far(w)] / 1e6 * float64(d.now-w.creditAt)
 	w.creditAt = d.now
-	budget := d.s.FallMultiple * warmth * d.carries(w) * float64(d.s.FallSpan)
+	budget := d.s.OverloadMultiple * warmth * d.carries(w) * float64(d.s.OverloadSpan)
 	if float64(j.work)*j.Slots > coldJob*budget {
 		return false
 	}
@@ -298,7 +298,7 @@
 		slow := d.slowness(w, j.echo[i])
 		r, queue, fits := d.room(j, w, j.load[i])
 		if w.ID == j.Holder {
-			r.FreeSlots += j.Saved // what it need not do again counts as room
+			r.FreeSlots += j.SavedSlots // what it need not do again counts as room
 		}
 		if !fits {
 			w.tightUntil, w.tightFor = d.now+d.brief(tightSpan), j.Slots
@@ -345,7 +345,7 @@
 
 // slowness tells from the time a probe took how many times slower than usual w is, whatever slots it shows.
 func (d *Dispatcher) slowness(w *worker, echo Time) float64 {
-	usual := max(d.usual[w.Zone], float64(d.s.EchoNoise))
+	usual := max(d.usual[w.Zone], float64(d.s.RTTNoise))
 	if usual <= 0 || float64(echo) < slowFrom*usual {
 		return 1 // jitter
 	}
@@ -453,7 +453,7 @@
 		refuse = refuse && (safe || !a.mayHaveRun)
 	}
 	if refuse {
-		d.act.Refuse(j.ID, min(comeBack, d.s.MaxRetry))
+		d.act.Refuse(j.ID, min(comeBack, d.s.MaxRetryAfter))
 	} else {
 		d.act.Fail(j.ID)
 	}
@@ -605,8 +605,8 @@
 	}
 	w.badUntil = d.now + d.jitter(min(ejectFirst<<min(w.level, 8), ejectMax))
 	w.level++
-	if d.s.CanTell && (w.heard < 2 || d.now-w.heardAt > hearsaySpan) {
-		d.act.Tell(PeerAll, binary.BigEndian.AppendUint64(d.message[:0], uint64(w.ID)))
+	if d.s.CanMessagePeers && (w.heard < 2 || d.now-w.heardAt > hearsaySpan) {
+		d.act.SendPeer(PeerAll, binary.BigEndian.AppendUint64(d.message[:0], uint64(w.ID)))
 	}
 }
 
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -187,7 +187,7 @@
 		{"unsafe error", unsafe, Error, "fail"},
 		{"unsafe full never ran", unsafe, Full, "redraw"},
 		{"unsafe no connection never ran", unsafe, ConnectFailed, "redraw"},
-		{"unsafe moot never ran", unsafe, Moot, "redraw"},
+		{"unsafe moot never ran", unsafe, NotSent, "redraw"},
 		{"unsafe reset may have run", unsafe, Reset, "fail"},
 		{"unsafe cancelled may have run", unsafe, Cancelled, "fail"},
 		{"keyed reset", keyed, Reset, "redraw"},
@@ -413,7 +413,7 @@
 	d.ProbeResult(start, 77, Served, 0, free(3))
 	d.ProbeResult(start, w, Served, 0, free(math.Inf(1)))
 	d.Hangup(start, 1234)
-	d.Told(start, 3, []byte{1, 2, 3})
+	d.PeerMessage(start, 3, []byte{1, 2, 3})
 	d.StreamStarted(start, 8, 0)
 	for _, purpose := range []uint64{wakeGiveUp, wakeProbes, wakeRedraw, wakeStart, 200 << 56} {
 		d.Wake(start, purpose|77)
@@ -476,7 +476,7 @@
 func TestARefusalSaysWhenToComeBack(t *testing.T) {
 	for _, respected := range []Time{0, 300 * ms, 60 * second} {
 		s := testSettings()
-		s.MaxRetry = respected
+		s.MaxRetryAfter = respected
 		d, r := newNode(t, s) // no worker: nothing can be done
 		arrive(d, r, 0)
 		d.Wake(start+second, wakeGiveUp|1)
--- a/decide/events.go
+++ b/decide/events.go
@@ -14,9 +14,9 @@
 	wakeLook
 )
 
-// TakeNews takes in entries that the caller sees otherwise from now on, though the worker list has not answered: whether
+// UpdateWorkers takes in entries that the caller sees otherwise from now on, though the worker list has not answered: whether
 // the watch stands is not touched.
-func (d *Dispatcher) TakeNews(now Time, kind ListKind, list []Worker) {
+func (d *Dispatcher) UpdateWorkers(now Time, kind ListKind, list []Worker) {
 	d.tick(now)
 	d.takeList(kind, list)
 }
@@ -124,8 +124,8 @@
 	}
 }
 
-// Told takes in a message of another node: the ID of a worker that failed it. Anything else is passed over.
-func (d *Dispatcher) Told(now Time, _ int, data []byte) {
+// PeerMessage takes in a message of another node: the ID of a worker that failed it. Anything else is passed over.
+func (d *Dispatcher) PeerMessage(now Time, _ int, data []byte) {
 	d.tick(now)
 	if len(data) != 8 {
 		return
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -24,13 +24,13 @@
 func (p *printer) Fail(job uint32)                  { fmt.Println("fail", job) }
 func (p *printer) Watch(bool)                       {}
 func (p *printer) Reload()                          {}
-func (p *printer) Tell(int, []byte)                 {}
+func (p *printer) SendPeer(int, []byte)             {}
 
 // A job from its arrival to its final answer: the first worker turns it away as full, a fresh pair takes it.
 func Example() {
 	settings := decide.Settings{
 		Nodes: 1, Zones: 1, CanProbe: true, CanCancel: true, MaxAttempts: 3,
-		ColdFrom: 0.2, ColdSpan: 10e6, FallMultiple: 3, FallSpan: 1e6, DrainGrace: 500e3, Tick: 1000,
+		ColdFrom: 0.2, ColdSpan: 10e6, OverloadMultiple: 3, OverloadSpan: 1e6, DrainGrace: 500e3, Tick: 1000,
 		Classes: []decide.Class{{Effect: decide.Unsafe, Aim: 200e3, Stretch: 2, Deadline: 5e6, Worth: 1, Kind: -1}},
 	}
 	caller := &printer{}
--- a/decide/failures_test.go
+++ b/decide/failures_test.go
@@ -5,25 +5,25 @@
 // Incident i784a17: in a large fleet every node had to meet each fast-failing worker itself.
 func TestTwoComplaintsAreBelieved(t *testing.T) {
 	s := testSettings()
-	s.CanTell = true
+	s.CanMessagePeers = true
 	d, r := newNode(t, s, fleet(10)...)
 	msg := []byte{0, 0, 0, 0, 0, 0, 0, 3}
-	d.Told(start, 1, msg)
+	d.PeerMessage(start, 1, msg)
 	if d.workers[3].badUntil > start {
 		t.Error("one complaint was believed")
 	}
-	d.Told(start+second, 2, msg)
+	d.PeerMessage(start+second, 2, msg)
 	if d.workers[3].badUntil <= start {
 		t.Error("two complaints were not believed")
 	}
-	d.Told(start, 2, []byte("garbage"))
-	d.Told(start, 2, []byte{9, 9, 9, 9, 9, 9, 9, 9})
+	d.PeerMessage(start, 2, []byte("garbage"))
+	d.PeerMessage(start, 2, []byte{9, 9, 9, 9, 9, 9, 9, 9})
 	r.take("")
 	d.eject(d.workers[5])
 	if n := count(r.take(""), "tell"); n != 1 {
 		t.Errorf("%d complaints sent", n)
 	}
-	s.CanTell = false
+	s.CanMessagePeers = false
 	d, r = newNode(t, s, fleet(10)...)
 	d.eject(d.workers[5])
 	if n := count(r.take(""), "tell"); n != 0 {
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -37,7 +37,7 @@
 func (r *recorder) Wake(after Time, token uint64) {
 	r.add(action{kind: "wake", span: after, token: token})
 }
-func (r *recorder) Tell(int, []byte) { r.add(action{kind: "tell"}) }
+func (r *recorder) SendPeer(int, []byte) { r.add(action{kind: "tell"}) }
 
 // take returns the actions since the last take, of one kind or all.
 func (r *recorder) take(kind string) []action {
@@ -56,7 +56,7 @@
 func testSettings() Settings {
 	return Settings{
 		Nodes: 4, Zones: 1, CanProbe: true, CanCancel: true, SecondCopies: true, MaxAttempts: 4,
-		DrainGrace: 500 * ms, ColdFrom: 0.2, ColdSpan: 20 * second, FallMultiple: 3, FallSpan: second,
+		DrainGrace: 500 * ms, ColdFrom: 0.2, ColdSpan: 20 * second, OverloadMultiple: 3, OverloadSpan: second,
 		AnswerSlack: 8 * ms, Tick: ms, TellsStart: true, OverShareWorth: 0.1,
 		Classes: []Class{
 			{Effect: Safe, Aim: 200 * ms, Stretch: 2, Deadline: 5 * second, Worth: 1, Kind: -1},
@@ -169,7 +169,7 @@
 		case "watch", "reload":
 			w.pending++
 		case "tell":
-			if !w.s.CanTell {
+			if !w.s.CanMessagePeers {
 				w.broken("message where none is allowed")
 			}
 		case "push":
@@ -286,8 +286,8 @@
 	if w.rng.IntN(40) == 0 {
 		w.changeFleet()
 	}
-	if w.s.CanTell && w.rng.IntN(30) == 0 {
-		w.d.Told(w.now, w.rng.IntN(9), []byte{0, 0, 0, 0, 0, 0, 0, byte(w.rng.IntN(40))})
+	if w.s.CanMessagePeers && w.rng.IntN(30) == 0 {
+		w.d.PeerMessage(w.now, w.rng.IntN(9), []byte{0, 0, 0, 0, 0, 0, 0, byte(w.rng.IntN(40))})
 		w.drain()
 	}
 	if w.rng.IntN(400) == 0 { // every worker restarts at once, or all drain, and the whole list comes
@@ -313,7 +313,7 @@
 		w.broken("learnt %+v, passed on %+v", got, want)
 	}
 	for _, j := range w.order {
-		in, tried, ok := w.d.Held(j.ID)
+		in, tried, ok := w.d.OpenJob(j.ID)
 		if ok == j.over {
 			w.broken("job %d: held %v, over %v", j.ID, ok, j.over)
 		}
@@ -327,7 +327,7 @@
 
 // sameLearnt compares all but the order of the workers, and those that only one of the two lists.
 func sameLearnt(a, b Learnt) bool {
-	known := map[WorkerID]LearntOfWorker{}
+	known := map[WorkerID]LearntWorker{}
 	for _, w := range a.Workers {
 		known[w.ID] = w
 	}
--- a/decide/holder_test.go
+++ b/decide/holder_test.go
@@ -35,7 +35,7 @@
 }
 
 func TestHolderJoinsTheDrawAndLosesToALighterWorker(t *testing.T) {
-	job := Job{ID: 1, GiveUpAt: 5 * second, Holder: 5, Saved: 4}
+	job := Job{ID: 1, GiveUpAt: 5 * second, Holder: 5, SavedSlots: 4}
 	for seed := range uint64(50) {
 		probed, pushed := place(t, seed, job, func(id WorkerID) Report {
 			if id == 5 {
@@ -131,7 +131,7 @@
 	}
 	draw.Dispatcher = d
 	d.Announce(second, ListFull, []Worker{{ID: 1, State: Ready}, {ID: 2, State: Ready}})
-	d.Arrive(second, Job{ID: 1, GiveUpAt: 6 * second, Holder: 1, Saved: 2, Enough: 10})
+	d.Arrive(second, Job{ID: 1, GiveUpAt: 6 * second, Holder: 1, SavedSlots: 2, EnoughSlots: 10})
 	draw.timeout = draw.want(t, []WorkerID{1}, nil)
 	return draw
 }
@@ -200,7 +200,7 @@
 		t.Fatal(err)
 	}
 	d.Announce(second, ListFull, []Worker{{ID: 1, State: Ready}})
-	d.Arrive(second, Job{ID: 1, GiveUpAt: 6 * second, Holder: 1, Enough: 10})
+	d.Arrive(second, Job{ID: 1, GiveUpAt: 6 * second, Holder: 1, EnoughSlots: 10})
 	acts.take("")
 	d.ProbeResult(second+ms, 1, Served, ms, Report{Has: HasFreeSlots, FreeSlots: 2})
 	if pushes := acts.take("push"); len(pushes) != 1 {
--- a/decide/pass.go
+++ b/decide/pass.go
@@ -7,30 +7,30 @@
 
 // What a job in hand has behind it, for a dispatcher that goes on with it in another process. Nothing is decided here.
 
-// Tried is one attempt of a job.
-type Tried struct {
+// AttemptState is one attempt of a job.
+type AttemptState struct {
 	Worker          WorkerID
 	Sent, StartedAt Time
 	Out, Started    bool
 	MayHaveRun      bool
 }
 
-// Held returns a job in hand and its attempts, in order.
-func (d *Dispatcher) Held(id uint32) (Job, []Tried, bool) {
+// OpenJob returns a job in hand and its attempts, in order.
+func (d *Dispatcher) OpenJob(id uint32) (Job, []AttemptState, bool) {
 	j := d.jobs[id]
 	if j == nil || j.closed {
 		return Job{}, nil, false
 	}
-	tried := make([]Tried, len(j.attempts))
+	tried := make([]AttemptState, len(j.attempts))
 	for i, a := range j.attempts {
-		tried[i] = Tried{Worker: a.w.ID, Sent: a.sent, StartedAt: a.startedAt, Out: a.out, Started: a.started, MayHaveRun: a.mayHaveRun}
+		tried[i] = AttemptState{Worker: a.w.ID, Sent: a.sent, StartedAt: a.startedAt, Out: a.out, Started: a.started, MayHaveRun: a.mayHaveRun}
 	}
 	return j.Job, tried, true
 }
 
 // Adopt goes on with a job that another dispatcher held. Its attempts keep their numbers; a worker that the list does not
 // name is one that is gone.
-func (d *Dispatcher) Adopt(now Time, in Job, tried []Tried) {
+func (d *Dispatcher) Adopt(now Time, in Job, tried []AttemptState) {
 	d.tick(now)
 	if d.jobs[in.ID] != nil || in.Class < 0 || in.Class >= len(d.s.Classes) {
 		return
@@ -65,22 +65,22 @@
 // Learnt is what a dispatcher has learnt of the fleet since its start. Workers go by their IDs; moments are of the clock
 // that both dispatchers share.
 type Learnt struct {
-	Runs    []float64        `json:"runs"` // mean run of each class, in us
-	Run     float64          `json:"run"`
-	Share   float64          `json:"share"`
-	Bear    [2]float64       `json:"bear"`
-	Lag     Time             `json:"lag"`
-	Looked  float64          `json:"looked"`
-	Changed float64          `json:"changed"`
-	Usual   []float64        `json:"usual"` // median time of a probe, by zone
-	Sizes   map[int]float64  `json:"sizes"` // slots of a worker, by kind
-	Price   float64          `json:"price"`
-	Busy    float64          `json:"busy"`
-	Workers []LearntOfWorker `json:"workers"`
+	Runs    []float64       `json:"runs"` // mean run of each class, in us
+	Run     float64         `json:"run"`
+	Share   float64         `json:"share"`
+	Bear    [2]float64      `json:"bear"`
+	Lag     Time            `json:"lag"`
+	Looked  float64         `json:"looked"`
+	Changed float64         `json:"changed"`
+	Usual   []float64       `json:"usual"` // median time of a probe, by zone
+	Sizes   map[int]float64 `json:"sizes"` // slots of a worker, by kind
+	Price   float64         `json:"price"`
+	Busy    float64         `json:"busy"`
+	Workers []LearntWorker  `json:"workers"`
 }
 
-// LearntOfWorker is what it has learnt of one worker.
-type LearntOfWorker struct {
+// LearntWorker is what it has learnt of one worker.
+type LearntWorker struct {
 	ID        WorkerID `json:"-"`
 	StartedAt Time     `json:"started_at"` // of another process of the worker nothing is known
 	Size      float64  `json:"size"`
@@ -97,7 +97,7 @@
 	l := Learnt{Runs: slices.Clone(d.runs), Run: d.run, Share: d.share, Bear: d.bear, Lag: d.lag, Looked: d.looked, Changed: d.changed,
 		Usual: slices.Clone(d.usual), Sizes: maps.Clone(d.sizes), Price: d.price, Busy: d.busy}
 	for _, w := range d.listed {
-		l.Workers = append(l.Workers, LearntOfWorker{w.ID, w.StartedAt, w.size, w.badUntil, w.fullUntil, w.level, w.broken, w.denied, w.lost})
+		l.Workers = append(l.Workers, LearntWorker{w.ID, w.StartedAt, w.size, w.badUntil, w.fullUntil, w.level, w.broken, w.denied, w.lost})
 	}
 	return l
 }
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -14,7 +14,7 @@
 	s.CanProbe, s.CanCancel, s.SecondCopies, s.TellsStart = w(5) > 0, flip(), flip(), flip()
 	s.MaxAttempts = 1 + w(5)
 	s.MustAsk, s.AskWithin = flip(), 8*second
-	s.WorthByWork, s.CanTell = flip(), flip()
+	s.WorthByWork, s.CanMessagePeers = flip(), flip()
 	for i := range s.Classes {
 		if w(3) == 0 {
 			s.Classes[i].Kind = w(2)
@@ -170,7 +170,7 @@
 		}
 		for sec, work := range sent {
 			warmth := s.ColdFrom + (1-s.ColdFrom)*float64(sec)/20
-			if limit := s.FallMultiple * warmth * 4 * float64(second); work > limit {
+			if limit := s.OverloadMultiple * warmth * 4 * float64(second); work > limit {
 				t.Errorf("%d nodes: %.0f us of work in second %d, a fall budget of %.0f", nodes, work, sec, limit)
 			}
 		}
--- a/decide/state.go
+++ b/decide/state.go
@@ -172,8 +172,8 @@
 	all := []check{
 		{s.Nodes < 1, "balancers"}, {s.Zone < 0 || s.Zone >= max(1, s.Zones), "zone"}, {len(s.Classes) == 0, "classes"},
 		{s.MaxAttempts < 1, "max_attempts"}, {s.DrainGrace < 0, "drain_grace"}, {s.Tick < 0, "resolution"},
-		{s.ColdFrom <= 0 || s.ColdFrom > 1, "cold_from"}, {s.ColdSpan < 0, "cold"}, {s.FallMultiple <= 0, "tip_multiple"},
-		{s.FallSpan <= 0, "overload_for"}, {s.MustAsk && s.AskWithin <= 0, "ask_within"}}
+		{s.ColdFrom <= 0 || s.ColdFrom > 1, "cold_from"}, {s.ColdSpan < 0, "cold"}, {s.OverloadMultiple <= 0, "tip_multiple"},
+		{s.OverloadSpan <= 0, "overload_for"}, {s.MustAsk && s.AskWithin <= 0, "ask_within"}}
 	for i, c := range s.Classes {
 		of := fmt.Sprintf("classes.%d.", i)
 		all = append(all, check{c.Deadline <= 0, of + "deadline"}, check{c.Aim < 0, of + "aim"}, check{c.Stretch < 0, of + "aim_stretch"},
@@ -207,7 +207,7 @@
 		}
 		if w.StartedAt != e.StartedAt { // a fresh process: nothing held against it, nothing saved up
 			w.badUntil, w.fullUntil, w.level, w.denied = 0, 0, 0, 0
-			w.credit, w.creditAt = 0, max(e.StartedAt, d.now-d.s.FallSpan/2)
+			w.credit, w.creditAt = 0, max(e.StartedAt, d.now-d.s.OverloadSpan/2)
 			clear(w.shuns)
 		}
 		w.Worker = e
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -316,7 +316,7 @@
 // Settings are the facts that the decisions go by, for a service that one scheduler serves alone.
 func (s *Service) Settings() decide.Settings {
 	out := decide.Settings{Nodes: 1, Zones: 1, CanProbe: true, CanCancel: true, MaxAttempts: 4, TellsStart: true,
-		MaxRetry: 2e6, DrainGrace: 300e3, ColdFrom: 0.3, ColdSpan: 9e6, FallMultiple: 4, FallSpan: 1500e3, Tick: 4e3,
+		MaxRetryAfter: 2e6, DrainGrace: 300e3, ColdFrom: 0.3, ColdSpan: 9e6, OverloadMultiple: 4, OverloadSpan: 1500e3, Tick: 4e3,
 		AnswerSlack: 16e3, AskWithin: 10e6, MustAsk: s.Discovery != ""}
 	for _, c := range s.Classes {
 		out.Classes = append(out.Classes, c.Terms)
--- a/internal/emulator/parties.go
+++ b/internal/emulator/parties.go
@@ -463,6 +463,6 @@
 }
 
 // The list comes by itself here, and nodes do not talk.
-func (a actions) Watch(bool)       {}
-func (a actions) Reload()          {}
-func (a actions) Tell(int, []byte) {}
+func (a actions) Watch(bool)           {}
+func (a actions) Reload()              {}
+func (a actions) SendPeer(int, []byte) {}
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -152,7 +152,7 @@
 func (p *plain) end(j *plainJob, harmless bool) {
 	delete(p.jobs, j.ID)
 	if harmless {
-		p.act.Refuse(j.ID, p.s.MaxRetry)
+		p.act.Refuse(j.ID, p.s.MaxRetryAfter)
 	} else {
 		p.act.Fail(j.ID)
 	}
--- a/internal/emulator/script.go
+++ b/internal/emulator/script.go
@@ -102,9 +102,9 @@
 // Settings are what a scheduler of that zone is told.
 func (s *Script) Settings(zone int) decide.Settings {
 	out := decide.Settings{Nodes: s.Schedulers, Zone: zone, Zones: len(s.Zones), CanProbe: true, CanCancel: true, MaxAttempts: s.Attempts,
-		SecondCopies: s.SecondCopies,
-		MaxRetry:     2e6, DrainGrace: s.DrainGrace, ColdFrom: s.Cold, ColdSpan: s.Warms, FallMultiple: s.FallMultiple,
-		FallSpan: s.FallSpan, AnswerSlack: 16e3, Tick: 4e3, TellsStart: true, WorthByWork: !s.ByRequest, PriceCross: 0.03}
+		SecondCopies:  s.SecondCopies,
+		MaxRetryAfter: 2e6, DrainGrace: s.DrainGrace, ColdFrom: s.Cold, ColdSpan: s.Warms, OverloadMultiple: s.FallMultiple,
+		OverloadSpan: s.FallSpan, AnswerSlack: 16e3, Tick: 4e3, TellsStart: true, WorthByWork: !s.ByRequest, CrossZoneCost: 0.03}
 	for _, c := range s.Classes {
 		out.Classes = append(out.Classes, c.Terms)
 	}
--- a/internal/engine/counts.go
+++ b/internal/engine/counts.go
@@ -21,9 +21,9 @@
 	Written                         int
 	BadRequests                     int // answered 4xx or 5xx without becoming a request
 	Pushes                          int
-	Outcomes, Probes                [decide.Moot + 1]int // by decide.Status
-	ListCalls, ListNews, ListFailed int                  // calls of discovery, answers with news, calls that came to nothing
-	ListWait                        time.Duration        // the longest that an answer of discovery took which was there before the call
+	Outcomes, Probes                [decide.NotSent + 1]int // by decide.Status
+	ListCalls, ListNews, ListFailed int                     // calls of discovery, answers with news, calls that came to nothing
+	ListWait                        time.Duration           // the longest that an answer of discovery took which was there before the call
 	Dials, DialsFailed              int
 	Shed                            int           // connections closed to stay within the descriptor budget
 	SlowWorkers                     int           // exchanges ended since the worker took or wrote too slowly
@@ -40,7 +40,7 @@
 		c.Taken, c.Served, c.Refused, c.Failed, c.Hangups, c.PassedOn, c.Adopted, c.BadRequests, c.Pushes)
 	for _, l := range []struct {
 		name string
-		n    *[decide.Moot + 1]int
+		n    *[decide.NotSent + 1]int
 	}{{"attempts", &c.Outcomes}, {"probes", &c.Probes}} {
 		for s, n := range l.n {
 			if n > 0 {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -261,7 +261,7 @@
 	e.open--
 	for _, a := range r.attempts { // nobody waits for it: what has not gone out stays here
 		if !a.over && e.workers.Withdraw(a) {
-			a.End(decide.Moot, nil, decide.Report{})
+			a.End(decide.NotSent, nil, decide.Report{})
 		}
 	}
 	e.forget(r)
@@ -306,7 +306,7 @@
 
 func (e *Engine) takeNews(kind decide.ListKind, entries []Entry) {
 	list := e.takeList(kind, entries)
-	e.call(func() { e.d.TakeNews(e.Now(), kind, list) })
+	e.call(func() { e.d.UpdateWorkers(e.Now(), kind, list) })
 	e.forgetGone()
 }
 
@@ -318,7 +318,7 @@
 	}
 	e.call(func() {
 		for peer := range believed {
-			e.d.Told(e.Now(), peer, binary.BigEndian.AppendUint64(nil, uint64(w.ID)))
+			e.d.PeerMessage(e.Now(), peer, binary.BigEndian.AppendUint64(nil, uint64(w.ID)))
 		}
 	})
 }
@@ -543,7 +543,7 @@
 		}
 		a.limit(timeout)
 		if a.n > 0 && e.MayRetry != nil && !e.MayRetry(r.Class) {
-			a.End(decide.Moot, nil, decide.Report{})
+			a.End(decide.NotSent, nil, decide.Report{})
 			return
 		}
 		e.workers.Push(a)
@@ -609,6 +609,6 @@
 	})
 }
 
-// Tell is not carried out: the protocol gives schedulers no way to talk to each other, and the settings
+// SendPeer is not carried out: the protocol gives schedulers no way to talk to each other, and the settings
 // say so to the module.
-func (x actions) Tell(int, []byte) {}
+func (x actions) SendPeer(int, []byte) {}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -79,7 +79,7 @@
 func (f *fake) Failed()                 { f.log += "failed " }
 
 var testSettings = decide.Settings{Nodes: 1, Zones: 1, CanProbe: true, CanCancel: true, MaxAttempts: 4,
-	ColdFrom: 0.3, ColdSpan: 1e6, FallMultiple: 4, FallSpan: 1e6, Tick: 4000, MaxRetry: 1e6,
+	ColdFrom: 0.3, ColdSpan: 1e6, OverloadMultiple: 4, OverloadSpan: 1e6, Tick: 4000, MaxRetryAfter: 1e6,
 	Classes: []decide.Class{{Aim: 2e6, Deadline: 9e6, Stretch: 2, Kind: -1, Worth: 1},
 		{Effect: decide.Unsafe, Aim: 2e6, Deadline: 9e6, Stretch: 2, Kind: -1, Worth: 1}}}
 
--- a/internal/engine/pass.go
+++ b/internal/engine/pass.go
@@ -37,7 +37,7 @@
 
 // Passed returns what another process needs to go on with a request; not where more than one attempt is out.
 func (e *Engine) Passed(r *Request) (p Passed, ok bool) {
-	j, tried, ok := e.d.Held(r.ID)
+	j, tried, ok := e.d.OpenJob(r.ID)
 	if !ok || !r.open || r.out > 1 || len(tried) != len(r.attempts) {
 		return p, false
 	}
@@ -63,7 +63,7 @@
 	r := e.take(p.Class, p.GiveUpAt, p.Came, payload, c)
 	e.Counts.Adopted++
 	var out *Attempt
-	tried := make([]decide.Tried, len(p.Tried))
+	tried := make([]decide.AttemptState, len(p.Tried))
 	for i, t := range p.Tried {
 		w := e.byName[t.Worker]
 		if w == nil { // the list has lost it
@@ -71,7 +71,7 @@
 			w = &Worker{ID: e.nextID, Name: t.Worker, Addr: t.Addr, State: decide.Gone}
 			e.byName[t.Worker], e.byID[w.ID] = w, w
 		}
-		tried[i] = decide.Tried{Worker: w.ID, Sent: t.Sent, StartedAt: t.StartedAt, Out: t.Out, Started: t.Started, MayHaveRun: t.MayHaveRun}
+		tried[i] = decide.AttemptState{Worker: w.ID, Sent: t.Sent, StartedAt: t.StartedAt, Out: t.Out, Started: t.Started, MayHaveRun: t.MayHaveRun}
 		a := &Attempt{Request: r, Worker: w, n: i, life: w.life, sentAt: t.Sent, over: !t.Out, ran: t.MayHaveRun, e: e}
 		r.attempts = append(r.attempts, a)
 		if t.Out {
@@ -113,7 +113,7 @@
 	if len(l.Names) != len(l.Workers) {
 		return
 	}
-	var known []decide.LearntOfWorker
+	var known []decide.LearntWorker
 	for i, w := range l.Workers {
 		if here := e.byName[l.Names[i]]; here != nil {
 			w.ID = here.ID
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -109,8 +109,8 @@
 
 func newBench(t *testing.T) *bench {
 	e, err := engine.New(engine.NewLoop(), engine.Config{Zones: []string{"here"}, Kinds: []string{"box"}, Settings: decide.Settings{
-		Nodes: 1, Zones: 1, CanProbe: true, CanCancel: true, MaxAttempts: 4, ColdFrom: 0.3, ColdSpan: 1e6, FallMultiple: 4,
-		FallSpan: 1e6, Tick: 4000, MustAsk: true, AskWithin: 1e7, MaxRetry: 1500000, Classes: []decide.Class{
+		Nodes: 1, Zones: 1, CanProbe: true, CanCancel: true, MaxAttempts: 4, ColdFrom: 0.3, ColdSpan: 1e6, OverloadMultiple: 4,
+		OverloadSpan: 1e6, Tick: 4000, MustAsk: true, AskWithin: 1e7, MaxRetryAfter: 1500000, Classes: []decide.Class{
 			{Effect: decide.Safe, Aim: 2e6, Stretch: 2, Deadline: 9e6, Worth: 1, Kind: -1},
 			{Effect: decide.Unsafe, Aim: 2e6, Stretch: 2, Deadline: 9e6, Worth: 1, Kind: -1}}}})
 	require.NoError(t, err)
--- a/internal/jobs/overlay_test.go
+++ b/internal/jobs/overlay_test.go
@@ -26,8 +26,8 @@
 // ready and not out.
 func TestOverlayAgainstAModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e, err := engine.New(engine.NewLoop(), engine.Config{Settings: decide.Settings{Nodes: 1, Zones: 1, MaxAttempts: 1, ColdFrom: 1, FallMultiple: 1,
-			FallSpan: 1, Classes: []decide.Class{{Aim: 1, Deadline: 1, Kind: -1}}}})
+		e, err := engine.New(engine.NewLoop(), engine.Config{Settings: decide.Settings{Nodes: 1, Zones: 1, MaxAttempts: 1, ColdFrom: 1, OverloadMultiple: 1,
+			OverloadSpan: 1, Classes: []decide.Class{{Aim: 1, Deadline: 1, Kind: -1}}}})
 		require.NoError(t, err)
 		e.Use(nowhere{}, nowhere{})
 		o := NewOverlay(e)
@@ -82,8 +82,8 @@
 }
 
 func TestOverlayIsBounded(t *testing.T) {
-	e, err := engine.New(engine.NewLoop(), engine.Config{Settings: decide.Settings{Nodes: 1, Zones: 1, MaxAttempts: 1, ColdFrom: 1, FallMultiple: 1,
-		FallSpan: 1, Classes: []decide.Class{{Aim: 1, Deadline: 1, Kind: -1}}}})
+	e, err := engine.New(engine.NewLoop(), engine.Config{Settings: decide.Settings{Nodes: 1, Zones: 1, MaxAttempts: 1, ColdFrom: 1, OverloadMultiple: 1,
+		OverloadSpan: 1, Classes: []decide.Class{{Aim: 1, Deadline: 1, Kind: -1}}}})
 	require.NoError(t, err)
 	e.Use(nowhere{}, nowhere{})
 	o := NewOverlay(e)
--- a/internal/jobs/worker.go
+++ b/internal/jobs/worker.go
@@ -168,7 +168,7 @@
 		if !a.Sendable() {
 			x.over = true
 			x.w.Dialer.Put(x.addr, c)
-			a.End(decide.Moot, nil, decide.Report{})
+			a.End(decide.NotSent, nil, decide.Report{})
 			return
 		}
 		in := a.Request.Payload.(*call)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -57,14 +57,14 @@
 type Service struct {
 	m       *Set
 	wait    []prometheus.Observer
-	probe   [decide.Moot + 1]prometheus.Observer
-	attempt [][decide.Moot + 1]prometheus.Observer
+	probe   [decide.NotSent + 1]prometheus.Observer
+	attempt [][decide.NotSent + 1]prometheus.Observer
 	answer  [][len(answers)]prometheus.Observer
 }
 
 // Service returns the observers of a service; outcomes names those of attempts and probes.
 func (m *Set) Service(name string, classes []string, outcomes []string) *Service {
-	s := &Service{m: m, attempt: make([][decide.Moot + 1]prometheus.Observer, len(classes)), answer: make([][len(answers)]prometheus.Observer, len(classes))}
+	s := &Service{m: m, attempt: make([][decide.NotSent + 1]prometheus.Observer, len(classes)), answer: make([][len(answers)]prometheus.Observer, len(classes))}
 	for i, class := range classes {
 		s.wait = append(s.wait, m.wait.WithLabelValues(name, class))
 		for o := range s.attempt[i] {
--- a/internal/placement/distrust.go
+++ b/internal/placement/distrust.go
@@ -35,7 +35,7 @@
 			}
 			message := binary.BigEndian.AppendUint64(nil, uint64(id))
 			for range believed {
-				p.dispatch.Told(now, 0, message)
+				p.dispatch.PeerMessage(now, 0, message)
 			}
 		}
 	})
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -63,8 +63,8 @@
 		return
 	}
 	in.Holder = p.ids[near[rand.IntN(len(near))].ID]
-	in.Saved = float64(p.slots) * nearShare
-	in.Enough = p.capacity()
+	in.SavedSlots = float64(p.slots) * nearShare
+	in.EnoughSlots = p.capacity()
 }
 
 // weighReading sets what the reading of a prompt takes where its shared prefix is held, and which worker holds it.
@@ -75,8 +75,8 @@
 	p.units += learnRate * (in.Slots - p.units)
 	if holder := home(prefix, p.ready); holder != "" {
 		in.Holder = p.ids[holder]
-		in.Saved = cost * units(tokens) * heldPrefixWeight
-		in.Enough = p.capacity() - worthAsking
+		in.SavedSlots = cost * units(tokens) * heldPrefixWeight
+		in.EnoughSlots = p.capacity() - worthAsking
 	}
 }
 
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -167,7 +167,7 @@
 			return verdict
 		case order := <-placed.pushes:
 			if !p.mayPush(&job, pushes, runs) {
-				target.outcome(id, order, decide.Moot)
+				target.outcome(id, order, decide.NotSent)
 				target.call(func(now decide.Time) { target.dispatch.GiveUp(now, id) })
 				if runs == 0 {
 					return p.refused(&job, runs)
@@ -176,7 +176,7 @@
 			}
 			result, sent := target.send(ctx, placed, order, push)
 			if !sent {
-				target.outcome(id, order, decide.Moot)
+				target.outcome(id, order, decide.NotSent)
 				p.unspend(&job, pushes)
 				continue
 			}
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -87,20 +87,20 @@
 		workers: map[decide.WorkerID]*worker{}, classes: map[classKey]int{}, units: usualUnits}
 	first := classKey{aim: time.Second, deadline: time.Second}
 	dispatch, err := decide.New(decide.Settings{
-		Nodes:        AssumedRouters,
-		Zone:         settings.zone,
-		Zones:        len(settings.zones),
-		Classes:      []decide.Class{first.class()},
-		CanProbe:     true,
-		Unpriced:     true, // no worker tells of a start, and without starts a price would not come down again
-		EchoNoise:    echoNoise.Microseconds(),
-		CanCancel:    true,
-		MaxAttempts:  maxPushes,
-		MaxRetry:     int64(time.Second / time.Microsecond),
-		ColdFrom:     1,
-		FallMultiple: 1,
-		FallSpan:     int64(time.Second / time.Microsecond),
-		Tick:         int64(time.Millisecond / time.Microsecond),
+		Nodes:            AssumedRouters,
+		Zone:             settings.zone,
+		Zones:            len(settings.zones),
+		Classes:          []decide.Class{first.class()},
+		CanProbe:         true,
+		Unpriced:         true, // no worker tells of a start, and without starts a price would not come down again
+		RTTNoise:         echoNoise.Microseconds(),
+		CanCancel:        true,
+		MaxAttempts:      maxPushes,
+		MaxRetryAfter:    int64(time.Second / time.Microsecond),
+		ColdFrom:         1,
+		OverloadMultiple: 1,
+		OverloadSpan:     int64(time.Second / time.Microsecond),
+		Tick:             int64(time.Millisecond / time.Microsecond),
 	}, rand.Uint64(), (*poolActions)(p))
 	if err != nil {
 		return nil, err
@@ -372,6 +372,6 @@
 	}
 }
 
-func (a *poolActions) Watch(bool)       {}
-func (a *poolActions) Reload()          {}
-func (a *poolActions) Tell(int, []byte) {}
+func (a *poolActions) Watch(bool)           {}
+func (a *poolActions) Reload()              {}
+func (a *poolActions) SendPeer(int, []byte) {}
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -117,8 +117,8 @@
 	e.u64(token)
 }
 
-// Tell implements decide.Actions.
-func (e *Encoder) Tell(peer int, data []byte) {
+// SendPeer implements decide.Actions.
+func (e *Encoder) SendPeer(peer int, data []byte) {
 	data = data[:min(len(data), 256)]
 	e.head(actTell, 8+len(data))
 	if peer == decide.PeerAll {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -131,28 +131,28 @@
 		}
 	}
 	s := decide.Settings{
-		Nodes:          int(p.whole("balancers")),
-		Zone:           int(p.whole("zone")),
-		Zones:          max(1, len(p.list("zones"))),
-		CanProbe:       p.flagOr("limits.probes", false),
-		CanCancel:      p.flagOr("limits.cancel", false),
-		CanTell:        p.flagOr("limits.peers", false),
-		SecondCopies:   p.flagOr("limits.second_copies", false),
-		MaxAttempts:    int(p.whole("limits.max_attempts")),
-		DrainGrace:     p.whole("obligations.drain_grace_us"),
-		ColdFrom:       p.num("obligations.cold_from"),
-		ColdSpan:       p.whole("obligations.cold_us"),
-		FallMultiple:   p.num("obligations.tip_multiple"),
-		FallSpan:       p.whole("obligations.overload_for_us"),
-		AnswerSlack:    decide.Time(p.numOr("obligations.answer_slack_us", 0)),
-		Tick:           p.whole("resolution_us"),
-		TellsStart:     p.flagOr("family_info.tells_start", false),
-		OverShareWorth: p.numOr("over_share_worth", 1),
-		WorthByWork:    p.values["counted_by"] == "work",
-		PriceCross:     p.numOr("prices.cross_zone", 0),
+		Nodes:            int(p.whole("balancers")),
+		Zone:             int(p.whole("zone")),
+		Zones:            max(1, len(p.list("zones"))),
+		CanProbe:         p.flagOr("limits.probes", false),
+		CanCancel:        p.flagOr("limits.cancel", false),
+		CanMessagePeers:  p.flagOr("limits.peers", false),
+		SecondCopies:     p.flagOr("limits.second_copies", false),
+		MaxAttempts:      int(p.whole("limits.max_attempts")),
+		DrainGrace:       p.whole("obligations.drain_grace_us"),
+		ColdFrom:         p.num("obligations.cold_from"),
+		ColdSpan:         p.whole("obligations.cold_us"),
+		OverloadMultiple: p.num("obligations.tip_multiple"),
+		OverloadSpan:     p.whole("obligations.overload_for_us"),
+		AnswerSlack:      decide.Time(p.numOr("obligations.answer_slack_us", 0)),
+		Tick:             p.whole("resolution_us"),
+		TellsStart:       p.flagOr("family_info.tells_start", false),
+		OverShareWorth:   p.numOr("over_share_worth", 1),
+		WorthByWork:      p.values["counted_by"] == "work",
+		CrossZoneCost:    p.numOr("prices.cross_zone", 0),
 	}
 	if p.flagOr("limits.retry_after", false) {
-		s.MaxRetry = max(0, decide.Time(p.numOr("limits.max_retry_after_us", 0)))
+		s.MaxRetryAfter = max(0, decide.Time(p.numOr("limits.max_retry_after_us", 0)))
 	}
 	switch how := p.values["discovery"]; how {
 	case "automatic":
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -372,7 +372,7 @@
 
 func (f *fields) status() decide.Status {
 	s := f.u8()
-	if s > uint8(decide.Moot) && !f.short {
+	if s > uint8(decide.NotSent) && !f.short {
 		f.bad = "unknown outcome"
 	}
 	return decide.Status(s)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -130,8 +130,8 @@
 	e.Watch(true)
 	e.Reload()
 	e.Wake(1<<40, 7)
-	e.Tell(decide.PeerAll, []byte{1})
-	e.Tell(3, nil)
+	e.SendPeer(decide.PeerAll, []byte{1})
+	e.SendPeer(3, nil)
 	e.BailOut("no")
 	want := unhex(t, `
 		000000be
@@ -294,7 +294,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Nodes != 3 || s.Zones != 2 || s.Zone != 1 || !s.MustAsk || s.AskWithin != 9000000 || !s.CanProbe || s.CanTell ||
+	if s.Nodes != 3 || s.Zones != 2 || s.Zone != 1 || !s.MustAsk || s.AskWithin != 9000000 || !s.CanProbe || s.CanMessagePeers ||
 		len(s.Classes) != 2 || s.Classes[1].Scope != decide.ScopeCell || s.Classes[1].Stretch != 1.5 ||
 		s.Classes[0].Kind != -1 || len(s.Tenants) != 1 || s.Tenants[0].Allowance != 12.5 {
 		t.Errorf("settings %+v", s)
