--- a/cmd/weldscale/config.go
+++ b/cmd/weldscale/config.go
@@ -41,7 +41,7 @@
 	passed         int           // descriptor of the clients' listening socket; -1: we open our own
 	engine         engine.Config
 	classes        []string
-	reports        *jobs.Reports
+	reports        *jobs.LoadReportParser
 	connectTimeout time.Duration
 	idleLimit      time.Duration
 }
@@ -148,7 +148,7 @@
 		}
 		*to = time.Duration(us) * time.Microsecond
 	}
-	c.reports = &jobs.Reports{Fields: names(named.Report.Fields), Make: layout.Report}
+	c.reports = &jobs.LoadReportParser{Fields: names(named.Report.Fields), Make: layout.Report}
 	return nil
 }
 
--- a/cmd/weldscale/fleet.go
+++ b/cmd/weldscale/fleet.go
@@ -90,7 +90,7 @@
 		return
 	}
 	name := v.conf.Name
-	v.e.Seen = func(worker string, job bool, s decide.Status) {
+	v.e.OnOutcome = func(worker string, job bool, s decide.Status) {
 		switch {
 		case s == decide.Served && job:
 			p.evidence.Saw(name, worker, evidence.Fine)
@@ -108,7 +108,7 @@
 			return
 		}
 		for _, worker := range p.evidence.Round(name, v.e.ReadyWorkers()) {
-			v.e.Complain(worker)
+			v.e.AddPeerEvidence(worker)
 		}
 		loop.After(weighEvery, weigh)
 	}
--- a/cmd/weldscale/moments_clients_test.go
+++ b/cmd/weldscale/moments_clients_test.go
@@ -123,7 +123,7 @@
 		b.onLoop(func() {})
 		free := b.held()
 		require.NoError(t, c.Send(standin.Job("gone", "view", 8*time.Second, "x")))
-		require.Eventually(t, func() bool { return b.s.loop.Waits() > 0 }, patience, time.Millisecond)
+		require.Eventually(t, func() bool { return b.s.loop.QueueLen() > 0 }, patience, time.Millisecond)
 		away(c) // on the loopback its end is there by the time that the call returns
 		free()
 		b.arrived(2)
@@ -150,7 +150,7 @@
 			shop := func() (open, engine, begun int) {
 				b.onLoop(func() {
 					v := b.s.services["shop"]
-					open, engine, begun = v.jobs.Pool.Open(), v.e.Open(), v.jobs.Pool.Counts.Begun
+					open, engine, begun = v.jobs.Pool.Open(), v.e.OpenRequests(), v.jobs.Pool.Counts.Begun
 				})
 				return
 			}
@@ -231,7 +231,7 @@
 			b.onLoop(func() {})
 			free := b.held()
 			comes := func(n int) {
-				require.Eventually(t, func() bool { return b.s.loop.Waits() >= n }, patience, time.Millisecond)
+				require.Eventually(t, func() bool { return b.s.loop.QueueLen() >= n }, patience, time.Millisecond)
 			}
 			if answerFirst {
 				close(finish)
@@ -250,7 +250,7 @@
 			assert.Equal(t, []string{"both", "next"}, w.IDs())
 			b.onLoop(func() {
 				n := b.s.e.Counts
-				assert.Equal(t, n.Taken, n.Served+n.Hangups+n.Refused+n.Failed)
+				assert.Equal(t, n.Accepted, n.Served+n.Hangups+n.Refused+n.Failed)
 				assert.Zero(t, n.Refused+n.Failed)
 			})
 		})
--- a/cmd/weldscale/moments_discovery_test.go
+++ b/cmd/weldscale/moments_discovery_test.go
@@ -164,7 +164,7 @@
 				require.Eventually(t, func() (is bool) {
 					b.onLoop(func() {
 						at := ""
-						b.s.e.Each(func(addr string) { at = addr })
+						b.s.e.EachReadyAddr(func(addr string) { at = addr })
 						is = b.s.e.ReadyWorkers() == n && at == on
 					})
 					return is
--- a/cmd/weldscale/moments_stop_test.go
+++ b/cmd/weldscale/moments_stop_test.go
@@ -47,7 +47,7 @@
 	began := time.Now()
 	// The poller waits with what one client has sent until the loop takes it: it accepts and reads nobody else.
 	require.NoError(t, poller.Send("POST /"))
-	require.Eventually(t, func() bool { return b.s.loop.Waits() > 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return b.s.loop.QueueLen() > 0 }, patience, time.Millisecond)
 	if fresh {
 		c = b.call()
 	}
@@ -83,12 +83,12 @@
 		l := pace.Defaults(1 << 20)
 		l.Fresh, l.Hurry = 0, 0
 		b.s.server.Pace.SetLimits(l)
-		assert.Zero(t, b.s.server.MakeRoom(9, false))
+		assert.Zero(t, b.s.server.EvictClients(9, false))
 	})
 	<-at
 	// The poller waits with what one client has sent until the loop takes it: it reads nobody else.
 	require.NoError(t, poller.Send("POST /"))
-	require.Eventually(t, func() bool { return b.s.loop.Waits() > 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return b.s.loop.QueueLen() > 0 }, patience, time.Millisecond)
 	for id, c := range map[string]*standin.Caller{"kept": kept, "fresh": fresh} {
 		require.NoError(t, c.Send(standin.Job(id, "view", 8*time.Second, "x")))
 	}
--- a/cmd/weldscale/moments_workers_test.go
+++ b/cmd/weldscale/moments_workers_test.go
@@ -48,7 +48,7 @@
 			b.onLoop(func() {})
 			free := b.held()
 			require.NoError(t, c.Send(standin.Job("next", "view", 8*time.Second, "x")))
-			require.Eventually(t, func() bool { return b.s.loop.Waits() > 0 }, patience, time.Millisecond)
+			require.Eventually(t, func() bool { return b.s.loop.QueueLen() > 0 }, patience, time.Millisecond)
 			say(kept)
 			free()
 			status, body, err := c.Answer(patience)
--- a/cmd/weldscale/operate.go
+++ b/cmd/weldscale/operate.go
@@ -21,7 +21,7 @@
 
 // soon has f run on the loop.
 func (o operate) soon(f func()) error {
-	if !o.s.loop.Soon(callWait, f) {
+	if !o.s.loop.DoUrgent(callWait, f) {
 		return mgmt.ErrLate
 	}
 	return nil
@@ -71,9 +71,9 @@
 			}
 		}
 		f.Attempts += p.e.Counts.Written
-		f.InFlight += p.e.Open()
-		f.WorkersKnown += p.overlay.Known()
-		f.WorkersExcluded += p.overlay.Excluded()
+		f.InFlight += p.e.OpenRequests()
+		f.WorkersKnown += p.overlay.KnownWorkers()
+		f.WorkersExcluded += p.overlay.ExcludedWorkers()
 	}
 	return f
 }
@@ -97,7 +97,7 @@
 func (s *scheduler) out() []string {
 	var names []string
 	for _, p := range s.parts() {
-		names = append(names, p.overlay.Names()...)
+		names = append(names, p.overlay.Offline()...)
 	}
 	slices.Sort(names)
 	return slices.Compact(names)
@@ -106,7 +106,7 @@
 // restore takes out whoever was out before, in every service, listed or not.
 func (s *scheduler) restore(names []string) {
 	for _, p := range s.parts() {
-		p.overlay.Restore(names)
+		p.overlay.RestoreOffline(names)
 	}
 }
 
@@ -114,7 +114,7 @@
 func (s *scheduler) setOut(worker string, out bool) bool {
 	known := false
 	for _, p := range s.parts() {
-		known = p.overlay.Set(worker, out) || known
+		known = p.overlay.SetOffline(worker, out) || known
 	}
 	slog.Info("worker by hand", "worker", worker, "out", out, "known", known)
 	return known
--- a/cmd/weldscale/operate_test.go
+++ b/cmd/weldscale/operate_test.go
@@ -103,8 +103,8 @@
 		b.s.loop.Post(func() { order <- "queue" })
 	}
 	called := make(chan bool)
-	go func() { called <- b.s.loop.Soon(patience, func() { order <- "call" }) }()
-	require.Eventually(t, func() bool { return b.s.loop.SoonWaits() == 1 }, patience, time.Millisecond)
+	go func() { called <- b.s.loop.DoUrgent(patience, func() { order <- "call" }) }()
+	require.Eventually(t, func() bool { return b.s.loop.UrgentQueueLen() == 1 }, patience, time.Millisecond)
 	close(release)
 	assert.True(t, <-called)
 	assert.Equal(t, "call", <-order)
@@ -154,6 +154,6 @@
 	assert.Equal(t, 4, f.Attempts)
 	b.s.loop.Do(func() {
 		c := &b.s.e.Counts
-		assert.Equal(t, c.Taken, c.Served+c.Refused+c.Failed+c.Hangups+b.s.e.Open())
+		assert.Equal(t, c.Accepted, c.Served+c.Refused+c.Failed+c.Hangups+b.s.e.OpenRequests())
 	})
 }
--- a/cmd/weldscale/rules_test.go
+++ b/cmd/weldscale/rules_test.go
@@ -122,7 +122,7 @@
 	close(release)
 	assert.Equal(t, 200, <-answered)
 	<-b.end
-	assert.Zero(t, b.s.e.Open())
+	assert.Zero(t, b.s.e.OpenRequests())
 }
 
 // The door of a stopping scheduler once stayed open as long as anyone still came, and what it then took was lost at
@@ -176,7 +176,7 @@
 	b.discovery.Set(a.Entry("DRAINING"))
 	require.Eventually(t, func() bool {
 		told := make(chan int)
-		b.s.loop.Post(func() { n := 0; b.s.e.Each(func(string) { n++ }); told <- n })
+		b.s.loop.Post(func() { n := 0; b.s.e.EachReadyAddr(func(string) { n++ }); told <- n })
 		return <-told == 1
 	}, patience, time.Millisecond)
 	before := len(a.IDs())
--- a/cmd/weldscale/serve.go
+++ b/cmd/weldscale/serve.go
@@ -166,24 +166,24 @@
 	}
 	driver := net.New(loop, net.Config{Descriptors: c.Limits.Sockets, ConnectTimeout: c.connectTimeout, IdleLimit: c.idleLimit})
 	server := jobs.NewServer(jobs.NewService("", e, c.classes))
-	server.Keep(pace.New(c.file.SlowPeers))
+	server.SetPace(pace.New(c.file.SlowPeers))
 	driver.Accepted = server.Serve
 	server.Ready = s.ready
-	driver.ShedIdle = server.MakeRoom
+	driver.ShedIdle = server.EvictClients
 	driver.Counted = func(dials, failed, shed int) {
 		e.Counts.Dials += dials
 		e.Counts.DialsFailed += failed
 		e.Counts.Shed += shed
 	}
 	discovery := &jobs.Discovery{Engine: e, Dialer: driver, Addr: c.Discovery, Rand: rand.New(rand.NewPCG(c.engine.Seed, 1)),
-		Cadence: jobs.Cadence{Nodes: c.engine.Settings.Nodes, Ask: time.Duration(c.engine.Settings.AskWithin) * time.Microsecond}}
-	discovery.Pushed = !c.engine.Settings.MustAsk
+		Cadence: jobs.Cadence{Nodes: c.engine.Settings.Nodes, AskWithin: time.Duration(c.engine.Settings.AskWithin) * time.Microsecond}}
+	discovery.FromAgent = !c.engine.Settings.MustAsk
 	workers := &jobs.Workers{Engine: e, Dialer: driver, Reports: c.reports, Host: "app.svc", Pace: c.file.Workers}
-	workers.Keep = c.passed >= 0
+	workers.RetainResponses = c.passed >= 0
 	server.Main.Workers = workers
 	overlay := jobs.NewOverlay(e)
-	e.Use(workers, discovery)
-	if err := discovery.Known(c.Known); err != nil {
+	e.SetBackends(workers, discovery)
+	if err := discovery.LoadKnown(c.Known); err != nil {
 		return nil, err
 	}
 	*s = scheduler{c: c, loop: loop, e: e, driver: driver, server: server, workers: workers, discovery: discovery, overlay: overlay, clock: &pool.Clock{}}
@@ -213,9 +213,9 @@
 	}
 	s.shareLimits()
 	if s.up != nil {
-		discovery.News = s.up.tell
+		discovery.OnUpdate = s.up.tell
 	}
-	if discovery.Pushed && c.Discovery != "" {
+	if discovery.FromAgent && c.Discovery != "" {
 		discovery.Watch(true)
 	}
 	if c.Mgmt != "" {
@@ -269,7 +269,7 @@
 		if s.passOn() {
 			return
 		}
-		s.server.Closing()
+		s.server.StartClosing()
 		s.stopped()
 	}
 }
@@ -280,7 +280,7 @@
 	since, last := time.Since(s.stopping), s.lastCall()
 	if !s.shut && since >= min(openFor, last) {
 		s.shut = true
-		s.server.Shut()
+		s.server.RefuseNew()
 	}
 	if !s.closed && since >= graceFor && (!s.driver.Waits() || since >= max(graceFor+lastWords, min(graceFor+waitFor, last))) {
 		s.closed = true
@@ -293,7 +293,7 @@
 	if !s.calledOff && since >= last {
 		s.calledOff = true
 		for _, e := range s.engines() {
-			e.GiveUp()
+			e.GiveUpAll()
 		}
 	}
 	if !s.closed || s.inHand() > 0 || (unread > 0 || s.driver.Unsent() > 0) && since < min(unsentFor, last+lastWords) {
--- a/cmd/weldscale/services.go
+++ b/cmd/weldscale/services.go
@@ -37,7 +37,7 @@
 }
 
 // reports are the figures of PROTOCOL, in the order in which a service's workers are asked for them.
-var reports = &jobs.Reports{Fields: []string{"inflight", "util", "x0"}, Make: func(v []float32) (r decide.Report) {
+var reports = &jobs.LoadReportParser{Fields: []string{"inflight", "util", "x0"}, Make: func(v []float32) (r decide.Report) {
 	for i, f := range []struct {
 		has decide.Fields
 		to  *float64
@@ -59,23 +59,23 @@
 	dials := s.driver.Dialer(conf.Connections)
 	v := &service{conf: conf, e: e, dials: dials, jobs: jobs.NewService(conf.Name, e, conf.ClassNames()), stop: func() {}}
 	v.overlay = jobs.NewOverlay(e)
-	workers := &jobs.Workers{Engine: e, Dialer: dials, Reports: reports, Host: conf.Name, Service: conf.Name, Pace: s.c.file.Workers, Keep: s.c.passed >= 0}
+	workers := &jobs.Workers{Engine: e, Dialer: dials, Reports: reports, Host: conf.Name, Service: conf.Name, Pace: s.c.file.Workers, RetainResponses: s.c.passed >= 0}
 	v.jobs.Workers = workers
 	switch {
 	case conf.Discovery != "":
 		d := &jobs.Discovery{Engine: e, Dialer: s.driver, Addr: conf.Discovery, Service: conf.Name}
-		e.Use(workers, d)
+		e.SetBackends(workers, d)
 		v.stop = d.Close
 	case conf.File != "":
 		f, err := member.Watch(e, conf.Name, conf.File, operator.ListPause)
 		if err != nil {
 			return nil, fmt.Errorf("service %q: %w", conf.Name, err)
 		}
-		e.Use(workers, f)
+		e.SetBackends(workers, f)
 		v.list, v.stop = &f.Static, f.Close
 	default:
 		v.list = &member.Static{Engine: e}
-		e.Use(workers, v.list)
+		e.SetBackends(workers, v.list)
 	}
 	return v, nil
 }
@@ -90,7 +90,7 @@
 
 // begin gives a service its parts of what all share, and its workers.
 func (s *scheduler) begin(v *service) {
-	v.overlay.Restore(s.out()) // who is out is out of a new service too
+	v.overlay.RestoreOffline(s.out()) // who is out is out of a new service too
 	v.share, v.lane = s.open.Share(v.conf.Reserve), s.clock.Lane(s.loop.Now(), v.conf.Weight)
 	p := pool.New(v.conf.Name, v.conf.Limits, v.conf.ClassLimits(), v.share, v.lane)
 	if err := s.fleet.share(v.conf, p); err != nil { // its terms were checked with the file
@@ -115,7 +115,7 @@
 func (s *scheduler) account(v *jobs.Service, e *engine.Engine, p *pool.Pool, lane *pool.Lane) {
 	v.Pool = p
 	e.MayRetry = func(class int) bool { return p.Retry(s.loop.Now(), class) }
-	e.Used = func(span time.Duration) { lane.Used(s.loop.Now(), span.Microseconds()) }
+	e.OnBusy = func(span time.Duration) { lane.Used(s.loop.Now(), span.Microseconds()) }
 }
 
 // apply puts the services of an operator's file in force. New ones are all built first; one that can't be leaves all as
@@ -204,7 +204,7 @@
 // left ends services that are no longer named once nothing of theirs is in hand.
 func (s *scheduler) left() {
 	s.leaving = slices.DeleteFunc(s.leaving, func(v *service) bool {
-		if v.e.Open() > 0 {
+		if v.e.OpenRequests() > 0 {
 			return false
 		}
 		v.stop()
@@ -221,7 +221,7 @@
 func (s *scheduler) inHand() int {
 	n := 0
 	for _, e := range s.engines() {
-		n += e.Open()
+		n += e.OpenRequests()
 	}
 	return n
 }
--- a/cmd/weldscale/services_test.go
+++ b/cmd/weldscale/services_test.go
@@ -193,7 +193,7 @@
 	text := strings.Replace(block("shop", ""), "workers {\n", fmt.Sprintf("workers {\n file = %q\n", path), 1)
 	b := startBenchWith(t, nil, func(c *config) { c.file = readFile(t, text) })
 	names := func() (out []string) {
-		b.s.loop.Do(func() { b.s.services["shop"].e.Each(func(addr string) { out = append(out, addr) }) })
+		b.s.loop.Do(func() { b.s.services["shop"].e.EachReadyAddr(func(addr string) { out = append(out, addr) }) })
 		return out
 	}
 	require.Eventually(t, func() bool { return slices.Equal(names(), []string{a.Addr()}) }, patience, time.Millisecond)
--- a/cmd/weldscale/upgrade.go
+++ b/cmd/weldscale/upgrade.go
@@ -68,14 +68,14 @@
 	// Nothing else runs yet but what waits for the loop.
 	if elder := u.elder(); elder != nil {
 		out = elder.Out
-		if err := s.discovery.Known(elder.List); err != nil {
+		if err := s.discovery.LoadKnown(elder.List); err != nil {
 			slog.Warn("the other process's list can't be read", "why", err)
 		}
-		var l engine.Learnt
+		var l engine.LearnedState
 		if err := json.Unmarshal(elder.Learnt, &l); err != nil {
 			slog.Warn("what the other process has learnt can't be read", "why", err)
 		}
-		s.e.Learn(l)
+		s.e.RestoreLearned(l)
 		slog.Info("beside another process", "other", elder.Process, "out", out, "list", s.discovery.Index())
 	}
 	s.restore(out)
@@ -98,13 +98,13 @@
 // Hello implements handover.Handler.
 func (u *upgrade) Hello() handover.Hello {
 	h := handover.Hello{Started: u.began}
-	u.s.loop.Soon(callWait, func() {
+	u.s.loop.DoUrgent(callWait, func() {
 		var err error
-		if h.Learnt, err = json.Marshal(u.s.e.Learnt()); err != nil {
+		if h.Learnt, err = json.Marshal(u.s.e.LearnedState()); err != nil {
 			slog.Warn("what was learnt can't be passed on", "why", err)
 			h.Learnt = json.RawMessage("{}")
 		}
-		h.Open, h.Out, h.List = u.s.driver.Open(), u.s.out(), u.s.overlay.Listed(u.s.discovery.Index())
+		h.Open, h.Out, h.List = u.s.driver.Open(), u.s.out(), u.s.overlay.Snapshot(u.s.discovery.Index())
 	})
 	return h
 }
@@ -168,7 +168,7 @@
 	loop := u.s.loop
 	switch m.Kind {
 	case handover.KindOut:
-		if loop.Soon(callWait, func() { u.s.setOut(m.Worker, m.Away) }) {
+		if loop.DoUrgent(callWait, func() { u.s.setOut(m.Worker, m.Away) }) {
 			l.Say(handover.Message{Kind: handover.KindDone, Number: m.Number})
 		}
 	case handover.KindDone:
@@ -183,8 +183,8 @@
 		u.ends[l] = true
 		u.mu.Unlock()
 	case handover.KindList:
-		loop.Soon(callWait, func() {
-			if err := u.s.discovery.Told(m.Index, m.List); err != nil {
+		loop.DoUrgent(callWait, func() {
+			if err := u.s.discovery.ApplyRelayed(m.Index, m.List); err != nil {
 				slog.Warn("another process's news can't be read", "why", err)
 			}
 		})
@@ -192,10 +192,10 @@
 		if len(fds) == 1 {
 			fd := fds[0]
 			fds = nil
-			loop.Post(func() { u.s.driver.Adopt(fd, u.s.server.ServeKnown) })
+			loop.Post(func() { u.s.driver.Adopt(fd, u.s.server.AdoptIdle) })
 		}
 	case handover.KindJob:
-		p := new(jobs.PassedJob)
+		p := new(jobs.HandoverJob)
 		if err := json.Unmarshal(m.Job, p); err != nil || len(fds) == 0 {
 			slog.Error("another process's job can't be read", "why", err, "descriptors", len(fds))
 			break
@@ -212,7 +212,7 @@
 }
 
 // adopt goes on with a job of another process: the client's connection comes first, a worker's second.
-func (u *upgrade) adopt(p *jobs.PassedJob, fds []int) {
+func (u *upgrade) adopt(p *jobs.HandoverJob, fds []int) {
 	s := u.s
 	v := s.server.Main
 	if p.Service != "" {
@@ -266,7 +266,7 @@
 		}
 	}
 	var names []string
-	if !u.s.loop.Soon(bindWait, func() { names = u.s.out() }) {
+	if !u.s.loop.DoUrgent(bindWait, func() { names = u.s.out() }) {
 		return nil // the call is in force; the file follows with the next one
 	}
 	u.mu.Lock()
@@ -308,12 +308,12 @@
 	if to == nil || time.Since(s.stopping) > passFor { // as where there never was one
 		slog.Warn("connections left at the stop", "other_lives", to != nil, "peers", s.server.Pace.Counts().Peers, "open", s.inHand(),
 			"clients", u.clients, "jobs", u.jobs)
-		s.server.Closing()
+		s.server.StartClosing()
 		s.stopped()
 		return
 	}
 	s.driver.Quiet(func() {
-		left := s.server.PassIdle(func(c jobs.Conn) bool {
+		left := s.server.HandOverIdle(func(c jobs.Conn) bool {
 			ok := u.give(to, handover.Message{Kind: handover.KindClient}, c)
 			if ok {
 				u.clients++
@@ -321,7 +321,7 @@
 			return ok
 		})
 		if time.Since(s.stopping) > jobsFrom {
-			s.server.PassJobs(u.giveJob(to))
+			s.server.HandOverJobs(u.giveJob(to))
 			left = s.server.Pace.Counts().Peers
 		}
 		if left == 0 && s.inHand() == 0 && s.driver.Unsent() == 0 {
@@ -334,8 +334,8 @@
 }
 
 // giveJob passes a client's connection with its job, and the attempt's.
-func (u *upgrade) giveJob(to *handover.Link) func(*jobs.PassedJob, jobs.Conn, jobs.Conn) bool {
-	return func(p *jobs.PassedJob, client, worker jobs.Conn) bool {
+func (u *upgrade) giveJob(to *handover.Link) func(*jobs.HandoverJob, jobs.Conn, jobs.Conn) bool {
+	return func(p *jobs.HandoverJob, client, worker jobs.Conn) bool {
 		text, err := json.Marshal(p)
 		if err != nil {
 			slog.Error("a job can't be passed on", "why", err)
@@ -362,11 +362,11 @@
 		}
 	}()
 	for _, c := range conns {
-		p, can := c.(jobs.Passable)
+		p, can := c.(jobs.Transferable)
 		if !can {
 			return false
 		}
-		fd, ok := p.Copy()
+		fd, ok := p.DupFD()
 		if !ok {
 			return false
 		}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -59,8 +59,8 @@
 
 // Overlay stands between the list and the engine.
 type Overlay interface {
-	// Over returns the entries as the engine is to see them.
-	Over(kind decide.ListKind, entries []Entry) []Entry
+	// Apply returns the entries as the engine is to see them.
+	Apply(kind decide.ListKind, entries []Entry) []Entry
 }
 
 // Worker is one worker as the list names it. Its address may change; its name and ID do not.
@@ -133,13 +133,13 @@
 	// Meter, if set, observes what requests go through.
 	Meter Meter
 	// Seen, if set, is told how each attempt (job) and each probe ended, by the worker's name.
-	Seen func(worker string, job bool, s decide.Status)
+	OnOutcome func(worker string, job bool, s decide.Status)
 	// Trace, if set, is told what becomes of each request, by its number.
 	Trace func(event string, request uint32, args ...any)
 	// Overlay, if set, changes what news of the list means before anyone acts on it.
 	Overlay Overlay
 	// Used, if set, is told how long the loop was at work for this engine.
-	Used func(span time.Duration)
+	OnBusy func(span time.Duration)
 
 	d        *decide.Dispatcher
 	classes  []decide.Class
@@ -189,11 +189,11 @@
 	return m
 }
 
-// Use sets the ways to the workers and to the worker list.
-func (e *Engine) Use(w Workers, d Directory) { e.workers, e.list = w, d }
+// SetBackends sets the ways to the workers and to the worker list.
+func (e *Engine) SetBackends(w Workers, d Directory) { e.workers, e.list = w, d }
 
-// Open returns how many requests wait for their final answer.
-func (e *Engine) Open() int { return e.open }
+// OpenRequests returns how many requests wait for their final answer.
+func (e *Engine) OpenRequests() int { return e.open }
 
 // LongestDeadline is the longest that a client of any class waits.
 func (e *Engine) LongestDeadline() (longest decide.Time) {
@@ -203,8 +203,8 @@
 	return longest
 }
 
-// GiveUp has every open request given its last answer now: there is no time left.
-func (e *Engine) GiveUp() {
+// GiveUpAll has every open request given its last answer now: there is no time left.
+func (e *Engine) GiveUpAll() {
 	for _, r := range slices.SortedFunc(maps.Values(e.requests), func(a, b *Request) int { return cmp.Compare(a.ID, b.ID) }) {
 		if r.open {
 			e.call(func() { e.d.GiveUp(e.Now(), r.ID) })
@@ -236,7 +236,7 @@
 	r := &Request{ID: e.lastID, Class: class, GiveUpAt: giveUpAt, Payload: payload, client: c, came: came, open: true}
 	e.requests[r.ID] = r
 	e.open++
-	e.Counts.Taken++
+	e.Counts.Accepted++
 	return r
 }
 
@@ -276,31 +276,31 @@
 // Announce takes in news of the worker list.
 func (e *Engine) Announce(kind decide.ListKind, entries []Entry) {
 	if e.Overlay != nil && kind != decide.ListFailed {
-		entries = e.Overlay.Over(kind, entries)
+		entries = e.Overlay.Apply(kind, entries)
 	}
 	if kind == decide.ListFailed {
 		e.Counts.ListFailed++
 	} else {
-		e.Counts.ListNews++
+		e.Counts.ListUpdates++
 	}
 	list := e.takeList(kind, entries)
 	e.call(func() { e.d.Announce(e.Now(), kind, list) })
 	e.forgetGone()
 }
 
-// Overlaid takes in entries that the overlay sees otherwise from now on. Discovery has not spoken: whether the watch
+// OverlayChanged takes in entries that the overlay sees otherwise from now on. Discovery has not spoken: whether the watch
 // stands is not touched.
-func (e *Engine) Overlaid(entries []Entry) {
+func (e *Engine) OverlayChanged(entries []Entry) {
 	e.takeNews(decide.ListDelta, entries)
 }
 
 // Told takes in news of the list that another process of this scheduler has heard: the overlay goes over it, and whether
 // our own watch stands is not touched.
-func (e *Engine) Told(kind decide.ListKind, entries []Entry) {
+func (e *Engine) AnnounceRelayed(kind decide.ListKind, entries []Entry) {
 	if e.Overlay != nil {
-		entries = e.Overlay.Over(kind, entries)
+		entries = e.Overlay.Apply(kind, entries)
 	}
-	e.Counts.ListNews++
+	e.Counts.ListUpdates++
 	e.takeNews(kind, entries)
 }
 
@@ -310,8 +310,8 @@
 	e.forgetGone()
 }
 
-// Complain tells the module that peers have fared badly at a worker. One that our own list has not named is passed over.
-func (e *Engine) Complain(worker string) {
+// AddPeerEvidence tells the module that peers have fared badly at a worker. One that our own list has not named is passed over.
+func (e *Engine) AddPeerEvidence(worker string) {
 	w := e.byName[worker]
 	if w == nil || w.State != decide.Ready {
 		return
@@ -323,12 +323,12 @@
 	})
 }
 
-// believed is how many peers' complaints the module believes; who calls Complain has weighed those of more.
+// believed is how many peers' complaints the module believes; the caller of AddPeerEvidence has weighed those of more.
 const believed = 2
 
 // ReadyWorkers is how many workers take jobs by the list.
 func (e *Engine) ReadyWorkers() (n int) {
-	e.Each(func(string) { n++ })
+	e.EachReadyAddr(func(string) { n++ })
 	return n
 }
 
@@ -379,8 +379,8 @@
 	return -1
 }
 
-// Each calls f with the address of every worker that takes jobs.
-func (e *Engine) Each(f func(addr string)) {
+// EachReadyAddr calls f with the address of every worker that takes jobs.
+func (e *Engine) EachReadyAddr(f func(addr string)) {
 	for _, w := range e.byName {
 		if w.State == decide.Ready {
 			f(w.Addr)
@@ -392,12 +392,12 @@
 // may have been told to be draining or gone or have started anew, the request answered, its client gone, its time run
 // out, or the time for which its key is known.
 func (a *Attempt) Sendable() bool {
-	return !a.over && a.Request.open && a.Worker.State == decide.Ready && a.Worker.life == a.life && a.Left() > 0 &&
+	return !a.over && a.Request.open && a.Worker.State == decide.Ready && a.Worker.life == a.life && a.Remaining() > 0 &&
 		(a.sendBy == 0 || a.e.Now() < a.sendBy) && !a.Request.client.Gone()
 }
 
-// Left is the time that the client will still wait.
-func (a *Attempt) Left() time.Duration {
+// Remaining is the time that the client will still wait.
+func (a *Attempt) Remaining() time.Duration {
 	return time.Duration(a.Request.GiveUpAt-a.e.Now()) * time.Microsecond
 }
 
@@ -443,8 +443,8 @@
 	if e.Meter != nil {
 		e.Meter.Attempt(r.Class, s, e.Now()-a.sentAt)
 	}
-	if e.Seen != nil {
-		e.Seen(a.Worker.Name, true, s)
+	if e.OnOutcome != nil {
+		e.OnOutcome(a.Worker.Name, true, s)
 	}
 	if s == decide.Served && r.open {
 		e.finish(r, 0)
@@ -471,8 +471,8 @@
 	if p.e.Trace != nil {
 		p.e.Trace("probe ended", p.request, "worker", p.Worker.Name, "outcome", StatusNames[s], "took_us", now-p.sentAt)
 	}
-	if p.e.Seen != nil {
-		p.e.Seen(p.Worker.Name, false, s)
+	if p.e.OnOutcome != nil {
+		p.e.OnOutcome(p.Worker.Name, false, s)
 	}
 	if p.e.Meter != nil {
 		p.e.Meter.Probe(s, now-p.sentAt)
@@ -497,9 +497,9 @@
 		return
 	}
 	e.running = true
-	if e.Used != nil {
+	if e.OnBusy != nil {
 		began := time.Now()
-		defer func() { e.Used(time.Since(began)) }()
+		defer func() { e.OnBusy(time.Since(began)) }()
 	}
 	f()
 	for len(e.todo) > 0 {
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -89,7 +89,7 @@
 	e, err := New(NewLoop(), Config{Zones: []string{"here"}, Settings: s})
 	require.NoError(t, err)
 	f := &fake{e: e}
-	e.Use(f, f)
+	e.SetBackends(f, f)
 	e.Announce(decide.ListCached, []Entry{{Name: "a", Zone: "here", State: decide.Ready}, {Name: "b", Zone: "elsewhere", State: decide.Ready}})
 	return f
 }
@@ -123,7 +123,7 @@
 			step(f, r)
 		}
 		assert.Equal(t, c.want, f.log, name)
-		assert.Zero(t, f.e.Open(), name)
+		assert.Zero(t, f.e.OpenRequests(), name)
 		assert.Empty(t, f.e.requests, "%s: nothing stays behind", name)
 	}
 }
@@ -138,7 +138,7 @@
 	f.attempts[0].End(decide.Served, nil, decide.Report{})
 	assert.Equal(t, "push ", f.log)
 	assert.Zero(t, f.e.Counts.Served)
-	assert.Zero(t, f.e.Open())
+	assert.Zero(t, f.e.OpenRequests())
 	assert.Empty(t, f.e.requests)
 }
 
@@ -176,7 +176,7 @@
 func TestReady(t *testing.T) {
 	e, err := New(NewLoop(), Config{Settings: testSettings})
 	require.NoError(t, err)
-	e.Use(newFake(t), newFake(t))
+	e.SetBackends(newFake(t), newFake(t))
 	for _, step := range []struct {
 		kind decide.ListKind
 		list []Entry
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -134,9 +134,9 @@
 	}
 }
 
-// Soon has f run before what waits in the queue, and reports whether it was, within the span. Where it was not it never
+// DoUrgent has f run before what waits in the queue, and reports whether it was, within the span. Where it was not it never
 // will be.
-func (l *Loop) Soon(span time.Duration, f func()) bool {
+func (l *Loop) DoUrgent(span time.Duration, f func()) bool {
 	var claimed atomic.Bool // by the loop, or by giving up
 	done, late := make(chan struct{}), time.NewTimer(span)
 	defer late.Stop()
@@ -166,9 +166,9 @@
 	return true
 }
 
-// Next runs f after the work at hand, before anything else. Only for code on the loop: what reports back to a caller
+// Defer runs f after the work at hand, before anything else. Only for code on the loop: what reports back to a caller
 // that is still at work goes this way.
-func (l *Loop) Next(f func()) { l.next = append(l.next, f) }
+func (l *Loop) Defer(f func()) { l.next = append(l.next, f) }
 
 // settle runs what Next was given, in order, and what that asks for in turn.
 func (l *Loop) settle() {
@@ -227,8 +227,8 @@
 	}
 }
 
-// Waits is how many pieces of work wait in the queue.
-func (l *Loop) Waits() int { return len(l.queue) }
+// QueueLen is how many pieces of work wait in the queue.
+func (l *Loop) QueueLen() int { return len(l.queue) }
 
-// SoonWaits is how many pieces of work wait before the queue.
-func (l *Loop) SoonWaits() int { return len(l.soon) }
+// UrgentQueueLen is how many pieces of work wait before the queue.
+func (l *Loop) UrgentQueueLen() int { return len(l.soon) }
--- a/internal/engine/pass.go
+++ b/internal/engine/pass.go
@@ -5,28 +5,28 @@
 // This file owns requests that leave for another process of this scheduler, or come from one, with what they have behind
 // them. It must never leave one request in two processes' hands.
 
-// Passed is a request in hand as another process goes on with it. Times are of the loop's clock, which starts at the wall
+// HandoverRequest is a request in hand as another process goes on with it. Times are of the loop's clock, which starts at the wall
 // clock's reading.
-type Passed struct {
+type HandoverRequest struct {
 	Class         int
 	Key           uint64
 	GiveUpAt      decide.Time
 	Came          decide.Time
 	Hint          decide.Time
 	Slots, Memory float64
-	Tried         []Tried
+	Tried         []HandoverAttempt
 }
 
-// Tried is one attempt of it.
-type Tried struct {
+// HandoverAttempt is one attempt of it.
+type HandoverAttempt struct {
 	Worker, Addr    string
 	Sent, StartedAt decide.Time
 	Out, Started    bool
 	MayHaveRun      bool
 }
 
-// Out returns the attempt of the request that is out, or nil.
-func (r *Request) Out() *Attempt {
+// InFlight returns the attempt of the request that is out, or nil.
+func (r *Request) InFlight() *Attempt {
 	for _, a := range r.attempts {
 		if !a.over {
 			return a
@@ -35,16 +35,16 @@
 	return nil
 }
 
-// Passed returns what another process needs to go on with a request; not where more than one attempt is out.
-func (e *Engine) Passed(r *Request) (p Passed, ok bool) {
+// Export returns what another process needs to go on with a request; not where more than one attempt is out.
+func (e *Engine) Export(r *Request) (p HandoverRequest, ok bool) {
 	j, tried, ok := e.d.Held(r.ID)
 	if !ok || !r.open || r.out > 1 || len(tried) != len(r.attempts) {
 		return p, false
 	}
-	p = Passed{Class: r.Class, Key: j.Key, GiveUpAt: r.GiveUpAt, Came: r.came, Hint: j.Hint, Slots: j.Slots, Memory: j.Memory}
+	p = HandoverRequest{Class: r.Class, Key: j.Key, GiveUpAt: r.GiveUpAt, Came: r.came, Hint: j.Hint, Slots: j.Slots, Memory: j.Memory}
 	for i, t := range tried {
 		w := r.attempts[i].Worker
-		p.Tried = append(p.Tried, Tried{w.Name, w.Addr, t.Sent, t.StartedAt, t.Out, t.Started, t.MayHaveRun})
+		p.Tried = append(p.Tried, HandoverAttempt{w.Name, w.Addr, t.Sent, t.StartedAt, t.Out, t.Started, t.MayHaveRun})
 	}
 	return p, true
 }
@@ -52,14 +52,14 @@
 // Release ends a request here, without an answer: another process has it.
 func (e *Engine) Release(r *Request) {
 	if r.open {
-		e.Counts.PassedOn++
+		e.Counts.HandedOver++
 		e.finish(r, 3)
 		e.call(func() { e.d.Hangup(e.Now(), r.ID) })
 	}
 }
 
 // Adopt goes on with a request of another process, and returns its attempt that is out, if there is one.
-func (e *Engine) Adopt(p Passed, payload any, c Client) (*Request, *Attempt) {
+func (e *Engine) Adopt(p HandoverRequest, payload any, c Client) (*Request, *Attempt) {
 	r := e.take(p.Class, p.GiveUpAt, p.Came, payload, c)
 	e.Counts.Adopted++
 	var out *Attempt
@@ -89,15 +89,15 @@
 	return r, out
 }
 
-// Learnt is what the decisions have learnt, with workers by their names.
-type Learnt struct {
+// LearnedState is what the decisions have learnt, with workers by their names.
+type LearnedState struct {
 	decide.Learnt
 	Names []string `json:"names"` // of Workers
 }
 
-// Learnt returns what was learnt so far.
-func (e *Engine) Learnt() Learnt {
-	l := Learnt{Learnt: e.d.Learnt()}
+// LearnedState returns what was learnt so far.
+func (e *Engine) LearnedState() LearnedState {
+	l := LearnedState{Learnt: e.d.Learnt()}
 	for _, w := range l.Workers {
 		name := ""
 		if known := e.byID[w.ID]; known != nil {
@@ -108,8 +108,8 @@
 	return l
 }
 
-// Learn goes on from what another process has learnt.
-func (e *Engine) Learn(l Learnt) {
+// RestoreLearned goes on from what another process has learnt.
+func (e *Engine) RestoreLearned(l LearnedState) {
 	if len(l.Names) != len(l.Workers) {
 		return
 	}
--- a/internal/jobs/client.go
+++ b/internal/jobs/client.go
@@ -79,12 +79,12 @@
 func NewServer(main *Service) *Server {
 	e := main.Engine
 	s := &Server{Loop: e.Loop, Main: main, Ready: e.Ready, Stats: e.Counts.String, ids: map[string]struct{}{}}
-	s.Keep(pace.New(pace.Defaults(8 << 20)))
+	s.SetPace(pace.New(pace.Defaults(8 << 20)))
 	return s
 }
 
 // Keep has the keeper decide about clients. It asks what has come on a connection and was not read yet.
-func (s *Server) Keep(k *pace.Keeper) {
+func (s *Server) SetPace(k *pace.Keeper) {
 	k.Unseen = func(owner any) bool { return owner.(*client).conn.Unread() }
 	s.Pace = k
 }
@@ -94,15 +94,15 @@
 	s.open(c).arm()
 }
 
-// Closing makes every answer from here on its connection's last.
-func (s *Server) Closing() { s.closing = true }
+// StartClosing makes every answer from here on its connection's last.
+func (s *Server) StartClosing() { s.closing = true }
 
-// Shut refuses what comes whole only from here on: there may be no time left to end it.
-func (s *Server) Shut() { s.closing, s.shut = true, true }
+// RefuseNew refuses what comes whole only from here on: there may be no time left to end it.
+func (s *Server) RefuseNew() { s.closing, s.shut = true, true }
 
-// MakeRoom lets go of up to n connections, those that are worth least first, and returns how many; with strangers only
+// EvictClients lets go of up to n connections, those that are worth least first, and returns how many; with strangers only
 // of those that never brought a job or are slower than is acceptable. It never touches one with a job in hand.
-func (s *Server) MakeRoom(n int, strangers bool) int {
+func (s *Server) EvictClients(n int, strangers bool) int {
 	victims := s.Pace.Victims(s.Loop.Now(), n, strangers)
 	for _, p := range victims {
 		p.Owner.(*client).letGo()
@@ -236,7 +236,7 @@
 	if phase := x.peer.Phase(); phase != pace.Sending && phase != pace.Draining {
 		return
 	}
-	left := x.conn.Untaken()
+	left := x.conn.Unacked()
 	x.peer.Taken(now, max(0, x.untaken-left))
 	x.untaken = left
 	x.peer.HoldOut(x.conn.Queued())
@@ -563,7 +563,7 @@
 }
 
 // Gone implements engine.Client. A client that has ended its sending has gone: it can't be told from one that closed.
-func (x *client) Gone() bool { return x.over || x.conn.Ended() }
+func (x *client) Gone() bool { return x.over || x.conn.PeerClosed() }
 
 // retryAfter is the field that advises a wait, if there is one.
 func retryAfter(wait time.Duration) []http1.Field {
@@ -596,7 +596,7 @@
 }
 
 // answered goes on to the next request once an answer has gone out.
-func (x *client) answered(end WriteEnd) {
+func (x *client) answered(end WriteResult) {
 	if x.over {
 		return
 	}
--- a/internal/jobs/discovery.go
+++ b/internal/jobs/discovery.go
@@ -60,10 +60,10 @@
 	// Service names the service in the log; "" is the platform's.
 	Service string
 
-	// Pushed says that Addr is an agent's on this machine: it answers at once with what it has been sent, and all of that
+	// FromAgent says that Addr is an agent's on this machine: it answers at once with what it has been sent, and all of that
 	// counts as told. The module takes it that changes come on their own, and asks for no watch: this one stands from the
 	// start, whatever becomes of its calls, and Cadence has no part in it.
-	Pushed bool
+	FromAgent bool
 
 	// Rand spreads the calls; nil: they are not spread.
 	Rand *rand.Rand
@@ -71,7 +71,7 @@
 	Cadence Cadence
 
 	// News, if set, is told what this process has heard of discovery, in the form of its answers.
-	News func(index int64, list []byte)
+	OnUpdate func(index int64, list []byte)
 
 	called  bool          // a call was made, or waits
 	waiting *engine.Timer // for the moment of the next call
@@ -88,10 +88,10 @@
 // of the list or a 503, all wait for calls that nobody wants any more, for good. So each leaves the others their turn,
 // longer as calls fail, less long as answers come soon. The zero value leaves none.
 type Cadence struct {
-	Nodes int           // schedulers that share discovery
-	Ask   time.Duration // silence longer than this counts as having been told; four times that after a failed call
-	span  time.Duration // over which one call of each scheduler is spread; 0: nothing was heard yet
-	lost  bool          // the last call came to nothing
+	Nodes     int           // schedulers that share discovery
+	AskWithin time.Duration // silence longer than this counts as having been told; four times that after a failed call
+	span      time.Duration // over which one call of each scheduler is spread; 0: nothing was heard yet
+	lost      bool          // the last call came to nothing
 }
 
 // all is how long discovery is taken to need for one call of each scheduler, before anything is known of it.
@@ -108,7 +108,7 @@
 // Failed takes in that a call came to nothing.
 func (c *Cadence) Failed() {
 	c.lost = true
-	c.span = min(2*max(c.Span(), burst), max(c.Ask, c.Span()))
+	c.span = min(2*max(c.Span(), burst), max(c.AskWithin, c.Span()))
 }
 
 // Silent takes in that nothing was said to a call. Where few share discovery it is no sign that others wait there too.
@@ -118,16 +118,16 @@
 	}
 }
 
-// Patience is how long an answer to a call that need not wait may take.
-func (c *Cadence) Patience() time.Duration {
+// CallTimeout is how long an answer to a call that need not wait may take.
+func (c *Cadence) CallTimeout() time.Duration {
 	if c.Span() > burst {
 		return patience
 	}
 	return alone
 }
 
-// Overdue is how much longer than its hold a watch may take before it counts as silent.
-func (c *Cadence) Overdue() time.Duration {
+// HoldSlack is how much longer than its hold a watch may take before it counts as silent.
+func (c *Cadence) HoldSlack() time.Duration {
 	if c.Span() > burst {
 		return overdue
 	}
@@ -144,25 +144,25 @@
 	case within < burst/2:
 		c.span = max(c.Span()*7/8, c.all()/8)
 	case within > burst && queued:
-		c.span = min(c.Span()*3/2, max(c.Ask, c.Span()))
+		c.span = min(c.Span()*3/2, max(c.AskWithin, c.Span()))
 	}
 }
 
-// First is how long to wait before the first call; luck is from 0 to 1. Who has just started knows least and goes first;
+// FirstDelay is how long to wait before the first call; luck is from 0 to 1. Who has just started knows least and goes first;
 // the call comes before our silence counts as having been told.
-func (c *Cadence) First(luck float64) time.Duration {
+func (c *Cadence) FirstDelay(luck float64) time.Duration {
 	if c.Span() <= burst {
 		return 0
 	}
-	return min(time.Duration(luck*float64(c.Span())), c.Ask*17/20)
+	return min(time.Duration(luck*float64(c.Span())), c.AskWithin*17/20)
 }
 
-// Pause is how long to wait before the next call; luck is from 0 to 1. It is none where all may as well ask at once, and
+// NextDelay is how long to wait before the next call; luck is from 0 to 1. It is none where all may as well ask at once, and
 // after an answer never so long that the watch has ended: what changed meanwhile would count as told.
-func (c *Cadence) Pause(luck float64) time.Duration {
+func (c *Cadence) NextDelay(luck float64) time.Duration {
 	most := renewal
 	if c.lost {
-		most = c.Ask * 2
+		most = c.AskWithin * 2
 	}
 	return min(time.Duration(2*luck*float64(max(0, c.Span()-burst))), most)
 }
@@ -256,7 +256,7 @@
 }
 
 // Known takes in the list of the configuration.
-func (d *Discovery) Known(text []byte) error {
+func (d *Discovery) LoadKnown(text []byte) error {
 	var l list
 	if err := json.Unmarshal(text, &l); err != nil {
 		return fmt.Errorf("known: %w", err)
@@ -269,8 +269,8 @@
 // Index is the version of the list that this process has.
 func (d *Discovery) Index() int64 { return d.index }
 
-// Told takes in news that another process of this scheduler has heard. What is older than ours says nothing.
-func (d *Discovery) Told(index int64, text []byte) error {
+// ApplyRelayed takes in news that another process of this scheduler has heard. What is older than ours says nothing.
+func (d *Discovery) ApplyRelayed(index int64, text []byte) error {
 	var l list
 	if err := json.Unmarshal(text, &l); err != nil {
 		return err
@@ -283,7 +283,7 @@
 	if l.Snapshot {
 		kind = decide.ListFull
 	}
-	d.Engine.Told(kind, l.entries())
+	d.Engine.AnnounceRelayed(kind, l.entries())
 	return nil
 }
 
@@ -305,13 +305,13 @@
 
 // later makes the next call of the watch when it is our turn.
 func (d *Discovery) later(first bool) {
-	next := d.Cadence.Pause
+	next := d.Cadence.NextDelay
 	if !d.called {
-		next = d.Cadence.First
+		next = d.Cadence.FirstDelay
 	}
 	d.called = true
 	pause := next(d.luck())
-	if d.Pushed {
+	if d.FromAgent {
 		pause = 0
 	}
 	d.laterBy(pause, first)
@@ -356,14 +356,14 @@
 // spans are how long discovery may sit on a call, and how much longer its answer may take.
 func (d *Discovery) spans(atOnce bool) (hold, more time.Duration) {
 	switch {
-	case d.Pushed && atOnce:
+	case d.FromAgent && atOnce:
 		return firstHold, agentPatience
-	case d.Pushed:
+	case d.FromAgent:
 		return agentHold, agentPatience
 	case atOnce:
-		return firstHold, d.Cadence.Patience()
+		return firstHold, d.Cadence.CallTimeout()
 	}
-	return d.Cadence.Hold(d.luck()), d.Cadence.Overdue()
+	return d.Cadence.Hold(d.luck()), d.Cadence.HoldSlack()
 }
 
 func (d *Discovery) call(first, reload bool) {
@@ -484,7 +484,7 @@
 		}
 		slog.Warn("worker list call failed", named(d.Service, "why", why)...)
 		d.Engine.Announce(decide.ListFailed, nil)
-		if d.Pushed && d.on && d.calling == nil && d.waiting == nil { // the module does not ask again
+		if d.FromAgent && d.on && d.calling == nil && d.waiting == nil { // the module does not ask again
 			d.laterBy(agentPause, true)
 		}
 		return
@@ -505,8 +505,8 @@
 	stale := d.toldAt > x.began && l.Index < d.index // another process has told us more meanwhile
 	if stale {
 		l.Index = d.index
-	} else if d.News != nil && (l.Snapshot || len(l.Endpoints) > 0) {
-		d.News(l.Index, x.body)
+	} else if d.OnUpdate != nil && (l.Snapshot || len(l.Endpoints) > 0) {
+		d.OnUpdate(l.Index, x.body)
 	}
 	d.index, d.foreign = l.Index, false
 	switch {
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -20,28 +20,28 @@
 type Conn interface {
 	SetHandler(Handler)
 	// Write sends the bytes; done, if not nil, is told on the loop how that went.
-	Write(b []byte, done func(WriteEnd))
+	Write(b []byte, done func(WriteResult))
 	// CloseAfterWrite closes once what was given to Write has gone out.
 	CloseAfterWrite()
 	// Close closes at once: the handler hears no more, and what Write was given and the system has not taken is lost.
 	Close()
 	// Queued is how many bytes given to Write wait here, since the system does not take them.
 	Queued() int
-	// Untaken is how many wait here or with the system, as far as the peer is known to have taken them.
-	Untaken() int
+	// Unacked is how many wait here or with the system, as far as the peer is known to have taken them.
+	Unacked() int
 	// Peer is the address of the other side.
 	Peer() netip.Addr
-	// Ended reports whether the other side has ended its sending or the connection, though the handler may not have
+	// PeerClosed reports whether the other side has ended its sending or the connection, though the handler may not have
 	// heard of it yet.
-	Ended() bool
+	PeerClosed() bool
 	// Unread reports whether something has come, bytes or the end, that the handler has not been told.
 	Unread() bool
 }
 
-// Passable is a connection that can leave the process.
-type Passable interface {
-	// Copy returns a copy of its descriptor, the caller's; not where bytes of it are under way here.
-	Copy() (fd int, ok bool)
+// Transferable is a connection that can leave the process.
+type Transferable interface {
+	// DupFD returns a copy of its descriptor, the caller's; not where bytes of it are under way here.
+	DupFD() (fd int, ok bool)
 }
 
 // Handler takes what a connection brings.
@@ -51,14 +51,14 @@
 	Closed()
 }
 
-// WriteEnd tells how a write ended.
-type WriteEnd uint8
+// WriteResult tells how a write ended.
+type WriteResult uint8
 
 // The ends of a write.
 const (
-	Written   WriteEnd = iota // the last byte has gone to the system
-	NotWholly                 // the last byte has surely not
-	Unsure                    // it may have
+	Written         WriteResult = iota // the last byte has gone to the system
+	WriteIncomplete                    // the last byte has surely not
+	WriteUnknown                       // it may have
 )
 
 // Dialer hands out connections for one exchange each.
@@ -70,9 +70,9 @@
 	Put(addr string, c Conn)
 }
 
-// Reports reads load reports. On sockets a figure goes by the name that the settings give it or by the one
+// LoadReportParser reads load reports. On sockets a figure goes by the name that the settings give it or by the one
 // that PROTOCOL gives it; which one depends on the deployment.
-type Reports struct {
+type LoadReportParser struct {
 	Fields []string                             // as the settings name them
 	Make   func(values []float32) decide.Report // from values in the order of Fields; NaN marks a missing one
 }
@@ -81,7 +81,7 @@
 var sockets = map[string]string{"active": "inflight", "waiting": "queue", "cpu": "util", "avg_ms": "latency_ms",
 	"rps": "qps", "err_rps": "eps"}
 
-func (r *Reports) read(text []byte) decide.Report {
+func (r *LoadReportParser) read(text []byte) decide.Report {
 	var in map[string]float32
 	if json.Unmarshal(text, &in) != nil {
 		return decide.Report{}
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -23,7 +23,7 @@
 	Conn
 	handler Handler
 	out     string
-	done    func(WriteEnd)
+	done    func(WriteResult)
 	prompt  bool // writes end at once
 	closed  bool
 	ended   bool   // by the peer
@@ -34,7 +34,7 @@
 }
 
 func (c *fakeConn) SetHandler(h Handler) { c.handler = h }
-func (c *fakeConn) Write(b []byte, done func(WriteEnd)) {
+func (c *fakeConn) Write(b []byte, done func(WriteResult)) {
 	c.out += string(b)
 	c.done = done
 	if c.prompt && done != nil {
@@ -43,10 +43,10 @@
 }
 func (c *fakeConn) Close()           { c.closed = true }
 func (c *fakeConn) Queued() int      { return c.queued }
-func (c *fakeConn) Untaken() int     { return c.queued + c.system }
+func (c *fakeConn) Unacked() int     { return c.queued + c.system }
 func (c *fakeConn) Peer() netip.Addr { return netip.MustParseAddr(cmp.Or(c.from, "127.0.0.1")) }
 func (c *fakeConn) CloseAfterWrite() { c.closed = true }
-func (c *fakeConn) Ended() bool      { return c.ended }
+func (c *fakeConn) PeerClosed() bool { return c.ended }
 func (c *fakeConn) Unread() bool     { return c.unread }
 
 // fakeDialer hands out one connection, or none.
@@ -97,7 +97,7 @@
 	p.End(decide.Served, decide.Report{Has: decide.HasFreeSlots, FreeSlots: 4})
 }
 
-var testReports = &Reports{Fields: []string{"active", "cpu", "x0"}, Make: func(v []float32) (r decide.Report) {
+var testReports = &LoadReportParser{Fields: []string{"active", "cpu", "x0"}, Make: func(v []float32) (r decide.Report) {
 	for i, field := range []decide.Fields{decide.HasInFlight, decide.HasUtil, decide.HasFreeSlots} {
 		if !math.IsNaN(float64(v[i])) {
 			r.Has |= field
@@ -117,8 +117,8 @@
 	b := &bench{e: e, dialer: &fakeDialer{conn: &fakeConn{}}, server: NewServer(NewService("", e, []string{"view", "send"}))}
 	b.workers = &Workers{Engine: e, Dialer: b.dialer, Reports: testReports, Host: "app.svc"}
 	b.list = &Discovery{Engine: e, Dialer: b.dialer, Addr: "d"}
-	e.Use(b, b.list)
-	require.NoError(t, b.list.Known([]byte(`{"index":3,"snapshot":true,"endpoints":[{"name":"a","address":"x:1",
+	e.SetBackends(b, b.list)
+	require.NoError(t, b.list.LoadKnown([]byte(`{"index":3,"snapshot":true,"endpoints":[{"name":"a","address":"x:1",
 		"zone":"here","type":"box","status":"SERVING","weight":1,"since_ms":0}]}`)))
 	return b
 }
@@ -196,9 +196,9 @@
 			switch c.end {
 			case unwritten, unsure:
 				conn.handler.Closed()
-				conn.done(map[ending]WriteEnd{unwritten: NotWholly, unsure: Unsure}[c.end])
+				conn.done(map[ending]WriteResult{unwritten: WriteIncomplete, unsure: WriteUnknown}[c.end])
 				if c.end == unwritten { // nor on its second connection
-					conn.done(NotWholly)
+					conn.done(WriteIncomplete)
 				}
 			default:
 				conn.done(Written)
@@ -281,8 +281,8 @@
 		"breaks twice":       {func(c *fakeConn) { c.handler.Closed() }, func(c *fakeConn) { c.handler.Closed() }, decide.Reset, 1},
 		"breaks half-way":    {func(c *fakeConn) { c.handler.Data([]byte(ok[:20])); c.handler.Closed() }, nil, decide.Reset, 0},
 		"silent":             {func(c *fakeConn) { c.handler.(*exchange).reconnect() }, func(c *fakeConn) { c.handler.Data([]byte(ok)) }, decide.Served, 1},
-		"write is unsure":    {func(c *fakeConn) { c.done(Unsure) }, func(c *fakeConn) { c.handler.Data([]byte(ok)) }, decide.Served, 1},
-		"write is not whole": {func(c *fakeConn) { c.done(NotWholly) }, func(c *fakeConn) { c.done(NotWholly) }, decide.ConnectFailed, 1},
+		"write is unsure":    {func(c *fakeConn) { c.done(WriteUnknown) }, func(c *fakeConn) { c.handler.Data([]byte(ok)) }, decide.Served, 1},
+		"write is not whole": {func(c *fakeConn) { c.done(WriteIncomplete) }, func(c *fakeConn) { c.done(WriteIncomplete) }, decide.ConnectFailed, 1},
 	} {
 		b := newBench(t)
 		b.hold = true
@@ -375,7 +375,7 @@
 			assert.True(t, strings.HasPrefix(x.out, fmt.Sprintf("HTTP/1.1 %d ", c.status)), "%s: %s", name, x.out)
 			assert.Equal(t, 1, strings.Count(x.out, "HTTP/1.1"), name)
 			assert.Equal(t, c.closed, x.closed, name)
-			assert.Zero(t, b.e.Open(), name)
+			assert.Zero(t, b.e.OpenRequests(), name)
 		}
 	}
 	b := newBench(t)
@@ -406,12 +406,12 @@
 	l := pace.Defaults(1 << 20)
 	l.Fresh = 1 << 40
 	b.server.Pace.SetLimits(l)
-	assert.Zero(t, b.server.MakeRoom(9, true))
-	assert.Equal(t, 1, b.server.MakeRoom(1, false))
+	assert.Zero(t, b.server.EvictClients(9, true))
+	assert.Equal(t, 1, b.server.EvictClients(1, false))
 	assert.Equal(t, []bool{false, false, true, false}, closed())
 	l.Fresh = 0
 	b.server.Pace.SetLimits(l)
-	assert.Equal(t, 3, b.server.MakeRoom(9, true))
+	assert.Equal(t, 3, b.server.EvictClients(9, true))
 	assert.Equal(t, []bool{true, true, true, true}, closed())
 }
 
@@ -589,7 +589,7 @@
 	x = b.client()
 	x.prompt = false
 	x.handler.Data([]byte("GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n"))
-	x.done(Unsure)
+	x.done(WriteUnknown)
 	assert.True(t, x.closed, "half an answer may have gone out")
 }
 
@@ -628,7 +628,7 @@
 	l := pace.Defaults(1 << 20)
 	l.Fresh = 0
 	b.server.Pace.SetLimits(l)
-	assert.Equal(t, 2, b.server.MakeRoom(2, false))
+	assert.Equal(t, 2, b.server.EvictClients(2, false))
 	for i, want := range []bool{false, true, true, false} {
 		assert.Equal(t, want, conns[i].closed, i)
 	}
@@ -640,7 +640,7 @@
 	busy, idle, half := b.client(), b.client(), b.client()
 	busy.handler.Data([]byte(head + "X-Budget: 8000m\r\n\r\n"))
 	half.handler.Data([]byte("POST /a HT"))
-	b.server.Closing()
+	b.server.StartClosing()
 	b.server.CloseIdle()
 	assert.True(t, idle.closed)
 	assert.False(t, busy.closed || half.closed, "one holds a request, on the other one is coming in")
@@ -650,7 +650,7 @@
 	late := b.client()
 	late.handler.Data([]byte("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"))
 	assert.Contains(t, late.out, "HTTP/1.1 503 ")
-	b.server.Shut()
+	b.server.RefuseNew()
 	half.handler.Data([]byte("TP/1.1\r\n" + strings.Replace(head[strings.Index(head, "\n")+1:], "9b", "9c", 1) + "X-Budget: 8000m\r\n\r\n"))
 	assert.Contains(t, half.out, "HTTP/1.1 503 ", "too late to be taken")
 	assert.True(t, half.closed)
@@ -670,10 +670,10 @@
 	answer(`{"index":5,"snapshot":false,"endpoints":[{"name":"z","address":"y:1","zone":"here","type":"box","status":"SERVING"}]}`)
 	assert.Contains(t, conn.out, "from=5&hold_ms=8000")
 	n := 0
-	b.e.Each(func(string) { n++ })
+	b.e.EachReadyAddr(func(string) { n++ })
 	assert.Equal(t, 2, n)
 	answer(`{"index":6,"snapshot":true,"endpoints":[]}`)
-	b.e.Each(func(string) { n-- })
+	b.e.EachReadyAddr(func(string) { n-- })
 	assert.Equal(t, 2, n, "a whole list without them removes both")
 	conn.out = ""
 	conn.handler.Closed()
@@ -707,7 +707,7 @@
 	b.dialer.conn.handler.Data([]byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)))
 	assert.Contains(t, b.dialer.conn.out, "from=1&hold_ms=8000")
 	n := 0
-	b.e.Each(func(string) { n++ })
+	b.e.EachReadyAddr(func(string) { n++ })
 	assert.Zero(t, n, "the old list is gone with its discovery")
 }
 
@@ -733,8 +733,8 @@
 		rng := rand.New(rand.NewPCG(1, 2))
 		all, at, told := make([]Cadence, nodes), make([]time.Duration, nodes), make([]time.Duration, nodes)
 		for i := range all {
-			all[i] = Cadence{Nodes: nodes, Ask: 10 * time.Second}
-			at[i], told[i] = all[i].First(rng.Float64()), -time.Hour
+			all[i] = Cadence{Nodes: nodes, AskWithin: 10 * time.Second}
+			at[i], told[i] = all[i].FirstDelay(rng.Float64()), -time.Hour
 		}
 		var busy, late time.Duration
 		calls, failed := 0, 0
@@ -756,7 +756,7 @@
 				if told[i] < changed && busy-now > 2*time.Second {
 					failed++
 					all[i].Failed()
-					at[i] = now + 2*time.Second + all[i].Pause(rng.Float64())
+					at[i] = now + 2*time.Second + all[i].NextDelay(rng.Float64())
 					continue
 				}
 				answer := max(begins, busy)
@@ -765,7 +765,7 @@
 				}
 				all[i].Answered(answer-now, told[i] < changed)
 				told[i] = answer
-				at[i] = answer + all[i].Pause(rng.Float64())
+				at[i] = answer + all[i].NextDelay(rng.Float64())
 			}
 		}
 		assert.LessOrEqual(t, float64(failed), most*float64(calls), "%d: of %d calls", nodes, calls)
@@ -777,28 +777,28 @@
 func TestCadenceStaysWithinTheRule(t *testing.T) {
 	assert.Less(t, agentPatience+agentPause, 300*time.Millisecond, "what an agent gets counts as told at once, and a drain is obeyed 0.3 s later")
 	for _, nodes := range []int{0, 1, 5, 80, 10000} {
-		c := Cadence{Nodes: nodes, Ask: 10 * time.Second}
-		assert.Less(t, c.First(1), 9*time.Second)
-		assert.LessOrEqual(t, c.Pause(1), 150*time.Millisecond, "a watch counts as standing for 200 ms")
-		assert.Equal(t, nodes <= 5, c.Pause(1) == 0, nodes)
+		c := Cadence{Nodes: nodes, AskWithin: 10 * time.Second}
+		assert.Less(t, c.FirstDelay(1), 9*time.Second)
+		assert.LessOrEqual(t, c.NextDelay(1), 150*time.Millisecond, "a watch counts as standing for 200 ms")
+		assert.Equal(t, nodes <= 5, c.NextDelay(1) == 0, nodes)
 		for range 20 {
 			c.Failed()
-			assert.LessOrEqual(t, c.Pause(1), 20*time.Second)
-			assert.Positive(t, c.Pause(1), "a failure is never answered by all at once")
+			assert.LessOrEqual(t, c.NextDelay(1), 20*time.Second)
+			assert.Positive(t, c.NextDelay(1), "a failure is never answered by all at once")
 		}
 		assert.LessOrEqual(t, c.Hold(0), maxHold)
 		assert.GreaterOrEqual(t, c.Hold(1), watchHold)
-		assert.LessOrEqual(t, c.Overdue(), 1500*time.Millisecond, "what a silent watch misses counts as told 2 s after its hold")
-		assert.LessOrEqual(t, c.Patience(), patience)
-		few := Cadence{Nodes: min(nodes, 8), Ask: 10 * time.Second}
+		assert.LessOrEqual(t, c.HoldSlack(), 1500*time.Millisecond, "what a silent watch misses counts as told 2 s after its hold")
+		assert.LessOrEqual(t, c.CallTimeout(), patience)
+		few := Cadence{Nodes: min(nodes, 8), AskWithin: 10 * time.Second}
 		for range 3 { // silence is no sign of a queue where few share discovery: no pause, and the next within the clock of 6 s
 			few.Silent()
-			assert.Zero(t, few.Pause(1))
-			assert.LessOrEqual(t, few.Patience(), time.Second)
+			assert.Zero(t, few.NextDelay(1))
+			assert.LessOrEqual(t, few.CallTimeout(), time.Second)
 			// A silent watch and a silent call after it, with the module's longest pause (decide.askLater), are over before a
 			// drain that both have missed has to be obeyed: 2 s after the hold, and its grace of 0.3 s at least.
-			pause := few.Ask / 16 * 5 / 4
-			assert.Less(t, few.Overdue()+few.Patience()+pause, 2300*time.Millisecond)
+			pause := few.AskWithin / 16 * 5 / 4
+			assert.Less(t, few.HoldSlack()+few.CallTimeout()+pause, 2300*time.Millisecond)
 		}
 	}
 }
@@ -818,16 +818,16 @@
 		"nothing":          "",
 	} {
 		b := newBench(t)
-		b.list.Cadence = Cadence{Nodes: 80, Ask: 10 * time.Second}
-		before := b.list.Cadence.Pause(0.5)
+		b.list.Cadence = Cadence{Nodes: 80, AskWithin: 10 * time.Second}
+		before := b.list.Cadence.NextDelay(0.5)
 		b.list.Watch(true)
 		conn := b.dialer.conn
 		conn.handler.Data([]byte(answer))
 		conn.handler.Closed()
 		assert.Equal(t, 1, b.e.Counts.ListFailed, name)
-		assert.Greater(t, b.list.Cadence.Pause(0.5), before, name)
+		assert.Greater(t, b.list.Cadence.NextDelay(0.5), before, name)
 		addrs := map[string]bool{}
-		b.e.Each(func(addr string) { addrs[addr] = true })
+		b.e.EachReadyAddr(func(addr string) { addrs[addr] = true })
 		assert.Equal(t, map[string]bool{"x:1": true}, addrs, name)
 		b.dialer.conn = &fakeConn{}
 		b.list.Watch(true)
@@ -835,7 +835,7 @@
 		body := `{"index":4,"endpoints":[{"name":"a","address":"x:2","zone":"here","type":"box","status":"SERVING"}]}`
 		b.dialer.conn.handler.Data([]byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)))
 		clear(addrs)
-		b.e.Each(func(addr string) { addrs[addr] = true })
+		b.e.EachReadyAddr(func(addr string) { addrs[addr] = true })
 		assert.Equal(t, map[string]bool{"x:2": true}, addrs, "%s: the address changed under the name", name)
 	}
 	b := newBench(t)
--- a/internal/jobs/overlay.go
+++ b/internal/jobs/overlay.go
@@ -31,8 +31,8 @@
 	return o
 }
 
-// Over implements engine.Overlay.
-func (o *Overlay) Over(kind decide.ListKind, in []engine.Entry) []engine.Entry {
+// Apply implements engine.Overlay.
+func (o *Overlay) Apply(kind decide.ListKind, in []engine.Entry) []engine.Entry {
 	if kind == decide.ListFull || kind == decide.ListCached {
 		clear(o.listed)
 	}
@@ -79,9 +79,9 @@
 	}
 }
 
-// Set takes a worker out or puts it back, and reports whether there is such a worker. One that is out is known until it is
+// SetOffline takes a worker out or puts it back, and reports whether there is such a worker. One that is out is known until it is
 // put back, though the list has lost it.
-func (o *Overlay) Set(name string, out bool) bool {
+func (o *Overlay) SetOffline(name string, out bool) bool {
 	e, listed := o.listed[name]
 	if !listed && !o.out[name] {
 		return false
@@ -96,13 +96,13 @@
 	}
 	o.sortGone()
 	if listed {
-		o.Engine.Overlaid([]engine.Entry{o.seen(e)})
+		o.Engine.OverlayChanged([]engine.Entry{o.seen(e)})
 	}
 	return true
 }
 
-// Names are those that are out, in order.
-func (o *Overlay) Names() []string {
+// Offline are those that are out, in order.
+func (o *Overlay) Offline() []string {
 	names := make([]string, 0, len(o.out))
 	for name := range o.out {
 		names = append(names, name)
@@ -111,22 +111,22 @@
 	return names
 }
 
-// Restore takes out whoever another process had out, listed or not.
-func (o *Overlay) Restore(names []string) {
+// RestoreOffline takes out whoever another process had out, listed or not.
+func (o *Overlay) RestoreOffline(names []string) {
 	for _, name := range names {
 		if len(o.out) >= maxOut {
 			return
 		}
 		o.out[name] = true
 		if e, listed := o.listed[name]; listed {
-			o.Engine.Overlaid([]engine.Entry{o.seen(e)})
+			o.Engine.OverlayChanged([]engine.Entry{o.seen(e)})
 		}
 	}
 	o.sortGone()
 }
 
-// Listed is the list's last word, in discovery's form.
-func (o *Overlay) Listed(index int64) []byte {
+// Snapshot is the list's last word, in discovery's form.
+func (o *Overlay) Snapshot(index int64) []byte {
 	l := list{Index: index, Snapshot: true, Endpoints: make([]endpoint, 0, len(o.listed))}
 	for _, e := range o.listed {
 		status := "SERVING"
@@ -144,11 +144,11 @@
 	return text
 }
 
-// Known is how many workers the list names.
-func (o *Overlay) Known() int { return len(o.listed) }
+// KnownWorkers is how many workers the list names.
+func (o *Overlay) KnownWorkers() int { return len(o.listed) }
 
-// Excluded is how many of them the scheduler avoids now, by hand or by the module's choice.
-func (o *Overlay) Excluded() int {
+// ExcludedWorkers is how many of them the scheduler avoids now, by hand or by the module's choice.
+func (o *Overlay) ExcludedWorkers() int {
 	n := o.Engine.Avoided()
 	for name := range o.out {
 		if _, listed := o.listed[name]; listed {
--- a/internal/jobs/overlay_test.go
+++ b/internal/jobs/overlay_test.go
@@ -29,7 +29,7 @@
 		e, err := engine.New(engine.NewLoop(), engine.Config{Settings: decide.Settings{Nodes: 1, Zones: 1, MaxAttempts: 1, ColdFrom: 1, FallMultiple: 1,
 			FallSpan: 1, Classes: []decide.Class{{Aim: 1, Deadline: 1, Kind: -1}}}})
 		require.NoError(t, err)
-		e.Use(nowhere{}, nowhere{})
+		e.SetBackends(nowhere{}, nowhere{})
 		o := NewOverlay(e)
 		list, out := map[string]decide.State{}, map[string]bool{}
 		name := rapid.Map(rapid.IntRange(0, 5), func(i int) string { return fmt.Sprint("w", i) })
@@ -56,7 +56,7 @@
 			default:
 				n, away := name.Draw(t, "name"), rapid.Bool().Draw(t, "out")
 				_, listed := list[n]
-				assert.Equal(t, listed || out[n], o.Set(n, away))
+				assert.Equal(t, listed || out[n], o.SetOffline(n, away))
 				if listed || out[n] {
 					if out[n] = away; !away {
 						delete(out, n)
@@ -73,10 +73,10 @@
 					excluded++
 				}
 			}
-			e.Each(func(addr string) { got[addr] = true })
+			e.EachReadyAddr(func(addr string) { got[addr] = true })
 			require.Equal(t, want, got)
-			require.Equal(t, []int{len(list), excluded}, []int{o.Known(), o.Excluded()})
-			require.Len(t, o.Names(), len(out))
+			require.Equal(t, []int{len(list), excluded}, []int{o.KnownWorkers(), o.ExcludedWorkers()})
+			require.Len(t, o.Offline(), len(out))
 		}
 	})
 }
@@ -85,13 +85,13 @@
 	e, err := engine.New(engine.NewLoop(), engine.Config{Settings: decide.Settings{Nodes: 1, Zones: 1, MaxAttempts: 1, ColdFrom: 1, FallMultiple: 1,
 		FallSpan: 1, Classes: []decide.Class{{Aim: 1, Deadline: 1, Kind: -1}}}})
 	require.NoError(t, err)
-	e.Use(nowhere{}, nowhere{})
+	e.SetBackends(nowhere{}, nowhere{})
 	o := NewOverlay(e)
 	for i := range 3 * maxOut {
 		e.Announce(decide.ListFull, []engine.Entry{{Name: fmt.Sprint(i), Addr: "x", State: decide.Ready}})
-		require.True(t, o.Set(fmt.Sprint(i), true))
-		require.LessOrEqual(t, len(o.Names()), maxOut)
+		require.True(t, o.SetOffline(fmt.Sprint(i), true))
+		require.LessOrEqual(t, len(o.Offline()), maxOut)
 	}
-	assert.Contains(t, o.Names(), fmt.Sprint(3*maxOut-1), "those missing longest go first")
-	assert.NotContains(t, o.Names(), "0")
+	assert.Contains(t, o.Offline(), fmt.Sprint(3*maxOut-1), "those missing longest go first")
+	assert.NotContains(t, o.Offline(), "0")
 }
--- a/internal/jobs/pass.go
+++ b/internal/jobs/pass.go
@@ -12,24 +12,24 @@
 // maxRaw is how much of a worker's answer may have come for its attempt to be passed: the other process reads it again.
 const maxRaw = 8 << 10
 
-// PassedJob is a client's connection with a job in hand, and the attempt that is out.
-type PassedJob struct {
-	Service   string        `json:"service"`
-	Class     string        `json:"class"`
-	Method    string        `json:"method"`
-	Target    string        `json:"target"`
-	ID        string        `json:"id"`
-	Key       string        `json:"key"`
-	Body      []byte        `json:"body"`
-	KeepAlive bool          `json:"keep_alive"`
-	Ahead     []byte        `json:"ahead"` // what the client has sent beyond
-	Job       engine.Passed `json:"job"`
-	Answer    []byte        `json:"answer"` // what has come of the worker's
+// HandoverJob is a client's connection with a job in hand, and the attempt that is out.
+type HandoverJob struct {
+	Service   string                 `json:"service"`
+	Class     string                 `json:"class"`
+	Method    string                 `json:"method"`
+	Target    string                 `json:"target"`
+	ID        string                 `json:"id"`
+	Key       string                 `json:"key"`
+	Body      []byte                 `json:"body"`
+	KeepAlive bool                   `json:"keep_alive"`
+	Ahead     []byte                 `json:"ahead"` // what the client has sent beyond
+	Job       engine.HandoverRequest `json:"job"`
+	Answer    []byte                 `json:"answer"` // what has come of the worker's
 }
 
-// PassIdle gives away every connection that is between two requests, as far as give takes it: from then on it is another's.
+// HandOverIdle gives away every connection that is between two requests, as far as give takes it: from then on it is another's.
 // Only while nothing is read from any. It returns how many connections are left.
-func (s *Server) PassIdle(give func(c Conn) bool) int {
+func (s *Server) HandOverIdle(give func(c Conn) bool) int {
 	for _, p := range s.Pace.Idle() {
 		if x := p.Owner.(*client); !x.busy && x.parser.Idle() && len(x.ahead) == 0 && give(x.conn) {
 			x.close()
@@ -38,9 +38,9 @@
 	return s.Pace.Counts().Peers
 }
 
-// PassJobs gives away every connection with a job in hand of which no byte is under way here; worker is nil where no attempt
+// HandOverJobs gives away every connection with a job in hand of which no byte is under way here; worker is nil where no attempt
 // is out. Only while nothing is read from any.
-func (s *Server) PassJobs(give func(p *PassedJob, client, worker Conn) bool) {
+func (s *Server) HandOverJobs(give func(p *HandoverJob, client, worker Conn) bool) {
 	for _, peer := range s.Pace.Working() {
 		x := peer.Owner.(*client)
 		if x.request == nil || x.over {
@@ -58,20 +58,20 @@
 }
 
 // passed is a client's connection as it goes to another process.
-func (x *client) passed() (p *PassedJob, worker Conn, ok bool) {
-	in, ok := x.service.Engine.Passed(x.request)
+func (x *client) passed() (p *HandoverJob, worker Conn, ok bool) {
+	in, ok := x.service.Engine.Export(x.request)
 	if !ok {
 		return nil, nil, false
 	}
 	c := x.request.Payload.(*call)
-	p = &PassedJob{Service: x.service.Name, Method: c.method, Target: c.target, ID: c.id, Key: c.key, Body: c.body,
+	p = &HandoverJob{Service: x.service.Name, Method: c.method, Target: c.target, ID: c.id, Key: c.key, Body: c.body,
 		KeepAlive: x.keepAlive, Ahead: x.ahead, Job: in}
 	for name, i := range x.service.Classes {
 		if i == x.class {
 			p.Class = name
 		}
 	}
-	if a := x.request.Out(); a != nil {
+	if a := x.request.InFlight(); a != nil {
 		e, is := a.State.(*exchange)
 		if !is || e.over || !e.written || e.early || e.lastLine || e.conn == nil || len(e.raw) > maxRaw {
 			return nil, nil, false
@@ -81,8 +81,8 @@
 	return p, worker, true
 }
 
-// ServeKnown takes over a connection of another process's client, between two requests.
-func (s *Server) ServeKnown(c Conn) {
+// AdoptIdle takes over a connection of another process's client, between two requests.
+func (s *Server) AdoptIdle(c Conn) {
 	if c == nil {
 		return
 	}
@@ -92,7 +92,7 @@
 }
 
 // Adopt goes on with a job of another process; worker is the connection of its attempt, or nil.
-func (s *Server) Adopt(v *Service, p *PassedJob, c, worker Conn) {
+func (s *Server) Adopt(v *Service, p *HandoverJob, c, worker Conn) {
 	x := s.open(c)
 	now := s.Loop.Now()
 	x.peer.Vouched(now)
--- a/internal/jobs/pass_test.go
+++ b/internal/jobs/pass_test.go
@@ -21,23 +21,23 @@
 		chunk("{\"id\":\"one\",\"state\":\"done\",\"result\":\"made\"}\n") + "0\r\n\r\n"
 	for cut := range len(answer) - len("0\r\n\r\n") {
 		old, next := newBench(t), newBench(t)
-		old.workers.Keep = true
+		old.workers.RetainResponses = true
 		worker := &fakeConn{prompt: true}
 		old.dialer.conn = worker
 		c := old.client()
 		c.handler.Data([]byte(request + "POST /next"))
 		require.Len(t, old.pushed, 1)
 		taken := 0
-		give := func(p *PassedJob, client, w Conn) bool {
+		give := func(p *HandoverJob, client, w Conn) bool {
 			taken++
 			text, err := json.Marshal(p)
 			require.NoError(t, err)
-			again := new(PassedJob)
+			again := new(HandoverJob)
 			require.NoError(t, json.Unmarshal(text, again))
 			newClient, newWorker := &fakeConn{prompt: true}, &fakeConn{prompt: true}
 			next.server.Main.Workers = next.workers
 			next.server.Adopt(next.server.Main, again, newClient, newWorker)
-			require.Equal(t, 1, next.e.Open())
+			require.Equal(t, 1, next.e.OpenRequests())
 			newWorker.handler.Data([]byte(answer[cut:]))
 			assert.Contains(t, newClient.out, "HTTP/1.1 200 OK", "cut at %d", cut)
 			assert.Contains(t, newClient.out, "\r\n\r\nmade", "cut at %d", cut)
@@ -45,21 +45,21 @@
 			assert.Len(t, next.pushed, 1, "what the client had sent ahead came along")
 			return true
 		}
-		old.server.PassJobs(give)
+		old.server.HandOverJobs(give)
 		require.Zero(t, taken, "an attempt that is not written stays")
 		old.workers.Push(old.pushed[0])
 		worker.handler.Data([]byte(answer[:cut]))
 		if c.out != "" {
-			old.server.PassJobs(give)
+			old.server.HandOverJobs(give)
 			require.Zero(t, taken, "what is answered stays")
 			continue
 		}
-		old.server.PassJobs(give)
+		old.server.HandOverJobs(give)
 		require.Equal(t, 1, taken, "cut at %d", cut)
-		assert.Zero(t, old.e.Open())
+		assert.Zero(t, old.e.OpenRequests())
 		assert.True(t, worker.closed && c.closed, "our copies")
 		assert.Empty(t, c.out)
-		assert.Equal(t, []int{1, 1, 0}, []int{old.e.Counts.Taken, old.e.Counts.PassedOn, old.e.Counts.Hangups})
+		assert.Equal(t, []int{1, 1, 0}, []int{old.e.Counts.Accepted, old.e.Counts.HandedOver, old.e.Counts.Hangups})
 	}
 }
 
@@ -68,22 +68,22 @@
 func TestNewsOfAnotherProcess(t *testing.T) {
 	b := newBench(t)
 	states := func() (ready int) {
-		b.e.Each(func(string) { ready++ })
+		b.e.EachReadyAddr(func(string) { ready++ })
 		return ready
 	}
 	b.list.Watch(true)
-	require.NoError(t, b.list.Told(2, []byte(`{"endpoints":[{"name":"a","address":"x:1","status":"DRAINING"}]}`)))
+	require.NoError(t, b.list.ApplyRelayed(2, []byte(`{"endpoints":[{"name":"a","address":"x:1","status":"DRAINING"}]}`)))
 	assert.Equal(t, 1, states(), "older than ours")
-	require.NoError(t, b.list.Told(9, []byte(`{"index":9,"endpoints":[{"name":"a","address":"x:1","zone":"here","status":"DRAINING"}]}`)))
+	require.NoError(t, b.list.ApplyRelayed(9, []byte(`{"index":9,"endpoints":[{"name":"a","address":"x:1","zone":"here","status":"DRAINING"}]}`)))
 	assert.Zero(t, states())
-	b.list.Told(9, []byte(`{"endpoints":[{"name":"a","address":"x:1","status":"SERVING"}]}`))
+	b.list.ApplyRelayed(9, []byte(`{"endpoints":[{"name":"a","address":"x:1","status":"SERVING"}]}`))
 	b.list.toldAt = b.e.Now() + 1 // within the same microsecond
 	body := `{"index":4,"snapshot":true,"endpoints":[{"name":"a","address":"x:1","zone":"here","type":"box","status":"SERVING"}]}`
 	b.dialer.conn.handler.Data([]byte("HTTP/1.1 200 OK\r\nContent-Length: " + itoa(int64(len(body))) + "\r\n\r\n" + body))
 	assert.Zero(t, states(), "it knows less than we were told")
 	assert.EqualValues(t, 9, b.list.Index())
-	assert.Error(t, b.list.Told(10, []byte(`{`)))
-	require.NoError(t, b.list.Told(10, []byte(`{"snapshot":true,"endpoints":[{"name":"b","address":"y:1","zone":"here","status":"SERVING"}]}`)))
+	assert.Error(t, b.list.ApplyRelayed(10, []byte(`{`)))
+	require.NoError(t, b.list.ApplyRelayed(10, []byte(`{"snapshot":true,"endpoints":[{"name":"b","address":"y:1","zone":"here","status":"SERVING"}]}`)))
 	assert.Equal(t, 1, states())
 }
 
@@ -98,8 +98,8 @@
 	b.server.Main.Pool, b.server.Main.Workers = p, b.workers
 	for _, how := range []string{"answered", "left"} {
 		client, worker := &fakeConn{prompt: true}, &fakeConn{prompt: true}
-		job := &PassedJob{Class: "send", Method: "POST", Target: "/p", ID: how, Body: []byte("hi"), KeepAlive: true,
-			Job: engine.Passed{GiveUpAt: b.e.Now() + 9e6, Came: b.e.Now(), Tried: []engine.Tried{{Worker: "a", Addr: "x:1", Sent: b.e.Now(), Out: true, MayHaveRun: true}}}}
+		job := &HandoverJob{Class: "send", Method: "POST", Target: "/p", ID: how, Body: []byte("hi"), KeepAlive: true,
+			Job: engine.HandoverRequest{GiveUpAt: b.e.Now() + 9e6, Came: b.e.Now(), Tried: []engine.HandoverAttempt{{Worker: "a", Addr: "x:1", Sent: b.e.Now(), Out: true, MayHaveRun: true}}}}
 		b.server.Adopt(b.server.Main, job, client, worker)
 		assert.Equal(t, []int{1, 1}, []int{p.Open(), open}, how)
 		if how == "left" {
--- a/internal/jobs/worker.go
+++ b/internal/jobs/worker.go
@@ -29,15 +29,15 @@
 type Workers struct {
 	Engine  *engine.Engine
 	Dialer  Dialer
-	Reports *Reports
+	Reports *LoadReportParser
 	Host    string // of the Host header
 	Service string // names the service in the log; "" is the platform's
 	// Pace is how slowly a worker may take a request or write a line of its answer. Between two lines it is at work,
 	// and nothing is asked of it.
 	Pace pace.Rate
 
-	// Keep has what comes of an answer kept, so that its attempt can be passed on.
-	Keep bool
+	// RetainResponses has what comes of an answer kept, so that its attempt can be passed on.
+	RetainResponses bool
 
 	probing map[*engine.Worker][]*exchange // probes not answered yet
 }
@@ -172,7 +172,7 @@
 			return
 		}
 		in := a.Request.Payload.(*call)
-		fields := []http1.Field{host, {Name: "X-Call-Id", Value: in.id}, {Name: "X-Budget", Value: budget(a.Left())}}
+		fields := []http1.Field{host, {Name: "X-Call-Id", Value: in.id}, {Name: "X-Budget", Value: budget(a.Remaining())}}
 		if in.key != "" {
 			fields = append(fields, http1.Field{Name: "Idempotency-Key", Value: in.key})
 		}
@@ -186,7 +186,7 @@
 	}
 	x.conn = c
 	c.SetHandler(x)
-	c.Write(b, func(end WriteEnd) { x.wrote(c, end) })
+	c.Write(b, func(end WriteResult) { x.wrote(c, end) })
 	if x.conn == c && c.Queued() > 0 {
 		x.untaken = len(b)
 		x.meter.Begin(x.w.Engine.Now(), x.w.Pace)
@@ -212,7 +212,7 @@
 		x.meter.Extend(late)
 	}
 	if !x.written {
-		left := x.conn.Untaken()
+		left := x.conn.Unacked()
 		x.meter.Add(now, max(0, x.untaken-left))
 		x.untaken = left
 	}
@@ -230,17 +230,17 @@
 }
 
 // wrote takes in how the write on a connection ended.
-func (x *exchange) wrote(on Conn, end WriteEnd) {
+func (x *exchange) wrote(on Conn, end WriteResult) {
 	if end == Written && x.attempt != nil {
 		x.w.Engine.Counts.Written++
 	}
 	switch {
 	case x.over || x.conn != on: // a second connection is in use by now
 	case x.probe != nil && (end != Written || x.early) && x.reconnect():
-	case end == NotWholly && x.reconnect():
-	case end == NotWholly:
+	case end == WriteIncomplete && x.reconnect():
+	case end == WriteIncomplete:
 		x.end(decide.ConnectFailed)
-	case end == Unsure || x.early:
+	case end == WriteUnknown || x.early:
 		x.end(decide.Reset)
 	default:
 		x.written = true
@@ -253,7 +253,7 @@
 	if x.over {
 		return
 	}
-	if x.w.Keep && x.attempt != nil && len(x.raw) <= maxRaw {
+	if x.w.RetainResponses && x.attempt != nil && len(x.raw) <= maxRaw {
 		x.raw = append(x.raw, b...)
 	}
 	n, whole, err := x.parser.Feed(b)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -39,7 +39,7 @@
 
 // Reload implements engine.Directory.
 func (s *Static) Reload() {
-	s.Engine.Next(func() { s.Engine.Announce(decide.ListFull, s.list) })
+	s.Engine.Defer(func() { s.Engine.Announce(decide.ListFull, s.list) })
 }
 
 // maxFile bounds a list's file.
--- a/internal/net/door.go
+++ b/internal/net/door.go
@@ -194,8 +194,8 @@
 	return c
 }
 
-// Copy implements jobs.Passable. Only within Quiet.
-func (c *Conn) Copy() (fd int, ok bool) {
+// DupFD implements jobs.Transferable. Only within Quiet.
+func (c *Conn) DupFD() (fd int, ok bool) {
 	if c.ended || c.closed.Load() || len(c.out) > 0 || c.closeAfter || !c.nc.IsActive() || c.reading.Load() > 0 || c.nc.Reader().Len() > 0 {
 		return -1, false
 	}
--- a/internal/net/net.go
+++ b/internal/net/net.go
@@ -217,8 +217,8 @@
 	return a.Addr().Unmap()
 }
 
-// Ended implements jobs.Conn. The poller may not have come to it yet, or wait for the loop.
-func (c *Conn) Ended() bool { return c.ended || c.shows(unix.POLLRDHUP) }
+// PeerClosed implements jobs.Conn. The poller may not have come to it yet, or wait for the loop.
+func (c *Conn) PeerClosed() bool { return c.ended || c.shows(unix.POLLRDHUP) }
 
 // shows reports whether the system has one of the events for the connection just now, or its end.
 func (c *Conn) shows(events int16) bool {
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -211,13 +211,13 @@
 	g := newRig(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
 	c := g.get(addr)
 	g.do(func() { c.SetHandler(g) })
-	wrote := make(chan jobs.WriteEnd, 1)
-	g.do(func() { c.Write([]byte("x"), func(e jobs.WriteEnd) { wrote <- e }) })
+	wrote := make(chan jobs.WriteResult, 1)
+	g.do(func() { c.Write([]byte("x"), func(e jobs.WriteResult) { wrote <- e }) })
 	assert.Equal(t, jobs.Written, <-wrote)
 	(<-conns).Close()
 	<-g.dead
-	g.do(func() { c.Write([]byte("y"), func(e jobs.WriteEnd) { wrote <- e }) })
-	assert.Equal(t, jobs.NotWholly, <-wrote)
+	g.do(func() { c.Write([]byte("y"), func(e jobs.WriteResult) { wrote <- e }) })
+	assert.Equal(t, jobs.WriteIncomplete, <-wrote)
 }
 
 // takes counts what a client sends.
@@ -269,7 +269,7 @@
 	<-at
 	_, err := theirs.Write([]byte("x"))
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return g.loop.Waits() > 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return g.loop.QueueLen() > 0 }, patience, time.Millisecond)
 	close(come)
 	<-closed
 	ended(t, theirs)
@@ -382,7 +382,7 @@
 	answer := bytes.Repeat([]byte("0123456789abcdef"), size/16)
 	type end struct {
 		i   int
-		how jobs.WriteEnd
+		how jobs.WriteResult
 	}
 	ends := make(chan end, readers+1)
 	var clients []stdnet.Conn
@@ -397,9 +397,9 @@
 			g.do(func() { conn.Write(answer[:1], nil) })
 		}
 		g.do(func() {
-			conn.Write(answer, func(how jobs.WriteEnd) { ends <- end{i, how} })
+			conn.Write(answer, func(how jobs.WriteResult) { ends <- end{i, how} })
 			assert.Positive(t, conn.Queued(), "more than the system takes")
-			assert.Greater(t, conn.Untaken(), conn.Queued(), "the system holds some")
+			assert.Greater(t, conn.Unacked(), conn.Queued(), "the system holds some")
 		})
 		if i == 0 {
 			before = runtime.NumGoroutine() // the one that watches runs now
@@ -413,7 +413,7 @@
 	assert.True(t, bytes.Equal(answer, got))
 	assert.Equal(t, end{1, jobs.Written}, <-ends)
 	clients[2].Close()
-	assert.Equal(t, end{2, jobs.NotWholly}, <-ends)
+	assert.Equal(t, end{2, jobs.WriteIncomplete}, <-ends)
 	<-g.dead
 	g.do(func() { assert.Equal(t, readers-1, g.d.Unsent()) })
 }
--- a/internal/net/write.go
+++ b/internal/net/write.go
@@ -17,7 +17,7 @@
 
 type chunk struct {
 	b    []byte
-	done func(jobs.WriteEnd)
+	done func(jobs.WriteResult)
 }
 
 // system does something to the descriptor, unless it may be another's by now.
@@ -32,10 +32,10 @@
 }
 
 // Write implements jobs.Conn.
-func (c *Conn) Write(b []byte, done func(jobs.WriteEnd)) {
+func (c *Conn) Write(b []byte, done func(jobs.WriteResult)) {
 	if c.ended {
 		if done != nil {
-			c.d.loop.Next(func() { done(jobs.NotWholly) })
+			c.d.loop.Defer(func() { done(jobs.WriteIncomplete) })
 		}
 		return
 	}
@@ -65,7 +65,7 @@
 			c.await()
 			return
 		case err != nil:
-			c.d.loop.Next(c.failOut) // the system took none of the rest; the poller tells the connection's end
+			c.d.loop.Defer(c.failOut) // the system took none of the rest; the poller tells the connection's end
 			return
 		case len(first.b) == 0:
 			c.wrote(jobs.Written)
@@ -77,7 +77,7 @@
 }
 
 // wrote takes the first chunk out and tells how it went, after the work at hand.
-func (c *Conn) wrote(end jobs.WriteEnd) {
+func (c *Conn) wrote(end jobs.WriteResult) {
 	done := c.out[0].done
 	c.out[0] = chunk{}
 	if c.out = c.out[1:]; len(c.out) == 0 {
@@ -85,13 +85,13 @@
 		c.d.unsent--
 	}
 	if done != nil {
-		c.d.loop.Next(func() { done(end) })
+		c.d.loop.Defer(func() { done(end) })
 	}
 }
 
 // failOut ends what waits: of each chunk a byte at least has surely not left.
 func (c *Conn) failOut() {
-	var all []func(jobs.WriteEnd)
+	var all []func(jobs.WriteResult)
 	for _, w := range c.out {
 		if w.done != nil {
 			all = append(all, w.done)
@@ -99,7 +99,7 @@
 	}
 	c.forgetOut()
 	for _, done := range all {
-		done(jobs.NotWholly)
+		done(jobs.WriteIncomplete)
 	}
 }
 
@@ -123,8 +123,8 @@
 // Queued implements jobs.Conn.
 func (c *Conn) Queued() int { return c.queued }
 
-// Untaken implements jobs.Conn.
-func (c *Conn) Untaken() int {
+// Unacked implements jobs.Conn.
+func (c *Conn) Unacked() int {
 	system := 0
 	_ = c.system(func(fd int) (err error) {
 		system, err = unix.IoctlGetInt(fd, unix.SIOCOUTQ)
