--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -42,7 +42,7 @@
 	census   *census
 	reports  *reports
 	poller   *instances.Poller
-	keeper   *stages.Keeper
+	keeper   *stages.Rebalancer
 
 	settledAt time.Time       // when the number of routers is known
 	ctx       context.Context // of the whole run, for work that no caller waits for
@@ -83,15 +83,15 @@
 	c.lists = newLists(c.hub, log)
 	reader := instances.NewReaderDialing(func() string { return latest.Load().Cloud.Address }, dial)
 	c.poller = instances.NewPoller(reader, c.mayRead, c.listRead(ctx), log)
-	c.keeper = stages.NewKeeper(stages.Options{
-		Holder: current.NodeName,
-		Lease:  func() (uint64, bool) { return c.leases.holds(roleStages) },
-		Fenced: func(token uint64) { c.leases.giveUp(roleStages, token) },
-		Fleet:  c.knownFleet,
-		Quiet:  current.Bounds.Lease() + current.Bounds.Thaw(),
-		Fresh:  current.Bootstrap,
-		Dial:   dial,
-		Log:    log,
+	c.keeper = stages.NewRebalancer(stages.Options{
+		Holder:        current.NodeName,
+		Lease:         func() (uint64, bool) { return c.leases.holds(roleStages) },
+		OnFenced:      func(token uint64) { c.leases.giveUp(roleStages, token) },
+		Fleet:         c.knownFleet,
+		TakeoverDelay: current.Bounds.Lease() + current.Bounds.Thaw(),
+		Bootstrap:     current.Bootstrap,
+		Dial:          dial,
+		Log:           log,
 	})
 	return c
 }
--- a/internal/placement/distrust.go
+++ b/internal/placement/distrust.go
@@ -10,8 +10,8 @@
 // of several routers, so theirs counts as much.
 const believed = 2
 
-// Distrust keeps work off workers that other routers complain of, for a term and within the dispatcher's bounds.
-func (p *Placer) Distrust(workers []string) {
+// MarkSuspect keeps work off workers that other routers complain of, for a term and within the dispatcher's bounds.
+func (p *Placer) MarkSuspect(workers []string) {
 	if len(workers) == 0 {
 		return
 	}
--- a/internal/placement/distrust_test.go
+++ b/internal/placement/distrust_test.go
@@ -37,7 +37,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		placer := newTestPlacer(&fakeProber{})
 		placer.Update(snapshot(1, inOneZone(5)))
-		placer.Distrust([]string{"decode-2", "unknown"})
+		placer.MarkSuspect([]string{"decode-2", "unknown"})
 		counts := served(t, placer, 100)
 		require.Zero(t, counts["decode-2"])
 		require.Len(t, counts, 4)
@@ -49,7 +49,7 @@
 		placer := newTestPlacer(&fakeProber{})
 		placer.Update(snapshot(1, inOneZone(10)))
 		for _, worker := range inOneZone(10) {
-			placer.Distrust([]string{worker.ID})
+			placer.MarkSuspect([]string{worker.ID})
 		}
 		require.GreaterOrEqual(t, len(served(t, placer, 200)), 6)
 	})
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -48,7 +48,7 @@
 		in.Memory = float64(job.PromptTokens)
 	case fleetwire.StageDecode:
 		p.preferNear(job, in)
-		if job.ReadsPrompt {
+		if job.RunsPrefill {
 			p.weighReading(job, in, decodeReadingCost)
 		}
 		in.Memory = float64(job.PromptTokens + job.OutputTokens)
@@ -58,7 +58,7 @@
 // preferNear lets a worker of the zone in which the prompt's memory lies join the draw, with the advantage that a shorter move
 // is worth.
 func (p *pool) preferNear(job *Job, in *decide.Job) {
-	near := lo.Filter(p.ready, func(w fleetwire.Instance, _ int) bool { return w.Zone == job.PreferZone })
+	near := lo.Filter(p.ready, func(w fleetwire.Instance, _ int) bool { return w.Zone == job.PreferredZone })
 	if len(near) == 0 {
 		return
 	}
@@ -69,7 +69,7 @@
 
 // weighReading sets what the reading of a prompt takes where its shared prefix is held, and which worker holds it.
 func (p *pool) weighReading(job *Job, in *decide.Job, cost float64) {
-	prefix, tokens := sharedPrefix(job.Parts)
+	prefix, tokens := sharedPrefix(job.PromptParts)
 	own := max(0, job.PromptTokens-tokens)
 	in.Slots = min(max(1, cost*units(own)), p.capacity()/widestShare)
 	p.units += learnRate * (in.Slots - p.units)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -15,13 +15,13 @@
 
 // The results of a push.
 const (
-	ResultServed        Result = iota // the worker's final answer was had (any answer that counts as run)
-	ResultNotExecuted                 // the worker said that it did not run it: Not-Executed or 421
-	ResultConnectFailed               // no connection came about, nothing was sent
-	ResultBroken                      // sent, and the connection broke: it may have run
-	ResultTimedOut                    // sent, and no answer came in time: it may have run, or may still
-	ResultFailed                      // the worker answered with a failure of its own: it ran
-	ResultCancelled                   // the client left
+	ResultServed           Result = iota // the worker's final answer was had (any answer that counts as run)
+	ResultNotExecuted                    // the worker said that it did not run it: Not-Executed or 421
+	ResultConnectFailed                  // no connection came about, nothing was sent
+	ResultConnectionBroken               // sent, and the connection broke: it may have run
+	ResultTimedOut                       // sent, and no answer came in time: it may have run, or may still
+	ResultFailed                         // the worker answered with a failure of its own: it ran
+	ResultCancelled                      // the client left
 )
 
 // mayHaveRun tells whether the worker may have begun the work.
@@ -34,31 +34,31 @@
 	}
 }
 
-// Part is one shared piece of a prompt, named by its hash.
-type Part struct {
+// PromptPart is one shared piece of a prompt, named by its hash.
+type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
 // Job is one stage of a client's request.
 type Job struct {
-	Service      string
-	Stage        string // fleetwire.StagePrefill, fleetwire.StageDecode, or empty for a service without stages
-	Route        *fleetwire.Route
-	Arrived      time.Time // when the client's request was read
-	GiveUpAt     time.Time // the earlier of the client's deadline and the route's timeout
-	PromptTokens int
-	OutputTokens int
-	Parts        []Part // in order; nil where unknown
-	PreferZone   string // where the memory of the prompt lies; empty: no preference
-	ReadsPrompt  bool   // with StageDecode: the worker reads the prompt itself
-	Repeatable   bool   // it may run more than once
-	MaxRuns      int    // the largest number of workers that may run it
-	// FreeFirst says that the first push draws nothing from the retry budget: it is the request's first arrival at the
+	Service       string
+	Stage         string // fleetwire.StagePrefill, fleetwire.StageDecode, or empty for a service without stages
+	Route         *fleetwire.Route
+	Arrived       time.Time // when the client's request was read
+	Deadline      time.Time // the earlier of the client's deadline and the route's timeout
+	PromptTokens  int
+	OutputTokens  int
+	PromptParts   []PromptPart // in order; nil where unknown
+	PreferredZone string       // where the memory of the prompt lies; empty: no preference
+	RunsPrefill   bool         // with StageDecode: the worker reads the prompt itself
+	Repeatable    bool         // it may run more than once
+	MaxRuns       int          // the largest number of workers that may run it
+	// FirstPushFree says that the first push draws nothing from the retry budget: it is the request's first arrival at the
 	// service, or the first reading of its prompt. It is false where an earlier call of Place has sent the request to the
 	// service already.
-	FreeFirst bool
-	Runs      int // workers that may have run it before this call
+	FirstPushFree bool
+	Runs          int // workers that may have run it before this call
 }
 
 // Decision tells what the client is to be told when no worker served the job.
@@ -71,8 +71,8 @@
 	DecisionFailed           // it may have run: 502 or 504
 )
 
-// Verdict is the end of a placed job.
-type Verdict struct {
+// JobOutcome is the end of a placed job.
+type JobOutcome struct {
 	Decision   Decision
 	RetryAfter time.Duration // with DecisionRefused
 	Runs       int           // workers that may have run it, Job.Runs included
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -61,9 +61,9 @@
 
 func testJob(stage string) Job {
 	now := time.Now()
-	return Job{Service: "llm", Stage: stage, Arrived: now, GiveUpAt: now.Add(2 * time.Second), PromptTokens: 3000,
+	return Job{Service: "llm", Stage: stage, Arrived: now, Deadline: now.Add(2 * time.Second), PromptTokens: 3000,
 		Route:      &fleetwire.Route{RouteType: "streaming", TimeoutMs: 2000, TargetLatencyMs: 500},
-		Repeatable: true, MaxRuns: 2, FreeFirst: true}
+		Repeatable: true, MaxRuns: 2, FirstPushFree: true}
 }
 
 func TestTheLighterOfTwoProbedWorkersGetsThePush(t *testing.T) {
@@ -118,7 +118,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		placer := newTestPlacer(&fakeProber{})
 		placer.Update(snapshot(1, workers("decode", 4)))
-		for _, result := range []Result{ResultBroken, ResultTimedOut, ResultFailed} {
+		for _, result := range []Result{ResultConnectionBroken, ResultTimedOut, ResultFailed} {
 			job := testJob("decode")
 			job.Repeatable = false
 			pushes := 0
@@ -168,7 +168,7 @@
 		verdict := placer.Place(t.Context(), testJob("decode"), func(_ context.Context, _ fleetwire.Instance, ready func() bool) Result {
 			ready()
 			runs++
-			return ResultBroken
+			return ResultConnectionBroken
 		})
 		require.Equal(t, DecisionFailed, verdict.Decision)
 		require.Equal(t, 2, runs)
@@ -182,7 +182,7 @@
 		list := workers("prefill", 8)
 		placer.Update(snapshot(1, list))
 		job := testJob("prefill")
-		job.Parts = []Part{{"head", 500}, {"book", 2000}, {"own", 500}}
+		job.PromptParts = []PromptPart{{"head", 500}, {"book", 2000}, {"own", 500}}
 		keeper := home("book", list)
 		push := func(targets *[]string) Push {
 			return func(_ context.Context, w fleetwire.Instance, ready func() bool) Result {
@@ -193,14 +193,14 @@
 		}
 		var targets []string
 		for range 10 {
-			job.GiveUpAt = time.Now().Add(2 * time.Second)
+			job.Deadline = time.Now().Add(2 * time.Second)
 			placer.Place(t.Context(), job, push(&targets))
 			time.Sleep(time.Second)
 		}
 		require.Equal(t, slices.Repeat([]string{keeper}, 10), targets)
 		prober.reports[keeper] = Report{Running: 8} // by far more than the prefix saves and a probe is worth
 		targets = nil
-		job.GiveUpAt = time.Now().Add(2 * time.Second)
+		job.Deadline = time.Now().Add(2 * time.Second)
 		placer.Place(t.Context(), job, push(&targets))
 		require.NotEqual(t, []string{keeper}, targets)
 	})
@@ -245,15 +245,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 10 * time.Second
 		ratio, slack := 0.2, float64(rapid.IntRange(0, 5).Draw(t, "slack"))
-		budget := NewBudget(ratio, slack, window)
+		budget := NewRetryBudget(ratio, slack, window)
 		var requests, extras []time.Duration
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 400).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "gap")) * time.Millisecond
 			if rapid.Bool().Draw(t, "request") {
-				budget.Request(now)
+				budget.CountRequest(now)
 				requests = append(requests, now)
-			} else if budget.Spend(now) {
+			} else if budget.TrySpend(now) {
 				extras = append(extras, now)
 			}
 			inWindow := func(list []time.Duration) (n float64) {
@@ -289,9 +289,9 @@
 			placer.Place(t.Context(), job, served)
 		}
 		wide := testJob("decode")
-		wide.ReadsPrompt = true
+		wide.RunsPrefill = true
 		wide.PromptTokens = 60_000
-		wide.Parts = []Part{{"head", 500}, {"book", 59_000}, {"own", 500}}
+		wide.PromptParts = []PromptPart{{"head", 500}, {"book", 59_000}, {"own", 500}}
 		verdict := placer.Place(t.Context(), wide, served)
 		require.Equal(t, DecisionServed, verdict.Decision)
 	})
@@ -322,7 +322,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		placer := newTestPlacer(&fakeProber{})
 		placer.Update(snapshot(1, workers("prefill", 3)))
-		for result, arrivals := range map[Result]int{ResultServed: 1, ResultBroken: 1, ResultFailed: 1} {
+		for result, arrivals := range map[Result]int{ResultServed: 1, ResultConnectionBroken: 1, ResultFailed: 1} {
 			verdict := placer.Place(t.Context(), testJob("prefill"), func(_ context.Context, _ fleetwire.Instance, ready func() bool) Result {
 				ready()
 				return result
@@ -405,7 +405,7 @@
 		list := workers("prefill", 8)
 		job := testJob("prefill")
 		job.PromptTokens = 6000
-		job.Parts = []Part{{"head", 512}, {"book", 4608}, {"own", 880}} // 5 units are held
+		job.PromptParts = []PromptPart{{"head", 512}, {"book", 4608}, {"own", 880}} // 5 units are held
 		keeper := home("book", list)
 		for _, running := range []int{1, 7} { // 4 units each: less and more than what 5 held ones count and a probe is worth
 			prober := &fakeProber{reports: map[string]Report{keeper: {Running: running}}}
@@ -414,7 +414,7 @@
 			grown.Config.Services[0].Engine.Slots = 128
 			placer.Update(grown)
 			var target string
-			job.GiveUpAt = time.Now().Add(2 * time.Second)
+			job.Deadline = time.Now().Add(2 * time.Second)
 			placer.Place(t.Context(), job, func(_ context.Context, w fleetwire.Instance, ready func() bool) Result {
 				ready()
 				target = w.ID
@@ -492,7 +492,7 @@
 			placer.Update(grown)
 			for range 20 {
 				job := testJob("decode")
-				job.PreferZone = "z1"
+				job.PreferredZone = "z1"
 				target := ""
 				placer.Place(t.Context(), job, func(_ context.Context, w fleetwire.Instance, ready func() bool) Result {
 					ready()
@@ -510,10 +510,10 @@
 func TestAHolderWithLittleToDoIsProbedAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := workers("prefill", 8)
-		parts := []Part{{"book", 4608}, {"own", 880}}
+		parts := []PromptPart{{"book", 4608}, {"own", 880}}
 		keeper := home("book", list)
 		for _, trial := range []struct {
-			parts   []Part
+			parts   []PromptPart
 			running int // at the holder
 			probes  int
 		}{{parts, 0, 1}, {parts, 1, 1}, {parts, 8, 2}, {nil, 0, 2}} {
@@ -521,7 +521,7 @@
 			placer := newTestPlacer(prober)
 			placer.Update(snapshot(1, list))
 			job := testJob("prefill")
-			job.Parts = trial.parts
+			job.PromptParts = trial.parts
 			placer.Place(t.Context(), job, func(_ context.Context, _ fleetwire.Instance, ready func() bool) Result {
 				ready()
 				return ResultServed
@@ -547,22 +547,22 @@
 			})
 			return target
 		}
-		placer.Answered(&list[0], Load{Running: 6})
+		placer.ObserveLoad(&list[0], Load{Running: 6})
 		place()
 		require.Len(t, prober.probed, 2, "an answer completes a report and does not replace it")
 
 		for begun := time.Now(); time.Since(begun) < reportKept-answerShare; time.Sleep(answerShare / 2) {
-			placer.Answered(&list[0], Load{Running: 5})
-			placer.Answered(&list[1], Load{Running: 2})
+			placer.ObserveLoad(&list[0], Load{Running: 5})
+			placer.ObserveLoad(&list[1], Load{Running: 2})
 			require.Equal(t, "decode-1", place())
-			placer.Answered(&list[1], Load{Running: 7})
+			placer.ObserveLoad(&list[1], Load{Running: 7})
 			require.Equal(t, "decode-0", place(), "the newest answer counts")
 		}
 		require.Len(t, prober.probed, 2)
 
 		time.Sleep(reportKept)
-		placer.Answered(&list[0], Load{Running: 5})
-		placer.Answered(&list[1], Load{Running: 2})
+		placer.ObserveLoad(&list[0], Load{Running: 5})
+		placer.ObserveLoad(&list[1], Load{Running: 2})
 		place()
 		require.Len(t, prober.probed, 4, "a report this old is asked for again")
 	})
@@ -586,7 +586,7 @@
 		}
 		go place()
 		time.Sleep(2 * time.Millisecond)
-		placer.Answered(&list[0], Load{Running: 1})
+		placer.ObserveLoad(&list[0], Load{Running: 1})
 		go place()
 		time.Sleep(reportShare + time.Millisecond)
 		synctest.Wait()
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -45,7 +45,7 @@
 	zones   map[string]int
 	mu      sync.RWMutex
 	pools   map[poolKey]*pool
-	budgets map[string]*Budget
+	budgets map[string]*RetryBudget
 	version atomic.Pointer[fleetwire.Version]
 	routers int
 }
@@ -58,7 +58,7 @@
 		options.Prober = NewHTTPProber()
 	}
 	p := &Placer{options: options, start: time.Now(), zones: map[string]int{}, pools: map[poolKey]*pool{},
-		budgets: map[string]*Budget{}, routers: AssumedRouters}
+		budgets: map[string]*RetryBudget{}, routers: AssumedRouters}
 	p.zones[options.Zone] = 0
 	for _, zone := range options.Zones {
 		if _, known := p.zones[zone]; !known {
@@ -143,7 +143,7 @@
 }
 
 // Place finds a worker for a job and lets push send it, again as long as the rules allow, and returns how it ended.
-func (p *Placer) Place(ctx context.Context, job Job, push Push) Verdict {
+func (p *Placer) Place(ctx context.Context, job Job, push Push) JobOutcome {
 	p.mu.RLock()
 	target := p.pools[poolKey{job.Service, job.Stage}]
 	p.mu.RUnlock()
@@ -155,7 +155,7 @@
 	defer target.forget(id)
 	runs := job.Runs
 	for pushes := 0; ; {
-		verdict := Verdict{Decision: DecisionFailed, Runs: runs, Arrivals: pushes}
+		verdict := JobOutcome{Decision: DecisionFailed, Runs: runs, Arrivals: pushes}
 		select {
 		case <-ctx.Done():
 			target.call(func(now decide.Time) { target.dispatch.Hangup(now, id) })
@@ -191,14 +191,14 @@
 			}
 			target.outcome(id, order, statusOf[result])
 			if result == ResultServed {
-				return Verdict{Decision: DecisionServed, Runs: runs, Arrivals: pushes}
+				return JobOutcome{Decision: DecisionServed, Runs: runs, Arrivals: pushes}
 			}
 		}
 	}
 }
 
-// Answered takes in the load that a worker told with an answer: the next draws of that worker need no probe for a while.
-func (p *Placer) Answered(target *fleetwire.Instance, load Load) {
+// ObserveLoad takes in the load that a worker told with an answer: the next draws of that worker need no probe for a while.
+func (p *Placer) ObserveLoad(target *fleetwire.Instance, load Load) {
 	p.mu.RLock()
 	known := p.pools[poolKey{target.Service, target.Stage}]
 	p.mu.RUnlock()
@@ -213,14 +213,14 @@
 		return
 	}
 	p.mu.Lock()
-	p.budget(job.Service).Request(time.Since(p.start))
+	p.budget(job.Service).CountRequest(time.Since(p.start))
 	p.mu.Unlock()
 }
 
-func (p *Placer) budget(service string) *Budget {
+func (p *Placer) budget(service string) *RetryBudget {
 	budget := p.budgets[service]
 	if budget == nil {
-		budget = NewBudget(p.options.BudgetRatio*ratioShare, p.slack(), p.options.BudgetWindow)
+		budget = NewRetryBudget(p.options.BudgetRatio*ratioShare, p.slack(), p.options.BudgetWindow)
 		p.budgets[service] = budget
 	}
 	return budget
@@ -231,12 +231,12 @@
 	if runs >= max(1, job.MaxRuns) || runs > 0 && !job.Repeatable {
 		return false
 	}
-	if pushes == 0 && job.FreeFirst {
+	if pushes == 0 && job.FirstPushFree {
 		return true
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.budget(job.Service).Spend(time.Since(p.start))
+	return p.budget(job.Service).TrySpend(time.Since(p.start))
 }
 
 // settleReading corrects the budget after a reading of a prompt: the first one that a worker takes up is no extra arrival, the
@@ -247,7 +247,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	free := pushes == 0 && job.FreeFirst
+	free := pushes == 0 && job.FirstPushFree
 	switch {
 	case free && !result.mayHaveRun():
 		p.budget(job.Service).Charge(time.Since(p.start))
@@ -258,7 +258,7 @@
 
 // unspend gives back what mayPush took from the budget for a push that was not sent.
 func (p *Placer) unspend(job *Job, pushes int) {
-	if pushes == 0 && job.FreeFirst {
+	if pushes == 0 && job.FirstPushFree {
 		return
 	}
 	p.mu.Lock()
@@ -267,23 +267,23 @@
 }
 
 // refused is the verdict on a job that no worker has run: its client may come back soon.
-func (p *Placer) refused(job *Job, runs int) Verdict {
+func (p *Placer) refused(job *Job, runs int) JobOutcome {
 	if runs > 0 {
-		return Verdict{Decision: DecisionFailed, Runs: runs}
+		return JobOutcome{Decision: DecisionFailed, Runs: runs}
 	}
 	span := retryAfterLeast + rand.N(retryAfterMost-retryAfterLeast)
-	return Verdict{Decision: DecisionRefused, RetryAfter: span, Runs: runs}
+	return JobOutcome{Decision: DecisionRefused, RetryAfter: span, Runs: runs}
 }
 
 // statusOf is the dispatcher's word for a result.
 var statusOf = map[Result]decide.Status{
-	ResultServed:        decide.Served,
-	ResultNotExecuted:   decide.Full,
-	ResultConnectFailed: decide.ConnectFailed,
-	ResultBroken:        decide.Reset,
-	ResultTimedOut:      decide.TimedOut,
-	ResultFailed:        decide.Error,
-	ResultCancelled:     decide.Cancelled,
+	ResultServed:           decide.Served,
+	ResultNotExecuted:      decide.Full,
+	ResultConnectFailed:    decide.ConnectFailed,
+	ResultConnectionBroken: decide.Reset,
+	ResultTimedOut:         decide.TimedOut,
+	ResultFailed:           decide.Error,
+	ResultCancelled:        decide.Cancelled,
 }
 
 // send lets push send the job to the worker that an order names. It reports false if nothing was sent.
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -183,9 +183,9 @@
 		p.lastJob++
 		id = p.lastJob
 		p.jobs[id] = placed
-		in := decide.Job{ID: id, Class: p.classOf(job), GiveUpAt: now + time.Until(job.GiveUpAt).Microseconds(), Slots: 1}
+		in := decide.Job{ID: id, Class: p.classOf(job), GiveUpAt: now + time.Until(job.Deadline).Microseconds(), Slots: 1}
 		p.weigh(job, &in)
-		if zone, known := p.settings.zones[job.PreferZone]; known {
+		if zone, known := p.settings.zones[job.PreferredZone]; known {
 			in.Zone = zone + 1
 		}
 		p.dispatch.Arrive(now, in)
@@ -320,7 +320,7 @@
 	if w == nil || w.report.Busy || w.reportAt == 0 || now-w.reportAt > reportKept.Microseconds() {
 		return
 	}
-	w.report.Running, w.report.Queued = load.Running, load.Waiting
+	w.report.Running, w.report.Queued = load.Running, load.Queued
 	w.useUntil = now + answerShare.Microseconds()
 }
 
--- a/internal/placement/prefix.go
+++ b/internal/placement/prefix.go
@@ -15,7 +15,7 @@
 
 // sharedPrefix names the longest part of a prompt that other requests may have in common with it, and counts its tokens. The last
 // part is a request's or session's own.
-func sharedPrefix(parts []Part) (id string, tokens int) {
+func sharedPrefix(parts []PromptPart) (id string, tokens int) {
 	if len(parts) < 2 {
 		return "", 0
 	}
--- a/internal/placement/probe.go
+++ b/internal/placement/probe.go
@@ -34,7 +34,7 @@
 // Load is what a worker tells of itself with an answer.
 type Load struct {
 	Running int
-	Waiting int
+	Queued  int
 }
 
 // ErrNoReport is returned for a worker that answers but has no report.
@@ -49,10 +49,10 @@
 type httpProber struct{ transport *http.Transport }
 
 // NewHTTPProber returns a prober over net/http.
-func NewHTTPProber() Prober { return NewHTTPProberDialing(transport.TCP()) }
+func NewHTTPProber() Prober { return NewHTTPProberWithDial(transport.TCP()) }
 
-// NewHTTPProberDialing returns a prober over net/http whose connections a function opens.
-func NewHTTPProberDialing(dial transport.Dial) Prober {
+// NewHTTPProberWithDial returns a prober over net/http whose connections a function opens.
+func NewHTTPProberWithDial(dial transport.Dial) Prober {
 	return &httpProber{transport: &http.Transport{
 		DialContext:         dial.Within(probeTimeout),
 		DisableCompression:  true,
--- a/internal/placement/spread_test.go
+++ b/internal/placement/spread_test.go
@@ -124,7 +124,7 @@
 		worker := world.ids[target.ID]
 		running := world.add(worker, 1)
 		time.Sleep(min(run, spreadFirst))
-		placer.Answered(&target, Load{Running: running})
+		placer.ObserveLoad(&target, Load{Running: running})
 		time.Sleep(run - min(run, spreadFirst))
 		world.add(worker, -1)
 		return ResultServed
--- a/internal/placement/urgency_test.go
+++ b/internal/placement/urgency_test.go
@@ -121,10 +121,10 @@
 		kind := i % 2
 		job := kinds[kind]
 		job.Arrived = time.Now()
-		job.GiveUpAt = job.Arrived.Add(time.Duration(job.Route.TimeoutMs) * time.Millisecond)
+		job.Deadline = job.Arrived.Add(time.Duration(job.Route.TimeoutMs) * time.Millisecond)
 		offered[kind]++
 		all.Go(func() {
-			ctx, cancel := context.WithDeadline(t.Context(), job.GiveUpAt)
+			ctx, cancel := context.WithDeadline(t.Context(), job.Deadline)
 			defer cancel()
 			verdict := placer.Place(ctx, job, crowded.push(job.Route.Priority))
 			mutex.Lock()
--- a/internal/router/clientconns_test.go
+++ b/internal/router/clientconns_test.go
@@ -56,9 +56,9 @@
 
 func (p *countingPlacer) Update(*watch.Snapshot) {}
 
-func (p *countingPlacer) Place(context.Context, placement.Job, placement.Push) placement.Verdict {
+func (p *countingPlacer) Place(context.Context, placement.Job, placement.Push) placement.JobOutcome {
 	p.placed.Add(1)
-	return placement.Verdict{Decision: placement.DecisionRefused}
+	return placement.JobOutcome{Decision: placement.DecisionRefused}
 }
 
 // interruptedConn calls a function once its next bytes have been read, before the reader has them.
--- a/internal/router/forward.go
+++ b/internal/router/forward.go
@@ -57,22 +57,22 @@
 // job is what placement is told of one stage.
 func (q *request) job(stage string) placement.Job {
 	return placement.Job{
-		Service:      q.service.Name,
-		Stage:        stage,
-		Route:        q.route,
-		Arrived:      q.arrived,
-		GiveUpAt:     q.giveUpAt,
-		PromptTokens: q.prompt.input,
-		OutputTokens: q.prompt.output,
-		Parts:        q.prompt.parts,
-		Repeatable:   q.repeatable(),
-		MaxRuns:      q.route.MaxAttempts,
-		FreeFirst:    true,
+		Service:       q.service.Name,
+		Stage:         stage,
+		Route:         q.route,
+		Arrived:       q.arrived,
+		Deadline:      q.giveUpAt,
+		PromptTokens:  q.prompt.input,
+		OutputTokens:  q.prompt.output,
+		PromptParts:   q.prompt.parts,
+		Repeatable:    q.repeatable(),
+		MaxRuns:       q.route.MaxAttempts,
+		FirstPushFree: true,
 	}
 }
 
 // place runs a request of a service without stages.
-func (q *request) place(ctx context.Context) placement.Verdict {
+func (q *request) place(ctx context.Context) placement.JobOutcome {
 	return q.router.options.Placer.Place(ctx, q.job(""), q.observed(q.pushAnswer(nil)))
 }
 
@@ -230,7 +230,7 @@
 		q.timedOut = true
 		return placement.ResultTimedOut
 	default:
-		return placement.ResultBroken
+		return placement.ResultConnectionBroken
 	}
 }
 
--- a/internal/router/forward_test.go
+++ b/internal/router/forward_test.go
@@ -87,7 +87,7 @@
 			response, _ = f.get(method, "/unsafe/x", "second")
 			require.Equal(t, http.StatusBadGateway, response.StatusCode)
 			require.Equal(t, 1, seen.of("second"))
-			require.Equal(t, []placement.Result{placement.ResultServed, placement.ResultBroken}, f.placer.seen())
+			require.Equal(t, []placement.Result{placement.ResultServed, placement.ResultConnectionBroken}, f.placer.seen())
 		})
 	}
 }
@@ -137,7 +137,7 @@
 	require.Equal(t, http.StatusBadGateway, response.StatusCode)
 	require.Empty(t, body)
 	require.Empty(t, response.Header.Get("Response-Signature"))
-	require.Equal(t, []placement.Result{placement.ResultBroken}, f.placer.seen())
+	require.Equal(t, []placement.Result{placement.ResultConnectionBroken}, f.placer.seen())
 }
 
 // A worker's statement of its load is passed on, whatever became of the request; what is no statement is not, nor one that came
@@ -149,8 +149,8 @@
 		stranger    bool
 		told        []placement.Load
 	}{
-		{stated: "3,1,8", told: []placement.Load{{Running: 3, Waiting: 1}}},
-		{stated: "8, 24, 8", notExecuted: true, told: []placement.Load{{Running: 8, Waiting: 24}}},
+		{stated: "3,1,8", told: []placement.Load{{Running: 3, Queued: 1}}},
+		{stated: "8, 24, 8", notExecuted: true, told: []placement.Load{{Running: 8, Queued: 24}}},
 		{stated: "3,1,8", stranger: true},
 		{stated: ""},
 		{stated: "3"},
--- a/internal/router/generation.go
+++ b/internal/router/generation.go
@@ -37,11 +37,11 @@
 
 // generate runs a request of an engine: its prompt is read by a prefill worker, then a decode worker takes the memory of
 // it and streams. Where no prefill worker can read it, the decode worker does.
-func (q *request) generate(ctx context.Context) placement.Verdict {
+func (q *request) generate(ctx context.Context) placement.JobOutcome {
 	q.header.Set(headerPriority, strconv.Itoa(min(max(q.route.Priority, 0), leastUrgent)))
 	decode := q.job(fleetwire.StageDecode)
-	decode.ReadsPrompt = q.direct()
-	if !decode.ReadsPrompt {
+	decode.RunsPrefill = q.direct()
+	if !decode.RunsPrefill {
 		verdict := q.prefill(ctx)
 		if verdict.Decision == placement.DecisionRefused {
 			return verdict
@@ -53,10 +53,10 @@
 		// The first reading is no attempt of its own, further ones are. None of them is a run.
 		decode.MaxRuns = max(1, decode.MaxRuns-max(0, verdict.Runs-1))
 		// A reading that no worker took up is an arrival like any other, and was the request's first.
-		decode.FreeFirst = verdict.Decision == placement.DecisionServed || verdict.Arrivals == 0
+		decode.FirstPushFree = verdict.Decision == placement.DecisionServed || verdict.Arrivals == 0
 	}
 	if q.handle != nil {
-		decode.PreferZone = q.handle.zone
+		decode.PreferredZone = q.handle.zone
 	}
 	verdict := q.router.options.Placer.Place(ctx, decode, q.observed(q.pushAnswer(q.prepareDecode)))
 	q.freeHandle()
@@ -69,7 +69,7 @@
 }
 
 // prefill has the prompt read.
-func (q *request) prefill(ctx context.Context) placement.Verdict {
+func (q *request) prefill(ctx context.Context) placement.JobOutcome {
 	job := q.job(fleetwire.StagePrefill)
 	job.Repeatable = true
 	return q.router.options.Placer.Place(ctx, job, q.observed(q.pushPrefill))
--- a/internal/router/generation_test.go
+++ b/internal/router/generation_test.go
@@ -89,10 +89,10 @@
 	require.Len(t, jobs, 2)
 	require.Equal(t, fleetwire.StagePrefill, jobs[0].Stage)
 	require.True(t, jobs[0].Repeatable)
-	require.Equal(t, []placement.Part{{ID: "5c1e07a2", Tokens: 800}, {ID: "91bd3f06", Tokens: 660}}, jobs[0].Parts)
+	require.Equal(t, []placement.PromptPart{{ID: "5c1e07a2", Tokens: 800}, {ID: "91bd3f06", Tokens: 660}}, jobs[0].PromptParts)
 	require.Equal(t, 1460, jobs[1].PromptTokens)
 	require.Equal(t, 80, jobs[1].OutputTokens)
-	require.Equal(t, "z-"+prefill, jobs[1].PreferZone)
+	require.Equal(t, "z-"+prefill, jobs[1].PreferredZone)
 	require.False(t, jobs[1].Repeatable)
 	require.Zero(t, jobs[1].Runs, "the first reading is no run")
 }
@@ -129,8 +129,8 @@
 			f.send(f.generation("id"))
 			receive(t, seen)
 			require.Len(t, f.placer.jobs, 2)
-			require.True(t, f.placer.jobs[0].FreeFirst)
-			require.Equal(t, worker.free, f.placer.jobs[1].FreeFirst, "a reading that no worker took up counts as an arrival")
+			require.True(t, f.placer.jobs[0].FirstPushFree)
+			require.Equal(t, worker.free, f.placer.jobs[1].FirstPushFree, "a reading that no worker took up counts as an arrival")
 		})
 	}
 }
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -33,7 +33,7 @@
 
 func (p *fakePlacer) Update(*watch.Snapshot) {}
 
-func (p *fakePlacer) Place(ctx context.Context, job placement.Job, push placement.Push) placement.Verdict {
+func (p *fakePlacer) Place(ctx context.Context, job placement.Job, push placement.Push) placement.JobOutcome {
 	p.mutex.Lock()
 	p.jobs = append(p.jobs, job)
 	targets := p.targets[job.Stage]
@@ -56,16 +56,16 @@
 		}
 		switch result {
 		case placement.ResultServed:
-			return placement.Verdict{Decision: placement.DecisionServed, Runs: runs + 1, Arrivals: arrivals}
+			return placement.JobOutcome{Decision: placement.DecisionServed, Runs: runs + 1, Arrivals: arrivals}
 		case placement.ResultNotExecuted, placement.ResultConnectFailed:
 		default:
 			runs++
 		}
 	}
 	if runs > 0 {
-		return placement.Verdict{Decision: placement.DecisionFailed, Runs: runs, Arrivals: arrivals}
+		return placement.JobOutcome{Decision: placement.DecisionFailed, Runs: runs, Arrivals: arrivals}
 	}
-	return placement.Verdict{Decision: placement.DecisionRefused, RetryAfter: 250 * time.Millisecond}
+	return placement.JobOutcome{Decision: placement.DecisionRefused, RetryAfter: 250 * time.Millisecond}
 }
 
 func (p *fakePlacer) seen() []placement.Result {
--- a/internal/router/headers.go
+++ b/internal/router/headers.go
@@ -82,7 +82,7 @@
 // prompt is what a generation's fields tell of its size.
 type prompt struct {
 	input, output int
-	parts         []placement.Part
+	parts         []placement.PromptPart
 }
 
 // parsePrompt reads Token-Count and Prefix-Hash. What can't be read is left out: it is only advice.
@@ -95,7 +95,7 @@
 	if field == "" {
 		return read
 	}
-	read.parts = make([]placement.Part, 0, strings.Count(field, ",")+1)
+	read.parts = make([]placement.PromptPart, 0, strings.Count(field, ",")+1)
 	for part := range strings.SplitSeq(field, ",") {
 		id, size, found := strings.Cut(strings.TrimSpace(part), ":")
 		tokens, err := strconv.Atoi(size)
@@ -103,7 +103,7 @@
 			read.parts = nil
 			return read
 		}
-		read.parts = append(read.parts, placement.Part{ID: id, Tokens: tokens})
+		read.parts = append(read.parts, placement.PromptPart{ID: id, Tokens: tokens})
 	}
 	return read
 }
@@ -125,6 +125,6 @@
 	}
 	var err, waitingErr error
 	load.Running, err = strconv.Atoi(strings.TrimSpace(running))
-	load.Waiting, waitingErr = strconv.Atoi(strings.TrimSpace(waiting))
-	return load, err == nil && waitingErr == nil && load.Running >= 0 && load.Waiting >= 0
+	load.Queued, waitingErr = strconv.Atoi(strings.TrimSpace(waiting))
+	return load, err == nil && waitingErr == nil && load.Running >= 0 && load.Queued >= 0
 }
--- a/internal/router/ingress.go
+++ b/internal/router/ingress.go
@@ -87,7 +87,7 @@
 	defer r.inHand.remove(exchange)
 	// A client that does not read holds no connection longer than its request may last.
 	_ = exchange.reply.controller.SetWriteDeadline(giveUpAt.Add(writeSlack))
-	var verdict placement.Verdict
+	var verdict placement.JobOutcome
 	if service.Engine != nil {
 		verdict = exchange.generate(ctx)
 	} else {
--- a/internal/router/observations.go
+++ b/internal/router/observations.go
@@ -60,7 +60,7 @@
 	switch result {
 	case placement.ResultServed:
 		return evidence.Fine, true
-	case placement.ResultFailed, placement.ResultBroken:
+	case placement.ResultFailed, placement.ResultConnectionBroken:
 		return evidence.Failed, true
 	case placement.ResultTimedOut:
 		return evidence.Late, true
--- a/internal/router/observations_test.go
+++ b/internal/router/observations_test.go
@@ -28,7 +28,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		o := newObservations()
 		o.saw("fails", placement.ResultFailed)
-		o.saw("breaks", placement.ResultBroken)
+		o.saw("breaks", placement.ResultConnectionBroken)
 		o.saw("hangs", placement.ResultTimedOut)
 		o.saw("gone", placement.ResultConnectFailed)
 		o.saw("full", placement.ResultNotExecuted)
--- a/internal/router/reply.go
+++ b/internal/router/reply.go
@@ -80,7 +80,7 @@
 
 // finish gives the client its final answer, if it has none. It panics with http.ErrAbortHandler where the answer must
 // not look complete.
-func (q *request) finish(verdict placement.Verdict) {
+func (q *request) finish(verdict placement.JobOutcome) {
 	switch {
 	case q.reply.complete:
 	case q.reply.started(), q.clientGone():
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -23,7 +23,7 @@
 // Placer chooses workers. *placement.Placer is one.
 type Placer interface {
 	Update(snapshot *watch.Snapshot)
-	Place(ctx context.Context, job placement.Job, push placement.Push) placement.Verdict
+	Place(ctx context.Context, job placement.Job, push placement.Push) placement.JobOutcome
 }
 
 // Options set up a Router.
--- a/internal/router/run.go
+++ b/internal/router/run.go
@@ -59,8 +59,8 @@
 	})
 	router := New(Options{
 		Placer:   placer,
-		Distrust: placer.Distrust,
-		Answered: placer.Answered,
+		Distrust: placer.MarkSuspect,
+		Answered: placer.ObserveLoad,
 		Pool:     upstream.New(upstream.Options{}),
 		Log:      log,
 	})
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -78,12 +78,12 @@
 
 func (p slowPlacer) Update(*watch.Snapshot) {}
 
-func (p slowPlacer) Place(ctx context.Context, _ placement.Job, _ placement.Push) placement.Verdict {
+func (p slowPlacer) Place(ctx context.Context, _ placement.Job, _ placement.Push) placement.JobOutcome {
 	select {
 	case <-time.After(p.span):
 	case <-ctx.Done():
 	}
-	return placement.Verdict{Decision: placement.DecisionRefused}
+	return placement.JobOutcome{Decision: placement.DecisionRefused}
 }
 
 type ending struct {
--- a/internal/router/stream_test.go
+++ b/internal/router/stream_test.go
@@ -62,7 +62,7 @@
 	body, err := io.ReadAll(response.Body)
 	require.Error(t, err)
 	require.Equal(t, "id: 1\ndata: a\n\n", string(body))
-	require.Equal(t, []placement.Result{placement.ResultBroken}, f.placer.seen())
+	require.Equal(t, []placement.Result{placement.ResultConnectionBroken}, f.placer.seen())
 }
 
 func TestAStreamCutBeforeItsFirstEventIsAnsweredPlainly(t *testing.T) {
@@ -96,7 +96,7 @@
 	require.Equal(t, "first", response.Header.Get("Response-Signature"))
 	require.Equal(t, "2", <-resumedAt)
 	require.Equal(t, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\nid: 4\ndata: d\n\n", body)
-	require.Equal(t, []placement.Result{placement.ResultBroken, placement.ResultServed}, f.placer.seen())
+	require.Equal(t, []placement.Result{placement.ResultConnectionBroken, placement.ResultServed}, f.placer.seen())
 }
 
 func TestAStreamCutBeforeItsFirstEventBeginsAnew(t *testing.T) {
--- a/internal/stages/balance.go
+++ b/internal/stages/balance.go
@@ -23,55 +23,55 @@
 
 // Load is the mean load of the workers of an engine, by stage.
 type Load struct {
-	PrefillQueued float64 // prompts that wait at a worker
-	DecodeFilled  float64 // part of a worker's slots that are taken, what waits there included
+	PrefillQueued   float64 // prompts that wait at a worker
+	DecodeOccupancy float64 // part of a worker's slots that are taken, what waits there included
 }
 
-// Balance decides which share of an engine's workers reads prompts, by the load of both stages. It is pure.
-type Balance struct {
+// ShareAdjuster decides which share of an engine's workers reads prompts, by the load of both stages. It is pure.
+type ShareAdjuster struct {
 	share  float64
 	wanted int // sign of the step that the last loads asked for
 	times  int // in a row
 }
 
-// NewBalance returns a balance at the usual share.
-func NewBalance() *Balance { return &Balance{share: usualShare} }
+// NewShareAdjuster returns a balance at the usual share.
+func NewShareAdjuster() *ShareAdjuster { return &ShareAdjuster{share: usualShare} }
 
 // Share is the share of the workers that is to read prompts.
-func (b *Balance) Share() float64 { return b.share }
+func (b *ShareAdjuster) Share() float64 { return b.share }
 
 // Observe takes in the load of a moment.
-func (b *Balance) Observe(load Load) {
+func (b *ShareAdjuster) Observe(load Load) {
 	wanted := b.direction(load)
 	if wanted != b.wanted {
 		b.wanted, b.times = wanted, 0
 	}
 	b.times++
-	if wanted == 0 || b.times < confirmations && load.DecodeFilled < fullDecode {
+	if wanted == 0 || b.times < confirmations && load.DecodeOccupancy < fullDecode {
 		return
 	}
 	b.times = 0
 	step := float64(wanted) * shareStep
-	if load.DecodeFilled >= fullDecode {
+	if load.DecodeOccupancy >= fullDecode {
 		step = -b.needed(load)
 	}
 	b.share = min(max(b.share+step, leastShare), mostShare)
 }
 
 // needed is the part of the workers that the making of tokens lacks to be no more than busy.
-func (b *Balance) needed(load Load) float64 {
-	lacking := (1 - b.share) * (load.DecodeFilled/busyDecode - 1)
+func (b *ShareAdjuster) needed(load Load) float64 {
+	lacking := (1 - b.share) * (load.DecodeOccupancy/busyDecode - 1)
 	return min(max(lacking, shareStep), largestStep)
 }
 
 // direction is 1 where more workers are to read prompts, -1 where more are to make tokens.
-func (b *Balance) direction(load Load) int {
+func (b *ShareAdjuster) direction(load Load) int {
 	switch {
-	case load.DecodeFilled > busyDecode:
+	case load.DecodeOccupancy > busyDecode:
 		return -1
-	case load.DecodeFilled < idleDecode && load.PrefillQueued > longQueue && b.share < mostShare:
+	case load.DecodeOccupancy < idleDecode && load.PrefillQueued > longQueue && b.share < mostShare:
 		return 1
-	case load.DecodeFilled < idleDecode && b.share < usualShare:
+	case load.DecodeOccupancy < idleDecode && b.share < usualShare:
 		return 1
 	default:
 		return 0
--- a/internal/stages/balance_test.go
+++ b/internal/stages/balance_test.go
@@ -11,48 +11,48 @@
 	"weldscale/internal/placement"
 )
 
-func observe(b *Balance, load Load, times int) {
+func observe(b *ShareAdjuster, load Load, times int) {
 	for range times {
 		b.Observe(load)
 	}
 }
 
 func TestBalanceGivesWorkersToTheBusyStage(t *testing.T) {
-	b := NewBalance()
-	observe(b, Load{DecodeFilled: 0.5}, 1)
+	b := NewShareAdjuster()
+	observe(b, Load{DecodeOccupancy: 0.5}, 1)
 	require.InDelta(t, usualShare, b.Share(), 1e-9, "one look is not enough")
-	observe(b, Load{DecodeFilled: 0.9}, 40)
+	observe(b, Load{DecodeOccupancy: 0.9}, 40)
 	require.InDelta(t, leastShare, b.Share(), 1e-9)
-	observe(b, Load{DecodeFilled: 0.1}, 40)
+	observe(b, Load{DecodeOccupancy: 0.1}, 40)
 	require.InDelta(t, usualShare, b.Share(), shareStep)
-	observe(b, Load{DecodeFilled: 0.1, PrefillQueued: 3}, 40)
+	observe(b, Load{DecodeOccupancy: 0.1, PrefillQueued: 3}, 40)
 	require.InDelta(t, mostShare, b.Share(), 1e-9)
 }
 
 func TestBalanceMovesAtOnceWhereWorkersTurnRequestsAway(t *testing.T) {
-	b := NewBalance()
-	observe(b, Load{DecodeFilled: 0.9}, 1)
+	b := NewShareAdjuster()
+	observe(b, Load{DecodeOccupancy: 0.9}, 1)
 	require.InDelta(t, usualShare-largestStep, b.Share(), 1e-9)
-	b = NewBalance()
-	observe(b, Load{DecodeFilled: fullDecode}, 1)
+	b = NewShareAdjuster()
+	observe(b, Load{DecodeOccupancy: fullDecode}, 1)
 	require.Less(t, b.Share(), usualShare-shareStep, "the step goes by the load")
-	b = NewBalance()
-	observe(b, Load{DecodeFilled: 0.6}, confirmations)
+	b = NewShareAdjuster()
+	observe(b, Load{DecodeOccupancy: 0.6}, confirmations)
 	require.InDelta(t, usualShare-shareStep, b.Share(), 1e-9, "no more than busy: one small step")
 }
 
 func TestBalanceRestsBetweenItsBounds(t *testing.T) {
-	b := NewBalance()
-	observe(b, Load{DecodeFilled: (busyDecode + idleDecode) / 2, PrefillQueued: 5}, 40)
+	b := NewShareAdjuster()
+	observe(b, Load{DecodeOccupancy: (busyDecode + idleDecode) / 2, PrefillQueued: 5}, 40)
 	require.InDelta(t, usualShare, b.Share(), 1e-9)
 }
 
 func TestBalanceStaysWithinItsBoundsAndStepsSlowly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewBalance()
+		b := NewShareAdjuster()
 		for range rapid.IntRange(1, 200).Draw(t, "looks") {
 			before := b.Share()
-			b.Observe(Load{DecodeFilled: rapid.Float64Range(0, 2).Draw(t, "decode"), PrefillQueued: rapid.Float64Range(0, 9).Draw(t, "queued")})
+			b.Observe(Load{DecodeOccupancy: rapid.Float64Range(0, 2).Draw(t, "decode"), PrefillQueued: rapid.Float64Range(0, 9).Draw(t, "queued")})
 			if b.Share() < leastShare || b.Share() > mostShare {
 				t.Fatalf("share %v", b.Share())
 			}
@@ -78,7 +78,7 @@
 	prober := loadProber{asked: make(chan string, 1000)}
 	load, enough := survey(t.Context(), prober, workers(300, 100), 64)
 	require.True(t, enough)
-	require.Equal(t, Load{PrefillQueued: 3, DecodeFilled: 0.5}, load)
+	require.Equal(t, Load{PrefillQueued: 3, DecodeOccupancy: 0.5}, load)
 	require.Len(t, prober.asked, 2*surveySample)
 	_, enough = survey(t.Context(), prober, workers(3, 0), 64)
 	require.False(t, enough)
--- a/internal/stages/keeper.go
+++ b/internal/stages/keeper.go
@@ -38,20 +38,20 @@
 type Options struct {
 	Holder string // the name in orders
 	Lease  Lease
-	// Fenced is told of a token that a worker refused because it has seen a higher one. Nil: nobody is.
-	Fenced func(token uint64)
-	Fleet  func() Fleet
-	Prober placement.Prober // nil: by HTTP
-	Dial   transport.Dial   // opens the connections to workers; nil: by TCP
-	// Quiet is how long a new holder waits before its first order: what the former one has sent must have arrived long before.
-	Quiet time.Duration
-	// Fresh says that no one can have sent an order before: the whole system starts for the first time.
-	Fresh bool
-	Log   *zap.Logger
+	// OnFenced is told of a token that a worker refused because it has seen a higher one. Nil: nobody is.
+	OnFenced func(token uint64)
+	Fleet    func() Fleet
+	Prober   placement.Prober // nil: by HTTP
+	Dial     transport.Dial   // opens the connections to workers; nil: by TCP
+	// TakeoverDelay is how long a new holder waits before its first order: what the former one has sent must have arrived long before.
+	TakeoverDelay time.Duration
+	// Bootstrap says that no one can have sent an order before: the whole system starts for the first time.
+	Bootstrap bool
+	Log       *zap.Logger
 }
 
-// Keeper keeps the stages of all engines while it holds the lease.
-type Keeper struct {
+// Rebalancer keeps the stages of all engines while it holds the lease.
+type Rebalancer struct {
 	options   Options
 	transport *http.Transport
 	engines   map[string]*engine // by service
@@ -60,16 +60,16 @@
 	fenced    uint64    // the newest token that a worker refused; nothing is ordered under it any more
 }
 
-// NewKeeper returns a keeper.
-func NewKeeper(options Options) *Keeper {
+// NewRebalancer returns a keeper.
+func NewRebalancer(options Options) *Rebalancer {
 	if options.Dial == nil {
 		options.Dial = transport.TCP()
 	}
 	if options.Prober == nil {
-		options.Prober = placement.NewHTTPProberDialing(options.Dial)
+		options.Prober = placement.NewHTTPProberWithDial(options.Dial)
 	}
 	dial := options.Dial.Within(orderTimeout)
-	return &Keeper{
+	return &Rebalancer{
 		options:   options,
 		transport: &http.Transport{DialContext: dial, DisableKeepAlives: true, DisableCompression: true},
 		engines:   map[string]*engine{},
@@ -77,7 +77,7 @@
 }
 
 // Run plans and orders until the context is done.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Rebalancer) Run(ctx context.Context) {
 	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
 	started := time.Now()
@@ -94,7 +94,7 @@
 }
 
 // mayOrder reports whether the lease has been held for long enough.
-func (k *Keeper) mayOrder(now time.Time) bool {
+func (k *Rebalancer) mayOrder(now time.Time) bool {
 	token, held := k.options.Lease()
 	if !held {
 		k.token = 0
@@ -107,11 +107,11 @@
 	if token <= k.fenced {
 		return false
 	}
-	first := k.options.Fresh && token == 1
-	return first || now.Sub(k.since) >= k.options.Quiet
+	first := k.options.Bootstrap && token == 1
+	return first || now.Sub(k.since) >= k.options.TakeoverDelay
 }
 
-func (k *Keeper) orderAll(ctx context.Context, now time.Duration) {
+func (k *Rebalancer) orderAll(ctx context.Context, now time.Duration) {
 	fleet := k.options.Fleet()
 	if fleet.Config == nil {
 		return
@@ -135,7 +135,7 @@
 				return
 			}
 			if err != nil {
-				state.planner.Failed(order.Target.ID)
+				state.planner.OrderFailed(order.Target.ID)
 				k.options.Log.Warn("order not taken", zap.String("instance", order.Target.ID), zap.String("cause", err.Error()))
 			}
 		}
@@ -143,32 +143,32 @@
 }
 
 // fence gives the present token up for good: another holder has ordered under a higher one.
-func (k *Keeper) fence() {
+func (k *Rebalancer) fence() {
 	k.fenced = k.token
 	k.options.Log.Warn("a worker has seen a higher fencing token", zap.Uint64("token", k.token))
-	if k.options.Fenced != nil {
-		k.options.Fenced(k.token)
+	if k.options.OnFenced != nil {
+		k.options.OnFenced(k.token)
 	}
 }
 
 // engine is what the holder knows of one service. A new holder begins anew.
 type engine struct {
 	planner  *Planner
-	balance  *Balance
+	balance  *ShareAdjuster
 	surveyed time.Duration // when the workers were asked for their load last
 }
 
-func (k *Keeper) engine(service string) *engine {
+func (k *Rebalancer) engine(service string) *engine {
 	known := k.engines[service]
 	if known == nil {
-		known = &engine{planner: NewPlanner(), balance: NewBalance()}
+		known = &engine{planner: NewPlanner(), balance: NewShareAdjuster()}
 		k.engines[service] = known
 	}
 	return known
 }
 
 // weigh asks for the load now and then.
-func (k *Keeper) weigh(ctx context.Context, state *engine, now time.Duration, workers []fleetwire.Instance, slots int) {
+func (k *Rebalancer) weigh(ctx context.Context, state *engine, now time.Duration, workers []fleetwire.Instance, slots int) {
 	if now-state.surveyed < surveyInterval {
 		return
 	}
@@ -194,7 +194,7 @@
 }
 
 // send orders one worker, if the lease is still held under the same token.
-func (k *Keeper) send(ctx context.Context, order Order) error {
+func (k *Rebalancer) send(ctx context.Context, order Order) error {
 	token, held := k.options.Lease()
 	if !held || token != k.token {
 		return errNotTaken
--- a/internal/stages/keeper_test.go
+++ b/internal/stages/keeper_test.go
@@ -48,7 +48,7 @@
 	return placement.Report{}, placement.ErrNoReport
 }
 
-func newTestKeeper(t *testing.T, held *leaseRecord, worker *orderedWorker, fresh bool) *Keeper {
+func newTestKeeper(t *testing.T, held *leaseRecord, worker *orderedWorker, fresh bool) *Rebalancer {
 	server := httptest.NewServer(worker)
 	t.Cleanup(server.Close)
 	list := workers(2, 16)
@@ -56,7 +56,7 @@
 		list[i].Address = strings.TrimPrefix(server.URL, "http://")
 	}
 	config := &fleetwire.Config{Services: []fleetwire.Service{{Name: "llm", Engine: &fleetwire.Engine{}}, {Name: "plain"}}}
-	return NewKeeper(Options{Holder: "core-1", Lease: held.lease, Fresh: fresh, Quiet: 3 * time.Second, Log: zap.NewNop(),
+	return NewRebalancer(Options{Holder: "core-1", Lease: held.lease, Bootstrap: fresh, TakeoverDelay: 3 * time.Second, Log: zap.NewNop(),
 		Fleet:  func() Fleet { return Fleet{Config: config, Instances: list} },
 		Prober: silentProber{}})
 }
@@ -114,7 +114,7 @@
 	held := &leaseRecord{token: 4, held: true}
 	keeper := newTestKeeper(t, held, worker, false)
 	var fenced []uint64
-	keeper.options.Fenced = func(token uint64) { fenced = append(fenced, token) }
+	keeper.options.OnFenced = func(token uint64) { fenced = append(fenced, token) }
 	start := time.Now()
 	later := start.Add(time.Hour)
 	require.False(t, keeper.mayOrder(start))
--- a/internal/stages/plan.go
+++ b/internal/stages/plan.go
@@ -71,8 +71,8 @@
 	return orders
 }
 
-// Failed takes back an order that the worker did not take.
-func (p *Planner) Failed(instance string) { delete(p.pending, instance) }
+// OrderFailed takes back an order that the worker did not take.
+func (p *Planner) OrderFailed(instance string) { delete(p.pending, instance) }
 
 // settle drops the orders that are done, lost, or whose worker is gone.
 func (p *Planner) settle(now time.Duration, ready []fleetwire.Instance) {
--- a/internal/stages/plan_test.go
+++ b/internal/stages/plan_test.go
@@ -64,7 +64,7 @@
 	first := planner.Plan(0, list, 0.7)
 	require.Len(t, first, 3)
 	require.Empty(t, planner.Plan(time.Second, list, 0.7), "the ordered ones have not changed yet")
-	planner.Failed(first[0].Target.ID)
+	planner.OrderFailed(first[0].Target.ID)
 	again := planner.Plan(2*time.Second, list, 0.7)
 	require.Len(t, again, 1)
 }
--- a/internal/stages/survey.go
+++ b/internal/stages/survey.go
@@ -24,7 +24,7 @@
 		load.PrefillQueued += float64(report.Queued) / float64(len(prefill))
 	}
 	for _, report := range decode {
-		load.DecodeFilled += float64(report.Running+report.Queued) / float64(slots*len(decode))
+		load.DecodeOccupancy += float64(report.Running+report.Queued) / float64(slots*len(decode))
 	}
 	return load, true
 }
