--- a/internal/router/forward.go
+++ b/internal/router/forward.go
@@ -161,17 +161,17 @@
 
 // noteLoad passes on the load that a worker states with its answer.
 func (q *request) noteLoad(target *fleetwire.Instance, response *http.Response) {
-	if q.router.options.Answered == nil {
+	if q.router.options.OnLoadReport == nil {
 		return
 	}
 	if load, ok := parseServerLoad(response.Header.Get(headerServerLoad)); ok {
-		q.router.options.Answered(target, load)
+		q.router.options.OnLoadReport(target, load)
 	}
 }
 
 // connect returns a connection that has not carried this request before.
 func (q *request) connect(ctx context.Context, address string) (*upstream.Conn, error) {
-	restedAtMost := upstream.Any
+	restedAtMost := upstream.AnyIdleTime
 	if !q.repeatable() {
 		restedAtMost = unsafeRestedAtMost
 	}
@@ -184,7 +184,7 @@
 			conn.Discard()
 			continue
 		}
-		if !q.repeatable() && !conn.Proven(ctx) {
+		if !q.repeatable() && !conn.VerifyOpen(ctx) {
 			conn.Discard()
 			return nil, upstream.ErrExhausted // the worker holds all the connections that it takes
 		}
--- a/internal/router/forward_test.go
+++ b/internal/router/forward_test.go
@@ -110,7 +110,7 @@
 	<-closed
 	pool := f.router.options.Pool
 	require.Eventually(t, func() bool { // the close has been seen by this side
-		conn, err := pool.Acquire(context.Background(), f.placer.targets[""][0].Address, 1, upstream.Any)
+		conn, err := pool.Acquire(context.Background(), f.placer.targets[""][0].Address, 1, upstream.AnyIdleTime)
 		if err != nil {
 			return false
 		}
@@ -159,7 +159,7 @@
 	} {
 		f := newFixture(t)
 		var told []placement.Load
-		f.router.options.Answered = func(target *fleetwire.Instance, load placement.Load) {
+		f.router.options.OnLoadReport = func(target *fleetwire.Instance, load placement.Load) {
 			require.Equal(t, "plain", target.Service)
 			told = append(told, load)
 		}
@@ -300,7 +300,7 @@
 
 func TestAConnectionOverTheWorkersCapLosesNoRequest(t *testing.T) {
 	f := newFixture(t)
-	f.router.options.Pool = upstream.New(upstream.Options{ProvingMargin: 100 * time.Millisecond}) // also on a busy machine
+	f.router.options.Pool = upstream.New(upstream.Options{VerifyMargin: 100 * time.Millisecond}) // also on a busy machine
 	var seen sights
 	full, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/router/ingress.go
+++ b/internal/router/ingress.go
@@ -27,17 +27,17 @@
 	id := incoming.Header.Get(headerRequestID)
 	current := r.awaitStart(incoming.Context())
 	if current == nil {
-		writeKind(w, id, KindNoConfiguration, r.options.RetryAfter)
+		writeKind(w, id, ErrorNoConfiguration, r.options.RetryAfter)
 		return
 	}
 	limits := &current.snapshot.Config.Limits
 	if headTooLarge(incoming, limits) {
-		writeKind(w, id, KindHeaderTooLarge, 0)
+		writeKind(w, id, ErrorHeaderTooLarge, 0)
 		return
 	}
 	chosen := current.find(incoming.Host, wirePath(incoming))
 	if chosen == nil {
-		writeKind(w, id, KindNoRoute, 0)
+		writeKind(w, id, ErrorNoRoute, 0)
 		return
 	}
 	body, kind, ok := readBody(w, incoming, limits)
@@ -57,7 +57,7 @@
 	read := parsePrompt(incoming.Header)
 	service := current.service(chosen, read.session())
 	if service == nil {
-		writeKind(w, incoming.Header.Get(headerRequestID), KindNoRoute, 0)
+		writeKind(w, incoming.Header.Get(headerRequestID), ErrorNoRoute, 0)
 		return
 	}
 	giveUpAt := giveUpTime(incoming, chosen, arrived)
@@ -81,7 +81,7 @@
 	}
 	if r.outlasts(giveUpAt) || !r.inHand.add(exchange) {
 		r.refusedLeaving.Add(1)
-		exchange.answer(KindLeaving, leavingRetryAfter)
+		exchange.answer(ErrorDraining, leavingRetryAfter)
 		return
 	}
 	defer r.inHand.remove(exchange)
@@ -153,13 +153,13 @@
 const bodySlack = time.Second
 
 // readBody reads the client's body whole.
-func readBody(w http.ResponseWriter, incoming *http.Request, limits *fleetwire.Limits) (body []byte, kind Kind, ok bool) {
+func readBody(w http.ResponseWriter, incoming *http.Request, limits *fleetwire.Limits) (body []byte, kind ErrorKind, ok bool) {
 	if incoming.ContentLength == 0 {
 		return nil, 0, true
 	}
 	largest := limits.MaxBodyBytes
 	if largest > 0 && incoming.ContentLength > largest {
-		return nil, KindBodyTooLarge, false
+		return nil, ErrorBodyTooLarge, false
 	}
 	controller := http.NewResponseController(w)
 	if limits.HeaderTimeoutMs > 0 {
@@ -173,11 +173,11 @@
 	case err == nil:
 		return body, 0, true
 	case errors.Is(err, errBodyTooLarge):
-		return nil, KindBodyTooLarge, false
+		return nil, ErrorBodyTooLarge, false
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, KindBodyTimedOut, false
+		return nil, ErrorBodyTimedOut, false
 	default:
-		return nil, KindBodyBroken, false
+		return nil, ErrorBodyMalformed, false
 	}
 }
 
--- a/internal/router/reply.go
+++ b/internal/router/reply.go
@@ -87,21 +87,21 @@
 		q.noteCut()
 		panic(http.ErrAbortHandler)
 	case !q.mayHaveRun:
-		q.answer(KindRefused, verdict.RetryAfter)
+		q.answer(ErrorNoWorker, verdict.RetryAfter)
 	case q.reply.failure != nil:
 		q.passFailure(q.reply.failure)
 	case q.timedOut, time.Until(q.giveUpAt) <= 0:
-		q.answer(KindTimedOut, 0)
+		q.answer(ErrorTimedOut, 0)
 	case q.router.inHand.hasEnded():
-		q.answer(KindEnded, 0)
+		q.answer(ErrorAborted, 0)
 	case q.repeatable() && verdict.Decision == placement.DecisionRefused:
-		q.answer(KindRefused, verdict.RetryAfter)
+		q.answer(ErrorNoWorker, verdict.RetryAfter)
 	default:
-		q.answer(KindWorkerBroken, 0)
+		q.answer(ErrorWorkerFailed, 0)
 	}
 }
 
-func (q *request) answer(kind Kind, retryAfter time.Duration) {
+func (q *request) answer(kind ErrorKind, retryAfter time.Duration) {
 	if retryAfter <= 0 {
 		retryAfter = q.router.options.RetryAfter
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -31,10 +31,10 @@
 	Placer Placer
 	Pool   *upstream.Pool
 	Log    *zap.Logger
-	// Distrust is told of workers that enough other routers complain of. Nil: nobody is.
-	Distrust func(workers []string)
-	// Answered is told of the load that a worker states with an answer. Nil: nobody is.
-	Answered func(target *fleetwire.Instance, load placement.Load)
+	// OnSuspects is told of workers that enough other routers complain of. Nil: nobody is.
+	OnSuspects func(workers []string)
+	// OnLoadReport is told of the load that a worker states with an answer. Nil: nobody is.
+	OnLoadReport func(target *fleetwire.Instance, load placement.Load)
 	// RetryAfter is what a refusal says when nothing better is known; 0: defaultRetryAfter.
 	RetryAfter time.Duration
 }
--- a/internal/router/run.go
+++ b/internal/router/run.go
@@ -58,11 +58,11 @@
 		Log:          log,
 	})
 	router := New(Options{
-		Placer:   placer,
-		Distrust: placer.Distrust,
-		Answered: placer.Answered,
-		Pool:     upstream.New(upstream.Options{}),
-		Log:      log,
+		Placer:       placer,
+		OnSuspects:   placer.Distrust,
+		OnLoadReport: placer.Answered,
+		Pool:         upstream.New(upstream.Options{}),
+		Log:          log,
 	})
 	return router.run(ctx, current, frontend, readiness)
 }
@@ -97,8 +97,8 @@
 	options := followerOptions(current, r.Update, r.options.Log)
 	options.Hint = r.observations.hint
 	options.OnDoubts = func(doubts []fleetwire.Doubt) {
-		if distrusted := r.observations.doubted(doubts); len(distrusted) > 0 && r.options.Distrust != nil {
-			r.options.Distrust(distrusted)
+		if distrusted := r.observations.doubted(doubts); len(distrusted) > 0 && r.options.OnSuspects != nil {
+			r.options.OnSuspects(distrusted)
 		}
 	}
 	watch.NewFollower(options).Run(ctx)
--- a/internal/router/upstream/conn.go
+++ b/internal/router/upstream/conn.go
@@ -21,14 +21,14 @@
 	leaving   bool // the last answer said Connection: close
 }
 
-// Proven reports whether the connection stands. A worker that holds too many connections accepts a new one and resets it at once,
+// VerifyOpen reports whether the connection stands. A worker that holds too many connections accepts a new one and resets it at once,
 // which a request that was sent meanwhile would be lost by. So a new one is watched for as long as it took to come about.
-func (c *Conn) Proven(ctx context.Context) bool {
+func (c *Conn) VerifyOpen(ctx context.Context) bool {
 	if c.rested > 0 {
 		return c.client.Available() == 1
 	}
 	select {
-	case <-time.After(min(c.cameIn, longestConnect) + c.pool.options.ProvingMargin):
+	case <-time.After(min(c.cameIn, longestConnect) + c.pool.options.VerifyMargin):
 		return c.client.Available() == 1
 	case <-ctx.Done():
 		return false
--- a/internal/router/upstream/forgotten.go
+++ b/internal/router/upstream/forgotten.go
@@ -30,7 +30,7 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if now.After(m.until) {
-		return Any
+		return AnyIdleTime
 	}
 	return m.most
 }
--- a/internal/router/upstream/forgotten_test.go
+++ b/internal/router/upstream/forgotten_test.go
@@ -18,11 +18,11 @@
 func TestMemoryBoundsTheRestForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var m memory
-		require.Equal(t, Any, m.restedAtMost(time.Now()))
+		require.Equal(t, AnyIdleTime, m.restedAtMost(time.Now()))
 		m.failed(time.Now(), 2*time.Second, time.Millisecond, errors.New("other"))
 		m.failed(time.Now(), 2*time.Second, forgottenWithin+1, syscall.ECONNRESET)
 		m.failed(time.Now(), 0, time.Millisecond, syscall.ECONNRESET)
-		require.Equal(t, Any, m.restedAtMost(time.Now()), "none of these was forgotten")
+		require.Equal(t, AnyIdleTime, m.restedAtMost(time.Now()), "none of these was forgotten")
 		m.failed(time.Now(), 2*time.Second, time.Millisecond, &net.OpError{Err: syscall.ECONNRESET})
 		require.Equal(t, 500*time.Millisecond, m.restedAtMost(time.Now()))
 		m.failed(time.Now(), 4*time.Second, time.Millisecond, syscall.EPIPE)
@@ -30,7 +30,7 @@
 		m.failed(time.Now(), 100*time.Millisecond, time.Millisecond, syscall.ECONNRESET)
 		require.Equal(t, leastRest, m.restedAtMost(time.Now()))
 		time.Sleep(forgetfulFor + 1)
-		require.Equal(t, Any, m.restedAtMost(time.Now()))
+		require.Equal(t, AnyIdleTime, m.restedAtMost(time.Now()))
 	})
 }
 
@@ -65,7 +65,7 @@
 	address, other := forgetful(t), serverOf(t, func(http.ResponseWriter, *http.Request) {})
 	pool := New(Options{})
 	acquire := func(address string) *Conn {
-		conn, err := pool.Acquire(context.Background(), address, 2, Any)
+		conn, err := pool.Acquire(context.Background(), address, 2, AnyIdleTime)
 		require.NoError(t, err)
 		return conn
 	}
--- a/internal/router/upstream/pool.go
+++ b/internal/router/upstream/pool.go
@@ -32,8 +32,8 @@
 	return &Pool{options: options, transport: newTransport(options), workers: map[string]*worker{}}
 }
 
-// Any is the bound of Acquire for requests that any kept connection may carry.
-const Any = time.Duration(1<<63 - 1)
+// AnyIdleTime is the bound of Acquire for requests that any kept connection may carry.
+const AnyIdleTime = time.Duration(1<<63 - 1)
 
 // Acquire returns a connection to the address: a kept one that rested no longer than restedAtMost, otherwise a new one
 // while fewer than limit are open.
@@ -87,7 +87,7 @@
 	if err != nil {
 		return nil, eris.Wrapf(ErrConnect, "%s: %v", address, err)
 	}
-	return &Conn{pool: p, address: address, client: client, raw: slot.conn, keepFor: p.options.KeepFor,
+	return &Conn{pool: p, address: address, client: client, raw: slot.conn, keepFor: p.options.IdleTimeout,
 		cameIn: time.Since(began)}, nil
 }
 
@@ -131,7 +131,7 @@
 		keep := wanted(address)
 		kept := entry.idle[:0]
 		for _, conn := range entry.idle {
-			if keep && conn.usable(now, Any) {
+			if keep && conn.usable(now, AnyIdleTime) {
 				kept = append(kept, conn)
 				continue
 			}
--- a/internal/router/upstream/upstream.go
+++ b/internal/router/upstream/upstream.go
@@ -39,8 +39,8 @@
 	ConnectTimeout time.Duration // bound of a connection's coming about
 	UserTimeout    time.Duration // how long sent bytes may stay unacknowledged before the connection counts as dead
 	BufferBytes    int           // size of the read and of the write buffer of a connection
-	KeepFor        time.Duration // how long an idle connection is kept whose worker names no time of its own
-	ProvingMargin  time.Duration // how much longer than it took to come about a new connection is watched by Proven
+	IdleTimeout    time.Duration // how long an idle connection is kept whose worker names no time of its own
+	VerifyMargin   time.Duration // how much longer than it took to come about a new connection is watched by VerifyOpen
 }
 
 func (o Options) withDefaults() Options {
@@ -53,11 +53,11 @@
 	if o.BufferBytes == 0 {
 		o.BufferBytes = defaultBufferBytes
 	}
-	if o.KeepFor == 0 {
-		o.KeepFor = defaultKeepFor
+	if o.IdleTimeout == 0 {
+		o.IdleTimeout = defaultKeepFor
 	}
-	if o.ProvingMargin == 0 {
-		o.ProvingMargin = defaultProvingMargin
+	if o.VerifyMargin == 0 {
+		o.VerifyMargin = defaultProvingMargin
 	}
 	return o
 }
