--- a/internal/router/upstream/conn.go
+++ b/internal/router/upstream/conn.go
@@ -8,80 +8,83 @@
 	"time"
 )
 
-// Conn is a connection to one worker, held by one caller at a time, from Acquire to Release or Discard.
+// Conn is a connection to one worker. One caller at a time owns it, from Acquire to Release or Discard.
 type Conn struct {
-	pool      *Pool
-	address   string
-	client    *http.ClientConn
-	raw       *watchedConn
-	idleSince time.Time
-	rested    time.Duration // before its present use; 0: it is new
-	cameIn    time.Duration // how long it took to come about
-	keepFor   time.Duration
-	leaving   bool // the last answer said Connection: close
+	pool           *Pool
+	address        string
+	clientConn     *http.ClientConn
+	tracked        *trackedConn
+	idleSince      time.Time
+	idleTime       time.Duration // before its current use; 0: a new connection
+	connectTime    time.Duration // time taken to establish it
+	idleTimeout    time.Duration
+	closeRequested bool // the last response had Connection: close
 }
 
-// VerifyOpen reports whether the connection stands. A worker that holds too many connections accepts a new one and resets it at once,
-// which a request that was sent meanwhile would be lost by. So a new one is watched for as long as it took to come about.
+// VerifyOpen reports whether the connection is still open. A worker at its connection limit accepts a new connection and
+// resets it at once, and a request sent in between would be lost. VerifyOpen therefore watches a new connection for its
+// connect time (at most maxVerifyConnectTime) plus Options.VerifyMargin. A reused connection is checked without waiting.
 func (c *Conn) VerifyOpen(ctx context.Context) bool {
-	if c.rested > 0 {
-		return c.client.Available() == 1
+	if c.idleTime > 0 {
+		return c.clientConn.Available() == 1
 	}
 	select {
-	case <-time.After(min(c.cameIn, longestConnect) + c.pool.options.VerifyMargin):
-		return c.client.Available() == 1
+	case <-time.After(min(c.connectTime, maxVerifyConnectTime) + c.pool.options.VerifyMargin):
+		return c.clientConn.Available() == 1
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// longestConnect bounds what a slow start of a connection adds to the time that it is watched.
-const longestConnect = 17 * time.Millisecond
+// maxVerifyConnectTime limits how much of a slow connect counts toward the time for which VerifyOpen watches a connection.
+const maxVerifyConnectTime = 17 * time.Millisecond
 
-// RoundTrip sends the request and returns the head of the answer. It sends at most once.
+// RoundTrip sends the request at most once and returns the response with its body unread.
 func (c *Conn) RoundTrip(request *http.Request) (*http.Response, error) {
-	c.raw.wrote.Store(false)
-	sent := time.Now()
-	response, err := c.client.RoundTrip(request)
+	c.tracked.writeStarted.Store(false)
+	started := time.Now()
+	response, err := c.clientConn.RoundTrip(request)
 	if err != nil {
 		now := time.Now()
-		c.pool.memory.failed(now, c.rested, now.Sub(sent), err)
+		c.pool.staleLimit.recordFailure(now, c.idleTime, now.Sub(started), err)
 		return nil, err
 	}
-	c.leaving = response.Close
-	if kept := keepAliveTime(response.Header.Get("Keep-Alive")); kept > 0 {
-		c.keepFor = kept
+	c.closeRequested = response.Close
+	if timeout := keepAliveTimeout(response.Header.Get("Keep-Alive")); timeout > 0 {
+		c.idleTimeout = timeout
 	}
 	return response, nil
 }
 
-// Sent reports whether any byte of the last request may have left. If not, the worker has not seen it.
-func (c *Conn) Sent() bool { return c.raw.wrote.Load() }
+// Sent reports whether any byte of the last request may have been sent. If not, the worker has not received the request.
+func (c *Conn) Sent() bool { return c.tracked.writeStarted.Load() }
 
-// Release gives the connection back. It is kept only if its last answer was read whole and the worker is not leaving.
+// Release returns the connection to its pool. The connection is closed instead if its last response was not read to the end
+// or the worker asked for it to be closed.
 func (c *Conn) Release() {
-	if c.leaving || c.client.Available() != 1 {
+	if c.closeRequested || c.clientConn.Available() != 1 {
 		c.Discard()
 		return
 	}
 	c.idleSince = time.Now()
-	c.pool.keep(c)
+	c.pool.putIdle(c)
 }
 
-// Discard closes the connection.
+// Discard closes the connection and removes it from its pool.
 func (c *Conn) Discard() {
-	_ = c.client.Close()
-	c.pool.forget(c)
+	_ = c.clientConn.Close()
+	c.pool.removeConn(c)
 }
 
-// usable reports whether an idle connection may carry a request now.
-func (c *Conn) usable(now time.Time, restedAtMost time.Duration) bool {
-	rested := now.Sub(c.idleSince)
-	return rested < c.keepFor && rested <= restedAtMost && c.client.Available() == 1
+// usable reports whether an idle connection may carry a request at time now.
+func (c *Conn) usable(now time.Time, maxIdleTime time.Duration) bool {
+	idleTime := now.Sub(c.idleSince)
+	return idleTime < c.idleTimeout && idleTime <= maxIdleTime && c.clientConn.Available() == 1
 }
 
-// keepAliveTime is the time that a Keep-Alive field names, less a margin so that the worker does not close first; 0 if none.
-func keepAliveTime(field string) time.Duration {
+// keepAliveTimeout returns the timeout of a Keep-Alive header field, reduced so that the worker does not close the connection
+// first. It returns 0 if the field has no valid timeout.
+func keepAliveTimeout(field string) time.Duration {
 	for parameter := range strings.SplitSeq(field, ",") {
 		name, value, found := strings.Cut(strings.TrimSpace(parameter), "=")
 		if !found || !strings.EqualFold(strings.TrimSpace(name), "timeout") {
@@ -91,13 +94,13 @@
 		if err != nil || seconds <= 0 {
 			return 0
 		}
-		return time.Duration(seconds) * time.Second * keepNumerator / keepDenominator
+		return time.Duration(seconds) * time.Second * keepAliveNumerator / keepAliveDenominator
 	}
 	return 0
 }
 
-// An idle connection is used up to this part of the time that its worker keeps it.
+// An idle connection is used for at most keepAliveNumerator/keepAliveDenominator of its worker's Keep-Alive timeout.
 const (
-	keepNumerator   = 7
-	keepDenominator = 10
+	keepAliveNumerator   = 7
+	keepAliveDenominator = 10
 )
--- a/internal/router/upstream/pool_test.go
+++ b/internal/router/upstream/pool_test.go
@@ -12,14 +12,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-func serverOf(t *testing.T, serve http.HandlerFunc) string {
+func startServer(t *testing.T, serve http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(serve)
 	t.Cleanup(server.Close)
 	return server.Listener.Addr().String()
 }
 
-func call(t *testing.T, conn *Conn, address string) {
+func sendRequest(t *testing.T, conn *Conn, address string) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+address+"/", nil)
 	require.NoError(t, err)
@@ -30,15 +30,15 @@
 	require.NoError(t, response.Body.Close())
 }
 
-func TestAKeptConnectionIsUsedAgain(t *testing.T) {
-	address := serverOf(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
+func TestIdleConnectionIsReused(t *testing.T) {
+	address := startServer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
 	pool := New(Options{})
 	first, err := pool.Acquire(context.Background(), address, 1, AnyIdleTime)
 	require.NoError(t, err)
 	require.False(t, first.Sent())
 	_, err = pool.Acquire(context.Background(), address, 1, AnyIdleTime)
 	require.ErrorIs(t, err, ErrExhausted)
-	call(t, first, address)
+	sendRequest(t, first, address)
 	require.True(t, first.Sent())
 	first.Release()
 	second, err := pool.Acquire(context.Background(), address, 1, AnyIdleTime)
@@ -52,15 +52,15 @@
 	require.Empty(t, pool.workers)
 }
 
-func TestANewConnectionThatIsResetIsNotProven(t *testing.T) {
+func TestVerifyOpenRejectsConnectionResetAfterAccept(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
-	up, reset := make(chan struct{}), make(chan struct{})
+	connected, reset := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(reset)
 		conn, err := listener.Accept()
-		<-up
+		<-connected
 		if err == nil {
 			_ = conn.(*net.TCPConn).SetLinger(0)
 			_ = conn.Close()
@@ -69,7 +69,7 @@
 	pool := New(Options{VerifyMargin: 50 * time.Millisecond})
 	conn, err := pool.Acquire(t.Context(), listener.Addr().String(), 1, AnyIdleTime)
 	require.NoError(t, err)
-	close(up)
+	close(connected)
 	<-reset
 	require.False(t, conn.VerifyOpen(t.Context()))
 	require.False(t, conn.Sent())
@@ -77,28 +77,28 @@
 	require.Empty(t, pool.workers)
 }
 
-func TestAConnectionThatStandsIsProven(t *testing.T) {
-	address := serverOf(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
+func TestVerifyOpenAcceptsOpenConnection(t *testing.T) {
+	address := startServer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
 	pool := New(Options{})
 	conn, err := pool.Acquire(t.Context(), address, 1, AnyIdleTime)
 	require.NoError(t, err)
 	require.True(t, conn.VerifyOpen(t.Context()))
-	call(t, conn, address)
+	sendRequest(t, conn, address)
 	conn.Release()
-	kept, err := pool.Acquire(t.Context(), address, 1, AnyIdleTime)
+	reused, err := pool.Acquire(t.Context(), address, 1, AnyIdleTime)
 	require.NoError(t, err)
-	require.Same(t, conn, kept)
-	require.True(t, kept.VerifyOpen(t.Context()))
-	kept.Discard()
-	ended, end := context.WithCancel(t.Context())
-	end()
+	require.Same(t, conn, reused)
+	require.True(t, reused.VerifyOpen(t.Context()))
+	reused.Discard()
+	cancelledCtx, cancel := context.WithCancel(t.Context())
+	cancel()
 	fresh, err := pool.Acquire(t.Context(), address, 1, AnyIdleTime)
 	require.NoError(t, err)
-	require.False(t, fresh.VerifyOpen(ended))
+	require.False(t, fresh.VerifyOpen(cancelledCtx))
 	fresh.Discard()
 }
 
-func TestOnlyAConnectionThatWasReadWholeIsKept(t *testing.T) {
+func TestReleaseClosesUnreadOrClosingConnection(t *testing.T) {
 	for name, serve := range map[string]http.HandlerFunc{
 		"unread": func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") },
 		"leaving": func(w http.ResponseWriter, _ *http.Request) {
@@ -106,7 +106,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			address := serverOf(t, serve)
+			address := startServer(t, serve)
 			pool := New(Options{})
 			conn, err := pool.Acquire(context.Background(), address, 1, AnyIdleTime)
 			require.NoError(t, err)
@@ -121,21 +121,21 @@
 	}
 }
 
-func TestAConnectionIsKeptNoLongerThanItsWorkerSays(t *testing.T) {
-	require.Equal(t, 3500*time.Millisecond, keepAliveTime("timeout=5, max=100"))
-	require.Equal(t, 700*time.Millisecond, keepAliveTime("max=3, Timeout = 1"))
-	require.Zero(t, keepAliveTime(""))
-	require.Zero(t, keepAliveTime("timeout=x"))
-	conn := &Conn{keepFor: time.Second, idleSince: time.Now().Add(-2 * time.Second)}
+func TestKeepAliveTimeoutLimitsIdleTime(t *testing.T) {
+	require.Equal(t, 3500*time.Millisecond, keepAliveTimeout("timeout=5, max=100"))
+	require.Equal(t, 700*time.Millisecond, keepAliveTimeout("max=3, Timeout = 1"))
+	require.Zero(t, keepAliveTimeout(""))
+	require.Zero(t, keepAliveTimeout("timeout=x"))
+	conn := &Conn{idleTimeout: time.Second, idleSince: time.Now().Add(-2 * time.Second)}
 	require.False(t, conn.usable(time.Now(), AnyIdleTime))
 }
 
-func TestSweepClosesConnectionsToWorkersThatAreGone(t *testing.T) {
-	address := serverOf(t, func(http.ResponseWriter, *http.Request) {})
+func TestSweepClosesConnectionsToUnlistedWorkers(t *testing.T) {
+	address := startServer(t, func(http.ResponseWriter, *http.Request) {})
 	pool := New(Options{})
 	conn, err := pool.Acquire(context.Background(), address, 2, AnyIdleTime)
 	require.NoError(t, err)
-	call(t, conn, address)
+	sendRequest(t, conn, address)
 	conn.Release()
 	pool.Sweep(func(string) bool { return true })
 	require.Len(t, pool.workers, 1)
@@ -143,7 +143,7 @@
 	require.Empty(t, pool.workers)
 }
 
-func TestNoConnectionIsAnError(t *testing.T) {
+func TestAcquireReturnsConnectError(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	pool := New(Options{})
--- a/internal/router/upstream/upstream.go
+++ b/internal/router/upstream/upstream.go
@@ -1,6 +1,6 @@
-// Package upstream keeps the connections to workers. Each connection is a net/http ClientConn, which sends exactly what it
-// is told to and never sends a request again by itself, as a Transport does on kept connections that turn out dead. A
-// connection also knows whether the first byte of its request may have left.
+// Package upstream pools the router's HTTP/1.1 connections to workers. Each connection is a net/http ClientConn, because an
+// http.Transport retries requests by itself on reused connections that turn out to be dead. A connection also records whether
+// any byte of its request may have been sent.
 package upstream
 
 import (
@@ -14,96 +14,96 @@
 	"github.com/rotisserie/eris"
 )
 
-// Errors of Acquire.
+// Errors returned by Pool.Acquire.
 var (
-	// ErrExhausted says that this process holds all the connections it may have to the worker.
+	// ErrExhausted means that this process already holds its maximum number of connections to the worker.
 	ErrExhausted = eris.New("all connections to the worker are in use")
-	// ErrConnect is the root of errors of connections that did not come about.
+	// ErrConnect is the root of the errors of connections that could not be established.
 	ErrConnect = eris.New("connect to worker")
 )
 
-// Defaults of Options.
+// Defaults for Options.
 const (
 	defaultConnectTimeout = 600 * time.Millisecond
 	defaultUserTimeout    = 1500 * time.Millisecond
 	defaultBufferBytes    = 2 << 10
-	defaultKeepFor        = 30 * time.Second
-	defaultProvingMargin  = 3 * time.Millisecond // the worker's own part: a connection costs it a moment of work
+	defaultIdleTimeout    = 30 * time.Second
+	defaultVerifyMargin   = 3 * time.Millisecond // time the worker needs to handle a new connection
 )
 
-// tcpUserTimeout is TCP_USER_TIMEOUT of tcp(7), which package syscall does not name on Linux.
+// tcpUserTimeout is TCP_USER_TIMEOUT from tcp(7). Package syscall does not define it on Linux.
 const tcpUserTimeout = 0x12
 
-// Options set up a Pool. Fields left zero take defaults.
+// Options configure a Pool. Zero fields take their defaults.
 type Options struct {
-	ConnectTimeout time.Duration // bound of a connection's coming about
-	UserTimeout    time.Duration // how long sent bytes may stay unacknowledged before the connection counts as dead
-	BufferBytes    int           // size of the read and of the write buffer of a connection
-	IdleTimeout    time.Duration // how long an idle connection is kept whose worker names no time of its own
-	VerifyMargin   time.Duration // how much longer than it took to come about a new connection is watched by VerifyOpen
+	ConnectTimeout time.Duration // limit for establishing a connection
+	UserTimeout    time.Duration // how long sent bytes may stay unacknowledged before the connection is closed
+	BufferBytes    int           // size of a connection's read buffer and of its write buffer
+	IdleTimeout    time.Duration // how long an idle connection is kept if its worker sends no Keep-Alive timeout
+	VerifyMargin   time.Duration // added to the connect time to get the time for which VerifyOpen watches a new connection
 }
 
-func (o Options) withDefaults() Options {
-	if o.ConnectTimeout == 0 {
-		o.ConnectTimeout = defaultConnectTimeout
+func (options Options) withDefaults() Options {
+	if options.ConnectTimeout == 0 {
+		options.ConnectTimeout = defaultConnectTimeout
 	}
-	if o.UserTimeout == 0 {
-		o.UserTimeout = defaultUserTimeout
+	if options.UserTimeout == 0 {
+		options.UserTimeout = defaultUserTimeout
 	}
-	if o.BufferBytes == 0 {
-		o.BufferBytes = defaultBufferBytes
+	if options.BufferBytes == 0 {
+		options.BufferBytes = defaultBufferBytes
 	}
-	if o.IdleTimeout == 0 {
-		o.IdleTimeout = defaultKeepFor
+	if options.IdleTimeout == 0 {
+		options.IdleTimeout = defaultIdleTimeout
 	}
-	if o.VerifyMargin == 0 {
-		o.VerifyMargin = defaultProvingMargin
+	if options.VerifyMargin == 0 {
+		options.VerifyMargin = defaultVerifyMargin
 	}
-	return o
+	return options
 }
 
-// watchedConn notes that a write has begun.
-type watchedConn struct {
+// trackedConn records whether a write has started.
+type trackedConn struct {
 	net.Conn
-	wrote atomic.Bool
+	writeStarted atomic.Bool
 }
 
-// Write notes the write before it begins: once it has begun, the peer may have some of it.
-func (c *watchedConn) Write(data []byte) (int, error) {
-	c.wrote.Store(true)
+// Write records the write before it starts, because the peer may receive part of the data from then on.
+func (c *trackedConn) Write(data []byte) (int, error) {
+	c.writeStarted.Store(true)
 	return c.Conn.Write(data)
 }
 
-// dialSlot carries the dialled connection out of NewClientConn, which does not show it.
-type dialSlot struct{ conn *watchedConn }
+// dialSlot passes the dialed connection to the caller of NewClientConn, which does not expose it.
+type dialSlot struct{ conn *trackedConn }
 
 type dialSlotKey struct{}
 
-func newTransport(o Options) *http.Transport {
+func newTransport(options Options) *http.Transport {
 	dialer := &net.Dialer{
-		Timeout:   o.ConnectTimeout,
-		KeepAlive: -1, // probes cost wake-ups; TCP_USER_TIMEOUT covers what is sent
-		Control: func(_, _ string, raw syscall.RawConn) error {
-			return raw.Control(func(descriptor uintptr) {
-				// A system without the option keeps its own time-outs, which are only longer.
-				_ = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, int(o.UserTimeout/time.Millisecond))
+		Timeout:   options.ConnectTimeout,
+		KeepAlive: -1, // keep-alive probes cost wake-ups, and TCP_USER_TIMEOUT already covers sent data
+		Control: func(_, _ string, rawConn syscall.RawConn) error {
+			return rawConn.Control(func(descriptor uintptr) {
+				// A system without this option uses its own timeouts, which are only longer.
+				_ = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, int(options.UserTimeout/time.Millisecond))
 			})
 		},
 	}
 	return &http.Transport{
 		DisableCompression: true,
-		ReadBufferSize:     o.BufferBytes,
-		WriteBufferSize:    o.BufferBytes,
+		ReadBufferSize:     options.BufferBytes,
+		WriteBufferSize:    options.BufferBytes,
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := dialer.DialContext(ctx, network, address)
 			if err != nil {
 				return nil, err
 			}
-			watched := &watchedConn{Conn: conn}
+			tracked := &trackedConn{Conn: conn}
 			if slot, ok := ctx.Value(dialSlotKey{}).(*dialSlot); ok {
-				slot.conn = watched
+				slot.conn = tracked
 			}
-			return watched, nil
+			return tracked, nil
 		},
 	}
 }
