--- a/internal/router/cuts_test.go
+++ b/internal/router/abort_test.go
@@ -27,22 +27,22 @@
 		timedOut bool
 		ended    bool
 		giveUpAt time.Time
-		cause    cutCause
+		cause    abortCause
 	}{
-		{"the client left", gone, true, true, false, soon, cutByClient},
-		{"the client's connection takes nothing", there, true, false, false, soon, cutByWrite},
-		{"a worker was silent until the end", there, false, true, false, soon, cutByTime},
-		{"the time is over", there, false, false, false, time.Now(), cutByTime},
-		{"the process ends", there, false, false, true, soon, cutByEnd},
-		{"the worker broke off", there, false, false, false, soon, cutByWorker},
+		{"the client left", gone, true, true, false, soon, abortedByClient},
+		{"the client's connection takes nothing", there, true, false, false, soon, abortedByWriteFailure},
+		{"a worker was silent until the end", there, false, true, false, soon, abortedByDeadline},
+		{"the time is over", there, false, false, false, time.Now(), abortedByDeadline},
+		{"the process ends", there, false, false, true, soon, abortedByShutdown},
+		{"the worker broke off", there, false, false, false, soon, abortedByWorker},
 	} {
 		router := New(Options{})
 		if each.ended {
-			router.inHand.end()
+			router.inFlight.stop()
 		}
 		q := &request{router: router, incoming: httptest.NewRequestWithContext(each.context, http.MethodPost, "/", nil), timedOut: each.timedOut,
-			giveUpAt: each.giveUpAt, reply: reply{failed: each.failed}}
-		require.Equal(t, each.cause, q.cutCause(), each.name)
+			deadline: each.giveUpAt, clientResponse: clientResponse{writeFailed: each.failed}}
+		require.Equal(t, each.cause, q.abortCause(), each.name)
 	}
 }
 
@@ -50,12 +50,12 @@
 	lines, observed := observer.New(zap.InfoLevel)
 	router := New(Options{Log: zap.New(lines)})
 	q := &request{router: router, incoming: httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/", nil),
-		route: &fleetwire.Route{}, view: &view{snapshot: &watch.Snapshot{Config: &fleetwire.Config{}}}, giveUpAt: time.Now().Add(time.Hour)}
+		route: &fleetwire.Route{}, view: &view{snapshot: &watch.Snapshot{Config: &fleetwire.Config{}}}, deadline: time.Now().Add(time.Hour)}
 	now := time.Now()
-	for range 10 * linesPerSecond {
-		q.noteCut()
+	for range 10 * maxLogLinesPerSecond {
+		q.logAbort()
 	}
 	seconds := int(time.Since(now)/time.Second) + 2 // that the loop may have touched
-	require.LessOrEqual(t, observed.Len(), seconds*linesPerSecond)
+	require.LessOrEqual(t, observed.Len(), seconds*maxLogLinesPerSecond)
 	require.Positive(t, observed.Len())
 }
--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -12,92 +12,92 @@
 	"weldscale/internal/router/upstream"
 )
 
-// Bounds of what is read of a worker's answer.
+// Limits for reading a worker's response.
 const (
-	wholeAnswerBytes   = 1 << 20  // an answer up to this size is read whole before the client gets any of it
-	pooledBufferBytes  = 64 << 10 // larger buffers are not kept
-	rejectionBodyBytes = 4 << 10  // of a rejection, to keep its connection
-	copyBufferBytes    = 4 << 10
+	maxBufferedResponseBytes = 1 << 20  // a response below this size is read whole before any of it is relayed
+	maxPooledBufferBytes     = 64 << 10 // larger buffers are not pooled
+	maxRejectionBodyBytes    = 4 << 10  // read from a rejection, so that its connection can be reused
+	copyBufferBytes          = 4 << 10
 )
 
 var (
-	answerBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
-	copyBuffers   = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
+	responseBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
+	copyBuffers     = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
 )
 
-// answer is a worker's answer whose body is still to be read.
-type answer struct {
+// workerResponse is a worker's response whose body has not been read yet.
+type workerResponse struct {
 	conn     *upstream.Conn
 	response *http.Response
 }
 
-// returnAnswer reads an answer that is no stream and gives it to the client.
-func (q *request) returnAnswer(ctx context.Context, received *answer) placement.Result {
+// relayResponse reads a response that is not a stream and writes it to the client.
+func (q *request) relayResponse(ctx context.Context, received *workerResponse) placement.Result {
 	response := received.response
-	if !presentable(response) {
+	if !isRelayable(response) {
 		received.discard()
-		return q.broken(ctx)
+		return q.brokenResult(ctx)
 	}
-	buffer := answerBuffers.Get().(*bytes.Buffer)
-	defer keepBuffer(buffer)
-	size, err := io.CopyN(buffer, response.Body, wholeAnswerBytes)
+	buffer := responseBuffers.Get().(*bytes.Buffer)
+	defer putBuffer(buffer)
+	size, err := io.CopyN(buffer, response.Body, maxBufferedResponseBytes)
 	switch {
-	case err == nil && size == wholeAnswerBytes:
-		return q.returnLarge(ctx, received, buffer.Bytes())
+	case err == nil && size == maxBufferedResponseBytes:
+		return q.relayLargeResponse(ctx, received, buffer.Bytes())
 	case !errors.Is(err, io.EOF):
 		received.discard()
-		return q.broken(ctx)
+		return q.brokenResult(ctx)
 	}
 	received.conn.Release()
 	q.mayHaveRun = true
-	if failed(response.StatusCode) {
-		q.reply.keepFailure(response, buffer.Bytes())
+	if isWorkerFailure(response.StatusCode) {
+		q.clientResponse.saveFailure(response, buffer.Bytes())
 		return placement.ResultFailed
 	}
-	if q.reply.started() {
-		return placement.ResultFailed // the head of a resumed stream is out already
+	if q.clientResponse.started() {
+		return placement.ResultFailed // the header of a resumed stream has already been written
 	}
-	q.reply.whole(response, buffer.Bytes())
+	q.clientResponse.writeWhole(response, buffer.Bytes())
 	return placement.ResultServed
 }
 
-// returnLarge passes on an answer that is too large to be held.
-func (q *request) returnLarge(ctx context.Context, received *answer, first []byte) placement.Result {
+// relayLargeResponse relays a response that is too large to buffer. first is the part that has been read.
+func (q *request) relayLargeResponse(ctx context.Context, received *workerResponse, first []byte) placement.Result {
 	q.mayHaveRun = true
-	if q.reply.started() || failed(received.response.StatusCode) {
+	if q.clientResponse.started() || isWorkerFailure(received.response.StatusCode) {
 		received.discard()
 		return placement.ResultFailed
 	}
-	q.reply.begin(received.response, true)
-	q.reply.write(first)
+	q.clientResponse.writeHead(received.response, true)
+	q.clientResponse.write(first)
 	buffer := copyBuffers.Get().(*[copyBufferBytes]byte)
 	defer copyBuffers.Put(buffer)
 	for {
 		size, err := received.response.Body.Read(buffer[:])
-		q.reply.write(buffer[:size])
+		q.clientResponse.write(buffer[:size])
 		if errors.Is(err, io.EOF) {
 			received.conn.Release()
-			q.reply.complete = true
+			q.clientResponse.complete = true
 			return placement.ResultServed
 		}
-		if err != nil || q.reply.failed {
+		if err != nil || q.clientResponse.writeFailed {
 			received.discard()
-			q.abandon() // what the client has can't be taken back
-			return q.broken(ctx)
+			q.cancelPlacement() // no retry: part of the response has already been written to the client
+			return q.brokenResult(ctx)
 		}
 	}
 }
 
-func keepBuffer(buffer *bytes.Buffer) {
-	if buffer.Cap() <= pooledBufferBytes {
+func putBuffer(buffer *bytes.Buffer) {
+	if buffer.Cap() <= maxPooledBufferBytes {
 		buffer.Reset()
-		answerBuffers.Put(buffer)
+		responseBuffers.Put(buffer)
 	}
 }
 
-// presentable reports whether an answer can be a worker's: a success is stamped and not encoded, and its end is told by a
-// length or by chunks, so that a cut shows.
-func presentable(response *http.Response) bool {
+// isRelayable reports whether a response may be relayed. A success must have a Response-Signature and no Content-Encoding, and
+// its length must be known or its body chunked, so that a truncated body is detected.
+func isRelayable(response *http.Response) bool {
 	if response.StatusCode/100 != 2 {
 		return true
 	}
@@ -105,25 +105,25 @@
 	return framed && response.Header.Get(headerSignature) != "" && response.Header.Get("Content-Encoding") == ""
 }
 
-// failed reports whether a status tells of a worker's own failure. Without Not-Executed the promises of 429 and 408 are
-// none that could be passed on.
-func failed(status int) bool {
+// isWorkerFailure reports whether a status is a failure of the worker. 429 and 408 are included, because without Not-Executed
+// they don't guarantee that the request has not run.
+func isWorkerFailure(status int) bool {
 	return status >= 500 || status == http.StatusTooManyRequests || status == http.StatusRequestTimeout
 }
 
-// discard gives up an answer with its connection.
-func (a *answer) discard() {
-	_ = a.response.Body.Close()
-	a.conn.Discard()
+// discard closes the response's body and its connection.
+func (r *workerResponse) discard() {
+	_ = r.response.Body.Close()
+	r.conn.Discard()
 }
 
-// reject reads a rejection to its end, so that its connection can be kept.
-func (a *answer) reject() {
-	_, err := io.CopyN(io.Discard, a.response.Body, rejectionBodyBytes)
-	_ = a.response.Body.Close()
+// reject reads a rejection to its end, so that its connection can be reused. It closes the connection if the body is too long.
+func (r *workerResponse) reject() {
+	_, err := io.CopyN(io.Discard, r.response.Body, maxRejectionBodyBytes)
+	_ = r.response.Body.Close()
 	if errors.Is(err, io.EOF) {
-		a.conn.Release()
+		r.conn.Release()
 		return
 	}
-	a.conn.Discard()
+	r.conn.Discard()
 }
--- a/internal/router/clientconns.go
+++ b/internal/router/clientconns.go
@@ -9,35 +9,36 @@
 	"time"
 )
 
-// clientConns knows the connections of clients and closes those on which nothing is in hand. The time-outs of http.Server
-// can't change while it serves, the configuration does; and http.Server closes an idle connection although a request may just
-// have been read from it. Here a connection that is closed is marked first, and what was read from it goes nowhere.
+// clientConns tracks the client connections and closes idle ones. It replaces the idle timeout of http.Server for two reasons:
+// that timeout can't change while the server runs, but the configuration does; and http.Server may close an idle connection
+// just after it has read a request from it. clientConns marks a connection before closing it, and a request that was read from
+// a marked connection is dropped without being forwarded.
 type clientConns struct {
-	mutex   sync.Mutex
-	conns   map[net.Conn]*clientConn
-	leaving bool
+	mutex    sync.Mutex
+	conns    map[net.Conn]*clientConn
+	draining bool
 }
 
-// clientConn is one connection of a client.
+// clientConn is the state of one client connection.
 type clientConn struct {
-	restingSince time.Time // zero: a request is in hand
-	closed       atomic.Bool
+	idleSince time.Time // zero: a request is in flight
+	closed    atomic.Bool
 }
 
 type clientConnKey struct{}
 
 func newClientConns() *clientConns { return &clientConns{conns: map[net.Conn]*clientConn{}} }
 
-// attach is the ConnContext hook of the server.
+// attach is the ConnContext hook of the server. It starts tracking a connection and adds its state to the context.
 func (c *clientConns) attach(ctx context.Context, conn net.Conn) context.Context {
-	attached := &clientConn{restingSince: time.Now()}
+	attached := &clientConn{idleSince: time.Now()}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.conns[conn] = attached
 	return context.WithValue(ctx, clientConnKey{}, attached)
 }
 
-// track is the ConnState hook of the server. A new connection rests until its first request is read.
+// track is the ConnState hook of the server. A new connection counts as idle until its first request is read.
 func (c *clientConns) track(conn net.Conn, state http.ConnState) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -47,35 +48,35 @@
 	}
 	switch state {
 	case http.StateNew, http.StateIdle:
-		tracked.restingSince = time.Now()
-		if c.leaving {
+		tracked.idleSince = time.Now()
+		if c.draining {
 			tracked.close(conn)
 		}
 	case http.StateActive:
-		tracked.restingSince = time.Time{}
+		tracked.idleSince = time.Time{}
 	default:
 		delete(c.conns, conn)
 	}
 }
 
-// closeResting closes the connections that have rested for longer than allowed.
-func (c *clientConns) closeResting(allowed time.Duration) {
+// closeIdle closes the connections that have been idle for longer than the timeout.
+func (c *clientConns) closeIdle(timeout time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := time.Now()
 	for conn, tracked := range c.conns {
-		if !tracked.restingSince.IsZero() && now.Sub(tracked.restingSince) > allowed {
+		if !tracked.idleSince.IsZero() && now.Sub(tracked.idleSince) > timeout {
 			tracked.close(conn)
 		}
 	}
 }
 
-// leave closes the connections that rest, now and as they come to rest.
-func (c *clientConns) leave() {
+// drain closes all idle connections now, and the others as soon as they become idle.
+func (c *clientConns) drain() {
 	c.mutex.Lock()
-	c.leaving = true
+	c.draining = true
 	c.mutex.Unlock()
-	c.closeResting(-1)
+	c.closeIdle(-1)
 }
 
 func (c *clientConn) close(conn net.Conn) {
@@ -84,21 +85,22 @@
 	}
 }
 
-// abandoned reports whether a request was read from a connection that was being closed. Nobody can be answered on it.
-func abandoned(incoming *http.Request) bool {
+// readFromClosedConn reports whether a request was read from a connection that is being closed, so that no response can be
+// sent.
+func readFromClosedConn(incoming *http.Request) bool {
 	attached, ok := incoming.Context().Value(clientConnKey{}).(*clientConn)
 	return ok && attached.closed.Load()
 }
 
-// idleAllowed is the time after which an idle connection is closed: the limits of the configuration, the time in which a
-// head may still be on its way included, so that no client is cut that keeps to them.
-func (r *Router) idleAllowed() time.Duration {
+// clientIdleTimeout returns the time after which an idle client connection is closed. It is the configured idle timeout plus
+// the header timeout, because a client within these limits may still be sending a request's header.
+func (r *Router) clientIdleTimeout() time.Duration {
 	current := r.view.Load()
 	if current == nil || current.snapshot.Config.Limits.IdleTimeoutMs <= 0 {
-		return defaultIdleAllowed
+		return defaultIdleTimeout
 	}
 	limits := &current.snapshot.Config.Limits
 	return time.Duration(limits.IdleTimeoutMs+limits.HeaderTimeoutMs) * time.Millisecond
 }
 
-const defaultIdleAllowed = 2 * time.Minute
+const defaultIdleTimeout = 2 * time.Minute
--- a/internal/router/clientconns_test.go
+++ b/internal/router/clientconns_test.go
@@ -25,15 +25,15 @@
 		time.Sleep(time.Second)
 		conns.track(server, http.StateActive)
 		time.Sleep(time.Minute)
-		conns.closeResting(time.Second)
+		conns.closeIdle(time.Second)
 		conns.track(server, http.StateIdle)
 		time.Sleep(10 * time.Second)
-		conns.closeResting(10 * time.Second)
+		conns.closeIdle(10 * time.Second)
 		go func() { _, _ = io.WriteString(client, "x") }()
 		_, err := server.Read(make([]byte, 1))
 		require.NoError(t, err, "still open")
 		time.Sleep(time.Second)
-		conns.closeResting(10 * time.Second)
+		conns.closeIdle(10 * time.Second)
 		_, err = server.Read(make([]byte, 1))
 		require.Error(t, err)
 	})
@@ -44,7 +44,7 @@
 	_, server := net.Pipe()
 	conns.attach(t.Context(), server)
 	conns.track(server, http.StateActive)
-	conns.leave()
+	conns.drain()
 	require.NoError(t, server.SetDeadline(time.Time{}), "open while a request is in hand")
 	conns.track(server, http.StateIdle)
 	_, err := server.Read(make([]byte, 1))
@@ -78,8 +78,8 @@
 // Guards against LOST: a request was passed on that had been read from a connection just as this was closed for resting.
 func TestARequestReadFromAConnectionThatIsClosedGoesNowhere(t *testing.T) {
 	for name, closing := range map[string]func(*clientConns){
-		"idle":    func(conns *clientConns) { conns.closeResting(-1) },
-		"leaving": (*clientConns).leave,
+		"idle":    func(conns *clientConns) { conns.closeIdle(-1) },
+		"leaving": (*clientConns).drain,
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -94,7 +94,7 @@
 				interrupt := func() { closing(e.router.conns) }
 				interrupted.interrupt.Store(&interrupt)
 				require.Nil(t, ask(client, "/a/x"))
-				e.leave(leaveTimes(time.Second))
+				e.leave(newShutdownSchedule(time.Second))
 				<-e.left
 				require.EqualValues(t, 1, placer.placed.Load())
 			})
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -2,21 +2,21 @@
 
 import "bytes"
 
-// eventScanner cuts a stream of server-sent events into whole events, however its bytes come in. It is pure: bytes go in,
-// whole events come out. An event ends with an empty line; lines end with LF or CRLF.
+// eventScanner splits a stream of server-sent events into whole events. The stream may be fed in pieces of any size. An event
+// ends with an empty line; lines end with LF or CRLF.
 type eventScanner struct {
-	buffer []byte // bytes that were fed and not yet returned
-	start  int    // of the event being read
-	line   int    // of the line being read
+	buffer []byte // bytes that were fed and may still be needed
+	start  int    // offset of the current event
+	line   int    // offset of the current line
 }
 
-// event is one whole event as its worker sent it. Its bytes are valid until the next feed.
+// event is one whole event as the worker sent it. Its bytes are valid until the next call of feed.
 type event struct {
-	raw []byte // with the empty line at its end
-	id  []byte // value of its id field, or nil
+	raw []byte // including the empty line at its end
+	id  []byte // value of its last id field, or nil
 }
 
-// feed takes the next bytes of the stream.
+// feed appends the next bytes of the stream.
 func (s *eventScanner) feed(data []byte) {
 	if s.start > 0 {
 		kept := copy(s.buffer, s.buffer[s.start:])
@@ -27,7 +27,7 @@
 	s.buffer = append(s.buffer, data...)
 }
 
-// next returns the next whole event, if there is one.
+// next returns the next whole event. It returns false if no event is complete.
 func (s *eventScanner) next() (event, bool) {
 	for {
 		length := bytes.IndexByte(s.buffer[s.line:], '\n')
@@ -48,8 +48,8 @@
 // rest returns the bytes after the last whole event.
 func (s *eventScanner) rest() []byte { return s.buffer[s.start:] }
 
-// take returns the bytes after the last whole event and goes on behind them.
-func (s *eventScanner) take() []byte {
+// takeRest returns the bytes after the last whole event and removes them from the scanner.
+func (s *eventScanner) takeRest() []byte {
 	taken := s.buffer[s.start:]
 	s.start, s.line = len(s.buffer), len(s.buffer)
 	return taken
--- a/internal/router/events_test.go
+++ b/internal/router/events_test.go
@@ -51,7 +51,7 @@
 func TestTakingTheRestGoesOnBehindIt(t *testing.T) {
 	var scanner eventScanner
 	scanner.feed([]byte("id: 1\ndata: a"))
-	require.Equal(t, "id: 1\ndata: a", string(scanner.take()))
+	require.Equal(t, "id: 1\ndata: a", string(scanner.takeRest()))
 	scanner.feed([]byte("b\n\nid: 2\n\n"))
 	next, whole := scanner.next()
 	require.True(t, whole)
--- a/internal/router/forward.go
+++ b/internal/router/forward.go
@@ -14,56 +14,58 @@
 	"weldscale/internal/router/upstream"
 )
 
-// request is one try of a client on its way through the router. It is used by one goroutine.
+// request is one client request and its state in the router. Only one goroutine uses it. Others may read its immutable fields
+// and call cancelPlacement.
 type request struct {
-	router   *Router
-	view     *view
-	route    *fleetwire.Route
-	service  *fleetwire.Service
-	incoming *http.Request
-	id       string
-	target   string      // path and query
-	header   http.Header // as passed on
-	body     []byte
-	prompt   prompt
-	arrived  time.Time
-	giveUpAt time.Time
-	abandon  context.CancelFunc // ends the placing
-	reply    reply
-	handle   *handle
-
-	mayHaveRun bool             // a worker may have begun the work
-	timedOut   bool             // the last push ended by time
+	router          *Router
+	view            *view
+	route           *fleetwire.Route
+	service         *fleetwire.Service
+	incoming        *http.Request
+	id              string
+	target          string      // path and query
+	header          http.Header // as forwarded to workers
+	body            []byte
+	prompt          promptInfo
+	arrived         time.Time
+	deadline        time.Time
+	cancelPlacement context.CancelFunc // stops placement
+	clientResponse  clientResponse
+	handle          *kvHandle
+
+	mayHaveRun bool             // a worker may have started to process the request
+	timedOut   bool             // the last push ended at the deadline
 	sentAt     time.Time        // when the last push was sent
-	used       []*upstream.Conn // connections that carried this request, whose late answers would look like its own
+	usedConns  []*upstream.Conn // connections that carried this request; a late response on one of them would have the right Request-Id
 }
 
-// unsafeRestedAtMost is for requests that can't be repeated: a connection that rested longer may be closing under them.
-const unsafeRestedAtMost = 2 * time.Second
+// nonRepeatableMaxIdle is the maximum idle time of a connection for a request that can't be repeated. A worker may be closing
+// a connection that has been idle for longer.
+const nonRepeatableMaxIdle = 2 * time.Second
 
 // repeatable reports whether the request may run more than once.
 func (q *request) repeatable() bool {
-	return q.route.RouteType == routeSafe || q.streaming() && q.route.Resumable
+	return q.route.RouteType == routeTypeSafe || q.streaming() && q.route.Resumable
 }
 
-func (q *request) streaming() bool { return q.route.RouteType == routeStreaming }
+func (q *request) streaming() bool { return q.route.RouteType == routeTypeStreaming }
 
 // Types of routes.
 const (
-	routeSafe      = "safe"
-	routeStreaming = "streaming"
+	routeTypeSafe      = "safe"
+	routeTypeStreaming = "streaming"
 )
 
-// job is what placement is told of one stage.
-func (q *request) job(stage string) placement.Job {
+// placementJob returns the placement job for one stage of the request.
+func (q *request) placementJob(stage string) placement.Job {
 	return placement.Job{
 		Service:      q.service.Name,
 		Stage:        stage,
 		Route:        q.route,
 		Arrived:      q.arrived,
-		GiveUpAt:     q.giveUpAt,
-		PromptTokens: q.prompt.input,
-		OutputTokens: q.prompt.output,
+		GiveUpAt:     q.deadline,
+		PromptTokens: q.prompt.inputTokens,
+		OutputTokens: q.prompt.outputTokens,
 		Parts:        q.prompt.parts,
 		Repeatable:   q.repeatable(),
 		MaxRuns:      q.route.MaxAttempts,
@@ -71,52 +73,53 @@
 	}
 }
 
-// place runs a request of a service without stages.
+// place runs the request of a service without stages.
 func (q *request) place(ctx context.Context) placement.Verdict {
-	return q.router.options.Placer.Place(ctx, q.job(""), q.observed(q.pushAnswer(nil)))
+	return q.router.options.Placer.Place(ctx, q.placementJob(""), q.recordResults(q.pushAndRelay(nil)))
 }
 
-// pushAnswer makes the push whose answer is the client's. prepare may change the fields for a worker.
-func (q *request) pushAnswer(prepare func(target *fleetwire.Instance, header http.Header)) placement.Push {
+// pushAndRelay returns a push that sends the request to a worker and relays the response to the client. prepare may change the
+// header for the worker. It may be nil.
+func (q *request) pushAndRelay(prepare func(target *fleetwire.Instance, header http.Header)) placement.Push {
 	return func(ctx context.Context, target fleetwire.Instance, ready func() bool) placement.Result {
 		header := q.header.Clone()
-		if id := q.reply.lastEventID(); id != "" {
+		if id := q.clientResponse.lastEventID(); id != "" {
 			header.Set(headerLastEventID, id)
 		}
 		if prepare != nil {
 			prepare(&target, header)
 		}
-		answer, result := q.exchange(ctx, &target, header, ready)
-		if answer == nil {
+		received, result := q.roundTrip(ctx, &target, header, ready)
+		if received == nil {
 			return result
 		}
-		if q.streaming() && answer.response.StatusCode/100 == 2 {
-			return q.returnStream(ctx, answer)
+		if q.streaming() && received.response.StatusCode/100 == 2 {
+			return q.relayStream(ctx, received)
 		}
-		return q.returnAnswer(ctx, answer)
+		return q.relayResponse(ctx, received)
 	}
 }
 
-// exchange sends the request to a worker and returns its answer. Without an answer that can be the client's it returns
-// nil and the result of the push.
-func (q *request) exchange(
+// roundTrip sends the request to a worker and returns its response. If there is no response that can be relayed, it returns nil
+// and the result of the push. It stops before sending if ready returns false.
+func (q *request) roundTrip(
 	ctx context.Context, target *fleetwire.Instance, header http.Header, ready func() bool,
-) (*answer, placement.Result) {
+) (*workerResponse, placement.Result) {
 	q.timedOut = false
 	conn, err := q.connect(ctx, target.Address)
 	if errors.Is(err, upstream.ErrExhausted) {
-		return nil, placement.ResultNotExecuted // says nothing of the worker
+		return nil, placement.ResultNotExecuted // no evidence about the worker
 	}
 	if err != nil {
-		return nil, q.unsent(ctx)
+		return nil, q.unsentResult(ctx)
 	}
-	left := time.Until(q.giveUpAt)
-	if ctx.Err() != nil || left < time.Millisecond {
+	remaining := time.Until(q.deadline)
+	if ctx.Err() != nil || remaining < time.Millisecond {
 		conn.Release()
-		return nil, q.unsent(ctx)
+		return nil, q.unsentResult(ctx)
 	}
 	header.Set(headerExpectedInstance, target.ID)
-	header.Set(headerDeadline, strconv.FormatInt(left.Milliseconds(), 10))
+	header.Set(headerDeadline, strconv.FormatInt(remaining.Milliseconds(), 10))
 	outgoing := (&http.Request{
 		Method:        q.incoming.Method,
 		URL:           workerURL(target.Address, q.target),
@@ -136,22 +139,22 @@
 		conn.Release()
 		return nil, placement.ResultNotExecuted
 	}
-	q.used = append(q.used, conn)
+	q.usedConns = append(q.usedConns, conn)
 	q.sentAt = time.Now()
 	response, err := conn.RoundTrip(outgoing)
 	if err != nil {
 		conn.Discard()
 		if !conn.Sent() {
-			return nil, q.unsent(ctx)
+			return nil, q.unsentResult(ctx)
 		}
-		return nil, q.broken(ctx)
+		return nil, q.brokenResult(ctx)
 	}
-	received := &answer{conn: conn, response: response}
+	received := &workerResponse{conn: conn, response: response}
 	if response.Header.Get(headerRequestID) != q.id {
-		received.discard() // a late answer to another request stands in the place of ours
-		return nil, q.broken(ctx)
+		received.discard() // a late response to another request came first
+		return nil, q.brokenResult(ctx)
 	}
-	q.noteLoad(target, response)
+	q.reportLoad(target, response)
 	if notExecuted(response) {
 		received.reject()
 		return nil, placement.ResultNotExecuted
@@ -159,8 +162,8 @@
 	return received, placement.ResultServed
 }
 
-// noteLoad passes on the load that a worker states with its answer.
-func (q *request) noteLoad(target *fleetwire.Instance, response *http.Response) {
+// reportLoad passes the load report in a worker's response, if any, to Options.OnLoadReport.
+func (q *request) reportLoad(target *fleetwire.Instance, response *http.Response) {
 	if q.router.options.OnLoadReport == nil {
 		return
 	}
@@ -169,31 +172,31 @@
 	}
 }
 
-// connect returns a connection that has not carried this request before.
+// connect returns a connection to the address that has not carried this request before.
 func (q *request) connect(ctx context.Context, address string) (*upstream.Conn, error) {
-	restedAtMost := upstream.AnyIdleTime
+	maxIdleTime := upstream.AnyIdleTime
 	if !q.repeatable() {
-		restedAtMost = unsafeRestedAtMost
+		maxIdleTime = nonRepeatableMaxIdle
 	}
 	for {
-		conn, err := q.router.options.Pool.Acquire(ctx, address, q.view.connectionLimit(q.service), restedAtMost)
+		conn, err := q.router.options.Pool.Acquire(ctx, address, q.view.connectionLimit(q.service), maxIdleTime)
 		if err != nil {
 			return nil, err
 		}
-		if q.carried(conn) {
+		if q.usedBefore(conn) {
 			conn.Discard()
 			continue
 		}
 		if !q.repeatable() && !conn.VerifyOpen(ctx) {
 			conn.Discard()
-			return nil, upstream.ErrExhausted // the worker holds all the connections that it takes
+			return nil, upstream.ErrExhausted // the worker is at its connection limit
 		}
 		return conn, nil
 	}
 }
 
-func (q *request) carried(conn *upstream.Conn) bool {
-	for _, used := range q.used {
+func (q *request) usedBefore(conn *upstream.Conn) bool {
+	for _, used := range q.usedConns {
 		if used == conn {
 			return true
 		}
@@ -201,7 +204,7 @@
 	return false
 }
 
-// notExecuted reports whether the worker promises that the request has not run.
+// notExecuted reports whether the response guarantees that the worker has not run the request.
 func notExecuted(response *http.Response) bool {
 	if response.StatusCode == http.StatusMisdirectedRequest {
 		return true
@@ -210,23 +213,24 @@
 	return named && response.StatusCode/100 != 2
 }
 
-// unsent is the result of a push that ended before its first byte.
-func (q *request) unsent(ctx context.Context) placement.Result {
-	if ctx.Err() != nil && (q.clientGone() || q.router.inHand.hasEnded()) {
+// unsentResult returns the result of a push that ended before any byte was sent.
+func (q *request) unsentResult(ctx context.Context) placement.Result {
+	if ctx.Err() != nil && (q.clientGone() || q.router.inFlight.isStopped()) {
 		return placement.ResultCancelled
 	}
 	return placement.ResultConnectFailed
 }
 
-// broken is the result of a push that ended after its first byte, without an answer.
-func (q *request) broken(ctx context.Context) placement.Result {
+// brokenResult records that the request may have run. It returns the result of a push that ended after bytes were sent, without
+// a complete response.
+func (q *request) brokenResult(ctx context.Context) placement.Result {
 	q.mayHaveRun = true
 	switch {
-	case q.clientGone() && !q.reply.started() && leftWaiting(q.aim(), time.Since(q.sentAt)):
+	case q.clientGone() && !q.clientResponse.started() && gaveUpWaiting(q.targetLatency(), time.Since(q.sentAt)):
 		return placement.ResultTimedOut
-	case q.clientGone(), q.router.inHand.hasEnded():
+	case q.clientGone(), q.router.inFlight.isStopped():
 		return placement.ResultCancelled
-	case ctx.Err() != nil && errors.Is(ctx.Err(), context.DeadlineExceeded), time.Until(q.giveUpAt) <= 0:
+	case ctx.Err() != nil && errors.Is(ctx.Err(), context.DeadlineExceeded), time.Until(q.deadline) <= 0:
 		q.timedOut = true
 		return placement.ResultTimedOut
 	default:
@@ -234,19 +238,20 @@
 	}
 }
 
-// leftWaiting reports whether a client that left had waited for a worker for longer than is usual: it gives up a stream of
-// which nothing comes long before its deadline.
-func leftWaiting(aim, waited time.Duration) bool {
-	return waited >= max(leftWaitingLeast, leftWaitingAims*aim)
+// gaveUpWaiting reports whether a client that closed its connection had waited unusually long for the worker. A client gives up
+// on a silent stream long before its deadline, so this counts as a timeout of the worker.
+func gaveUpWaiting(targetLatency, waited time.Duration) bool {
+	return waited >= max(minGiveUpWait, giveUpLatencyFactor*targetLatency)
 }
 
-// A client gives up a stream after a silence of two seconds, or four times its aim if that is longer.
+// A client gives up on a stream after two seconds without data, or after four times its target latency if that is longer.
+// These limits are lower, so that every such client counts.
 const (
-	leftWaitingLeast = 1500 * time.Millisecond
-	leftWaitingAims  = 3
+	minGiveUpWait       = 1500 * time.Millisecond
+	giveUpLatencyFactor = 3
 )
 
-func (q *request) aim() time.Duration {
+func (q *request) targetLatency() time.Duration {
 	return time.Duration(q.route.TargetLatencyMs) * time.Millisecond
 }
 
--- a/internal/router/generation.go
+++ b/internal/router/generation.go
@@ -12,101 +12,102 @@
 	"weldscale/internal/placement"
 )
 
-// handle names the memory of a read prompt at the worker that read it.
-type handle struct {
-	address string
-	id      string
-	zone    string
-	version int64
-	expires time.Time
-	offers  int  // workers that were sent it
-	offered bool // the present push carries it
-	taken   bool // a worker that was sent it has begun its answer
+// kvHandle identifies the KV cache of a prompt on the prefill worker that processed the prompt.
+type kvHandle struct {
+	address    string
+	id         string
+	zone       string
+	version    int64
+	expires    time.Time
+	offerCount int  // number of decode workers that it was sent to
+	offeredNow bool // the current push carries it
+	taken      bool // a decode worker that it was sent to has started its response
 }
 
-// Bounds of hand-overs.
+// Limits of handing a KV cache over from a prefill worker to a decode worker.
 const (
-	handleAnswerBytes = 4 << 10
-	handleOffers      = 2 // a second worker that can't have the memory says that it is gone, not that it is full itself
-	handleFreeTimeout = 500 * time.Millisecond
-	defaultHandleTTL  = 2 * time.Second
-	leastUrgent       = 9
-	handlePathPrefix  = "/kv-handle/"
-	handleTTLReserve  = 100 * time.Millisecond // for the way to the worker that takes it
+	maxHandleResponseBytes = 4 << 10
+	maxHandleOffers        = 2 // if a second worker can't fetch the KV cache, the cache is gone; the worker is not just full
+	handleFreeTimeout      = 500 * time.Millisecond
+	defaultHandleTTL       = 2 * time.Second
+	lowestPriority         = 9
+	handlePathPrefix       = "/kv-handle/"
+	handleTTLMargin        = 100 * time.Millisecond // time for the request to reach the decode worker
 )
 
-// generate runs a request of an engine: its prompt is read by a prefill worker, then a decode worker takes the memory of
-// it and streams. Where no prefill worker can read it, the decode worker does.
+// generate runs a request of an engine service in two stages: a prefill worker processes the prompt, then a decode worker
+// fetches the KV cache and streams the output. If no prefill worker can process the prompt, the decode worker does.
 func (q *request) generate(ctx context.Context) placement.Verdict {
-	q.header.Set(headerPriority, strconv.Itoa(min(max(q.route.Priority, 0), leastUrgent)))
-	decode := q.job(fleetwire.StageDecode)
-	decode.ReadsPrompt = q.direct()
-	if !decode.ReadsPrompt {
-		verdict := q.prefill(ctx)
+	q.header.Set(headerPriority, strconv.Itoa(min(max(q.route.Priority, 0), lowestPriority)))
+	decodeJob := q.placementJob(fleetwire.StageDecode)
+	decodeJob.ReadsPrompt = q.decodeReadsPrompt()
+	if !decodeJob.ReadsPrompt {
+		verdict := q.runPrefill(ctx)
 		if verdict.Decision == placement.DecisionRefused {
 			return verdict
 		}
 		if ctx.Err() != nil {
-			q.freeHandle()
+			q.releaseHandle()
 			return verdict
 		}
-		// The first reading is no attempt of its own, further ones are. None of them is a run.
-		decode.MaxRuns = max(1, decode.MaxRuns-max(0, verdict.Runs-1))
-		// A reading that no worker took up is an arrival like any other, and was the request's first.
-		decode.FreeFirst = verdict.Decision == placement.DecisionServed || verdict.Arrivals == 0
+		// The first prefill attempt does not count against MaxRuns, further ones do.
+		decodeJob.MaxRuns = max(1, decodeJob.MaxRuns-max(0, verdict.Runs-1))
+		// The first arrival at a worker is free of the retry budget. A failed prefill that reached a worker has used it up.
+		decodeJob.FreeFirst = verdict.Decision == placement.DecisionServed || verdict.Arrivals == 0
 	}
 	if q.handle != nil {
-		decode.PreferZone = q.handle.zone
+		decodeJob.PreferZone = q.handle.zone
 	}
-	verdict := q.router.options.Placer.Place(ctx, decode, q.observed(q.pushAnswer(q.prepareDecode)))
-	q.freeHandle()
+	verdict := q.router.options.Placer.Place(ctx, decodeJob, q.recordResults(q.pushAndRelay(q.offerHandle)))
+	q.releaseHandle()
 	return verdict
 }
 
-// direct reports whether the decode worker is to read the prompt.
-func (q *request) direct() bool {
-	return !q.view.prefill[q.service.Name] || q.prompt.input == 0
+// decodeReadsPrompt reports whether the decode worker processes the prompt itself: the service has no ready prefill worker, or
+// the size of the prompt is unknown.
+func (q *request) decodeReadsPrompt() bool {
+	return !q.view.hasPrefill[q.service.Name] || q.prompt.inputTokens == 0
 }
 
-// prefill has the prompt read.
-func (q *request) prefill(ctx context.Context) placement.Verdict {
-	job := q.job(fleetwire.StagePrefill)
+// runPrefill places the prefill stage. It may be repeated, because it produces no output.
+func (q *request) runPrefill(ctx context.Context) placement.Verdict {
+	job := q.placementJob(fleetwire.StagePrefill)
 	job.Repeatable = true
-	return q.router.options.Placer.Place(ctx, job, q.observed(q.pushPrefill))
+	return q.router.options.Placer.Place(ctx, job, q.recordResults(q.pushPrefill))
 }
 
-// pushPrefill sends the prompt to one prefill worker and notes the handle of its memory.
+// pushPrefill sends the prompt to one prefill worker and stores the handle of its KV cache.
 func (q *request) pushPrefill(ctx context.Context, target fleetwire.Instance, ready func() bool) placement.Result {
 	header := q.header.Clone()
 	header.Set(headerServingStage, fleetwire.StagePrefill)
 	ranBefore := q.mayHaveRun
-	defer func() { q.mayHaveRun = ranBefore }() // reading a prompt is no run
-	received, result := q.exchange(ctx, &target, header, ready)
+	defer func() { q.mayHaveRun = ranBefore }() // prefill does not count as a run of the request
+	received, result := q.roundTrip(ctx, &target, header, ready)
 	if received == nil {
 		return result
 	}
-	body, err := io.ReadAll(io.LimitReader(received.response.Body, handleAnswerBytes))
-	if err != nil || len(body) == handleAnswerBytes {
+	body, err := io.ReadAll(io.LimitReader(received.response.Body, maxHandleResponseBytes))
+	if err != nil || len(body) == maxHandleResponseBytes {
 		received.discard()
-		return q.broken(ctx)
+		return q.brokenResult(ctx)
 	}
 	received.conn.Release()
 	if received.response.StatusCode != http.StatusOK {
 		return placement.ResultFailed
 	}
-	var told struct {
+	var handleResponse struct {
 		KvHandle string
 		Version  int64
 	}
-	if json.Unmarshal(body, &told) != nil || told.KvHandle == "" {
+	if json.Unmarshal(body, &handleResponse) != nil || handleResponse.KvHandle == "" {
 		return placement.ResultFailed
 	}
-	q.handle = &handle{
+	q.handle = &kvHandle{
 		address: target.Address,
-		id:      told.KvHandle,
+		id:      handleResponse.KvHandle,
 		zone:    target.Zone,
-		version: told.Version,
-		expires: time.Now().Add(q.handleTTL() - handleTTLReserve),
+		version: handleResponse.Version,
+		expires: time.Now().Add(q.handleTTL() - handleTTLMargin),
 	}
 	return placement.ResultServed
 }
@@ -118,24 +119,26 @@
 	return time.Duration(q.service.Engine.HandleTTLS * float64(time.Second))
 }
 
-// prepareDecode names the memory to a decode worker, while it can be had there.
-func (q *request) prepareDecode(target *fleetwire.Instance, header http.Header) {
-	held := q.handle
-	if held == nil || held.taken {
+// offerHandle adds the KV handle to the header for a decode worker, if the KV cache is still available and fits the worker's
+// model version.
+func (q *request) offerHandle(target *fleetwire.Instance, header http.Header) {
+	handle := q.handle
+	if handle == nil || handle.taken {
 		return
 	}
-	held.offered = false
-	if q.mayHaveRun || held.offers >= handleOffers || time.Now().After(held.expires) || !held.fits(target, header.Get(headerModel)) {
+	handle.offeredNow = false
+	if q.mayHaveRun || handle.offerCount >= maxHandleOffers || time.Now().After(handle.expires) || !handle.matchesVersion(target, header.Get(headerModel)) {
 		return
 	}
-	held.offers++
-	held.offered = true
-	header.Set(headerKvFrom, held.address+"/"+held.id)
-	header.Set(headerExpectVersion, strconv.FormatInt(held.version, 10))
+	handle.offerCount++
+	handle.offeredNow = true
+	header.Set(headerKvFrom, handle.address+"/"+handle.id)
+	header.Set(headerExpectVersion, strconv.FormatInt(handle.version, 10))
 }
 
-// fits reports whether the worker's weights are those that the memory was made with, as far as it is known.
-func (h *handle) fits(target *fleetwire.Instance, model string) bool {
+// matchesVersion reports whether the worker runs the version of the model that the KV cache was made with. It returns true if
+// the worker's version of the model is unknown.
+func (h *kvHandle) matchesVersion(target *fleetwire.Instance, model string) bool {
 	for _, loaded := range target.Models {
 		if loaded.Name == model {
 			return loaded.Version == h.version
@@ -144,34 +147,36 @@
 	return true
 }
 
-// freeHandle gives the memory back to the prefill worker, unless a decode worker has taken it.
-func (q *request) freeHandle() {
-	held := q.handle
-	if held == nil || held.taken {
+// releaseHandle has the prefill worker free the KV cache in the background, unless a decode worker has fetched it or it has
+// expired.
+func (q *request) releaseHandle() {
+	handle := q.handle
+	if handle == nil || handle.taken {
 		return
 	}
 	q.handle = nil
-	if time.Now().After(held.expires) {
+	if time.Now().After(handle.expires) {
 		return
 	}
-	go q.router.free(held, q.view.connectionLimit(q.service))
+	go q.router.deleteHandle(handle, q.view.connectionLimit(q.service))
 }
 
-// free calls the prefill worker, unless it drains by now or another stands at its address.
-func (r *Router) free(held *handle, limit int) {
-	instance, ready := r.view.Load().ready[held.address]
+// deleteHandle asks the prefill worker to free the KV cache, unless the worker is no longer ready. The request names the
+// instance listed at the address, so that a different instance rejects it.
+func (r *Router) deleteHandle(handle *kvHandle, limit int) {
+	instance, ready := r.view.Load().ready[handle.address]
 	if !ready {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), handleFreeTimeout)
 	defer cancel()
-	conn, err := r.options.Pool.Acquire(ctx, held.address, limit, unsafeRestedAtMost)
+	conn, err := r.options.Pool.Acquire(ctx, handle.address, limit, nonRepeatableMaxIdle)
 	if err != nil {
 		return
 	}
 	outgoing := (&http.Request{
 		Method: http.MethodDelete,
-		URL:    workerURL(held.address, handlePathPrefix+held.id),
+		URL:    workerURL(handle.address, handlePathPrefix+handle.id),
 		Header: http.Header{headerExpectedInstance: {instance.id}, "User-Agent": nil},
 		Proto:  "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 	}).WithContext(ctx)
@@ -180,5 +185,5 @@
 		conn.Discard()
 		return
 	}
-	(&answer{conn: conn, response: response}).reject()
+	(&workerResponse{conn: conn, response: response}).reject()
 }
--- a/internal/router/generation_test.go
+++ b/internal/router/generation_test.go
@@ -210,12 +210,12 @@
 }
 
 func TestMemoryOfOtherWeightsIsNotOffered(t *testing.T) {
-	held := handle{version: 2}
+	held := kvHandle{version: 2}
 	target := fleetwire.Instance{Models: []fleetwire.Model{{Name: "m", Version: 1}}}
-	require.False(t, held.fits(&target, "m"))
-	require.True(t, held.fits(&target, "other"))
+	require.False(t, held.matchesVersion(&target, "m"))
+	require.True(t, held.matchesVersion(&target, "other"))
 	target.Models[0].Version = 2
-	require.True(t, held.fits(&target, "m"))
+	require.True(t, held.matchesVersion(&target, "m"))
 }
 
 func TestFurtherReadingsCountAsAttempts(t *testing.T) {
--- a/internal/router/headers.go
+++ b/internal/router/headers.go
@@ -8,7 +8,7 @@
 	"weldscale/internal/placement"
 )
 
-// Header fields of the protocol.
+// Header fields of the protocol between clients, routers and workers.
 const (
 	headerRequestID        = "Request-Id"
 	headerDeadline         = "Deadline-Ms"
@@ -27,20 +27,21 @@
 	headerServerLoad       = "Server-Load"
 )
 
-// connectionFields concern one connection only, beside those that a Connection field names.
-var connectionFields = []string{
+// hopByHopFields are the hop-by-hop header fields, apart from those that a Connection field names.
+var hopByHopFields = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// ownFields are set by the router alone; from a client they would reach into others' requests. Accept-Encoding goes
-// because an encoded answer is not the worker's body, Expect because the body is here by the time it is sent on.
-var ownFields = []string{
+// routerFields are removed from client requests. Only the router may set the fields of the protocol among them, because a
+// client could use them to affect other clients' requests. Accept-Encoding is removed because the router relays no encoded
+// bodies, Expect because the router has already read the body when it forwards the request.
+var routerFields = []string{
 	headerExpectedInstance, headerExpectVersion, headerServingStage, headerKvFrom, "Accept-Encoding", "Content-Length", "Expect",
 }
 
-// removeConnectionFields drops what concerns one connection only.
-func removeConnectionFields(header http.Header) {
+// removeHopByHopFields removes the hop-by-hop fields and those that a Connection field names. Request-Id always stays.
+func removeHopByHopFields(header http.Header) {
 	for _, list := range header["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
 			if name = strings.TrimSpace(name); name != "" && !strings.EqualFold(name, headerRequestID) {
@@ -48,16 +49,16 @@
 			}
 		}
 	}
-	for _, name := range connectionFields {
+	for _, name := range hopByHopFields {
 		delete(header, name)
 	}
 }
 
-// forwardedHeader is what a client's fields become on the way to a worker.
+// forwardedHeader returns the header that is sent to a worker for a client's header.
 func forwardedHeader(incoming http.Header) http.Header {
 	header := incoming.Clone()
-	removeConnectionFields(header)
-	for _, name := range ownFields {
+	removeHopByHopFields(header)
+	for _, name := range routerFields {
 		delete(header, name)
 	}
 	if _, named := header["User-Agent"]; !named {
@@ -66,9 +67,9 @@
 	return header
 }
 
-// returnedHeader moves a worker's fields to the client's answer, whose own Connection field stays.
-func returnedHeader(to, from http.Header) {
-	removeConnectionFields(from)
+// copyResponseHeader copies a worker's header fields to the client's response. The response keeps its own Connection field.
+func copyResponseHeader(to, from http.Header) {
+	removeHopByHopFields(from)
 	for name, values := range from {
 		to[name] = values
 	}
@@ -79,44 +80,45 @@
 	}
 }
 
-// prompt is what a generation's fields tell of its size.
-type prompt struct {
-	input, output int
-	parts         []placement.Part
+// promptInfo holds the token counts and the prefix hashes that a client states for a generation request.
+type promptInfo struct {
+	inputTokens, outputTokens int
+	parts                     []placement.Part
 }
 
-// parsePrompt reads Token-Count and Prefix-Hash. What can't be read is left out: it is only advice.
-func parsePrompt(header http.Header) prompt {
-	var read prompt
+// parsePrompt parses Token-Count and Prefix-Hash. It ignores malformed values, because the fields are only hints.
+func parsePrompt(header http.Header) promptInfo {
+	var info promptInfo
 	in, out, _ := strings.Cut(header.Get(headerTokens), ",")
-	read.input, _ = strconv.Atoi(strings.TrimSpace(in))
-	read.output, _ = strconv.Atoi(strings.TrimSpace(out))
+	info.inputTokens, _ = strconv.Atoi(strings.TrimSpace(in))
+	info.outputTokens, _ = strconv.Atoi(strings.TrimSpace(out))
 	field := header.Get(headerPrefix)
 	if field == "" {
-		return read
+		return info
 	}
-	read.parts = make([]placement.Part, 0, strings.Count(field, ",")+1)
+	info.parts = make([]placement.Part, 0, strings.Count(field, ",")+1)
 	for part := range strings.SplitSeq(field, ",") {
 		id, size, found := strings.Cut(strings.TrimSpace(part), ":")
 		tokens, err := strconv.Atoi(size)
 		if !found || err != nil {
-			read.parts = nil
-			return read
+			info.parts = nil
+			return info
 		}
-		read.parts = append(read.parts, placement.Part{ID: id, Tokens: tokens})
+		info.parts = append(info.parts, placement.Part{ID: id, Tokens: tokens})
 	}
-	return read
+	return info
 }
 
-// session names what a sticky route keeps together: the last part of the prompt, which is the request's own.
-func (p *prompt) session() string {
+// sessionKey returns the key by which a sticky route groups requests: the ID of the last prompt part, which is specific to
+// the session. It is empty without prompt parts.
+func (p *promptInfo) sessionKey() string {
 	if len(p.parts) == 0 {
 		return ""
 	}
 	return p.parts[len(p.parts)-1].ID
 }
 
-// parseServerLoad reads the requests running and waiting of a worker's statement of its load; its slots follow.
+// parseServerLoad parses a worker's load report "running,waiting,slots". It ignores the slots.
 func parseServerLoad(value string) (load placement.Load, ok bool) {
 	running, rest, _ := strings.Cut(value, ",")
 	waiting, _, ok := strings.Cut(rest, ",")
--- a/internal/router/ingress.go
+++ b/internal/router/ingress.go
@@ -15,29 +15,29 @@
 	"weldscale/internal/placement"
 )
 
-// ServeHTTP takes one request of a client.
+// ServeHTTP handles one client request. It panics with http.ErrAbortHandler if no response can be sent.
 func (r *Router) ServeHTTP(w http.ResponseWriter, incoming *http.Request) {
 	arrived := time.Now()
-	if abandoned(incoming) {
+	if readFromClosedConn(incoming) {
 		panic(http.ErrAbortHandler)
 	}
-	if r.stopping() {
+	if r.shuttingDown() {
 		w.Header().Set("Connection", "close")
 	}
 	id := incoming.Header.Get(headerRequestID)
 	current := r.awaitStart(incoming.Context())
 	if current == nil {
-		writeKind(w, id, ErrorNoConfiguration, r.options.RetryAfter)
+		writeErrorResponse(w, id, ErrorNoConfiguration, r.options.RetryAfter)
 		return
 	}
 	limits := &current.snapshot.Config.Limits
-	if headTooLarge(incoming, limits) {
-		writeKind(w, id, ErrorHeaderTooLarge, 0)
+	if headerTooLarge(incoming, limits) {
+		writeErrorResponse(w, id, ErrorHeaderTooLarge, 0)
 		return
 	}
-	chosen := current.find(incoming.Host, wirePath(incoming))
+	chosen := current.findRoute(incoming.Host, wirePath(incoming))
 	if chosen == nil {
-		writeKind(w, id, ErrorNoRoute, 0)
+		writeErrorResponse(w, id, ErrorNoRoute, 0)
 		return
 	}
 	body, kind, ok := readBody(w, incoming, limits)
@@ -45,80 +45,80 @@
 		if incoming.Context().Err() != nil {
 			panic(http.ErrAbortHandler)
 		}
-		writeKind(w, id, kind, 0)
+		writeErrorResponse(w, id, kind, 0)
 		return
 	}
-	r.serve(w, incoming, current, chosen, body, arrived)
+	r.serveRoute(w, incoming, current, chosen, body, arrived)
 }
 
-func (r *Router) serve(
+func (r *Router) serveRoute(
 	w http.ResponseWriter, incoming *http.Request, current *view, chosen *fleetwire.Route, body []byte, arrived time.Time,
 ) {
-	read := parsePrompt(incoming.Header)
-	service := current.service(chosen, read.session())
+	info := parsePrompt(incoming.Header)
+	service := current.pickService(chosen, info.sessionKey())
 	if service == nil {
-		writeKind(w, incoming.Header.Get(headerRequestID), ErrorNoRoute, 0)
+		writeErrorResponse(w, incoming.Header.Get(headerRequestID), ErrorNoRoute, 0)
 		return
 	}
-	giveUpAt := giveUpTime(incoming, chosen, arrived)
-	ctx, cancel := context.WithDeadline(incoming.Context(), giveUpAt)
+	deadline := requestDeadline(incoming, chosen, arrived)
+	ctx, cancel := context.WithDeadline(incoming.Context(), deadline)
 	defer cancel()
-	exchange := &request{
-		router:   r,
-		view:     current,
-		route:    chosen,
-		service:  service,
-		incoming: incoming,
-		id:       incoming.Header.Get(headerRequestID),
-		target:   wireTarget(incoming),
-		header:   forwardedHeader(incoming.Header),
-		body:     body,
-		prompt:   read,
-		arrived:  arrived,
-		giveUpAt: giveUpAt,
-		abandon:  cancel,
-		reply:    reply{writer: w, controller: http.NewResponseController(w)},
-	}
-	if r.outlasts(giveUpAt) || !r.inHand.add(exchange) {
-		r.refusedLeaving.Add(1)
-		exchange.answer(ErrorDraining, leavingRetryAfter)
+	accepted := &request{
+		router:          r,
+		view:            current,
+		route:           chosen,
+		service:         service,
+		incoming:        incoming,
+		id:              incoming.Header.Get(headerRequestID),
+		target:          wireTarget(incoming),
+		header:          forwardedHeader(incoming.Header),
+		body:            body,
+		prompt:          info,
+		arrived:         arrived,
+		deadline:        deadline,
+		cancelPlacement: cancel,
+		clientResponse:  clientResponse{writer: w, controller: http.NewResponseController(w)},
+	}
+	if r.mayOutlastShutdown(deadline) || !r.inFlight.add(accepted) {
+		r.refusedDraining.Add(1)
+		accepted.respondError(ErrorDraining, drainRetryAfter)
 		return
 	}
-	defer r.inHand.remove(exchange)
-	// A client that does not read holds no connection longer than its request may last.
-	_ = exchange.reply.controller.SetWriteDeadline(giveUpAt.Add(writeSlack))
+	defer r.inFlight.remove(accepted)
+	// The write deadline keeps a client that does not read from holding the connection past the end of its request.
+	_ = accepted.clientResponse.controller.SetWriteDeadline(deadline.Add(finalWriteMargin))
 	var verdict placement.Verdict
 	if service.Engine != nil {
-		verdict = exchange.generate(ctx)
+		verdict = accepted.generate(ctx)
 	} else {
-		verdict = exchange.place(ctx)
+		verdict = accepted.place(ctx)
 	}
-	exchange.finish(verdict)
+	accepted.finish(verdict)
 }
 
-// leavingRetryAfter is what a refusal says when other routers are there at once.
-const leavingRetryAfter = 10 * time.Millisecond
+// drainRetryAfter is the Retry-After of a refusal during shutdown. It is short because other routers are available at once.
+const drainRetryAfter = 10 * time.Millisecond
 
-// writeSlack is the time past a request's end within which its last bytes may still leave.
-const writeSlack = 200 * time.Millisecond
+// finalWriteMargin is the time after a request's deadline in which its last bytes may still be written.
+const finalWriteMargin = 200 * time.Millisecond
 
-// giveUpTime is the earlier of the client's deadline and the route's timeout.
-func giveUpTime(incoming *http.Request, chosen *fleetwire.Route, arrived time.Time) time.Time {
-	held := time.Duration(chosen.TimeoutMs) * time.Millisecond
-	deadline, err := strconv.ParseFloat(incoming.Header.Get(headerDeadline), 64)
-	if err == nil && deadline >= 0 && deadline < float64(chosen.TimeoutMs) {
-		held = time.Duration(deadline * float64(time.Millisecond))
-	}
-	return arrived.Add(held)
+// requestDeadline returns the earlier of the client's deadline and the end of the route's timeout.
+func requestDeadline(incoming *http.Request, chosen *fleetwire.Route, arrived time.Time) time.Time {
+	timeout := time.Duration(chosen.TimeoutMs) * time.Millisecond
+	clientTimeoutMs, err := strconv.ParseFloat(incoming.Header.Get(headerDeadline), 64)
+	if err == nil && clientTimeoutMs >= 0 && clientTimeoutMs < float64(chosen.TimeoutMs) {
+		timeout = time.Duration(clientTimeoutMs * float64(time.Millisecond))
+	}
+	return arrived.Add(timeout)
 }
 
-// wirePath is the path as the client wrote it.
+// wirePath returns the path exactly as the client sent it.
 func wirePath(incoming *http.Request) string {
 	path, _, _ := strings.Cut(wireTarget(incoming), "?")
 	return path
 }
 
-// wireTarget is path and query as the client wrote them.
+// wireTarget returns the path and the query exactly as the client sent them.
 func wireTarget(incoming *http.Request) string {
 	if strings.HasPrefix(incoming.RequestURI, "/") {
 		return incoming.RequestURI
@@ -126,17 +126,17 @@
 	return incoming.URL.RequestURI()
 }
 
-// workerURL names the same path and query at a worker, byte for byte.
+// workerURL returns the URL at a worker that sends the target, path and query, unchanged byte for byte.
 func workerURL(address, target string) *url.URL {
-	if strings.HasPrefix(target, "//") { // Opaque would be taken for an authority
+	if strings.HasPrefix(target, "//") { // net/http would parse this Opaque as an authority
 		path, query, found := strings.Cut(target, "?")
 		return &url.URL{Scheme: "http", Host: address, Path: path, RawPath: path, RawQuery: query, ForceQuery: found && query == ""}
 	}
 	return &url.URL{Scheme: "http", Host: address, Opaque: target}
 }
 
-// headTooLarge reports whether a head is beyond the configuration's limit.
-func headTooLarge(incoming *http.Request, limits *fleetwire.Limits) bool {
+// headerTooLarge reports whether the request target and header fields exceed the configured limit.
+func headerTooLarge(incoming *http.Request, limits *fleetwire.Limits) bool {
 	if limits.MaxHeaderBytes <= 0 {
 		return false
 	}
@@ -149,26 +149,26 @@
 	return size > limits.MaxHeaderBytes
 }
 
-// bodySlack is added to the time in which a client must have sent its body, for the way that it takes.
-const bodySlack = time.Second
+// bodyTransferMargin is added to the time limit for sending the body, to allow for network latency.
+const bodyTransferMargin = time.Second
 
-// readBody reads the client's body whole.
+// readBody reads the whole body of a client's request. If it fails, ok is false and kind is the error response to send.
 func readBody(w http.ResponseWriter, incoming *http.Request, limits *fleetwire.Limits) (body []byte, kind ErrorKind, ok bool) {
 	if incoming.ContentLength == 0 {
 		return nil, 0, true
 	}
-	largest := limits.MaxBodyBytes
-	if largest > 0 && incoming.ContentLength > largest {
+	maxBytes := limits.MaxBodyBytes
+	if maxBytes > 0 && incoming.ContentLength > maxBytes {
 		return nil, ErrorBodyTooLarge, false
 	}
 	controller := http.NewResponseController(w)
 	if limits.HeaderTimeoutMs > 0 {
-		allowed := time.Duration(limits.HeaderTimeoutMs)*time.Millisecond + bodySlack
-		_ = controller.SetReadDeadline(time.Now().Add(allowed))
-		// The connection is watched for the client's leaving from here on, which must not end at the deadline.
+		timeout := time.Duration(limits.HeaderTimeoutMs)*time.Millisecond + bodyTransferMargin
+		_ = controller.SetReadDeadline(time.Now().Add(timeout))
+		// From here on net/http reads the connection to detect that the client closes it. The read deadline must not end that.
 		defer func() { _ = controller.SetReadDeadline(time.Time{}) }()
 	}
-	body, err := readWhole(incoming, largest)
+	body, err := readLimited(incoming, maxBytes)
 	switch {
 	case err == nil:
 		return body, 0, true
@@ -181,19 +181,19 @@
 	}
 }
 
-var errBodyTooLarge = errors.New("body beyond the limit")
+var errBodyTooLarge = errors.New("request body exceeds the configured limit")
 
-func readWhole(incoming *http.Request, largest int64) ([]byte, error) {
+func readLimited(incoming *http.Request, maxBytes int64) ([]byte, error) {
 	if incoming.ContentLength > 0 {
 		body := make([]byte, incoming.ContentLength)
 		_, err := io.ReadFull(incoming.Body, body)
 		return body, err
 	}
-	if largest <= 0 {
+	if maxBytes <= 0 {
 		return io.ReadAll(incoming.Body)
 	}
-	body, err := io.ReadAll(io.LimitReader(incoming.Body, largest+1))
-	if err == nil && int64(len(body)) > largest {
+	body, err := io.ReadAll(io.LimitReader(incoming.Body, maxBytes+1))
+	if err == nil && int64(len(body)) > maxBytes {
 		err = errBodyTooLarge
 	}
 	return body, err
--- a/internal/router/ingress_test.go
+++ b/internal/router/ingress_test.go
@@ -34,12 +34,12 @@
 	for path, want := range map[string]string{
 		"/": "/", "/a": "/", "/ab/": "/", "/a/": "/a/", "/a/b": "/a/", "/a/b/": "/a/b/", "/a/b/c/d": "/a/b/", "/a/bc/": "/a/",
 	} {
-		found := made.find("a.EXAMPLE:80", path)
+		found := made.findRoute("a.EXAMPLE:80", path)
 		require.NotNil(t, found, path)
 		require.Equal(t, want, found.PathPrefix, path)
 	}
-	require.Nil(t, made.find("b.example", "/a/"))
-	require.Nil(t, viewOf(t, "/a/").find("a.example", "/a"))
+	require.Nil(t, made.findRoute("b.example", "/a/"))
+	require.Nil(t, viewOf(t, "/a/").findRoute("a.example", "/a"))
 }
 
 func TestRouteIsTheLongestPrefixThatBeginsThePath(t *testing.T) {
@@ -64,7 +64,7 @@
 			}
 		}
 		got := ""
-		if found := viewOf(t, list...).find("a.example", path); found != nil {
+		if found := viewOf(t, list...).findRoute("a.example", path); found != nil {
 			got = found.PathPrefix
 		}
 		require.Equal(t, want, got, path)
@@ -76,14 +76,14 @@
 	split := &fleetwire.Route{Split: []fleetwire.WeightedService{{Service: "off"}, {Service: "a", Weight: 9}, {Service: "b", Weight: 1}}}
 	counts := map[string]int{}
 	for range 2000 {
-		counts[made.service(split, "").Name]++
+		counts[made.pickService(split, "").Name]++
 	}
 	require.Zero(t, counts["off"])
 	require.InDelta(t, 200, counts["b"], 100)
 	split.Sticky = true
 	for i := range 100 {
 		session := itoa(i)
-		require.Same(t, made.service(split, session), made.service(split, session))
+		require.Same(t, made.pickService(split, session), made.pickService(split, session))
 	}
 }
 
@@ -120,7 +120,7 @@
 	require.True(t, fresh.Ready())
 	fresh.Update(&watch.Snapshot{Version: fleetwire.Version{ConfigRevision: 1, Instances: fleetwire.ListVersion{Token: 9}}, Config: f.config})
 	require.Same(t, newer, fresh.view.Load().snapshot, "a router never goes back")
-	fresh.stop(time.Now())
+	fresh.beginShutdown(time.Now())
 	require.False(t, fresh.Ready())
 }
 
--- a/internal/router/kinds.go
+++ b/internal/router/kinds.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// ErrorKind is a reason for an answer of the router's own.
+// ErrorKind is the reason for an error response that the router generates itself.
 type ErrorKind uint8
 
-// The closed list of kinds.
+// All kinds of error responses.
 const (
-	ErrorNoConfiguration ErrorKind = iota // nothing is known of routes yet
-	ErrorNoRoute                          // no route of the configuration is for the request
-	ErrorHeaderTooLarge                   // the head is beyond MaxHeaderBytes
-	ErrorBodyTooLarge                     // the body is beyond MaxBodyBytes
-	ErrorBodyTimedOut                     // the body did not come within HeaderTimeoutMs
-	ErrorBodyMalformed                    // the body is not well formed
-	ErrorNoWorker                         // no worker can take it now; it has not run and never will
-	ErrorWorkerFailed                     // the worker's answer broke; it may have run
-	ErrorTimedOut                         // no answer came in time; it may have run
-	ErrorDraining                         // this process ends before the request might; it has not run and never will
-	ErrorAborted                          // this process ends; the request may have run
+	ErrorNoConfiguration ErrorKind = iota // no configuration has been received yet
+	ErrorNoRoute                          // no route matches the request
+	ErrorHeaderTooLarge                   // the header exceeds MaxHeaderBytes
+	ErrorBodyTooLarge                     // the body exceeds MaxBodyBytes
+	ErrorBodyTimedOut                     // the body was not received within HeaderTimeoutMs plus bodyTransferMargin
+	ErrorBodyMalformed                    // the body is malformed
+	ErrorNoWorker                         // no worker can accept the request now; it has not run and will not run
+	ErrorWorkerFailed                     // the worker failed or its response broke off; the request may have run
+	ErrorTimedOut                         // there was no response before the deadline; the request may have run
+	ErrorDraining                         // the router shuts down and may exit before the request ends; it has not run and will not run
+	ErrorAborted                          // the router aborted the request at shutdown; the request may have run
 	errorKindCount
 )
 
-// answerOf is what the client is told for each kind.
-var answerOf = [errorKindCount]struct {
+// errorResponses defines the response for each kind.
+var errorResponses = [errorKindCount]struct {
 	status int
-	retry  bool // says Retry-After
-	close  bool // the connection can't be used any more
+	retry  bool // sends Retry-After
+	close  bool // closes the connection after the response
 }{
 	ErrorNoConfiguration: {status: http.StatusServiceUnavailable, retry: true},
 	ErrorNoRoute:         {status: http.StatusNotFound},
@@ -44,20 +44,20 @@
 	ErrorAborted:         {status: http.StatusBadGateway, close: true},
 }
 
-// writeKind answers the client at once.
-func writeKind(w http.ResponseWriter, requestID string, kind ErrorKind, retryAfter time.Duration) {
-	answer := answerOf[kind]
+// writeErrorResponse writes the whole error response of a kind. retryAfter is sent only for kinds with Retry-After.
+func writeErrorResponse(w http.ResponseWriter, requestID string, kind ErrorKind, retryAfter time.Duration) {
+	response := errorResponses[kind]
 	header := w.Header()
 	header["Date"] = nil
 	header.Set("Content-Length", "0")
 	if requestID != "" {
 		header.Set(headerRequestID, requestID)
 	}
-	if answer.retry {
+	if response.retry {
 		header.Set(headerRetryAfter, strconv.FormatFloat(max(0, retryAfter.Seconds()), 'f', -1, 64))
 	}
-	if answer.close {
+	if response.close {
 		header.Set("Connection", "close")
 	}
-	w.WriteHeader(answer.status)
+	w.WriteHeader(response.status)
 }
--- a/internal/router/observations.go
+++ b/internal/router/observations.go
@@ -12,42 +12,43 @@
 )
 
 const (
-	// observationSpan is how long the latest try at a worker counts.
+	// observationSpan is how long the latest attempt at a worker counts.
 	observationSpan = 6 * time.Second
-	// observationPace is how often the same is said again of a worker.
-	observationPace = 500 * time.Millisecond
-	// mostObservations bounds what is said at once; the rest is said with the next poll.
-	mostObservations = 64
-	// distrustPace is how often a worker that stays in doubt is distrusted anew.
-	distrustPace  = 4 * time.Second
-	mostWorkers   = 4096
-	everyoneElse  = "others" // stands for the routers whose complaints the controllers pass on
-	routersAtMost = 2
+	// observationInterval is the minimum time before the same observation of a worker is reported again.
+	observationInterval = 500 * time.Millisecond
+	// maxObservationsPerPoll limits the observations in one poll. The rest is reported only after a new attempt at the worker.
+	maxObservationsPerPoll = 64
+	// suspectInterval is how often a worker that stays under suspicion is passed to Options.OnSuspects again.
+	suspectInterval = 4 * time.Second
+	maxWorkers      = 4096
+	otherRouters    = "others" // stands for all routers whose reports the controllers forward
+	maxReporters    = 2
 )
 
-// observations keeps what this router saw last of each worker. Complaints are told to the controllers through the agent, and so
-// is what went well at workers that others complain of. What comes back is whom enough routers complain of.
+// observations holds the latest outcome at each worker. The router reports failures to the controllers through the agent, and
+// successes only at workers that other routers have reported as failing. In return the controllers name the workers that enough
+// routers have reported. It is safe for concurrent use.
 type observations struct {
-	started time.Time
-	life    uint64
+	started     time.Time
+	incarnation uint64
 
-	mutex      sync.Mutex
-	book       *evidence.Book
-	heard      uint64
-	distrusted map[string]time.Duration // when each worker was distrusted last
+	mutex         sync.Mutex
+	book          *evidence.Book
+	doubtSequence uint64
+	suspectedAt   map[string]time.Duration // when each suspected worker was last passed to Options.OnSuspects
 }
 
 func newObservations() *observations {
 	book, _ := evidence.NewBook(evidence.Config{
-		Members: routersAtMost, Workers: mostWorkers, Span: observationSpan, Every: observationPace, Latest: 1, Bad: 1, Most: 1,
+		Members: maxReporters, Workers: maxWorkers, Span: observationSpan, Every: observationInterval, Latest: 1, Bad: 1, Most: 1,
 	}, "", "", 0)
-	return &observations{started: time.Now(), life: rand.Uint64(), book: book, distrusted: map[string]time.Duration{}}
+	return &observations{started: time.Now(), incarnation: rand.Uint64(), book: book, suspectedAt: map[string]time.Duration{}}
 }
 
-// saw notes how a push ended.
-func (o *observations) saw(worker string, result placement.Result) {
-	kind, tells := kindOf(result)
-	if !tells {
+// record records the result of a push to a worker.
+func (o *observations) record(worker string, result placement.Result) {
+	kind, relevant := evidenceKind(result)
+	if !relevant {
 		return
 	}
 	o.mutex.Lock()
@@ -55,8 +56,8 @@
 	o.book.Saw(time.Since(o.started), worker, kind)
 }
 
-// kindOf is what a result says of the worker, if it says anything.
-func kindOf(result placement.Result) (evidence.Kind, bool) {
+// evidenceKind returns what a result shows about the worker. It returns false if it shows nothing.
+func evidenceKind(result placement.Result) (evidence.Kind, bool) {
 	switch result {
 	case placement.ResultServed:
 		return evidence.Fine, true
@@ -71,54 +72,54 @@
 	}
 }
 
-// hint adds to a poll what is to be said now.
-func (o *observations) hint(request *fleetwire.WatchRequest) {
+// addTo adds the observations that are due to a poll of the agent.
+func (o *observations) addTo(request *fleetwire.WatchRequest) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	due := o.book.Due(time.Since(o.started))
-	for _, report := range due[:min(len(due), mostObservations)] {
+	reports := o.book.Due(time.Since(o.started))
+	for _, report := range reports[:min(len(reports), maxObservationsPerPoll)] {
 		request.Observations = append(request.Observations, fleetwire.Observation{
 			Worker:   report.Worker,
 			Kind:     int(report.Kind),
 			AgeMs:    report.Age.Milliseconds(),
-			Life:     o.life,
+			Life:     o.incarnation,
 			Sequence: report.Seq,
 		})
 	}
 }
 
-// doubted takes what the controllers say and returns the workers to be distrusted now.
-func (o *observations) doubted(doubts []fleetwire.Doubt) []string {
+// newSuspects processes the controllers' doubts. It returns the workers to pass to Options.OnSuspects now.
+func (o *observations) newSuspects(doubts []fleetwire.Doubt) []string {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	now := time.Since(o.started)
-	avoided := make(map[string]bool, len(doubts))
-	var fresh []string
+	suspected := make(map[string]bool, len(doubts))
+	var suspects []string
 	for _, doubt := range doubts {
-		o.heard++
-		o.book.Take(now, evidence.Report{From: everyoneElse, Worker: doubt.Worker, Seq: o.heard, Kind: evidence.Failed})
+		o.doubtSequence++
+		o.book.Take(now, evidence.Report{From: otherRouters, Worker: doubt.Worker, Seq: o.doubtSequence, Kind: evidence.Failed})
 		if !doubt.Avoid {
 			continue
 		}
-		avoided[doubt.Worker] = true
-		if last, known := o.distrusted[doubt.Worker]; !known || now-last >= distrustPace {
-			o.distrusted[doubt.Worker] = now
-			fresh = append(fresh, doubt.Worker)
+		suspected[doubt.Worker] = true
+		if last, known := o.suspectedAt[doubt.Worker]; !known || now-last >= suspectInterval {
+			o.suspectedAt[doubt.Worker] = now
+			suspects = append(suspects, doubt.Worker)
 		}
 	}
-	for worker := range o.distrusted {
-		if !avoided[worker] {
-			delete(o.distrusted, worker)
+	for worker := range o.suspectedAt {
+		if !suspected[worker] {
+			delete(o.suspectedAt, worker)
 		}
 	}
-	return fresh
+	return suspects
 }
 
-// observed notes how a push ends.
-func (q *request) observed(push placement.Push) placement.Push {
+// recordResults returns a push that also records the result of push.
+func (q *request) recordResults(push placement.Push) placement.Push {
 	return func(ctx context.Context, target fleetwire.Instance, ready func() bool) placement.Result {
 		result := push(ctx, target, ready)
-		q.router.observations.saw(target.ID, result)
+		q.router.observations.record(target.ID, result)
 		return result
 	}
 }
--- a/internal/router/observations_test.go
+++ b/internal/router/observations_test.go
@@ -16,7 +16,7 @@
 // said returns what the next poll says.
 func said(o *observations) map[string]evidence.Kind {
 	var request fleetwire.WatchRequest
-	o.hint(&request)
+	o.addTo(&request)
 	kinds := map[string]evidence.Kind{}
 	for _, seen := range request.Observations {
 		kinds[seen.Worker] = evidence.Kind(seen.Kind)
@@ -27,18 +27,18 @@
 func TestComplaintsAreSaidAndPraiseOnlyWhereOthersComplain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newObservations()
-		o.saw("fails", placement.ResultFailed)
-		o.saw("breaks", placement.ResultBroken)
-		o.saw("hangs", placement.ResultTimedOut)
-		o.saw("gone", placement.ResultConnectFailed)
-		o.saw("full", placement.ResultNotExecuted)
-		o.saw("left", placement.ResultCancelled)
-		o.saw("serves", placement.ResultServed)
+		o.record("fails", placement.ResultFailed)
+		o.record("breaks", placement.ResultBroken)
+		o.record("hangs", placement.ResultTimedOut)
+		o.record("gone", placement.ResultConnectFailed)
+		o.record("full", placement.ResultNotExecuted)
+		o.record("left", placement.ResultCancelled)
+		o.record("serves", placement.ResultServed)
 		require.Equal(t, map[string]evidence.Kind{
 			"fails": evidence.Failed, "breaks": evidence.Failed, "hangs": evidence.Late, "gone": evidence.Lost,
 		}, said(o))
 		require.Empty(t, said(o), "nothing is new")
-		require.Empty(t, o.doubted([]fleetwire.Doubt{{Worker: "serves"}}))
+		require.Empty(t, o.newSuspects([]fleetwire.Doubt{{Worker: "serves"}}))
 		require.Equal(t, map[string]evidence.Kind{"serves": evidence.Fine}, said(o))
 		time.Sleep(observationSpan)
 		require.Empty(t, said(o))
@@ -49,21 +49,21 @@
 	synctest.Test(t, func(t *testing.T) {
 		o := newObservations()
 		doubts := []fleetwire.Doubt{{Worker: "a", Avoid: true}, {Worker: "b"}}
-		require.Equal(t, []string{"a"}, o.doubted(doubts))
-		require.Empty(t, o.doubted(doubts))
-		time.Sleep(distrustPace)
-		require.Equal(t, []string{"a"}, o.doubted(doubts))
-		require.Empty(t, o.doubted(nil))
-		require.Equal(t, []string{"a"}, o.doubted(doubts), "it is in doubt once more")
+		require.Equal(t, []string{"a"}, o.newSuspects(doubts))
+		require.Empty(t, o.newSuspects(doubts))
+		time.Sleep(suspectInterval)
+		require.Equal(t, []string{"a"}, o.newSuspects(doubts))
+		require.Empty(t, o.newSuspects(nil))
+		require.Equal(t, []string{"a"}, o.newSuspects(doubts), "it is in doubt once more")
 	})
 }
 
 func TestWhatIsSaidAtOnceIsBounded(t *testing.T) {
 	o := newObservations()
-	for i := range 3 * mostObservations {
-		o.saw(itoa(i), placement.ResultFailed)
+	for i := range 3 * maxObservationsPerPoll {
+		o.record(itoa(i), placement.ResultFailed)
 	}
-	require.Len(t, said(o), mostObservations)
+	require.Len(t, said(o), maxObservationsPerPoll)
 }
 
 func TestEachPushIsObserved(t *testing.T) {
@@ -109,6 +109,6 @@
 		{aim: time.Second, waited: 2 * time.Second, counts: false},
 		{aim: time.Second, waited: 4 * time.Second, counts: true},
 	} {
-		require.Equal(t, test.counts, leftWaiting(test.aim, test.waited), "%+v", test)
+		require.Equal(t, test.counts, gaveUpWaiting(test.aim, test.waited), "%+v", test)
 	}
 }
--- a/internal/router/reply.go
+++ b/internal/router/reply.go
@@ -8,109 +8,110 @@
 	"weldscale/internal/placement"
 )
 
-// reply is what the client has got so far.
-type reply struct {
-	writer     http.ResponseWriter
-	controller *http.ResponseController
-	begun      bool   // the head has been written
-	complete   bool   // the whole answer has been written
-	failed     bool   // the client can't be written to
-	lastID     string // of the last event that was passed on whole
-	events     int    // passed on
+// clientResponse is the response to the client, as far as it has been written.
+type clientResponse struct {
+	writer      http.ResponseWriter
+	controller  *http.ResponseController
+	headWritten bool   // the status and header have been written
+	complete    bool   // the whole response has been written
+	writeFailed bool   // a write to the client failed
+	lastID      string // ID of the last whole event that was relayed
+	eventCount  int    // number of relayed events
 
-	failure *failure // a worker's own failure, kept in case that nothing better comes
+	workerFailure *workerFailure // a worker's error response, relayed if no other attempt succeeds
 }
 
-// failure is a worker's answer that tells of a failure of its own.
-type failure struct {
+// workerFailure is an error response of a worker.
+type workerFailure struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-func (p *reply) started() bool { return p.begun }
+func (c *clientResponse) started() bool { return c.headWritten }
 
-// lastEventID names the event to go on after, empty if none was passed on.
-func (p *reply) lastEventID() string { return p.lastID }
+// lastEventID returns the ID of the event after which to resume the stream. It is empty if no event with an ID was relayed.
+func (c *clientResponse) lastEventID() string { return c.lastID }
 
-// begin writes a worker's head.
-func (p *reply) begin(response *http.Response, keepLength bool) {
-	returnedHeader(p.writer.Header(), response.Header)
+// writeHead writes the status and header of a worker's response, without its Content-Length unless keepLength is set.
+func (c *clientResponse) writeHead(response *http.Response, keepLength bool) {
+	copyResponseHeader(c.writer.Header(), response.Header)
 	if !keepLength {
-		p.writer.Header().Del("Content-Length")
+		c.writer.Header().Del("Content-Length")
 	}
-	p.writer.WriteHeader(response.StatusCode)
-	p.begun = true
+	c.writer.WriteHeader(response.StatusCode)
+	c.headWritten = true
 }
 
-func (p *reply) write(data []byte) {
-	if p.failed || len(data) == 0 {
+func (c *clientResponse) write(data []byte) {
+	if c.writeFailed || len(data) == 0 {
 		return
 	}
-	if _, err := p.writer.Write(data); err != nil {
-		p.failed = true
+	if _, err := c.writer.Write(data); err != nil {
+		c.writeFailed = true
 	}
 }
 
-func (p *reply) flush() {
-	if p.failed {
+func (c *clientResponse) flush() {
+	if c.writeFailed {
 		return
 	}
-	if p.controller.Flush() != nil {
-		p.failed = true
+	if c.controller.Flush() != nil {
+		c.writeFailed = true
 	}
 }
 
-// whole writes an answer that is there whole.
-func (p *reply) whole(response *http.Response, body []byte) {
-	p.begin(response, true)
-	p.write(body)
-	p.complete = true
+// writeWhole writes a response whose whole body is known.
+func (c *clientResponse) writeWhole(response *http.Response, body []byte) {
+	c.writeHead(response, true)
+	c.write(body)
+	c.complete = true
 }
 
-// keepFailure keeps a worker's failure. Those whose status is a promise that it did not give are not kept.
-func (p *reply) keepFailure(response *http.Response, body []byte) {
-	p.failure = nil
+// saveFailure saves a worker's error response to relay it later. It saves none with a status that tells a client that the
+// request has not run, because the worker has not guaranteed that.
+func (c *clientResponse) saveFailure(response *http.Response, body []byte) {
+	c.workerFailure = nil
 	switch response.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout:
 		return
 	}
-	p.failure = &failure{status: response.StatusCode, header: response.Header, body: append([]byte(nil), body...)}
+	c.workerFailure = &workerFailure{status: response.StatusCode, header: response.Header, body: append([]byte(nil), body...)}
 }
 
-// finish gives the client its final answer, if it has none. It panics with http.ErrAbortHandler where the answer must
-// not look complete.
+// finish writes the final response if the client has none yet. It panics with http.ErrAbortHandler if the response must not
+// look complete.
 func (q *request) finish(verdict placement.Verdict) {
 	switch {
-	case q.reply.complete:
-	case q.reply.started(), q.clientGone():
-		q.noteCut()
+	case q.clientResponse.complete:
+	case q.clientResponse.started(), q.clientGone():
+		q.logAbort()
 		panic(http.ErrAbortHandler)
 	case !q.mayHaveRun:
-		q.answer(ErrorNoWorker, verdict.RetryAfter)
-	case q.reply.failure != nil:
-		q.passFailure(q.reply.failure)
-	case q.timedOut, time.Until(q.giveUpAt) <= 0:
-		q.answer(ErrorTimedOut, 0)
-	case q.router.inHand.hasEnded():
-		q.answer(ErrorAborted, 0)
+		q.respondError(ErrorNoWorker, verdict.RetryAfter)
+	case q.clientResponse.workerFailure != nil:
+		q.relayFailure(q.clientResponse.workerFailure)
+	case q.timedOut, time.Until(q.deadline) <= 0:
+		q.respondError(ErrorTimedOut, 0)
+	case q.router.inFlight.isStopped():
+		q.respondError(ErrorAborted, 0)
 	case q.repeatable() && verdict.Decision == placement.DecisionRefused:
-		q.answer(ErrorNoWorker, verdict.RetryAfter)
+		q.respondError(ErrorNoWorker, verdict.RetryAfter)
 	default:
-		q.answer(ErrorWorkerFailed, 0)
+		q.respondError(ErrorWorkerFailed, 0)
 	}
 }
 
-func (q *request) answer(kind ErrorKind, retryAfter time.Duration) {
+func (q *request) respondError(kind ErrorKind, retryAfter time.Duration) {
 	if retryAfter <= 0 {
 		retryAfter = q.router.options.RetryAfter
 	}
-	writeKind(q.reply.writer, q.id, kind, retryAfter)
+	writeErrorResponse(q.clientResponse.writer, q.id, kind, retryAfter)
 }
 
-func (q *request) passFailure(kept *failure) {
-	returnedHeader(q.reply.writer.Header(), kept.header)
-	q.reply.writer.Header().Set("Content-Length", strconv.Itoa(len(kept.body)))
-	q.reply.writer.WriteHeader(kept.status)
-	q.reply.write(kept.body)
+func (q *request) relayFailure(failure *workerFailure) {
+	copyResponseHeader(q.clientResponse.writer.Header(), failure.header)
+	q.clientResponse.writer.Header().Set("Content-Length", strconv.Itoa(len(failure.body)))
+	q.clientResponse.writer.WriteHeader(failure.status)
+	q.clientResponse.write(failure.body)
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,6 +1,5 @@
-// Package router is the data plane of the fleet: it takes clients' requests, finds their route in the current snapshot,
-// lets package placement choose workers, forwards the requests to them and returns their answers. It owns the HTTP side
-// of all that; it never chooses a worker and never decides whether a request may be sent again.
+// Package router is the HTTP data plane of the fleet. It finds the route of each client request in the current snapshot and
+// relays the request and its response. Package placement chooses the worker and decides whether a request may be sent again.
 package router
 
 import (
@@ -20,45 +19,45 @@
 	"weldscale/internal/router/upstream"
 )
 
-// Placer chooses workers. *placement.Placer is one.
+// Placer chooses workers for jobs. *placement.Placer implements it.
 type Placer interface {
 	Update(snapshot *watch.Snapshot)
 	Place(ctx context.Context, job placement.Job, push placement.Push) placement.Verdict
 }
 
-// Options set up a Router.
+// Options configure a Router.
 type Options struct {
 	Placer Placer
 	Pool   *upstream.Pool
 	Log    *zap.Logger
-	// OnSuspects is told of workers that enough other routers complain of. Nil: nobody is.
+	// OnSuspects is called with the workers that enough other routers have reported as failing. It may be nil.
 	OnSuspects func(workers []string)
-	// OnLoadReport is told of the load that a worker states with an answer. Nil: nobody is.
+	// OnLoadReport is called with the load that a worker reports in a response. It may be nil.
 	OnLoadReport func(target *fleetwire.Instance, load placement.Load)
-	// RetryAfter is what a refusal says when nothing better is known; 0: defaultRetryAfter.
+	// RetryAfter is the Retry-After of a refusal for which placement gives none. 0 means defaultRetryAfter.
 	RetryAfter time.Duration
 }
 
-// defaultRetryAfter is short: clients honour it only up to a third of the time they have left.
+// defaultRetryAfter is short because clients honor Retry-After only up to a third of their remaining time.
 const defaultRetryAfter = 250 * time.Millisecond
 
-// Router serves clients. It is an http.Handler.
+// Router forwards client requests to workers. It implements http.Handler.
 type Router struct {
-	options  Options
-	view     atomic.Pointer[view]
-	finishAt atomic.Pointer[time.Time] // when requests in hand are ended; nil: the router was not told to end
-
-	conns        *clientConns
-	observations *observations
-	inHand       *requestsInHand
-	cutLines     linePace
-	// refusedLeaving counts the requests that were refused because the process would have ended under them.
-	refusedLeaving atomic.Int64
-	started        chan struct{} // closed once there are a configuration and a list
-	starting       sync.Once
+	options Options
+	view    atomic.Pointer[view]
+	abortAt atomic.Pointer[time.Time] // when in-flight requests are aborted; nil: not shutting down
+
+	conns           *clientConns
+	observations    *observations
+	inFlight        *inFlightRequests
+	abortLogLimiter logLimiter
+	// refusedDraining counts the requests that were refused because the process might have exited before their end.
+	refusedDraining atomic.Int64
+	started         chan struct{} // closed once a configuration and an instance list are known
+	startOnce       sync.Once
 }
 
-// New returns a router that is not ready until Update gives it a first snapshot.
+// New returns a router that is not ready until Update receives a snapshot with a configuration and an instance list.
 func New(options Options) *Router {
 	if options.Log == nil {
 		options.Log = zap.NewNop()
@@ -71,11 +70,12 @@
 		started:      make(chan struct{}),
 		observations: newObservations(),
 		conns:        newClientConns(),
-		inHand:       newRequestsInHand(),
+		inFlight:     newInFlightRequests(),
 	}
 }
 
-// Update puts a newer snapshot into force. It is called by one goroutine.
+// Update applies a newer snapshot. It ignores a snapshot without a configuration or with an older one. Only one goroutine may
+// call it.
 func (r *Router) Update(snapshot *watch.Snapshot) {
 	if snapshot == nil || snapshot.Config == nil {
 		return
@@ -90,19 +90,20 @@
 	}
 	r.options.Placer.Update(snapshot)
 	r.view.Store(next)
-	if next.hasList() {
-		r.starting.Do(func() { close(r.started) })
+	if next.hasInstanceList() {
+		r.startOnce.Do(func() { close(r.started) })
 	}
 }
 
-// awaitStart holds a request that came before the first configuration and list, which a restarted router has in a moment.
+// awaitStart waits up to maxStartWait for the first configuration and instance list, which a restarted router receives within
+// a moment. It returns the current view, which is nil if there is none yet.
 func (r *Router) awaitStart(ctx context.Context) *view {
 	select {
 	case <-r.started:
 		return r.view.Load()
 	default:
 	}
-	timer := time.NewTimer(startPatience)
+	timer := time.NewTimer(maxStartWait)
 	defer timer.Stop()
 	select {
 	case <-r.started:
@@ -112,16 +113,16 @@
 	return r.view.Load()
 }
 
-// startPatience is below the second after which a client gives up a request that has not been read.
-const startPatience = 800 * time.Millisecond
+// maxStartWait is less than the second after which a client gives up on a request that has not been read.
+const maxStartWait = 800 * time.Millisecond
 
-// Ready reports whether new clients are welcome.
+// Ready reports whether the router accepts new clients.
 func (r *Router) Ready() bool {
 	current := r.view.Load()
-	return !r.stopping() && current != nil && current.hasList()
+	return !r.shuttingDown() && current != nil && current.hasInstanceList()
 }
 
-// ReadinessHandler answers the platform's probes.
+// ReadinessHandler returns the handler of the platform's readiness probes: 200 if the router is ready, otherwise 503.
 func (r *Router) ReadinessHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		status := http.StatusOK
@@ -133,8 +134,8 @@
 	})
 }
 
-// sweep closes connections to workers that are gone.
-func (r *Router) sweep() {
+// sweepPool closes dead and expired idle worker connections and those to workers that are no longer listed.
+func (r *Router) sweepPool() {
 	current := r.view.Load()
 	if current == nil {
 		return
@@ -142,5 +143,5 @@
 	r.options.Pool.Sweep(func(address string) bool { return current.addresses[address] })
 }
 
-// quietNetHTTP drops the lines that net/http writes about each connection that misbehaves.
-func quietNetHTTP() { log.SetOutput(io.Discard) }
+// discardNetHTTPLog discards the standard log, in which net/http writes a line for each faulty connection.
+func discardNetHTTPLog() { log.SetOutput(io.Discard) }
--- a/internal/router/routes.go
+++ b/internal/router/routes.go
@@ -12,27 +12,28 @@
 	"weldscale/internal/route"
 )
 
-// view is what requests are handled by: one snapshot and what is derived from it. It is immutable.
+// view is one snapshot with the lookup tables derived from it. Each request is handled with one view. It is immutable.
 type view struct {
-	snapshot  *watch.Snapshot
-	table     *route.Table
-	services  map[string]*fleetwire.Service
-	addresses map[string]bool          // of all listed workers
-	prefill   map[string]bool          // services with a ready prefill worker
-	ready     map[string]readyInstance // by address
+	snapshot   *watch.Snapshot
+	table      *route.Table
+	services   map[string]*fleetwire.Service
+	addresses  map[string]bool          // addresses of all listed workers
+	hasPrefill map[string]bool          // services with a ready prefill worker
+	ready      map[string]readyInstance // by address
 }
 
-// readyInstance is a worker that may be called for clean-up.
+// readyInstance is a ready worker that may be asked to free a KV cache.
 type readyInstance struct{ id string }
 
-// newView derives a view. The routing table of the previous one is kept while the configuration is the same.
+// newView derives a view from a snapshot. It reuses the routing table of the previous view if the configuration is the same.
+// It returns the faults of the routes that were left out.
 func newView(previous *view, snapshot *watch.Snapshot) (*view, []error) {
 	next := &view{snapshot: snapshot}
 	var faults []error
 	if previous != nil && previous.snapshot.Config == snapshot.Config {
 		next.table, next.services = previous.table, previous.services
 	} else {
-		next.table, faults = newTable(snapshot.Config.Routes)
+		next.table, faults = newRouteTable(snapshot.Config.Routes)
 		next.services = make(map[string]*fleetwire.Service, len(snapshot.Config.Services))
 		for i := range snapshot.Config.Services {
 			service := &snapshot.Config.Services[i]
@@ -46,7 +47,7 @@
 func (v *view) indexInstances(instances []fleetwire.Instance) {
 	v.addresses = make(map[string]bool, len(instances))
 	v.ready = make(map[string]readyInstance, len(instances))
-	v.prefill = map[string]bool{}
+	v.hasPrefill = map[string]bool{}
 	for i := range instances {
 		instance := &instances[i]
 		v.addresses[instance.Address] = true
@@ -55,13 +56,13 @@
 		}
 		v.ready[instance.Address] = readyInstance{id: instance.ID}
 		if instance.Stage == fleetwire.StagePrefill {
-			v.prefill[instance.Service] = true
+			v.hasPrefill[instance.Service] = true
 		}
 	}
 }
 
-// newTable makes the routing table. Its services are the positions of the routes in the configuration.
-func newTable(routes []fleetwire.Route) (*route.Table, []error) {
+// newRouteTable builds the routing table. Each rule's service is the index of its route in the configuration.
+func newRouteTable(routes []fleetwire.Route) (*route.Table, []error) {
 	rules := make([]route.Rule, len(routes))
 	for i := range routes {
 		rules[i] = route.Rule{
@@ -74,14 +75,15 @@
 	return route.New(rules)
 }
 
-// find returns the route of a request, or nil.
-func (v *view) find(host, path string) *fleetwire.Route {
-	// A prefix ends with a slash, so it can only begin the path up to its last slash; the table takes "/a" for "/a/".
-	whole := path[:strings.LastIndexByte(path, '/')+1]
-	if whole == "" {
+// findRoute returns the route for a request's host and path, or nil.
+func (v *view) findRoute(host, path string) *fleetwire.Route {
+	// A route's prefix ends with a slash, so only the path up to its last slash can match. The rest must be cut off, because
+	// the table matches "/a" with the prefix "/a/".
+	directory := path[:strings.LastIndexByte(path, '/')+1]
+	if directory == "" {
 		return nil
 	}
-	position, miss := v.table.Match(route.Request{Host: host, Path: whole})
+	position, miss := v.table.Match(route.Request{Host: host, Path: directory})
 	if miss != route.Matched {
 		return nil
 	}
@@ -92,8 +94,9 @@
 	return &v.snapshot.Config.Routes[index]
 }
 
-// service draws the service of a request by the route's weights. A sticky route draws alike for one session.
-func (v *view) service(chosen *fleetwire.Route, session string) *fleetwire.Service {
+// pickService picks the service of a request at random by the route's weights. A sticky route picks the same service for all
+// requests of a session. It returns nil if no service of several has a positive weight or the service is not configured.
+func (v *view) pickService(chosen *fleetwire.Route, session string) *fleetwire.Service {
 	if len(chosen.Split) == 1 {
 		return v.services[chosen.Split[0].Service]
 	}
@@ -106,7 +109,7 @@
 	}
 	var draw int64
 	if chosen.Sticky && session != "" {
-		draw = int64(hash(session) % uint64(total))
+		draw = int64(hashString(session) % uint64(total))
 	} else {
 		draw = rand.Int64N(total)
 	}
@@ -119,33 +122,33 @@
 	return nil
 }
 
-func hash(text string) uint64 {
+func hashString(text string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(text))
 	return sum.Sum64()
 }
 
-// connectionLimit is this router's share of the connections that a worker takes.
+// connectionLimit returns this router's share of the connections that a worker of the service accepts.
 func (v *view) connectionLimit(service *fleetwire.Service) int {
 	if service.MaxConnections <= 0 {
-		return unboundedConnections
+		return defaultConnectionLimit
 	}
-	return max(1, service.MaxConnections/v.routers()-probeConnections)
+	return max(1, service.MaxConnections/v.routerCount()-reservedProbeConnections)
 }
 
-// routers is the number of routers that share the workers.
-func (v *view) routers() int {
+// routerCount returns the number of routers that share the workers, or placement.AssumedRouters if it is unknown.
+func (v *view) routerCount() int {
 	if v.snapshot.Routers <= 0 {
 		return placement.AssumedRouters
 	}
 	return v.snapshot.Routers
 }
 
-// probeConnections are those that the probes of placement may hold to the same worker.
-const probeConnections = 2
+// reservedProbeConnections is the number of connections that the probes of placement may hold to the same worker.
+const reservedProbeConnections = 2
 
-// unboundedConnections stands for a service without a bound.
-const unboundedConnections = 256
+// defaultConnectionLimit applies to a service without a connection limit.
+const defaultConnectionLimit = 256
 
-// hasList reports whether the workers are known.
-func (v *view) hasList() bool { return v.snapshot.Version.Instances != fleetwire.ListVersion{} }
+// hasInstanceList reports whether the snapshot has an instance list.
+func (v *view) hasInstanceList() bool { return v.snapshot.Version.Instances != fleetwire.ListVersion{} }
--- a/internal/router/run.go
+++ b/internal/router/run.go
@@ -22,21 +22,21 @@
 )
 
 const (
-	// gcPercent keeps the heap near what is live: memory at its peak is priced above the collections.
+	// gcPercent keeps the heap close to its live size, because peak memory costs more than the extra collections.
 	gcPercent = 40
-	// agentMaxQuorumAge is the age beyond which an agent is not believed by a router that has no snapshot yet. It lies above
-	// the age at which an agent leaves a controller of its own.
+	// agentMaxQuorumAge is the quorum age above which a router without a snapshot rejects the data of its agent. It is higher
+	// than the age at which an agent switches to another controller.
 	agentMaxQuorumAge = 3 * time.Second
-	// maxHeaderBytes bounds what the server reads of a head; the configuration's limit lies below and is checked after.
-	maxHeaderBytes = 256 << 10
-	housekeeping   = 5 * time.Second
+	// maxHeaderBytes limits the header bytes that the server reads. The configured limit is lower and is checked later.
+	maxHeaderBytes    = 256 << 10
+	idleCheckInterval = 5 * time.Second
 )
 
-// Run runs a router until ctx is done, then lets it leave in order.
+// Run serves clients and readiness probes until ctx is done, then shuts the router down gracefully.
 func Run(ctx context.Context, current *settings.Settings, log *zap.Logger) error {
 	debug.SetGCPercent(gcPercent)
-	quietNetHTTP()
-	signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP) // it must not end the process; nothing here comes from the file
+	discardNetHTTPLog()
+	signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP) // SIGHUP must not end the process; a router reloads no settings
 	frontend, err := net.Listen("tcp", current.Listen.Frontend)
 	if err != nil {
 		return eris.Wrap(err, "listen for clients")
@@ -67,44 +67,46 @@
 	return router.run(ctx, current, frontend, readiness)
 }
 
-// run serves on the listeners and follows the agent until ctx is done.
+// run serves on both listeners and follows the agent until ctx is done, then shuts down. It returns an error if a server
+// fails.
 func (r *Router) run(ctx context.Context, current *settings.Settings, frontend, readiness net.Listener) error {
-	following, stopFollowing := context.WithCancel(context.Background())
+	followCtx, stopFollowing := context.WithCancel(context.Background())
 	defer stopFollowing()
-	go r.follow(following, current)
-	clients := r.clientServer()
-	probes := &http.Server{Handler: r.ReadinessHandler(), IdleTimeout: defaultIdleAllowed}
-	failed := make(chan error, 2)
-	go func() { failed <- clients.Serve(frontend) }()
-	go func() { failed <- probes.Serve(readiness) }()
-	go r.keepHouse(following)
+	go r.follow(followCtx, current)
+	clients := r.newClientServer()
+	probes := &http.Server{Handler: r.ReadinessHandler(), IdleTimeout: defaultIdleTimeout}
+	serveErrors := make(chan error, 2)
+	go func() { serveErrors <- clients.Serve(frontend) }()
+	go func() { serveErrors <- probes.Serve(readiness) }()
+	go r.closeIdleConns(followCtx)
 	r.options.Log.Info("router serves", zap.String("address", frontend.Addr().String()))
 	select {
-	case err := <-failed:
+	case err := <-serveErrors:
 		return eris.Wrap(err, "serve")
 	case <-ctx.Done():
 	}
-	r.leave(clients, probes, leaveTimes(current.Bounds.Grace()))
+	r.shutDown(clients, probes, newShutdownSchedule(current.Bounds.Grace()))
 	return nil
 }
 
-func (r *Router) clientServer() *http.Server {
+func (r *Router) newClientServer() *http.Server {
 	return &http.Server{Handler: r, MaxHeaderBytes: maxHeaderBytes, ConnContext: r.conns.attach, ConnState: r.conns.track}
 }
 
-// follow keeps this router up to date, and tells what it saw of workers.
+// follow applies the agent's snapshots to the router until ctx is done. Its polls carry the router's observations of workers,
+// and the answers name the suspected workers.
 func (r *Router) follow(ctx context.Context, current *settings.Settings) {
 	options := followerOptions(current, r.Update, r.options.Log)
-	options.Hint = r.observations.hint
+	options.Hint = r.observations.addTo
 	options.OnDoubts = func(doubts []fleetwire.Doubt) {
-		if distrusted := r.observations.doubted(doubts); len(distrusted) > 0 && r.options.OnSuspects != nil {
-			r.options.OnSuspects(distrusted)
+		if suspects := r.observations.newSuspects(doubts); len(suspects) > 0 && r.options.OnSuspects != nil {
+			r.options.OnSuspects(suspects)
 		}
 	}
 	watch.NewFollower(options).Run(ctx)
 }
 
-// Follow calls onChange with each new snapshot of the agent of this machine until ctx is done.
+// Follow calls onChange with each new snapshot from this machine's agent until ctx is done.
 func Follow(ctx context.Context, current *settings.Settings, onChange func(*watch.Snapshot), log *zap.Logger) {
 	watch.NewFollower(followerOptions(current, onChange, log)).Run(ctx)
 }
@@ -127,17 +129,17 @@
 	}
 }
 
-// keepHouse closes what nobody uses.
-func (r *Router) keepHouse(ctx context.Context) {
-	ticker := time.NewTicker(housekeeping)
+// closeIdleConns closes expired idle connections of clients and workers at every idleCheckInterval until ctx is done.
+func (r *Router) closeIdleConns(ctx context.Context) {
+	ticker := time.NewTicker(idleCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			r.conns.closeResting(r.idleAllowed())
-			r.sweep()
+			r.conns.closeIdle(r.clientIdleTimeout())
+			r.sweepPool()
 		}
 	}
 }
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -104,16 +104,16 @@
 			Services: []fleetwire.Service{{Name: "s"}},
 		},
 	})
-	e.clientsS = e.router.clientServer()
+	e.clientsS = e.router.newClientServer()
 	e.probesS = &http.Server{Handler: e.router.ReadinessHandler()}
 	go func() { _ = e.clientsS.Serve(e.clients) }()
 	go func() { _ = e.probesS.Serve(e.probes) }()
 	return e
 }
 
-func (e *ending) leave(times leaving) {
+func (e *ending) leave(times shutdownSchedule) {
 	go func() {
-		e.router.leave(e.clientsS, e.probesS, times)
+		e.router.shutDown(e.clientsS, e.probesS, times)
 		close(e.left)
 	}()
 	synctest.Wait()
@@ -127,7 +127,7 @@
 		go func() { running <- ask(e.clients.dial(), "/a/x") }()
 		synctest.Wait()
 		began := time.Now()
-		e.leave(leaveTimes(8 * time.Second))
+		e.leave(newShutdownSchedule(8 * time.Second))
 		require.Equal(t, http.StatusServiceUnavailable, ask(e.probes.dial(), "/ready").StatusCode, "not ready at once")
 		time.Sleep(2 * time.Second)
 		late := ask(e.clients.dial(), "/none/x") // served on: the platform needs two missed seconds
@@ -145,7 +145,7 @@
 func TestADrainTakesNothingThatTheEndOfTheProcessWouldCut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := startEnding(6 * time.Second)
-		e.leave(leaveTimes(8 * time.Second))
+		e.leave(newShutdownSchedule(8 * time.Second))
 		time.Sleep(2 * time.Second)
 		answer := ask(e.clients.dial(), "/a/x") // may last a minute
 		require.NotNil(t, answer, "the connection was closed without an answer")
@@ -158,10 +158,10 @@
 func TestTheTimetableOfLeavingLiesWithinAnyGrace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		grace := time.Duration(rapid.Int64Range(1, int64(time.Minute)).Draw(t, "grace"))
-		times := leaveTimes(grace)
-		require.LessOrEqual(t, times.drain, times.finish)
-		require.LessOrEqual(t, times.finish, times.end)
-		require.LessOrEqual(t, times.end, grace)
+		times := newShutdownSchedule(grace)
+		require.LessOrEqual(t, times.drain, times.abort)
+		require.LessOrEqual(t, times.abort, times.closeAll)
+		require.LessOrEqual(t, times.closeAll, grace)
 	})
 }
 
@@ -169,7 +169,7 @@
 func TestADrainTakesWhatIsOverInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := startEnding(time.Second)
-		e.leave(leaveTimes(8 * time.Second))
+		e.leave(newShutdownSchedule(8 * time.Second))
 		conn := e.clients.dial()
 		began := time.Now()
 		_, err := io.WriteString(conn, "GET /a/x HTTP/1.1\r\nHost: a.example\r\nRequest-Id: id\r\nDeadline-Ms: 2500\r\n\r\n")
@@ -190,7 +190,7 @@
 		go func() { last <- ask(e.clients.dial(), "/a/x") }()
 		synctest.Wait()
 		began := time.Now()
-		e.leave(leaveTimes(grace))
+		e.leave(newShutdownSchedule(grace))
 		answer := <-last
 		require.NotNil(t, answer, "the connection was closed without an answer")
 		require.Equal(t, http.StatusServiceUnavailable, answer.StatusCode, "no worker has seen it")
@@ -208,7 +208,7 @@
 		e.router.options.Log = zap.New(lines)
 		go func() { _ = ask(e.clients.dial(), "/a/x") }()
 		synctest.Wait()
-		e.leave(leaveTimes(8 * time.Second))
+		e.leave(newShutdownSchedule(8 * time.Second))
 		_ = ask(e.clients.dial(), "/a/x")
 		<-e.left
 		ended := observed.FilterMessage("request ended with the process").All()
@@ -243,7 +243,7 @@
 		require.NotNil(t, second, "the connection was closed without an answer")
 		require.Equal(t, http.StatusNotFound, second.StatusCode)
 		_ = conn.Close()
-		e.leave(leaveTimes(time.Second))
+		e.leave(newShutdownSchedule(time.Second))
 		<-e.left
 	})
 }
--- a/internal/router/start_test.go
+++ b/internal/router/start_test.go
@@ -53,6 +53,6 @@
 	service := &fleetwire.Service{MaxConnections: 630}
 	unknown := &view{snapshot: &watch.Snapshot{}}
 	known := &view{snapshot: &watch.Snapshot{Routers: 9}}
-	require.Equal(t, 630/placement.AssumedRouters-probeConnections, unknown.connectionLimit(service))
-	require.Equal(t, 630/9-probeConnections, known.connectionLimit(service))
+	require.Equal(t, 630/placement.AssumedRouters-reservedProbeConnections, unknown.connectionLimit(service))
+	require.Equal(t, 630/9-reservedProbeConnections, known.connectionLimit(service))
 }
--- a/internal/router/stream.go
+++ b/internal/router/stream.go
@@ -10,115 +10,115 @@
 	"weldscale/internal/placement"
 )
 
-// largestEvent bounds what is held of one event; what goes beyond is passed on as it is.
-const largestEvent = 256 << 10
+// maxEventBytes limits the buffered bytes of one event. Larger events are relayed in parts.
+const maxEventBytes = 256 << 10
 
-// returnStream passes a worker's events on, whole and at once. If the worker breaks off, the client keeps the whole events
-// that it has; a resumable stream goes on at another worker after the last of them, within the same answer.
-func (q *request) returnStream(ctx context.Context, received *answer) placement.Result {
-	if !presentable(received.response) {
+// relayStream relays a worker's events to the client, each one whole and without delay. If the worker breaks off, the client
+// has received only whole events, and a resumable stream continues at another worker after the last one, in the same response.
+func (q *request) relayStream(ctx context.Context, received *workerResponse) placement.Result {
+	if !isRelayable(received.response) {
 		received.discard()
-		return q.broken(ctx)
+		return q.brokenResult(ctx)
 	}
-	if q.handle != nil && q.handle.offered {
+	if q.handle != nil && q.handle.offeredNow {
 		q.handle.taken = true
 	}
 	buffer := copyBuffers.Get().(*[copyBufferBytes]byte)
 	defer copyBuffers.Put(buffer)
-	relay := eventRelay{request: q, answer: received, resumedAfter: q.reply.lastID}
+	relay := eventRelay{request: q, response: received, resumedAfter: q.clientResponse.lastID}
 	for {
 		size, err := received.response.Body.Read(buffer[:])
 		if size > 0 {
-			relay.pass(buffer[:size])
+			relay.feed(buffer[:size])
 		}
 		switch {
 		case errors.Is(err, io.EOF):
-			return relay.ended()
+			return relay.finish()
 		case err != nil:
-			return relay.cut(ctx)
-		case q.reply.failed:
+			return relay.breakOff(ctx)
+		case q.clientResponse.writeFailed:
 			received.discard()
 			return placement.ResultCancelled
 		}
 	}
 }
 
-// eventRelay passes the events of one worker's stream on.
+// eventRelay relays the events of one worker's stream.
 type eventRelay struct {
 	request      *request
-	answer       *answer
+	response     *workerResponse
 	scanner      eventScanner
-	resumedAfter string // id of the event that this stream goes on after; empty: it is the first
+	resumedAfter string // ID of the event after which this stream resumes; empty: it starts at the beginning
 }
 
-// pass takes the next bytes and passes on the events that they complete.
-func (e *eventRelay) pass(data []byte) {
+// feed takes the next bytes of the stream and relays the events that they complete.
+func (e *eventRelay) feed(data []byte) {
 	e.request.mayHaveRun = true
 	e.scanner.feed(data)
-	passed := false
+	relayed := false
 	for {
 		next, whole := e.scanner.next()
 		if !whole {
 			break
 		}
-		if !e.fresh(next.id) {
+		if !e.isNew(next.id) {
 			continue
 		}
 		e.write(next.raw)
-		e.request.reply.events++
+		e.request.clientResponse.eventCount++
 		if next.id != nil {
-			e.request.reply.lastID = string(next.id)
+			e.request.clientResponse.lastID = string(next.id)
 		}
-		passed = true
+		relayed = true
 	}
-	if len(e.scanner.rest()) > largestEvent {
-		e.write(e.scanner.take())
-		passed = true
+	if len(e.scanner.rest()) > maxEventBytes {
+		e.write(e.scanner.takeRest())
+		relayed = true
 	}
-	if passed {
-		e.request.reply.flush()
+	if relayed {
+		e.request.clientResponse.flush()
 	}
 }
 
-// write writes to the client, after the head of the first worker.
+// write writes to the client. The first write is preceded by the worker's status and header.
 func (e *eventRelay) write(data []byte) {
-	reply := &e.request.reply
-	if !reply.started() {
-		reply.begin(e.answer.response, false)
+	client := &e.request.clientResponse
+	if !client.started() {
+		client.writeHead(e.response.response, false)
 	}
-	reply.write(data)
+	client.write(data)
 }
 
-// fresh reports whether the client lacks the event: a worker may begin again at or before the event that it was told.
-func (e *eventRelay) fresh(id []byte) bool {
+// isNew reports whether the client has not received the event yet. A worker may resume at or before the requested event.
+func (e *eventRelay) isNew(id []byte) bool {
 	if e.resumedAfter == "" || id == nil {
 		return true
 	}
-	had, err := strconv.ParseInt(e.resumedAfter, 10, 64)
+	lastReceived, err := strconv.ParseInt(e.resumedAfter, 10, 64)
 	if err != nil {
 		return !bytes.Equal(id, []byte(e.resumedAfter))
 	}
 	offered, err := strconv.ParseInt(string(id), 10, 64)
-	return err != nil || offered > had
+	return err != nil || offered > lastReceived
 }
 
-// ended finishes the answer after a clean end of the worker's.
-func (e *eventRelay) ended() placement.Result {
-	e.answer.conn.Release()
+// finish completes the response after the worker's stream ended cleanly.
+func (e *eventRelay) finish() placement.Result {
+	e.response.conn.Release()
 	e.request.mayHaveRun = true
 	e.write(e.scanner.rest())
-	e.request.reply.complete = true
+	e.request.clientResponse.complete = true
 	return placement.ResultServed
 }
 
-// cut ends this worker's part after its stream broke.
-func (e *eventRelay) cut(ctx context.Context) placement.Result {
-	e.answer.discard()
+// breakOff handles a worker's stream that broke. It stops placement if the stream can't be resumed at another worker.
+func (e *eventRelay) breakOff(ctx context.Context) placement.Result {
+	e.response.discard()
 	q := e.request
-	result := q.broken(ctx)
-	resumable := q.route.Resumable && (q.reply.events == 0 || q.reply.lastID != "")
-	if q.reply.started() && !resumable {
-		q.abandon() // what the client has can't be taken back
+	result := q.brokenResult(ctx)
+	resumable := q.route.Resumable && (q.clientResponse.eventCount == 0 || q.clientResponse.lastID != "")
+	if q.clientResponse.started() && !resumable {
+		q.cancelPlacement() // no retry: part of the response has already been written to the client
 	}
 	return result
 }
