--- a/internal/router/abort.go
+++ b/internal/router/abort.go
@@ -42,7 +42,8 @@
 	if cause == abortedByClient || !q.router.abortLogLimiter.allow(time.Now()) {
 		return
 	}
-	q.logWarning("answer cut", zap.String("cause", string(cause)), zap.Bool("begun", q.clientResponse.started()), zap.Int("events", q.clientResponse.eventCount))
+	q.logWarning("answer cut", zap.String("cause", string(cause)), zap.Bool("begun", q.clientResponse.started()),
+		zap.Int("events", q.clientResponse.eventCount))
 }
 
 // logWarning logs a message with the request's identifying fields. It reads only immutable fields, so that any goroutine may
--- a/internal/router/generation.go
+++ b/internal/router/generation.go
@@ -24,7 +24,7 @@
 	taken      bool // a decode worker that it was sent to has started its response
 }
 
-// Limits of handing a KV cache over from a prefill worker to a decode worker.
+// Constants of the engine protocol and limits of handing a KV cache over from a prefill worker to a decode worker.
 const (
 	maxHandleResponseBytes = 4 << 10
 	maxHandleOffers        = 2 // if a second worker can't fetch the KV cache, the cache is gone; the worker is not just full
@@ -50,7 +50,7 @@
 			q.releaseHandle()
 			return verdict
 		}
-		// The first prefill attempt does not count against MaxRuns, further ones do.
+		// No prefill attempt is a run of the request. The first one does not count against MaxRuns, further ones do.
 		decodeJob.MaxRuns = max(1, decodeJob.MaxRuns-max(0, verdict.Runs-1))
 		// The first arrival at a worker is free of the retry budget. A failed prefill that reached a worker has used it up.
 		decodeJob.FreeFirst = verdict.Decision == placement.DecisionServed || verdict.Arrivals == 0
@@ -127,7 +127,8 @@
 		return
 	}
 	handle.offeredNow = false
-	if q.mayHaveRun || handle.offerCount >= maxHandleOffers || time.Now().After(handle.expires) || !handle.matchesVersion(target, header.Get(headerModel)) {
+	if q.mayHaveRun || handle.offerCount >= maxHandleOffers || time.Now().After(handle.expires) ||
+		!handle.matchesVersion(target, header.Get(headerModel)) {
 		return
 	}
 	handle.offerCount++
--- a/internal/router/headers.go
+++ b/internal/router/headers.go
@@ -61,7 +61,7 @@
 	for _, name := range routerFields {
 		delete(header, name)
 	}
-	if _, named := header["User-Agent"]; !named {
+	if _, present := header["User-Agent"]; !present {
 		header["User-Agent"] = nil // keeps net/http from adding its own
 	}
 	return header
@@ -74,7 +74,7 @@
 		to[name] = values
 	}
 	for _, name := range []string{"Date", "Content-Type"} {
-		if _, named := to[name]; !named {
+		if _, present := to[name]; !present {
 			to[name] = nil // keeps net/http from adding its own
 		}
 	}
--- a/internal/router/ingress.go
+++ b/internal/router/ingress.go
@@ -51,6 +51,7 @@
 	r.serveRoute(w, incoming, current, chosen, body, arrived)
 }
 
+// serveRoute serves a request whose route is known and whose body has been read.
 func (r *Router) serveRoute(
 	w http.ResponseWriter, incoming *http.Request, current *view, chosen *fleetwire.Route, body []byte, arrived time.Time,
 ) {
@@ -126,7 +127,7 @@
 	return incoming.URL.RequestURI()
 }
 
-// workerURL returns the URL at a worker that sends the target, path and query, unchanged byte for byte.
+// workerURL returns the URL for requesting the same path and query from a worker, unchanged byte for byte.
 func workerURL(address, target string) *url.URL {
 	if strings.HasPrefix(target, "//") { // net/http would parse this Opaque as an authority
 		path, query, found := strings.Cut(target, "?")
--- a/internal/router/kinds.go
+++ b/internal/router/kinds.go
@@ -20,7 +20,7 @@
 	ErrorNoWorker                         // no worker can accept the request now; it has not run and will not run
 	ErrorWorkerFailed                     // the worker failed or its response broke off; the request may have run
 	ErrorTimedOut                         // there was no response before the deadline; the request may have run
-	ErrorDraining                         // the router shuts down and may exit before the request ends; it has not run and will not run
+	ErrorDraining                         // the router might exit before the request ends; it has not run and will not run
 	ErrorAborted                          // the router aborted the request at shutdown; the request may have run
 	errorKindCount
 )
--- a/internal/router/observations.go
+++ b/internal/router/observations.go
@@ -20,9 +20,9 @@
 	maxObservationsPerPoll = 64
 	// suspectInterval is how often a worker that stays under suspicion is passed to Options.OnSuspects again.
 	suspectInterval = 4 * time.Second
-	maxWorkers      = 4096
+	maxWorkers      = 4096     // limits the workers that have observations
 	otherRouters    = "others" // stands for all routers whose reports the controllers forward
-	maxReporters    = 2
+	maxReporters    = 2        // this router and otherRouters
 )
 
 // observations holds the latest outcome at each worker. The router reports failures to the controllers through the agent, and
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -32,13 +32,14 @@
 	Log    *zap.Logger
 	// OnSuspects is called with the workers that enough other routers have reported as failing. It may be nil.
 	OnSuspects func(workers []string)
-	// OnLoadReport is called with the load that a worker reports in a response. It may be nil.
+	// OnLoadReport is called with the load that a worker reports in a response. It must be safe for concurrent use. It may be
+	// nil.
 	OnLoadReport func(target *fleetwire.Instance, load placement.Load)
 	// RetryAfter is the Retry-After of a refusal for which placement gives none. 0 means defaultRetryAfter.
 	RetryAfter time.Duration
 }
 
-// defaultRetryAfter is short because clients honor Retry-After only up to a third of their remaining time.
+// defaultRetryAfter is short because clients honour Retry-After only up to a third of their remaining time.
 const defaultRetryAfter = 250 * time.Millisecond
 
 // Router forwards client requests to workers. It implements http.Handler.
@@ -116,7 +117,8 @@
 // maxStartWait is less than the second after which a client gives up on a request that has not been read.
 const maxStartWait = 800 * time.Millisecond
 
-// Ready reports whether the router accepts new clients.
+// Ready reports whether the platform should send new clients: the router has a configuration and an instance list, and it is
+// not shutting down.
 func (r *Router) Ready() bool {
 	current := r.view.Load()
 	return !r.shuttingDown() && current != nil && current.hasInstanceList()
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -8,14 +8,14 @@
 	"go.uber.org/zap"
 )
 
-// Shutdown times within the platform's grace period.
+// Shutdown times within the platform's grace period. The divisors limit each time to a fraction of it.
 const (
 	maxDrain             = 2500 * time.Millisecond // the platform sends no new clients after two seconds of failed readiness probes
-	drainDivisor         = 3                       // the drain takes at most this fraction of the grace period
+	drainDivisor         = 3                       // limits the drain
 	exitReserve          = 300 * time.Millisecond  // part of the grace period reserved for the exit of the process
 	finalResponseTime    = 100 * time.Millisecond  // for sending the last responses
-	exitReserveDivisor   = 5
-	finalResponseDivisor = 10
+	exitReserveDivisor   = 5                       // limits exitReserve
+	finalResponseDivisor = 10                      // limits finalResponseTime
 )
 
 // shutdownSchedule holds the times of the shutdown steps, counted from the termination signal.
@@ -34,8 +34,8 @@
 	}
 }
 
-// beginShutdown makes the router not ready. Until abortAt it serves only requests with a deadline before abortAt, and it closes
-// each client's connection after the response.
+// beginShutdown makes the router not ready. From then on it refuses requests whose deadline is after abortAt, and it closes each
+// client's connection after the response.
 func (r *Router) beginShutdown(abortAt time.Time) { r.abortAt.Store(&abortAt) }
 
 // shuttingDown reports whether the shutdown has begun.
--- a/internal/router/stream.go
+++ b/internal/router/stream.go
@@ -14,7 +14,8 @@
 const maxEventBytes = 256 << 10
 
 // relayStream relays a worker's events to the client, each one whole and without delay. If the worker breaks off, the client
-// has received only whole events, and a resumable stream continues at another worker after the last one, in the same response.
+// has received only whole events (except those above maxEventBytes), and a resumable stream continues at another worker after
+// the last one, in the same response.
 func (q *request) relayStream(ctx context.Context, received *workerResponse) placement.Result {
 	if !isRelayable(received.response) {
 		received.discard()
@@ -98,8 +99,8 @@
 	if err != nil {
 		return !bytes.Equal(id, []byte(e.resumedAfter))
 	}
-	offered, err := strconv.ParseInt(string(id), 10, 64)
-	return err != nil || offered > lastReceived
+	received, err := strconv.ParseInt(string(id), 10, 64)
+	return err != nil || received > lastReceived
 }
 
 // finish completes the response after the worker's stream ended cleanly.
--- a/internal/router/upstream/upstream.go
+++ b/internal/router/upstream/upstream.go
@@ -74,7 +74,7 @@
 	return c.Conn.Write(data)
 }
 
-// dialSlot passes the dialed connection to the caller of NewClientConn, which does not expose it.
+// dialSlot passes the dialled connection to the caller of NewClientConn, which does not expose it.
 type dialSlot struct{ conn *trackedConn }
 
 type dialSlotKey struct{}
