--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -65,14 +65,14 @@
 
 // Worker is one worker as the list names it. Its address may change; its name and ID do not.
 type Worker struct {
-	ID    decide.WorkerID
-	Name  string
-	Addr  string
-	State decide.State
-	out   int // attempts and probes not yet ended
+	ID       decide.WorkerID
+	Name     string
+	Addr     string
+	State    decide.State
+	inFlight int // attempts and probes not yet ended
 
-	startedAt decide.Time
-	life      int // grows as its address or its start changes: another process goes by the name
+	startedAt   decide.Time
+	incarnation int // grows as its address or its start changes: another process goes by the name
 }
 
 // Entry is a worker in news of the list.
@@ -86,42 +86,42 @@
 
 // Request is one request of a client, from its arrival to its final answer.
 type Request struct {
-	ID       uint32
-	Class    int
-	GiveUpAt decide.Time
-	Payload  any // what the client's protocol hands to the workers'
-	client   Client
-	came     decide.Time
-	attempts []*Attempt
-	out      int // attempts not yet ended
-	open     bool
+	ID        uint32
+	Class     int
+	GiveUpAt  decide.Time
+	Payload   any // what the client's protocol hands to the workers'
+	client    Client
+	arrivedAt decide.Time
+	attempts  []*Attempt
+	inFlight  int // attempts not yet ended
+	open      bool
 }
 
 // Attempt is one push of a request to a worker.
 type Attempt struct {
-	Request *Request
-	Worker  *Worker
-	State   any // for Workers
-	n       int
-	life    int // of the worker, as it was chosen
-	sentAt  decide.Time
-	sendBy  decide.Time // 0: whenever the client still waits
-	over    bool
-	ran     bool // it may have
-	e       *Engine
-	timer   *Timer
+	Request      *Request
+	Worker       *Worker
+	State        any // for Workers
+	index        int
+	incarnation  int // of the worker, as it was chosen
+	sentAt       decide.Time
+	sendDeadline decide.Time // 0: whenever the client still waits
+	ended        bool
+	mayHaveRun   bool // it may have
+	engine       *Engine
+	timer        *Timer
 }
 
 // keyMargin is what a request may need from its first byte here to being looked up by its key at the worker.
-const keyMargin = decide.Time(50 * time.Millisecond / time.Microsecond)
+const keyLookupMargin = decide.Time(50 * time.Millisecond / time.Microsecond)
 
 // Probe is one question for a worker's load.
 type Probe struct {
 	Worker  *Worker
 	request uint32 // the request that it is for; 0: none
 	sentAt  decide.Time
-	over    bool
-	e       *Engine
+	ended   bool
+	engine  *Engine
 }
 
 // Engine is one scheduler.
@@ -141,22 +141,22 @@
 	// Used, if set, is told how long the loop was at work for this engine.
 	OnBusy func(span time.Duration)
 
-	d        *decide.Dispatcher
-	classes  []decide.Class
-	workers  Workers
-	list     Directory
-	zones    map[string]int
-	kinds    map[string]int
-	byName   map[string]*Worker
-	byID     map[decide.WorkerID]*Worker
-	nextID   decide.WorkerID
-	requests map[uint32]*Request // open, or with an attempt out
-	open     int
-	lastID   uint32
-	subject  uint32   // the request that the module is at, as far as the call tells; for the trace
-	todo     []func() // actions the module has asked for and that are not carried out yet
-	running  bool
-	listed   bool // a list has named a worker that takes jobs
+	dispatcher    *decide.Dispatcher
+	classes       []decide.Class
+	workers       Workers
+	directory     Directory
+	zones         map[string]int
+	kinds         map[string]int
+	workersByName map[string]*Worker
+	workersByID   map[decide.WorkerID]*Worker
+	lastWorkerID  decide.WorkerID
+	requests      map[uint32]*Request // open, or with an attempt out
+	openRequests  int
+	lastRequestID uint32
+	tracedRequest uint32   // the request that the module is at, as far as the call tells; for the trace
+	pending       []func() // actions the module has asked for and that are not carried out yet
+	dispatching   bool
+	everReady     bool // a list has named a worker that takes jobs
 }
 
 // Config is what New needs besides the settings of the decisions.
@@ -168,20 +168,20 @@
 
 // New returns an engine that knows no worker yet. Use sets the ways out.
 func New(loop *Loop, c Config) (*Engine, error) {
-	e := &Engine{Loop: loop, classes: c.Settings.Classes, zones: numbered(c.Zones), kinds: numbered(c.Kinds), byName: map[string]*Worker{},
-		byID: map[decide.WorkerID]*Worker{}, requests: map[uint32]*Request{}}
+	e := &Engine{Loop: loop, classes: c.Settings.Classes, zones: indexByName(c.Zones), kinds: indexByName(c.Kinds), workersByName: map[string]*Worker{},
+		workersByID: map[decide.WorkerID]*Worker{}, requests: map[uint32]*Request{}}
 	for i := range e.Counts.Ended {
 		e.Counts.Ended[i] = make([]int, len(e.classes))
 	}
-	if loop.lag == nil { // the first engine shows it for all
-		loop.lag = &e.Counts.Lag
+	if loop.maxLag == nil { // the first engine shows it for all
+		loop.maxLag = &e.Counts.Lag
 	}
 	var err error
-	e.d, err = decide.New(c.Settings, c.Seed, actions{e})
+	e.dispatcher, err = decide.New(c.Settings, c.Seed, actions{e})
 	return e, err
 }
 
-func numbered(names []string) map[string]int {
+func indexByName(names []string) map[string]int {
 	m := make(map[string]int, len(names))
 	for i, name := range names {
 		m[name] = i
@@ -190,10 +190,10 @@
 }
 
 // SetBackends sets the ways to the workers and to the worker list.
-func (e *Engine) SetBackends(w Workers, d Directory) { e.workers, e.list = w, d }
+func (e *Engine) SetBackends(w Workers, d Directory) { e.workers, e.directory = w, d }
 
 // OpenRequests returns how many requests wait for their final answer.
-func (e *Engine) OpenRequests() int { return e.open }
+func (e *Engine) OpenRequests() int { return e.openRequests }
 
 // LongestDeadline is the longest that a client of any class waits.
 func (e *Engine) LongestDeadline() (longest decide.Time) {
@@ -207,7 +207,7 @@
 func (e *Engine) GiveUpAll() {
 	for _, r := range slices.SortedFunc(maps.Values(e.requests), func(a, b *Request) int { return cmp.Compare(a.ID, b.ID) }) {
 		if r.open {
-			e.call(func() { e.d.GiveUp(e.Now(), r.ID) })
+			e.call(func() { e.dispatcher.GiveUp(e.Now(), r.ID) })
 		}
 	}
 }
@@ -216,26 +216,26 @@
 func (e *Engine) Class(i int) decide.Class { return e.classes[i] }
 
 // Ready reports whether there has been a worker to serve with: the front may send clients from then on.
-func (e *Engine) Ready() bool { return e.listed }
+func (e *Engine) Ready() bool { return e.everReady }
 
 // Submit takes a request of a client. The job's ID is set here.
-func (e *Engine) Submit(j decide.Job, payload any, c Client) *Request {
-	r := e.take(j.Class, j.GiveUpAt, e.Now(), payload, c)
-	j.ID = r.ID
+func (e *Engine) Submit(job decide.Job, payload any, client Client) *Request {
+	r := e.addRequest(job.Class, job.GiveUpAt, e.Now(), payload, client)
+	job.ID = r.ID
 	if e.Trace != nil {
-		e.Trace("arrival", r.ID, "class", j.Class, "left_us", j.GiveUpAt-e.Now(), "work_us", j.Hint, "slots", j.Slots)
+		e.Trace("arrival", r.ID, "class", job.Class, "left_us", job.GiveUpAt-e.Now(), "work_us", job.Hint, "slots", job.Slots)
 	}
-	e.callFor(r.ID, func() { e.d.Arrive(e.Now(), j) })
+	e.callForRequest(r.ID, func() { e.dispatcher.Arrive(e.Now(), job) })
 	return r
 }
 
 // take enters a request under an ID of its own.
-func (e *Engine) take(class int, giveUpAt, came decide.Time, payload any, c Client) *Request {
-	for e.lastID++; e.lastID == 0 || e.requests[e.lastID] != nil; e.lastID++ {
+func (e *Engine) addRequest(class int, giveUpAt, arrivedAt decide.Time, payload any, client Client) *Request {
+	for e.lastRequestID++; e.lastRequestID == 0 || e.requests[e.lastRequestID] != nil; e.lastRequestID++ {
 	}
-	r := &Request{ID: e.lastID, Class: class, GiveUpAt: giveUpAt, Payload: payload, client: c, came: came, open: true}
+	r := &Request{ID: e.lastRequestID, Class: class, GiveUpAt: giveUpAt, Payload: payload, client: client, arrivedAt: arrivedAt, open: true}
 	e.requests[r.ID] = r
-	e.open++
+	e.openRequests++
 	e.Counts.Accepted++
 	return r
 }
@@ -245,30 +245,30 @@
 	if r.open {
 		e.Counts.Hangups++
 		e.finish(r, 3)
-		e.call(func() { e.d.Hangup(e.Now(), r.ID) })
+		e.call(func() { e.dispatcher.Hangup(e.Now(), r.ID) })
 	}
 }
 
 // finish ends a request. Its attempts still report to the module, but no second answer can follow.
 func (e *Engine) finish(r *Request, outcome int) {
 	if e.Meter != nil {
-		e.Meter.Answer(r.Class, outcome, e.Now()-r.came)
+		e.Meter.Answer(r.Class, outcome, e.Now()-r.arrivedAt)
 	}
 	if outcome < len(e.Counts.Ended) {
 		e.Counts.Ended[outcome][r.Class]++
 	}
 	r.open = false
-	e.open--
+	e.openRequests--
 	for _, a := range r.attempts { // nobody waits for it: what has not gone out stays here
-		if !a.over && e.workers.Withdraw(a) {
+		if !a.ended && e.workers.Withdraw(a) {
 			a.End(decide.Moot, nil, decide.Report{})
 		}
 	}
-	e.forget(r)
+	e.forgetIfDone(r)
 }
 
-func (e *Engine) forget(r *Request) {
-	if !r.open && r.out == 0 {
+func (e *Engine) forgetIfDone(r *Request) {
+	if !r.open && r.inFlight == 0 {
 		delete(e.requests, r.ID)
 	}
 }
@@ -283,15 +283,15 @@
 	} else {
 		e.Counts.ListUpdates++
 	}
-	list := e.takeList(kind, entries)
-	e.call(func() { e.d.Announce(e.Now(), kind, list) })
-	e.forgetGone()
+	list := e.applyEntries(kind, entries)
+	e.call(func() { e.dispatcher.Announce(e.Now(), kind, list) })
+	e.forgetGoneWorkers()
 }
 
 // OverlayChanged takes in entries that the overlay sees otherwise from now on. Discovery has not spoken: whether the watch
 // stands is not touched.
 func (e *Engine) OverlayChanged(entries []Entry) {
-	e.takeNews(decide.ListDelta, entries)
+	e.applyNews(decide.ListDelta, entries)
 }
 
 // Told takes in news of the list that another process of this scheduler has heard: the overlay goes over it, and whether
@@ -301,30 +301,30 @@
 		entries = e.Overlay.Apply(kind, entries)
 	}
 	e.Counts.ListUpdates++
-	e.takeNews(kind, entries)
+	e.applyNews(kind, entries)
 }
 
-func (e *Engine) takeNews(kind decide.ListKind, entries []Entry) {
-	list := e.takeList(kind, entries)
-	e.call(func() { e.d.TakeNews(e.Now(), kind, list) })
-	e.forgetGone()
+func (e *Engine) applyNews(kind decide.ListKind, entries []Entry) {
+	list := e.applyEntries(kind, entries)
+	e.call(func() { e.dispatcher.TakeNews(e.Now(), kind, list) })
+	e.forgetGoneWorkers()
 }
 
 // AddPeerEvidence tells the module that peers have fared badly at a worker. One that our own list has not named is passed over.
 func (e *Engine) AddPeerEvidence(worker string) {
-	w := e.byName[worker]
+	w := e.workersByName[worker]
 	if w == nil || w.State != decide.Ready {
 		return
 	}
 	e.call(func() {
-		for peer := range believed {
-			e.d.Told(e.Now(), peer, binary.BigEndian.AppendUint64(nil, uint64(w.ID)))
+		for peer := range maxPeerReports {
+			e.dispatcher.Told(e.Now(), peer, binary.BigEndian.AppendUint64(nil, uint64(w.ID)))
 		}
 	})
 }
 
 // believed is how many peers' complaints the module believes; the caller of AddPeerEvidence has weighed those of more.
-const believed = 2
+const maxPeerReports = 2
 
 // ReadyWorkers is how many workers take jobs by the list.
 func (e *Engine) ReadyWorkers() (n int) {
@@ -333,46 +333,46 @@
 }
 
 // Avoided is how many workers that would take jobs the module leaves alone just now, whatever the job.
-func (e *Engine) Avoided() int { return e.d.Avoided(e.Now()) }
+func (e *Engine) Avoided() int { return e.dispatcher.Avoided(e.Now()) }
 
-func (e *Engine) takeList(kind decide.ListKind, entries []Entry) []decide.Worker {
+func (e *Engine) applyEntries(kind decide.ListKind, entries []Entry) []decide.Worker {
 	list := make([]decide.Worker, 0, len(entries))
 	if kind == decide.ListFull || kind == decide.ListCached {
-		for _, w := range e.byName {
+		for _, w := range e.workersByName {
 			w.State = decide.Gone // unless it is named below
 		}
 	}
 	for _, in := range entries {
-		w := e.byName[in.Name]
+		w := e.workersByName[in.Name]
 		if w == nil {
-			e.nextID++
-			w = &Worker{ID: e.nextID, Name: in.Name}
-			e.byName[in.Name], e.byID[w.ID] = w, w
+			e.lastWorkerID++
+			w = &Worker{ID: e.lastWorkerID, Name: in.Name}
+			e.workersByName[in.Name], e.workersByID[w.ID] = w, w
 		}
 		if in.Addr != "" && in.Addr != w.Addr || in.StartedAt != w.startedAt {
-			w.life++
+			w.incarnation++
 		}
 		if in.Addr != "" {
 			w.Addr = in.Addr
 		}
 		w.State, w.startedAt = in.State, in.StartedAt
-		e.listed = e.listed || w.State == decide.Ready
-		list = append(list, decide.Worker{ID: w.ID, Zone: index(e.zones, in.Zone), Kind: index(e.kinds, in.Kind),
+		e.everReady = e.everReady || w.State == decide.Ready
+		list = append(list, decide.Worker{ID: w.ID, Zone: indexOf(e.zones, in.Zone), Kind: indexOf(e.kinds, in.Kind),
 			Cell: in.Cell, State: in.State, Weight: in.Weight, StartedAt: in.StartedAt})
 	}
 	return list
 }
 
-func (e *Engine) forgetGone() {
-	for name, w := range e.byName { // names come and go for as long as the scheduler runs
-		if w.State == decide.Gone && w.out == 0 {
-			delete(e.byName, name)
-			delete(e.byID, w.ID)
+func (e *Engine) forgetGoneWorkers() {
+	for name, w := range e.workersByName { // names come and go for as long as the scheduler runs
+		if w.State == decide.Gone && w.inFlight == 0 {
+			delete(e.workersByName, name)
+			delete(e.workersByID, w.ID)
 		}
 	}
 }
 
-func index(m map[string]int, name string) int {
+func indexOf(m map[string]int, name string) int {
 	if i, ok := m[name]; ok {
 		return i
 	}
@@ -381,7 +381,7 @@
 
 // EachReadyAddr calls f with the address of every worker that takes jobs.
 func (e *Engine) EachReadyAddr(f func(addr string)) {
-	for _, w := range e.byName {
+	for _, w := range e.workersByName {
 		if w.State == decide.Ready {
 			f(w.Addr)
 		}
@@ -392,53 +392,53 @@
 // may have been told to be draining or gone or have started anew, the request answered, its client gone, its time run
 // out, or the time for which its key is known.
 func (a *Attempt) Sendable() bool {
-	return !a.over && a.Request.open && a.Worker.State == decide.Ready && a.Worker.life == a.life && a.Remaining() > 0 &&
-		(a.sendBy == 0 || a.e.Now() < a.sendBy) && !a.Request.client.Gone()
+	return !a.ended && a.Request.open && a.Worker.State == decide.Ready && a.Worker.incarnation == a.incarnation && a.Remaining() > 0 &&
+		(a.sendDeadline == 0 || a.engine.Now() < a.sendDeadline) && !a.Request.client.Gone()
 }
 
 // Remaining is the time that the client will still wait.
 func (a *Attempt) Remaining() time.Duration {
-	return time.Duration(a.Request.GiveUpAt-a.e.Now()) * time.Microsecond
+	return time.Duration(a.Request.GiveUpAt-a.engine.Now()) * time.Microsecond
 }
 
 // limit ends the attempt as timed out after the span.
-func (a *Attempt) limit(span decide.Time) {
-	a.timer = a.e.After(time.Duration(span)*time.Microsecond, func() {
-		a.e.workers.Cancel(a)
+func (a *Attempt) setTimeout(timeout decide.Time) {
+	a.timer = a.engine.After(time.Duration(timeout)*time.Microsecond, func() {
+		a.engine.workers.Cancel(a)
 		a.End(decide.TimedOut, nil, decide.Report{})
 	})
 }
 
 // Started takes in that the job runs.
 func (a *Attempt) Started() {
-	if !a.over {
-		if a.e.Trace != nil {
-			a.e.Trace("started", a.Request.ID, "attempt", a.n, "worker", a.Worker.Name, "after_us", a.e.Now()-a.sentAt)
+	if !a.ended {
+		if a.engine.Trace != nil {
+			a.engine.Trace("started", a.Request.ID, "attempt", a.index, "worker", a.Worker.Name, "after_us", a.engine.Now()-a.sentAt)
 		}
-		a.e.call(func() { a.e.d.Note(a.e.Now(), a.Request.ID, a.n, decide.NoteStarted, 0) })
+		a.engine.call(func() { a.engine.dispatcher.Note(a.engine.Now(), a.Request.ID, a.index, decide.NoteStarted, 0) })
 	}
 }
 
 // Progress takes in the share that is done.
 func (a *Attempt) Progress(share float64) {
-	if !a.over {
-		a.e.call(func() { a.e.d.Note(a.e.Now(), a.Request.ID, a.n, decide.NoteProgress, share) })
+	if !a.ended {
+		a.engine.call(func() { a.engine.dispatcher.Note(a.engine.Now(), a.Request.ID, a.index, decide.NoteProgress, share) })
 	}
 }
 
 // End takes in how the attempt ended; the result is that of a Served one. Only the first call counts.
 func (a *Attempt) End(s decide.Status, result []byte, report decide.Report) {
-	if a.over {
+	if a.ended {
 		return
 	}
-	e, r := a.e, a.Request
-	a.over, a.ran = true, !s.NeverRan()
+	e, r := a.engine, a.Request
+	a.ended, a.mayHaveRun = true, !s.NeverRan()
 	a.timer.Stop()
-	r.out--
-	a.Worker.out--
+	r.inFlight--
+	a.Worker.inFlight--
 	e.Counts.Outcomes[s]++
 	if e.Trace != nil {
-		e.Trace("attempt ended", r.ID, "attempt", a.n, "worker", a.Worker.Name, "outcome", StatusNames[s], "took_us", e.Now()-a.sentAt)
+		e.Trace("attempt ended", r.ID, "attempt", a.index, "worker", a.Worker.Name, "outcome", StatusNames[s], "took_us", e.Now()-a.sentAt)
 	}
 	if e.Meter != nil {
 		e.Meter.Attempt(r.Class, s, e.Now()-a.sentAt)
@@ -453,96 +453,96 @@
 	}
 	now := e.Now()
 	e.call(func() {
-		e.d.Outcome(now, decide.Outcome{Job: r.ID, Attempt: a.n, Worker: a.Worker.ID, Status: s, Closed: !r.open,
+		e.dispatcher.Outcome(now, decide.Outcome{Job: r.ID, Attempt: a.index, Worker: a.Worker.ID, Status: s, Closed: !r.open,
 			Latency: now - a.sentAt, Report: report})
 	})
-	e.forget(r)
+	e.forgetIfDone(r)
 }
 
 // End takes in the answer to a probe, or that none came. Only the first call counts.
 func (p *Probe) End(s decide.Status, report decide.Report) {
-	if p.over {
+	if p.ended {
 		return
 	}
-	p.over = true
-	p.Worker.out--
-	p.e.Counts.Probes[s]++
-	now := p.e.Now()
-	if p.e.Trace != nil {
-		p.e.Trace("probe ended", p.request, "worker", p.Worker.Name, "outcome", StatusNames[s], "took_us", now-p.sentAt)
+	p.ended = true
+	p.Worker.inFlight--
+	p.engine.Counts.Probes[s]++
+	now := p.engine.Now()
+	if p.engine.Trace != nil {
+		p.engine.Trace("probe ended", p.request, "worker", p.Worker.Name, "outcome", StatusNames[s], "took_us", now-p.sentAt)
 	}
-	if p.e.OnOutcome != nil {
-		p.e.OnOutcome(p.Worker.Name, false, s)
+	if p.engine.OnOutcome != nil {
+		p.engine.OnOutcome(p.Worker.Name, false, s)
 	}
-	if p.e.Meter != nil {
-		p.e.Meter.Probe(s, now-p.sentAt)
+	if p.engine.Meter != nil {
+		p.engine.Meter.Probe(s, now-p.sentAt)
 	}
-	p.e.call(func() { p.e.d.ProbeResult(now, p.Worker.ID, s, now-p.sentAt, report) })
+	p.engine.call(func() { p.engine.dispatcher.ProbeResult(now, p.Worker.ID, s, now-p.sentAt, report) })
 }
 
 // callFor makes a call that is about one request.
-func (e *Engine) callFor(request uint32, f func()) {
+func (e *Engine) callForRequest(request uint32, f func()) {
 	e.call(func() {
-		e.subject = request
+		e.tracedRequest = request
 		f()
-		e.subject = 0
+		e.tracedRequest = 0
 	})
 }
 
 // call makes a call of the module and then carries out what it asked for, in order. An action may lead to
 // further calls; none is made while the module is still at work.
 func (e *Engine) call(f func()) {
-	if e.running {
-		e.todo = append(e.todo, f)
+	if e.dispatching {
+		e.pending = append(e.pending, f)
 		return
 	}
-	e.running = true
+	e.dispatching = true
 	if e.OnBusy != nil {
 		began := time.Now()
 		defer func() { e.OnBusy(time.Since(began)) }()
 	}
 	f()
-	for len(e.todo) > 0 {
-		next := e.todo[0]
-		e.todo = e.todo[1:]
+	for len(e.pending) > 0 {
+		next := e.pending[0]
+		e.pending = e.pending[1:]
 		next()
 	}
-	e.todo, e.running = nil, false
+	e.pending, e.dispatching = nil, false
 }
 
 // actions queues what the module asks for.
-type actions struct{ e *Engine }
+type actions struct{ engine *Engine }
 
-func (x actions) do(f func()) { x.e.todo = append(x.e.todo, f) }
+func (x actions) enqueue(f func()) { x.engine.pending = append(x.engine.pending, f) }
 
 func (x actions) Push(id uint32, worker decide.WorkerID, timeout decide.Time) {
-	x.do(func() {
-		e := x.e
-		r, w := e.requests[id], e.byID[worker]
+	x.enqueue(func() {
+		e := x.engine
+		r, w := e.requests[id], e.workersByID[worker]
 		if r == nil || w == nil {
 			slog.Error("push of a request or to a worker that is not known", "request", id, "worker", worker)
 			return
 		}
-		a := &Attempt{Request: r, Worker: w, n: len(r.attempts), life: w.life, sentAt: e.Now(), e: e}
+		a := &Attempt{Request: r, Worker: w, index: len(r.attempts), incarnation: w.incarnation, sentAt: e.Now(), engine: e}
 		if c := e.classes[r.Class]; c.Effect == decide.Keyed {
 			for _, b := range r.attempts { // repeats are dropped from the first attempt that may have run on
-				if by := b.sentAt + c.MemorySpan - keyMargin; (!b.over || b.ran) && (a.sendBy == 0 || by < a.sendBy) {
-					a.sendBy = by
+				if by := b.sentAt + c.MemorySpan - keyLookupMargin; (!b.ended || b.mayHaveRun) && (a.sendDeadline == 0 || by < a.sendDeadline) {
+					a.sendDeadline = by
 				}
 			}
 		}
 		r.attempts = append(r.attempts, a)
-		r.out++
-		w.out++
+		r.inFlight++
+		w.inFlight++
 		e.Counts.Pushes++
-		if e.Meter != nil && a.n == 0 {
-			e.Meter.Wait(r.Class, a.sentAt-r.came)
+		if e.Meter != nil && a.index == 0 {
+			e.Meter.Wait(r.Class, a.sentAt-r.arrivedAt)
 		}
 		if e.Trace != nil {
-			e.Trace("attempt", r.ID, "attempt", a.n, "worker", w.Name, "left_us", timeout)
+			e.Trace("attempt", r.ID, "attempt", a.index, "worker", w.Name, "left_us", timeout)
 		}
-		a.limit(timeout)
-		if a.n > 0 && e.MayRetry != nil && !e.MayRetry(r.Class) {
+		a.setTimeout(timeout)
+		if a.index > 0 && e.MayRetry != nil && !e.MayRetry(r.Class) {
 			a.End(decide.Moot, nil, decide.Report{})
 			return
 		}
@@ -551,34 +551,34 @@
 }
 
 func (x actions) Probe(worker decide.WorkerID) {
-	request := x.e.subject
-	x.do(func() {
-		if w := x.e.byID[worker]; w != nil {
-			w.out++
-			if x.e.Trace != nil {
-				x.e.Trace("probe", request, "worker", w.Name)
+	request := x.engine.tracedRequest
+	x.enqueue(func() {
+		if w := x.engine.workersByID[worker]; w != nil {
+			w.inFlight++
+			if x.engine.Trace != nil {
+				x.engine.Trace("probe", request, "worker", w.Name)
 			}
-			x.e.workers.Probe(&Probe{Worker: w, request: request, sentAt: x.e.Now(), e: x.e})
+			x.engine.workers.Probe(&Probe{Worker: w, request: request, sentAt: x.engine.Now(), engine: x.engine})
 		}
 	})
 }
 
 func (x actions) Cancel(id uint32, n int) {
-	x.do(func() {
-		if r := x.e.requests[id]; r != nil && n >= 0 && n < len(r.attempts) && !r.attempts[n].over {
-			x.e.workers.Cancel(r.attempts[n])
+	x.enqueue(func() {
+		if r := x.engine.requests[id]; r != nil && n >= 0 && n < len(r.attempts) && !r.attempts[n].ended {
+			x.engine.workers.Cancel(r.attempts[n])
 			r.attempts[n].End(decide.Cancelled, nil, decide.Report{})
 		}
 	})
 }
 
 func (x actions) Refuse(id uint32, retryAfter decide.Time) {
-	x.do(func() {
-		if r := x.e.requests[id]; r != nil && r.open {
-			x.e.finish(r, 1)
-			x.e.Counts.Refused++
-			if x.e.Trace != nil {
-				x.e.Trace("refused", id, "retry_after_us", retryAfter)
+	x.enqueue(func() {
+		if r := x.engine.requests[id]; r != nil && r.open {
+			x.engine.finish(r, 1)
+			x.engine.Counts.Refused++
+			if x.engine.Trace != nil {
+				x.engine.Trace("refused", id, "retry_after_us", retryAfter)
 			}
 			r.client.Refused(time.Duration(retryAfter) * time.Microsecond)
 		}
@@ -586,25 +586,25 @@
 }
 
 func (x actions) Fail(id uint32) {
-	x.do(func() {
-		if r := x.e.requests[id]; r != nil && r.open {
-			x.e.finish(r, 2)
-			x.e.Counts.Failed++
-			if x.e.Trace != nil {
-				x.e.Trace("failed", id)
+	x.enqueue(func() {
+		if r := x.engine.requests[id]; r != nil && r.open {
+			x.engine.finish(r, 2)
+			x.engine.Counts.Failed++
+			if x.engine.Trace != nil {
+				x.engine.Trace("failed", id)
 			}
 			r.client.Failed()
 		}
 	})
 }
 
-func (x actions) Watch(on bool) { x.do(func() { x.e.list.Watch(on) }) }
-func (x actions) Reload()       { x.do(x.e.list.Reload) }
+func (x actions) Watch(on bool) { x.enqueue(func() { x.engine.directory.Watch(on) }) }
+func (x actions) Reload()       { x.enqueue(x.engine.directory.Reload) }
 
 func (x actions) Wake(after decide.Time, token uint64) {
-	x.do(func() {
-		x.e.After(time.Duration(after)*time.Microsecond, func() {
-			x.e.callFor(decide.JobOf(token), func() { x.e.d.Wake(x.e.Now(), token) })
+	x.enqueue(func() {
+		x.engine.After(time.Duration(after)*time.Microsecond, func() {
+			x.engine.callForRequest(decide.JobOf(token), func() { x.engine.dispatcher.Wake(x.engine.Now(), token) })
 		})
 	})
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -50,7 +50,7 @@
 	l := NewLoop()
 	order := ""
 	go l.Post(func() {
-		l.After(2*tickSpan, func() { order += "second "; l.Stop() })
+		l.After(2*tickInterval, func() { order += "second "; l.Stop() })
 		l.After(0, func() { order += "first " })
 		l.After(time.Hour, func() { order += "never" })
 	})
@@ -59,124 +59,124 @@
 }
 
 // fake is every way out of an engine.
-type fake struct {
-	e        *Engine
+type fakeBackends struct {
+	engine   *Engine
 	attempts []*Attempt
 	log      string
 }
 
-func (f *fake) Push(a *Attempt)        { f.attempts = append(f.attempts, a); f.log += "push " }
-func (f *fake) Cancel(*Attempt)        { f.log += "cancel " }
-func (f *fake) Withdraw(*Attempt) bool { return false }
-func (f *fake) Gone() bool             { return false }
-func (f *fake) Probe(p *Probe) {
+func (f *fakeBackends) Push(a *Attempt)        { f.attempts = append(f.attempts, a); f.log += "push " }
+func (f *fakeBackends) Cancel(*Attempt)        { f.log += "cancel " }
+func (f *fakeBackends) Withdraw(*Attempt) bool { return false }
+func (f *fakeBackends) Gone() bool             { return false }
+func (f *fakeBackends) Probe(p *Probe) {
 	p.End(decide.Served, decide.Report{Has: decide.HasFreeSlots, FreeSlots: 4})
 }
-func (f *fake) Watch(bool)              {}
-func (f *fake) Reload()                 {}
-func (f *fake) Served(result []byte)    { f.log += "served:" + string(result) + " " }
-func (f *fake) Refused(w time.Duration) { f.log += "refused:" + w.String() + " " }
-func (f *fake) Failed()                 { f.log += "failed " }
+func (f *fakeBackends) Watch(bool)              {}
+func (f *fakeBackends) Reload()                 {}
+func (f *fakeBackends) Served(result []byte)    { f.log += "served:" + string(result) + " " }
+func (f *fakeBackends) Refused(w time.Duration) { f.log += "refused:" + w.String() + " " }
+func (f *fakeBackends) Failed()                 { f.log += "failed " }
 
 var testSettings = decide.Settings{Nodes: 1, Zones: 1, CanProbe: true, CanCancel: true, MaxAttempts: 4,
 	ColdFrom: 0.3, ColdSpan: 1e6, FallMultiple: 4, FallSpan: 1e6, Tick: 4000, MaxRetry: 1e6,
 	Classes: []decide.Class{{Aim: 2e6, Deadline: 9e6, Stretch: 2, Kind: -1, Worth: 1},
 		{Effect: decide.Unsafe, Aim: 2e6, Deadline: 9e6, Stretch: 2, Kind: -1, Worth: 1}}}
 
-func newFake(t *testing.T) *fake { return newFakeWith(t, testSettings) }
+func newFakeBackends(t *testing.T) *fakeBackends { return newFakeBackendsWith(t, testSettings) }
 
-func newFakeWith(t *testing.T, s decide.Settings) *fake {
-	e, err := New(NewLoop(), Config{Zones: []string{"here"}, Settings: s})
+func newFakeBackendsWith(t *testing.T, s decide.Settings) *fakeBackends {
+	engine, err := New(NewLoop(), Config{Zones: []string{"here"}, Settings: s})
 	require.NoError(t, err)
-	f := &fake{e: e}
-	e.SetBackends(f, f)
-	e.Announce(decide.ListCached, []Entry{{Name: "a", Zone: "here", State: decide.Ready}, {Name: "b", Zone: "elsewhere", State: decide.Ready}})
+	f := &fakeBackends{engine: engine}
+	engine.SetBackends(f, f)
+	engine.Announce(decide.ListCached, []Entry{{Name: "a", Zone: "here", State: decide.Ready}, {Name: "b", Zone: "elsewhere", State: decide.Ready}})
 	return f
 }
 
-func (f *fake) submit(class int) *Request {
-	return f.e.Submit(decide.Job{Class: class, GiveUpAt: f.e.Now() + 9e6}, nil, f)
+func (f *fakeBackends) submit(class int) *Request {
+	return f.engine.Submit(decide.Job{Class: class, GiveUpAt: f.engine.Now() + 9e6}, nil, f)
 }
 
 // One final answer, whatever comes in whatever order, and an attempt that ends but once.
 func TestOneFinalAnswer(t *testing.T) {
-	end := func(s decide.Status) func(f *fake, r *Request) {
-		return func(f *fake, r *Request) { f.attempts[0].End(s, []byte("x"), decide.Report{}) }
+	end := func(s decide.Status) func(f *fakeBackends, r *Request) {
+		return func(f *fakeBackends, r *Request) { f.attempts[0].End(s, []byte("x"), decide.Report{}) }
 	}
-	hangup := func(f *fake, r *Request) { f.e.Hangup(r) }
+	hangup := func(f *fakeBackends, r *Request) { f.engine.Hangup(r) }
 	for name, c := range map[string]struct {
 		class int
-		steps []func(f *fake, r *Request)
+		steps []func(f *fakeBackends, r *Request)
 		want  string
 	}{
-		"served":                 {0, []func(*fake, *Request){end(decide.Served)}, "push served:x "},
-		"served twice":           {0, []func(*fake, *Request){end(decide.Served), end(decide.Served)}, "push served:x "},
-		"reset after served":     {1, []func(*fake, *Request){end(decide.Served), end(decide.Reset)}, "push served:x "},
-		"client gone, then done": {0, []func(*fake, *Request){hangup, end(decide.Served)}, "push cancel "},
-		"gone twice":             {0, []func(*fake, *Request){hangup, hangup}, "push cancel "},
-		"unsafe reset":           {1, []func(*fake, *Request){end(decide.Reset)}, "push failed "},
-		"safe timed out":         {0, []func(*fake, *Request){end(decide.TimedOut)}, "push refused:1s "},
+		"served":                 {0, []func(*fakeBackends, *Request){end(decide.Served)}, "push served:x "},
+		"served twice":           {0, []func(*fakeBackends, *Request){end(decide.Served), end(decide.Served)}, "push served:x "},
+		"reset after served":     {1, []func(*fakeBackends, *Request){end(decide.Served), end(decide.Reset)}, "push served:x "},
+		"client gone, then done": {0, []func(*fakeBackends, *Request){hangup, end(decide.Served)}, "push cancel "},
+		"gone twice":             {0, []func(*fakeBackends, *Request){hangup, hangup}, "push cancel "},
+		"unsafe reset":           {1, []func(*fakeBackends, *Request){end(decide.Reset)}, "push failed "},
+		"safe timed out":         {0, []func(*fakeBackends, *Request){end(decide.TimedOut)}, "push refused:1s "},
 	} {
-		f := newFake(t)
+		f := newFakeBackends(t)
 		r := f.submit(c.class)
 		for _, step := range c.steps {
 			step(f, r)
 		}
 		assert.Equal(t, c.want, f.log, name)
-		assert.Zero(t, f.e.OpenRequests(), name)
-		assert.Empty(t, f.e.requests, "%s: nothing stays behind", name)
+		assert.Zero(t, f.engine.OpenRequests(), name)
+		assert.Empty(t, f.engine.requests, "%s: nothing stays behind", name)
 	}
 }
 
 // Where attempts can't be called off, one may be served after its client has gone; nobody is answered then.
-func TestServedAfterTheClientHasGone(t *testing.T) {
+func TestServedAfterClientHangup(t *testing.T) {
 	s := testSettings
 	s.CanCancel = false
-	f := newFakeWith(t, s)
-	f.e.Hangup(f.submit(0))
-	assert.Len(t, f.e.requests, 1, "its attempt is still out")
+	f := newFakeBackendsWith(t, s)
+	f.engine.Hangup(f.submit(0))
+	assert.Len(t, f.engine.requests, 1, "its attempt is still out")
 	f.attempts[0].End(decide.Served, nil, decide.Report{})
 	assert.Equal(t, "push ", f.log)
-	assert.Zero(t, f.e.Counts.Served)
-	assert.Zero(t, f.e.OpenRequests())
-	assert.Empty(t, f.e.requests)
+	assert.Zero(t, f.engine.Counts.Served)
+	assert.Zero(t, f.engine.OpenRequests())
+	assert.Empty(t, f.engine.requests)
 }
 
 func TestIDsAreNotReusedWhileInUse(t *testing.T) {
-	f := newFake(t)
+	f := newFakeBackends(t)
 	first := f.submit(0)
-	f.e.lastID = first.ID - 1 // as if the numbers had come round
+	f.engine.lastRequestID = first.ID - 1 // as if the numbers had come round
 	assert.NotEqual(t, first.ID, f.submit(0).ID)
-	f.e.lastID = 1<<32 - 1
+	f.engine.lastRequestID = 1<<32 - 1
 	assert.NotZero(t, f.submit(0).ID)
 }
 
 // A name keeps its ID while its address changes, and departed names do not pile up.
-func TestNames(t *testing.T) {
-	f := newFake(t)
-	id := f.e.byName["a"].ID
-	f.e.Announce(decide.ListDelta, []Entry{{Name: "a", Addr: "new:1", Zone: "here", State: decide.Ready}})
-	assert.Equal(t, id, f.e.byName["a"].ID)
-	assert.Equal(t, "new:1", f.e.byName["a"].Addr)
+func TestWorkerNamesKeepTheirIDs(t *testing.T) {
+	f := newFakeBackends(t)
+	id := f.engine.workersByName["a"].ID
+	f.engine.Announce(decide.ListDelta, []Entry{{Name: "a", Addr: "new:1", Zone: "here", State: decide.Ready}})
+	assert.Equal(t, id, f.engine.workersByName["a"].ID)
+	assert.Equal(t, "new:1", f.engine.workersByName["a"].Addr)
 	r := f.submit(0)
 	w := f.attempts[0].Worker
 	for i := range 100 {
-		f.e.Announce(decide.ListFull, []Entry{{Name: fmt.Sprint(i), State: decide.Ready}})
+		f.engine.Announce(decide.ListFull, []Entry{{Name: fmt.Sprint(i), State: decide.Ready}})
 	}
-	assert.Len(t, f.e.byName, 2, "the last one, and the one with an attempt out")
+	assert.Len(t, f.engine.workersByName, 2, "the last one, and the one with an attempt out")
 	assert.False(t, f.attempts[0].Sendable())
-	assert.Equal(t, w, f.e.byName[w.Name])
-	f.e.Hangup(r)
-	f.e.Announce(decide.ListDelta, nil)
-	assert.Len(t, f.e.byName, 1)
-	assert.Len(t, f.e.byID, 1)
+	assert.Equal(t, w, f.engine.workersByName[w.Name])
+	f.engine.Hangup(r)
+	f.engine.Announce(decide.ListDelta, nil)
+	assert.Len(t, f.engine.workersByName, 1)
+	assert.Len(t, f.engine.workersByID, 1)
 }
 
 // An empty list is nothing to serve with; once there was a worker, the front has its own ways to notice trouble.
 func TestReady(t *testing.T) {
-	e, err := New(NewLoop(), Config{Settings: testSettings})
+	engine, err := New(NewLoop(), Config{Settings: testSettings})
 	require.NoError(t, err)
-	e.SetBackends(newFake(t), newFake(t))
+	engine.SetBackends(newFakeBackends(t), newFakeBackends(t))
 	for _, step := range []struct {
 		kind decide.ListKind
 		list []Entry
@@ -188,15 +188,15 @@
 		{decide.ListDelta, []Entry{{Name: "a", State: decide.Ready}}, true},
 		{decide.ListFull, nil, true},
 	} {
-		e.Announce(step.kind, step.list)
-		assert.Equal(t, step.want, e.Ready(), "%+v", step)
+		engine.Announce(step.kind, step.list)
+		assert.Equal(t, step.want, engine.Ready(), "%+v", step)
 	}
 }
 
 func TestCounts(t *testing.T) {
-	f := newFake(t)
+	f := newFakeBackends(t)
 	f.submit(0)
 	f.attempts[0].End(decide.Served, nil, decide.Report{})
-	assert.Contains(t, f.e.Counts.String(), "taken=1 served=1 refused=0 failed=0")
-	assert.Contains(t, f.e.Counts.String(), "attempts.served=1 probes.served=2 ")
+	assert.Contains(t, f.engine.Counts.String(), "taken=1 served=1 refused=0 failed=0")
+	assert.Contains(t, f.engine.Counts.String(), "attempts.served=1 probes.served=2 ")
 }
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -13,7 +13,7 @@
 
 // tickSpan is the coarseness of all timers. The decisions were tuned on ticks of 4 ms; half of that keeps
 // a timer's error under what the network itself adds.
-const tickSpan = 2 * time.Millisecond
+const tickInterval = 2 * time.Millisecond
 
 const wheelSlots = 1024 // about two seconds a turn
 
@@ -38,12 +38,12 @@
 
 // wheel holds timers in slots by their tick; one that is further off than a turn waits its turns out.
 type wheel struct {
-	slots [wheelSlots]*Timer
-	now   int64 // all ticks up to this one have fired
+	slots   [wheelSlots]*Timer
+	current int64 // all ticks up to this one have fired
 }
 
 func (w *wheel) add(due int64, fire func()) *Timer {
-	t := &Timer{due: max(due, w.now+1), fire: fire}
+	t := &Timer{due: max(due, w.current+1), fire: fire}
 	w.link(t)
 	return t
 }
@@ -59,15 +59,15 @@
 
 // advance fires what is due up to the tick, in order of ticks. A timer set meanwhile fires in a later call.
 func (w *wheel) advance(tick int64) {
-	if tick-w.now > wheelSlots { // after a long stall one turn sees every slot
-		w.now = tick - wheelSlots
+	if tick-w.current > wheelSlots { // after a long stall one turn sees every slot
+		w.current = tick - wheelSlots
 	}
-	for w.now < tick {
-		w.now++
+	for w.current < tick {
+		w.current++
 		var due *Timer // in the order they were set
-		for t := w.slots[w.now%wheelSlots]; t != nil; {
+		for t := w.slots[w.current%wheelSlots]; t != nil; {
 			next := t.next
-			if t.due <= w.now {
+			if t.due <= w.current {
 				t.Stop()
 				t.next, due = due, t
 			}
@@ -84,8 +84,8 @@
 // next returns the first tick with a timer in its slot, at most a turn ahead, and whether there is one.
 func (w *wheel) next() (int64, bool) {
 	for i := int64(1); i <= wheelSlots; i++ {
-		if w.slots[(w.now+i)%wheelSlots] != nil {
-			return w.now + i, true
+		if w.slots[(w.current+i)%wheelSlots] != nil {
+			return w.current + i, true
 		}
 	}
 	return 0, false
@@ -95,19 +95,19 @@
 // so that a wall time told by others (a worker's last start) is a moment of this clock as it stands, and
 // the same wall time always the same moment.
 type Loop struct {
-	queue chan func()
-	soon  chan func() // goes before the queue
-	start time.Time
-	wheel wheel
-	next  []func() // to run after the work at hand
-	quit  bool
-	ended chan struct{}  // closed after Run
-	lag   *time.Duration // the longest that a piece of work has kept the loop
+	queue    chan func()
+	urgent   chan func() // goes before the queue
+	start    time.Time
+	wheel    wheel
+	deferred []func() // to run after the work at hand
+	stopping bool
+	ended    chan struct{}  // closed after Run
+	maxLag   *time.Duration // the longest that a piece of work has kept the loop
 }
 
 // NewLoop returns a loop that does not run yet.
 func NewLoop() *Loop {
-	return &Loop{queue: make(chan func(), 4096), soon: make(chan func(), 64), ended: make(chan struct{}), start: time.Now()}
+	return &Loop{queue: make(chan func(), 4096), urgent: make(chan func(), 64), ended: make(chan struct{}), start: time.Now()}
 }
 
 // Now is the present time in microseconds.
@@ -136,10 +136,10 @@
 
 // DoUrgent has f run before what waits in the queue, and reports whether it was, within the span. Where it was not it never
 // will be.
-func (l *Loop) DoUrgent(span time.Duration, f func()) bool {
+func (l *Loop) DoUrgent(timeout time.Duration, f func()) bool {
 	var claimed atomic.Bool // by the loop, or by giving up
-	done, late := make(chan struct{}), time.NewTimer(span)
-	defer late.Stop()
+	done, expired := make(chan struct{}), time.NewTimer(timeout)
+	defer expired.Stop()
 	work := func() {
 		if claimed.CompareAndSwap(false, true) {
 			f()
@@ -147,8 +147,8 @@
 		}
 	}
 	select {
-	case l.soon <- work:
-	case <-late.C:
+	case l.urgent <- work:
+	case <-expired.C:
 		return false
 	case <-l.ended:
 		return false
@@ -156,7 +156,7 @@
 	select {
 	case <-done:
 		return true
-	case <-late.C:
+	case <-expired.C:
 	case <-l.ended:
 	}
 	if claimed.CompareAndSwap(false, true) {
@@ -168,62 +168,62 @@
 
 // Defer runs f after the work at hand, before anything else. Only for code on the loop: what reports back to a caller
 // that is still at work goes this way.
-func (l *Loop) Defer(f func()) { l.next = append(l.next, f) }
+func (l *Loop) Defer(f func()) { l.deferred = append(l.deferred, f) }
 
 // settle runs what Next was given, in order, and what that asks for in turn.
-func (l *Loop) settle() {
-	for i := 0; i < len(l.next); i++ {
-		l.next[i]()
-		l.next[i] = nil
+func (l *Loop) runDeferred() {
+	for i := 0; i < len(l.deferred); i++ {
+		l.deferred[i]()
+		l.deferred[i] = nil
 	}
-	l.next = l.next[:0]
+	l.deferred = l.deferred[:0]
 }
 
 // After calls f on the loop once the span has passed. Only for code on the loop.
-func (l *Loop) After(span time.Duration, f func()) *Timer {
-	at := time.Since(l.start) + max(0, span)
-	return l.wheel.add(int64((at+tickSpan-1)/tickSpan), f)
+func (l *Loop) After(delay time.Duration, f func()) *Timer {
+	at := time.Since(l.start) + max(0, delay)
+	return l.wheel.add(int64((at+tickInterval-1)/tickInterval), f)
 }
 
 // Stop ends Run after the work at hand. Only for code on the loop.
-func (l *Loop) Stop() { l.quit = true }
+func (l *Loop) Stop() { l.stopping = true }
 
 // Run works until Stop.
 func (l *Loop) Run() {
 	defer close(l.ended)
-	alarm := time.NewTimer(time.Hour)
-	defer alarm.Stop()
-	armed := int64(-1)
-	l.settle() // what was asked for before
-	for !l.quit {
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
+	armedTick := int64(-1)
+	l.runDeferred() // what was asked for before
+	for !l.stopping {
 		if tick, ok := l.wheel.next(); !ok {
-			alarm.Stop()
-			armed = -1
-		} else if tick != armed {
-			alarm.Reset(time.Until(l.start.Add(time.Duration(tick) * tickSpan)))
-			armed = tick
+			timer.Stop()
+			armedTick = -1
+		} else if tick != armedTick {
+			timer.Reset(time.Until(l.start.Add(time.Duration(tick) * tickInterval)))
+			armedTick = tick
 		}
 		var work func()
 		select {
-		case work = <-l.soon:
+		case work = <-l.urgent:
 		default:
 			select {
-			case work = <-l.soon:
+			case work = <-l.urgent:
 			case work = <-l.queue:
-			case <-alarm.C:
-				armed = -1
+			case <-timer.C:
+				armedTick = -1
 			}
 		}
 		if work != nil {
 			began := time.Now()
 			work()
-			l.settle()
-			if l.lag != nil {
-				*l.lag = max(*l.lag, time.Since(began))
+			l.runDeferred()
+			if l.maxLag != nil {
+				*l.maxLag = max(*l.maxLag, time.Since(began))
 			}
 		}
-		l.wheel.advance(int64(time.Since(l.start) / tickSpan))
-		l.settle()
+		l.wheel.advance(int64(time.Since(l.start) / tickInterval))
+		l.runDeferred()
 	}
 }
 
@@ -231,4 +231,4 @@
 func (l *Loop) QueueLen() int { return len(l.queue) }
 
 // UrgentQueueLen is how many pieces of work wait before the queue.
-func (l *Loop) UrgentQueueLen() int { return len(l.soon) }
+func (l *Loop) UrgentQueueLen() int { return len(l.urgent) }
--- a/internal/engine/pass.go
+++ b/internal/engine/pass.go
@@ -28,7 +28,7 @@
 // InFlight returns the attempt of the request that is out, or nil.
 func (r *Request) InFlight() *Attempt {
 	for _, a := range r.attempts {
-		if !a.over {
+		if !a.ended {
 			return a
 		}
 	}
@@ -36,17 +36,17 @@
 }
 
 // Export returns what another process needs to go on with a request; not where more than one attempt is out.
-func (e *Engine) Export(r *Request) (p HandoverRequest, ok bool) {
-	j, tried, ok := e.d.Held(r.ID)
-	if !ok || !r.open || r.out > 1 || len(tried) != len(r.attempts) {
-		return p, false
+func (e *Engine) Export(r *Request) (h HandoverRequest, ok bool) {
+	job, tried, ok := e.dispatcher.Held(r.ID)
+	if !ok || !r.open || r.inFlight > 1 || len(tried) != len(r.attempts) {
+		return h, false
 	}
-	p = HandoverRequest{Class: r.Class, Key: j.Key, GiveUpAt: r.GiveUpAt, Came: r.came, Hint: j.Hint, Slots: j.Slots, Memory: j.Memory}
+	h = HandoverRequest{Class: r.Class, Key: job.Key, GiveUpAt: r.GiveUpAt, Came: r.arrivedAt, Hint: job.Hint, Slots: job.Slots, Memory: job.Memory}
 	for i, t := range tried {
 		w := r.attempts[i].Worker
-		p.Tried = append(p.Tried, HandoverAttempt{w.Name, w.Addr, t.Sent, t.StartedAt, t.Out, t.Started, t.MayHaveRun})
+		h.Tried = append(h.Tried, HandoverAttempt{w.Name, w.Addr, t.Sent, t.StartedAt, t.Out, t.Started, t.MayHaveRun})
 	}
-	return p, true
+	return h, true
 }
 
 // Release ends a request here, without an answer: another process has it.
@@ -54,39 +54,39 @@
 	if r.open {
 		e.Counts.HandedOver++
 		e.finish(r, 3)
-		e.call(func() { e.d.Hangup(e.Now(), r.ID) })
+		e.call(func() { e.dispatcher.Hangup(e.Now(), r.ID) })
 	}
 }
 
 // Adopt goes on with a request of another process, and returns its attempt that is out, if there is one.
-func (e *Engine) Adopt(p HandoverRequest, payload any, c Client) (*Request, *Attempt) {
-	r := e.take(p.Class, p.GiveUpAt, p.Came, payload, c)
+func (e *Engine) Adopt(h HandoverRequest, payload any, client Client) (*Request, *Attempt) {
+	r := e.addRequest(h.Class, h.GiveUpAt, h.Came, payload, client)
 	e.Counts.Adopted++
-	var out *Attempt
-	tried := make([]decide.Tried, len(p.Tried))
-	for i, t := range p.Tried {
-		w := e.byName[t.Worker]
+	var inFlight *Attempt
+	tried := make([]decide.Tried, len(h.Tried))
+	for i, t := range h.Tried {
+		w := e.workersByName[t.Worker]
 		if w == nil { // the list has lost it
-			e.nextID++
-			w = &Worker{ID: e.nextID, Name: t.Worker, Addr: t.Addr, State: decide.Gone}
-			e.byName[t.Worker], e.byID[w.ID] = w, w
+			e.lastWorkerID++
+			w = &Worker{ID: e.lastWorkerID, Name: t.Worker, Addr: t.Addr, State: decide.Gone}
+			e.workersByName[t.Worker], e.workersByID[w.ID] = w, w
 		}
 		tried[i] = decide.Tried{Worker: w.ID, Sent: t.Sent, StartedAt: t.StartedAt, Out: t.Out, Started: t.Started, MayHaveRun: t.MayHaveRun}
-		a := &Attempt{Request: r, Worker: w, n: i, life: w.life, sentAt: t.Sent, over: !t.Out, ran: t.MayHaveRun, e: e}
+		a := &Attempt{Request: r, Worker: w, index: i, incarnation: w.incarnation, sentAt: t.Sent, ended: !t.Out, mayHaveRun: t.MayHaveRun, engine: e}
 		r.attempts = append(r.attempts, a)
 		if t.Out {
-			out = a
-			r.out++
-			w.out++
-			a.limit(p.GiveUpAt - e.Now())
+			inFlight = a
+			r.inFlight++
+			w.inFlight++
+			a.setTimeout(h.GiveUpAt - e.Now())
 		}
 	}
 	if e.Trace != nil {
-		e.Trace("adopted", r.ID, "class", p.Class, "left_us", p.GiveUpAt-e.Now(), "attempts", len(tried), "out", out != nil)
+		e.Trace("adopted", r.ID, "class", h.Class, "left_us", h.GiveUpAt-e.Now(), "attempts", len(tried), "out", inFlight != nil)
 	}
-	j := decide.Job{ID: r.ID, Class: p.Class, Key: p.Key, GiveUpAt: p.GiveUpAt, Hint: p.Hint, Slots: p.Slots, Memory: p.Memory}
-	e.call(func() { e.d.Adopt(e.Now(), j, tried) })
-	return r, out
+	job := decide.Job{ID: r.ID, Class: h.Class, Key: h.Key, GiveUpAt: h.GiveUpAt, Hint: h.Hint, Slots: h.Slots, Memory: h.Memory}
+	e.call(func() { e.dispatcher.Adopt(e.Now(), job, tried) })
+	return r, inFlight
 }
 
 // LearnedState is what the decisions have learnt, with workers by their names.
@@ -97,10 +97,10 @@
 
 // LearnedState returns what was learnt so far.
 func (e *Engine) LearnedState() LearnedState {
-	l := LearnedState{Learnt: e.d.Learnt()}
+	l := LearnedState{Learnt: e.dispatcher.Learnt()}
 	for _, w := range l.Workers {
 		name := ""
-		if known := e.byID[w.ID]; known != nil {
+		if known := e.workersByID[w.ID]; known != nil {
 			name = known.Name
 		}
 		l.Names = append(l.Names, name)
@@ -115,11 +115,11 @@
 	}
 	var known []decide.LearntOfWorker
 	for i, w := range l.Workers {
-		if here := e.byName[l.Names[i]]; here != nil {
+		if here := e.workersByName[l.Names[i]]; here != nil {
 			w.ID = here.ID
 			known = append(known, w)
 		}
 	}
 	l.Workers = known
-	e.call(func() { e.d.Learn(e.Now(), l.Learnt) })
+	e.call(func() { e.dispatcher.Learn(e.Now(), l.Learnt) })
 }
