--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -78,7 +78,7 @@
 }
 
 // sockets has PROTOCOL's names of the figures, by the settings' names.
-var sockets = map[string]string{"active": "inflight", "waiting": "queue", "cpu": "util", "avg_ms": "latency_ms",
+var protocolNames = map[string]string{"active": "inflight", "waiting": "queue", "cpu": "util", "avg_ms": "latency_ms",
 	"rps": "qps", "err_rps": "eps"}
 
 func (r *LoadReportParser) read(text []byte) decide.Report {
@@ -90,7 +90,7 @@
 	for i, name := range r.Fields {
 		v, ok := in[name]
 		if !ok {
-			v, ok = in[sockets[name]]
+			v, ok = in[protocolNames[name]]
 		}
 		if !ok {
 			v = float32(math.NaN())
@@ -102,7 +102,7 @@
 
 // resultOf is the text of a line's result where that is a JSON string, which was read with the line (it may be long);
 // any other JSON value is left as it stands.
-func resultOf(v any, line []byte) []byte {
+func resultText(v any, line []byte) []byte {
 	if s, ok := v.(string); ok {
 		return []byte(s)
 	}
@@ -114,19 +114,19 @@
 }
 
 // budget formats a span as X-Budget has it.
-func budget(left time.Duration) string {
+func formatBudget(left time.Duration) string {
 	return strconv.FormatInt(int64(max(left, time.Microsecond)/time.Microsecond), 10) + "u"
 }
 
 // call is what a client's request and a worker's attempt share: it passes through untouched.
-type call struct {
+type payload struct {
 	method, target, id, key string
 	body                    []byte
-	once                    bool // it must never run twice
+	atMostOnce              bool // it must never run twice
 }
 
 // named puts the service's name before the other words of a log line, where it has one.
-func named(service string, args ...any) []any {
+func withService(service string, args ...any) []any {
 	if service == "" {
 		return args
 	}
--- a/internal/jobs/overlay.go
+++ b/internal/jobs/overlay.go
@@ -14,19 +14,19 @@
 // and given back.
 
 // maxOut bounds the names that are out; those missing from the list longest are put back first.
-const maxOut = 1024
+const maxOffline = 1024
 
 // Overlay implements engine.Overlay.
 type Overlay struct {
-	Engine *engine.Engine
-	listed map[string]engine.Entry // by the list's last word; those that are gone are not in it
-	out    map[string]bool
-	gone   []string // out and not listed, the longest so in front
+	Engine   *engine.Engine
+	listed   map[string]engine.Entry // by the list's last word; those that are gone are not in it
+	offline  map[string]bool
+	unlisted []string // out and not listed, the longest so in front
 }
 
 // NewOverlay puts an overlay on an engine's list, before there is one.
 func NewOverlay(e *engine.Engine) *Overlay {
-	o := &Overlay{Engine: e, listed: map[string]engine.Entry{}, out: map[string]bool{}}
+	o := &Overlay{Engine: e, listed: map[string]engine.Entry{}, offline: map[string]bool{}}
 	e.Overlay = o
 	return o
 }
@@ -43,68 +43,68 @@
 		} else {
 			o.listed[e.Name] = e
 		}
-		out = append(out, o.seen(e))
+		out = append(out, o.withOffline(e))
 	}
-	o.sortGone()
+	o.updateUnlisted()
 	return out
 }
 
 // seen is an entry as the engine gets to see it.
-func (o *Overlay) seen(e engine.Entry) engine.Entry {
-	if o.out[e.Name] && e.State == decide.Ready {
+func (o *Overlay) withOffline(e engine.Entry) engine.Entry {
+	if o.offline[e.Name] && e.State == decide.Ready {
 		e.State = decide.Draining
 	}
 	return e
 }
 
 // sortGone brings up to date which of those that are out are missing from the list, and keeps them within bounds.
-func (o *Overlay) sortGone() {
+func (o *Overlay) updateUnlisted() {
 	counted := map[string]bool{}
-	o.gone = slices.DeleteFunc(o.gone, func(name string) bool {
+	o.unlisted = slices.DeleteFunc(o.unlisted, func(name string) bool {
 		_, listed := o.listed[name]
 		counted[name] = true
-		return listed || !o.out[name]
+		return listed || !o.offline[name]
 	})
 	var more []string
-	for name := range o.out {
+	for name := range o.offline {
 		if _, listed := o.listed[name]; !listed && !counted[name] {
 			more = append(more, name)
 		}
 	}
 	slices.Sort(more)
-	o.gone = append(o.gone, more...)
-	for len(o.out) > maxOut && len(o.gone) > 0 {
-		delete(o.out, o.gone[0])
-		o.gone = o.gone[1:]
+	o.unlisted = append(o.unlisted, more...)
+	for len(o.offline) > maxOffline && len(o.unlisted) > 0 {
+		delete(o.offline, o.unlisted[0])
+		o.unlisted = o.unlisted[1:]
 	}
 }
 
 // SetOffline takes a worker out or puts it back, and reports whether there is such a worker. One that is out is known until it is
 // put back, though the list has lost it.
-func (o *Overlay) SetOffline(name string, out bool) bool {
+func (o *Overlay) SetOffline(name string, offline bool) bool {
 	e, listed := o.listed[name]
-	if !listed && !o.out[name] {
+	if !listed && !o.offline[name] {
 		return false
 	}
-	if o.out[name] == out {
+	if o.offline[name] == offline {
 		return true
 	}
-	if out {
-		o.out[name] = true
+	if offline {
+		o.offline[name] = true
 	} else {
-		delete(o.out, name)
+		delete(o.offline, name)
 	}
-	o.sortGone()
+	o.updateUnlisted()
 	if listed {
-		o.Engine.OverlayChanged([]engine.Entry{o.seen(e)})
+		o.Engine.OverlayChanged([]engine.Entry{o.withOffline(e)})
 	}
 	return true
 }
 
 // Offline are those that are out, in order.
 func (o *Overlay) Offline() []string {
-	names := make([]string, 0, len(o.out))
-	for name := range o.out {
+	names := make([]string, 0, len(o.offline))
+	for name := range o.offline {
 		names = append(names, name)
 	}
 	slices.Sort(names)
@@ -114,20 +114,20 @@
 // RestoreOffline takes out whoever another process had out, listed or not.
 func (o *Overlay) RestoreOffline(names []string) {
 	for _, name := range names {
-		if len(o.out) >= maxOut {
+		if len(o.offline) >= maxOffline {
 			return
 		}
-		o.out[name] = true
+		o.offline[name] = true
 		if e, listed := o.listed[name]; listed {
-			o.Engine.OverlayChanged([]engine.Entry{o.seen(e)})
+			o.Engine.OverlayChanged([]engine.Entry{o.withOffline(e)})
 		}
 	}
-	o.sortGone()
+	o.updateUnlisted()
 }
 
 // Snapshot is the list's last word, in discovery's form.
 func (o *Overlay) Snapshot(index int64) []byte {
-	l := list{Index: index, Snapshot: true, Endpoints: make([]endpoint, 0, len(o.listed))}
+	l := listMessage{Index: index, Snapshot: true, Endpoints: make([]endpoint, 0, len(o.listed))}
 	for _, e := range o.listed {
 		status := "SERVING"
 		if e.State != decide.Ready {
@@ -150,7 +150,7 @@
 // ExcludedWorkers is how many of them the scheduler avoids now, by hand or by the module's choice.
 func (o *Overlay) ExcludedWorkers() int {
 	n := o.Engine.Avoided()
-	for name := range o.out {
+	for name := range o.offline {
 		if _, listed := o.listed[name]; listed {
 			n++ // for the module these drain, so that it has not counted them
 		}
--- a/internal/jobs/overlay_test.go
+++ b/internal/jobs/overlay_test.go
@@ -13,14 +13,14 @@
 )
 
 // nowhere is workers and directory of an engine that sends nothing.
-type nowhere struct{}
+type discardBackends struct{}
 
-func (nowhere) Push(*engine.Attempt)          {}
-func (nowhere) Cancel(*engine.Attempt)        {}
-func (nowhere) Probe(*engine.Probe)           {}
-func (nowhere) Withdraw(*engine.Attempt) bool { return false }
-func (nowhere) Watch(bool)                    {}
-func (nowhere) Reload()                       {}
+func (discardBackends) Push(*engine.Attempt)          {}
+func (discardBackends) Cancel(*engine.Attempt)        {}
+func (discardBackends) Probe(*engine.Probe)           {}
+func (discardBackends) Withdraw(*engine.Attempt) bool { return false }
+func (discardBackends) Watch(bool)                    {}
+func (discardBackends) Reload()                       {}
 
 // Whatever the list says and whoever is taken out and put back, what the engine sends to is what a model says: listed as
 // ready and not out.
@@ -29,7 +29,7 @@
 		e, err := engine.New(engine.NewLoop(), engine.Config{Settings: decide.Settings{Nodes: 1, Zones: 1, MaxAttempts: 1, ColdFrom: 1, FallMultiple: 1,
 			FallSpan: 1, Classes: []decide.Class{{Aim: 1, Deadline: 1, Kind: -1}}}})
 		require.NoError(t, err)
-		e.SetBackends(nowhere{}, nowhere{})
+		e.SetBackends(discardBackends{}, discardBackends{})
 		o := NewOverlay(e)
 		list, out := map[string]decide.State{}, map[string]bool{}
 		name := rapid.Map(rapid.IntRange(0, 5), func(i int) string { return fmt.Sprint("w", i) })
@@ -54,11 +54,11 @@
 				}
 				e.Announce(kind, news)
 			default:
-				n, away := name.Draw(t, "name"), rapid.Bool().Draw(t, "out")
+				n, offline := name.Draw(t, "name"), rapid.Bool().Draw(t, "out")
 				_, listed := list[n]
-				assert.Equal(t, listed || out[n], o.SetOffline(n, away))
+				assert.Equal(t, listed || out[n], o.SetOffline(n, offline))
 				if listed || out[n] {
-					if out[n] = away; !away {
+					if out[n] = offline; !offline {
 						delete(out, n)
 					}
 				}
@@ -85,13 +85,13 @@
 	e, err := engine.New(engine.NewLoop(), engine.Config{Settings: decide.Settings{Nodes: 1, Zones: 1, MaxAttempts: 1, ColdFrom: 1, FallMultiple: 1,
 		FallSpan: 1, Classes: []decide.Class{{Aim: 1, Deadline: 1, Kind: -1}}}})
 	require.NoError(t, err)
-	e.SetBackends(nowhere{}, nowhere{})
+	e.SetBackends(discardBackends{}, discardBackends{})
 	o := NewOverlay(e)
-	for i := range 3 * maxOut {
+	for i := range 3 * maxOffline {
 		e.Announce(decide.ListFull, []engine.Entry{{Name: fmt.Sprint(i), Addr: "x", State: decide.Ready}})
 		require.True(t, o.SetOffline(fmt.Sprint(i), true))
-		require.LessOrEqual(t, len(o.Offline()), maxOut)
+		require.LessOrEqual(t, len(o.Offline()), maxOffline)
 	}
-	assert.Contains(t, o.Offline(), fmt.Sprint(3*maxOut-1), "those missing longest go first")
+	assert.Contains(t, o.Offline(), fmt.Sprint(3*maxOffline-1), "those missing longest go first")
 	assert.NotContains(t, o.Offline(), "0")
 }
--- a/internal/jobs/pass.go
+++ b/internal/jobs/pass.go
@@ -10,7 +10,7 @@
 // and the attempt that is out. It must never pass what it can't pass whole, and what was passed is no longer answered here.
 
 // maxRaw is how much of a worker's answer may have come for its attempt to be passed: the other process reads it again.
-const maxRaw = 8 << 10
+const maxHandoverResponse = 8 << 10
 
 // HandoverJob is a client's connection with a job in hand, and the attempt that is out.
 type HandoverJob struct {
@@ -31,7 +31,7 @@
 // Only while nothing is read from any. It returns how many connections are left.
 func (s *Server) HandOverIdle(give func(c Conn) bool) int {
 	for _, p := range s.Pace.Idle() {
-		if x := p.Owner.(*client); !x.busy && x.parser.Idle() && len(x.ahead) == 0 && give(x.conn) {
+		if x := p.Owner.(*client); !x.busy && x.parser.Idle() && len(x.pipelined) == 0 && give(x.conn) {
 			x.close()
 		}
 	}
@@ -43,14 +43,14 @@
 func (s *Server) HandOverJobs(give func(p *HandoverJob, client, worker Conn) bool) {
 	for _, peer := range s.Pace.Working() {
 		x := peer.Owner.(*client)
-		if x.request == nil || x.over {
+		if x.request == nil || x.closed {
 			continue
 		}
-		p, worker, ok := x.passed()
+		p, worker, ok := x.export()
 		if ok && give(p, x.conn, worker) {
 			r, v := x.request, x.service
 			x.request = nil
-			s.release(x)
+			s.releaseRequest(x)
 			v.Engine.Release(r) // its attempt goes with it, and our copies of its connections
 			x.close()
 		}
@@ -58,14 +58,14 @@
 }
 
 // passed is a client's connection as it goes to another process.
-func (x *client) passed() (p *HandoverJob, worker Conn, ok bool) {
+func (x *client) export() (p *HandoverJob, worker Conn, ok bool) {
 	in, ok := x.service.Engine.Export(x.request)
 	if !ok {
 		return nil, nil, false
 	}
-	c := x.request.Payload.(*call)
+	c := x.request.Payload.(*payload)
 	p = &HandoverJob{Service: x.service.Name, Method: c.method, Target: c.target, ID: c.id, Key: c.key, Body: c.body,
-		KeepAlive: x.keepAlive, Ahead: x.ahead, Job: in}
+		KeepAlive: x.keepAlive, Ahead: x.pipelined, Job: in}
 	for name, i := range x.service.Classes {
 		if i == x.class {
 			p.Class = name
@@ -73,10 +73,10 @@
 	}
 	if a := x.request.InFlight(); a != nil {
 		e, is := a.State.(*exchange)
-		if !is || e.over || !e.written || e.early || e.lastLine || e.conn == nil || len(e.raw) > maxRaw {
+		if !is || e.ended || !e.written || e.closedEarly || e.finalLineSeen || e.conn == nil || len(e.rawResponse) > maxHandoverResponse {
 			return nil, nil, false
 		}
-		p.Answer, worker = e.raw, e.conn
+		p.Answer, worker = e.rawResponse, e.conn
 	}
 	return p, worker, true
 }
@@ -86,37 +86,37 @@
 	if c == nil {
 		return
 	}
-	x := s.open(c)
+	x := s.addClient(c)
 	x.peer.Vouched(s.Loop.Now())
-	x.arm()
+	x.armPaceTimer()
 }
 
 // Adopt goes on with a job of another process; worker is the connection of its attempt, or nil.
 func (s *Server) Adopt(v *Service, p *HandoverJob, c, worker Conn) {
-	x := s.open(c)
+	x := s.addClient(c)
 	now := s.Loop.Now()
 	x.peer.Vouched(now)
 	class, known := v.Classes[p.Class]
 	x.busy, x.keepAlive = true, p.KeepAlive
-	x.ahead = append(x.ahead, p.Ahead...)
+	x.pipelined = append(x.pipelined, p.Ahead...)
 	x.peer.Work(now)
-	if !known || s.taken(p.ID) { // it may have run, and can't be followed
+	if !known || s.callIDInUse(p.ID) { // it may have run, and can't be followed
 		if worker != nil {
 			worker.Close()
 		}
 		x.Failed()
 		return
 	}
-	s.claim(x, p.ID)
-	x.service, x.class, x.booked = v, class, len(p.Body)
+	s.claimCallID(x, p.ID)
+	x.service, x.class, x.bookedBytes = v, class, len(p.Body)
 	if v.Pool != nil { // or its end would be taken off what others have in hand
-		x.unbooked = v.Pool.Adopt(class, x.booked)
+		x.unbooked = v.Pool.Adopt(class, x.bookedBytes)
 	}
 	p.Job.Class = class
-	_ = x.hold(len(p.Body) + len(p.Target))
-	in := &call{method: p.Method, target: p.Target, id: p.ID, key: p.Key, body: p.Body, once: v.Engine.Class(class).Effect == decide.Unsafe}
+	_ = x.reserveMemory(len(p.Body) + len(p.Target))
+	in := &payload{method: p.Method, target: p.Target, id: p.ID, key: p.Key, body: p.Body, atMostOnce: v.Engine.Class(class).Effect == decide.Unsafe}
 	r, a := v.Engine.Adopt(p.Job, in, x)
-	if x.id != "" { // not answered already
+	if x.callID != "" { // not answered already
 		x.request = r
 	}
 	if v.Engine.Trace != nil {
@@ -129,7 +129,7 @@
 
 // adopt goes on with an attempt of another process. What has come of its answer is read again.
 func (w *Workers) adopt(a *engine.Attempt, c Conn, answer []byte) {
-	x := w.exchange(a.Worker)
+	x := w.newExchange(a.Worker)
 	x.attempt, a.State = a, x
 	if c == nil {
 		x.end(decide.Reset) // its connection was lost on the way
@@ -143,8 +143,8 @@
 }
 
 // open makes a client of a connection.
-func (s *Server) open(c Conn) *client {
-	x := &client{s: s, conn: c, parser: http1.NewRequestParser()}
+func (s *Server) addClient(c Conn) *client {
+	x := &client{server: s, conn: c, parser: http1.NewRequestParser()}
 	x.peer = s.Pace.Open(s.Loop.Now(), c.Peer(), x)
 	c.SetHandler(x)
 	return x
--- a/internal/jobs/pass_test.go
+++ b/internal/jobs/pass_test.go
@@ -14,15 +14,15 @@
 
 // A job passes to another process wherever the worker's answer is cut, and the client there gets that answer once. What has
 // not been written whole, or has ended, stays.
-func TestJobsPassWhereverTheAnswerIsCut(t *testing.T) {
+func TestHandoverAtEveryPointOfTheResponse(t *testing.T) {
 	const request = "POST /p/k?q=1 HTTP/1.1\r\nHost: h\r\nX-Call-Id: one\r\nX-Call-Class: send\r\nX-Budget: 9000m\r\nContent-Length: 2\r\n\r\nhi"
 	chunk := func(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 	answer := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(`{"id":"one","state":"sta`) + chunk("rted\"}\n") +
 		chunk("{\"id\":\"one\",\"state\":\"done\",\"result\":\"made\"}\n") + "0\r\n\r\n"
 	for cut := range len(answer) - len("0\r\n\r\n") {
-		old, next := newBench(t), newBench(t)
+		old, next := newHarness(t), newHarness(t)
 		old.workers.RetainResponses = true
-		worker := &fakeConn{prompt: true}
+		worker := &fakeConn{writeAtOnce: true}
 		old.dialer.conn = worker
 		c := old.client()
 		c.handler.Data([]byte(request + "POST /next"))
@@ -34,10 +34,10 @@
 			require.NoError(t, err)
 			again := new(HandoverJob)
 			require.NoError(t, json.Unmarshal(text, again))
-			newClient, newWorker := &fakeConn{prompt: true}, &fakeConn{prompt: true}
+			newClient, newWorker := &fakeConn{writeAtOnce: true}, &fakeConn{writeAtOnce: true}
 			next.server.Main.Workers = next.workers
 			next.server.Adopt(next.server.Main, again, newClient, newWorker)
-			require.Equal(t, 1, next.e.OpenRequests())
+			require.Equal(t, 1, next.engine.OpenRequests())
 			newWorker.handler.Data([]byte(answer[cut:]))
 			assert.Contains(t, newClient.out, "HTTP/1.1 200 OK", "cut at %d", cut)
 			assert.Contains(t, newClient.out, "\r\n\r\nmade", "cut at %d", cut)
@@ -56,50 +56,50 @@
 		}
 		old.server.HandOverJobs(give)
 		require.Equal(t, 1, taken, "cut at %d", cut)
-		assert.Zero(t, old.e.OpenRequests())
+		assert.Zero(t, old.engine.OpenRequests())
 		assert.True(t, worker.closed && c.closed, "our copies")
 		assert.Empty(t, c.out)
-		assert.Equal(t, []int{1, 1, 0}, []int{old.e.Counts.Accepted, old.e.Counts.HandedOver, old.e.Counts.Hangups})
+		assert.Equal(t, []int{1, 1, 0}, []int{old.engine.Counts.Accepted, old.engine.Counts.HandedOver, old.engine.Counts.Hangups})
 	}
 }
 
 // News that another process has heard counts here, unless ours is newer; an answer to a call that began before it and knows
 // less changes nothing back.
-func TestNewsOfAnotherProcess(t *testing.T) {
-	b := newBench(t)
+func TestRelayedListUpdates(t *testing.T) {
+	b := newHarness(t)
 	states := func() (ready int) {
-		b.e.EachReadyAddr(func(string) { ready++ })
+		b.engine.EachReadyAddr(func(string) { ready++ })
 		return ready
 	}
-	b.list.Watch(true)
-	require.NoError(t, b.list.ApplyRelayed(2, []byte(`{"endpoints":[{"name":"a","address":"x:1","status":"DRAINING"}]}`)))
+	b.discovery.Watch(true)
+	require.NoError(t, b.discovery.ApplyRelayed(2, []byte(`{"endpoints":[{"name":"a","address":"x:1","status":"DRAINING"}]}`)))
 	assert.Equal(t, 1, states(), "older than ours")
-	require.NoError(t, b.list.ApplyRelayed(9, []byte(`{"index":9,"endpoints":[{"name":"a","address":"x:1","zone":"here","status":"DRAINING"}]}`)))
+	require.NoError(t, b.discovery.ApplyRelayed(9, []byte(`{"index":9,"endpoints":[{"name":"a","address":"x:1","zone":"here","status":"DRAINING"}]}`)))
 	assert.Zero(t, states())
-	b.list.ApplyRelayed(9, []byte(`{"endpoints":[{"name":"a","address":"x:1","status":"SERVING"}]}`))
-	b.list.toldAt = b.e.Now() + 1 // within the same microsecond
+	b.discovery.ApplyRelayed(9, []byte(`{"endpoints":[{"name":"a","address":"x:1","status":"SERVING"}]}`))
+	b.discovery.relayedAt = b.engine.Now() + 1 // within the same microsecond
 	body := `{"index":4,"snapshot":true,"endpoints":[{"name":"a","address":"x:1","zone":"here","type":"box","status":"SERVING"}]}`
-	b.dialer.conn.handler.Data([]byte("HTTP/1.1 200 OK\r\nContent-Length: " + itoa(int64(len(body))) + "\r\n\r\n" + body))
+	b.dialer.conn.handler.Data([]byte("HTTP/1.1 200 OK\r\nContent-Length: " + formatInt(int64(len(body))) + "\r\n\r\n" + body))
 	assert.Zero(t, states(), "it knows less than we were told")
-	assert.EqualValues(t, 9, b.list.Index())
-	assert.Error(t, b.list.ApplyRelayed(10, []byte(`{`)))
-	require.NoError(t, b.list.ApplyRelayed(10, []byte(`{"snapshot":true,"endpoints":[{"name":"b","address":"y:1","zone":"here","status":"SERVING"}]}`)))
+	assert.EqualValues(t, 9, b.discovery.Index())
+	assert.Error(t, b.discovery.ApplyRelayed(10, []byte(`{`)))
+	require.NoError(t, b.discovery.ApplyRelayed(10, []byte(`{"snapshot":true,"endpoints":[{"name":"b","address":"y:1","zone":"here","status":"SERVING"}]}`)))
 	assert.Equal(t, 1, states())
 }
 
 // A job taken over from another process is in the account of its pool, and leaves it once. It was once given back though it
 // had never been booked.
 func TestAdoptedJobIsBooked(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	p := pool.New("", pool.Limits{FleetOpen: 9}, make([]pool.Limits, 2), nil, nil)
 	open := 0
 	p.Fleet = func(k pool.FleetKind, _ int) bool { open++; return true }
 	p.FleetDone = func(int) { open-- }
 	b.server.Main.Pool, b.server.Main.Workers = p, b.workers
 	for _, how := range []string{"answered", "left"} {
-		client, worker := &fakeConn{prompt: true}, &fakeConn{prompt: true}
+		client, worker := &fakeConn{writeAtOnce: true}, &fakeConn{writeAtOnce: true}
 		job := &HandoverJob{Class: "send", Method: "POST", Target: "/p", ID: how, Body: []byte("hi"), KeepAlive: true,
-			Job: engine.HandoverRequest{GiveUpAt: b.e.Now() + 9e6, Came: b.e.Now(), Tried: []engine.HandoverAttempt{{Worker: "a", Addr: "x:1", Sent: b.e.Now(), Out: true, MayHaveRun: true}}}}
+			Job: engine.HandoverRequest{GiveUpAt: b.engine.Now() + 9e6, Came: b.engine.Now(), Tried: []engine.HandoverAttempt{{Worker: "a", Addr: "x:1", Sent: b.engine.Now(), Out: true, MayHaveRun: true}}}}
 		b.server.Adopt(b.server.Main, job, client, worker)
 		assert.Equal(t, []int{1, 1}, []int{p.Open(), open}, how)
 		if how == "left" {
