--- a/internal/engine/counts.go
+++ b/internal/engine/counts.go
@@ -8,32 +8,32 @@
 	"weldscale/decide"
 )
 
-// Counts is what a scheduler has taken in, sent and answered since its start. It owns no decision; nothing
-// may depend on it but what people read.
+// Counts holds what a scheduler has received, sent and answered since its start. It is for people to read only; no
+// decision may depend on it.
 type Counts struct {
 	Accepted, Served, Refused, Failed, Hangups int
-	// Ended is jobs by how they ended (0 served, 1 refused, 2 failed) and class; also those that were refused before
-	// they became requests.
+	// Ended counts jobs by outcome (0 served, 1 refused, 2 failed) and class, including those refused before they
+	// became requests.
 	Ended [3][]int
-	// HandedOver and Adopted are requests that went to another process of this scheduler and that came from one.
+	// HandedOver and Adopted count requests handed over to and taken over from another process of this scheduler.
 	HandedOver, Adopted int
-	// Written is attempts that were written whole to workers.
+	// Written counts attempts whose request was written to a worker in full.
 	Written                            int
-	BadRequests                        int // answered 4xx or 5xx without becoming a request
+	BadRequests                        int // answered with 4xx or 5xx without becoming a request
 	Pushes                             int
-	Outcomes, Probes                   [decide.Moot + 1]int // by decide.Status
-	ListCalls, ListUpdates, ListFailed int                  // calls of discovery, answers with news, calls that came to nothing
-	ListWait                           time.Duration        // the longest that an answer of discovery took which was there before the call
+	Outcomes, Probes                   [decide.Moot + 1]int // indexed by decide.Status
+	ListCalls, ListUpdates, ListFailed int                  // calls to discovery, answers with a list or changes, calls that failed
+	ListWait                           time.Duration        // longest time to an answer that discovery already had when it was called
 	Dials, DialsFailed                 int
 	Shed                               int           // connections closed to stay within the descriptor budget
-	SlowWorkers                        int           // exchanges ended since the worker took or wrote too slowly
-	Lag                                time.Duration // the longest that one piece of work has kept the loop
+	SlowWorkers                        int           // exchanges ended because the worker read or wrote too slowly
+	Lag                                time.Duration // longest time that one piece of work has occupied the loop
 }
 
-// StatusNames are the names of decide.Status.
+// StatusNames holds the names of the decide.Status values, in their order.
 var StatusNames = [...]string{"error", "served", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot"}
 
-// String gives the counters as name=value words, those that are zero left out of the lists by outcome.
+// String returns the counters as name=value words. Zero counts are left out of the lists by outcome.
 func (c *Counts) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "taken=%d served=%d refused=%d failed=%d hangups=%d passed_on=%d adopted=%d bad_requests=%d pushes=%d",
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,8 +1,7 @@
-// Package engine runs the decisions for one scheduler. It owns the Dispatcher, every open request and its
-// attempts, the names and addresses of the workers, and the counters. It sees to it that a request gets
-// exactly one final answer, that an attempt is sent only while it still may be, and that a shutdown loses
-// nothing. It must never know a protocol, touch a socket or decide where a job goes: clients, workers and
-// the worker list come through the small interfaces below, and all of it runs on the one Loop.
+// Package engine executes the decisions of package decide for one scheduler. It holds the open requests and their
+// attempts, the workers' names and addresses, and the counters. It guarantees that a request gets exactly one final
+// answer, that an attempt is sent only while it is still valid, and that a shutdown loses no request. It contains no protocol, socket or placement code:
+// clients, workers and the worker list are behind the interfaces below. All code runs on one Loop.
 package engine
 
 import (
@@ -16,66 +15,68 @@
 	"weldscale/decide"
 )
 
-// Client is where one request came from. Exactly one of its methods is called, once, unless the client
-// has gone away first.
+// Client is the origin of one request. The engine calls exactly one of Served, Refused and Failed, once, unless the
+// client has disconnected before.
 type Client interface {
-	// Served answers with the result that a worker gave.
+	// Served answers with the result of a worker.
 	Served(result []byte)
-	// Refused answers that nothing was done and trying again is harmless, after the wait if there is one.
+	// Refused answers that the job did not run and may be retried safely, after retryAfter if that is above 0.
 	Refused(retryAfter time.Duration)
-	// Failed answers without a promise.
+	// Failed answers that the request failed; the job may have run.
 	Failed()
-	// Gone reports whether the client has gone away, told or not.
+	// Gone reports whether the client has disconnected, even if Hangup has not been called yet.
 	Gone() bool
 }
 
-// Workers sends to workers. It reports back by the methods of Attempt and Probe, at once or later.
+// Workers sends attempts and probes to workers. It reports back through the methods of Attempt and Probe, during the
+// call or later.
 type Workers interface {
-	// Push sends a.Request to a.Worker. Just before the first byte it asks a.Sendable.
+	// Push sends a.Request to a.Worker. It must check a.Sendable immediately before it writes the first byte.
 	Push(a *Attempt)
-	// Cancel abandons an attempt: once it returns, nothing of it is out on an open connection.
+	// Cancel aborts an attempt. When it returns, no open connection carries the attempt any more.
 	Cancel(a *Attempt)
-	// Withdraw abandons an attempt whose last byte has surely not left, and reports whether it was such.
+	// Withdraw aborts an attempt if its last byte has certainly not been sent, and reports whether it did.
 	Withdraw(a *Attempt) bool
-	// Probe asks p.Worker for its load.
+	// Probe requests the load of p.Worker.
 	Probe(p *Probe)
 }
 
-// Meter observes spans, in microseconds.
+// Meter records durations, in microseconds.
 type Meter interface {
-	// Wait is from a request's arrival to its first attempt.
+	// Wait records the time from a request's arrival to its first attempt.
 	Wait(class int, t decide.Time)
 	Probe(s decide.Status, t decide.Time)
 	Attempt(class int, s decide.Status, t decide.Time)
-	// Answer is from a request's arrival to its final answer: 0 served, 1 refused, 2 failed, 3 none, since the client left.
+	// Answer records the time from a request's arrival to its final answer. The outcome is 0 for served, 1 for
+	// refused, 2 for failed and 3 for none because the client disconnected.
 	Answer(class, outcome int, t decide.Time)
 }
 
-// Directory asks for the worker list. It reports by Engine.Announce.
+// Directory fetches the worker list. It reports through Engine.Announce.
 type Directory interface {
 	Watch(on bool)
 	Reload()
 }
 
-// Overlay stands between the list and the engine.
+// Overlay modifies the worker list before the engine sees it.
 type Overlay interface {
 	// Apply returns the entries as the engine is to see them.
 	Apply(kind decide.ListKind, entries []Entry) []Entry
 }
 
-// Worker is one worker as the list names it. Its address may change; its name and ID do not.
+// Worker is a worker of the list. Its address may change; its name and ID do not.
 type Worker struct {
 	ID       decide.WorkerID
 	Name     string
 	Addr     string
 	State    decide.State
-	inFlight int // attempts and probes not yet ended
+	inFlight int // attempts and probes that have not ended
 
 	startedAt   decide.Time
-	incarnation int // grows as its address or its start changes: another process goes by the name
+	incarnation int // grows when the address or the start time changes, which means that another process has the name
 }
 
-// Entry is a worker in news of the list.
+// Entry is a worker in an update of the list.
 type Entry struct {
 	Name, Addr, Zone, Kind string
 	Cell                   int
@@ -89,11 +90,11 @@
 	ID        uint32
 	Class     int
 	GiveUpAt  decide.Time
-	Payload   any // what the client's protocol hands to the workers'
+	Payload   any // passed from the client's protocol to the workers' protocol
 	client    Client
 	arrivedAt decide.Time
 	attempts  []*Attempt
-	inFlight  int // attempts not yet ended
+	inFlight  int // attempts that have not ended
 	open      bool
 }
 
@@ -101,21 +102,22 @@
 type Attempt struct {
 	Request      *Request
 	Worker       *Worker
-	State        any // for Workers
+	State        any // used by Workers
 	index        int
-	incarnation  int // of the worker, as it was chosen
+	incarnation  int // of the worker when it was chosen
 	sentAt       decide.Time
-	sendDeadline decide.Time // 0: whenever the client still waits
+	sendDeadline decide.Time // 0: no limit but the client's deadline
 	ended        bool
-	mayHaveRun   bool // it may have
+	mayHaveRun   bool // set when the attempt ends
 	engine       *Engine
 	timer        *Timer
 }
 
-// keyMargin is what a request may need from its first byte here to being looked up by its key at the worker.
+// keyLookupMargin is the time that a request may need from its first byte sent here until the worker looks up its
+// key.
 const keyLookupMargin = decide.Time(50 * time.Millisecond / time.Microsecond)
 
-// Probe is one question for a worker's load.
+// Probe is one load query to a worker.
 type Probe struct {
 	Worker  *Worker
 	request uint32 // the request that it is for; 0: none
@@ -124,21 +126,23 @@
 	engine  *Engine
 }
 
-// Engine is one scheduler.
+// Engine executes the decisions for one scheduler. All methods must be called on the loop.
 type Engine struct {
 	*Loop
 	Counts Counts
-	// MayRetry, if set, is asked before a second try is sent; where it says no, the try ends unsent.
+	// MayRetry, if set, is called before an attempt after the first is sent. If it returns false, the attempt ends
+	// unsent.
 	MayRetry func(class int) bool
-	// Meter, if set, observes what requests go through.
+	// Meter, if set, records durations of requests, attempts and probes.
 	Meter Meter
-	// Seen, if set, is told how each attempt (job) and each probe ended, by the worker's name.
+	// OnOutcome, if set, is called with the worker's name and the status when an attempt (job is true) or a probe
+	// ends.
 	OnOutcome func(worker string, job bool, s decide.Status)
-	// Trace, if set, is told what becomes of each request, by its number.
+	// Trace, if set, is called for each event of a request, with the request's ID.
 	Trace func(event string, request uint32, args ...any)
-	// Overlay, if set, changes what news of the list means before anyone acts on it.
+	// Overlay, if set, modifies each update of the worker list before it is used.
 	Overlay Overlay
-	// Used, if set, is told how long the loop was at work for this engine.
+	// OnBusy, if set, is called with the time that the loop has spent on a call for this engine.
 	OnBusy func(span time.Duration)
 
 	dispatcher    *decide.Dispatcher
@@ -150,30 +154,30 @@
 	workersByName map[string]*Worker
 	workersByID   map[decide.WorkerID]*Worker
 	lastWorkerID  decide.WorkerID
-	requests      map[uint32]*Request // open, or with an attempt out
+	requests      map[uint32]*Request // open, or with an attempt in flight
 	openRequests  int
 	lastRequestID uint32
-	tracedRequest uint32   // the request that the module is at, as far as the call tells; for the trace
-	pending       []func() // actions the module has asked for and that are not carried out yet
+	tracedRequest uint32   // the request that the current dispatcher call is about, if known; for Trace
+	pending       []func() // actions requested by the dispatcher that have not been executed yet
 	dispatching   bool
-	everReady     bool // a list has named a worker that takes jobs
+	everReady     bool // a list has contained a worker in state Ready
 }
 
-// Config is what New needs besides the settings of the decisions.
+// Config holds the parameters of New.
 type Config struct {
 	Settings     decide.Settings
 	Seed         uint64
 	Zones, Kinds []string // in the order of the settings
 }
 
-// New returns an engine that knows no worker yet. Use sets the ways out.
+// New returns an engine that knows no workers yet. SetBackends must be called before it is used.
 func New(loop *Loop, c Config) (*Engine, error) {
 	e := &Engine{Loop: loop, classes: c.Settings.Classes, zones: indexByName(c.Zones), kinds: indexByName(c.Kinds), workersByName: map[string]*Worker{},
 		workersByID: map[decide.WorkerID]*Worker{}, requests: map[uint32]*Request{}}
 	for i := range e.Counts.Ended {
 		e.Counts.Ended[i] = make([]int, len(e.classes))
 	}
-	if loop.maxLag == nil { // the first engine shows it for all
+	if loop.maxLag == nil { // the first engine on the loop counts the lag for all
 		loop.maxLag = &e.Counts.Lag
 	}
 	var err error
@@ -189,13 +193,13 @@
 	return m
 }
 
-// SetBackends sets the ways to the workers and to the worker list.
+// SetBackends sets the implementations that send to workers and fetch the worker list.
 func (e *Engine) SetBackends(w Workers, d Directory) { e.workers, e.directory = w, d }
 
-// OpenRequests returns how many requests wait for their final answer.
+// OpenRequests returns the number of requests without a final answer.
 func (e *Engine) OpenRequests() int { return e.openRequests }
 
-// LongestDeadline is the longest that a client of any class waits.
+// LongestDeadline returns the longest deadline of all classes.
 func (e *Engine) LongestDeadline() (longest decide.Time) {
 	for _, c := range e.classes {
 		longest = max(longest, c.Deadline)
@@ -203,7 +207,7 @@
 	return longest
 }
 
-// GiveUpAll has every open request given its last answer now: there is no time left.
+// GiveUpAll makes the dispatcher end every open request now, because the shutdown has no time left.
 func (e *Engine) GiveUpAll() {
 	for _, r := range slices.SortedFunc(maps.Values(e.requests), func(a, b *Request) int { return cmp.Compare(a.ID, b.ID) }) {
 		if r.open {
@@ -212,13 +216,13 @@
 	}
 }
 
-// Class is what is known of a class, by its number.
+// Class returns the settings of the class with index i.
 func (e *Engine) Class(i int) decide.Class { return e.classes[i] }
 
-// Ready reports whether there has been a worker to serve with: the front may send clients from then on.
+// Ready reports whether the list has ever contained a ready worker. From then on the front end may send clients.
 func (e *Engine) Ready() bool { return e.everReady }
 
-// Submit takes a request of a client. The job's ID is set here.
+// Submit adds a client's request and passes the job to the dispatcher. It sets the job's ID.
 func (e *Engine) Submit(job decide.Job, payload any, client Client) *Request {
 	r := e.addRequest(job.Class, job.GiveUpAt, e.Now(), payload, client)
 	job.ID = r.ID
@@ -229,7 +233,7 @@
 	return r
 }
 
-// take enters a request under an ID of its own.
+// addRequest registers a request under an unused ID.
 func (e *Engine) addRequest(class int, giveUpAt, arrivedAt decide.Time, payload any, client Client) *Request {
 	for e.lastRequestID++; e.lastRequestID == 0 || e.requests[e.lastRequestID] != nil; e.lastRequestID++ {
 	}
@@ -240,7 +244,7 @@
 	return r
 }
 
-// Hangup takes in that the client has gone away.
+// Hangup ends a request whose client has disconnected.
 func (e *Engine) Hangup(r *Request) {
 	if r.open {
 		e.Counts.Hangups++
@@ -249,7 +253,7 @@
 	}
 }
 
-// finish ends a request. Its attempts still report to the module, but no second answer can follow.
+// finish ends a request. Its attempts still report to the dispatcher, but no second answer can follow.
 func (e *Engine) finish(r *Request, outcome int) {
 	if e.Meter != nil {
 		e.Meter.Answer(r.Class, outcome, e.Now()-r.arrivedAt)
@@ -259,7 +263,7 @@
 	}
 	r.open = false
 	e.openRequests--
-	for _, a := range r.attempts { // nobody waits for it: what has not gone out stays here
+	for _, a := range r.attempts { // no client waits for them: unsent attempts are not sent
 		if !a.ended && e.workers.Withdraw(a) {
 			a.End(decide.Moot, nil, decide.Report{})
 		}
@@ -273,7 +277,7 @@
 	}
 }
 
-// Announce takes in news of the worker list.
+// Announce applies an update of the worker list.
 func (e *Engine) Announce(kind decide.ListKind, entries []Entry) {
 	if e.Overlay != nil && kind != decide.ListFailed {
 		entries = e.Overlay.Apply(kind, entries)
@@ -288,14 +292,14 @@
 	e.forgetGoneWorkers()
 }
 
-// OverlayChanged takes in entries that the overlay sees otherwise from now on. Discovery has not spoken: whether the watch
-// stands is not touched.
+// OverlayChanged applies entries whose overlay has changed. It does not come from discovery, so the state of the
+// watch does not change.
 func (e *Engine) OverlayChanged(entries []Entry) {
 	e.applyNews(decide.ListDelta, entries)
 }
 
-// Told takes in news of the list that another process of this scheduler has heard: the overlay goes over it, and whether
-// our own watch stands is not touched.
+// AnnounceRelayed applies a list update that another process of this scheduler has received. The overlay is applied
+// to it, and the state of this process's watch does not change.
 func (e *Engine) AnnounceRelayed(kind decide.ListKind, entries []Entry) {
 	if e.Overlay != nil {
 		entries = e.Overlay.Apply(kind, entries)
@@ -310,7 +314,8 @@
 	e.forgetGoneWorkers()
 }
 
-// AddPeerEvidence tells the module that peers have fared badly at a worker. One that our own list has not named is passed over.
+// AddPeerEvidence reports to the dispatcher that peers have seen a worker fail. A worker that is not ready in this
+// process's list is ignored.
 func (e *Engine) AddPeerEvidence(worker string) {
 	w := e.workersByName[worker]
 	if w == nil || w.State != decide.Ready {
@@ -323,16 +328,17 @@
 	})
 }
 
-// believed is how many peers' complaints the module believes; the caller of AddPeerEvidence has weighed those of more.
+// maxPeerReports is the number of peers whose reports the dispatcher counts. The caller of AddPeerEvidence has
+// already weighed the reports of all peers.
 const maxPeerReports = 2
 
-// ReadyWorkers is how many workers take jobs by the list.
+// ReadyWorkers returns the number of workers that the list has as ready.
 func (e *Engine) ReadyWorkers() (n int) {
 	e.EachReadyAddr(func(string) { n++ })
 	return n
 }
 
-// Avoided is how many workers that would take jobs the module leaves alone just now, whatever the job.
+// Avoided returns the number of ready workers that the dispatcher currently avoids for all jobs.
 func (e *Engine) Avoided() int { return e.dispatcher.Avoided(e.Now()) }
 
 func (e *Engine) applyEntries(kind decide.ListKind, entries []Entry) []decide.Worker {
@@ -364,7 +370,7 @@
 }
 
 func (e *Engine) forgetGoneWorkers() {
-	for name, w := range e.workersByName { // names come and go for as long as the scheduler runs
+	for name, w := range e.workersByName { // removed names would otherwise accumulate for as long as the scheduler runs
 		if w.State == decide.Gone && w.inFlight == 0 {
 			delete(e.workersByName, name)
 			delete(e.workersByID, w.ID)
@@ -379,7 +385,7 @@
 	return -1
 }
 
-// EachReadyAddr calls f with the address of every worker that takes jobs.
+// EachReadyAddr calls f with the address of every ready worker.
 func (e *Engine) EachReadyAddr(f func(addr string)) {
 	for _, w := range e.workersByName {
 		if w.State == decide.Ready {
@@ -388,20 +394,20 @@
 	}
 }
 
-// Sendable reports whether the attempt may still be sent: connecting takes time, and meanwhile the worker
-// may have been told to be draining or gone or have started anew, the request answered, its client gone, its time run
-// out, or the time for which its key is known.
+// Sendable reports whether the attempt may still be sent. While the connection was being made, the worker may have
+// begun to drain, left the list or restarted, the request may have been answered, its client may have disconnected,
+// or its deadline or the time for which its key is remembered may have passed.
 func (a *Attempt) Sendable() bool {
 	return !a.ended && a.Request.open && a.Worker.State == decide.Ready && a.Worker.incarnation == a.incarnation && a.Remaining() > 0 &&
 		(a.sendDeadline == 0 || a.engine.Now() < a.sendDeadline) && !a.Request.client.Gone()
 }
 
-// Remaining is the time that the client will still wait.
+// Remaining returns the time until the client's deadline.
 func (a *Attempt) Remaining() time.Duration {
 	return time.Duration(a.Request.GiveUpAt-a.engine.Now()) * time.Microsecond
 }
 
-// limit ends the attempt as timed out after the span.
+// setTimeout ends the attempt with status TimedOut after the timeout.
 func (a *Attempt) setTimeout(timeout decide.Time) {
 	a.timer = a.engine.After(time.Duration(timeout)*time.Microsecond, func() {
 		a.engine.workers.Cancel(a)
@@ -409,7 +415,7 @@
 	})
 }
 
-// Started takes in that the job runs.
+// Started records that the job has started.
 func (a *Attempt) Started() {
 	if !a.ended {
 		if a.engine.Trace != nil {
@@ -419,14 +425,14 @@
 	}
 }
 
-// Progress takes in the share that is done.
+// Progress records the share of the job that is done.
 func (a *Attempt) Progress(share float64) {
 	if !a.ended {
 		a.engine.call(func() { a.engine.dispatcher.Note(a.engine.Now(), a.Request.ID, a.index, decide.NoteProgress, share) })
 	}
 }
 
-// End takes in how the attempt ended; the result is that of a Served one. Only the first call counts.
+// End records how the attempt ended. The result is set if the status is Served. Only the first call has an effect.
 func (a *Attempt) End(s decide.Status, result []byte, report decide.Report) {
 	if a.ended {
 		return
@@ -459,7 +465,7 @@
 	e.forgetIfDone(r)
 }
 
-// End takes in the answer to a probe, or that none came. Only the first call counts.
+// End records the answer to a probe, or that there was none. Only the first call has an effect.
 func (p *Probe) End(s decide.Status, report decide.Report) {
 	if p.ended {
 		return
@@ -480,7 +486,7 @@
 	p.engine.call(func() { p.engine.dispatcher.ProbeResult(now, p.Worker.ID, s, now-p.sentAt, report) })
 }
 
-// callFor makes a call that is about one request.
+// callForRequest makes a dispatcher call that is about one request.
 func (e *Engine) callForRequest(request uint32, f func()) {
 	e.call(func() {
 		e.tracedRequest = request
@@ -489,8 +495,8 @@
 	})
 }
 
-// call makes a call of the module and then carries out what it asked for, in order. An action may lead to
-// further calls; none is made while the module is still at work.
+// call makes a call to the dispatcher and then executes the actions that it requested, in order. An action may make
+// further calls; they are queued until the current one has returned.
 func (e *Engine) call(f func()) {
 	if e.dispatching {
 		e.pending = append(e.pending, f)
@@ -510,7 +516,7 @@
 	e.pending, e.dispatching = nil, false
 }
 
-// actions queues what the module asks for.
+// actions queues the actions that the dispatcher requests.
 type actions struct{ engine *Engine }
 
 func (x actions) enqueue(f func()) { x.engine.pending = append(x.engine.pending, f) }
@@ -525,7 +531,7 @@
 		}
 		a := &Attempt{Request: r, Worker: w, index: len(r.attempts), incarnation: w.incarnation, sentAt: e.Now(), engine: e}
 		if c := e.classes[r.Class]; c.Effect == decide.Keyed {
-			for _, b := range r.attempts { // repeats are dropped from the first attempt that may have run on
+			for _, b := range r.attempts { // the worker drops repeats only for MemorySpan from the first attempt that may have run
 				if by := b.sentAt + c.MemorySpan - keyLookupMargin; (!b.ended || b.mayHaveRun) && (a.sendDeadline == 0 || by < a.sendDeadline) {
 					a.sendDeadline = by
 				}
@@ -609,6 +615,5 @@
 	})
 }
 
-// Tell is not carried out: the protocol gives schedulers no way to talk to each other, and the settings
-// say so to the module.
+// Tell does nothing: the protocol has no messages between schedulers, and the settings tell the dispatcher so.
 func (x actions) Tell(int, []byte) {}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -14,18 +14,18 @@
 func TestWheel(t *testing.T) {
 	for name, c := range map[string]struct {
 		due     []int64
-		stop    int // index of one to stop, or -1
+		stop    int // index of the timer to stop, or -1
 		advance []int64
 		want    string
 	}{
-		"in order of ticks":       {[]int64{5, 3, 4}, -1, []int64{10}, "[3 4 5]"},
-		"same tick, as set":       {[]int64{3, 3}, -1, []int64{3}, "[3 3]"},
-		"not before its tick":     {[]int64{3, 4}, -1, []int64{3}, "[3]"},
-		"due in the past":         {[]int64{-7}, -1, []int64{1}, "[-7]"},
-		"stopped":                 {[]int64{3, 3, 3}, 1, []int64{9}, "[3 3]"},
-		"waits its turns out":     {[]int64{3 + 2*wheelSlots}, -1, []int64{3, 3 + wheelSlots, 2 + 2*wheelSlots}, "[]"},
-		"fires after its turns":   {[]int64{3 + 2*wheelSlots}, -1, []int64{3, 3 + wheelSlots, 3 + 2*wheelSlots}, "[2051]"},
-		"nothing lost in a stall": {[]int64{3, 900, 3 * wheelSlots}, -1, []int64{5 * wheelSlots}, "3 of them"},
+		"fires in order of ticks":        {[]int64{5, 3, 4}, -1, []int64{10}, "[3 4 5]"},
+		"same tick, in the order set":    {[]int64{3, 3}, -1, []int64{3}, "[3 3]"},
+		"not before its tick":            {[]int64{3, 4}, -1, []int64{3}, "[3]"},
+		"due in the past":                {[]int64{-7}, -1, []int64{1}, "[-7]"},
+		"stopped":                        {[]int64{3, 3, 3}, 1, []int64{9}, "[3 3]"},
+		"several turns ahead, too early": {[]int64{3 + 2*wheelSlots}, -1, []int64{3, 3 + wheelSlots, 2 + 2*wheelSlots}, "[]"},
+		"several turns ahead, due":       {[]int64{3 + 2*wheelSlots}, -1, []int64{3, 3 + wheelSlots, 3 + 2*wheelSlots}, "[2051]"},
+		"all fire after a long stall":    {[]int64{3, 900, 3 * wheelSlots}, -1, []int64{5 * wheelSlots}, "3 timers"},
 	} {
 		var w wheel
 		fired := []int64{}
@@ -35,13 +35,13 @@
 		}
 		if c.stop >= 0 {
 			timers[c.stop].Stop()
-			timers[c.stop].Stop() // twice is harmless
+			timers[c.stop].Stop() // a second Stop does nothing
 		}
 		for _, tick := range c.advance {
 			w.advance(tick)
 		}
 		if got := fmt.Sprint(fired); got != c.want {
-			assert.Equal(t, c.want, fmt.Sprintf("%d of them", len(fired)), "%s: %s", name, got)
+			assert.Equal(t, c.want, fmt.Sprintf("%d timers", len(fired)), "%s: %s", name, got)
 		}
 	}
 }
@@ -58,7 +58,7 @@
 	assert.Equal(t, "first second ", order)
 }
 
-// fake is every way out of an engine.
+// fakeBackends implements Workers, Directory and Client and logs the calls.
 type fakeBackends struct {
 	engine   *Engine
 	attempts []*Attempt
@@ -98,7 +98,7 @@
 	return f.engine.Submit(decide.Job{Class: class, GiveUpAt: f.engine.Now() + 9e6}, nil, f)
 }
 
-// One final answer, whatever comes in whatever order, and an attempt that ends but once.
+// A request gets exactly one final answer and an attempt ends once, in whatever order events arrive.
 func TestOneFinalAnswer(t *testing.T) {
 	end := func(s decide.Status) func(f *fakeBackends, r *Request) {
 		return func(f *fakeBackends, r *Request) { f.attempts[0].End(s, []byte("x"), decide.Report{}) }
@@ -109,13 +109,13 @@
 		steps []func(f *fakeBackends, r *Request)
 		want  string
 	}{
-		"served":                 {0, []func(*fakeBackends, *Request){end(decide.Served)}, "push served:x "},
-		"served twice":           {0, []func(*fakeBackends, *Request){end(decide.Served), end(decide.Served)}, "push served:x "},
-		"reset after served":     {1, []func(*fakeBackends, *Request){end(decide.Served), end(decide.Reset)}, "push served:x "},
-		"client gone, then done": {0, []func(*fakeBackends, *Request){hangup, end(decide.Served)}, "push cancel "},
-		"gone twice":             {0, []func(*fakeBackends, *Request){hangup, hangup}, "push cancel "},
-		"unsafe reset":           {1, []func(*fakeBackends, *Request){end(decide.Reset)}, "push failed "},
-		"safe timed out":         {0, []func(*fakeBackends, *Request){end(decide.TimedOut)}, "push refused:1s "},
+		"served":                   {0, []func(*fakeBackends, *Request){end(decide.Served)}, "push served:x "},
+		"served twice":             {0, []func(*fakeBackends, *Request){end(decide.Served), end(decide.Served)}, "push served:x "},
+		"reset after served":       {1, []func(*fakeBackends, *Request){end(decide.Served), end(decide.Reset)}, "push served:x "},
+		"client gone, then served": {0, []func(*fakeBackends, *Request){hangup, end(decide.Served)}, "push cancel "},
+		"gone twice":               {0, []func(*fakeBackends, *Request){hangup, hangup}, "push cancel "},
+		"unsafe reset":             {1, []func(*fakeBackends, *Request){end(decide.Reset)}, "push failed "},
+		"safe timed out":           {0, []func(*fakeBackends, *Request){end(decide.TimedOut)}, "push refused:1s "},
 	} {
 		f := newFakeBackends(t)
 		r := f.submit(c.class)
@@ -124,17 +124,18 @@
 		}
 		assert.Equal(t, c.want, f.log, name)
 		assert.Zero(t, f.engine.OpenRequests(), name)
-		assert.Empty(t, f.engine.requests, "%s: nothing stays behind", name)
+		assert.Empty(t, f.engine.requests, "%s: no request is left", name)
 	}
 }
 
-// Where attempts can't be called off, one may be served after its client has gone; nobody is answered then.
+// If attempts can't be cancelled, one may be served after its client has disconnected. Then nothing is answered or
+// counted.
 func TestServedAfterClientHangup(t *testing.T) {
 	s := testSettings
 	s.CanCancel = false
 	f := newFakeBackendsWith(t, s)
 	f.engine.Hangup(f.submit(0))
-	assert.Len(t, f.engine.requests, 1, "its attempt is still out")
+	assert.Len(t, f.engine.requests, 1, "its attempt is still in flight")
 	f.attempts[0].End(decide.Served, nil, decide.Report{})
 	assert.Equal(t, "push ", f.log)
 	assert.Zero(t, f.engine.Counts.Served)
@@ -145,13 +146,13 @@
 func TestIDsAreNotReusedWhileInUse(t *testing.T) {
 	f := newFakeBackends(t)
 	first := f.submit(0)
-	f.engine.lastRequestID = first.ID - 1 // as if the numbers had come round
+	f.engine.lastRequestID = first.ID - 1 // as if the IDs had wrapped around
 	assert.NotEqual(t, first.ID, f.submit(0).ID)
 	f.engine.lastRequestID = 1<<32 - 1
 	assert.NotZero(t, f.submit(0).ID)
 }
 
-// A name keeps its ID while its address changes, and departed names do not pile up.
+// A worker's name keeps its ID when its address changes, and removed names are freed once no attempt uses them.
 func TestWorkerNamesKeepTheirIDs(t *testing.T) {
 	f := newFakeBackends(t)
 	id := f.engine.workersByName["a"].ID
@@ -163,7 +164,7 @@
 	for i := range 100 {
 		f.engine.Announce(decide.ListFull, []Entry{{Name: fmt.Sprint(i), State: decide.Ready}})
 	}
-	assert.Len(t, f.engine.workersByName, 2, "the last one, and the one with an attempt out")
+	assert.Len(t, f.engine.workersByName, 2, "the last one and the one with an attempt in flight")
 	assert.False(t, f.attempts[0].Sendable())
 	assert.Equal(t, w, f.engine.workersByName[w.Name])
 	f.engine.Hangup(r)
@@ -172,7 +173,8 @@
 	assert.Len(t, f.engine.workersByID, 1)
 }
 
-// An empty list is nothing to serve with; once there was a worker, the front has its own ways to notice trouble.
+// An engine is ready once the list has contained a ready worker, and stays so if the list becomes empty later,
+// since the front end then notices outages by itself.
 func TestReady(t *testing.T) {
 	engine, err := New(NewLoop(), Config{Settings: testSettings})
 	require.NoError(t, err)
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -7,25 +7,25 @@
 	"weldscale/decide"
 )
 
-// This file owns time: the clock, the timer wheel and the one loop on which everything of a scheduler runs.
-// Other goroutines hand it work with Post and touch nothing else. It must never block on anything but its
-// own queue, and nothing that runs on it may.
+// This file holds the clock, the timer wheel and the event loop on which all code of a scheduler runs. Other
+// goroutines pass work to the loop with Post, Do and DoUrgent and share no other state with it. Nothing that runs on
+// the loop may block.
 
-// tickSpan is the coarseness of all timers. The decisions were tuned on ticks of 4 ms; half of that keeps
-// a timer's error under what the network itself adds.
+// tickInterval is the resolution of all timers. The decisions were tuned on ticks of 4 ms; half of that keeps a
+// timer's error below the delay that the network itself adds.
 const tickInterval = 2 * time.Millisecond
 
-const wheelSlots = 1024 // about two seconds a turn
+const wheelSlots = 1024 // about two seconds per turn
 
-// Timer is one entry of the wheel.
+// Timer is one entry of the timer wheel.
 type Timer struct {
-	due  int64 // tick
+	due  int64 // tick at which the timer fires
 	fire func()
 	next *Timer
 	prev **Timer
 }
 
-// Stop takes a timer back. Stopping one that is nil, stopped or fired does nothing.
+// Stop cancels a timer. Stopping a timer that is nil, stopped or fired does nothing.
 func (t *Timer) Stop() {
 	if t != nil && t.prev != nil {
 		*t.prev = t.next
@@ -36,7 +36,8 @@
 	}
 }
 
-// wheel holds timers in slots by their tick; one that is further off than a turn waits its turns out.
+// wheel holds timers in slots by their tick. A timer that is due more than one turn ahead stays in its slot until its
+// turn comes.
 type wheel struct {
 	slots   [wheelSlots]*Timer
 	current int64 // all ticks up to this one have fired
@@ -57,9 +58,10 @@
 	*head = t
 }
 
-// advance fires what is due up to the tick, in order of ticks. A timer set meanwhile fires in a later call.
+// advance fires all timers that are due up to tick, in order of ticks. A timer set while it runs fires in a later
+// call.
 func (w *wheel) advance(tick int64) {
-	if tick-w.current > wheelSlots { // after a long stall one turn sees every slot
+	if tick-w.current > wheelSlots { // after a long stall one turn visits every slot
 		w.current = tick - wheelSlots
 	}
 	for w.current < tick {
@@ -81,7 +83,7 @@
 	}
 }
 
-// next returns the first tick with a timer in its slot, at most a turn ahead, and whether there is one.
+// next returns the first tick whose slot holds a timer, at most one turn ahead, and whether there is one.
 func (w *wheel) next() (int64, bool) {
 	for i := int64(1); i <= wheelSlots; i++ {
 		if w.slots[(w.current+i)%wheelSlots] != nil {
@@ -91,18 +93,18 @@
 	return 0, false
 }
 
-// Loop runs what it is given, one at a time. Its clock is monotonic and starts at the wall clock's reading,
-// so that a wall time told by others (a worker's last start) is a moment of this clock as it stands, and
-// the same wall time always the same moment.
+// Loop runs functions one at a time. Its clock is monotonic and starts at the wall clock's reading, so that a wall
+// time received from another machine (a worker's last start) can be compared with it directly and always maps to the
+// same time.
 type Loop struct {
 	queue    chan func()
-	urgent   chan func() // goes before the queue
+	urgent   chan func() // runs before queue
 	start    time.Time
 	wheel    wheel
-	deferred []func() // to run after the work at hand
+	deferred []func() // run after the current work
 	stopping bool
-	ended    chan struct{}  // closed after Run
-	maxLag   *time.Duration // the longest that a piece of work has kept the loop
+	ended    chan struct{}  // closed when Run returns
+	maxLag   *time.Duration // longest time that one piece of work has occupied the loop
 }
 
 // NewLoop returns a loop that does not run yet.
@@ -110,13 +112,13 @@
 	return &Loop{queue: make(chan func(), 4096), urgent: make(chan func(), 64), ended: make(chan struct{}), start: time.Now()}
 }
 
-// Now is the present time in microseconds.
+// Now returns the current time in microseconds.
 func (l *Loop) Now() decide.Time {
 	return l.start.UnixMicro() + int64(time.Since(l.start)/time.Microsecond)
 }
 
-// Post hands work to the loop from another goroutine; it waits while the queue is full. Once the loop has ended the
-// work is passed over. Code on the loop must not call it.
+// Post queues f on the loop from another goroutine and blocks while the queue is full. Once the loop has ended, f is
+// dropped. Code on the loop must not call Post.
 func (l *Loop) Post(f func()) {
 	select {
 	case l.queue <- f:
@@ -124,7 +126,7 @@
 	}
 }
 
-// Do is Post and waits until the work is done, or will never be.
+// Do posts f and waits until it has run or the loop has ended.
 func (l *Loop) Do(f func()) {
 	done := make(chan struct{})
 	l.Post(func() { f(); close(done) })
@@ -134,10 +136,10 @@
 	}
 }
 
-// DoUrgent has f run before what waits in the queue, and reports whether it was, within the span. Where it was not it never
-// will be.
+// DoUrgent runs f ahead of the queue and reports whether it ran. If the loop does not reach f within the timeout, f
+// never runs.
 func (l *Loop) DoUrgent(timeout time.Duration, f func()) bool {
-	var claimed atomic.Bool // by the loop, or by giving up
+	var claimed atomic.Bool // set by the loop, or by the caller that gives up
 	done, expired := make(chan struct{}), time.NewTimer(timeout)
 	defer expired.Stop()
 	work := func() {
@@ -166,11 +168,11 @@
 	return true
 }
 
-// Defer runs f after the work at hand, before anything else. Only for code on the loop: what reports back to a caller
-// that is still at work goes this way.
+// Defer runs f after the current work and before anything else. It is for code on the loop that must report back to a
+// caller that is still running.
 func (l *Loop) Defer(f func()) { l.deferred = append(l.deferred, f) }
 
-// settle runs what Next was given, in order, and what that asks for in turn.
+// runDeferred runs the functions given to Defer, in order, including those that they add.
 func (l *Loop) runDeferred() {
 	for i := 0; i < len(l.deferred); i++ {
 		l.deferred[i]()
@@ -179,22 +181,22 @@
 	l.deferred = l.deferred[:0]
 }
 
-// After calls f on the loop once the span has passed. Only for code on the loop.
+// After calls f on the loop after the delay. It is only for code on the loop.
 func (l *Loop) After(delay time.Duration, f func()) *Timer {
 	at := time.Since(l.start) + max(0, delay)
 	return l.wheel.add(int64((at+tickInterval-1)/tickInterval), f)
 }
 
-// Stop ends Run after the work at hand. Only for code on the loop.
+// Stop makes Run return after the current work. It is only for code on the loop.
 func (l *Loop) Stop() { l.stopping = true }
 
-// Run works until Stop.
+// Run executes work and timers until Stop is called.
 func (l *Loop) Run() {
 	defer close(l.ended)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	armedTick := int64(-1)
-	l.runDeferred() // what was asked for before
+	l.runDeferred() // deferred before Run started
 	for !l.stopping {
 		if tick, ok := l.wheel.next(); !ok {
 			timer.Stop()
@@ -227,8 +229,8 @@
 	}
 }
 
-// QueueLen is how many pieces of work wait in the queue.
+// QueueLen returns the number of functions in the queue.
 func (l *Loop) QueueLen() int { return len(l.queue) }
 
-// UrgentQueueLen is how many pieces of work wait before the queue.
+// UrgentQueueLen returns the number of functions waiting ahead of the queue.
 func (l *Loop) UrgentQueueLen() int { return len(l.urgent) }
--- a/internal/engine/pass.go
+++ b/internal/engine/pass.go
@@ -2,11 +2,11 @@
 
 import "weldscale/decide"
 
-// This file owns requests that leave for another process of this scheduler, or come from one, with what they have behind
-// them. It must never leave one request in two processes' hands.
+// This file hands open requests over to another process of this scheduler and takes them over from one, with the
+// attempts made so far. A request must never belong to two processes at once.
 
-// HandoverRequest is a request in hand as another process goes on with it. Times are of the loop's clock, which starts at the wall
-// clock's reading.
+// HandoverRequest is an open request in the form in which another process continues it. Times are those of the loop's
+// clock, which starts at the wall clock's reading.
 type HandoverRequest struct {
 	Class         int
 	Key           uint64
@@ -17,7 +17,7 @@
 	Tried         []HandoverAttempt
 }
 
-// HandoverAttempt is one attempt of it.
+// HandoverAttempt is one attempt of a HandoverRequest.
 type HandoverAttempt struct {
 	Worker, Addr    string
 	Sent, StartedAt decide.Time
@@ -25,7 +25,7 @@
 	MayHaveRun      bool
 }
 
-// InFlight returns the attempt of the request that is out, or nil.
+// InFlight returns the request's attempt that has not ended, or nil.
 func (r *Request) InFlight() *Attempt {
 	for _, a := range r.attempts {
 		if !a.ended {
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// Export returns what another process needs to go on with a request; not where more than one attempt is out.
+// Export returns what another process needs to continue a request. It fails if more than one attempt is in flight.
 func (e *Engine) Export(r *Request) (h HandoverRequest, ok bool) {
 	job, tried, ok := e.dispatcher.Held(r.ID)
 	if !ok || !r.open || r.inFlight > 1 || len(tried) != len(r.attempts) {
@@ -49,7 +49,7 @@
 	return h, true
 }
 
-// Release ends a request here, without an answer: another process has it.
+// Release ends a request here without an answer, since another process has taken it over.
 func (e *Engine) Release(r *Request) {
 	if r.open {
 		e.Counts.HandedOver++
@@ -58,7 +58,7 @@
 	}
 }
 
-// Adopt goes on with a request of another process, and returns its attempt that is out, if there is one.
+// Adopt continues a request of another process and returns its attempt in flight, or nil.
 func (e *Engine) Adopt(h HandoverRequest, payload any, client Client) (*Request, *Attempt) {
 	r := e.addRequest(h.Class, h.GiveUpAt, h.Came, payload, client)
 	e.Counts.Adopted++
@@ -66,7 +66,7 @@
 	tried := make([]decide.Tried, len(h.Tried))
 	for i, t := range h.Tried {
 		w := e.workersByName[t.Worker]
-		if w == nil { // the list has lost it
+		if w == nil { // no longer in the list
 			e.lastWorkerID++
 			w = &Worker{ID: e.lastWorkerID, Name: t.Worker, Addr: t.Addr, State: decide.Gone}
 			e.workersByName[t.Worker], e.workersByID[w.ID] = w, w
@@ -89,13 +89,13 @@
 	return r, inFlight
 }
 
-// LearnedState is what the decisions have learnt, with workers by their names.
+// LearnedState is what the dispatcher has learned, with workers identified by name.
 type LearnedState struct {
 	decide.Learnt
-	Names []string `json:"names"` // of Workers
+	Names []string `json:"names"` // of Workers, in their order
 }
 
-// LearnedState returns what was learnt so far.
+// LearnedState returns what the dispatcher has learned so far.
 func (e *Engine) LearnedState() LearnedState {
 	l := LearnedState{Learnt: e.dispatcher.Learnt()}
 	for _, w := range l.Workers {
@@ -108,7 +108,8 @@
 	return l
 }
 
-// RestoreLearned goes on from what another process has learnt.
+// RestoreLearned continues from the state that another process has learned. Workers that are not known here are left
+// out.
 func (e *Engine) RestoreLearned(l LearnedState) {
 	if len(l.Names) != len(l.Workers) {
 		return
