--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -348,23 +348,23 @@
 			w.State = decide.Gone // unless it is named below
 		}
 	}
-	for _, in := range entries {
-		w := e.workersByName[in.Name]
+	for _, entry := range entries {
+		w := e.workersByName[entry.Name]
 		if w == nil {
 			e.lastWorkerID++
-			w = &Worker{ID: e.lastWorkerID, Name: in.Name}
-			e.workersByName[in.Name], e.workersByID[w.ID] = w, w
+			w = &Worker{ID: e.lastWorkerID, Name: entry.Name}
+			e.workersByName[entry.Name], e.workersByID[w.ID] = w, w
 		}
-		if in.Addr != "" && in.Addr != w.Addr || in.StartedAt != w.startedAt {
+		if entry.Addr != "" && entry.Addr != w.Addr || entry.StartedAt != w.startedAt {
 			w.incarnation++
 		}
-		if in.Addr != "" {
-			w.Addr = in.Addr
+		if entry.Addr != "" {
+			w.Addr = entry.Addr
 		}
-		w.State, w.startedAt = in.State, in.StartedAt
+		w.State, w.startedAt = entry.State, entry.StartedAt
 		e.everReady = e.everReady || w.State == decide.Ready
-		list = append(list, decide.Worker{ID: w.ID, Zone: indexOf(e.zones, in.Zone), Kind: indexOf(e.kinds, in.Kind),
-			Cell: in.Cell, State: in.State, Weight: in.Weight, StartedAt: in.StartedAt})
+		list = append(list, decide.Worker{ID: w.ID, Zone: indexOf(e.zones, entry.Zone), Kind: indexOf(e.kinds, entry.Kind),
+			Cell: entry.Cell, State: entry.State, Weight: entry.Weight, StartedAt: entry.StartedAt})
 	}
 	return list
 }
@@ -532,8 +532,8 @@
 		a := &Attempt{Request: r, Worker: w, index: len(r.attempts), incarnation: w.incarnation, sentAt: e.Now(), engine: e}
 		if c := e.classes[r.Class]; c.Effect == decide.Keyed {
 			for _, b := range r.attempts { // the worker drops repeats only for MemorySpan from the first attempt that may have run
-				if by := b.sentAt + c.MemorySpan - keyLookupMargin; (!b.ended || b.mayHaveRun) && (a.sendDeadline == 0 || by < a.sendDeadline) {
-					a.sendDeadline = by
+				if deadline := b.sentAt + c.MemorySpan - keyLookupMargin; (!b.ended || b.mayHaveRun) && (a.sendDeadline == 0 || deadline < a.sendDeadline) {
+					a.sendDeadline = deadline
 				}
 			}
 		}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -160,13 +160,13 @@
 	assert.Equal(t, id, f.engine.workersByName["a"].ID)
 	assert.Equal(t, "new:1", f.engine.workersByName["a"].Addr)
 	r := f.submit(0)
-	w := f.attempts[0].Worker
+	worker := f.attempts[0].Worker
 	for i := range 100 {
 		f.engine.Announce(decide.ListFull, []Entry{{Name: fmt.Sprint(i), State: decide.Ready}})
 	}
 	assert.Len(t, f.engine.workersByName, 2, "the last one and the one with an attempt in flight")
 	assert.False(t, f.attempts[0].Sendable())
-	assert.Equal(t, w, f.engine.workersByName[w.Name])
+	assert.Equal(t, worker, f.engine.workersByName[worker.Name])
 	f.engine.Hangup(r)
 	f.engine.Announce(decide.ListDelta, nil)
 	assert.Len(t, f.engine.workersByName, 1)
--- a/internal/engine/pass.go
+++ b/internal/engine/pass.go
@@ -116,8 +116,8 @@
 	}
 	var known []decide.LearntOfWorker
 	for i, w := range l.Workers {
-		if here := e.workersByName[l.Names[i]]; here != nil {
-			w.ID = here.ID
+		if local := e.workersByName[l.Names[i]]; local != nil {
+			w.ID = local.ID
 			known = append(known, w)
 		}
 	}
--- a/internal/jobs/client.go
+++ b/internal/jobs/client.go
@@ -18,23 +18,23 @@
 	"weldscale/internal/route"
 )
 
-// This file owns the clients' side: from bytes to a request of the engine, and from its answer to bytes. It
-// must answer each request whole and once, and must never close a connection that holds an accepted one.
+// This file implements the clients' side: it parses requests, submits them to the engine and writes the answers. Each
+// request must get exactly one complete answer, and a connection with an accepted request must not be closed.
 
 const (
-	maxPipelined     = 16 << 10         // bytes that a client may send ahead of its answer
-	transitAllowance = time.Millisecond // about what a request is on its way: its budget counts from its sending
+	maxPipelined     = 16 << 10         // bytes that a client may send before it has its answer
+	transitAllowance = time.Millisecond // estimated time from the client's sending, from which the budget counts, to the arrival
 	maxBudget        = 24 * time.Hour
 	maxSlots         = 1 << 20
 	maxMethodLength  = 16
-	maxIDLength      = 256  // of an id or a key
-	maxRecentIDs     = 4096 // of requests answered lately
+	maxIDLength      = 256  // of a call ID or an idempotency key
+	maxRecentIDs     = 4096 // IDs of answered requests that are remembered
 )
 
-// stall is how late a look at a peer may come before it is our own lateness that is looked at.
+// stallThreshold is the delay of a pace check from which the delay is attributed to this process and not to the peer.
 const stallThreshold = decide.Time(50 * time.Millisecond / time.Microsecond)
 
-// Service is one service: the names of its classes, the engine that runs its jobs, and what it may take.
+// Service is one service with the names of its classes, the engine that runs its jobs and its limits.
 type Service struct {
 	Name    string
 	Engine  *engine.Engine
@@ -43,7 +43,7 @@
 	Pool    *pool.Pool // nil: no limits but the server's
 }
 
-// NewService returns a service without limits of its own; the classes are named in the order of the settings.
+// NewService returns a service without limits of its own. The classes are in the order of the settings.
 func NewService(name string, e *engine.Engine, classes []string) *Service {
 	v := &Service{Name: name, Engine: e, Classes: map[string]int{}}
 	for i, class := range classes {
@@ -52,30 +52,31 @@
 	return v
 }
 
-// Server makes requests of what clients send.
+// Server turns HTTP requests of clients into engine requests.
 type Server struct {
 	Loop *engine.Loop
 	// Main is the service that the platform's configuration describes.
 	Main *Service
-	// Route finds the service of a request; nil: all are Main's.
+	// Route returns the service for a request. If nil, all requests are for Main.
 	Route func(route.Request) (*Service, route.Miss)
-	// Ready tells whether the front may send clients here.
+	// Ready reports whether the front end may send clients to this scheduler.
 	Ready func() bool
-	// Stats is the text of the counters.
+	// Stats returns the text of the counters.
 	Stats func() string
-	// Metrics, if set, is what /-/metrics answers. It is called beside the loop.
+	// Metrics, if set, returns the answer to /-/metrics. It is called outside the loop.
 	Metrics func() ([]byte, error)
-	// Pace decides how slow a client may be, what may wait for it and who goes as room runs short.
+	// Pace decides how slow a client may be, how much may be buffered for it and which clients are closed first when
+	// connections or memory run short.
 	Pace *pace.Keeper
 
 	closing      bool
 	refusing     bool
-	callIDs      map[string]struct{} // of the requests that are open or were answered lately
-	recentIDs    []string            // the latter, a ring
-	oldestRecent int                 // of the ring
+	callIDs      map[string]struct{} // of open requests and of those in recentIDs
+	recentIDs    []string            // ring buffer of the IDs answered last
+	oldestRecent int                 // index of the oldest entry of recentIDs
 }
 
-// NewServer returns a server of the main service's requests.
+// NewServer returns a server for the requests of the main service.
 func NewServer(main *Service) *Server {
 	e := main.Engine
 	s := &Server{Loop: e.Loop, Main: main, Ready: e.Ready, Stats: e.Counts.String, callIDs: map[string]struct{}{}}
@@ -83,25 +84,27 @@
 	return s
 }
 
-// Keep has the keeper decide about clients. It asks what has come on a connection and was not read yet.
+// SetPace sets the keeper that decides how slow clients may be. The keeper can ask whether a connection has data that
+// has not been read yet.
 func (s *Server) SetPace(k *pace.Keeper) {
 	k.Unseen = func(owner any) bool { return owner.(*client).conn.Unread() }
 	s.Pace = k
 }
 
-// Serve takes over a new connection of a client.
+// Serve takes over a new client connection.
 func (s *Server) Serve(c Conn) {
 	s.addClient(c).armPaceTimer()
 }
 
-// StartClosing makes every answer from here on its connection's last.
+// StartClosing makes every further answer close its connection.
 func (s *Server) StartClosing() { s.closing = true }
 
-// RefuseNew refuses what comes whole only from here on: there may be no time left to end it.
+// RefuseNew refuses all requests that become complete from now on, because there may be no time left to finish them.
 func (s *Server) RefuseNew() { s.closing, s.refusing = true, true }
 
-// EvictClients lets go of up to n connections, those that are worth least first, and returns how many; with strangers only
-// of those that never brought a job or are slower than is acceptable. It never touches one with a job in hand.
+// EvictClients closes up to n connections, those of least value first, and returns how many it closed. With
+// unprovenOnly it closes only those that never sent a job or are slower than acceptable. It never closes a connection
+// with an open job.
 func (s *Server) EvictClients(n int, unprovenOnly bool) int {
 	victims := s.Pace.Victims(s.Loop.Now(), n, unprovenOnly)
 	for _, p := range victims {
@@ -110,8 +113,8 @@
 	return len(victims)
 }
 
-// CloseIdle closes every connection that is between two requests, and returns how many it has left since something has come
-// on them that was not read yet: a request that is here whole gets its answer.
+// CloseIdle closes every connection that is between two requests. It keeps those with unread data, since a request
+// that has arrived in full must be answered, and returns their number.
 func (s *Server) CloseIdle() (unread int) {
 	for _, p := range s.Pace.Idle() {
 		if x := p.Owner.(*client); x.conn.Unread() {
@@ -123,27 +126,27 @@
 	return unread
 }
 
-// client is one connection. It holds one request at a time; what comes ahead of an answer waits until that has
-// gone out, so that a client that sends and does not read can't pile up answers here.
+// client is one client connection. It handles one request at a time. Pipelined data waits until the answer has been
+// sent, so that answers can't accumulate for a client that sends without reading.
 type client struct {
 	server       *Server
 	conn         Conn
 	parser       *http1.Parser
 	pipelined    []byte
 	request      *engine.Request
-	service      *Service // of the request in hand, while it is a job
-	class        int      // of it
-	bookedBytes  int      // bytes of it in the service's account
+	service      *Service // of the current request, if it is a job
+	class        int      // of the current job
+	bookedBytes  int      // bytes of the current job that are booked in the service's pool
 	unbooked     pool.Unbooked
-	callID       string // of the request in hand, while it is a job
-	busy         bool   // a request is in hand or its answer on the way out
+	callID       string // of the current request, if it is a job
+	busy         bool   // a request is being handled or its answer is being sent
 	closed       bool
 	keepAlive    bool
 	sentContinue bool
 	peer         *pace.Peer
-	paceTimer    *engine.Timer // the next one at the peer
+	paceTimer    *engine.Timer // for the next call of checkPace
 	paceDue      decide.Time
-	unacked      int // bytes of the answer, as last seen
+	unacked      int // bytes of the answer at the last check
 }
 
 // Data implements Handler.
@@ -179,14 +182,14 @@
 	switch {
 	case x.closed || len(b) == 0:
 	case len(x.pipelined)+len(b) > maxPipelined || !x.reserveMemory(len(x.parser.Msg.Body)+len(x.pipelined)+len(b)):
-		x.keepAlive = false // nothing that is in hand may be lost: the answer comes, then the connection ends
+		x.keepAlive = false // the current request must not be lost: it is answered, then the connection is closed
 	default:
 		x.pipelined = append(x.pipelined, b...)
 	}
 }
 
-// startsRequest reports whether what follows a request can be the next. Where it can't, the length of the first
-// is in doubt too, and so is what a worker would make of it.
+// mayStartRequest reports whether b can be the beginning of a request. If it can't, the length of the request before
+// it is in doubt too, and a worker might see another boundary.
 func mayStartRequest(b []byte) bool {
 	b = bytes.TrimLeft(b, "\r\n")
 	for i, c := range b[:min(len(b), maxMethodLength+1)] {
@@ -200,7 +203,7 @@
 	return len(b) <= maxMethodLength
 }
 
-// arm sets the timer for the next look at the peer, unless one comes soon enough: a look that has nothing to say costs
+// armPaceTimer sets the timer for the next pace check, unless one is already due soon enough. An extra check costs
 // less than a timer for each request.
 func (x *client) armPaceTimer() {
 	now := x.server.Loop.Now()
@@ -213,13 +216,13 @@
 	x.paceTimer = x.server.Loop.After(time.Duration(due-now)*time.Microsecond, x.checkPace)
 }
 
-// looked takes a look at the peer. Neither silence nor half a request, nor an answer that nobody takes, may hold what
-// others need for good.
+// checkPace checks the progress of the peer. A peer that is silent, sends half a request or does not read its answer
+// must not hold shared resources forever.
 func (x *client) checkPace() {
 	x.paceTimer = nil
 	now := x.server.Loop.Now()
 	if late := now - x.paceDue; late > stallThreshold {
-		x.peer.Extend(late) // what came meanwhile has not been seen yet
+		x.peer.Extend(late) // what arrived meanwhile has not been seen yet
 	}
 	x.recordAcked(now)
 	if p := x.peer.Check(now); p != nil {
@@ -231,21 +234,21 @@
 	}
 }
 
-// taken tells the peer's account what it has taken of an answer.
+// recordAcked tells the pace keeper how much of the answer the peer has received.
 func (x *client) recordAcked(now decide.Time) {
 	if phase := x.peer.Phase(); phase != pace.Sending && phase != pace.Draining {
 		return
 	}
-	left := x.conn.Unacked()
-	x.peer.Taken(now, max(0, x.unacked-left))
-	x.unacked = left
+	unacked := x.conn.Unacked()
+	x.peer.Taken(now, max(0, x.unacked-unacked))
+	x.unacked = unacked
 	x.peer.HoldOut(x.conn.Queued())
-	if left == 0 && x.peer.Phase() == pace.Draining {
+	if unacked == 0 && x.peer.Phase() == pace.Draining {
 		x.peer.Rest(now)
 	}
 }
 
-// tooSlow ends a connection whose peer was too slow for too long.
+// cutSlow closes a connection whose peer was too slow for too long.
 func (x *client) cutSlow() {
 	phase := x.peer.Phase()
 	slog.Warn("slow peer cut", "addr", x.conn.Peer(), "phase", phase, "link", x.peer.Link)
@@ -257,7 +260,8 @@
 	x.close()
 }
 
-// letGo ends a connection as room runs short. A request that is not whole is refused, if the system takes the words.
+// evict closes a connection because connections or memory run short. A partial request gets a refusal if the system
+// accepts it at once.
 func (x *client) evict() {
 	if x.peer.Phase() == pace.Receiving && !x.parser.Idle() {
 		slog.Warn("slow peer let go: room is short", "addr", x.conn.Peer(), "link", x.peer.Link)
@@ -271,8 +275,8 @@
 	x.conn.Close()
 }
 
-// hold books what the connection has in memory of a request, and reports whether the server bears it. Peers that are
-// too slow make room first.
+// reserveMemory accounts for n bytes of request data that the connection holds, and reports whether they are within
+// the limits. If necessary, connections of peers that are too slow are evicted first.
 func (x *client) reserveMemory(n int) bool {
 	if x.peer.HoldIn(n) {
 		return true
@@ -281,14 +285,14 @@
 	return !x.closed && x.peer.HoldIn(n)
 }
 
-// makeSpace lets go of slow peers until n more bytes are within the caps, as far as there are such.
+// evictForMemory evicts slow peers until n more bytes are within the limits, as far as there are slow peers.
 func (s *Server) evictForMemory(n int) {
 	for _, p := range s.Pace.Excess(s.Loop.Now(), n) {
 		p.Owner.(*client).evict()
 	}
 }
 
-// end takes the connection out of the books.
+// unregister ends the accounting of the connection.
 func (x *client) unregister() {
 	x.closed = true
 	x.peer.Close()
@@ -305,29 +309,30 @@
 	}
 }
 
-// reject answers what can't be read as a request. Where the next one would start is in doubt, so it's the end.
+// reject answers data that can't be parsed as a request and closes the connection, since the start of the next
+// request is unknown.
 func (x *client) reject(err error) {
 	status := 400
-	var fault *http1.Error
-	if errors.As(err, &fault) {
-		status = fault.Status
+	var protocolError *http1.Error
+	if errors.As(err, &protocolError) {
+		status = protocolError.Status
 	}
 	x.keepAlive = false
 	x.refuseRequest(status, err.Error())
 }
 
-// refuseInput answers a request that does not become one of the engine's.
-func (x *client) refuseRequest(status int, why string) {
+// refuseRequest answers a request that is not passed to the engine.
+func (x *client) refuseRequest(status int, reason string) {
 	if x.closed {
 		return
 	}
 	x.peer.Judge(x.server.Loop.Now())
 	x.server.Main.Engine.Counts.BadRequests++
-	slog.Warn("bad request", "status", status, "why", why)
-	x.answer(status, []byte(why+"\n"))
+	slog.Warn("bad request", "status", status, "why", reason)
+	x.answer(status, []byte(reason+"\n"))
 }
 
-// take handles the request that the parser holds.
+// handleRequest handles the request that the parser holds.
 func (x *client) handleRequest() {
 	m := x.parser.Msg
 	x.busy, x.sentContinue = true, false
@@ -345,22 +350,22 @@
 		x.reject(&http1.Error{Status: 503, Reason: "too much in hand"})
 		return
 	}
-	v, status, why := x.server.findService(&m, path)
-	if v == nil {
-		x.refuseRequest(status, why)
+	service, status, reason := x.server.findService(&m, path)
+	if service == nil {
+		x.refuseRequest(status, reason)
 		return
 	}
 	now := x.server.Loop.Now()
-	j, why := v.parseJob(&m, path, now)
-	if why != "" {
-		x.refuseRequest(400, why)
+	job, reason := service.parseJob(&m, path, now)
+	if reason != "" {
+		x.refuseRequest(400, reason)
 		return
 	}
 	c := &payload{method: m.Method, target: m.Target, id: m.Get("x-call-id"), key: m.Get("idempotency-key"), body: m.Body,
-		atMostOnce: v.Engine.Class(j.Class).Effect == decide.Unsafe}
+		atMostOnce: service.Engine.Class(job.Class).Effect == decide.Unsafe}
 	x.peer.Judge(now)
 	if x.server.refusing {
-		v.Engine.Counts.Ended[1][j.Class]++
+		service.Engine.Counts.Ended[1][job.Class]++
 		x.Refused(0)
 		return
 	}
@@ -368,78 +373,79 @@
 		x.refuseRequest(409, "call id is in use")
 		return
 	}
-	if v.Pool != nil {
-		if v.Pool.Longest > 0 {
-			j.GiveUpAt = min(j.GiveUpAt, now+v.Pool.Longest)
+	if service.Pool != nil {
+		if service.Pool.Longest > 0 {
+			job.GiveUpAt = min(job.GiveUpAt, now+service.Pool.Longest)
 		}
-		if no := v.Pool.Admit(now, j.Class, len(m.Body)); no.Refused() {
-			v.Engine.Counts.Ended[1][j.Class]++
-			x.answer(no.Status, []byte(no.Why+"\n"), retryAfter(time.Duration(no.After)*time.Microsecond)...)
+		if refusal := service.Pool.Admit(now, job.Class, len(m.Body)); refusal.Refused() {
+			service.Engine.Counts.Ended[1][job.Class]++
+			x.answer(refusal.Status, []byte(refusal.Why+"\n"), retryAfter(time.Duration(refusal.After)*time.Microsecond)...)
 			return
 		}
 	}
 	x.server.claimCallID(x, c.id)
-	x.service, x.class, x.bookedBytes, x.unbooked = v, j.Class, len(m.Body), pool.Unbooked{}
+	x.service, x.class, x.bookedBytes, x.unbooked = service, job.Class, len(m.Body), pool.Unbooked{}
 	x.peer.Work(now)
-	r := v.Engine.Submit(j, c, x)
-	if v.Engine.Trace != nil {
-		v.Engine.Trace("taken", r.ID, "call_id", c.id, "target", c.target, "addr", x.conn.Peer())
+	r := service.Engine.Submit(job, c, x)
+	if service.Engine.Trace != nil {
+		service.Engine.Trace("taken", r.ID, "call_id", c.id, "target", c.target, "addr", x.conn.Peer())
 	}
-	if x.callID != "" { // not answered already
+	if x.callID != "" { // not answered during Submit
 		x.request = r
 	}
 }
 
-// find returns the service that a request is for, or says with which status there is none.
-func (s *Server) findService(m *http1.Message, path string) (v *Service, status int, why string) {
+// findService returns the service that a request is for, or the status and the reason if there is none.
+func (s *Server) findService(m *http1.Message, path string) (service *Service, status int, reason string) {
 	if s.Route == nil {
 		return s.Main, 0, ""
 	}
-	v, miss := s.Route(route.Request{Host: m.Get("host"), Path: path, Class: m.Get("x-call-class"), Header: m.Get})
+	service, miss := s.Route(route.Request{Host: m.Get("host"), Path: path, Class: m.Get("x-call-class"), Header: m.Get})
 	switch miss {
 	case route.UnknownHost:
 		return nil, 421, "no service for this host"
 	case route.NoRoute:
 		return nil, 404, "no service for this host, path and class"
 	}
-	return v, 0, ""
+	return service, 0, ""
 }
 
-// taken reports whether the id is in use or was until just now.
+// callIDInUse reports whether a request with the ID is open or was answered recently.
 func (s *Server) callIDInUse(id string) bool {
 	_, taken := s.callIDs[id]
 	return taken
 }
 
-// claim takes the id of a request that is to become a job. Every request has a fresh one: a second job under the
-// id of one that is open, or was until just now, would end in the other's answer or run its work twice.
+// claimCallID records the ID of a request that becomes a job. IDs must be unique: a second job with the ID of an open
+// or recent one could get the other job's answer or run its work twice.
 func (s *Server) claimCallID(x *client, id string) {
 	s.callIDs[id] = struct{}{}
 	x.callID = id
 }
 
-// release ends the request in hand in the books. Its id stays known until maxIDs others have followed.
-func (s *Server) releaseRequest(client *client) {
-	if client.callID == "" {
+// releaseRequest ends the accounting of the current request. Its ID stays known until maxRecentIDs others have
+// followed.
+func (s *Server) releaseRequest(x *client) {
+	if x.callID == "" {
 		return
 	}
 	if len(s.recentIDs) < maxRecentIDs {
-		s.recentIDs = append(s.recentIDs, client.callID)
+		s.recentIDs = append(s.recentIDs, x.callID)
 	} else {
 		delete(s.callIDs, s.recentIDs[s.oldestRecent])
-		s.recentIDs[s.oldestRecent] = client.callID
+		s.recentIDs[s.oldestRecent] = x.callID
 		s.oldestRecent = (s.oldestRecent + 1) % maxRecentIDs
 	}
-	client.callID = ""
-	if client.service != nil && client.service.Pool != nil {
-		client.service.Pool.Done(client.class, client.bookedBytes, client.unbooked)
+	x.callID = ""
+	if x.service != nil && x.service.Pool != nil {
+		x.service.Pool.Done(x.class, x.bookedBytes, x.unbooked)
 	}
 }
 
 func (x *client) serveInternalPath(method, path string) {
 	if method != "GET" {
 		if method == "HEAD" {
-			x.keepAlive = false // its answer has no body, and ours has one
+			x.keepAlive = false // an answer to HEAD must have no body, but this one has
 		}
 		x.refuseRequest(404, "unknown path")
 		return
@@ -474,8 +480,8 @@
 	}
 }
 
-// job reads what the decisions need to know, or says what is wrong.
-func (v *Service) parseJob(m *http1.Message, path string, now decide.Time) (j decide.Job, why string) {
+// parseJob returns the job for the dispatcher, or the reason why the request is invalid.
+func (v *Service) parseJob(m *http1.Message, path string, now decide.Time) (j decide.Job, reason string) {
 	if name := repeatedField(m); name != "" {
 		return j, "more than one " + name
 	}
@@ -483,7 +489,7 @@
 	if !ok {
 		return j, "unknown class"
 	}
-	left, ok := parseBudget(m.Get("x-budget"))
+	budget, ok := parseBudget(m.Get("x-budget"))
 	if !ok {
 		return j, "bad budget"
 	}
@@ -494,7 +500,7 @@
 	}
 	h := fnv.New64a()
 	h.Write([]byte(path[strings.LastIndexByte(path, '/')+1:]))
-	j = decide.Job{Class: class, Key: h.Sum64(), GiveUpAt: now + int64((left-transitAllowance)/time.Microsecond)}
+	j = decide.Job{Class: class, Key: h.Sum64(), GiveUpAt: now + int64((budget-transitAllowance)/time.Microsecond)}
 	if v, err := strconv.ParseFloat(m.Get("x-call-cost"), 64); err == nil && v > 0 && v < 1e15 {
 		j.Hint = decide.Time(v)
 	}
@@ -502,7 +508,7 @@
 		name, text, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		v, err := strconv.ParseFloat(text, 64)
 		if err != nil || math.IsNaN(v) || v < 0 || v > maxSlots {
-			continue // a hint that can't be read is no hint
+			continue // an unreadable hint is ignored
 		}
 		switch name {
 		case "slots":
@@ -514,7 +520,8 @@
 	return j, ""
 }
 
-// repeated names a field that may stand but once and does not: which one counts, the next reader may see otherwise.
+// repeatedField returns the name of a field that must be unique but occurs more than once, since another reader might
+// use the other value. It returns "" if there is none.
 func repeatedField(m *http1.Message) string {
 	for i, f := range m.Fields {
 		switch f.Name {
@@ -529,12 +536,12 @@
 	return ""
 }
 
-// isPlain reports whether an id or key can be passed on: short and printable, or empty.
+// isPrintable reports whether an ID or key is empty, or short and printable, so that it can be passed on.
 func isPrintable(s string) bool {
 	return len(s) <= maxIDLength && !strings.ContainsFunc(s, func(r rune) bool { return r < ' ' || r > '~' })
 }
 
-// parseBudget reads a number with a unit: m milliseconds, u microseconds.
+// parseBudget parses a number with a unit: m for milliseconds, u for microseconds.
 func parseBudget(text string) (time.Duration, bool) {
 	if text == "" {
 		return 0, false
@@ -562,10 +569,11 @@
 	x.answer(503, []byte("refused\n"), retryAfter(wait)...)
 }
 
-// Gone implements engine.Client. A client that has ended its sending has gone: it can't be told from one that closed.
+// Gone implements engine.Client. A client that has shut down its sending side counts as disconnected, because it
+// can't be distinguished from one that has closed the connection.
 func (x *client) Gone() bool { return x.closed || x.conn.PeerClosed() }
 
-// retryAfter is the field that advises a wait, if there is one.
+// retryAfter returns the Retry-After field, or nil if there is no wait.
 func retryAfter(wait time.Duration) []http1.Field {
 	if wait <= 0 {
 		return nil
@@ -576,7 +584,7 @@
 // Failed implements engine.Client.
 func (x *client) Failed() { x.answer(500, []byte("failed\n")) }
 
-// answer writes the one answer to the request in hand and goes on to the next. From here on the peer is paced again.
+// answer writes the answer to the current request. From then on the peer's pace is measured again.
 func (x *client) answer(status int, body []byte, fields ...http1.Field) {
 	if x.closed {
 		return
@@ -595,16 +603,16 @@
 	}
 }
 
-// answered goes on to the next request once an answer has gone out.
-func (x *client) answerWritten(end WriteResult) {
+// answerWritten continues with the next request once the answer has been sent.
+func (x *client) answerWritten(result WriteResult) {
 	if x.closed {
 		return
 	}
-	if end != Written { // what the client has got of it can't be told from the next answer
+	if result != Written { // the part that the client has received can't be distinguished from the next answer
 		x.close()
 		return
 	}
-	if !x.keepAlive { // some of what came ahead was passed over meanwhile
+	if !x.keepAlive { // pipelined data has been dropped
 		x.unregister()
 		x.conn.CloseAfterWrite()
 		return
--- a/internal/jobs/discovery.go
+++ b/internal/jobs/discovery.go
@@ -12,43 +12,49 @@
 	"weldscale/internal/http1"
 )
 
-// This file owns the watch on the worker list. It renews a watch as soon as it has been answered, so that no
-// change falls between, and says so at once when one fails; when to ask again is the module's decision. It
-// must never have two calls out, nor wait for an answer without end.
+// This file implements the watch on the worker list. A watch is renewed as soon as it has been answered, so that no
+// change is missed, and a failed call is reported at once; the dispatcher decides when to call again. There is at
+// most one call at a time, and each has a timeout. A change counts as delivered to this scheduler if its watch
+// counted as open at the time, even if the answer was lost; the time limits below follow from that.
 
 const (
-	// firstHold asks a new watch to answer at once: the module waits for the answer to its call.
+	// immediateHold makes discovery answer a new watch at once, because the dispatcher waits for the answer.
 	immediateHold = time.Millisecond
-	// watchHold is how long discovery may sit on a call. Word that is lost on the way counts as told two
-	// seconds after the hold's end, so it must be short; every renewal is work for discovery, which has
-	// little to spare, so it must not be too short.
+	// watchHold is how long discovery may hold a call open. An update that is lost counts as delivered two seconds
+	// after the end of the hold, so the hold must be short. Each renewal costs discovery time, of which it has little
+	// to spare, so the hold must not be too short.
 	watchHold = 8 * time.Second
-	// patience is how long an answer to a call that need not wait may take: discovery lets calls queue for some seconds.
+	// callTimeout is the timeout of a call that discovery should answer at once. Calls may queue at discovery for
+	// some seconds.
 	callTimeout = 3 * time.Second
-	// alone is the same where few share discovery and nothing queues there.
+	// callTimeoutShort replaces callTimeout if few schedulers share discovery and no calls queue there.
 	callTimeoutShort = 800 * time.Millisecond
-	// overdue is how much longer than its hold a watch may take before it counts as silent. Two seconds after the hold what
-	// it has missed counts as told: by then another call has to be answered. Where few share discovery there is time for
-	// the call after that too, should the first one meet silence as well.
+	// holdSlack is how much longer than its hold a watch may take before it counts as failed. An update that it
+	// missed counts as delivered two seconds after the hold, and by then another call must have been answered. If few
+	// schedulers share discovery, holdSlackShort leaves time for one more call in case that one gets no answer
+	// either.
 	holdSlack      = 1300 * time.Millisecond
 	holdSlackShort = 500 * time.Millisecond
-	// agentHold, agentPatience and agentPause are the same of an agent that lists are pushed to, and how soon a call that came
-	// to nothing is followed by the next. It is silent while discovery is down, and what it gets at the return counts as told
-	// at once: a call that meets its silence must not outlive that for long. Its calls cost discovery nothing.
+	// agentHold and agentTimeout replace them for an agent, to which lists are pushed; agentRetryDelay is the delay
+	// before a failed call is repeated. The agent does not answer while discovery is down, and what it receives
+	// afterwards counts as delivered at once, so a call without an answer must end soon after that. Calls to an agent
+	// cost discovery nothing.
 	agentHold       = time.Second
 	agentTimeout    = 200 * time.Millisecond
 	agentRetryDelay = 50 * time.Millisecond
-	// callShare is how long one call of one scheduler is taken to keep discovery, before anything is known of it.
+	// initialCallCost is the time that discovery is assumed to need for one call of one scheduler until it has been
+	// measured.
 	initialCallCost = 90 * time.Millisecond
-	// burst is what discovery is let to work off at once: schedulers that all ask within it harm nobody.
+	// burstSpan is the amount of work that discovery may be given at once. Schedulers whose calls all fit in it need
+	// not be spread.
 	burstSpan = 800 * time.Millisecond
-	// renewal is how soon after its answer a watch is renewed at the latest. For 200 ms it counts as standing, so that a
-	// change within them counts as told: a pause there once had schedulers send to workers for seconds that they had
-	// "been told" were gone.
+	// maxRenewalDelay is the longest delay before an answered watch is renewed. A watch counts as open for 200 ms
+	// after its answer, so changes in that time count as delivered. A longer delay once made schedulers send for
+	// seconds to workers whose removal counted as delivered.
 	maxRenewalDelay = 120 * time.Millisecond
-	// maxHold keeps a watch whose connection has died unseen from leaving us deaf for long.
+	// maxHold limits how long a watch whose connection has died without notice can miss updates.
 	maxHold = 20 * time.Second
-	// maxList bounds a list answer; a thousand workers take about a quarter of it.
+	// maxListBytes limits a list answer; a thousand workers take about a quarter of it.
 	maxListBytes = 1 << 20
 )
 
@@ -57,47 +63,50 @@
 	Engine *engine.Engine
 	Dialer Dialer
 	Addr   string
-	// Service names the service in the log; "" is the platform's.
+	// Service is the service's name in the log; "" is the platform's service.
 	Service string
 
-	// FromAgent says that Addr is an agent's on this machine: it answers at once with what it has been sent, and all of that
-	// counts as told. The module takes it that changes come on their own, and asks for no watch: this one stands from the
-	// start, whatever becomes of its calls, and Cadence has no part in it.
+	// FromAgent says that Addr belongs to an agent on this machine. The agent answers at once with what discovery has
+	// pushed to it, and all of that counts as delivered. The dispatcher expects changes without asking for a watch,
+	// so the watch is open from the start and stays open after failed calls. Cadence is not used.
 	FromAgent bool
 
-	// Rand spreads the calls; nil: they are not spread.
+	// Rand randomizes the delays between calls. If nil, there are no random delays.
 	Rand *rand.Rand
-	// Cadence is how far apart the calls of this scheduler are.
+	// Cadence computes the delays between the calls of this scheduler.
 	Cadence Cadence
 
-	// News, if set, is told what this process has heard of discovery, in the form of its answers.
+	// OnUpdate, if set, is called with each list update that this process has received from discovery, in the form of
+	// discovery's answers.
 	OnUpdate func(index int64, list []byte)
 
-	hasCalled    bool          // a call was made, or waits
-	nextCall     *engine.Timer // for the moment of the next call
+	hasCalled    bool          // a call has been made or scheduled
+	nextCall     *engine.Timer // timer of the next call
 	index        int64
-	needSnapshot bool // the index is not this discovery's: only a whole list can tell where we stand
-	reloadWanted bool // a whole list was asked for while a call was out
+	needSnapshot bool // index is that of another discovery, so only a whole list can be applied
+	reloadWanted bool // Reload was called during a call
 	watching     bool
 	pendingCall  *listCall
-	relayedAt    decide.Time // when another process last told us of newer news than ours
+	relayedAt    decide.Time // when another process last relayed an update newer than index
 }
 
-// Cadence decides how far apart a scheduler's calls are. Discovery is one service for all and handles calls one after
-// another, also those whose answers come too late to be taken: where every scheduler asks again at once, after a change
-// of the list or a 503, all wait for calls that nobody wants any more, for good. So each leaves the others their turn,
-// longer as calls fail, less long as answers come soon. The zero value leaves none.
+// Cadence computes how far apart the calls of a scheduler are. All schedulers share one discovery, which handles
+// calls one after another, including those whose callers have already timed out. If all schedulers called again at
+// once after a change of the list or a 503, the queue would consist of abandoned calls and never drain. So each
+// scheduler spreads its calls over a span, which grows with failed calls and shrinks with fast answers. The zero
+// value does not delay calls.
 type Cadence struct {
 	Nodes      int           // schedulers that share discovery
-	AskWithin  time.Duration // silence longer than this counts as having been told; four times that after a failed call
-	span       time.Duration // over which one call of each scheduler is spread; 0: nothing was heard yet
-	lastFailed bool          // the last call came to nothing
+	AskWithin  time.Duration // time after the last contact from which changes count as delivered; four times that after a failed call
+	span       time.Duration // time over which the schedulers spread one call each; 0: nothing measured yet
+	lastFailed bool          // the last call failed
 }
 
-// all is how long discovery is taken to need for one call of each scheduler, before anything is known of it.
+// initialSpan is the time that discovery is assumed to need for one call of each scheduler until it has been
+// measured.
 func (c *Cadence) initialSpan() time.Duration { return time.Duration(c.Nodes) * initialCallCost }
 
-// Span is the time over which one call of each scheduler is spread.
+// Span returns the time over which the schedulers spread one call each.
 func (c *Cadence) Span() time.Duration {
 	if c.span == 0 {
 		c.span = c.initialSpan()
@@ -105,20 +114,20 @@
 	return c.span
 }
 
-// Failed takes in that a call came to nothing.
+// Failed records a failed call.
 func (c *Cadence) Failed() {
 	c.lastFailed = true
 	c.span = min(2*max(c.Span(), burstSpan), max(c.AskWithin, c.Span()))
 }
 
-// Silent takes in that nothing was said to a call. Where few share discovery it is no sign that others wait there too.
+// TimedOut records a call without an answer. If few schedulers share discovery, this does not indicate a queue there.
 func (c *Cadence) TimedOut() {
 	if c.Span() > burstSpan {
 		c.Failed()
 	}
 }
 
-// CallTimeout is how long an answer to a call that need not wait may take.
+// CallTimeout returns the timeout of a call that discovery should answer at once.
 func (c *Cadence) CallTimeout() time.Duration {
 	if c.Span() > burstSpan {
 		return callTimeout
@@ -126,7 +135,7 @@
 	return callTimeoutShort
 }
 
-// HoldSlack is how much longer than its hold a watch may take before it counts as silent.
+// HoldSlack returns how much longer than its hold a watch may take before it counts as failed.
 func (c *Cadence) HoldSlack() time.Duration {
 	if c.Span() > burstSpan {
 		return holdSlack
@@ -134,22 +143,22 @@
 	return holdSlackShort
 }
 
-// Answered takes in that one was answered within so long; queued says that the answer was there before the call, which
-// then shows how long discovery's queue is. What others make it do tells how far apart to ask.
-func (c *Cadence) Answered(within time.Duration, queued bool) {
+// Answered records that a call was answered after the given time. If queued is set, the answer was available before
+// the call, so the time shows how long discovery's queue is. Otherwise it includes the wait for a change.
+func (c *Cadence) Answered(took time.Duration, queued bool) {
 	c.lastFailed = false
 	switch {
-	case within < burstSpan/8:
+	case took < burstSpan/8:
 		c.span = max(c.Span()/2, c.initialSpan()/8)
-	case within < burstSpan/2:
+	case took < burstSpan/2:
 		c.span = max(c.Span()*7/8, c.initialSpan()/8)
-	case within > burstSpan && queued:
+	case took > burstSpan && queued:
 		c.span = min(c.Span()*3/2, max(c.AskWithin, c.Span()))
 	}
 }
 
-// FirstDelay is how long to wait before the first call; luck is from 0 to 1. Who has just started knows least and goes first;
-// the call comes before our silence counts as having been told.
+// FirstDelay returns the delay before the first call; jitter is from 0 to 1. New schedulers have the oldest list and
+// use a shorter delay. The call is made before AskWithin has passed.
 func (c *Cadence) FirstDelay(jitter float64) time.Duration {
 	if c.Span() <= burstSpan {
 		return 0
@@ -157,8 +166,9 @@
 	return min(time.Duration(jitter*float64(c.Span())), c.AskWithin*17/20)
 }
 
-// NextDelay is how long to wait before the next call; luck is from 0 to 1. It is none where all may as well ask at once, and
-// after an answer never so long that the watch has ended: what changed meanwhile would count as told.
+// NextDelay returns the delay before the next call; jitter is from 0 to 1. It is 0 if all schedulers may call at
+// once. After an answer it is short enough that the watch still counts as open; otherwise changes in between would
+// count as delivered.
 func (c *Cadence) NextDelay(jitter float64) time.Duration {
 	limit := maxRenewalDelay
 	if c.lastFailed {
@@ -167,7 +177,7 @@
 	return min(time.Duration(2*jitter*float64(max(0, c.Span()-burstSpan))), limit)
 }
 
-// Hold is how long discovery may sit on a call: the more share it, the longer.
+// Hold returns how long discovery may hold a call open. The more schedulers share discovery, the longer it is.
 func (c *Cadence) Hold(jitter float64) time.Duration {
 	hold := min(max(watchHold, 5*c.Span()), maxHold)
 	if hold > watchHold {
@@ -176,7 +186,7 @@
 	return hold
 }
 
-// listCall is one call and its answer.
+// listCall is one call to discovery and its answer.
 type listCall struct {
 	discovery  *Discovery
 	addr       string
@@ -188,11 +198,11 @@
 	reload     bool
 	body       []byte
 	ended      bool
-	extended   bool // it was given more time
+	extended   bool // the timeout has been extended once
 	startedAt  decide.Time
 }
 
-// list is a list answer or the known list of the configuration.
+// listMessage is a list answer, or the known list of the configuration.
 type listMessage struct {
 	Index     int64      `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
@@ -214,19 +224,19 @@
 
 func (l *listMessage) entries() []engine.Entry {
 	out := make([]engine.Entry, 0, len(l.Endpoints))
-	for _, in := range l.Endpoints {
-		state, ok := statusStates[in.Status]
+	for _, listed := range l.Endpoints {
+		state, ok := statusStates[listed.Status]
 		if !ok {
-			state = decide.Draining // whatever it is, it does not say that new work is wanted
+			state = decide.Draining // an unknown status does not mean that the worker accepts new jobs
 		}
-		out = append(out, engine.Entry{Name: in.Name, Addr: in.Address, Zone: in.Zone, Kind: in.Type, Cell: in.Group,
-			State: state, Weight: in.Weight, StartedAt: decide.Time(in.SinceMS * 1000)})
+		out = append(out, engine.Entry{Name: listed.Name, Addr: listed.Address, Zone: listed.Zone, Kind: listed.Type, Cell: listed.Group,
+			State: state, Weight: listed.Weight, StartedAt: decide.Time(listed.SinceMS * 1000)})
 	}
 	return out
 }
 
-// ReadList reads a list answer. A worker without a name or an address, or with a name that stands twice, is an error: half
-// a list is worse than the last one.
+// ReadList parses a list answer. A missing name or address or a duplicate name is an error, because a partial list is
+// worse than the previous one.
 func ReadList(text []byte) ([]engine.Entry, error) {
 	var l listMessage
 	if err := json.Unmarshal(text, &l); err != nil {
@@ -235,7 +245,7 @@
 	names := map[string]bool{}
 	for i, e := range l.Endpoints {
 		if e.Name == "" || e.Address == "" || names[e.Name] {
-			return nil, fmt.Errorf("endpoint %d (%q): no name of its own, or no address", i, e.Name)
+			return nil, fmt.Errorf("endpoint %d (%q): name missing or not unique, or address missing", i, e.Name)
 		}
 		if _, ok := statusStates[e.Status]; !ok {
 			return nil, fmt.Errorf("endpoint %d (%q): status %q; allowed: SERVING, DRAINING, DELETED", i, e.Name, e.Status)
@@ -245,7 +255,7 @@
 	return l.entries(), nil
 }
 
-// Close ends the watch, without a word to the module.
+// Close ends the watch without reporting to the dispatcher.
 func (d *Discovery) Close() {
 	d.watching = false
 	d.nextCall.Stop()
@@ -255,7 +265,7 @@
 	}
 }
 
-// Known takes in the list of the configuration.
+// LoadKnown applies the list from the configuration.
 func (d *Discovery) LoadKnown(text []byte) error {
 	var l listMessage
 	if err := json.Unmarshal(text, &l); err != nil {
@@ -266,10 +276,11 @@
 	return nil
 }
 
-// Index is the version of the list that this process has.
+// Index returns the version of this process's list.
 func (d *Discovery) Index() int64 { return d.index }
 
-// ApplyRelayed takes in news that another process of this scheduler has heard. What is older than ours says nothing.
+// ApplyRelayed applies an update that another process of this scheduler has received. An update that is not newer
+// than this process's list is ignored.
 func (d *Discovery) ApplyRelayed(index int64, text []byte) error {
 	var l listMessage
 	if err := json.Unmarshal(text, &l); err != nil {
@@ -295,7 +306,7 @@
 	}
 }
 
-// luck is a random number from 0 to 1.
+// jitter returns a random number from 0 to 1, or 0 if Rand is nil.
 func (d *Discovery) jitter() float64 {
 	if d.Rand == nil {
 		return 0
@@ -303,27 +314,27 @@
 	return d.Rand.Float64()
 }
 
-// later makes the next call of the watch when it is our turn.
+// scheduleNext schedules the next call of the watch after the delay that Cadence computes.
 func (d *Discovery) scheduleNext(newWatch bool) {
-	next := d.Cadence.NextDelay
+	delay := d.Cadence.NextDelay
 	if !d.hasCalled {
-		next = d.Cadence.FirstDelay
+		delay = d.Cadence.FirstDelay
 	}
 	d.hasCalled = true
-	pause := next(d.jitter())
+	wait := delay(d.jitter())
 	if d.FromAgent {
-		pause = 0
+		wait = 0
 	}
-	d.scheduleAfter(pause, newWatch)
+	d.scheduleAfter(wait, newWatch)
 }
 
-// laterBy makes the next call of the watch after the pause.
-func (d *Discovery) scheduleAfter(pause time.Duration, newWatch bool) {
-	if pause == 0 {
+// scheduleAfter makes the next call of the watch after the pause.
+func (d *Discovery) scheduleAfter(delay time.Duration, newWatch bool) {
+	if delay == 0 {
 		d.startCall(newWatch, false)
 		return
 	}
-	d.nextCall = d.Engine.After(pause, func() {
+	d.nextCall = d.Engine.After(delay, func() {
 		d.nextCall = nil
 		if d.watching && d.pendingCall == nil {
 			d.startCall(newWatch, false)
@@ -333,15 +344,15 @@
 
 // Reload implements engine.Directory.
 func (d *Discovery) Reload() {
-	if d.pendingCall != nil { // what that one brings may be older than the wish
+	if d.pendingCall != nil { // the answer to the pending call may be older than this request
 		d.reloadWanted = true
 		return
 	}
 	d.startCall(false, true)
 }
 
-// Move goes on with another discovery, at once: a call that the old one holds is dropped without a word, since
-// it would end with the old one's news or in a failure that says nothing of the new one.
+// Move switches to another discovery at once. A pending call to the old one is dropped without a report, because its
+// answer or failure says nothing about the new one.
 func (d *Discovery) Move(addr string) {
 	if addr == d.Addr {
 		return
@@ -353,7 +364,7 @@
 	d.startCall(true, true)
 }
 
-// spans are how long discovery may sit on a call, and how much longer its answer may take.
+// timeouts returns how long discovery may hold a call open and how much longer its answer may take.
 func (d *Discovery) timeouts(immediate bool) (hold, slack time.Duration) {
 	switch {
 	case d.FromAgent && immediate:
@@ -439,19 +450,19 @@
 		x.end(nil, "status "+formatInt(int64(s)))
 		return
 	}
-	l := new(listMessage)
-	if err := json.Unmarshal(x.body, l); err != nil {
+	answer := new(listMessage)
+	if err := json.Unmarshal(x.body, answer); err != nil {
 		x.end(nil, err.Error())
 		return
 	}
-	x.end(l, "")
+	x.end(answer, "")
 }
 
-// silent ends a call to which nothing was said in its time. A watch of which that is so is broken, though its connection
-// stands: it is opened anew at once, since what it has missed is about to count as told.
+// timedOut ends a call that was not answered in time. A watch without an answer is broken even if its connection is
+// still open. It is reopened at once, because what it has missed is about to count as delivered.
 func (x *listCall) timedOut() {
 	d := x.discovery
-	if !x.extended && x.conn != nil && x.conn.Unread() { // it was us who were late
+	if !x.extended && x.conn != nil && x.conn.Unread() { // the delay was in this process
 		x.extended = true
 		x.timer = d.Engine.After(agentTimeout, x.timedOut)
 		return
@@ -468,47 +479,47 @@
 
 const noAnswer = "no answer"
 
-// end ends the call, renews the watch and tells the news, in that order: the renewal may not wait.
-func (x *listCall) end(l *listMessage, why string) {
+// end ends the call, renews the watch and reports the result, in that order, because the renewal must not be delayed.
+func (x *listCall) end(answer *listMessage, reason string) {
 	if x.ended {
 		return
 	}
 	d := x.discovery
 	x.drop()
 	took := time.Duration(d.Engine.Now()-x.startedAt) * time.Microsecond
-	if l == nil {
-		if why == noAnswer {
+	if answer == nil {
+		if reason == noAnswer {
 			d.Cadence.TimedOut()
 		} else {
 			d.Cadence.Failed()
 		}
-		slog.Warn("worker list call failed", withService(d.Service, "why", why)...)
+		slog.Warn("worker list call failed", withService(d.Service, "why", reason)...)
 		d.Engine.Announce(decide.ListFailed, nil)
-		if d.FromAgent && d.watching && d.pendingCall == nil && d.nextCall == nil { // the module does not ask again
+		if d.FromAgent && d.watching && d.pendingCall == nil && d.nextCall == nil { // the dispatcher does not call again
 			d.scheduleAfter(agentRetryDelay, true)
 		}
 		return
 	}
-	slog.Debug("worker list", withService(d.Service, "index", l.Index, "from", d.index, "lines", len(l.Endpoints), "took", took)...)
-	queued := x.newWatch || x.reload || l.Index > d.index+1
+	slog.Debug("worker list", withService(d.Service, "index", answer.Index, "from", d.index, "lines", len(answer.Endpoints), "took", took)...)
+	queued := x.newWatch || x.reload || answer.Index > d.index+1
 	d.Cadence.Answered(took, queued)
 	if queued {
 		d.Engine.Counts.ListWait = max(d.Engine.Counts.ListWait, took)
 	}
-	if !l.Snapshot && !x.reload && l.Index < d.index && d.relayedAt <= x.startedAt {
-		// Changes up to a version before ours are not those that we lack: only the whole list tells where we stand.
-		slog.Warn("worker list went back", withService(d.Service, "index", l.Index, "from", d.index)...)
+	if !answer.Snapshot && !x.reload && answer.Index < d.index && d.relayedAt <= x.startedAt {
+		// A delta up to an older index does not contain the missing changes; only a whole list is usable.
+		slog.Warn("worker list went back", withService(d.Service, "index", answer.Index, "from", d.index)...)
 		d.needSnapshot = true
 		d.startCall(false, true)
 		return
 	}
-	stale := d.relayedAt > x.startedAt && l.Index < d.index // another process has told us more meanwhile
+	stale := d.relayedAt > x.startedAt && answer.Index < d.index // another process has relayed a newer update during the call
 	if stale {
-		l.Index = d.index
-	} else if d.OnUpdate != nil && (l.Snapshot || len(l.Endpoints) > 0) {
-		d.OnUpdate(l.Index, x.body)
+		answer.Index = d.index
+	} else if d.OnUpdate != nil && (answer.Snapshot || len(answer.Endpoints) > 0) {
+		d.OnUpdate(answer.Index, x.body)
 	}
-	d.index, d.needSnapshot = l.Index, false
+	d.index, d.needSnapshot = answer.Index, false
 	switch {
 	case d.reloadWanted:
 		d.startCall(false, true)
@@ -518,14 +529,14 @@
 	switch {
 	case stale:
 		d.Engine.Announce(decide.ListDelta, nil)
-	case l.Snapshot || x.reload:
-		d.Engine.Announce(decide.ListFull, l.entries())
-	case x.newWatch || len(l.Endpoints) > 0:
-		d.Engine.Announce(decide.ListDelta, l.entries())
+	case answer.Snapshot || x.reload:
+		d.Engine.Announce(decide.ListFull, answer.entries())
+	case x.newWatch || len(answer.Endpoints) > 0:
+		d.Engine.Announce(decide.ListDelta, answer.entries())
 	}
 }
 
-// drop ends the call without a word to the module.
+// drop ends the call without reporting to the dispatcher.
 func (x *listCall) drop() {
 	x.ended = true
 	x.discovery.pendingCall = nil
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -1,8 +1,8 @@
-// Package jobs gives PROTOCOL's HTTP messages their meaning: a client's request, an attempt on a worker, a
-// probe, the watch on the worker list. It owns headers, paths, JSON forms and the mapping of what comes back
-// to outcomes. It must never open a socket (connections come from a Dialer and are fed bytes by the
-// driver), never send a job again of which a byte may have arrived, and never choose a worker. All of it runs on
-// the engine's loop.
+// Package jobs implements the HTTP protocol between clients, schedulers, workers and discovery on top of package
+// engine: client requests, attempts, probes and the watch on the worker list. It maps headers, paths, JSON bodies and
+// response statuses to engine calls and outcomes. Connections come from a Dialer and a driver; the package opens no
+// sockets and chooses no workers. A job of which a byte may have reached a worker is never sent again here. All code
+// runs on the engine's loop.
 package jobs
 
 import (
@@ -16,81 +16,83 @@
 	"weldscale/decide"
 )
 
-// Conn is one connection. Its owner gives it a Handler; the driver calls that on the loop.
+// Conn is one connection. Its owner sets a Handler, which the driver calls on the loop.
 type Conn interface {
 	SetHandler(Handler)
-	// Write sends the bytes; done, if not nil, is told on the loop how that went.
+	// Write sends b. If done is not nil, it is called on the loop with the result.
 	Write(b []byte, done func(WriteResult))
-	// CloseAfterWrite closes once what was given to Write has gone out.
+	// CloseAfterWrite closes the connection once everything given to Write has been sent.
 	CloseAfterWrite()
-	// Close closes at once: the handler hears no more, and what Write was given and the system has not taken is lost.
+	// Close closes the connection at once. The handler is not called any more, and data that the system has not
+	// accepted yet is lost.
 	Close()
-	// Queued is how many bytes given to Write wait here, since the system does not take them.
+	// Queued returns the number of bytes given to Write that the system has not accepted yet.
 	Queued() int
-	// Unacked is how many wait here or with the system, as far as the peer is known to have taken them.
+	// Unacked returns the number of bytes, here and in the system, that the peer is not known to have received.
 	Unacked() int
-	// Peer is the address of the other side.
+	// Peer returns the address of the other side.
 	Peer() netip.Addr
-	// PeerClosed reports whether the other side has ended its sending or the connection, though the handler may not have
-	// heard of it yet.
+	// PeerClosed reports whether the other side has shut down its sending side or closed the connection, even if the
+	// handler has not been called yet.
 	PeerClosed() bool
-	// Unread reports whether something has come, bytes or the end, that the handler has not been told.
+	// Unread reports whether data or the end of the connection has arrived that the handler has not received yet.
 	Unread() bool
 }
 
-// Transferable is a connection that can leave the process.
+// Transferable is a connection that can be handed over to another process.
 type Transferable interface {
-	// DupFD returns a copy of its descriptor, the caller's; not where bytes of it are under way here.
+	// DupFD returns a duplicate of the connection's descriptor, which the caller must close. It fails while bytes of
+	// the connection are buffered here.
 	DupFD() (fd int, ok bool)
 }
 
-// Handler takes what a connection brings.
+// Handler receives the events of a connection.
 type Handler interface {
 	Data([]byte)
-	// Closed says that the connection has ended, not by our Close.
+	// Closed is called when the connection has ended other than by Close.
 	Closed()
 }
 
-// WriteResult tells how a write ended.
+// WriteResult is the result of a write.
 type WriteResult uint8
 
-// The ends of a write.
+// The results of a write.
 const (
-	Written         WriteResult = iota // the last byte has gone to the system
-	WriteIncomplete                    // the last byte has surely not
-	WriteUnknown                       // it may have
+	Written         WriteResult = iota // the system has accepted the last byte
+	WriteIncomplete                    // the last byte has certainly not been sent
+	WriteUnknown                       // the last byte may have been sent
 )
 
-// Dialer hands out connections for one exchange each.
+// Dialer provides connections for one exchange each.
 type Dialer interface {
-	// Get calls ready with a connection, an idle one if there is one and fresh is false, or with nil if none came
-	// up in time. It may do so before it returns. The returned function gives up the wait.
+	// Get calls ready with a connection, or with nil if none could be made in time. It uses an idle connection if
+	// there is one and fresh is false. It may call ready before it returns. The returned function cancels the wait.
 	Get(addr string, fresh bool, ready func(Conn)) (giveUp func())
-	// Put takes back a connection on which an exchange ended cleanly.
+	// Put returns a connection whose exchange ended cleanly.
 	Put(addr string, c Conn)
 }
 
-// LoadReportParser reads load reports. On sockets a figure goes by the name that the settings give it or by the one
-// that PROTOCOL gives it; which one depends on the deployment.
+// LoadReportParser parses load reports. On the wire a field has either the name from the settings or the protocol's
+// name, depending on the deployment.
 type LoadReportParser struct {
-	Fields []string                             // as the settings name them
+	Fields []string                             // names from the settings
 	Make   func(values []float32) decide.Report // from values in the order of Fields; NaN marks a missing one
 }
 
-// sockets has PROTOCOL's names of the figures, by the settings' names.
+// protocolNames maps the field names of the settings to those of the protocol.
 var protocolNames = map[string]string{"active": "inflight", "waiting": "queue", "cpu": "util", "avg_ms": "latency_ms",
 	"rps": "qps", "err_rps": "eps"}
 
 func (r *LoadReportParser) read(text []byte) decide.Report {
-	var in map[string]float32
-	if json.Unmarshal(text, &in) != nil {
+	var fields map[string]float32
+	if json.Unmarshal(text, &fields) != nil {
 		return decide.Report{}
 	}
 	values := make([]float32, len(r.Fields))
 	for i, name := range r.Fields {
-		v, ok := in[name]
+		v, ok := fields[name]
 		if !ok {
-			v, ok = in[protocolNames[name]]
+			v, ok = fields[protocolNames[name]]
 		}
 		if !ok {
 			v = float32(math.NaN())
@@ -100,32 +102,32 @@
 	return r.Make(values)
 }
 
-// resultOf is the text of a line's result where that is a JSON string, which was read with the line (it may be long);
-// any other JSON value is left as it stands.
+// resultText returns the result of a line. If it is a JSON string, v holds it already decoded, since it may be long;
+// any other JSON value is returned as it is written in the line.
 func resultText(v any, line []byte) []byte {
 	if s, ok := v.(string); ok {
 		return []byte(s)
 	}
-	var in struct {
+	var parsed struct {
 		Result json.RawMessage `json:"result"`
 	}
-	_ = json.Unmarshal(line, &in) // it was read before
-	return bytes.TrimSpace(in.Result)
+	_ = json.Unmarshal(line, &parsed) // the line has been parsed before
+	return bytes.TrimSpace(parsed.Result)
 }
 
-// budget formats a span as X-Budget has it.
+// formatBudget formats a duration for the X-Budget header.
 func formatBudget(left time.Duration) string {
 	return strconv.FormatInt(int64(max(left, time.Microsecond)/time.Microsecond), 10) + "u"
 }
 
-// call is what a client's request and a worker's attempt share: it passes through untouched.
+// payload is the part of a client's request that is passed to the worker unchanged.
 type payload struct {
 	method, target, id, key string
 	body                    []byte
-	atMostOnce              bool // it must never run twice
+	atMostOnce              bool // the job must never run twice
 }
 
-// named puts the service's name before the other words of a log line, where it has one.
+// withService puts the service's name, if there is one, before the other attributes of a log line.
 func withService(service string, args ...any) []any {
 	if service == "" {
 		return args
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -18,7 +18,7 @@
 	"weldscale/internal/pace"
 )
 
-// fakeConn keeps what is written. Writes end when the test says so.
+// fakeConn records what is written. Writes end when the test calls done.
 type fakeConn struct {
 	Conn
 	handler     Handler
@@ -26,11 +26,11 @@
 	done        func(WriteResult)
 	writeAtOnce bool // writes end at once
 	closed      bool
-	peerClosed  bool   // by the peer
-	unread      bool   // something has come that the handler was not told
-	queued      int    // what the system does not take
-	inKernel    int    // what the peer does not take of it
-	from        string // its address
+	peerClosed  bool   // the peer has closed
+	unread      bool   // data has arrived that the handler has not received
+	queued      int    // bytes that the system does not accept
+	inKernel    int    // bytes accepted by the system that the peer has not received
+	from        string // address of the peer
 }
 
 func (c *fakeConn) SetHandler(h Handler) { c.handler = h }
@@ -49,11 +49,11 @@
 func (c *fakeConn) PeerClosed() bool { return c.peerClosed }
 func (c *fakeConn) Unread() bool     { return c.unread }
 
-// fakeDialer hands out one connection, or none.
+// fakeDialer returns one connection, or none.
 type fakeDialer struct {
 	conn  *fakeConn
 	kept  int
-	fresh int // fresh ones asked for
+	fresh int // number of fresh connections requested
 	last  func(Conn)
 }
 
@@ -71,7 +71,7 @@
 }
 func (d *fakeDialer) Put(string, Conn) { d.kept++ }
 
-// bench is an engine whose loop does not run: everything happens within the calls of the test.
+// harness is an engine whose loop does not run, so that everything happens during the calls of the test.
 type harness struct {
 	engine     *engine.Engine
 	dialer     *fakeDialer
@@ -80,10 +80,10 @@
 	discovery  *Discovery
 	pushed     []*engine.Attempt
 	probes     []*engine.Probe
-	holdProbes bool // probes are left to the test
+	holdProbes bool // probes are recorded and not answered
 }
 
-// Push implements engine.Workers: an attempt is left to the test, a probe answered at once unless held.
+// Push implements engine.Workers. It records attempts; probes are answered at once unless holdProbes is set.
 func (b *harness) Push(a *engine.Attempt)   { b.pushed = append(b.pushed, a) }
 func (b *harness) Cancel(a *engine.Attempt) { b.workers.Cancel(a) }
 
@@ -123,7 +123,7 @@
 	return b
 }
 
-// client opens a connection of a client.
+// client opens a client connection.
 func (b *harness) client() *fakeConn {
 	c := &fakeConn{writeAtOnce: true}
 	b.server.Serve(c)
@@ -140,18 +140,18 @@
 
 const requestHead = "POST /api/7?q=1 HTTP/1.1\r\nHost: a\r\nX-Call-Id: 9b\r\nIdempotency-Key: k\r\nX-Call-Class: send\r\n"
 
-// What a worker's bytes stand for; to the client: 200 with the result, 500 where it may have run, and
-// nothing yet where the request goes on.
+// Each worker response maps to a status. The client gets 200 with the result, 500 if the job may have run, and
+// nothing yet if the request is retried.
 func TestOutcomes(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	chunk := func(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 	line := func(state string) string { return `{"id":"9b","state":"` + state + `","result":"a\"b"}` + "\n" }
 	type ending int
 	const (
-		stays ending = iota
+		staysOpen ending = iota
 		breaks
-		unwritten // breaks, and the write turns out not to have gone out
-		unsure
+		writeIncomplete // the connection breaks, and the write was incomplete
+		writeUnknown
 	)
 	for name, c := range map[string]struct {
 		in   string
@@ -159,28 +159,28 @@
 		want decide.Status
 		kept int
 	}{
-		"done":             {ok + chunk(line("started")) + chunk(line("done")) + "0\r\n\r\n", stays, decide.Served, 1},
-		"done in pieces":   {ok + chunk(line("done")[:9]) + chunk(line("done")[9:]) + "0\r\n\r\n", stays, decide.Served, 1},
-		"no last line end": {ok + chunk(strings.TrimSpace(line("done"))) + "0\r\n\r\n", stays, decide.Served, 1},
-		"done, then ends":  {ok + chunk(line("done")), breaks, decide.Served, 0},
-		"closes":           {"HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(line("done")) + "0\r\n\r\n", stays, decide.Served, 0},
-		"unknown state":    {ok + chunk(line("resting")) + chunk(line("done")) + "0\r\n\r\n", stays, decide.Served, 1},
-		"failed":           {ok + chunk(line("failed")) + "0\r\n\r\n", stays, decide.Error, 1},
-		"returned":         {ok + chunk(line("returned")) + "0\r\n\r\n", stays, decide.Full, 1},
-		"lost":             {ok + chunk(line("lost")) + "0\r\n\r\n", stays, decide.Reset, 1},
-		"500":              {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", stays, decide.Error, 1},
-		"full":             {"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", stays, decide.Full, 1},
-		"504, unstarted":   {"HTTP/1.1 504 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", stays, decide.Full, 1},
-		"503 of its own":   {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", stays, decide.Error, 1},
-		"no last line":     {ok + chunk(line("started")) + "0\r\n\r\n", stays, decide.Reset, 1},
-		"breaks":           {ok + chunk(line("started")), breaks, decide.Reset, 0},
-		"breaks at once":   {"", breaks, decide.Reset, 0},
-		"never written":    {"", unwritten, decide.ConnectFailed, 0},
-		"perhaps written":  {"", unsure, decide.Reset, 0},
-		"not HTTP":         {"hello\r\n\r\n", stays, decide.Reset, 0},
-		"not JSON":         {ok + chunk("{oops\n"), stays, decide.Reset, 0},
-		"another's line":   {ok + chunk(`{"id":"zz","state":"done","result":"x"}`+"\n"), stays, decide.Reset, 0},
-		"endless line":     {ok + chunk(strings.Repeat("x", maxLineBytes+1)), stays, decide.Reset, 0},
+		"done":                {ok + chunk(line("started")) + chunk(line("done")) + "0\r\n\r\n", staysOpen, decide.Served, 1},
+		"done in pieces":      {ok + chunk(line("done")[:9]) + chunk(line("done")[9:]) + "0\r\n\r\n", staysOpen, decide.Served, 1},
+		"no final newline":    {ok + chunk(strings.TrimSpace(line("done"))) + "0\r\n\r\n", staysOpen, decide.Served, 1},
+		"done, then breaks":   {ok + chunk(line("done")), breaks, decide.Served, 0},
+		"closes":              {"HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(line("done")) + "0\r\n\r\n", staysOpen, decide.Served, 0},
+		"unknown state":       {ok + chunk(line("resting")) + chunk(line("done")) + "0\r\n\r\n", staysOpen, decide.Served, 1},
+		"failed":              {ok + chunk(line("failed")) + "0\r\n\r\n", staysOpen, decide.Error, 1},
+		"returned":            {ok + chunk(line("returned")) + "0\r\n\r\n", staysOpen, decide.Full, 1},
+		"lost":                {ok + chunk(line("lost")) + "0\r\n\r\n", staysOpen, decide.Reset, 1},
+		"500":                 {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", staysOpen, decide.Error, 1},
+		"full":                {"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", staysOpen, decide.Full, 1},
+		"504, not started":    {"HTTP/1.1 504 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", staysOpen, decide.Full, 1},
+		"503 of the worker":   {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", staysOpen, decide.Error, 1},
+		"no final line":       {ok + chunk(line("started")) + "0\r\n\r\n", staysOpen, decide.Reset, 1},
+		"breaks":              {ok + chunk(line("started")), breaks, decide.Reset, 0},
+		"breaks at once":      {"", breaks, decide.Reset, 0},
+		"write incomplete":    {"", writeIncomplete, decide.ConnectFailed, 0},
+		"write unknown":       {"", writeUnknown, decide.Reset, 0},
+		"not HTTP":            {"hello\r\n\r\n", staysOpen, decide.Reset, 0},
+		"not JSON":            {ok + chunk("{oops\n"), staysOpen, decide.Reset, 0},
+		"line of another job": {ok + chunk(`{"id":"zz","state":"done","result":"x"}`+"\n"), staysOpen, decide.Reset, 0},
+		"too long a line":     {ok + chunk(strings.Repeat("x", maxLineBytes+1)), staysOpen, decide.Reset, 0},
 	} {
 		for _, size := range []int{1 << 20, 1} {
 			b := newHarness(t)
@@ -194,10 +194,10 @@
 			assert.Contains(t, conn.out, "Idempotency-Key: k\r\n")
 			assert.True(t, strings.HasSuffix(conn.out, "Content-Length: 2\r\n\r\nhi"), name)
 			switch c.end {
-			case unwritten, unsure:
+			case writeIncomplete, writeUnknown:
 				conn.handler.Closed()
-				conn.done(map[ending]WriteResult{unwritten: WriteIncomplete, unsure: WriteUnknown}[c.end])
-				if c.end == unwritten { // nor on its second connection
+				conn.done(map[ending]WriteResult{writeIncomplete: WriteIncomplete, writeUnknown: WriteUnknown}[c.end])
+				if c.end == writeIncomplete { // nor on its second connection
 					conn.done(WriteIncomplete)
 				}
 			default:
@@ -221,26 +221,26 @@
 	}
 }
 
-// An attempt is not sent once its request has been answered or its worker told to drain while we dialled.
+// An attempt is not sent if its client disconnects or its worker drains or leaves during the dial.
 func TestSendableIsCheckedAfterDial(t *testing.T) {
-	for name, between := range map[string]func(b *harness, c *fakeConn){
+	for name, duringDial := range map[string]func(b *harness, c *fakeConn){
 		"client gone": func(b *harness, c *fakeConn) { c.handler.Closed() },
 		"worker drains": func(b *harness, c *fakeConn) {
 			b.engine.Announce(decide.ListDelta, []engine.Entry{{Name: "a", State: decide.Draining}})
 		},
-		"worker departed": func(b *harness, c *fakeConn) { b.engine.Announce(decide.ListFull, nil) },
+		"worker gone": func(b *harness, c *fakeConn) { b.engine.Announce(decide.ListFull, nil) },
 	} {
 		b := newHarness(t)
 		client := b.client()
 		client.handler.Data([]byte(requestHead + "X-Budget: 8000m\r\nContent-Length: 0\r\n\r\n"))
 		require.Len(t, b.pushed, 1, name)
-		between(b, client)
+		duringDial(b, client)
 		b.workers.Push(b.pushed[0])
 		assert.Empty(t, b.dialer.conn.out, name)
 	}
 }
 
-// The load figures of a probe reach the module by either name; a probe without OnBody once lost them all.
+// The load report of a probe is read under both names of its fields. Probes without OnBody once lost all of them.
 func TestProbes(t *testing.T) {
 	for name, c := range map[string]struct {
 		in   string
@@ -267,8 +267,9 @@
 	}
 }
 
-// A dead connection once cost a worker its place in the draws, and a job that must not run twice its answer. What
-// can't have had an effect is tried once more, on a fresh connection; such a job never goes over a kept one.
+// A dead idle connection once made a worker lose its share of jobs, and failed a job that must not run twice. What
+// can't have had an effect is retried once on a fresh connection, and a job that must not run twice never uses an
+// idle connection.
 func TestDeadConnections(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n" + `{"x0":3.5}`
 	for name, c := range map[string]struct {
@@ -276,13 +277,13 @@
 		want          decide.Status
 		dials         int
 	}{
-		"answers":            {func(c *fakeConn) { c.handler.Data([]byte(ok)) }, nil, decide.Served, 0},
-		"breaks once":        {func(c *fakeConn) { c.handler.Closed() }, func(c *fakeConn) { c.handler.Data([]byte(ok)) }, decide.Served, 1},
-		"breaks twice":       {func(c *fakeConn) { c.handler.Closed() }, func(c *fakeConn) { c.handler.Closed() }, decide.Reset, 1},
-		"breaks half-way":    {func(c *fakeConn) { c.handler.Data([]byte(ok[:20])); c.handler.Closed() }, nil, decide.Reset, 0},
-		"silent":             {func(c *fakeConn) { c.handler.(*exchange).retryOnFreshConn() }, func(c *fakeConn) { c.handler.Data([]byte(ok)) }, decide.Served, 1},
-		"write is unsure":    {func(c *fakeConn) { c.done(WriteUnknown) }, func(c *fakeConn) { c.handler.Data([]byte(ok)) }, decide.Served, 1},
-		"write is not whole": {func(c *fakeConn) { c.done(WriteIncomplete) }, func(c *fakeConn) { c.done(WriteIncomplete) }, decide.ConnectFailed, 1},
+		"answers":              {func(c *fakeConn) { c.handler.Data([]byte(ok)) }, nil, decide.Served, 0},
+		"breaks once":          {func(c *fakeConn) { c.handler.Closed() }, func(c *fakeConn) { c.handler.Data([]byte(ok)) }, decide.Served, 1},
+		"breaks twice":         {func(c *fakeConn) { c.handler.Closed() }, func(c *fakeConn) { c.handler.Closed() }, decide.Reset, 1},
+		"breaks in the answer": {func(c *fakeConn) { c.handler.Data([]byte(ok[:20])); c.handler.Closed() }, nil, decide.Reset, 0},
+		"silent":               {func(c *fakeConn) { c.handler.(*exchange).retryOnFreshConn() }, func(c *fakeConn) { c.handler.Data([]byte(ok)) }, decide.Served, 1},
+		"write unknown":        {func(c *fakeConn) { c.done(WriteUnknown) }, func(c *fakeConn) { c.handler.Data([]byte(ok)) }, decide.Served, 1},
+		"write incomplete":     {func(c *fakeConn) { c.done(WriteIncomplete) }, func(c *fakeConn) { c.done(WriteIncomplete) }, decide.ConnectFailed, 1},
 	} {
 		b := newHarness(t)
 		b.holdProbes = true
@@ -312,7 +313,8 @@
 	}
 }
 
-// A silent worker holds no more than a few connections of those that probe it, and one answer serves all that wait.
+// A worker that does not answer holds only a few probe connections, and one answer serves all probes that wait for
+// it.
 func TestProbesOfOneWorkerShareAnswers(t *testing.T) {
 	b := newHarness(t)
 	b.holdProbes = true
@@ -321,7 +323,7 @@
 	}
 	n := len(b.probes)
 	require.Greater(t, n, maxConcurrentProbes+1)
-	b.dialer.conn = nil // nobody listens, but that is told later
+	b.dialer.conn = nil // the dial fails, but later
 	var ready []func(Conn)
 	b.workers.Dialer = manualDialer(func(f func(Conn)) { ready = append(ready, f) })
 	for _, p := range b.probes {
@@ -337,13 +339,13 @@
 	assert.Empty(t, b.workers.pendingProbes)
 }
 
-// later is a dialer whose connections come when the test says so.
+// manualDialer is a dialer that gives connections when the test calls ready.
 type manualDialer func(func(Conn))
 
 func (l manualDialer) Get(_ string, _ bool, ready func(Conn)) func() { l(ready); return func() {} }
 func (l manualDialer) Put(string, Conn)                              {}
 
-// What clients send that is no request: the status of the answer, and whether the connection stays.
+// Invalid requests get the right status, and the connection stays open or is closed as needed.
 func TestBadRequests(t *testing.T) {
 	for name, c := range map[string]struct {
 		in     string
@@ -353,7 +355,7 @@
 		"ready":         {"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n", 200, false},
 		"stats":         {"GET /-/stats HTTP/1.1\r\nHost: a\r\n\r\n", 200, false},
 		"unknown path":  {"GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n", 404, false},
-		"own path":      {"POST /-/x HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", 404, false},
+		"internal path": {"POST /-/x HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", 404, false},
 		"HEAD":          {"HEAD / HTTP/1.1\r\nHost: a\r\n\r\n", 404, true},
 		"malformed":     {"nonsense\r\n\r\n", 400, true},
 		"too large":     {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 99999\r\n\r\n", 413, true},
@@ -361,7 +363,7 @@
 		"unknown class": {"POST /a HTTP/1.1\r\nHost: a\r\nX-Call-Id: 1\r\nX-Call-Class: x\r\nX-Budget: 5m\r\n\r\n", 400, false},
 		"no budget":     {requestHead + "\r\n", 400, false},
 		"bad budget":    {requestHead + "X-Budget: 5s\r\n\r\n", 400, false},
-		"vast budget":   {requestHead + "X-Budget: 1e300m\r\n\r\n", 400, false},
+		"huge budget":   {requestHead + "X-Budget: 1e300m\r\n\r\n", 400, false},
 		"no id":         {"POST /a HTTP/1.1\r\nHost: a\r\nX-Call-Class: send\r\nX-Budget: 5m\r\n\r\n", 400, false},
 		"id twice":      {requestHead + "X-Call-Id: 9c\r\nX-Budget: 5m\r\n\r\n", 400, false},
 		"budget twice":  {requestHead + "X-Budget: 5m\r\nX-Budget: 5m\r\n\r\n", 400, false},
@@ -381,24 +383,24 @@
 	b := newHarness(t)
 	x := b.client()
 	x.handler.Data([]byte(requestHead + "X-Budget: 8000m\r\nContent-Length: 2\r\n\r\nhi there"))
-	assert.Contains(t, x.out, "HTTP/1.1 400 ", "its length is in doubt")
+	assert.Contains(t, x.out, "HTTP/1.1 400 ", "the request's length is in doubt")
 	assert.True(t, x.closed)
-	assert.Empty(t, b.pushed, "nothing of it is passed on")
+	assert.Empty(t, b.pushed, "no part of it is passed on")
 	x = b.client()
 	x.handler.Data([]byte(requestHead + "X-Budget: 5m\r\n\r\n"))
-	assert.Contains(t, x.out, "Retry-After: 1.500\r\n", "as long as the settings allow")
+	assert.Contains(t, x.out, "Retry-After: 1.500\r\n", "the longest wait that the settings allow")
 }
 
-// Silent clients by hundreds once pushed out those that work with us, and the connections to workers too. They go
-// first themselves, but for one that has just come, on which the first request may be under way.
+// Hundreds of silent clients once displaced active clients and the connections to workers. Silent clients are evicted
+// first, except new ones, whose first request may still be on its way.
 func TestUnprovenClientsAreEvictedFirst(t *testing.T) {
 	b := newHarness(t)
-	silent, asked, works, young := b.client(), b.client(), b.client(), b.client()
+	silent, asked, working, newcomer := b.client(), b.client(), b.client(), b.client()
 	asked.handler.Data([]byte("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"))
-	works.handler.Data([]byte(requestHead + "X-Budget: 8000m\r\n\r\n"))
+	working.handler.Data([]byte(requestHead + "X-Budget: 8000m\r\n\r\n"))
 	b.pushed[0].End(decide.Served, []byte("x"), decide.Report{})
 	closed := func() (out []bool) {
-		for _, c := range []*fakeConn{silent, asked, works, young} {
+		for _, c := range []*fakeConn{silent, asked, working, newcomer} {
 			out = append(out, c.closed)
 		}
 		return out
@@ -415,7 +417,7 @@
 	assert.Equal(t, []bool{true, true, true, true}, closed())
 }
 
-// hurried gives the clients that come from now on no time at all.
+// removeGrace gives clients and workers no time at all from now on.
 func (b *harness) removeGrace() {
 	l := pace.Defaults(1 << 20)
 	l.In = pace.Rate{Least: 1, Ceiling: 1}
@@ -424,25 +426,25 @@
 	b.workers.Pace = l.In
 }
 
-// A client is owed an answer or a close soon after it connects, whole request or not; between requests it is not
-// hurried, nor while its job is in hand.
+// A client gets an answer or is closed soon after it connects, even if its request is incomplete. No pace is required
+// between requests or while a job is open.
 func TestSlowClients(t *testing.T) {
 	b := newHarness(t)
 	b.removeGrace()
-	silent, half, works := b.client(), b.client(), b.client()
+	silent, half, working := b.client(), b.client(), b.client()
 	half.handler.Data([]byte("POST /api HTTP/1.1\r\nHost: a\r\nX-Ca"))
-	for _, c := range []*fakeConn{silent, half} { // what has come may be the whole request
+	for _, c := range []*fakeConn{silent, half} { // the unread data may complete the request
 		c.unread = true
 		time.Sleep(time.Millisecond)
 		c.handler.(*client).checkPace()
 		assert.False(t, c.closed)
-		assert.NotNil(t, c.handler.(*client).paceTimer, "it is looked at again")
+		assert.NotNil(t, c.handler.(*client).paceTimer, "another check is scheduled")
 		c.unread = false
 	}
 	time.Sleep(60 * time.Millisecond)
-	works.handler.Data([]byte(requestHead + "X-Budget: 8000m\r\n\r\n"))
-	x := works.handler.(*client)
-	for _, c := range []*fakeConn{silent, half, works} {
+	working.handler.Data([]byte(requestHead + "X-Budget: 8000m\r\n\r\n"))
+	x := working.handler.(*client)
+	for _, c := range []*fakeConn{silent, half, working} {
 		time.Sleep(time.Millisecond)
 		c.handler.(*client).checkPace() // as the timer would
 	}
@@ -450,21 +452,21 @@
 	assert.Empty(t, silent.out)
 	assert.True(t, half.closed)
 	assert.Contains(t, half.out, "HTTP/1.1 408 ")
-	assert.False(t, works.closed)
+	assert.False(t, working.closed)
 	b.pushed[0].End(decide.Served, []byte("x"), decide.Report{})
 	x.checkPace()
-	assert.False(t, works.closed)
-	assert.Equal(t, pace.Never, x.peer.Next(b.engine.Now()), "between requests no time runs")
+	assert.False(t, working.closed)
+	assert.Equal(t, pace.Never, x.peer.Next(b.engine.Now()), "no pace is required between requests")
 	assert.Nil(t, x.paceTimer)
 	assert.Equal(t, 1, b.server.Pace.Counts().Peers)
 }
 
-// A peer that takes nothing of its answer is let go; the answer was given, whatever became of it.
+// A client that does not read its answer is closed; the request counts as served and is not retried.
 func TestSlowReaders(t *testing.T) {
 	for name, c := range map[string]struct {
 		queued, system int
 		closed         bool
-	}{"took all": {0, 0, false}, "the system has it": {0, 9, true}, "some waits here": {9, 9, true}} {
+	}{"all received": {0, 0, false}, "queued in the system": {0, 9, true}, "queued here": {9, 9, true}} {
 		b := newHarness(t)
 		b.removeGrace()
 		conn := b.client()
@@ -477,7 +479,7 @@
 		x.checkPace()
 		assert.Equal(t, c.closed, conn.closed, name)
 		assert.Equal(t, 1, b.engine.Counts.Served, name)
-		assert.Len(t, b.pushed, 1, "%s: no second try", name)
+		assert.Len(t, b.pushed, 1, "%s: not retried", name)
 		if c.closed {
 			assert.Equal(t, 1, b.server.Pace.Counts().CutOut, name)
 			assert.Zero(t, b.server.Pace.Counts().Bytes, name)
@@ -485,7 +487,7 @@
 	}
 }
 
-// A request may become whole in the moment in which its sender is cut: it is a job with one answer, or none at all.
+// A request that becomes complete while its sender is being cut becomes a job with one answer, or no job at all.
 func TestRequestCompletesAsClientIsCut(t *testing.T) {
 	for _, first := range []string{"cut", "whole"} {
 		b := newHarness(t)
@@ -513,7 +515,8 @@
 	}
 }
 
-// A worker that takes its request too slowly has not run it; one that dribbles a line of its answer may have.
+// A worker that reads its request too slowly has not run the job; one that writes a line of its response too slowly
+// may have.
 func TestSlowWorkers(t *testing.T) {
 	for name, c := range map[string]struct {
 		taken bool
@@ -521,11 +524,11 @@
 		ended bool
 		want  decide.Status
 	}{
-		"takes nothing":         {false, "", true, decide.ConnectFailed},
-		"is at work":            {true, "", false, 0},
-		"is at work, started":   {true, `{"id":"9b","state":"started"}` + "\n", false, 0},
-		"dribbles its line":     {true, `{"id":"9b","sta`, true, decide.Reset},
-		"ends the line at last": {true, `{"id":"9b","state":"done","result":"x"}` + "\n", true, decide.Served},
+		"reads nothing":            {false, "", true, decide.ConnectFailed},
+		"runs the job":             {true, "", false, 0},
+		"runs the job, started":    {true, `{"id":"9b","state":"started"}` + "\n", false, 0},
+		"writes a line too slowly": {true, `{"id":"9b","sta`, true, decide.Reset},
+		"completes the line":       {true, `{"id":"9b","state":"done","result":"x"}` + "\n", true, decide.Served},
 	} {
 		b := newHarness(t)
 		b.removeGrace()
@@ -551,7 +554,7 @@
 	}
 }
 
-// A second job under the id of another would end in its answer, or run its work twice.
+// A second job with the call ID of another could get the other job's answer or run its work twice.
 func TestCallIDsAreUsedOnce(t *testing.T) {
 	b := newHarness(t)
 	first, second := b.client(), b.client()
@@ -563,17 +566,18 @@
 	assert.Contains(t, first.out, "HTTP/1.1 200 ")
 	second.out = ""
 	second.handler.Data([]byte(requestHead + "X-Budget: 8000m\r\n\r\n"))
-	assert.Contains(t, second.out, "HTTP/1.1 409 ", "just answered")
+	assert.Contains(t, second.out, "HTTP/1.1 409 ", "answered recently")
 	for i := range 2 * maxRecentIDs {
 		b.server.claimCallID(&client{}, fmt.Sprint(i))
 		b.server.releaseRequest(&client{callID: fmt.Sprint(i)})
 	}
 	assert.Len(t, b.server.callIDs, maxRecentIDs)
 	second.handler.Data([]byte(requestHead + "X-Budget: 8000m\r\n\r\n"))
-	assert.Len(t, b.pushed, 2, "long ago")
+	assert.Len(t, b.pushed, 2, "no longer remembered")
 }
 
-// The next request waits until the answer before it has gone out: answers do not pile up for one who does not read.
+// The next request waits until the answer before it has been sent, so answers do not accumulate for a client that
+// does not read.
 func TestAnswersDoNotPileUp(t *testing.T) {
 	b := newHarness(t)
 	x := b.client()
@@ -585,15 +589,15 @@
 	for !x.closed {
 		x.done(Written)
 	}
-	assert.Less(t, strings.Count(x.out, "HTTP/1.1 404"), 1000, "what came too far ahead is passed over, and that is the end")
+	assert.Less(t, strings.Count(x.out, "HTTP/1.1 404"), 1000, "data beyond the pipelining limit is dropped and the connection is closed")
 	x = b.client()
 	x.writeAtOnce = false
 	x.handler.Data([]byte("GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n"))
 	x.done(WriteUnknown)
-	assert.True(t, x.closed, "half an answer may have gone out")
+	assert.True(t, x.closed, "part of the answer may have been sent")
 }
 
-// Bodies together have a limit, whatever each may have: many large ones at once would fill a small memory.
+// All request bodies together have a limit, because many large ones could exhaust the memory.
 func TestTotalBodyLimit(t *testing.T) {
 	b := newHarness(t)
 	l := pace.Defaults(100 << 10)
@@ -610,7 +614,7 @@
 	assert.Zero(t, b.server.Pace.Counts().Bytes)
 }
 
-// Requests sent ahead wait for their turn and are answered in order.
+// Pipelined requests are answered one after another, in order.
 func TestPipelining(t *testing.T) {
 	b := newHarness(t)
 	x := b.client()
@@ -620,7 +624,7 @@
 	assert.Equal(t, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\noneHTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nready\n", x.out)
 }
 
-// Where descriptors run short, the connection that has been idle longest is closed first.
+// If descriptors run short, the connection that has been idle longest is closed first.
 func TestLongestIdleIsEvictedFirst(t *testing.T) {
 	b := newHarness(t)
 	conns := []*fakeConn{b.client(), b.client(), b.client(), b.client()}
@@ -634,7 +638,8 @@
 	}
 }
 
-// While the scheduler stops, it serves what comes, says that it is not ready, and each answer ends its connection.
+// During a shutdown the scheduler still serves requests, reports that it is not ready, and closes each connection
+// after its answer.
 func TestClosing(t *testing.T) {
 	b := newHarness(t)
 	busy, idle, half := b.client(), b.client(), b.client()
@@ -643,7 +648,7 @@
 	b.server.StartClosing()
 	b.server.CloseIdle()
 	assert.True(t, idle.closed)
-	assert.False(t, busy.closed || half.closed, "one holds a request, on the other one is coming in")
+	assert.False(t, busy.closed || half.closed, "one has an open request, the other is receiving one")
 	b.pushed[0].End(decide.Served, []byte("x"), decide.Report{})
 	assert.Contains(t, busy.out, "Connection: close\r\n")
 	assert.True(t, busy.closed)
@@ -652,12 +657,13 @@
 	assert.Contains(t, late.out, "HTTP/1.1 503 ")
 	b.server.RefuseNew()
 	half.handler.Data([]byte("TP/1.1\r\n" + strings.Replace(requestHead[strings.Index(requestHead, "\n")+1:], "9b", "9c", 1) + "X-Budget: 8000m\r\n\r\n"))
-	assert.Contains(t, half.out, "HTTP/1.1 503 ", "too late to be taken")
+	assert.Contains(t, half.out, "HTTP/1.1 503 ", "complete too late to be accepted")
 	assert.True(t, half.closed)
 	assert.Len(t, b.pushed, 1)
 }
 
-// A watch is renewed from the version last heard; a failure is told at once, and the next call asks again.
+// A watch is renewed from the last index received. A failure is reported at once, and the next call uses the same
+// index.
 func TestWatch(t *testing.T) {
 	b := newHarness(t)
 	conn := b.dialer.conn
@@ -674,17 +680,17 @@
 	assert.Equal(t, 2, n)
 	answer(`{"index":6,"snapshot":true,"endpoints":[]}`)
 	b.engine.EachReadyAddr(func(string) { n-- })
-	assert.Equal(t, 2, n, "a whole list without them removes both")
+	assert.Equal(t, 2, n, "a whole list without the two workers removes them")
 	conn.out = ""
 	conn.handler.Closed()
-	assert.Empty(t, conn.out, "when to ask again is the module's decision")
+	assert.Empty(t, conn.out, "the dispatcher decides when to call again")
 	assert.Equal(t, 1, b.engine.Counts.ListFailed)
 	b.discovery.Watch(true)
 	assert.Contains(t, conn.out, "from=6&hold_ms=1 ")
 }
 
-// Another discovery has other indexes: until its whole list has come, calls name none, also after a failure.
-// What the old one still says is not heard.
+// Another discovery has other indexes, so calls to it name none until its whole list has arrived, even after a
+// failure. The old discovery's answers are ignored.
 func TestMoveToAnotherDiscovery(t *testing.T) {
 	b := newHarness(t)
 	b.discovery.Watch(true)
@@ -708,7 +714,7 @@
 	assert.Contains(t, b.dialer.conn.out, "from=1&hold_ms=8000")
 	n := 0
 	b.engine.EachReadyAddr(func(string) { n++ })
-	assert.Zero(t, n, "the old list is gone with its discovery")
+	assert.Zero(t, n, "the workers of the old discovery are removed")
 }
 
 func TestBudgets(t *testing.T) {
@@ -724,9 +730,9 @@
 	assert.Equal(t, `{"a":1}`, string(resultText(map[string]any{}, []byte(`{"result": {"a":1} }`))))
 }
 
-// Discovery that writes 1,150 lines a second, handles calls in turn, those too whose callers have gone after 2 s, and has 80
-// schedulers that start with an empty list of 60 workers, of which 9 change each second. Without a cadence half of the
-// first calls fail, and again as they come back together.
+// 80 schedulers start with an empty list of 60 workers, of which 9 change each second. Discovery writes 1,150 lines a
+// second and handles calls one after another, including those whose callers have timed out after 2 s. Without the
+// cadence half of the first calls fail, and again when all are repeated together.
 func TestCadenceWithManySchedulers(t *testing.T) {
 	for nodes, maxFailedShare := range map[int]float64{80: 0.01, 8: 0, 1: 0} {
 		const ms, workers, changes, lines = time.Millisecond, 60, 9, 1150
@@ -768,54 +774,56 @@
 				nextCall[i] = answer + cadences[i].NextDelay(rng.Float64())
 			}
 		}
-		assert.LessOrEqual(t, float64(failed), maxFailedShare*float64(calls), "%d: of %d calls", nodes, calls)
-		assert.LessOrEqual(t, maxDelay, 3*time.Second, "%d: a change not heard for long", nodes)
+		assert.LessOrEqual(t, float64(failed), maxFailedShare*float64(calls), "%d schedulers: failed of %d calls", nodes, calls)
+		assert.LessOrEqual(t, maxDelay, 3*time.Second, "%d schedulers: longest time until a change arrives", nodes)
 	}
 }
 
-// Pauses stay within what the settings count as silence, and are none for a few schedulers or no settings at all.
+// Delays stay within the limits that follow from the settings, and are 0 for a few schedulers or for no settings at
+// all.
 func TestCadenceBounds(t *testing.T) {
-	assert.Less(t, agentTimeout+agentRetryDelay, 300*time.Millisecond, "what an agent gets counts as told at once, and a drain is obeyed 0.3 s later")
+	assert.Less(t, agentTimeout+agentRetryDelay, 300*time.Millisecond, "what an agent receives counts as delivered at once, and a drain must be obeyed 0.3 s later")
 	for _, nodes := range []int{0, 1, 5, 80, 10000} {
 		c := Cadence{Nodes: nodes, AskWithin: 10 * time.Second}
 		assert.Less(t, c.FirstDelay(1), 9*time.Second)
-		assert.LessOrEqual(t, c.NextDelay(1), 150*time.Millisecond, "a watch counts as standing for 200 ms")
+		assert.LessOrEqual(t, c.NextDelay(1), 150*time.Millisecond, "a watch counts as open for 200 ms")
 		assert.Equal(t, nodes <= 5, c.NextDelay(1) == 0, nodes)
 		for range 20 {
 			c.Failed()
 			assert.LessOrEqual(t, c.NextDelay(1), 20*time.Second)
-			assert.Positive(t, c.NextDelay(1), "a failure is never answered by all at once")
+			assert.Positive(t, c.NextDelay(1), "not all schedulers repeat a failed call at once")
 		}
 		assert.LessOrEqual(t, c.Hold(0), maxHold)
 		assert.GreaterOrEqual(t, c.Hold(1), watchHold)
-		assert.LessOrEqual(t, c.HoldSlack(), 1500*time.Millisecond, "what a silent watch misses counts as told 2 s after its hold")
+		assert.LessOrEqual(t, c.HoldSlack(), 1500*time.Millisecond, "what a watch misses counts as delivered 2 s after its hold")
 		assert.LessOrEqual(t, c.CallTimeout(), callTimeout)
 		few := Cadence{Nodes: min(nodes, 8), AskWithin: 10 * time.Second}
-		for range 3 { // silence is no sign of a queue where few share discovery: no pause, and the next within the clock of 6 s
+		for range 3 { // if few share discovery, a timeout does not indicate a queue: no delay, and the next call within the limit of 6 s
 			few.TimedOut()
 			assert.Zero(t, few.NextDelay(1))
 			assert.LessOrEqual(t, few.CallTimeout(), time.Second)
-			// A silent watch and a silent call after it, with the module's longest pause (decide.askLater), are over before a
-			// drain that both have missed has to be obeyed: 2 s after the hold, and its grace of 0.3 s at least.
+			// A watch without an answer and a call without an answer after it, with the dispatcher's longest pause
+			// (decide.askLater), end before a drain that both have missed must be obeyed: 2 s after the hold plus its
+			// grace of at least 0.3 s.
 			pause := few.AskWithin / 16 * 5 / 4
 			assert.Less(t, few.HoldSlack()+few.CallTimeout()+pause, 2300*time.Millisecond)
 		}
 	}
 }
 
-// Whatever discovery does instead of answering with a list: the last one stays in force, the failure is told once and
-// the next call asks from the same version and after a longer pause. An address may change under a name.
+// Whatever discovery answers instead of a list, the last list stays in force, the failure is reported once, and the
+// next call uses the same index after a longer delay. A worker's address may change under its name.
 func TestDiscoveryFaults(t *testing.T) {
-	long := strings.Repeat("x", maxListBytes+1)
+	longBody := strings.Repeat("x", maxListBytes+1)
 	for name, answer := range map[string]string{
-		"503":              "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
-		"a 404":            "HTTP/1.1 404 Not Found\r\nContent-Length: 2\r\n\r\n{}",
-		"half an answer":   "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"index\":9,\"snapshot\":true,\"endpo",
-		"a truncated list": "HTTP/1.1 200 OK\r\nContent-Length: 34\r\n\r\n{\"index\":9,\"snapshot\":true,\"endpoi",
-		"not a list":       "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
-		"not HTTP":         "hello\r\n\r\n",
-		"an endless list":  fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long),
-		"nothing":          "",
+		"503":             "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
+		"status 404":      "HTTP/1.1 404 Not Found\r\nContent-Length: 2\r\n\r\n{}",
+		"partial answer":  "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"index\":9,\"snapshot\":true,\"endpo",
+		"truncated list":  "HTTP/1.1 200 OK\r\nContent-Length: 34\r\n\r\n{\"index\":9,\"snapshot\":true,\"endpoi",
+		"not a list":      "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
+		"not HTTP":        "hello\r\n\r\n",
+		"too long a list": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(longBody), longBody),
+		"nothing":         "",
 	} {
 		b := newHarness(t)
 		b.discovery.Cadence = Cadence{Nodes: 80, AskWithin: 10 * time.Second}
@@ -839,7 +847,7 @@
 		assert.Equal(t, map[string]bool{"x:2": true}, addrs, "%s: the address changed under the name", name)
 	}
 	b := newHarness(t)
-	b.dialer.conn = nil // refused
+	b.dialer.conn = nil // the dial is refused
 	b.discovery.Watch(true)
-	assert.Equal(t, 1, b.engine.Counts.ListFailed, "a refused dial")
+	assert.Equal(t, 1, b.engine.Counts.ListFailed, "dial refused")
 }
--- a/internal/jobs/overlay.go
+++ b/internal/jobs/overlay.go
@@ -9,22 +9,23 @@
 	"weldscale/internal/engine"
 )
 
-// This file owns the workers that are taken out by hand, as an overlay on one engine's worker list: whatever the list says
-// meanwhile, the engine and so the module see a drain. It must never tell the list's own word wrongly: that one is kept
-// and given back.
+// This file implements workers that an operator has taken offline, as an overlay on the worker list of one engine.
+// Whatever the list says, the engine sees such a worker as draining. The list's own state is kept and restored when
+// the worker is put back online.
 
-// maxOut bounds the names that are out; those missing from the list longest are put back first.
+// maxOffline limits the number of offline names. Beyond it, those that have been missing from the list longest are
+// forgotten.
 const maxOffline = 1024
 
 // Overlay implements engine.Overlay.
 type Overlay struct {
 	Engine   *engine.Engine
-	listed   map[string]engine.Entry // by the list's last word; those that are gone are not in it
+	listed   map[string]engine.Entry // entries of the list as last received, without workers that are gone
 	offline  map[string]bool
-	unlisted []string // out and not listed, the longest so in front
+	unlisted []string // offline names that are not in the list, longest missing first
 }
 
-// NewOverlay puts an overlay on an engine's list, before there is one.
+// NewOverlay sets an overlay on an engine that has no list yet.
 func NewOverlay(e *engine.Engine) *Overlay {
 	o := &Overlay{Engine: e, listed: map[string]engine.Entry{}, offline: map[string]bool{}}
 	e.Overlay = o
@@ -32,12 +33,12 @@
 }
 
 // Apply implements engine.Overlay.
-func (o *Overlay) Apply(kind decide.ListKind, in []engine.Entry) []engine.Entry {
+func (o *Overlay) Apply(kind decide.ListKind, entries []engine.Entry) []engine.Entry {
 	if kind == decide.ListFull || kind == decide.ListCached {
 		clear(o.listed)
 	}
-	out := make([]engine.Entry, 0, len(in))
-	for _, e := range in {
+	out := make([]engine.Entry, 0, len(entries))
+	for _, e := range entries {
 		if e.State == decide.Gone {
 			delete(o.listed, e.Name)
 		} else {
@@ -49,7 +50,7 @@
 	return out
 }
 
-// seen is an entry as the engine gets to see it.
+// withOffline returns the entry as the engine is to see it.
 func (o *Overlay) withOffline(e engine.Entry) engine.Entry {
 	if o.offline[e.Name] && e.State == decide.Ready {
 		e.State = decide.Draining
@@ -57,30 +58,30 @@
 	return e
 }
 
-// sortGone brings up to date which of those that are out are missing from the list, and keeps them within bounds.
+// updateUnlisted recomputes which offline names are missing from the list and enforces maxOffline.
 func (o *Overlay) updateUnlisted() {
-	counted := map[string]bool{}
+	present := map[string]bool{}
 	o.unlisted = slices.DeleteFunc(o.unlisted, func(name string) bool {
 		_, listed := o.listed[name]
-		counted[name] = true
+		present[name] = true
 		return listed || !o.offline[name]
 	})
-	var more []string
+	var added []string
 	for name := range o.offline {
-		if _, listed := o.listed[name]; !listed && !counted[name] {
-			more = append(more, name)
+		if _, listed := o.listed[name]; !listed && !present[name] {
+			added = append(added, name)
 		}
 	}
-	slices.Sort(more)
-	o.unlisted = append(o.unlisted, more...)
+	slices.Sort(added)
+	o.unlisted = append(o.unlisted, added...)
 	for len(o.offline) > maxOffline && len(o.unlisted) > 0 {
 		delete(o.offline, o.unlisted[0])
 		o.unlisted = o.unlisted[1:]
 	}
 }
 
-// SetOffline takes a worker out or puts it back, and reports whether there is such a worker. One that is out is known until it is
-// put back, though the list has lost it.
+// SetOffline takes a worker offline or puts it back online, and reports whether the worker is known. An offline
+// worker stays known until it is put back online, even if the list no longer has it.
 func (o *Overlay) SetOffline(name string, offline bool) bool {
 	e, listed := o.listed[name]
 	if !listed && !o.offline[name] {
@@ -101,7 +102,7 @@
 	return true
 }
 
-// Offline are those that are out, in order.
+// Offline returns the names of the offline workers in alphabetical order.
 func (o *Overlay) Offline() []string {
 	names := make([]string, 0, len(o.offline))
 	for name := range o.offline {
@@ -111,7 +112,7 @@
 	return names
 }
 
-// RestoreOffline takes out whoever another process had out, listed or not.
+// RestoreOffline takes offline the workers that were offline in another process, whether they are listed or not.
 func (o *Overlay) RestoreOffline(names []string) {
 	for _, name := range names {
 		if len(o.offline) >= maxOffline {
@@ -125,7 +126,7 @@
 	o.updateUnlisted()
 }
 
-// Snapshot is the list's last word, in discovery's form.
+// Snapshot returns the list as last received, in the format of discovery.
 func (o *Overlay) Snapshot(index int64) []byte {
 	l := listMessage{Index: index, Snapshot: true, Endpoints: make([]endpoint, 0, len(o.listed))}
 	for _, e := range o.listed {
@@ -138,21 +139,22 @@
 	}
 	slices.SortFunc(l.Endpoints, func(a, b endpoint) int { return cmp.Compare(a.Name, b.Name) })
 	text, err := json.Marshal(l)
-	if err != nil { // a weight that JSON has no word for
+	if err != nil { // a weight that JSON can't represent
 		return []byte(`{"snapshot":true}`)
 	}
 	return text
 }
 
-// KnownWorkers is how many workers the list names.
+// KnownWorkers returns the number of workers in the list.
 func (o *Overlay) KnownWorkers() int { return len(o.listed) }
 
-// ExcludedWorkers is how many of them the scheduler avoids now, by hand or by the module's choice.
+// ExcludedWorkers returns the number of listed workers that get no jobs now, because they are offline or the
+// dispatcher avoids them.
 func (o *Overlay) ExcludedWorkers() int {
 	n := o.Engine.Avoided()
 	for name := range o.offline {
 		if _, listed := o.listed[name]; listed {
-			n++ // for the module these drain, so that it has not counted them
+			n++ // the dispatcher sees these as draining and has not counted them
 		}
 	}
 	return n
--- a/internal/jobs/overlay_test.go
+++ b/internal/jobs/overlay_test.go
@@ -12,7 +12,7 @@
 	"weldscale/internal/engine"
 )
 
-// nowhere is workers and directory of an engine that sends nothing.
+// discardBackends implements engine.Workers and engine.Directory and sends nothing.
 type discardBackends struct{}
 
 func (discardBackends) Push(*engine.Attempt)          {}
@@ -22,8 +22,8 @@
 func (discardBackends) Watch(bool)                    {}
 func (discardBackends) Reload()                       {}
 
-// Whatever the list says and whoever is taken out and put back, what the engine sends to is what a model says: listed as
-// ready and not out.
+// For any sequence of list updates and offline changes, the engine sends exactly to the workers that a simple model
+// has as ready and not offline.
 func TestOverlayAgainstAModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e, err := engine.New(engine.NewLoop(), engine.Config{Settings: decide.Settings{Nodes: 1, Zones: 1, MaxAttempts: 1, ColdFrom: 1, FallMultiple: 1,
@@ -92,6 +92,6 @@
 		require.True(t, o.SetOffline(fmt.Sprint(i), true))
 		require.LessOrEqual(t, len(o.Offline()), maxOffline)
 	}
-	assert.Contains(t, o.Offline(), fmt.Sprint(3*maxOffline-1), "those missing longest go first")
+	assert.Contains(t, o.Offline(), fmt.Sprint(3*maxOffline-1), "those missing longest are removed first")
 	assert.NotContains(t, o.Offline(), "0")
 }
--- a/internal/jobs/pass.go
+++ b/internal/jobs/pass.go
@@ -6,13 +6,15 @@
 	"weldscale/internal/http1"
 )
 
-// This file owns clients' connections that go to another process of this scheduler or come from one, with the job in hand
-// and the attempt that is out. It must never pass what it can't pass whole, and what was passed is no longer answered here.
+// This file hands client connections over to another process of this scheduler and takes them over from one, with the
+// open job and its attempt in flight. A connection is handed over only if its whole state can be transferred, and
+// after that this process must not answer on it.
 
-// maxRaw is how much of a worker's answer may have come for its attempt to be passed: the other process reads it again.
+// maxHandoverResponse limits how much of a worker's response may have arrived for its attempt to be handed over,
+// since the other process parses it again.
 const maxHandoverResponse = 8 << 10
 
-// HandoverJob is a client's connection with a job in hand, and the attempt that is out.
+// HandoverJob is a client connection with an open job and its attempt in flight.
 type HandoverJob struct {
 	Service   string                 `json:"service"`
 	Class     string                 `json:"class"`
@@ -22,13 +24,14 @@
 	Key       string                 `json:"key"`
 	Body      []byte                 `json:"body"`
 	KeepAlive bool                   `json:"keep_alive"`
-	Ahead     []byte                 `json:"ahead"` // what the client has sent beyond
+	Ahead     []byte                 `json:"ahead"` // pipelined data of the client
 	Job       engine.HandoverRequest `json:"job"`
-	Answer    []byte                 `json:"answer"` // what has come of the worker's
+	Answer    []byte                 `json:"answer"` // what has arrived of the worker's response
 }
 
-// HandOverIdle gives away every connection that is between two requests, as far as give takes it: from then on it is another's.
-// Only while nothing is read from any. It returns how many connections are left.
+// HandOverIdle offers every connection that is between two requests to give. Those for which it returns true belong
+// to the other process from then on. It returns the number of connections left. It may be called only while nothing
+// is read from any connection.
 func (s *Server) HandOverIdle(give func(c Conn) bool) int {
 	for _, p := range s.Pace.Idle() {
 		if x := p.Owner.(*client); !x.busy && x.parser.Idle() && len(x.pipelined) == 0 && give(x.conn) {
@@ -38,8 +41,9 @@
 	return s.Pace.Counts().Peers
 }
 
-// HandOverJobs gives away every connection with a job in hand of which no byte is under way here; worker is nil where no attempt
-// is out. Only while nothing is read from any.
+// HandOverJobs offers every connection with an open job to give, except those with bytes that are still in transit in
+// this process. worker is nil if no attempt is in flight. It may be called only while nothing is read from any
+// connection.
 func (s *Server) HandOverJobs(give func(p *HandoverJob, client, worker Conn) bool) {
 	for _, peer := range s.Pace.Working() {
 		x := peer.Owner.(*client)
@@ -48,32 +52,32 @@
 		}
 		p, worker, ok := x.export()
 		if ok && give(p, x.conn, worker) {
-			r, v := x.request, x.service
+			r, service := x.request, x.service
 			x.request = nil
 			s.releaseRequest(x)
-			v.Engine.Release(r) // its attempt goes with it, and our copies of its connections
+			service.Engine.Release(r) // the attempt goes with the request, and the connections' descriptors here are closed
 			x.close()
 		}
 	}
 }
 
-// passed is a client's connection as it goes to another process.
+// export returns the state of a client connection for another process.
 func (x *client) export() (p *HandoverJob, worker Conn, ok bool) {
-	in, ok := x.service.Engine.Export(x.request)
+	request, ok := x.service.Engine.Export(x.request)
 	if !ok {
 		return nil, nil, false
 	}
 	c := x.request.Payload.(*payload)
 	p = &HandoverJob{Service: x.service.Name, Method: c.method, Target: c.target, ID: c.id, Key: c.key, Body: c.body,
-		KeepAlive: x.keepAlive, Ahead: x.pipelined, Job: in}
+		KeepAlive: x.keepAlive, Ahead: x.pipelined, Job: request}
 	for name, i := range x.service.Classes {
 		if i == x.class {
 			p.Class = name
 		}
 	}
 	if a := x.request.InFlight(); a != nil {
-		e, is := a.State.(*exchange)
-		if !is || e.ended || !e.written || e.closedEarly || e.finalLineSeen || e.conn == nil || len(e.rawResponse) > maxHandoverResponse {
+		e, isExchange := a.State.(*exchange)
+		if !isExchange || e.ended || !e.written || e.closedEarly || e.finalLineSeen || e.conn == nil || len(e.rawResponse) > maxHandoverResponse {
 			return nil, nil, false
 		}
 		p.Answer, worker = e.rawResponse, e.conn
@@ -81,7 +85,7 @@
 	return p, worker, true
 }
 
-// AdoptIdle takes over a connection of another process's client, between two requests.
+// AdoptIdle takes over a client connection that was between two requests in another process.
 func (s *Server) AdoptIdle(c Conn) {
 	if c == nil {
 		return
@@ -91,16 +95,16 @@
 	x.armPaceTimer()
 }
 
-// Adopt goes on with a job of another process; worker is the connection of its attempt, or nil.
-func (s *Server) Adopt(v *Service, p *HandoverJob, c, worker Conn) {
+// Adopt continues a job of another process. worker is the connection of its attempt, or nil.
+func (s *Server) Adopt(service *Service, p *HandoverJob, c, worker Conn) {
 	x := s.addClient(c)
 	now := s.Loop.Now()
 	x.peer.Vouched(now)
-	class, known := v.Classes[p.Class]
+	class, known := service.Classes[p.Class]
 	x.busy, x.keepAlive = true, p.KeepAlive
 	x.pipelined = append(x.pipelined, p.Ahead...)
 	x.peer.Work(now)
-	if !known || s.callIDInUse(p.ID) { // it may have run, and can't be followed
+	if !known || s.callIDInUse(p.ID) { // the job may have run, and its outcome can't be determined
 		if worker != nil {
 			worker.Close()
 		}
@@ -108,31 +112,31 @@
 		return
 	}
 	s.claimCallID(x, p.ID)
-	x.service, x.class, x.bookedBytes = v, class, len(p.Body)
-	if v.Pool != nil { // or its end would be taken off what others have in hand
-		x.unbooked = v.Pool.Adopt(class, x.bookedBytes)
+	x.service, x.class, x.bookedBytes = service, class, len(p.Body)
+	if service.Pool != nil { // without the booking, its end would be subtracted from the other requests
+		x.unbooked = service.Pool.Adopt(class, x.bookedBytes)
 	}
 	p.Job.Class = class
 	_ = x.reserveMemory(len(p.Body) + len(p.Target))
-	in := &payload{method: p.Method, target: p.Target, id: p.ID, key: p.Key, body: p.Body, atMostOnce: v.Engine.Class(class).Effect == decide.Unsafe}
-	r, a := v.Engine.Adopt(p.Job, in, x)
-	if x.callID != "" { // not answered already
+	request := &payload{method: p.Method, target: p.Target, id: p.ID, key: p.Key, body: p.Body, atMostOnce: service.Engine.Class(class).Effect == decide.Unsafe}
+	r, a := service.Engine.Adopt(p.Job, request, x)
+	if x.callID != "" { // not answered during Adopt
 		x.request = r
 	}
-	if v.Engine.Trace != nil {
-		v.Engine.Trace("taken", r.ID, "call_id", p.ID, "target", p.Target, "addr", c.Peer())
+	if service.Engine.Trace != nil {
+		service.Engine.Trace("taken", r.ID, "call_id", p.ID, "target", p.Target, "addr", c.Peer())
 	}
 	if a != nil {
-		v.Workers.adopt(a, worker, p.Answer)
+		service.Workers.adopt(a, worker, p.Answer)
 	}
 }
 
-// adopt goes on with an attempt of another process. What has come of its answer is read again.
+// adopt continues an attempt of another process. What has arrived of its response is parsed again.
 func (w *Workers) adopt(a *engine.Attempt, c Conn, answer []byte) {
 	x := w.newExchange(a.Worker)
 	x.attempt, a.State = a, x
 	if c == nil {
-		x.end(decide.Reset) // its connection was lost on the way
+		x.end(decide.Reset) // the connection was lost during the handover
 		return
 	}
 	x.written, x.conn = true, c
@@ -142,7 +146,7 @@
 	}
 }
 
-// open makes a client of a connection.
+// addClient returns a client for a connection.
 func (s *Server) addClient(c Conn) *client {
 	x := &client{server: s, conn: c, parser: http1.NewRequestParser()}
 	x.peer = s.Pace.Open(s.Loop.Now(), c.Peer(), x)
--- a/internal/jobs/worker.go
+++ b/internal/jobs/worker.go
@@ -14,15 +14,15 @@
 	"weldscale/internal/pace"
 )
 
-// This file owns the workers' side: attempts and probes, and which outcome what comes back stands for. When
-// it is not sure that a request's last byte stayed here, it must say that the job may have run.
+// This file implements the workers' side: it sends attempts and probes and maps the responses to outcomes. Unless a
+// request's last byte has certainly not been sent, the outcome must say that the job may have run.
 
 const (
 	probeTimeout        = 500 * time.Millisecond
-	probeRetryDelay     = 150 * time.Millisecond // without an answer the connection may be dead, and the worker well
-	responseTailTimeout = time.Second            // for the end of a response whose last line has come
-	maxLineBytes        = 256 << 10              // one line of a worker
-	maxConcurrentProbes = 4                      // to one worker; further ones wait for the answer to the last of those
+	probeRetryDelay     = 150 * time.Millisecond // without an answer by then the connection may be dead while the worker is healthy
+	responseTailTimeout = time.Second            // to the end of a response after its final line
+	maxLineBytes        = 256 << 10              // of one line of a response
+	maxConcurrentProbes = 4                      // per worker; further probes share the answer to the last one
 )
 
 // Workers implements engine.Workers over HTTP.
@@ -30,16 +30,17 @@
 	Engine  *engine.Engine
 	Dialer  Dialer
 	Reports *LoadReportParser
-	Host    string // of the Host header
-	Service string // names the service in the log; "" is the platform's
-	// Pace is how slowly a worker may take a request or write a line of its answer. Between two lines it is at work,
-	// and nothing is asked of it.
+	Host    string // value of the Host header
+	Service string // name in the log; "" for the platform's service
+	// Pace is the minimum pace at which a worker must read a request or write a line of its response. Between two
+	// lines the worker is running the job and no pace is required.
 	Pace pace.Rate
 
-	// RetainResponses has what comes of an answer kept, so that its attempt can be passed on.
+	// RetainResponses makes exchanges keep what they have received of a response, so that their attempts can be
+	// handed over.
 	RetainResponses bool
 
-	pendingProbes map[*engine.Worker][]*exchange // probes not answered yet
+	pendingProbes map[*engine.Worker][]*exchange // probes without an answer
 }
 
 // exchange is one request and its response on one connection to a worker.
@@ -48,31 +49,31 @@
 	worker        *engine.Worker
 	addr          string
 	conn          Conn
-	cancelDial    func() // of the wait for a connection
+	cancelDial    func() // cancels the wait for a connection
 	parser        *http1.Parser
 	written       bool
-	closedEarly   bool // closed before the write's end was known
-	retried       bool // on its second connection
+	closedEarly   bool // closed before the result of the write was known
+	retried       bool // using its second connection
 	ended         bool
 	attempt       *engine.Attempt
 	probe         *engine.Probe
-	sharedProbes  []*engine.Probe // that wait for the same answer
+	sharedProbes  []*engine.Probe // probes that wait for the same answer
 	timer         *engine.Timer
-	meter         pace.Meter // of the request on its way out, then of a line that is not whole
+	meter         pace.Meter // of the request while it is sent, then of a partial line
 	paceTimer     *engine.Timer
 	paceDue       decide.Time
-	unacked       int // bytes of the request, as last seen
+	unacked       int // bytes of the request at the last check
 	lineBuffer    []byte
-	rawResponse   []byte // of the answer, as far as it may be passed on
+	rawResponse   []byte // the response so far, up to the limit for a handover
 	result        []byte
 	status        decide.Status
 	report        decide.Report
-	finalLineSeen bool // the line that ends the attempt has come
+	finalLineSeen bool // the line that ends the attempt has arrived
 }
 
 func (w *Workers) newExchange(to *engine.Worker) *exchange {
 	x := &exchange{workers: w, worker: to, addr: to.Addr, parser: http1.NewResponseParser()}
-	x.parser.OnBody = x.onBody // probes too: one that left it out once read every load as unknown
+	x.parser.OnBody = x.onBody // needed for probes too: without it the load of every worker was once read as unknown
 	return x
 }
 
@@ -90,7 +91,8 @@
 	}
 }
 
-// Withdraw implements engine.Workers. What waits for a connection or for the system to take it has not left whole.
+// Withdraw implements engine.Workers. A request that waits for a connection or for the system to accept it has not
+// been sent in full.
 func (w *Workers) Withdraw(a *engine.Attempt) bool {
 	x, ok := a.State.(*exchange)
 	if !ok || x.ended || x.conn != nil && x.conn.Queued() == 0 {
@@ -100,12 +102,13 @@
 	return true
 }
 
-// Probe implements engine.Workers. A worker that answers none would hold a descriptor for each: those of a busy service
-// once left its neighbours without. What is asked while probesAtOnce are out waits for the answer to the last of them,
-// which is as fresh as its own would be, since the worker looks at its load when it answers.
+// Probe implements engine.Workers. A worker that does not answer would hold one descriptor per probe; the probes of a
+// busy service once used up the descriptors of other services. So while maxConcurrentProbes are pending, a further
+// probe shares the answer to the last of them. That answer is as fresh as its own would be, because the worker
+// measures its load when it answers.
 func (w *Workers) Probe(p *engine.Probe) {
-	if out := w.pendingProbes[p.Worker]; len(out) >= maxConcurrentProbes {
-		last := out[len(out)-1]
+	if pending := w.pendingProbes[p.Worker]; len(pending) >= maxConcurrentProbes {
+		last := pending[len(pending)-1]
 		last.sharedProbes = append(last.sharedProbes, p)
 		return
 	}
@@ -124,16 +127,16 @@
 	x.connect()
 }
 
-// connect asks for a connection. One that was kept from an earlier exchange may have died unseen; what becomes of
-// a job that breaks with it stays unknown, so that a job that must not run twice gets a fresh one.
+// connect requests a connection. An idle connection may have died without notice, and the outcome of a job whose
+// connection breaks is unknown. A job that must not run twice therefore gets a fresh connection.
 func (x *exchange) connect() {
 	fresh := x.retried || x.attempt != nil && x.attempt.Request.Payload.(*payload).atMostOnce
 	x.cancelDial = x.workers.Dialer.Get(x.addr, fresh, x.connected)
 }
 
-// reconnect tries once more, on a fresh connection, what can't have had an effect: a probe without a byte of an
-// answer, or a job whose last byte has surely not left. That a connection was dead says nothing of its worker. It
-// reports whether there is such a second try.
+// retryOnFreshConn retries on a fresh connection what can't have had an effect: a probe without any byte of an
+// answer, or a job whose last byte has certainly not been sent. A dead connection says nothing about its worker. It
+// reports whether the exchange is retried; each exchange is retried at most once.
 func (x *exchange) retryOnFreshConn() bool {
 	if x.retried {
 		return false
@@ -149,7 +152,7 @@
 	return true
 }
 
-// connected sends the request, if it still may be sent.
+// connected sends the request, if it may still be sent.
 func (x *exchange) connected(c Conn) {
 	x.cancelDial = nil
 	if x.ended {
@@ -171,22 +174,22 @@
 			a.End(decide.Moot, nil, decide.Report{})
 			return
 		}
-		in := a.Request.Payload.(*payload)
-		fields := []http1.Field{host, {Name: "X-Call-Id", Value: in.id}, {Name: "X-Budget", Value: formatBudget(a.Remaining())}}
-		if in.key != "" {
-			fields = append(fields, http1.Field{Name: "Idempotency-Key", Value: in.key})
+		request := a.Request.Payload.(*payload)
+		fields := []http1.Field{host, {Name: "X-Call-Id", Value: request.id}, {Name: "X-Budget", Value: formatBudget(a.Remaining())}}
+		if request.key != "" {
+			fields = append(fields, http1.Field{Name: "Idempotency-Key", Value: request.key})
 		}
-		body := in.body
+		body := request.body
 		if body == nil {
 			body = []byte{}
 		}
-		b = http1.AppendRequest(nil, in.method, in.target, body, fields...)
+		b = http1.AppendRequest(nil, request.method, request.target, body, fields...)
 	} else {
 		b = http1.AppendRequest(nil, "GET", "/-/load", nil, host)
 	}
 	x.conn = c
 	c.SetHandler(x)
-	c.Write(b, func(end WriteResult) { x.writeEnded(c, end) })
+	c.Write(b, func(result WriteResult) { x.writeEnded(c, result) })
 	if x.conn == c && c.Queued() > 0 {
 		x.unacked = len(b)
 		x.meter.Begin(x.workers.Engine.Now(), x.workers.Pace)
@@ -194,7 +197,7 @@
 	}
 }
 
-// arm sets the timer for the next look at how fast the worker is.
+// armPaceTimer sets the timer for the next pace check.
 func (x *exchange) armPaceTimer() {
 	now := x.workers.Engine.Now()
 	if due := x.meter.End(); due != pace.Never && x.paceTimer == nil {
@@ -203,8 +206,8 @@
 	}
 }
 
-// looked ends an exchange whose worker is too slow. While a part of the request waits here its last byte has surely not
-// left; later the job may have run.
+// checkPace ends an exchange whose worker is too slow. While part of the request is still queued here, the last byte
+// has certainly not been sent; after that the job may have run.
 func (x *exchange) checkPace() {
 	x.paceTimer = nil
 	now := x.workers.Engine.Now()
@@ -212,9 +215,9 @@
 		x.meter.Extend(late)
 	}
 	if !x.written {
-		left := x.conn.Unacked()
-		x.meter.Add(now, max(0, x.unacked-left))
-		x.unacked = left
+		unacked := x.conn.Unacked()
+		x.meter.Add(now, max(0, x.unacked-unacked))
+		x.unacked = unacked
 	}
 	if x.meter.State(now) != pace.Cut {
 		x.armPaceTimer()
@@ -229,18 +232,18 @@
 	}
 }
 
-// wrote takes in how the write on a connection ended.
-func (x *exchange) writeEnded(on Conn, end WriteResult) {
-	if end == Written && x.attempt != nil {
+// writeEnded handles the result of a write.
+func (x *exchange) writeEnded(conn Conn, result WriteResult) {
+	if result == Written && x.attempt != nil {
 		x.workers.Engine.Counts.Written++
 	}
 	switch {
-	case x.ended || x.conn != on: // a second connection is in use by now
-	case x.probe != nil && (end != Written || x.closedEarly) && x.retryOnFreshConn():
-	case end == WriteIncomplete && x.retryOnFreshConn():
-	case end == WriteIncomplete:
+	case x.ended || x.conn != conn: // a second connection is in use
+	case x.probe != nil && (result != Written || x.closedEarly) && x.retryOnFreshConn():
+	case result == WriteIncomplete && x.retryOnFreshConn():
+	case result == WriteIncomplete:
 		x.end(decide.ConnectFailed)
-	case end == WriteUnknown || x.closedEarly:
+	case result == WriteUnknown || x.closedEarly:
 		x.end(decide.Reset)
 	default:
 		x.written = true
@@ -277,14 +280,14 @@
 	case x.parser.End():
 		x.responseComplete(false)
 	case !x.written:
-		x.closedEarly = true // the end of the write tells whether the last byte had gone
+		x.closedEarly = true // the result of the write will tell whether the last byte was sent
 	case x.probe != nil && x.parser.Idle() && x.retryOnFreshConn():
 	default:
 		x.end(decide.Reset)
 	}
 }
 
-// body takes pieces of a response and reads its lines as they become whole.
+// onBody receives pieces of the response body and handles each line when it is complete.
 func (x *exchange) onBody(b []byte) {
 	if x.ended {
 		return
@@ -295,7 +298,7 @@
 	}
 	x.lineBuffer = append(x.lineBuffer, b...)
 	if x.probe != nil || x.parser.Msg.Status != 200 {
-		return // one object, read at the end
+		return // a single object, parsed at the end
 	}
 	for !x.finalLineSeen && !x.ended {
 		i := bytes.IndexByte(x.lineBuffer, '\n')
@@ -310,7 +313,7 @@
 	}
 }
 
-// pace measures a line that is not whole, of which n bytes have just come.
+// measureLine measures the pace of a partial line, of which n bytes have just arrived.
 func (x *exchange) measureLine(n int) {
 	switch {
 	case !x.written:
@@ -326,32 +329,32 @@
 	}
 }
 
-// news reads one line about a job.
+// handleLine handles one line about a job.
 func (x *exchange) handleLine(line []byte) {
 	if len(bytes.TrimSpace(line)) == 0 {
 		return
 	}
-	var in struct {
+	var parsed struct {
 		ID     string          `json:"id"`
 		State  string          `json:"state"`
 		Share  float64         `json:"share"`
 		Result any             `json:"result"`
 		Load   json.RawMessage `json:"load"`
 	}
-	if err := json.Unmarshal(line, &in); err != nil || in.ID != "" && in.ID != x.attempt.Request.Payload.(*payload).id {
+	if err := json.Unmarshal(line, &parsed); err != nil || parsed.ID != "" && parsed.ID != x.attempt.Request.Payload.(*payload).id {
 		slog.Warn("bad line of a job", withService(x.workers.Service, "worker", x.worker.Name)...)
 		x.end(decide.Reset)
 		return
 	}
-	switch in.State {
+	switch parsed.State {
 	case "started":
 		x.attempt.Started()
 		return
 	case "running":
-		x.attempt.Progress(in.Share)
+		x.attempt.Progress(parsed.Share)
 		return
 	case "done":
-		x.status, x.result = decide.Served, resultText(in.Result, line)
+		x.status, x.result = decide.Served, resultText(parsed.Result, line)
 	case "failed":
 		x.status = decide.Error
 	case "returned":
@@ -359,25 +362,25 @@
 	case "lost":
 		x.status = decide.Reset
 	default:
-		return // a state that this version does not know ends nothing
+		return // a state unknown to this version does not end the attempt
 	}
 	x.finalLineSeen = true
-	if len(in.Load) > 0 {
-		x.report = x.workers.Reports.read(in.Load)
+	if len(parsed.Load) > 0 {
+		x.report = x.workers.Reports.read(parsed.Load)
 	}
-	if text := x.parser.Msg.Get("x-load-report"); text != "" && len(in.Load) == 0 {
+	if text := x.parser.Msg.Get("x-load-report"); text != "" && len(parsed.Load) == 0 {
 		x.report = x.workers.Reports.read([]byte(text))
 	}
-	// The answer is known; the rest of the response only tells whether the connection can be kept.
+	// The result is known; the rest of the response only decides whether the connection can be reused.
 	x.timer = x.workers.Engine.After(responseTailTimeout, x.drop)
 	x.attempt.End(x.status, x.result, x.report)
 }
 
-// whole takes in the end of the response. The connection is kept if nothing speaks against it.
+// responseComplete handles the end of the response. It keeps the connection for reuse if nothing forbids it.
 func (x *exchange) responseComplete(clean bool) {
 	m := &x.parser.Msg
 	if !x.finalLineSeen && x.attempt != nil && m.Status == 200 && len(x.lineBuffer) > 0 {
-		x.handleLine(x.lineBuffer) // its line end was left out
+		x.handleLine(x.lineBuffer) // the final newline is missing
 		x.lineBuffer = nil
 	}
 	if x.ended {
@@ -394,14 +397,14 @@
 			x.report = x.workers.Reports.read(x.lineBuffer)
 		}
 	case m.Status == 200:
-		x.status = decide.Reset // it ended before the last line
+		x.status = decide.Reset // the response ended before its final line
 	case (m.Status == 503 || m.Status == 504) && m.Get("x-rejected") == "1":
 		x.status = decide.Full
 	default:
 		x.status = decide.Error
 	}
 	if x.finalLineSeen && len(bytes.TrimSpace(x.lineBuffer)) > 0 {
-		clean = false // it went on after its last line: what comes next on the connection can't be told from it
+		clean = false // data followed the final line, so the start of the next response would be ambiguous
 	}
 	if clean && m.KeepAlive && !x.closedEarly {
 		c := x.conn
@@ -411,7 +414,7 @@
 	x.end(x.status)
 }
 
-// end closes what is still open and reports, once.
+// end closes the connection, if it is still open, and reports the outcome once.
 func (x *exchange) end(s decide.Status) {
 	if x.ended {
 		return
@@ -428,17 +431,17 @@
 	}
 }
 
-// answered takes a probe out of those that are under way.
+// removeProbe removes an exchange from the pending probes.
 func (w *Workers) removeProbe(x *exchange) {
-	out := slices.DeleteFunc(w.pendingProbes[x.worker], func(y *exchange) bool { return x == y })
-	if len(out) == 0 {
+	pending := slices.DeleteFunc(w.pendingProbes[x.worker], func(y *exchange) bool { return x == y })
+	if len(pending) == 0 {
 		delete(w.pendingProbes, x.worker)
 	} else {
-		w.pendingProbes[x.worker] = out
+		w.pendingProbes[x.worker] = pending
 	}
 }
 
-// drop ends the exchange without a word to the engine.
+// drop ends the exchange without reporting to the engine.
 func (x *exchange) drop() {
 	x.ended = true
 	x.timer.Stop()
