--- a/cmd/weldscale/moments_discovery_test.go
+++ b/cmd/weldscale/moments_discovery_test.go
@@ -23,7 +23,7 @@
 
 // A watch that falls silent is opened anew before what it misses counts as told, two seconds after its hold: one that was
 // silent from its opening, one after an answer, and one of which the next call meets silence too. That this is in time follows
-// from the spans, which TestCadenceStaysWithinTheRule bounds.
+// from the spans, which TestCadenceBounds bounds.
 func TestWatchFallsSilent(t *testing.T) {
 	for name, silent := range map[string][]int{"at its opening": {2}, "after an answer": {3}, "twice running": {2, 3}} {
 		t.Run(name, func(t *testing.T) {
@@ -69,7 +69,7 @@
 }
 
 // The first call, and the next after it, meet silence: the third brings the list. That this is within 6 s where few share
-// discovery follows from the spans, which TestCadenceStaysWithinTheRule bounds.
+// discovery follows from the spans, which TestCadenceBounds bounds.
 func TestFirstCallsAreSilent(t *testing.T) {
 	t.Parallel()
 	a := startWorker(t, standin.WorkerConfig{Name: "a"})
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,7 +1,8 @@
 // Package engine executes the decisions of package decide for one scheduler. It holds the open requests and their
 // attempts, the workers' names and addresses, and the counters. It guarantees that a request gets exactly one final
-// answer, that an attempt is sent only while it is still valid, and that a shutdown loses no request. It contains no protocol, socket or placement code:
-// clients, workers and the worker list are behind the interfaces below. All code runs on one Loop.
+// answer, that an attempt is sent only while it is still valid, and that a shutdown loses no request. It contains no
+// protocol, socket or placement code: clients, workers and the worker list are behind the interfaces below. All code
+// runs on one Loop.
 package engine
 
 import (
@@ -295,7 +296,7 @@
 // OverlayChanged applies entries whose overlay has changed. It does not come from discovery, so the state of the
 // watch does not change.
 func (e *Engine) OverlayChanged(entries []Entry) {
-	e.applyNews(decide.ListDelta, entries)
+	e.applyUpdate(decide.ListDelta, entries)
 }
 
 // AnnounceRelayed applies a list update that another process of this scheduler has received. The overlay is applied
@@ -305,10 +306,10 @@
 		entries = e.Overlay.Apply(kind, entries)
 	}
 	e.Counts.ListUpdates++
-	e.applyNews(kind, entries)
+	e.applyUpdate(kind, entries)
 }
 
-func (e *Engine) applyNews(kind decide.ListKind, entries []Entry) {
+func (e *Engine) applyUpdate(kind decide.ListKind, entries []Entry) {
 	list := e.applyEntries(kind, entries)
 	e.call(func() { e.dispatcher.TakeNews(e.Now(), kind, list) })
 	e.forgetGoneWorkers()
--- a/internal/jobs/client.go
+++ b/internal/jobs/client.go
@@ -361,7 +361,7 @@
 		x.refuseRequest(400, reason)
 		return
 	}
-	c := &payload{method: m.Method, target: m.Target, id: m.Get("x-call-id"), key: m.Get("idempotency-key"), body: m.Body,
+	p := &payload{method: m.Method, target: m.Target, id: m.Get("x-call-id"), key: m.Get("idempotency-key"), body: m.Body,
 		atMostOnce: service.Engine.Class(job.Class).Effect == decide.Unsafe}
 	x.peer.Judge(now)
 	if x.server.refusing {
@@ -369,7 +369,7 @@
 		x.Refused(0)
 		return
 	}
-	if x.server.callIDInUse(c.id) {
+	if x.server.callIDInUse(p.id) {
 		x.refuseRequest(409, "call id is in use")
 		return
 	}
@@ -383,12 +383,12 @@
 			return
 		}
 	}
-	x.server.claimCallID(x, c.id)
+	x.server.claimCallID(x, p.id)
 	x.service, x.class, x.bookedBytes, x.unbooked = service, job.Class, len(m.Body), pool.Unbooked{}
 	x.peer.Work(now)
-	r := service.Engine.Submit(job, c, x)
+	r := service.Engine.Submit(job, p, x)
 	if service.Engine.Trace != nil {
-		service.Engine.Trace("taken", r.ID, "call_id", c.id, "target", c.target, "addr", x.conn.Peer())
+		service.Engine.Trace("taken", r.ID, "call_id", p.id, "target", p.target, "addr", x.conn.Peer())
 	}
 	if x.callID != "" { // not answered during Submit
 		x.request = r
--- a/internal/jobs/discovery.go
+++ b/internal/jobs/discovery.go
@@ -35,10 +35,10 @@
 	// either.
 	holdSlack      = 1300 * time.Millisecond
 	holdSlackShort = 500 * time.Millisecond
-	// agentHold and agentTimeout replace them for an agent, to which lists are pushed; agentRetryDelay is the delay
-	// before a failed call is repeated. The agent does not answer while discovery is down, and what it receives
-	// afterwards counts as delivered at once, so a call without an answer must end soon after that. Calls to an agent
-	// cost discovery nothing.
+	// agentHold and agentTimeout are the hold and the timeout of calls to an agent, to which discovery pushes lists.
+	// agentRetryDelay is the delay before a failed call is repeated. The agent does not answer while discovery is
+	// down, and what it receives afterwards counts as delivered at once, so a call without an answer must end soon
+	// after that. Calls to an agent cost discovery nothing.
 	agentHold       = time.Second
 	agentTimeout    = 200 * time.Millisecond
 	agentRetryDelay = 50 * time.Millisecond
@@ -328,7 +328,7 @@
 	d.scheduleAfter(wait, newWatch)
 }
 
-// scheduleAfter makes the next call of the watch after the pause.
+// scheduleAfter makes the next call of the watch after the delay.
 func (d *Discovery) scheduleAfter(delay time.Duration, newWatch bool) {
 	if delay == 0 {
 		d.startCall(newWatch, false)
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -519,10 +519,10 @@
 // may have.
 func TestSlowWorkers(t *testing.T) {
 	for name, c := range map[string]struct {
-		taken bool
-		in    string
-		ended bool
-		want  decide.Status
+		requestSent bool
+		in          string
+		ended       bool
+		want        decide.Status
 	}{
 		"reads nothing":            {false, "", true, decide.ConnectFailed},
 		"runs the job":             {true, "", false, 0},
@@ -534,12 +534,12 @@
 		b.removeGrace()
 		b.client().handler.Data([]byte(requestHead + "X-Budget: 8000m\r\n\r\n"))
 		conn := b.dialer.conn
-		if !c.taken {
+		if !c.requestSent {
 			conn.queued = 9
 		}
 		b.workers.Push(b.pushed[0])
 		x := b.pushed[0].State.(*exchange)
-		if c.taken {
+		if c.requestSent {
 			conn.done(Written)
 			conn.handler.Data([]byte("HTTP/1.1 200 OK\r\n\r\n" + c.in))
 		}
@@ -757,8 +757,8 @@
 				} else {
 					busy = begins
 				}
-				news := min(workers, changes*int((begins-lastAnswer[i])/time.Second+1))
-				busy = max(busy, now) + time.Duration(news)*time.Second/lines
+				changedLines := min(workers, changes*int((begins-lastAnswer[i])/time.Second+1))
+				busy = max(busy, now) + time.Duration(changedLines)*time.Second/lines
 				if lastAnswer[i] < changed && busy-now > 2*time.Second {
 					failed++
 					cadences[i].Failed()
--- a/internal/jobs/overlay.go
+++ b/internal/jobs/overlay.go
@@ -14,7 +14,7 @@
 // the worker is put back online.
 
 // maxOffline limits the number of offline names. Beyond it, those that have been missing from the list longest are
-// forgotten.
+// put back online first.
 const maxOffline = 1024
 
 // Overlay implements engine.Overlay.
--- a/internal/jobs/overlay_test.go
+++ b/internal/jobs/overlay_test.go
@@ -31,7 +31,7 @@
 		require.NoError(t, err)
 		e.SetBackends(discardBackends{}, discardBackends{})
 		o := NewOverlay(e)
-		list, out := map[string]decide.State{}, map[string]bool{}
+		list, offlineNames := map[string]decide.State{}, map[string]bool{}
 		name := rapid.Map(rapid.IntRange(0, 5), func(i int) string { return fmt.Sprint("w", i) })
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
@@ -44,39 +44,39 @@
 				if kind != decide.ListDelta {
 					clear(list)
 				}
-				var news []engine.Entry
+				var entries []engine.Entry
 				for _, n := range rapid.SliceOfNDistinct(name, 0, 6, rapid.ID).Draw(t, "names") {
 					state := rapid.SampledFrom([]decide.State{decide.Ready, decide.Draining, decide.Gone}).Draw(t, "state")
-					news = append(news, engine.Entry{Name: n, Addr: n, State: state})
+					entries = append(entries, engine.Entry{Name: n, Addr: n, State: state})
 					if list[n] = state; state == decide.Gone {
 						delete(list, n)
 					}
 				}
-				e.Announce(kind, news)
+				e.Announce(kind, entries)
 			default:
 				n, offline := name.Draw(t, "name"), rapid.Bool().Draw(t, "out")
 				_, listed := list[n]
-				assert.Equal(t, listed || out[n], o.SetOffline(n, offline))
-				if listed || out[n] {
-					if out[n] = offline; !offline {
-						delete(out, n)
+				assert.Equal(t, listed || offlineNames[n], o.SetOffline(n, offline))
+				if listed || offlineNames[n] {
+					if offlineNames[n] = offline; !offline {
+						delete(offlineNames, n)
 					}
 				}
 			}
 			want, got := map[string]bool{}, map[string]bool{}
 			excluded := 0
 			for n, state := range list {
-				if state == decide.Ready && !out[n] {
+				if state == decide.Ready && !offlineNames[n] {
 					want[n] = true
 				}
-				if out[n] {
+				if offlineNames[n] {
 					excluded++
 				}
 			}
 			e.EachReadyAddr(func(addr string) { got[addr] = true })
 			require.Equal(t, want, got)
 			require.Equal(t, []int{len(list), excluded}, []int{o.KnownWorkers(), o.ExcludedWorkers()})
-			require.Len(t, o.Offline(), len(out))
+			require.Len(t, o.Offline(), len(offlineNames))
 		}
 	})
 }
--- a/internal/jobs/pass_test.go
+++ b/internal/jobs/pass_test.go
@@ -87,8 +87,8 @@
 	assert.Equal(t, 1, readyWorkers())
 }
 
-// A job adopted from another process is booked in its pool and released once. A job that had not been booked was once
-// released.
+// A job adopted from another process is booked in its pool and released once. It was once released without having
+// been booked, which freed capacity that other jobs were using.
 func TestAdoptedJobIsBooked(t *testing.T) {
 	b := newHarness(t)
 	p := pool.New("", pool.Limits{FleetOpen: 9}, make([]pool.Limits, 2), nil, nil)
