--- a/internal/jobs/discovery.go
+++ b/internal/jobs/discovery.go
@@ -12,44 +12,50 @@
 	"weldscale/internal/http1"
 )
 
-// This file owns the watch on the worker list. It renews a watch as soon as it has been answered, so that no
-// change falls between, and says so at once when one fails; when to ask again is the module's decision. It
-// must never have two calls out, nor wait for an answer without end.
+// This file implements the watch on the worker list. A watch is renewed as soon as it has been answered, so that no
+// change is missed, and a failed call is reported at once; the dispatcher decides when to call again. There is at
+// most one call at a time, and each has a timeout. A change counts as delivered to this scheduler if its watch
+// counted as open at the time, even if the answer was lost; the time limits below follow from that.
 
 const (
-	// firstHold asks a new watch to answer at once: the module waits for the answer to its call.
-	firstHold = time.Millisecond
-	// watchHold is how long discovery may sit on a call. Word that is lost on the way counts as told two
-	// seconds after the hold's end, so it must be short; every renewal is work for discovery, which has
-	// little to spare, so it must not be too short.
+	// immediateHold makes discovery answer a new watch at once, because the dispatcher waits for the answer.
+	immediateHold = time.Millisecond
+	// watchHold is how long discovery may hold a call open. An update that is lost counts as delivered two seconds
+	// after the end of the hold, so the hold must be short. Each renewal costs discovery time, of which it has little
+	// to spare, so the hold must not be too short.
 	watchHold = 8 * time.Second
-	// patience is how long an answer to a call that need not wait may take: discovery lets calls queue for some seconds.
-	patience = 3 * time.Second
-	// alone is the same where few share discovery and nothing queues there.
-	alone = 800 * time.Millisecond
-	// overdue is how much longer than its hold a watch may take before it counts as silent. Two seconds after the hold what
-	// it has missed counts as told: by then another call has to be answered. Where few share discovery there is time for
-	// the call after that too, should the first one meet silence as well.
-	overdue      = 1300 * time.Millisecond
-	overdueAlone = 500 * time.Millisecond
-	// agentHold, agentPatience and agentPause are the same of an agent that lists are pushed to, and how soon a call that came
-	// to nothing is followed by the next. It is silent while discovery is down, and what it gets at the return counts as told
-	// at once: a call that meets its silence must not outlive that for long. Its calls cost discovery nothing.
-	agentHold     = time.Second
-	agentPatience = 200 * time.Millisecond
-	agentPause    = 50 * time.Millisecond
-	// callShare is how long one call of one scheduler is taken to keep discovery, before anything is known of it.
-	callShare = 90 * time.Millisecond
-	// burst is what discovery is let to work off at once: schedulers that all ask within it harm nobody.
-	burst = 800 * time.Millisecond
-	// renewal is how soon after its answer a watch is renewed at the latest. For 200 ms it counts as standing, so that a
-	// change within them counts as told: a pause there once had schedulers send to workers for seconds that they had
-	// "been told" were gone.
-	renewal = 120 * time.Millisecond
-	// maxHold keeps a watch whose connection has died unseen from leaving us deaf for long.
+	// callTimeout is the timeout of a call that discovery should answer at once. Calls may queue at discovery for
+	// some seconds.
+	callTimeout = 3 * time.Second
+	// callTimeoutShort replaces callTimeout if few schedulers share discovery and no calls queue there.
+	callTimeoutShort = 800 * time.Millisecond
+	// holdSlack is how much longer than its hold a watch may take before it counts as failed. An update that it
+	// missed counts as delivered two seconds after the hold, and by then another call must have been answered. If few
+	// schedulers share discovery, holdSlackShort leaves time for one more call in case that one gets no answer
+	// either.
+	holdSlack      = 1300 * time.Millisecond
+	holdSlackShort = 500 * time.Millisecond
+	// agentHold and agentTimeout are the hold and the timeout of calls to an agent, to which discovery pushes lists.
+	// agentRetryDelay is the delay before a failed call is repeated. The agent does not answer while discovery is
+	// down, and what it receives afterwards counts as delivered at once, so a call without an answer must end soon
+	// after that. Calls to an agent cost discovery nothing.
+	agentHold       = time.Second
+	agentTimeout    = 200 * time.Millisecond
+	agentRetryDelay = 50 * time.Millisecond
+	// initialCallCost is the time that discovery is assumed to need for one call of one scheduler until it has been
+	// measured.
+	initialCallCost = 90 * time.Millisecond
+	// burstSpan is the amount of work that discovery may be given at once. Schedulers whose calls all fit in it need
+	// not be spread.
+	burstSpan = 800 * time.Millisecond
+	// maxRenewalDelay is the longest delay before an answered watch is renewed. A watch counts as open for 200 ms
+	// after its answer, so changes in that time count as delivered. A longer delay once made schedulers send for
+	// seconds to workers whose removal counted as delivered.
+	maxRenewalDelay = 120 * time.Millisecond
+	// maxHold limits how long a watch whose connection has died without notice can miss updates.
 	maxHold = 20 * time.Second
-	// maxList bounds a list answer; a thousand workers take about a quarter of it.
-	maxList = 1 << 20
+	// maxListBytes limits a list answer; a thousand workers take about a quarter of it.
+	maxListBytes = 1 << 20
 )
 
 // Discovery implements engine.Directory over HTTP.
@@ -57,143 +63,147 @@
 	Engine *engine.Engine
 	Dialer Dialer
 	Addr   string
-	// Service names the service in the log; "" is the platform's.
+	// Service is the service's name in the log; "" is the platform's service.
 	Service string
 
-	// FromAgent says that Addr is an agent's on this machine: it answers at once with what it has been sent, and all of that
-	// counts as told. The module takes it that changes come on their own, and asks for no watch: this one stands from the
-	// start, whatever becomes of its calls, and Cadence has no part in it.
+	// FromAgent says that Addr belongs to an agent on this machine. The agent answers at once with what discovery has
+	// pushed to it, and all of that counts as delivered. The dispatcher expects changes without asking for a watch,
+	// so the watch is open from the start and stays open after failed calls. Cadence is not used.
 	FromAgent bool
 
-	// Rand spreads the calls; nil: they are not spread.
+	// Rand randomizes the delays between calls. If nil, there are no random delays.
 	Rand *rand.Rand
-	// Cadence is how far apart the calls of this scheduler are.
+	// Cadence computes the delays between the calls of this scheduler.
 	Cadence Cadence
 
-	// News, if set, is told what this process has heard of discovery, in the form of its answers.
+	// OnUpdate, if set, is called with each list update that this process has received from discovery, in the form of
+	// discovery's answers.
 	OnUpdate func(index int64, list []byte)
 
-	called  bool          // a call was made, or waits
-	waiting *engine.Timer // for the moment of the next call
-	index   int64
-	foreign bool // the index is not this discovery's: only a whole list can tell where we stand
-	wanted  bool // a whole list was asked for while a call was out
-	on      bool
-	calling *listCall
-	toldAt  decide.Time // when another process last told us of newer news than ours
-}
-
-// Cadence decides how far apart a scheduler's calls are. Discovery is one service for all and handles calls one after
-// another, also those whose answers come too late to be taken: where every scheduler asks again at once, after a change
-// of the list or a 503, all wait for calls that nobody wants any more, for good. So each leaves the others their turn,
-// longer as calls fail, less long as answers come soon. The zero value leaves none.
+	hasCalled    bool          // a call has been made or scheduled
+	nextCall     *engine.Timer // timer of the next call
+	index        int64
+	needSnapshot bool // index is that of another discovery, so only a whole list can be applied
+	reloadWanted bool // Reload was called during a call
+	watching     bool
+	pendingCall  *listCall
+	relayedAt    decide.Time // when another process last relayed an update newer than index
+}
+
+// Cadence computes how far apart the calls of a scheduler are. All schedulers share one discovery, which handles
+// calls one after another, including those whose callers have already timed out. If all schedulers called again at
+// once after a change of the list or a 503, the queue would consist of abandoned calls and never drain. So each
+// scheduler spreads its calls over a span, which grows with failed calls and shrinks with fast answers. The zero
+// value does not delay calls.
 type Cadence struct {
-	Nodes     int           // schedulers that share discovery
-	AskWithin time.Duration // silence longer than this counts as having been told; four times that after a failed call
-	span      time.Duration // over which one call of each scheduler is spread; 0: nothing was heard yet
-	lost      bool          // the last call came to nothing
+	Nodes      int           // schedulers that share discovery
+	AskWithin  time.Duration // time after the last contact from which changes count as delivered; four times that after a failed call
+	span       time.Duration // time over which the schedulers spread one call each; 0: nothing measured yet
+	lastFailed bool          // the last call failed
 }
 
-// all is how long discovery is taken to need for one call of each scheduler, before anything is known of it.
-func (c *Cadence) all() time.Duration { return time.Duration(c.Nodes) * callShare }
+// initialSpan is the time that discovery is assumed to need for one call of each scheduler until it has been
+// measured.
+func (c *Cadence) initialSpan() time.Duration { return time.Duration(c.Nodes) * initialCallCost }
 
-// Span is the time over which one call of each scheduler is spread.
+// Span returns the time over which the schedulers spread one call each.
 func (c *Cadence) Span() time.Duration {
 	if c.span == 0 {
-		c.span = c.all()
+		c.span = c.initialSpan()
 	}
 	return c.span
 }
 
-// Failed takes in that a call came to nothing.
+// Failed records a failed call.
 func (c *Cadence) Failed() {
-	c.lost = true
-	c.span = min(2*max(c.Span(), burst), max(c.AskWithin, c.Span()))
+	c.lastFailed = true
+	c.span = min(2*max(c.Span(), burstSpan), max(c.AskWithin, c.Span()))
 }
 
-// Silent takes in that nothing was said to a call. Where few share discovery it is no sign that others wait there too.
-func (c *Cadence) Silent() {
-	if c.Span() > burst {
+// TimedOut records a call without an answer. If few schedulers share discovery, this does not indicate a queue there.
+func (c *Cadence) TimedOut() {
+	if c.Span() > burstSpan {
 		c.Failed()
 	}
 }
 
-// CallTimeout is how long an answer to a call that need not wait may take.
+// CallTimeout returns the timeout of a call that discovery should answer at once.
 func (c *Cadence) CallTimeout() time.Duration {
-	if c.Span() > burst {
-		return patience
+	if c.Span() > burstSpan {
+		return callTimeout
 	}
-	return alone
+	return callTimeoutShort
 }
 
-// HoldSlack is how much longer than its hold a watch may take before it counts as silent.
+// HoldSlack returns how much longer than its hold a watch may take before it counts as failed.
 func (c *Cadence) HoldSlack() time.Duration {
-	if c.Span() > burst {
-		return overdue
+	if c.Span() > burstSpan {
+		return holdSlack
 	}
-	return overdueAlone
+	return holdSlackShort
 }
 
-// Answered takes in that one was answered within so long; queued says that the answer was there before the call, which
-// then shows how long discovery's queue is. What others make it do tells how far apart to ask.
-func (c *Cadence) Answered(within time.Duration, queued bool) {
-	c.lost = false
+// Answered records that a call was answered after the given time. If queued is set, the answer was available before
+// the call, so the time shows how long discovery's queue is. Otherwise it includes the wait for a change.
+func (c *Cadence) Answered(took time.Duration, queued bool) {
+	c.lastFailed = false
 	switch {
-	case within < burst/8:
-		c.span = max(c.Span()/2, c.all()/8)
-	case within < burst/2:
-		c.span = max(c.Span()*7/8, c.all()/8)
-	case within > burst && queued:
+	case took < burstSpan/8:
+		c.span = max(c.Span()/2, c.initialSpan()/8)
+	case took < burstSpan/2:
+		c.span = max(c.Span()*7/8, c.initialSpan()/8)
+	case took > burstSpan && queued:
 		c.span = min(c.Span()*3/2, max(c.AskWithin, c.Span()))
 	}
 }
 
-// FirstDelay is how long to wait before the first call; luck is from 0 to 1. Who has just started knows least and goes first;
-// the call comes before our silence counts as having been told.
-func (c *Cadence) FirstDelay(luck float64) time.Duration {
-	if c.Span() <= burst {
+// FirstDelay returns the delay before the first call; jitter is from 0 to 1. New schedulers have the oldest list and
+// use a shorter delay. The call is made before AskWithin has passed.
+func (c *Cadence) FirstDelay(jitter float64) time.Duration {
+	if c.Span() <= burstSpan {
 		return 0
 	}
-	return min(time.Duration(luck*float64(c.Span())), c.AskWithin*17/20)
+	return min(time.Duration(jitter*float64(c.Span())), c.AskWithin*17/20)
 }
 
-// NextDelay is how long to wait before the next call; luck is from 0 to 1. It is none where all may as well ask at once, and
-// after an answer never so long that the watch has ended: what changed meanwhile would count as told.
-func (c *Cadence) NextDelay(luck float64) time.Duration {
-	most := renewal
-	if c.lost {
-		most = c.AskWithin * 2
+// NextDelay returns the delay before the next call; jitter is from 0 to 1. It is 0 if all schedulers may call at
+// once. After an answer it is short enough that the watch still counts as open; otherwise changes in between would
+// count as delivered.
+func (c *Cadence) NextDelay(jitter float64) time.Duration {
+	limit := maxRenewalDelay
+	if c.lastFailed {
+		limit = c.AskWithin * 2
 	}
-	return min(time.Duration(2*luck*float64(max(0, c.Span()-burst))), most)
+	return min(time.Duration(2*jitter*float64(max(0, c.Span()-burstSpan))), limit)
 }
 
-// Hold is how long discovery may sit on a call: the more share it, the longer.
-func (c *Cadence) Hold(luck float64) time.Duration {
+// Hold returns how long discovery may hold a call open. The more schedulers share discovery, the longer it is.
+func (c *Cadence) Hold(jitter float64) time.Duration {
 	hold := min(max(watchHold, 5*c.Span()), maxHold)
 	if hold > watchHold {
-		hold -= time.Duration(luck * float64(hold-watchHold) / 2)
+		hold -= time.Duration(jitter * float64(hold-watchHold) / 2)
 	}
 	return hold
 }
 
-// listCall is one call and its answer.
+// listCall is one call to discovery and its answer.
 type listCall struct {
-	d      *Discovery
-	addr   string
-	conn   Conn
-	giveUp func()
-	parser *http1.Parser
-	timer  *engine.Timer
-	first  bool
-	reload bool
-	body   []byte
-	over   bool
-	late   bool // it was given more time
-	began  decide.Time
-}
-
-// list is a list answer or the known list of the configuration.
-type list struct {
+	discovery  *Discovery
+	addr       string
+	conn       Conn
+	cancelDial func()
+	parser     *http1.Parser
+	timer      *engine.Timer
+	newWatch   bool
+	reload     bool
+	body       []byte
+	ended      bool
+	extended   bool // the timeout has been extended once
+	startedAt  decide.Time
+}
+
+// listMessage is a list answer, or the known list of the configuration.
+type listMessage struct {
 	Index     int64      `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []endpoint `json:"endpoints"`
@@ -210,34 +220,34 @@
 	SinceMS float64 `json:"since_ms"`
 }
 
-var states = map[string]decide.State{"SERVING": decide.Ready, "DRAINING": decide.Draining, "DELETED": decide.Gone}
+var statusStates = map[string]decide.State{"SERVING": decide.Ready, "DRAINING": decide.Draining, "DELETED": decide.Gone}
 
-func (l *list) entries() []engine.Entry {
+func (l *listMessage) entries() []engine.Entry {
 	out := make([]engine.Entry, 0, len(l.Endpoints))
-	for _, in := range l.Endpoints {
-		state, ok := states[in.Status]
+	for _, listed := range l.Endpoints {
+		state, ok := statusStates[listed.Status]
 		if !ok {
-			state = decide.Draining // whatever it is, it does not say that new work is wanted
+			state = decide.Draining // an unknown status does not mean that the worker accepts new jobs
 		}
-		out = append(out, engine.Entry{Name: in.Name, Addr: in.Address, Zone: in.Zone, Kind: in.Type, Cell: in.Group,
-			State: state, Weight: in.Weight, StartedAt: decide.Time(in.SinceMS * 1000)})
+		out = append(out, engine.Entry{Name: listed.Name, Addr: listed.Address, Zone: listed.Zone, Kind: listed.Type, Cell: listed.Group,
+			State: state, Weight: listed.Weight, StartedAt: decide.Time(listed.SinceMS * 1000)})
 	}
 	return out
 }
 
-// ReadList reads a list answer. A worker without a name or an address, or with a name that stands twice, is an error: half
-// a list is worse than the last one.
+// ReadList parses a list answer. A missing name or address or a duplicate name is an error, because a partial list is
+// worse than the previous one.
 func ReadList(text []byte) ([]engine.Entry, error) {
-	var l list
+	var l listMessage
 	if err := json.Unmarshal(text, &l); err != nil {
 		return nil, err
 	}
 	names := map[string]bool{}
 	for i, e := range l.Endpoints {
 		if e.Name == "" || e.Address == "" || names[e.Name] {
-			return nil, fmt.Errorf("endpoint %d (%q): no name of its own, or no address", i, e.Name)
+			return nil, fmt.Errorf("endpoint %d (%q): name missing or not unique, or address missing", i, e.Name)
 		}
-		if _, ok := states[e.Status]; !ok {
+		if _, ok := statusStates[e.Status]; !ok {
 			return nil, fmt.Errorf("endpoint %d (%q): status %q; allowed: SERVING, DRAINING, DELETED", i, e.Name, e.Status)
 		}
 		names[e.Name] = true
@@ -245,19 +255,19 @@
 	return l.entries(), nil
 }
 
-// Close ends the watch, without a word to the module.
+// Close ends the watch without reporting to the dispatcher.
 func (d *Discovery) Close() {
-	d.on = false
-	d.waiting.Stop()
-	d.waiting = nil
-	if d.calling != nil {
-		d.calling.drop()
+	d.watching = false
+	d.nextCall.Stop()
+	d.nextCall = nil
+	if d.pendingCall != nil {
+		d.pendingCall.drop()
 	}
 }
 
-// Known takes in the list of the configuration.
+// LoadKnown applies the list from the configuration.
 func (d *Discovery) LoadKnown(text []byte) error {
-	var l list
+	var l listMessage
 	if err := json.Unmarshal(text, &l); err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
@@ -266,19 +276,20 @@
 	return nil
 }
 
-// Index is the version of the list that this process has.
+// Index returns the version of this process's list.
 func (d *Discovery) Index() int64 { return d.index }
 
-// ApplyRelayed takes in news that another process of this scheduler has heard. What is older than ours says nothing.
+// ApplyRelayed applies an update that another process of this scheduler has received. An update that is not newer
+// than this process's list is ignored.
 func (d *Discovery) ApplyRelayed(index int64, text []byte) error {
-	var l list
+	var l listMessage
 	if err := json.Unmarshal(text, &l); err != nil {
 		return err
 	}
-	if index <= d.index || d.foreign {
+	if index <= d.index || d.needSnapshot {
 		return nil
 	}
-	d.index, d.toldAt = index, d.Engine.Now()
+	d.index, d.relayedAt = index, d.Engine.Now()
 	kind := decide.ListDelta
 	if l.Snapshot {
 		kind = decide.ListFull
@@ -289,103 +300,103 @@
 
 // Watch implements engine.Directory.
 func (d *Discovery) Watch(on bool) {
-	d.on = on
-	if on && d.calling == nil && d.waiting == nil {
-		d.later(true)
+	d.watching = on
+	if on && d.pendingCall == nil && d.nextCall == nil {
+		d.scheduleNext(true)
 	}
 }
 
-// luck is a random number from 0 to 1.
-func (d *Discovery) luck() float64 {
+// jitter returns a random number from 0 to 1, or 0 if Rand is nil.
+func (d *Discovery) jitter() float64 {
 	if d.Rand == nil {
 		return 0
 	}
 	return d.Rand.Float64()
 }
 
-// later makes the next call of the watch when it is our turn.
-func (d *Discovery) later(first bool) {
-	next := d.Cadence.NextDelay
-	if !d.called {
-		next = d.Cadence.FirstDelay
+// scheduleNext schedules the next call of the watch after the delay that Cadence computes.
+func (d *Discovery) scheduleNext(newWatch bool) {
+	delay := d.Cadence.NextDelay
+	if !d.hasCalled {
+		delay = d.Cadence.FirstDelay
 	}
-	d.called = true
-	pause := next(d.luck())
+	d.hasCalled = true
+	wait := delay(d.jitter())
 	if d.FromAgent {
-		pause = 0
+		wait = 0
 	}
-	d.laterBy(pause, first)
+	d.scheduleAfter(wait, newWatch)
 }
 
-// laterBy makes the next call of the watch after the pause.
-func (d *Discovery) laterBy(pause time.Duration, first bool) {
-	if pause == 0 {
-		d.call(first, false)
+// scheduleAfter makes the next call of the watch after the delay.
+func (d *Discovery) scheduleAfter(delay time.Duration, newWatch bool) {
+	if delay == 0 {
+		d.startCall(newWatch, false)
 		return
 	}
-	d.waiting = d.Engine.After(pause, func() {
-		d.waiting = nil
-		if d.on && d.calling == nil {
-			d.call(first, false)
+	d.nextCall = d.Engine.After(delay, func() {
+		d.nextCall = nil
+		if d.watching && d.pendingCall == nil {
+			d.startCall(newWatch, false)
 		}
 	})
 }
 
 // Reload implements engine.Directory.
 func (d *Discovery) Reload() {
-	if d.calling != nil { // what that one brings may be older than the wish
-		d.wanted = true
+	if d.pendingCall != nil { // the answer to the pending call may be older than this request
+		d.reloadWanted = true
 		return
 	}
-	d.call(false, true)
+	d.startCall(false, true)
 }
 
-// Move goes on with another discovery, at once: a call that the old one holds is dropped without a word, since
-// it would end with the old one's news or in a failure that says nothing of the new one.
+// Move switches to another discovery at once. A pending call to the old one is dropped without a report, because its
+// answer or failure says nothing about the new one.
 func (d *Discovery) Move(addr string) {
 	if addr == d.Addr {
 		return
 	}
-	if d.calling != nil {
-		d.calling.drop()
+	if d.pendingCall != nil {
+		d.pendingCall.drop()
 	}
-	d.Addr, d.foreign, d.on = addr, true, true
-	d.call(true, true)
+	d.Addr, d.needSnapshot, d.watching = addr, true, true
+	d.startCall(true, true)
 }
 
-// spans are how long discovery may sit on a call, and how much longer its answer may take.
-func (d *Discovery) spans(atOnce bool) (hold, more time.Duration) {
+// timeouts returns how long discovery may hold a call open and how much longer its answer may take.
+func (d *Discovery) timeouts(immediate bool) (hold, slack time.Duration) {
 	switch {
-	case d.FromAgent && atOnce:
-		return firstHold, agentPatience
+	case d.FromAgent && immediate:
+		return immediateHold, agentTimeout
 	case d.FromAgent:
-		return agentHold, agentPatience
-	case atOnce:
-		return firstHold, d.Cadence.CallTimeout()
+		return agentHold, agentTimeout
+	case immediate:
+		return immediateHold, d.Cadence.CallTimeout()
 	}
-	return d.Cadence.Hold(d.luck()), d.Cadence.HoldSlack()
+	return d.Cadence.Hold(d.jitter()), d.Cadence.HoldSlack()
 }
 
-func (d *Discovery) call(first, reload bool) {
-	reload = reload || d.foreign || d.wanted
-	d.wanted = false
-	d.waiting.Stop()
-	d.waiting = nil
-	x := &listCall{d: d, addr: d.Addr, began: d.Engine.Now(), first: first, reload: reload, parser: http1.NewResponseParser()}
-	d.calling = x
+func (d *Discovery) startCall(newWatch, reload bool) {
+	reload = reload || d.needSnapshot || d.reloadWanted
+	d.reloadWanted = false
+	d.nextCall.Stop()
+	d.nextCall = nil
+	x := &listCall{discovery: d, addr: d.Addr, startedAt: d.Engine.Now(), newWatch: newWatch, reload: reload, parser: http1.NewResponseParser()}
+	d.pendingCall = x
 	x.parser.OnBody = func(b []byte) {
-		if len(x.body)+len(b) <= maxList {
+		if len(x.body)+len(b) <= maxListBytes {
 			x.body = append(x.body, b...)
 		} else {
 			x.end(nil, "list is too long")
 		}
 	}
-	hold, more := d.spans(first || reload)
+	hold, slack := d.timeouts(newWatch || reload)
 	d.Engine.Counts.ListCalls++
-	x.timer = d.Engine.After(hold+more, x.silent)
-	x.giveUp = d.Dialer.Get(x.addr, false, func(c Conn) {
-		x.giveUp = nil
-		if x.over {
+	x.timer = d.Engine.After(hold+slack, x.timedOut)
+	x.cancelDial = d.Dialer.Get(x.addr, false, func(c Conn) {
+		x.cancelDial = nil
+		if x.ended {
 			if c != nil {
 				d.Dialer.Put(x.addr, c)
 			}
@@ -397,7 +408,7 @@
 		}
 		target := "/api/targets"
 		if !reload {
-			target += "?from=" + itoa(d.index) + "&hold_ms=" + itoa(int64(hold/time.Millisecond))
+			target += "?from=" + formatInt(d.index) + "&hold_ms=" + formatInt(int64(hold/time.Millisecond))
 		}
 		x.conn = c
 		c.SetHandler(x)
@@ -409,129 +420,129 @@
 func (x *listCall) Data(b []byte) {
 	n, whole, err := x.parser.Feed(b)
 	switch {
-	case x.over:
+	case x.ended:
 	case err != nil:
 		x.end(nil, err.Error())
 	case whole:
-		x.whole(n == len(b))
+		x.responseComplete(n == len(b))
 	}
 }
 
 // Closed implements Handler.
 func (x *listCall) Closed() {
-	if x.over {
+	if x.ended {
 		return
 	}
 	if x.parser.End() {
-		x.whole(false)
+		x.responseComplete(false)
 		return
 	}
 	x.end(nil, "connection broke")
 }
 
-func (x *listCall) whole(clean bool) {
+func (x *listCall) responseComplete(clean bool) {
 	if clean && x.parser.Msg.KeepAlive {
 		c := x.conn
 		x.conn = nil
-		x.d.Dialer.Put(x.addr, c)
+		x.discovery.Dialer.Put(x.addr, c)
 	}
 	if s := x.parser.Msg.Status; s != 200 {
-		x.end(nil, "status "+itoa(int64(s)))
+		x.end(nil, "status "+formatInt(int64(s)))
 		return
 	}
-	l := new(list)
-	if err := json.Unmarshal(x.body, l); err != nil {
+	answer := new(listMessage)
+	if err := json.Unmarshal(x.body, answer); err != nil {
 		x.end(nil, err.Error())
 		return
 	}
-	x.end(l, "")
+	x.end(answer, "")
 }
 
-// silent ends a call to which nothing was said in its time. A watch of which that is so is broken, though its connection
-// stands: it is opened anew at once, since what it has missed is about to count as told.
-func (x *listCall) silent() {
-	d := x.d
-	if !x.late && x.conn != nil && x.conn.Unread() { // it was us who were late
-		x.late = true
-		x.timer = d.Engine.After(agentPatience, x.silent)
+// timedOut ends a call that was not answered in time. A watch without an answer is broken even if its connection is
+// still open. It is reopened at once, because what it has missed is about to count as delivered.
+func (x *listCall) timedOut() {
+	d := x.discovery
+	if !x.extended && x.conn != nil && x.conn.Unread() { // the delay was in this process
+		x.extended = true
+		x.timer = d.Engine.After(agentTimeout, x.timedOut)
 		return
 	}
-	if x.first || x.reload || !d.on {
+	if x.newWatch || x.reload || !d.watching {
 		x.end(nil, noAnswer)
 		return
 	}
 	x.drop()
 	d.Engine.Counts.ListFailed++
-	slog.Warn("watch of the worker list has fallen silent", named(d.Service, "after", d.Engine.Now()-x.began)...)
-	d.call(true, false)
+	slog.Warn("watch of the worker list has fallen silent", withService(d.Service, "after", d.Engine.Now()-x.startedAt)...)
+	d.startCall(true, false)
 }
 
 const noAnswer = "no answer"
 
-// end ends the call, renews the watch and tells the news, in that order: the renewal may not wait.
-func (x *listCall) end(l *list, why string) {
-	if x.over {
+// end ends the call, renews the watch and reports the result, in that order, because the renewal must not be delayed.
+func (x *listCall) end(answer *listMessage, reason string) {
+	if x.ended {
 		return
 	}
-	d := x.d
+	d := x.discovery
 	x.drop()
-	took := time.Duration(d.Engine.Now()-x.began) * time.Microsecond
-	if l == nil {
-		if why == noAnswer {
-			d.Cadence.Silent()
+	took := time.Duration(d.Engine.Now()-x.startedAt) * time.Microsecond
+	if answer == nil {
+		if reason == noAnswer {
+			d.Cadence.TimedOut()
 		} else {
 			d.Cadence.Failed()
 		}
-		slog.Warn("worker list call failed", named(d.Service, "why", why)...)
+		slog.Warn("worker list call failed", withService(d.Service, "why", reason)...)
 		d.Engine.Announce(decide.ListFailed, nil)
-		if d.FromAgent && d.on && d.calling == nil && d.waiting == nil { // the module does not ask again
-			d.laterBy(agentPause, true)
+		if d.FromAgent && d.watching && d.pendingCall == nil && d.nextCall == nil { // the dispatcher does not call again
+			d.scheduleAfter(agentRetryDelay, true)
 		}
 		return
 	}
-	slog.Debug("worker list", named(d.Service, "index", l.Index, "from", d.index, "lines", len(l.Endpoints), "took", took)...)
-	queued := x.first || x.reload || l.Index > d.index+1
+	slog.Debug("worker list", withService(d.Service, "index", answer.Index, "from", d.index, "lines", len(answer.Endpoints), "took", took)...)
+	queued := x.newWatch || x.reload || answer.Index > d.index+1
 	d.Cadence.Answered(took, queued)
 	if queued {
 		d.Engine.Counts.ListWait = max(d.Engine.Counts.ListWait, took)
 	}
-	if !l.Snapshot && !x.reload && l.Index < d.index && d.toldAt <= x.began {
-		// Changes up to a version before ours are not those that we lack: only the whole list tells where we stand.
-		slog.Warn("worker list went back", named(d.Service, "index", l.Index, "from", d.index)...)
-		d.foreign = true
-		d.call(false, true)
+	if !answer.Snapshot && !x.reload && answer.Index < d.index && d.relayedAt <= x.startedAt {
+		// A delta up to an older index does not contain the missing changes; only a whole list is usable.
+		slog.Warn("worker list went back", withService(d.Service, "index", answer.Index, "from", d.index)...)
+		d.needSnapshot = true
+		d.startCall(false, true)
 		return
 	}
-	stale := d.toldAt > x.began && l.Index < d.index // another process has told us more meanwhile
+	stale := d.relayedAt > x.startedAt && answer.Index < d.index // another process has relayed a newer update during the call
 	if stale {
-		l.Index = d.index
-	} else if d.OnUpdate != nil && (l.Snapshot || len(l.Endpoints) > 0) {
-		d.OnUpdate(l.Index, x.body)
+		answer.Index = d.index
+	} else if d.OnUpdate != nil && (answer.Snapshot || len(answer.Endpoints) > 0) {
+		d.OnUpdate(answer.Index, x.body)
 	}
-	d.index, d.foreign = l.Index, false
+	d.index, d.needSnapshot = answer.Index, false
 	switch {
-	case d.wanted:
-		d.call(false, true)
-	case d.on:
-		d.later(false)
+	case d.reloadWanted:
+		d.startCall(false, true)
+	case d.watching:
+		d.scheduleNext(false)
 	}
 	switch {
 	case stale:
 		d.Engine.Announce(decide.ListDelta, nil)
-	case l.Snapshot || x.reload:
-		d.Engine.Announce(decide.ListFull, l.entries())
-	case x.first || len(l.Endpoints) > 0:
-		d.Engine.Announce(decide.ListDelta, l.entries())
+	case answer.Snapshot || x.reload:
+		d.Engine.Announce(decide.ListFull, answer.entries())
+	case x.newWatch || len(answer.Endpoints) > 0:
+		d.Engine.Announce(decide.ListDelta, answer.entries())
 	}
 }
 
-// drop ends the call without a word to the module.
+// drop ends the call without reporting to the dispatcher.
 func (x *listCall) drop() {
-	x.over = true
-	x.d.calling = nil
+	x.ended = true
+	x.discovery.pendingCall = nil
 	x.timer.Stop()
-	if x.giveUp != nil {
-		x.giveUp()
+	if x.cancelDial != nil {
+		x.cancelDial()
 	}
 	if x.conn != nil {
 		x.conn.Close()
