--- a/internal/placement/distrust.go
+++ b/internal/placement/distrust.go
@@ -6,36 +6,38 @@
 	"weldscale/decide"
 )
 
-// believed is how many peers must complain of a worker before the dispatcher ejects it. The controllers have weighed the word
-// of several routers, so theirs counts as much.
-const believed = 2
+// complaintsToEject is the number of peer complaints after which the dispatcher ejects a worker. The controllers name a worker
+// only after several routers reported it, so one report of theirs counts as this many.
+const complaintsToEject = 2
 
-// MarkSuspect keeps work off workers that other routers complain of, for a term and within the dispatcher's bounds.
+// MarkSuspect passes on that other routers complain of these workers. The dispatchers eject them for a limited time, and limit how
+// many workers are ejected at once.
 func (p *Placer) MarkSuspect(workers []string) {
 	if len(workers) == 0 {
 		return
 	}
 	p.mu.RLock()
 	pools := make([]*pool, 0, len(p.pools))
-	for _, target := range p.pools {
-		pools = append(pools, target)
+	for _, workerPool := range p.pools {
+		pools = append(pools, workerPool)
 	}
 	p.mu.RUnlock()
-	for _, target := range pools {
-		target.distrust(workers)
+	for _, workerPool := range pools {
+		workerPool.markSuspect(workers)
 	}
 }
 
-func (p *pool) distrust(workers []string) {
-	p.call(func(now decide.Time) {
+// markSuspect passes complaints of the given workers to the dispatcher. It ignores workers that are not in the pool.
+func (p *pool) markSuspect(workers []string) {
+	p.withDispatcher(func(now decide.Time) {
 		for _, name := range workers {
-			id, known := p.ids[name]
+			id, known := p.workerIDs[name]
 			if !known {
 				continue
 			}
 			message := binary.BigEndian.AppendUint64(nil, uint64(id))
-			for range believed {
-				p.dispatch.Told(now, 0, message)
+			for range complaintsToEject {
+				p.dispatcher.Told(now, 0, message)
 			}
 		}
 	})
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,6 +1,6 @@
-// Package placement decides which worker runs a request, for each stage of it. It drives the dispatcher of package decide:
-// two random ready workers of the needed stage, a probe of both, and the lighter one gets the push. It owns the retry
-// budget and the table of workers; it never sees the message of a client: its caller sends the push and says how it ended.
+// Package placement chooses the worker for each stage of a request by the power of two choices: it probes two random ready workers
+// with a dispatcher of package decide and picks the less loaded one. It owns the retry budget and the table of workers; its caller
+// sends the request to the chosen worker and reports the result.
 package placement
 
 import (
@@ -10,21 +10,21 @@
 	"weldscale/internal/fleetwire"
 )
 
-// Result tells how a push to a worker ended.
+// Result is the result of one push, that is one attempt to run a job on a worker.
 type Result uint8
 
 // The results of a push.
 const (
-	ResultServed           Result = iota // the worker's final answer was had (any answer that counts as run)
-	ResultNotExecuted                    // the worker said that it did not run it: Not-Executed or 421
-	ResultConnectFailed                  // no connection came about, nothing was sent
-	ResultConnectionBroken               // sent, and the connection broke: it may have run
-	ResultTimedOut                       // sent, and no answer came in time: it may have run, or may still
-	ResultFailed                         // the worker answered with a failure of its own: it ran
-	ResultCancelled                      // the client left
+	ResultServed           Result = iota // the worker's final answer arrived (any answer that counts as run)
+	ResultNotExecuted                    // the worker answered that it did not run the job: Not-Executed or 421
+	ResultConnectFailed                  // no connection was established, nothing was sent
+	ResultConnectionBroken               // sent, but the connection broke: the job may have run
+	ResultTimedOut                       // sent, but no answer came in time: the job may have run or still run
+	ResultFailed                         // the worker answered with an error of its own: the job ran
+	ResultCancelled                      // the client disconnected
 )
 
-// mayHaveRun tells whether the worker may have begun the work.
+// mayHaveRun reports whether the worker may have started the job.
 func (r Result) mayHaveRun() bool {
 	switch r {
 	case ResultNotExecuted, ResultConnectFailed:
@@ -34,9 +34,9 @@
 	}
 }
 
-// PromptPart is one shared piece of a prompt, named by its hash.
+// PromptPart is one part of a prompt that other prompts may share.
 type PromptPart struct {
-	ID     string
+	ID     string // hash of the part
 	Tokens int
 }
 
@@ -49,37 +49,36 @@
 	Deadline      time.Time // the earlier of the client's deadline and the route's timeout
 	PromptTokens  int
 	OutputTokens  int
-	PromptParts   []PromptPart // in order; nil where unknown
-	PreferredZone string       // where the memory of the prompt lies; empty: no preference
-	RunsPrefill   bool         // with StageDecode: the worker reads the prompt itself
-	Repeatable    bool         // it may run more than once
-	MaxRuns       int          // the largest number of workers that may run it
-	// FirstPushFree says that the first push draws nothing from the retry budget: it is the request's first arrival at the
-	// service, or the first reading of its prompt. It is false where an earlier call of Place has sent the request to the
-	// service already.
+	PromptParts   []PromptPart // in order; nil if unknown
+	PreferredZone string       // zone of the worker that holds the prompt's KV cache; empty: no preference
+	RunsPrefill   bool         // with StageDecode: the worker also runs the prefill
+	Repeatable    bool         // the job may run more than once
+	MaxRuns       int          // maximum number of workers that may run the job
+	// FirstPushFree exempts the first push from the retry budget, because it is the request's first arrival at the service or
+	// the first prefill of its prompt. It is false if an earlier call of Place has already sent the request to the service.
 	FirstPushFree bool
-	Runs          int // workers that may have run it before this call
+	Runs          int // workers that may have run the job before this call
 }
 
-// Decision tells what the client is to be told when no worker served the job.
+// Decision says whether a worker served the job and, if none did, how to answer the client.
 type Decision uint8
 
 // The decisions.
 const (
 	DecisionServed  Decision = iota
-	DecisionRefused          // it has not run and never will: 503 with Retry-After
-	DecisionFailed           // it may have run: 502 or 504
+	DecisionRefused          // the job has not run and never will: 503 with Retry-After
+	DecisionFailed           // the job may have run: 502 or 504
 )
 
-// JobOutcome is the end of a placed job.
+// JobOutcome is the outcome of a call of Place.
 type JobOutcome struct {
 	Decision   Decision
 	RetryAfter time.Duration // with DecisionRefused
-	Runs       int           // workers that may have run it, Job.Runs included
-	Arrivals   int           // pushes of this call that arrived at a worker, taken up or not
+	Runs       int           // workers that may have run the job, including Job.Runs
+	Arrivals   int           // pushes of this call that reached a worker, accepted or not
 }
 
-// Push sends the job to the worker and returns once its part is over. It is called by Place, in Place's goroutine, one at
-// a time. Before the first byte is sent it must call ready; if that returns false the worker must not be used any
-// more (it drains by now, or is gone) and the push returns ResultNotExecuted unsent.
+// Push sends the job to the worker and returns its result once the worker's part is over. Place calls it in its own goroutine, one
+// call at a time. Push must call ready before it sends the first byte. If ready returns false, the worker is draining or gone: Push
+// must send nothing and return ResultNotExecuted.
 type Push func(ctx context.Context, target fleetwire.Instance, ready func() bool) Result
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -183,7 +183,7 @@
 		placer.Update(snapshot(1, list))
 		job := testJob("prefill")
 		job.PromptParts = []PromptPart{{"head", 500}, {"book", 2000}, {"own", 500}}
-		keeper := home("book", list)
+		keeper := prefixHolder("book", list)
 		push := func(targets *[]string) Push {
 			return func(_ context.Context, w fleetwire.Instance, ready func() bool) Result {
 				ready()
@@ -228,14 +228,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		list := workers("prefill", rapid.IntRange(2, 40).Draw(t, "workers"))
 		prefix := rapid.StringMatching(`[0-9a-f]{8}`).Draw(t, "prefix")
-		keeper := home(prefix, list)
+		keeper := prefixHolder(prefix, list)
 		shuffled := slices.Clone(list)
 		rand.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
-		if home(prefix, shuffled) != keeper {
+		if prefixHolder(prefix, shuffled) != keeper {
 			t.Fatal("the home depends on the order of the list")
 		}
 		gone := rapid.IntRange(0, len(list)-1).Draw(t, "gone")
-		if list[gone].ID != keeper && home(prefix, slices.Delete(slices.Clone(list), gone, gone+1)) != keeper {
+		if list[gone].ID != keeper && prefixHolder(prefix, slices.Delete(slices.Clone(list), gone, gone+1)) != keeper {
 			t.Fatal("a prefix moved though its worker stayed")
 		}
 	})
@@ -390,7 +390,7 @@
 		require.Len(t, prober.probed, 2, "one probe of each worker serves draws that follow within moments")
 		slices.Sort(targets)
 		require.Equal(t, []string{"decode-0", "decode-0", "decode-1", "decode-1"}, targets, "own pushes count beside the shared report")
-		time.Sleep(reportShare)
+		time.Sleep(probeReuse)
 		go place()
 		time.Sleep(2 * time.Millisecond)
 		synctest.Wait()
@@ -406,7 +406,7 @@
 		job := testJob("prefill")
 		job.PromptTokens = 6000
 		job.PromptParts = []PromptPart{{"head", 512}, {"book", 4608}, {"own", 880}} // 5 units are held
-		keeper := home("book", list)
+		keeper := prefixHolder("book", list)
 		for _, running := range []int{1, 7} { // 4 units each: less and more than what 5 held ones count and a probe is worth
 			prober := &fakeProber{reports: map[string]Report{keeper: {Running: running}}}
 			placer := newTestPlacer(prober)
@@ -511,7 +511,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		list := workers("prefill", 8)
 		parts := []PromptPart{{"book", 4608}, {"own", 880}}
-		keeper := home("book", list)
+		keeper := prefixHolder("book", list)
 		for _, trial := range []struct {
 			parts   []PromptPart
 			running int // at the holder
@@ -551,7 +551,7 @@
 		place()
 		require.Len(t, prober.probed, 2, "an answer completes a report and does not replace it")
 
-		for begun := time.Now(); time.Since(begun) < reportKept-answerShare; time.Sleep(answerShare / 2) {
+		for begun := time.Now(); time.Since(begun) < maxReportAge-answerLoadReuse; time.Sleep(answerLoadReuse / 2) {
 			placer.ObserveLoad(&list[0], Load{Running: 5})
 			placer.ObserveLoad(&list[1], Load{Running: 2})
 			require.Equal(t, "decode-1", place())
@@ -560,7 +560,7 @@
 		}
 		require.Len(t, prober.probed, 2)
 
-		time.Sleep(reportKept)
+		time.Sleep(maxReportAge)
 		placer.ObserveLoad(&list[0], Load{Running: 5})
 		placer.ObserveLoad(&list[1], Load{Running: 2})
 		place()
@@ -588,7 +588,7 @@
 		time.Sleep(2 * time.Millisecond)
 		placer.ObserveLoad(&list[0], Load{Running: 1})
 		go place()
-		time.Sleep(reportShare + time.Millisecond)
+		time.Sleep(probeReuse + time.Millisecond)
 		synctest.Wait()
 		require.Len(t, prober.probed, 1)
 		go place()
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -15,39 +15,40 @@
 )
 
 const (
-	// slackShare is the part of the budget's free extras that routers spend; the rest is for those that start anew.
-	slackShare = 0.6
-	// ratioShare is the part of the ratio that is spent: what a request counts as is known only roughly.
-	ratioShare = 0.8
-	// Refused clients come back after about this span, when a burst has moved on but their aim may yet be met.
-	retryAfterLeast = 150 * time.Millisecond
-	retryAfterMost  = 600 * time.Millisecond
+	// slackFraction is the part of the budget's slack that routers spend. The rest covers routers that restart with a new budget.
+	slackFraction = 0.6
+	// ratioFraction is the part of the budget's ratio that routers spend, since it is not known exactly what counts as a request.
+	ratioFraction = 0.8
+	// The Retry-After of refused clients is random between these bounds: a burst is over by then, but the target latency may still be met.
+	minRetryAfter = 150 * time.Millisecond
+	maxRetryAfter = 600 * time.Millisecond
 )
 
-// AssumedRouters is the number of routers that share workers and budgets until the controllers tell it: rather too many.
+// AssumedRouters is the number of routers that are assumed to share the workers and budgets until the controllers report the actual
+// number. It is high on purpose, so that each router spends too little rather than too much.
 const AssumedRouters = 32
 
-// Options are what a placer is made of.
+// Options configure a Placer.
 type Options struct {
 	Zone         string
 	Zones        []string // all zones of the deployment
 	BudgetRatio  float64
 	BudgetSlack  float64
 	BudgetWindow time.Duration
-	Prober       Prober // nil: by HTTP
+	Prober       Prober // nil: an HTTP prober
 	Log          *zap.Logger
 }
 
-// Placer places the work of all services of one router.
+// Placer chooses workers for the jobs of all services of one router. It is safe for concurrent use.
 type Placer struct {
-	options Options
-	start   time.Time
-	zones   map[string]int
-	mu      sync.RWMutex
-	pools   map[poolKey]*pool
-	budgets map[string]*RetryBudget
-	version atomic.Pointer[fleetwire.Version]
-	routers int
+	options     Options
+	startedAt   time.Time      // origin of the dispatchers' clock
+	zoneNumbers map[string]int // dispatchers number the zones; the own one is 0
+	mu          sync.RWMutex   // guards pools, budgets and routerCount
+	pools       map[poolKey]*pool
+	budgets     map[string]*RetryBudget
+	version     atomic.Pointer[fleetwire.Version]
+	routerCount int
 }
 
 type poolKey struct{ service, stage string }
@@ -57,24 +58,24 @@
 	if options.Prober == nil {
 		options.Prober = NewHTTPProber()
 	}
-	p := &Placer{options: options, start: time.Now(), zones: map[string]int{}, pools: map[poolKey]*pool{},
-		budgets: map[string]*RetryBudget{}, routers: AssumedRouters}
-	p.zones[options.Zone] = 0
+	p := &Placer{options: options, startedAt: time.Now(), zoneNumbers: map[string]int{}, pools: map[poolKey]*pool{},
+		budgets: map[string]*RetryBudget{}, routerCount: AssumedRouters}
+	p.zoneNumbers[options.Zone] = 0
 	for _, zone := range options.Zones {
-		if _, known := p.zones[zone]; !known {
-			p.zones[zone] = len(p.zones)
+		if _, known := p.zoneNumbers[zone]; !known {
+			p.zoneNumbers[zone] = len(p.zoneNumbers)
 		}
 	}
 	return p
 }
 
-func (p *Placer) now() decide.Time { return time.Since(p.start).Microseconds() }
+func (p *Placer) now() decide.Time { return time.Since(p.startedAt).Microseconds() }
 
-// Update takes a newer snapshot of the fleet.
+// Update applies a newer snapshot of the fleet.
 func (p *Placer) Update(snapshot *watch.Snapshot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.setRouters(snapshot.Routers)
+	p.setRouterCount(snapshot.Routers)
 	if old := p.version.Load(); old != nil && *old == snapshot.Version {
 		return
 	}
@@ -90,12 +91,13 @@
 	}
 	slots := configuredSlots(snapshot.Config)
 	for key, list := range lists {
-		if target := p.pool(key); target != nil {
-			target.setWorkers(list, slotsOf(slots[key.service], list))
+		if workerPool := p.poolFor(key); workerPool != nil {
+			workerPool.setWorkers(list, slotsPerWorker(slots[key.service], list))
 		}
 	}
 }
 
+// configuredSlots returns the configured slots of a worker by service, for services that have an engine.
 func configuredSlots(config *fleetwire.Config) map[string]int {
 	slots := map[string]int{}
 	if config == nil {
@@ -109,87 +111,93 @@
 	return slots
 }
 
-func slotsOf(configured int, list []fleetwire.Instance) int {
+// slotsPerWorker returns the configured slots or, if there are none, those of the first listed worker.
+func slotsPerWorker(configured int, list []fleetwire.Instance) int {
 	if configured > 0 || len(list) == 0 {
 		return max(1, configured)
 	}
 	return max(1, list[0].Slots)
 }
 
-func (p *Placer) setRouters(routers int) {
-	if routers <= 0 || routers == p.routers {
+// setRouterCount divides the budgets' slack among a new number of routers. The caller holds the lock.
+func (p *Placer) setRouterCount(routers int) {
+	if routers <= 0 || routers == p.routerCount {
 		return
 	}
-	p.routers = routers
+	p.routerCount = routers
 	for _, budget := range p.budgets {
 		budget.SetSlack(p.slack())
 	}
 }
 
-func (p *Placer) slack() float64 { return p.options.BudgetSlack * slackShare / float64(p.routers) }
+// slack returns this router's part of the budgets' slack.
+func (p *Placer) slack() float64 {
+	return p.options.BudgetSlack * slackFraction / float64(p.routerCount)
+}
 
-// pool returns the pool of a service and stage, made on first use. The caller holds the lock.
-func (p *Placer) pool(key poolKey) *pool {
-	if known := p.pools[key]; known != nil {
-		return known
+// poolFor returns the pool of a service and stage, and creates it on first use. The caller holds the lock.
+func (p *Placer) poolFor(key poolKey) *pool {
+	if existing := p.pools[key]; existing != nil {
+		return existing
 	}
-	made, err := newPool(poolSettings{stage: key.stage, zones: p.zones, zone: 0, prober: p.options.Prober, now: p.now})
+	created, err := newPool(poolSettings{stage: key.stage, zoneNumbers: p.zoneNumbers, ownZone: 0, prober: p.options.Prober, now: p.now})
 	if err != nil {
 		p.options.Log.Error("no dispatcher", zap.String("service", key.service), zap.Error(err))
 		return nil
 	}
-	p.pools[key] = made
-	return made
+	p.pools[key] = created
+	return created
 }
 
-// Place finds a worker for a job and lets push send it, again as long as the rules allow, and returns how it ended.
+// Place chooses a worker for the job and calls push to send it there. If the push fails, Place retries on other workers within the
+// job's limits and the retry budget. It returns when the job is served, refused or failed, or when ctx is done.
 func (p *Placer) Place(ctx context.Context, job Job, push Push) JobOutcome {
 	p.mu.RLock()
-	target := p.pools[poolKey{job.Service, job.Stage}]
+	workerPool := p.pools[poolKey{job.Service, job.Stage}]
 	p.mu.RUnlock()
 	p.countRequest(&job)
-	if target == nil {
-		return p.refused(&job, job.Runs)
+	if workerPool == nil {
+		return p.refusedOutcome(&job, job.Runs)
 	}
-	id, placed := target.arrive(&job)
-	defer target.forget(id)
+	id, active := workerPool.submit(&job)
+	defer workerPool.removeJob(id)
 	runs := job.Runs
 	for pushes := 0; ; {
-		verdict := JobOutcome{Decision: DecisionFailed, Runs: runs, Arrivals: pushes}
+		outcome := JobOutcome{Decision: DecisionFailed, Runs: runs, Arrivals: pushes}
 		select {
 		case <-ctx.Done():
-			target.call(func(now decide.Time) { target.dispatch.Hangup(now, id) })
-			return verdict
-		case refused := <-placed.ended:
+			workerPool.withDispatcher(func(now decide.Time) { workerPool.dispatcher.Hangup(now, id) })
+			return outcome
+		case refused := <-active.finished:
 			if refused && runs == 0 {
-				return p.refused(&job, runs)
+				return p.refusedOutcome(&job, runs)
 			}
-			return verdict
-		case order := <-placed.pushes:
+			return outcome
+		case command := <-active.pushes:
 			if !p.mayPush(&job, pushes, runs) {
-				target.outcome(id, order, decide.Moot)
-				target.call(func(now decide.Time) { target.dispatch.GiveUp(now, id) })
+				workerPool.reportOutcome(id, command, decide.Moot)
+				workerPool.withDispatcher(func(now decide.Time) { workerPool.dispatcher.GiveUp(now, id) })
 				if runs == 0 {
-					return p.refused(&job, runs)
+					return p.refusedOutcome(&job, runs)
 				}
-				return verdict
+				return outcome
 			}
-			result, sent := target.send(ctx, placed, order, push)
+			result, sent := workerPool.send(ctx, active, command, push)
 			if !sent {
-				target.outcome(id, order, decide.Moot)
-				p.unspend(&job, pushes)
+				workerPool.reportOutcome(id, command, decide.Moot)
+				p.refundPush(&job, pushes)
 				continue
 			}
 			if result == ResultConnectFailed {
-				p.unspend(&job, pushes) // it arrived nowhere
+				p.refundPush(&job, pushes) // it reached no worker
 			} else {
-				p.settleReading(&job, pushes, runs, result)
+				p.settlePrefillBudget(&job, pushes, runs, result)
 				pushes++
 			}
 			if result.mayHaveRun() {
 				runs++
 			}
-			target.outcome(id, order, statusOf[result])
+			workerPool.reportOutcome(id, command, dispatchStatus[result])
 			if result == ResultServed {
 				return JobOutcome{Decision: DecisionServed, Runs: runs, Arrivals: pushes}
 			}
@@ -197,36 +205,37 @@
 	}
 }
 
-// ObserveLoad takes in the load that a worker told with an answer: the next draws of that worker need no probe for a while.
+// ObserveLoad records the load that a worker reported with an answer. For a short time the worker then needs no probe.
 func (p *Placer) ObserveLoad(target *fleetwire.Instance, load Load) {
 	p.mu.RLock()
-	known := p.pools[poolKey{target.Service, target.Stage}]
+	workerPool := p.pools[poolKey{target.Service, target.Stage}]
 	p.mu.RUnlock()
-	if known != nil {
-		known.answered(target.ID, load)
+	if workerPool != nil {
+		workerPool.observeLoad(target.ID, load)
 	}
 }
 
-// countRequest notes a request in the budget of its service; the reading of a prompt is no request of its own.
+// countRequest counts a request in the retry budget of its service. The prefill of a prompt does not count as a separate request.
 func (p *Placer) countRequest(job *Job) {
 	if job.Stage == fleetwire.StagePrefill {
 		return
 	}
 	p.mu.Lock()
-	p.budget(job.Service).CountRequest(time.Since(p.start))
+	p.budgetFor(job.Service).CountRequest(time.Since(p.startedAt))
 	p.mu.Unlock()
 }
 
-func (p *Placer) budget(service string) *RetryBudget {
+// budgetFor returns the retry budget of a service, and creates it on first use. The caller holds the lock.
+func (p *Placer) budgetFor(service string) *RetryBudget {
 	budget := p.budgets[service]
 	if budget == nil {
-		budget = NewRetryBudget(p.options.BudgetRatio*ratioShare, p.slack(), p.options.BudgetWindow)
+		budget = NewRetryBudget(p.options.BudgetRatio*ratioFraction, p.slack(), p.options.BudgetWindow)
 		p.budgets[service] = budget
 	}
 	return budget
 }
 
-// mayPush keeps the bounds of one request and of all.
+// mayPush reports whether the job's limits and the retry budget allow one more push, and takes it from the budget.
 func (p *Placer) mayPush(job *Job, pushes, runs int) bool {
 	if runs >= max(1, job.MaxRuns) || runs > 0 && !job.Repeatable {
 		return false
@@ -236,12 +245,12 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.budget(job.Service).TrySpend(time.Since(p.start))
+	return p.budgetFor(job.Service).TrySpend(time.Since(p.startedAt))
 }
 
-// settleReading corrects the budget after a reading of a prompt: the first one that a worker takes up is no extra arrival, the
-// rejected ones are.
-func (p *Placer) settleReading(job *Job, pushes, runs int, result Result) {
+// settlePrefillBudget corrects the retry budget after a push of a prefill. The first prefill that a worker accepts is no extra
+// arrival, while rejected ones are.
+func (p *Placer) settlePrefillBudget(job *Job, pushes, runs int, result Result) {
 	if job.Stage != fleetwire.StagePrefill {
 		return
 	}
@@ -250,33 +259,34 @@
 	free := pushes == 0 && job.FirstPushFree
 	switch {
 	case free && !result.mayHaveRun():
-		p.budget(job.Service).Charge(time.Since(p.start))
+		p.budgetFor(job.Service).Charge(time.Since(p.startedAt))
 	case !free && result.mayHaveRun() && runs == job.Runs:
-		p.budget(job.Service).Refund()
+		p.budgetFor(job.Service).Refund()
 	}
 }
 
-// unspend gives back what mayPush took from the budget for a push that was not sent.
-func (p *Placer) unspend(job *Job, pushes int) {
+// refundPush returns to the retry budget what mayPush took for a push that reached no worker.
+func (p *Placer) refundPush(job *Job, pushes int) {
 	if pushes == 0 && job.FirstPushFree {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.budget(job.Service).Refund()
+	p.budgetFor(job.Service).Refund()
 }
 
-// refused is the verdict on a job that no worker has run: its client may come back soon.
-func (p *Placer) refused(job *Job, runs int) JobOutcome {
+// refusedOutcome returns the outcome of a job that is not pushed any more: refused with a random Retry-After if no worker has run
+// it, else failed.
+func (p *Placer) refusedOutcome(job *Job, runs int) JobOutcome {
 	if runs > 0 {
 		return JobOutcome{Decision: DecisionFailed, Runs: runs}
 	}
-	span := retryAfterLeast + rand.N(retryAfterMost-retryAfterLeast)
-	return JobOutcome{Decision: DecisionRefused, RetryAfter: span, Runs: runs}
+	retryAfter := minRetryAfter + rand.N(maxRetryAfter-minRetryAfter)
+	return JobOutcome{Decision: DecisionRefused, RetryAfter: retryAfter, Runs: runs}
 }
 
-// statusOf is the dispatcher's word for a result.
-var statusOf = map[Result]decide.Status{
+// dispatchStatus maps the result of a push to the dispatcher's status of an attempt.
+var dispatchStatus = map[Result]decide.Status{
 	ResultServed:           decide.Served,
 	ResultNotExecuted:      decide.Full,
 	ResultConnectFailed:    decide.ConnectFailed,
@@ -286,24 +296,24 @@
 	ResultCancelled:        decide.Cancelled,
 }
 
-// send lets push send the job to the worker that an order names. It reports false if nothing was sent.
-func (p *pool) send(ctx context.Context, placed *placedJob, order pushOrder, push Push) (Result, bool) {
-	instance, listed := p.target(order.worker)
+// send calls push for the worker that the command names. It returns false if nothing was sent.
+func (p *pool) send(ctx context.Context, active *activeJob, command pushCommand, push Push) (Result, bool) {
+	instance, listed := p.instance(command.worker)
 	if !listed {
 		return ResultNotExecuted, false
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	p.mu.Lock()
-	placed.cancel = cancel
+	active.cancel = cancel
 	p.mu.Unlock()
 	sent := false
 	result := push(ctx, instance, func() bool {
-		sent = p.usable(order.worker)
+		sent = p.usable(command.worker)
 		return sent
 	})
 	p.mu.Lock()
-	placed.cancel = nil
+	active.cancel = nil
 	p.mu.Unlock()
 	return result, sent || result != ResultNotExecuted
 }
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -12,88 +12,92 @@
 )
 
 const (
-	// reportShare is how long the answer of a probe serves other draws of the same worker. Workers tell their load as it was
-	// some 100 ms ago, so a probe within this time brings little that is new, and our own pushes are counted beside the report.
-	reportShare = 100 * time.Millisecond
-	// answerShare is how long the load that an answer told serves draws of that worker: it is of that moment, not of some
-	// 100 ms before, and had without a probe.
-	answerShare = 350 * time.Millisecond
-	// reportKept is how long a report is completed by what answers tell since. They tell nothing of memory.
-	reportKept = time.Second
-	maxPushes  = 8                     // of one stage of a request, those included that were refused unseen
-	guessedRun = 4                     // a stage is taken to need the aim divided by this, until one was seen
-	echoNoise  = 30 * time.Millisecond // a router that shares its core answers late by that itself
-	maxClasses = 512                   // beyond it a class is shared: routes come and go
+	// probeReuse is how long the report of a probe is reused for later choices. Workers report their load as it was some 100 ms ago,
+	// so a new probe within this time tells little more, and the dispatcher adds this router's own pushes to the report.
+	probeReuse = 100 * time.Millisecond
+	// answerLoadReuse is how long the load that came with an answer is reused. It may be longer than probeReuse, since this load
+	// was current when the answer was sent, not some 100 ms old, and took no probe.
+	answerLoadReuse = 350 * time.Millisecond
+	// maxReportAge is how long the loads of answers may update a report. They don't include memory, so a new report is needed then.
+	maxReportAge      = time.Second
+	maxPushes         = 8                     // limit for one stage of a request, including pushes rejected without a run
+	runGuessDivisor   = 4                     // before the first jobs, a stage is assumed to take the target latency divided by this
+	probeLatencyNoise = 30 * time.Millisecond // delay that a router on a shared core may itself add to a probe
+	maxClasses        = 512                   // jobs share a class beyond it, since routes change and classes are never removed
 )
 
-// pool places the work of one service and stage. It gives the dispatcher what it owes it (one call at a time, a clock, timers)
-// and carries out its actions once the call has returned.
+// pool chooses workers for the jobs of one service and stage. It drives a dispatcher: it serializes the calls, provides the clock
+// and the timers, and carries out the dispatcher's actions.
 type pool struct {
-	settings poolSettings
-	mu       sync.Mutex
-	dispatch *decide.Dispatcher
-	actions  []func()
-	jobs     map[uint32]*placedJob
-	lastJob  uint32
-	ids      map[string]decide.WorkerID
-	workers  map[decide.WorkerID]*worker
-	lastID   decide.WorkerID
-	ready    []fleetwire.Instance // replaced whole
-	classes  map[classKey]int
-	slots    int // of one worker, as configured
-	units    float64
-	blind    bool // its workers have no report
+	settings           poolSettings
+	mu                 sync.Mutex // guards the dispatcher and all fields below
+	dispatcher         *decide.Dispatcher
+	actions            []func() // to be carried out after the current call of the dispatcher
+	jobs               map[uint32]*activeJob
+	lastJobID          uint32
+	workerIDs          map[string]decide.WorkerID
+	workers            map[decide.WorkerID]*worker
+	lastWorkerID       decide.WorkerID
+	readyWorkers       []fleetwire.Instance // replaced as a whole, never modified
+	classes            map[classKey]int
+	slotsPerWorker     int     // as configured, or as the first worker states them
+	meanPromptUnits    float64 // moving mean of the units that a prompt takes
+	reportsUnsupported bool    // a worker answered a probe without a report; none is probed any more
 }
 
 type poolSettings struct {
-	stage  string
-	zones  map[string]int // numbers of the zones
-	zone   int            // our own
-	prober Prober
-	now    func() decide.Time
+	stage       string
+	zoneNumbers map[string]int // numbers by zone name
+	ownZone     int            // number of this router's zone
+	prober      Prober
+	now         func() decide.Time
 }
 
+// worker holds a listed worker and its last load report.
 type worker struct {
-	instance fleetwire.Instance
-	report   Report
-	reportAt decide.Time
-	useUntil decide.Time   // the report serves draws until then
-	probing  []decide.Time // when each probe was asked for that waits for the answer under way
+	instance      fleetwire.Instance
+	report        Report
+	reportAt      decide.Time
+	reusableUntil decide.Time   // until then, the report is reused instead of a new probe
+	pendingProbes []decide.Time // times of the probe requests that wait for the probe in flight
 }
 
+// classKey holds the properties of jobs that share a class of the dispatcher.
 type classKey struct {
-	repeatable bool
-	aim        time.Duration
-	deadline   time.Duration
-	priority   int
+	repeatable    bool
+	targetLatency time.Duration
+	deadline      time.Duration
+	priority      int
 }
 
-// placedJob is a job in Place's hands, as the dispatcher's actions reach it.
-type placedJob struct {
-	pushes chan pushOrder
-	ended  chan bool // true: refused, false: failed
-	timers []*time.Timer
-	cancel context.CancelFunc // of the push under way; nil between pushes
-	pushed int                // pushes ordered so far
+// activeJob connects the dispatcher's actions for a job to the call of Place that runs it.
+type activeJob struct {
+	pushes    chan pushCommand
+	finished  chan bool // true: refused, false: failed
+	timers    []*time.Timer
+	cancel    context.CancelFunc // cancels the current push; nil between pushes
+	pushCount int                // pushes requested so far
 }
 
-type pushOrder struct {
+// pushCommand is the dispatcher's decision to push a job to a worker.
+type pushCommand struct {
 	attempt int
 	worker  decide.WorkerID
 }
 
+// newPool returns a pool without workers.
 func newPool(settings poolSettings) (*pool, error) {
-	p := &pool{settings: settings, jobs: map[uint32]*placedJob{}, ids: map[string]decide.WorkerID{},
-		workers: map[decide.WorkerID]*worker{}, classes: map[classKey]int{}, units: usualUnits}
-	first := classKey{aim: time.Second, deadline: time.Second}
-	dispatch, err := decide.New(decide.Settings{
+	p := &pool{settings: settings, jobs: map[uint32]*activeJob{}, workerIDs: map[string]decide.WorkerID{},
+		workers: map[decide.WorkerID]*worker{}, classes: map[classKey]int{}, meanPromptUnits: initialPromptUnits}
+	defaultClass := classKey{targetLatency: time.Second, deadline: time.Second}
+	dispatcher, err := decide.New(decide.Settings{
 		Nodes:        AssumedRouters,
-		Zone:         settings.zone,
-		Zones:        len(settings.zones),
-		Classes:      []decide.Class{first.class()},
+		Zone:         settings.ownZone,
+		Zones:        len(settings.zoneNumbers),
+		Classes:      []decide.Class{defaultClass.class()},
 		CanProbe:     true,
-		Unpriced:     true, // no worker tells of a start, and without starts a price would not come down again
-		EchoNoise:    echoNoise.Microseconds(),
+		Unpriced:     true, // workers don't report the start of a job, and without starts the price of slots would never fall again
+		EchoNoise:    probeLatencyNoise.Microseconds(),
 		CanCancel:    true,
 		MaxAttempts:  maxPushes,
 		MaxRetry:     int64(time.Second / time.Microsecond),
@@ -105,22 +109,23 @@
 	if err != nil {
 		return nil, err
 	}
-	p.dispatch = dispatch
-	p.classes[first] = 0
+	p.dispatcher = dispatcher
+	p.classes[defaultClass] = 0
 	return p, nil
 }
 
+// class returns the dispatcher's class for the key.
 func (k classKey) class() decide.Class {
 	effect := decide.Unsafe
 	if k.repeatable {
 		effect = decide.Safe
 	}
-	return decide.Class{Effect: effect, Aim: k.aim.Microseconds(), Deadline: k.deadline.Microseconds(),
+	return decide.Class{Effect: effect, Aim: k.targetLatency.Microseconds(), Deadline: k.deadline.Microseconds(),
 		Worth: float64(max(1, 3-k.priority)), LateWorth: 0.3, Kind: -1}
 }
 
-// call makes one call of the dispatcher and then carries out what it asked for.
-func (p *pool) call(f func(now decide.Time)) {
+// withDispatcher runs a call of the dispatcher under the lock, and then carries out the requested actions without the lock.
+func (p *pool) withDispatcher(f func(now decide.Time)) {
 	p.mu.Lock()
 	f(p.settings.now())
 	actions := p.actions
@@ -131,77 +136,80 @@
 	}
 }
 
-// setWorkers takes a whole new list.
+// setWorkers replaces the list of workers.
 func (p *pool) setWorkers(list []fleetwire.Instance, slots int) {
-	p.call(func(now decide.Time) {
-		p.slots = slots
-		p.ready = readyOf(list)
+	p.withDispatcher(func(now decide.Time) {
+		p.slotsPerWorker = slots
+		p.readyWorkers = readyInstances(list)
 		entries := make([]decide.Worker, 0, len(list))
 		known := make(map[decide.WorkerID]*worker, len(list))
 		for _, instance := range list {
-			id := p.idOf(instance.ID)
+			id := p.workerID(instance.ID)
 			w := p.workers[id]
 			if w == nil {
 				w = &worker{}
 			}
 			w.instance = instance
 			known[id] = w
-			entries = append(entries, decide.Worker{ID: id, Zone: p.settings.zones[instance.Zone], State: stateOf(instance), Weight: 1})
+			entries = append(entries, decide.Worker{ID: id, Zone: p.settings.zoneNumbers[instance.Zone], State: dispatchState(instance), Weight: 1})
 		}
-		for name, id := range p.ids {
+		for name, id := range p.workerIDs {
 			if known[id] == nil {
-				delete(p.ids, name)
+				delete(p.workerIDs, name)
 			}
 		}
 		p.workers = known
-		p.dispatch.Announce(now, decide.ListFull, entries)
+		p.dispatcher.Announce(now, decide.ListFull, entries)
 	})
 }
 
-func stateOf(instance fleetwire.Instance) decide.State {
+// dispatchState maps the state of an instance to the dispatcher's state. Any state but ready counts as draining.
+func dispatchState(instance fleetwire.Instance) decide.State {
 	if instance.State == fleetwire.InstanceReady {
 		return decide.Ready
 	}
 	return decide.Draining
 }
 
-func (p *pool) idOf(name string) decide.WorkerID {
-	id, known := p.ids[name]
+// workerID returns the dispatcher's ID of an instance, and assigns one on first use. The caller holds the lock.
+func (p *pool) workerID(name string) decide.WorkerID {
+	id, known := p.workerIDs[name]
 	if !known {
-		p.lastID++
-		id = p.lastID
-		p.ids[name] = id
+		p.lastWorkerID++
+		id = p.lastWorkerID
+		p.workerIDs[name] = id
 	}
 	return id
 }
 
-// arrive hands a job to the dispatcher.
-func (p *pool) arrive(job *Job) (uint32, *placedJob) {
-	placed := &placedJob{pushes: make(chan pushOrder, 1), ended: make(chan bool, 1)}
+// submit passes a job to the dispatcher and returns its ID there.
+func (p *pool) submit(job *Job) (uint32, *activeJob) {
+	active := &activeJob{pushes: make(chan pushCommand, 1), finished: make(chan bool, 1)}
 	var id uint32
-	p.call(func(now decide.Time) {
-		p.lastJob++
-		id = p.lastJob
-		p.jobs[id] = placed
-		in := decide.Job{ID: id, Class: p.classOf(job), GiveUpAt: now + time.Until(job.Deadline).Microseconds(), Slots: 1}
-		p.weigh(job, &in)
-		if zone, known := p.settings.zones[job.PreferredZone]; known {
+	p.withDispatcher(func(now decide.Time) {
+		p.lastJobID++
+		id = p.lastJobID
+		p.jobs[id] = active
+		in := decide.Job{ID: id, Class: p.classFor(job), GiveUpAt: now + time.Until(job.Deadline).Microseconds(), Slots: 1}
+		p.setDemand(job, &in)
+		if zone, known := p.settings.zoneNumbers[job.PreferredZone]; known {
 			in.Zone = zone + 1
 		}
-		p.dispatch.Arrive(now, in)
+		p.dispatcher.Arrive(now, in)
 	})
-	return id, placed
+	return id, active
 }
 
-func (p *pool) classOf(job *Job) int {
+// classFor returns the dispatcher's class of a job, and adds it on first use. The caller holds the lock.
+func (p *pool) classFor(job *Job) int {
 	key := classKey{
-		repeatable: job.Repeatable,
-		aim:        time.Duration(job.Route.TargetLatencyMs) * time.Millisecond,
-		deadline:   time.Duration(job.Route.TimeoutMs) * time.Millisecond,
-		priority:   job.Route.Priority,
+		repeatable:    job.Repeatable,
+		targetLatency: time.Duration(job.Route.TargetLatencyMs) * time.Millisecond,
+		deadline:      time.Duration(job.Route.TimeoutMs) * time.Millisecond,
+		priority:      job.Route.Priority,
 	}
 	if p.settings.stage == fleetwire.StageDecode {
-		key.aim = key.deadline // its prompt is read: what is left is worth doing, late as well
+		key.targetLatency = key.deadline // the prefill is done, so the rest is worth doing even if it is late
 	}
 	class, known := p.classes[key]
 	if known {
@@ -210,25 +218,25 @@
 	if len(p.classes) >= maxClasses {
 		return 0
 	}
-	guess := time.Duration(job.Route.TargetLatencyMs) * time.Millisecond / guessedRun
-	class = p.dispatch.AddClass(key.class(), guess.Microseconds())
+	expectedRun := time.Duration(job.Route.TargetLatencyMs) * time.Millisecond / runGuessDivisor
+	class = p.dispatcher.AddClass(key.class(), expectedRun.Microseconds())
 	p.classes[key] = class
 	return class
 }
 
-// forget ends a job's part in the books.
-func (p *pool) forget(id uint32) {
+// removeJob forgets a job and stops its timers.
+func (p *pool) removeJob(id uint32) {
 	p.mu.Lock()
-	placed := p.jobs[id]
+	active := p.jobs[id]
 	delete(p.jobs, id)
 	p.mu.Unlock()
-	for _, timer := range placed.timers {
+	for _, timer := range active.timers {
 		timer.Stop()
 	}
 }
 
-// target is the worker that an order names, if it is still listed.
-func (p *pool) target(id decide.WorkerID) (fleetwire.Instance, bool) {
+// instance returns the worker with the given ID, if it is still listed.
+func (p *pool) instance(id decide.WorkerID) (fleetwire.Instance, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	w := p.workers[id]
@@ -238,53 +246,58 @@
 	return w.instance, true
 }
 
-// usable tells whether a worker may still be sent something new.
+// usable reports whether a worker still accepts new jobs.
 func (p *pool) usable(id decide.WorkerID) bool {
-	instance, listed := p.target(id)
+	instance, listed := p.instance(id)
 	return listed && instance.State == fleetwire.InstanceReady
 }
 
-// outcome tells the dispatcher how an attempt ended.
-func (p *pool) outcome(id uint32, order pushOrder, status decide.Status) {
-	p.call(func(now decide.Time) {
-		p.dispatch.Outcome(now, decide.Outcome{Job: id, Attempt: order.attempt, Worker: order.worker, Status: status,
+// reportOutcome reports the end of an attempt to the dispatcher.
+func (p *pool) reportOutcome(id uint32, command pushCommand, status decide.Status) {
+	p.withDispatcher(func(now decide.Time) {
+		p.dispatcher.Outcome(now, decide.Outcome{Job: id, Attempt: command.attempt, Worker: command.worker, Status: status,
 			Closed: status == decide.Served})
 	})
 }
 
-// probe asks a worker for its load. Probes of one worker that are asked for while one is under way share its answer.
+// probe gets the load of a worker for the dispatcher. It reuses a recent report, and probes of a worker at the same time share one
+// request.
 func (p *pool) probe(id decide.WorkerID) {
 	p.mu.Lock()
 	w := p.workers[id]
-	asked := p.settings.now()
-	if w == nil || p.blind {
+	requestedAt := p.settings.now()
+	if w == nil || p.reportsUnsupported {
 		p.mu.Unlock()
-		p.call(func(now decide.Time) { p.dispatch.ProbeResult(now, id, blindStatus(w), now-asked, decide.Report{}) })
+		p.withDispatcher(func(now decide.Time) {
+			p.dispatcher.ProbeResult(now, id, statusWithoutReport(w), now-requestedAt, decide.Report{})
+		})
 		return
 	}
-	if asked < w.useUntil {
-		load := p.load(w.report, nil)
+	if requestedAt < w.reusableUntil {
+		load := p.dispatchReport(w.report, nil)
 		p.mu.Unlock()
-		p.call(func(now decide.Time) { p.dispatch.ProbeResult(now, id, decide.Served, max(1, now-asked), load) })
+		p.withDispatcher(func(now decide.Time) { p.dispatcher.ProbeResult(now, id, decide.Served, max(1, now-requestedAt), load) })
 		return
 	}
-	w.probing = append(w.probing, asked)
-	first := len(w.probing) == 1
+	w.pendingProbes = append(w.pendingProbes, requestedAt)
+	sendNow := len(w.pendingProbes) == 1
 	instance := w.instance
 	p.mu.Unlock()
-	if first {
-		go p.ask(id, w, instance)
+	if sendNow {
+		go p.sendProbe(id, w, instance)
 	}
 }
 
-func blindStatus(w *worker) decide.Status {
+// statusWithoutReport returns the result of a probe that is not sent: a failed connection if the worker is no longer listed.
+func statusWithoutReport(w *worker) decide.Status {
 	if w == nil {
 		return decide.ConnectFailed
 	}
 	return decide.Served
 }
 
-func (p *pool) ask(id decide.WorkerID, w *worker, instance fleetwire.Instance) {
+// sendProbe probes a worker and reports the result for all pending probes of it.
+func (p *pool) sendProbe(id decide.WorkerID, w *worker, instance fleetwire.Instance) {
 	report, err := p.settings.prober.Probe(context.Background(), instance)
 	status := decide.Served
 	switch {
@@ -295,80 +308,83 @@
 	default:
 		status = decide.ConnectFailed
 	}
-	p.call(func(now decide.Time) {
+	p.withDispatcher(func(now decide.Time) {
 		if errors.Is(err, ErrNoReport) {
-			p.blind = true
+			p.reportsUnsupported = true
 		}
 		if err == nil {
 			w.report, w.reportAt = report, now
-			w.useUntil = now + reportShare.Microseconds()
+			w.reusableUntil = now + probeReuse.Microseconds()
 		}
-		probing := w.probing
-		w.probing = nil
-		for _, asked := range probing {
-			p.dispatch.ProbeResult(now, id, status, max(1, now-asked), p.load(report, err))
+		pending := w.pendingProbes
+		w.pendingProbes = nil
+		for _, requestedAt := range pending {
+			p.dispatcher.ProbeResult(now, id, status, max(1, now-requestedAt), p.dispatchReport(report, err))
 		}
 	})
 }
 
-// answered takes in the load that a worker told with an answer. It completes a report of that worker.
-func (p *pool) answered(name string, load Load) {
+// observeLoad updates a worker's last report with the load that came with an answer. It does nothing if there is no recent report.
+func (p *pool) observeLoad(name string, load Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.settings.now()
-	w := p.workers[p.ids[name]]
-	if w == nil || w.report.Busy || w.reportAt == 0 || now-w.reportAt > reportKept.Microseconds() {
+	w := p.workers[p.workerIDs[name]]
+	if w == nil || w.report.Busy || w.reportAt == 0 || now-w.reportAt > maxReportAge.Microseconds() {
 		return
 	}
 	w.report.Running, w.report.Queued = load.Running, load.Queued
-	w.useUntil = now + answerShare.Microseconds()
+	w.reusableUntil = now + answerLoadReuse.Microseconds()
 }
 
-// poolActions carries out the dispatcher's actions. Each is noted while the call runs and done after it.
+// poolActions implements decide.Actions. The dispatcher calls it under the pool's lock, so actions that need the lock run later.
 type poolActions pool
 
-func (a *poolActions) later(act func()) { a.actions = append(a.actions, act) }
+// afterCall queues an action until the current call of the dispatcher has returned.
+func (a *poolActions) afterCall(act func()) { a.actions = append(a.actions, act) }
 
 func (a *poolActions) Push(job uint32, worker decide.WorkerID, _ decide.Time) {
-	if w := a.workers[worker]; w != nil { // a load from before the push serves while the dispatcher counts the push beside it
-		w.useUntil = min(w.useUntil, a.settings.now()+reportShare.Microseconds())
+	// A load from before the push may be reused only as long as the dispatcher adds the push to it.
+	if w := a.workers[worker]; w != nil {
+		w.reusableUntil = min(w.reusableUntil, a.settings.now()+probeReuse.Microseconds())
 	}
-	if placed := a.jobs[job]; placed != nil {
-		placed.pushes <- pushOrder{attempt: a.attempts(placed), worker: worker}
+	if active := a.jobs[job]; active != nil {
+		active.pushes <- pushCommand{attempt: a.nextAttempt(active), worker: worker}
 	}
 }
 
-// attempts numbers the pushes of a job.
-func (a *poolActions) attempts(placed *placedJob) int {
-	placed.pushed++
-	return placed.pushed - 1
+// nextAttempt returns the number of a job's next push, from 0.
+func (a *poolActions) nextAttempt(active *activeJob) int {
+	active.pushCount++
+	return active.pushCount - 1
 }
 
 func (a *poolActions) Probe(worker decide.WorkerID) {
-	a.later(func() { (*pool)(a).probe(worker) })
+	a.afterCall(func() { (*pool)(a).probe(worker) })
 }
 
 func (a *poolActions) Cancel(job uint32, _ int) {
-	if placed := a.jobs[job]; placed != nil && placed.cancel != nil {
-		placed.cancel()
+	if active := a.jobs[job]; active != nil && active.cancel != nil {
+		active.cancel()
 	}
 }
 
-func (a *poolActions) Refuse(job uint32, _ decide.Time) { a.end(job, true) }
-func (a *poolActions) Fail(job uint32)                  { a.end(job, false) }
+func (a *poolActions) Refuse(job uint32, _ decide.Time) { a.finishJob(job, true) }
+func (a *poolActions) Fail(job uint32)                  { a.finishJob(job, false) }
 
-func (a *poolActions) end(job uint32, refused bool) {
-	if placed := a.jobs[job]; placed != nil {
-		placed.ended <- refused
+// finishJob ends the job's call of Place.
+func (a *poolActions) finishJob(job uint32, refused bool) {
+	if active := a.jobs[job]; active != nil {
+		active.finished <- refused
 	}
 }
 
 func (a *poolActions) Wake(after decide.Time, token uint64) {
 	timer := time.AfterFunc(time.Duration(after)*time.Microsecond, func() {
-		(*pool)(a).call(func(now decide.Time) { a.dispatch.Wake(now, token) })
+		(*pool)(a).withDispatcher(func(now decide.Time) { a.dispatcher.Wake(now, token) })
 	})
-	if placed := a.jobs[decide.JobOf(token)]; placed != nil {
-		placed.timers = append(placed.timers, timer)
+	if active := a.jobs[decide.JobOf(token)]; active != nil {
+		active.timers = append(active.timers, timer)
 	}
 }
 
--- a/internal/placement/prefix.go
+++ b/internal/placement/prefix.go
@@ -7,14 +7,14 @@
 	"weldscale/internal/fleetwire"
 )
 
-// unitTokens is how many tokens of a prompt count as one slot of a worker that reads prompts.
-const unitTokens = 1024
+// tokensPerUnit is the number of prompt tokens that count as one slot of a prefill worker.
+const tokensPerUnit = 1024
 
-// units is the work of reading that many tokens, in slots.
-func units(tokens int) float64 { return float64(tokens) / unitTokens }
+// prefillUnits returns the slots that the prefill of this many tokens takes.
+func prefillUnits(tokens int) float64 { return float64(tokens) / tokensPerUnit }
 
-// sharedPrefix names the longest part of a prompt that other requests may have in common with it, and counts its tokens. The last
-// part is a request's or session's own.
+// sharedPrefix returns the ID and the tokens of the longest prefix of a prompt that other requests may share. That is all but the
+// last part, which belongs to one request or session.
 func sharedPrefix(parts []PromptPart) (id string, tokens int) {
 	if len(parts) < 2 {
 		return "", 0
@@ -26,17 +26,17 @@
 	return shared[len(shared)-1].ID, tokens
 }
 
-// home is the worker that keeps the prefix of that name, by rendezvous hashing: all routers name the same one without a word
-// between them, and when a worker leaves only its own prefixes move.
-func home(prefix string, workers []fleetwire.Instance) string {
+// prefixHolder returns the ID of the worker that caches the prefix, by rendezvous hashing: all routers choose the same worker
+// without coordination, and if a worker leaves, only the prefixes that it held move.
+func prefixHolder(prefix string, workers []fleetwire.Instance) string {
 	if prefix == "" {
 		return ""
 	}
 	return rendezvous.First(prefix, workers, func(worker *fleetwire.Instance) string { return worker.ID })
 }
 
-// readyOf returns the workers of a list that take work.
-func readyOf(workers []fleetwire.Instance) []fleetwire.Instance {
+// readyInstances returns the workers of a list that accept jobs.
+func readyInstances(workers []fleetwire.Instance) []fleetwire.Instance {
 	return slices.DeleteFunc(slices.Clone(workers), func(w fleetwire.Instance) bool {
 		return w.State != fleetwire.InstanceReady
 	})
--- a/internal/placement/probe.go
+++ b/internal/placement/probe.go
@@ -14,49 +14,50 @@
 )
 
 const (
-	probeTimeout     = 300 * time.Millisecond // a report that comes later says nothing of the present load
-	maxReportBytes   = 64 << 10
-	probeConnections = 2 // kept to each worker
+	probeTimeout   = 300 * time.Millisecond // a later report would not show the current load
+	maxReportBytes = 64 << 10
+	probeIdleConns = 2 // idle connections that are kept to each worker
 )
 
-// Report is the load that a worker tells of itself.
+// Report is the load report of a worker.
 type Report struct {
-	Stage      string
-	Busy       bool
+	Stage      string // empty: not stated
+	Busy       bool   // it executes an order and accepts no new work
 	Sequence   uint64
 	Queued     int
 	Running    int
-	KvUsed     int64
+	KvUsed     int64 // KV cache in tokens
 	KvCapacity int64
-	KvHandles  int
+	KvHandles  int // processed prompts that wait for a decode worker to fetch their KV cache
 }
 
-// Load is what a worker tells of itself with an answer.
+// Load is the load that a worker states with an answer.
 type Load struct {
 	Running int
 	Queued  int
 }
 
-// ErrNoReport is returned for a worker that answers but has no report.
+// ErrNoReport is returned for a worker that answers a probe but has no load report.
 var ErrNoReport = eris.New("the worker has no report")
 
-// Prober asks a worker for its present load.
+// Prober gets the current load report of a worker. Its methods are safe for concurrent use.
 type Prober interface {
+	// Probe returns ErrNoReport if the worker answers without a report, and context.DeadlineExceeded if it answers too late.
 	Probe(ctx context.Context, target fleetwire.Instance) (Report, error)
 }
 
-// httpProber asks by GET /report over connections of its own.
+// httpProber probes by GET /report over connections of its own.
 type httpProber struct{ transport *http.Transport }
 
 // NewHTTPProber returns a prober over net/http.
 func NewHTTPProber() Prober { return NewHTTPProberWithDial(transport.TCP()) }
 
-// NewHTTPProberWithDial returns a prober over net/http whose connections a function opens.
+// NewHTTPProberWithDial returns a prober over net/http that opens its connections with dial.
 func NewHTTPProberWithDial(dial transport.Dial) Prober {
 	return &httpProber{transport: &http.Transport{
 		DialContext:         dial.Within(probeTimeout),
 		DisableCompression:  true,
-		MaxIdleConnsPerHost: probeConnections,
+		MaxIdleConnsPerHost: probeIdleConns,
 		IdleConnTimeout:     30 * time.Second,
 		ReadBufferSize:      1 << 10,
 		WriteBufferSize:     1 << 10,
@@ -68,7 +69,7 @@
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+target.Address+"/report", nil)
 	if err != nil {
-		return Report{}, eris.Wrap(err, "make probe")
+		return Report{}, eris.Wrap(err, "build probe request")
 	}
 	request.Header["User-Agent"] = nil
 	response, err := p.transport.RoundTrip(request)
