--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -51,6 +51,7 @@
 	routerCount int
 }
 
+// poolKey identifies a pool. The stage is empty for a service without stages.
 type poolKey struct{ service, stage string }
 
 // New returns a placer that knows no workers yet.
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -45,6 +45,7 @@
 	reportsUnsupported bool    // a worker answered a probe without a report; none is probed any more
 }
 
+// poolSettings are the fixed settings of a pool.
 type poolSettings struct {
 	stage       string
 	zoneNumbers map[string]int // numbers by zone name
@@ -142,7 +143,7 @@
 		p.slotsPerWorker = slots
 		p.readyWorkers = readyInstances(list)
 		entries := make([]decide.Worker, 0, len(list))
-		known := make(map[decide.WorkerID]*worker, len(list))
+		listed := make(map[decide.WorkerID]*worker, len(list))
 		for _, instance := range list {
 			id := p.workerID(instance.ID)
 			w := p.workers[id]
@@ -150,15 +151,15 @@
 				w = &worker{}
 			}
 			w.instance = instance
-			known[id] = w
+			listed[id] = w
 			entries = append(entries, decide.Worker{ID: id, Zone: p.settings.zoneNumbers[instance.Zone], State: dispatchState(instance), Weight: 1})
 		}
 		for name, id := range p.workerIDs {
-			if known[id] == nil {
+			if listed[id] == nil {
 				delete(p.workerIDs, name)
 			}
 		}
-		p.workers = known
+		p.workers = listed
 		p.dispatcher.Announce(now, decide.ListFull, entries)
 	})
 }
--- a/internal/placement/spread_test.go
+++ b/internal/placement/spread_test.go
@@ -14,35 +14,35 @@
 	"weldscale/internal/fleetwire"
 )
 
-// The world of the test of spread: generations at decode workers whose reports are as old as the platform's.
+// Parameters of the load spread simulation: decode workers run generations and report their load with the platform's delay.
 const (
 	spreadWorkers   = 20
 	spreadSlots     = 64
-	spreadRun       = 400 * time.Millisecond // of a generation, spread evenly from none to twice that
-	spreadFirst     = 20 * time.Millisecond  // until a generation states its worker's load with its head
+	spreadRun       = 400 * time.Millisecond // mean of a generation, uniformly distributed from 0 to twice that
+	spreadFirst     = 20 * time.Millisecond  // until a generation's response header states its worker's load
 	spreadInterval  = time.Millisecond       // between two requests, over all routers
 	spreadReportAge = 100 * time.Millisecond
 	spreadWarmUp    = time.Second
 	spreadLength    = 16 * time.Second
 )
 
-// spreadWorld counts what runs at each worker, now and as reports tell it.
-type spreadWorld struct {
+// spreadFleet counts the jobs that run at each worker, and answers probes with the counts of spreadReportAge ago.
+type spreadFleet struct {
 	mu       sync.Mutex
 	running  []int
-	reported [][]int // of each tick; the first is spreadReportAge old
+	reported [][]int // running at each tick; the first one is spreadReportAge old
 	ids      map[string]int
 }
 
-func newSpreadWorld(list []fleetwire.Instance) *spreadWorld {
-	world := &spreadWorld{running: make([]int, len(list)), ids: map[string]int{}}
-	for i := range list {
-		world.ids[list[i].ID] = i
+func newSpreadFleet(instances []fleetwire.Instance) *spreadFleet {
+	fleet := &spreadFleet{running: make([]int, len(instances)), ids: map[string]int{}}
+	for i := range instances {
+		fleet.ids[instances[i].ID] = i
 	}
-	return world
+	return fleet
 }
 
-func (w *spreadWorld) Probe(_ context.Context, target fleetwire.Instance) (Report, error) {
+func (w *spreadFleet) Probe(_ context.Context, target fleetwire.Instance) (Report, error) {
 	time.Sleep(time.Millisecond)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -53,15 +53,15 @@
 	return report, nil
 }
 
-func (w *spreadWorld) add(worker, n int) (running int) {
+func (w *spreadFleet) add(worker, n int) (running int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.running[worker] += n
 	return w.running[worker]
 }
 
-// tick notes what reports tell from now on and returns the busiest worker's load over the mean.
-func (w *spreadWorld) tick(interval time.Duration) (busiest float64) {
+// tick records the running jobs for later reports and returns the load of the busiest worker divided by the mean load.
+func (w *spreadFleet) tick(interval time.Duration) (busiest float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.reported = append(w.reported, slices.Clone(w.running))
@@ -75,33 +75,33 @@
 	return float64(slices.Max(w.running)) * float64(len(w.running)) / float64(max(1, total))
 }
 
-// spread plays generations that come to so many routers and returns the mean of the busiest worker's load over the mean load. With
-// no router each goes to a worker by chance.
+// spread simulates generations that arrive at the given number of routers. It returns the mean over time of the busiest worker's load
+// divided by the mean load. With 0 routers each generation goes to a random worker.
 func spread(t *testing.T, routers int) (busiest float64) {
 	synctest.Test(t, func(t *testing.T) {
-		list := workers("decode", spreadWorkers)
-		for i := range list {
-			list[i].Zone = "z0" // draws begin near: zones would each have a spread of their own
+		instances := workers("decode", spreadWorkers)
+		for i := range instances {
+			instances[i].Zone = "z0" // routers prefer their own zone, so with several zones each would have a spread of its own
 		}
-		world := newSpreadWorld(list)
-		grown := snapshot(1, list)
-		grown.Config.Services[0].Engine.Slots = spreadSlots
-		grown.Routers = routers
+		fleet := newSpreadFleet(instances)
+		update := snapshot(1, instances)
+		update.Config.Services[0].Engine.Slots = spreadSlots
+		update.Routers = routers
 		var placers []*Placer
 		for range routers {
-			placer := newTestPlacer(world)
-			placer.Update(grown)
+			placer := newTestPlacer(fleet)
+			placer.Update(update)
 			placers = append(placers, placer)
 		}
 		var generations sync.WaitGroup
 		samples := 0
-		for begun := time.Now(); time.Since(begun) < spreadLength; time.Sleep(spreadInterval) {
-			load := world.tick(spreadInterval)
-			if time.Since(begun) > spreadWarmUp {
+		for start := time.Now(); time.Since(start) < spreadLength; time.Sleep(spreadInterval) {
+			load := fleet.tick(spreadInterval)
+			if time.Since(start) > spreadWarmUp {
 				busiest += load
 				samples++
 			}
-			generations.Go(func() { generate(t.Context(), placers, world, list) })
+			generations.Go(func() { generate(t.Context(), placers, fleet, instances) })
 		}
 		generations.Wait()
 		busiest /= float64(samples)
@@ -109,34 +109,35 @@
 	return busiest
 }
 
-func generate(ctx context.Context, placers []*Placer, world *spreadWorld, list []fleetwire.Instance) {
+// generate runs one generation at a worker that a random placer chooses, or at a random worker if there are no placers.
+func generate(ctx context.Context, placers []*Placer, fleet *spreadFleet, instances []fleetwire.Instance) {
 	run := time.Duration(rand.Int64N(int64(2 * spreadRun)))
 	if len(placers) == 0 {
-		worker := rand.IntN(len(list))
-		world.add(worker, 1)
+		worker := rand.IntN(len(instances))
+		fleet.add(worker, 1)
 		time.Sleep(run)
-		world.add(worker, -1)
+		fleet.add(worker, -1)
 		return
 	}
 	placer := placers[rand.IntN(len(placers))]
 	placer.Place(ctx, testJob("decode"), func(_ context.Context, target fleetwire.Instance, ready func() bool) Result {
 		ready()
-		worker := world.ids[target.ID]
-		running := world.add(worker, 1)
+		worker := fleet.ids[target.ID]
+		running := fleet.add(worker, 1)
 		time.Sleep(min(run, spreadFirst))
 		placer.ObserveLoad(&target, Load{Running: running})
 		time.Sleep(run - min(run, spreadFirst))
-		world.add(worker, -1)
+		fleet.add(worker, -1)
 		return ResultServed
 	})
 }
 
-// Sixty-eight routers that each see reports of 100 ms and more don't run to the same workers: they spread load worse than one router,
-// which knows all pushes of the last moment, but better than chance does.
-func TestManyRoutersSpreadLoadLikeOne(t *testing.T) {
-	chance, one, many := spread(t, 0), spread(t, 1), spread(t, 68)
-	t.Logf("busiest/mean: by chance %.3f, one router %.3f, 68 routers %.3f", chance, one, many)
-	require.Less(t, many, 1+(chance-1)*0.85)
+// Guards against herding: routers that see reports older than 100 ms could all choose the same workers. 68 routers spread load worse
+// than one router, which knows all recent pushes, but must spread it better than random choice.
+func TestManyRoutersSpreadLoad(t *testing.T) {
+	random, one, many := spread(t, 0), spread(t, 1), spread(t, 68)
+	t.Logf("busiest/mean: random %.3f, one router %.3f, 68 routers %.3f", random, one, many)
+	require.Less(t, many, 1+(random-1)*0.85)
 	require.Less(t, one, 1.20)
 	require.Less(t, many, 1.39)
 }
--- a/internal/placement/urgency_test.go
+++ b/internal/placement/urgency_test.go
@@ -13,16 +13,17 @@
 	"weldscale/internal/fleetwire"
 )
 
-// crowdedWorkers run so many jobs at once, let some more wait, the more urgent first, and reject what comes beyond.
-type crowdedWorkers struct {
+// saturatedWorkers simulates workers that each run up to slots jobs at once, queue more by priority, and reject jobs when the queue
+// is full.
+type saturatedWorkers struct {
 	slots, queue int
-	span         time.Duration
+	runTime      time.Duration
 
 	mutex   sync.Mutex
-	workers map[string]*crowdedWorker
+	workers map[string]*saturatedWorker
 }
 
-type crowdedWorker struct {
+type saturatedWorker struct {
 	running int
 	waiting []*waitingJob
 }
@@ -32,7 +33,7 @@
 	begin    chan struct{}
 }
 
-func (c *crowdedWorkers) Probe(_ context.Context, target fleetwire.Instance) (Report, error) {
+func (c *saturatedWorkers) Probe(_ context.Context, target fleetwire.Instance) (Report, error) {
 	time.Sleep(time.Millisecond)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -40,15 +41,15 @@
 	return Report{Running: worker.running, Queued: len(worker.waiting)}, nil
 }
 
-func (c *crowdedWorkers) worker(id string) *crowdedWorker {
+func (c *saturatedWorkers) worker(id string) *saturatedWorker {
 	if c.workers[id] == nil {
-		c.workers[id] = &crowdedWorker{}
+		c.workers[id] = &saturatedWorker{}
 	}
 	return c.workers[id]
 }
 
-// take gives a job a slot, or a place to wait for one. It returns nil where there is neither.
-func (c *crowdedWorkers) take(id string, priority int) *waitingJob {
+// take starts a job or queues it. It returns nil if the queue is full.
+func (c *saturatedWorkers) take(id string, priority int) *waitingJob {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	worker := c.worker(id)
@@ -66,13 +67,13 @@
 	return job
 }
 
-// leave gives a slot to the job that waits first, or takes back a job that waits.
-func (c *crowdedWorkers) leave(id string, left *waitingJob) {
+// leave removes a queued job, or passes the slot of a finished job to the first queued one.
+func (c *saturatedWorkers) leave(id string, left *waitingJob) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	worker := c.worker(id)
-	if at := slices.Index(worker.waiting, left); at >= 0 {
-		worker.waiting = slices.Delete(worker.waiting, at, at+1)
+	if index := slices.Index(worker.waiting, left); index >= 0 {
+		worker.waiting = slices.Delete(worker.waiting, index, index+1)
 		return
 	}
 	if len(worker.waiting) == 0 {
@@ -83,8 +84,8 @@
 	worker.waiting = worker.waiting[1:]
 }
 
-// push sends a job of a priority.
-func (c *crowdedWorkers) push(priority int) Push {
+// push returns a Push for a job of the given priority.
+func (c *saturatedWorkers) push(priority int) Push {
 	return func(ctx context.Context, target fleetwire.Instance, ready func() bool) Result {
 		if !ready() {
 			return ResultNotExecuted
@@ -100,82 +101,84 @@
 		case <-ctx.Done():
 			return ResultTimedOut
 		}
-		time.Sleep(c.span)
+		time.Sleep(c.runTime)
 		return ResultServed
 	}
 }
 
-// offeredFor is long enough for shares to differ by chance by a fifth of urgencyGap.
-const offeredFor = 200 * time.Second
+// offerDuration is long enough that random variation of the shares is about a fifth of maxUrgencyGap.
+const offerDuration = 200 * time.Second
 
-// servedShares offers jobs of two kinds by turns, and returns the share of each that was served.
-func servedShares(t *testing.T, queue int, every time.Duration, kinds [2]Job) [2]float64 {
-	crowded := &crowdedWorkers{slots: 8, queue: queue, span: 400 * time.Millisecond, workers: map[string]*crowdedWorker{}}
-	placer := newTestPlacer(crowded)
+// servedShares offers jobs of two kinds in turn and returns the share of each kind that was served.
+func servedShares(t *testing.T, queue int, interval time.Duration, kinds [2]Job) [2]float64 {
+	saturated := &saturatedWorkers{slots: 8, queue: queue, runTime: 400 * time.Millisecond, workers: map[string]*saturatedWorker{}}
+	placer := newTestPlacer(saturated)
 	placer.options.BudgetSlack = 1000
 	placer.Update(snapshot(1, workers("decode", 2)))
 	var mutex sync.Mutex
 	var offered, served [2]int
-	var all sync.WaitGroup
-	for i := range int(offeredFor / every) {
+	var jobs sync.WaitGroup
+	for i := range int(offerDuration / interval) {
 		kind := i % 2
 		job := kinds[kind]
 		job.Arrived = time.Now()
 		job.Deadline = job.Arrived.Add(time.Duration(job.Route.TimeoutMs) * time.Millisecond)
 		offered[kind]++
-		all.Go(func() {
+		jobs.Go(func() {
 			ctx, cancel := context.WithDeadline(t.Context(), job.Deadline)
 			defer cancel()
-			verdict := placer.Place(ctx, job, crowded.push(job.Route.Priority))
+			outcome := placer.Place(ctx, job, saturated.push(job.Route.Priority))
 			mutex.Lock()
 			defer mutex.Unlock()
-			if verdict.Decision == DecisionServed {
+			if outcome.Decision == DecisionServed {
 				served[kind]++
 			}
 		})
-		time.Sleep(every)
+		time.Sleep(interval)
 	}
-	all.Wait()
+	jobs.Wait()
 	return [2]float64{float64(served[0]) / float64(offered[0]), float64(served[1]) / float64(offered[1])}
 }
 
-// enginesQueue is the queue of an engine, three for each slot.
-const enginesQueue = 24
+// engineQueue is the queue length of an engine: three jobs for each slot.
+const engineQueue = 24
 
-// urgencyGap is how much less often a kind may be served than a less urgent one without a price.
-const urgencyGap = 0.05
+// maxUrgencyGap is how much lower the served share of a kind may be than that of a less urgent one while slots have no price.
+const maxUrgencyGap = 0.05
 
-// urgencyKind is a kind of job that differs from others by its urgency, the more urgent the smaller, and by its time.
-func urgencyKind(priority int, aim, timeout int64) Job {
+// jobOfUrgency returns a job with the given priority, of which 0 is the most urgent, and latency limits in milliseconds.
+func jobOfUrgency(priority int, targetLatency, timeout int64) Job {
 	job := testJob("decode")
-	job.Route = &fleetwire.Route{RouteType: "streaming", Priority: priority, TargetLatencyMs: aim, TimeoutMs: timeout}
+	job.Route = &fleetwire.Route{RouteType: "streaming", Priority: priority, TargetLatencyMs: targetLatency, TimeoutMs: timeout}
 	return job
 }
 
-// requireUrgency offers two kinds, the more urgent first, to workers that have too few slots for them.
+// requireUrgency offers two kinds of jobs, the more urgent one first, to overloaded workers. It requires that the more urgent kind is
+// served no less often.
 func requireUrgency(t *testing.T, kinds [2]Job) {
-	for load, every := range map[string]time.Duration{"a third too much": 19 * time.Millisecond, "twice too much": 12 * time.Millisecond} {
+	for load, interval := range map[string]time.Duration{"a third too much": 19 * time.Millisecond, "twice too much": 12 * time.Millisecond} {
 		t.Run(load, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				shares := servedShares(t, enginesQueue, every, kinds)
+				shares := servedShares(t, engineQueue, interval, kinds)
 				t.Logf("served: urgent %.3f, others %.3f", shares[0], shares[1])
-				require.GreaterOrEqual(t, shares[0], shares[1]-urgencyGap)
-				require.Less(t, shares[1], 1.0, "the workers are crowded")
+				require.GreaterOrEqual(t, shares[0], shares[1]-maxUrgencyGap)
+				require.Less(t, shares[1], 1.0, "the workers are overloaded")
 			})
 		})
 	}
 }
 
-func TestTheMoreUrgentAreServedNoLessOften(t *testing.T) {
-	t.Run("alike but for urgency", func(t *testing.T) {
-		requireUrgency(t, [2]Job{urgencyKind(0, 500, 2500), urgencyKind(1, 500, 2500)})
+func TestUrgentJobsAreServedNoLessOften(t *testing.T) {
+	t.Run("same latency limits", func(t *testing.T) {
+		requireUrgency(t, [2]Job{jobOfUrgency(0, 500, 2500), jobOfUrgency(1, 500, 2500)})
 	})
-	t.Run("with more time", func(t *testing.T) {
-		requireUrgency(t, [2]Job{urgencyKind(0, 500, 8000), urgencyKind(2, 300, 2500)})
+	t.Run("urgent jobs with a longer timeout", func(t *testing.T) {
+		requireUrgency(t, [2]Job{jobOfUrgency(0, 500, 8000), jobOfUrgency(2, 300, 2500)})
 	})
 }
 
-// Guards against a price: where slots are short, a job with more time draws more often than a more urgent one with less.
+// Guards against priority inversion under overload: slots have no price, so no job is held back for a more urgent one, and a job with
+// a longer timeout tries workers more often than a more urgent one with a shorter timeout.
 func TestTheMoreUrgentWithLessTimeAreServedNoLessOften(t *testing.T) {
-	requireUrgency(t, [2]Job{urgencyKind(0, 300, 2500), urgencyKind(1, 500, 10_000)})
+	requireUrgency(t, [2]Job{jobOfUrgency(0, 300, 2500), jobOfUrgency(1, 500, 10_000)})
 }
