--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// preferNearZone adds a random worker of the zone that holds the prompt's KV cache to the candidates, and credits it with the slots
-// that the shorter transfer is worth.
+// preferNearZone adds a random worker of the zone that holds the prompt's KV cache to the candidates, and credits it with the
+// slots that the shorter transfer is worth.
 func (p *pool) preferNearZone(job *Job, in *decide.Job) {
 	near := lo.Filter(p.readyWorkers, func(w fleetwire.Instance, _ int) bool { return w.Zone == job.PreferredZone })
 	if len(near) == 0 {
@@ -109,9 +109,9 @@
 	}
 }
 
-// unitsInPrefill returns the size of the prompts that a prefill worker is processing, in units. KvUsed includes these prompts whole
-// and the processed ones that no decode worker has fetched yet; queued prompts use no memory. If KvUsed is missing, each running
-// prompt counts as much as a queued one.
+// unitsInPrefill returns the size of the prompts that a prefill worker is processing, in units. KvUsed includes these prompts
+// whole and the processed ones that no decode worker has fetched yet; queued prompts use no memory. If KvUsed is missing, each
+// running prompt counts as much as a queued one.
 func (p *pool) unitsInPrefill(report Report) float64 {
 	if report.Running == 0 {
 		return 0
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,6 +1,6 @@
-// Package placement chooses the worker for each stage of a request by the power of two choices: it probes two random ready workers
-// with a dispatcher of package decide and picks the less loaded one. It owns the retry budget and the table of workers; its caller
-// sends the request to the chosen worker and reports the result.
+// Package placement chooses the worker for each stage of a request by the power of two choices: it probes two random ready
+// workers with a dispatcher of package decide and picks the less loaded one. It owns the retry budget and the table of workers;
+// its caller sends the request to the chosen worker and reports the result.
 package placement
 
 import (
@@ -78,7 +78,7 @@
 	Arrivals   int           // pushes of this call that reached a worker, accepted or not
 }
 
-// Push sends the job to the worker and returns its result once the worker's part is over. Place calls it in its own goroutine, one
-// call at a time. Push must call ready before it sends the first byte. If ready returns false, the worker is draining or gone: Push
-// must send nothing and return ResultNotExecuted.
+// Push sends the job to the worker and returns its result once the worker's part is over. Place calls it in its own goroutine,
+// one call at a time. Push must call ready before it sends the first byte. If ready returns false, the worker is draining or
+// gone: Push must send nothing and return ResultNotExecuted.
 type Push func(ctx context.Context, target fleetwire.Instance, ready func() bool) Result
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -433,8 +433,9 @@
 	countRetries(t, 3)
 }
 
-// countRetries places requests with a rejected prefill in one of shedOneIn pushes and a rejected decode in half of them. It returns the
-// number of retries and checks that the budget allowed each. The first rejected push can't be avoided, but counts as an extra arrival.
+// countRetries places requests with a rejected prefill in one of shedOneIn pushes and a rejected decode in half of them. It
+// returns the number of retries and checks that the budget allowed each. The first rejected push can't be avoided, but counts as
+// an extra arrival.
 func countRetries(t *testing.T, shedOneIn int) int {
 	t.Helper()
 	retries := 0
@@ -534,8 +535,8 @@
 	})
 }
 
-// The load that a worker states with an answer is current and costs nothing, so it replaces probes for a while. It does not include
-// memory, so a report is still needed from time to time.
+// The load that a worker states with an answer is current and costs nothing, so it replaces probes for a while. It does not
+// include memory, so a report is still needed from time to time.
 func TestLoadOfAnswerReplacesProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		instances := workers("decode", 2)
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -19,13 +19,14 @@
 	slackFraction = 0.6
 	// ratioFraction is the part of the budget's ratio that routers spend, since it is not known exactly what counts as a request.
 	ratioFraction = 0.8
-	// The Retry-After of refused clients is random between these bounds: a burst is over by then, but the target latency may still be met.
+	// The Retry-After of refused clients is random between these bounds: a burst is over by then, but the target latency may
+	// still be met.
 	minRetryAfter = 150 * time.Millisecond
 	maxRetryAfter = 600 * time.Millisecond
 )
 
-// AssumedRouters is the number of routers that are assumed to share the workers and budgets until the controllers report the actual
-// number. It is high on purpose, so that each router spends too little rather than too much.
+// AssumedRouters is the number of routers that are assumed to share the workers and budgets until the controllers report the
+// actual number. It is high on purpose, so that each router spends too little rather than too much.
 const AssumedRouters = 32
 
 // Options configure a Placer.
@@ -150,8 +151,8 @@
 	return created
 }
 
-// Place chooses a worker for the job and calls push to send it there. If the push fails, Place retries on other workers within the
-// job's limits and the retry budget. It returns when the job is served, refused or failed, or when ctx is done.
+// Place chooses a worker for the job and calls push to send it there. If the push fails, Place retries on other workers within
+// the job's limits and the retry budget. It returns when the job is served, refused or failed, or when ctx is done.
 func (p *Placer) Place(ctx context.Context, job Job, push Push) JobOutcome {
 	p.mu.RLock()
 	workerPool := p.pools[poolKey{job.Service, job.Stage}]
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	// probeReuse is how long the report of a probe is reused for later choices. Workers report their load as it was some 100 ms ago,
-	// so a new probe within this time tells little more, and the dispatcher adds this router's own pushes to the report.
+	// probeReuse is how long the report of a probe is reused for later choices. Workers report their load as it was some 100 ms
+	// ago, so a new probe within this time tells little more, and the dispatcher adds this router's own pushes to the report.
 	probeReuse = 100 * time.Millisecond
 	// answerLoadReuse is how long the load that came with an answer is reused. It may be longer than probeReuse, since this load
 	// was current when the answer was sent, not some 100 ms old, and took no probe.
 	answerLoadReuse = 350 * time.Millisecond
-	// maxReportAge is how long the loads of answers may update a report. They don't include memory, so a new report is needed then.
+	// maxReportAge is how long the loads of answers may update a report. They don't include memory, so a new report is needed
+	// then.
 	maxReportAge      = time.Second
 	maxPushes         = 8                     // limit for one stage of a request, including pushes rejected without a run
 	runGuessDivisor   = 4                     // before the first jobs, a stage is assumed to take the target latency divided by this
@@ -261,8 +262,8 @@
 	})
 }
 
-// probe gets the load of a worker for the dispatcher. It reuses a recent report, and probes of a worker at the same time share one
-// request.
+// probe gets the load of a worker for the dispatcher. It reuses a recent report, and probes of a worker at the same time share
+// one request.
 func (p *pool) probe(id decide.WorkerID) {
 	p.mu.Lock()
 	w := p.workers[id]
@@ -325,7 +326,8 @@
 	})
 }
 
-// observeLoad updates a worker's last report with the load that came with an answer. It does nothing if there is no recent report.
+// observeLoad updates a worker's last report with the load that came with an answer. It does nothing if there is no recent
+// report.
 func (p *pool) observeLoad(name string, load Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/placement/spread_test.go
+++ b/internal/placement/spread_test.go
@@ -75,8 +75,8 @@
 	return float64(slices.Max(w.running)) * float64(len(w.running)) / float64(max(1, total))
 }
 
-// spread simulates generations that arrive at the given number of routers. It returns the mean over time of the busiest worker's load
-// divided by the mean load. With 0 routers each generation goes to a random worker.
+// spread simulates generations that arrive at the given number of routers. It returns the mean over time of the busiest worker's
+// load divided by the mean load. With 0 routers each generation goes to a random worker.
 func spread(t *testing.T, routers int) (busiest float64) {
 	synctest.Test(t, func(t *testing.T) {
 		instances := workers("decode", spreadWorkers)
@@ -132,8 +132,8 @@
 	})
 }
 
-// Guards against herding: routers that see reports older than 100 ms could all choose the same workers. 68 routers spread load worse
-// than one router, which knows all recent pushes, but must spread it better than random choice.
+// Guards against herding: routers that see reports older than 100 ms could all choose the same workers. 68 routers spread load
+// worse than one router, which knows all recent pushes, but must spread it better than random choice.
 func TestManyRoutersSpreadLoad(t *testing.T) {
 	random, one, many := spread(t, 0), spread(t, 1), spread(t, 68)
 	t.Logf("busiest/mean: random %.3f, one router %.3f, 68 routers %.3f", random, one, many)
--- a/internal/placement/suspects.go
+++ b/internal/placement/suspects.go
@@ -10,8 +10,8 @@
 // only after several routers reported it, so one report of theirs counts as this many.
 const complaintsToEject = 2
 
-// MarkSuspect passes on that other routers complain of these workers. The dispatchers eject them for a limited time, and limit how
-// many workers are ejected at once.
+// MarkSuspect passes on that other routers complain of these workers. The dispatchers eject them for a limited time, and limit
+// how many workers are ejected at once.
 func (p *Placer) MarkSuspect(workers []string) {
 	if len(workers) == 0 {
 		return
--- a/internal/placement/urgency_test.go
+++ b/internal/placement/urgency_test.go
@@ -13,8 +13,8 @@
 	"weldscale/internal/fleetwire"
 )
 
-// saturatedWorkers simulates workers that each run up to slots jobs at once, queue more by priority, and reject jobs when the queue
-// is full.
+// saturatedWorkers simulates workers that each run up to slots jobs at once, queue more by priority, and reject jobs when the
+// queue is full.
 type saturatedWorkers struct {
 	slots, queue int
 	runTime      time.Duration
@@ -153,8 +153,8 @@
 	return job
 }
 
-// requireUrgency offers two kinds of jobs, the more urgent one first, to overloaded workers. It requires that the more urgent kind is
-// served no less often.
+// requireUrgency offers two kinds of jobs, the more urgent one first, to overloaded workers. It requires that the more urgent
+// kind is served no less often.
 func requireUrgency(t *testing.T, kinds [2]Job) {
 	for load, interval := range map[string]time.Duration{"a third too much": 19 * time.Millisecond, "twice too much": 12 * time.Millisecond} {
 		t.Run(load, func(t *testing.T) {
@@ -177,8 +177,8 @@
 	})
 }
 
-// Guards against priority inversion under overload: slots have no price, so no job is held back for a more urgent one, and a job with
-// a longer timeout tries workers more often than a more urgent one with a shorter timeout.
+// Guards against priority inversion under overload: slots have no price, so no job is held back for a more urgent one, and a job
+// with a longer timeout tries workers more often than a more urgent one with a shorter timeout.
 func TestTheMoreUrgentWithLessTimeAreServedNoLessOften(t *testing.T) {
 	requireUrgency(t, [2]Job{jobOfUrgency(0, 300, 2500), jobOfUrgency(1, 500, 10_000)})
 }
--- a/internal/stages/balance.go
+++ b/internal/stages/balance.go
@@ -1,77 +1,83 @@
 package stages
 
-// Figures of Balance, each with its reason.
+// Parameters of ShareAdjuster.
 const (
-	// usualShare of the workers of an engine read prompts. Reading is what requests wait for, while a worker that makes tokens
-	// loses little by a larger batch.
-	usualShare = 0.74
-	leastShare = 0.30
-	mostShare  = 0.80
-	shareStep  = 0.06
-	// largestStep bounds what one look may take from those that read: load swings, and each change costs seconds of a worker.
-	largestStep = 0.12
-	// A batch that fills more than busyDecode of a worker's slots makes long answers late; below idleDecode there is room.
-	busyDecode = 0.45
-	idleDecode = 0.30
-	// fullDecode is so full that workers turn requests away: one look is enough, and the step goes by the load.
-	fullDecode = 0.75
-	// longQueue prompts that wait at a worker, on the mean, are more than bad luck.
-	longQueue = 1.0
-	// confirmations in a row are needed for a step, since reports are a moment old and load swings.
-	confirmations = 2
+	// defaultPrefillShare is the share of prefill workers at the start. It is high because requests wait for prefill, while a
+	// decode worker slows down little with a larger batch.
+	defaultPrefillShare = 0.74
+	minPrefillShare     = 0.30
+	maxPrefillShare     = 0.80
+	shareStep           = 0.06
+	// maxShareDecrease limits how much one observation may lower the share, since load fluctuates and each change of stage takes
+	// a worker out of service for seconds.
+	maxShareDecrease = 0.12
+	// Above busyDecodeOccupancy, long answers become late because of the batch size. Below idleDecodeOccupancy, decode has spare
+	// slots.
+	busyDecodeOccupancy = 0.45
+	idleDecodeOccupancy = 0.30
+	// From fullDecodeOccupancy on, workers reject requests. One observation then is enough for a step, and the load determines
+	// its size.
+	fullDecodeOccupancy = 0.75
+	// longPrefillQueue is the mean number of queued prompts per worker above which a queue is not due to chance.
+	longPrefillQueue = 1.0
+	// requiredConfirmations is how many observations in a row must agree on a step, since reports are delayed and load
+	// fluctuates.
+	requiredConfirmations = 2
 )
 
 // Load is the mean load of the workers of an engine, by stage.
 type Load struct {
-	PrefillQueued   float64 // prompts that wait at a worker
-	DecodeOccupancy float64 // part of a worker's slots that are taken, what waits there included
+	PrefillQueued   float64 // queued prompts per worker
+	DecodeOccupancy float64 // running and queued jobs as a fraction of a worker's slots
 }
 
-// ShareAdjuster decides which share of an engine's workers reads prompts, by the load of both stages. It is pure.
+// ShareAdjuster adjusts the share of an engine's workers that run prefill to the load of both stages. It uses no clock and no
+// I/O, and is not safe for concurrent use.
 type ShareAdjuster struct {
-	share  float64
-	wanted int // sign of the step that the last loads asked for
-	times  int // in a row
+	share         float64
+	lastDirection int // of the last observation: see direction
+	consecutive   int // observations in a row with this direction
 }
 
-// NewShareAdjuster returns a balance at the usual share.
-func NewShareAdjuster() *ShareAdjuster { return &ShareAdjuster{share: usualShare} }
+// NewShareAdjuster returns an adjuster at the default share.
+func NewShareAdjuster() *ShareAdjuster { return &ShareAdjuster{share: defaultPrefillShare} }
 
-// Share is the share of the workers that is to read prompts.
-func (b *ShareAdjuster) Share() float64 { return b.share }
+// Share returns the share of the workers that should run prefill.
+func (a *ShareAdjuster) Share() float64 { return a.share }
 
-// Observe takes in the load of a moment.
-func (b *ShareAdjuster) Observe(load Load) {
-	wanted := b.direction(load)
-	if wanted != b.wanted {
-		b.wanted, b.times = wanted, 0
+// Observe adjusts the share to the current load.
+func (a *ShareAdjuster) Observe(load Load) {
+	direction := a.direction(load)
+	if direction != a.lastDirection {
+		a.lastDirection, a.consecutive = direction, 0
 	}
-	b.times++
-	if wanted == 0 || b.times < confirmations && load.DecodeOccupancy < fullDecode {
+	a.consecutive++
+	if direction == 0 || a.consecutive < requiredConfirmations && load.DecodeOccupancy < fullDecodeOccupancy {
 		return
 	}
-	b.times = 0
-	step := float64(wanted) * shareStep
-	if load.DecodeOccupancy >= fullDecode {
-		step = -b.needed(load)
+	a.consecutive = 0
+	step := float64(direction) * shareStep
+	if load.DecodeOccupancy >= fullDecodeOccupancy {
+		step = -a.decodeDeficit(load)
 	}
-	b.share = min(max(b.share+step, leastShare), mostShare)
+	a.share = min(max(a.share+step, minPrefillShare), maxPrefillShare)
 }
 
-// needed is the part of the workers that the making of tokens lacks to be no more than busy.
-func (b *ShareAdjuster) needed(load Load) float64 {
-	lacking := (1 - b.share) * (load.DecodeOccupancy/busyDecode - 1)
-	return min(max(lacking, shareStep), largestStep)
+// decodeDeficit returns the share of the workers that decode needs in addition to get down to busyDecodeOccupancy, within the
+// limits of one step.
+func (a *ShareAdjuster) decodeDeficit(load Load) float64 {
+	deficit := (1 - a.share) * (load.DecodeOccupancy/busyDecodeOccupancy - 1)
+	return min(max(deficit, shareStep), maxShareDecrease)
 }
 
-// direction is 1 where more workers are to read prompts, -1 where more are to make tokens.
-func (b *ShareAdjuster) direction(load Load) int {
+// direction returns 1 if more workers should run prefill, -1 if more should run decode, and 0 if the share should stay.
+func (a *ShareAdjuster) direction(load Load) int {
 	switch {
-	case load.DecodeOccupancy > busyDecode:
+	case load.DecodeOccupancy > busyDecodeOccupancy:
 		return -1
-	case load.DecodeOccupancy < idleDecode && load.PrefillQueued > longQueue && b.share < mostShare:
+	case load.DecodeOccupancy < idleDecodeOccupancy && load.PrefillQueued > longPrefillQueue && a.share < maxPrefillShare:
 		return 1
-	case load.DecodeOccupancy < idleDecode && b.share < usualShare:
+	case load.DecodeOccupancy < idleDecodeOccupancy && a.share < defaultPrefillShare:
 		return 1
 	default:
 		return 0
--- a/internal/stages/plan.go
+++ b/internal/stages/plan.go
@@ -1,5 +1,5 @@
-// Package stages decides how many workers of an engine read prompts (prefill) and how many make tokens (decode), and orders
-// workers to change. One process of the fleet does so at a time, under a fencing token.
+// Package stages decides how many workers of an engine run prefill and how many run decode, and orders workers to change their
+// stage. One process of the fleet does so at a time, under a lease with a fencing token.
 package stages
 
 import (
@@ -11,106 +11,113 @@
 )
 
 const (
-	// leastOfStage workers are left to each stage: one may be lost.
-	leastOfStage = 2
-	// switchingShare of a service's workers may be changing at once: they serve nobody meanwhile.
-	switchingShare = 1.0 / 6
-	// pendingTimeout is when an order counts as lost: its worker first lets what runs come to its end.
+	// minWorkersPerStage is the number of workers that each stage keeps, so that it survives the loss of one.
+	minWorkersPerStage = 2
+	// maxSwitchingShare is the share of a service's workers that may change their stage at once. They serve no requests
+	// meanwhile.
+	maxSwitchingShare = 1.0 / 6
+	// pendingTimeout is the time after which an order counts as lost. A worker first finishes its running jobs, which takes a
+	// while.
 	pendingTimeout = 20 * time.Second
-	// deadband is how many workers the shares may be off before anyone is ordered: each change costs seconds of a worker.
+	// deadband is by how many workers a stage may differ from its target without an order, since each change costs a worker
+	// seconds.
 	deadband = 1
 )
 
-// Order asks a worker to take over a stage.
+// Order tells a worker to change to a stage.
 type Order struct {
 	Target fleetwire.Instance
 	Stage  string
 }
 
-// Planner is the pure decider of the orders of one service. Times are readings of one steady clock.
+// Planner plans the orders for the workers of one service. It does no I/O and is not safe for concurrent use. All its times are
+// readings of one monotonic clock.
 type Planner struct {
-	pending map[string]pendingOrder // by instance
+	pending map[string]pendingOrder // by instance ID
 }
 
+// pendingOrder is an order that its worker has not carried out yet.
 type pendingOrder struct {
-	stage string
-	since time.Duration
+	stage    string
+	issuedAt time.Duration
 }
 
-// NewPlanner returns a planner that has ordered nothing.
+// NewPlanner returns a planner without pending orders.
 func NewPlanner() *Planner { return &Planner{pending: map[string]pendingOrder{}} }
 
-// Plan returns the orders that bring the workers of a service nearer to the share of them that is to read prompts.
+// Plan returns the orders that bring the workers of a service closer to the given share of prefill workers. They become pending.
 func (p *Planner) Plan(now time.Duration, workers []fleetwire.Instance, prefillShare float64) []Order {
 	ready := slices.DeleteFunc(slices.Clone(workers), func(w fleetwire.Instance) bool {
 		return w.State != fleetwire.InstanceReady || w.Stage == ""
 	})
-	p.settle(now, ready)
-	if len(ready) < 2*leastOfStage {
+	p.dropSettled(now, ready)
+	if len(ready) < 2*minWorkersPerStage {
 		return nil
 	}
-	prefill := p.count(ready, fleetwire.StagePrefill)
-	want := min(max(int(prefillShare*float64(len(ready))+0.5), leastOfStage), len(ready)-leastOfStage)
-	from, to, missing := fleetwire.StageDecode, fleetwire.StagePrefill, want-prefill
+	prefill := p.countStage(ready, fleetwire.StagePrefill)
+	wantPrefill := min(max(int(prefillShare*float64(len(ready))+0.5), minWorkersPerStage), len(ready)-minWorkersPerStage)
+	from, to, missing := fleetwire.StageDecode, fleetwire.StagePrefill, wantPrefill-prefill
 	if missing < 0 {
 		from, to, missing = to, from, -missing
 	}
 	if missing <= deadband {
 		return nil
 	}
-	room := max(1, int(float64(len(ready))*switchingShare+0.5)) - len(p.pending)
+	allowed := max(1, int(float64(len(ready))*maxSwitchingShare+0.5)) - len(p.pending)
 	var orders []Order
-	for range min(missing, room) {
-		target, found := p.choose(ready, from)
+	for range min(missing, allowed) {
+		target, found := p.chooseWorker(ready, from)
 		if !found {
 			break
 		}
-		p.pending[target.ID] = pendingOrder{stage: to, since: now}
+		p.pending[target.ID] = pendingOrder{stage: to, issuedAt: now}
 		orders = append(orders, Order{Target: target, Stage: to})
 	}
 	return orders
 }
 
-// OrderFailed takes back an order that the worker did not take.
+// OrderFailed removes a pending order that the worker did not accept.
 func (p *Planner) OrderFailed(instance string) { delete(p.pending, instance) }
 
-// settle drops the orders that are done, lost, or whose worker is gone.
-func (p *Planner) settle(now time.Duration, ready []fleetwire.Instance) {
+// dropSettled removes the pending orders that are done, timed out, or whose worker is no longer listed.
+func (p *Planner) dropSettled(now time.Duration, ready []fleetwire.Instance) {
 	stages := make(map[string]string, len(ready))
 	for _, worker := range ready {
 		stages[worker.ID] = worker.Stage
 	}
 	for id, order := range p.pending {
 		stage, listed := stages[id]
-		if !listed || stage == order.stage || now-order.since > pendingTimeout {
+		if !listed || stage == order.stage || now-order.issuedAt > pendingTimeout {
 			delete(p.pending, id)
 		}
 	}
 }
 
-// stageOf is the stage that a worker has or is about to have.
-func (p *Planner) stageOf(worker *fleetwire.Instance) string {
+// effectiveStage returns the stage that a worker has, or the ordered one if an order is pending.
+func (p *Planner) effectiveStage(worker *fleetwire.Instance) string {
 	if order, ordered := p.pending[worker.ID]; ordered {
 		return order.stage
 	}
 	return worker.Stage
 }
 
-func (p *Planner) count(workers []fleetwire.Instance, stage string) int {
+// countStage returns the number of workers whose effective stage is the given one.
+func (p *Planner) countStage(workers []fleetwire.Instance, stage string) int {
 	count := 0
 	for i := range workers {
-		if p.stageOf(&workers[i]) == stage {
+		if p.effectiveStage(&workers[i]) == stage {
 			count++
 		}
 	}
 	return count
 }
 
-// choose returns a worker of the stage, from the zone that has most of that stage, so that both stages stay spread.
-func (p *Planner) choose(workers []fleetwire.Instance, stage string) (fleetwire.Instance, bool) {
+// chooseWorker returns a worker of the stage without a pending order, or false if there is none. It takes the worker from the
+// zone with the most workers of that stage, so that both stages stay spread over the zones.
+func (p *Planner) chooseWorker(workers []fleetwire.Instance, stage string) (fleetwire.Instance, bool) {
 	zones := map[string]int{}
 	for i := range workers {
-		if p.stageOf(&workers[i]) == stage {
+		if p.effectiveStage(&workers[i]) == stage {
 			zones[workers[i].Zone]++
 		}
 	}
--- a/internal/stages/plan_test.go
+++ b/internal/stages/plan_test.go
@@ -11,32 +11,34 @@
 	"weldscale/internal/fleetwire"
 )
 
+// workers returns ready workers of both stages, spread over three zones.
 func workers(prefill, decode int) []fleetwire.Instance {
-	var list []fleetwire.Instance
+	var instances []fleetwire.Instance
 	for i := range prefill + decode {
 		stage := fleetwire.StageDecode
 		if i < prefill {
 			stage = fleetwire.StagePrefill
 		}
-		list = append(list, fleetwire.Instance{ID: fmt.Sprintf("i-%02d", i), Service: "llm", Zone: fmt.Sprintf("z%d", i%3),
+		instances = append(instances, fleetwire.Instance{ID: fmt.Sprintf("i-%02d", i), Service: "llm", Zone: fmt.Sprintf("z%d", i%3),
 			State: fleetwire.InstanceReady, Stage: stage})
 	}
-	return list
+	return instances
 }
 
-// obey gives each ordered worker its new stage.
-func obey(list []fleetwire.Instance, orders []Order) {
+// applyOrders changes the stage of each worker that has an order.
+func applyOrders(instances []fleetwire.Instance, orders []Order) {
 	for _, order := range orders {
-		for i := range list {
-			if list[i].ID == order.Target.ID {
-				list[i].Stage = order.Stage
+		for i := range instances {
+			if instances[i].ID == order.Target.ID {
+				instances[i].Stage = order.Stage
 			}
 		}
 	}
 }
 
-func count(list []fleetwire.Instance, stage string) (n int) {
-	for _, worker := range list {
+// countInStage returns the number of workers that have the stage.
+func countInStage(instances []fleetwire.Instance, stage string) (n int) {
+	for _, worker := range instances {
 		if worker.Stage == stage {
 			n++
 		}
@@ -44,55 +46,55 @@
 	return n
 }
 
-func TestPlanReachesTheShareAndThenRests(t *testing.T) {
+func TestPlanReachesShareAndStops(t *testing.T) {
 	for _, share := range []float64{0.1, 0.3, 0.7, 0.9} {
 		planner := NewPlanner()
-		list := workers(7, 11)
+		instances := workers(7, 11)
 		now := time.Duration(0)
 		for range 20 {
-			obey(list, planner.Plan(now, list, share))
+			applyOrders(instances, planner.Plan(now, instances, share))
 			now += time.Second
 		}
-		require.InDelta(t, share*18, float64(count(list, fleetwire.StagePrefill)), 1.6, "share %v", share)
-		require.Empty(t, planner.Plan(now, list, share))
+		require.InDelta(t, share*18, float64(countInStage(instances, fleetwire.StagePrefill)), 1.6, "share %v", share)
+		require.Empty(t, planner.Plan(now, instances, share))
 	}
 }
 
-func TestPlanBoundsWhatChangesAtOnce(t *testing.T) {
+func TestPlanLimitsConcurrentSwitches(t *testing.T) {
 	planner := NewPlanner()
-	list := workers(2, 16)
-	first := planner.Plan(0, list, 0.7)
+	instances := workers(2, 16)
+	first := planner.Plan(0, instances, 0.7)
 	require.Len(t, first, 3)
-	require.Empty(t, planner.Plan(time.Second, list, 0.7), "the ordered ones have not changed yet")
+	require.Empty(t, planner.Plan(time.Second, instances, 0.7), "the ordered workers have not changed their stage yet")
 	planner.OrderFailed(first[0].Target.ID)
-	again := planner.Plan(2*time.Second, list, 0.7)
+	again := planner.Plan(2*time.Second, instances, 0.7)
 	require.Len(t, again, 1)
 }
 
-func TestOrdersThatAreNeverDoneCountAsLost(t *testing.T) {
+func TestPendingOrdersTimeOut(t *testing.T) {
 	planner := NewPlanner()
-	list := workers(2, 16)
-	require.NotEmpty(t, planner.Plan(0, list, 0.7))
-	require.NotEmpty(t, planner.Plan(pendingTimeout+time.Second, list, 0.7))
+	instances := workers(2, 16)
+	require.NotEmpty(t, planner.Plan(0, instances, 0.7))
+	require.NotEmpty(t, planner.Plan(pendingTimeout+time.Second, instances, 0.7))
 }
 
-func TestPlanNeverStripsAStage(t *testing.T) {
+func TestPlanKeepsMinimumOfEachStage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		planner := NewPlanner()
-		list := workers(rapid.IntRange(0, 20).Draw(t, "prefill"), rapid.IntRange(0, 20).Draw(t, "decode"))
+		instances := workers(rapid.IntRange(0, 20).Draw(t, "prefill"), rapid.IntRange(0, 20).Draw(t, "decode"))
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			share := rapid.Float64Range(0, 1).Draw(t, "share")
-			before := map[string]int{fleetwire.StagePrefill: count(list, fleetwire.StagePrefill), fleetwire.StageDecode: count(list, fleetwire.StageDecode)}
-			orders := planner.Plan(now, list, share)
-			obey(list, orders)
+			before := map[string]int{fleetwire.StagePrefill: countInStage(instances, fleetwire.StagePrefill), fleetwire.StageDecode: countInStage(instances, fleetwire.StageDecode)}
+			orders := planner.Plan(now, instances, share)
+			applyOrders(instances, orders)
 			for _, order := range orders {
 				from := order.Target.Stage
-				if count(list, from) < leastOfStage {
-					t.Fatalf("%d of %d workers are left to stage %s", count(list, from), before[from], from)
+				if countInStage(instances, from) < minWorkersPerStage {
+					t.Fatalf("%d of %d workers are left to stage %s", countInStage(instances, from), before[from], from)
 				}
 				if order.Stage == from {
-					t.Fatal("a worker was ordered to what it is")
+					t.Fatal("a worker was ordered to the stage that it has")
 				}
 			}
 			now += time.Second
@@ -100,16 +102,16 @@
 	})
 }
 
-func TestWorkersAreTakenFromTheZoneThatHasMost(t *testing.T) {
+func TestPlanTakesWorkersFromLargestZone(t *testing.T) {
 	planner := NewPlanner()
-	list := workers(0, 18)
-	for i := range list {
-		list[i].Zone = "small"
+	instances := workers(0, 18)
+	for i := range instances {
+		instances[i].Zone = "small"
 		if i >= 6 {
-			list[i].Zone = "large"
+			instances[i].Zone = "large"
 		}
 	}
-	for _, order := range planner.Plan(0, list, 0.5) {
+	for _, order := range planner.Plan(0, instances, 0.5) {
 		require.Equal(t, "large", order.Target.Zone)
 	}
 }
