--- a/internal/placement/probe.go
+++ b/internal/placement/probe.go
@@ -40,9 +40,9 @@
 // ErrNoReport is returned for a worker that answers a probe but has no load report.
 var ErrNoReport = eris.New("the worker has no report")
 
-// Prober gets the current load report of a worker. Its methods are safe for concurrent use.
+// Prober gets the current load report of a worker. Probe may be called concurrently.
 type Prober interface {
-	// Probe returns ErrNoReport if the worker answers without a report, and context.DeadlineExceeded if it answers too late.
+	// Probe returns an error that wraps ErrNoReport if the worker answers without a report.
 	Probe(ctx context.Context, target fleetwire.Instance) (Report, error)
 }
 
--- a/internal/stages/balance.go
+++ b/internal/stages/balance.go
@@ -2,8 +2,8 @@
 
 // Parameters of ShareAdjuster.
 const (
-	// defaultPrefillShare is the share of prefill workers at the start. It is high because requests wait for prefill, while a
-	// decode worker slows down little with a larger batch.
+	// defaultPrefillShare is the share of prefill workers at the start and under usual load. It is high because requests wait for
+	// prefill, while a decode worker slows down little with a larger batch.
 	defaultPrefillShare = 0.74
 	minPrefillShare     = 0.30
 	maxPrefillShare     = 0.80
--- a/internal/stages/rebalancer.go
+++ b/internal/stages/rebalancer.go
@@ -113,7 +113,7 @@
 	return first || now.Sub(r.tokenSince) >= r.options.TakeoverDelay
 }
 
-// issueOrders plans and sends the orders for all engines. It stops at once if a worker fences the token.
+// issueOrders plans and sends the orders for all engines. It stops as soon as a worker rejects the fencing token.
 func (r *Rebalancer) issueOrders(ctx context.Context, now time.Duration) {
 	fleet := r.options.Fleet()
 	if fleet.Config == nil {
