--- a/coordination/register/acceptor.go
+++ b/coordination/register/acceptor.go
@@ -46,7 +46,7 @@
 	case request.Kind == Query && (request.To == "" || request.To == a.self.ID):
 		return Step{Reply: a.answer(request)}
 	case request.To != a.self.ID:
-		return Step{Reply: a.refuse(request, OtherIdentity)}
+		return Step{Reply: a.refuse(request, IdentityMismatch)}
 	case request.Ballot.Less(a.promised):
 		return Step{Reply: a.refuse(request, Superseded)}
 	case a.open:
--- a/coordination/register/acceptor_test.go
+++ b/coordination/register/acceptor_test.go
@@ -33,14 +33,14 @@
 	require.Equal(t, Ballot{}, query.Promised, "a promise that is not durable is not told")
 	require.Equal(t, Busy, a.Begin(accept(6, "x")).Reply.Refusal)
 	reply := a.Finish(step)
-	require.Equal(t, Agreed, reply.Refusal)
+	require.Equal(t, NoRefusal, reply.Refusal)
 	require.Equal(t, ballot(5), reply.Promised)
 
 	step = a.Begin(accept(5, "five"))
 	require.Equal(t, "five", string(step.Write.Accepted.Value.Data))
 	require.Equal(t, Ballot{}, a.Accepted().Ballot)
 	reply = a.Finish(step)
-	require.Equal(t, Agreed, reply.Refusal)
+	require.Equal(t, NoRefusal, reply.Refusal)
 	require.Equal(t, ballot(5), reply.Accepted)
 	require.Equal(t, "five", string(a.Accepted().Value.Data))
 }
@@ -105,10 +105,10 @@
 		request.To = "someone else"
 		step := a.Begin(request)
 		require.Nil(t, step.Write)
-		require.Equal(t, OtherIdentity, step.Reply.Refusal)
+		require.Equal(t, IdentityMismatch, step.Reply.Refusal)
 		require.Equal(t, self, step.Reply.From)
 	}
-	require.Equal(t, Agreed, a.Begin(Request{Kind: Query}).Reply.Refusal)
+	require.Equal(t, NoRefusal, a.Begin(Request{Kind: Query}).Reply.Refusal)
 }
 
 func TestAcceptorSendsItsValueOnlyToWhoLacksIt(t *testing.T) {
--- a/coordination/register/contact_test.go
+++ b/coordination/register/contact_test.go
@@ -39,20 +39,20 @@
 		want  time.Duration
 	}{
 		"alone":                         {Value{Replicas: members("a1")}, nil, 0},
-		"no set":                        {Value{}, map[string]time.Duration{"b1": near}, NeverHeard},
-		"nobody heard":                  {Value{Replicas: members("a1", "b1", "c1")}, nil, NeverHeard},
+		"no set":                        {Value{}, map[string]time.Duration{"b1": near}, NoContact},
+		"nobody heard":                  {Value{Replicas: members("a1", "b1", "c1")}, nil, NoContact},
 		"one of two":                    {Value{Replicas: members("a1", "b1", "c1")}, map[string]time.Duration{"b1": near}, near},
 		"the nearer of both":            {Value{Replicas: members("a1", "b1", "c1")}, map[string]time.Duration{"b1": far, "c1": near}, near},
 		"two of four are needed":        {Value{Replicas: members("a1", "b1", "c1", "d1")}, map[string]time.Duration{"b1": near, "c1": far}, far},
-		"another disk at the address":   {Value{Replicas: members("a1", "b1", "c1")}, map[string]time.Duration{"b2": near}, NeverHeard},
-		"not a member itself":           {Value{Replicas: members("b1", "c1", "d1")}, map[string]time.Duration{"b1": near}, NeverHeard},
-		"the set alone that it becomes": {Value{Replicas: members("a1", "d1", "e1"), Previous: members("a1", "b1", "c1")}, map[string]time.Duration{"d1": near}, NeverHeard},
+		"another disk at the address":   {Value{Replicas: members("a1", "b1", "c1")}, map[string]time.Duration{"b2": near}, NoContact},
+		"not a member itself":           {Value{Replicas: members("b1", "c1", "d1")}, map[string]time.Duration{"b1": near}, NoContact},
+		"the set alone that it becomes": {Value{Replicas: members("a1", "d1", "e1"), Previous: members("a1", "b1", "c1")}, map[string]time.Duration{"d1": near}, NoContact},
 		"both sets":                     {Value{Replicas: members("a1", "d1", "e1"), Previous: members("a1", "b1", "c1")}, map[string]time.Duration{"d1": near, "c1": far}, far},
 	} {
 		t.Run(name, func(t *testing.T) {
 			age := heardFrom(test.value, test.ages).QuorumAge()
-			if test.want == NeverHeard {
-				require.Equal(t, NeverHeard, age)
+			if test.want == NoContact {
+				require.Equal(t, NoContact, age)
 				return
 			}
 			require.InDelta(t, test.want.Seconds(), age.Seconds(), 0.5)
@@ -76,6 +76,6 @@
 	} {
 		n := heardFrom(chosen, nil)
 		n.acceptor = NewAcceptor(Replica{ID: "a1", Address: "a"}, Ballot{}, test.accepted)
-		require.Equal(t, test.want, n.SetInDoubt(), "%+v", test.accepted)
+		require.Equal(t, test.want, n.ReplicaSetInDoubt(), "%+v", test.accepted)
 	}
 }
--- a/coordination/register/durable.go
+++ b/coordination/register/durable.go
@@ -62,8 +62,8 @@
 	return NewAcceptor(Replica{ID: mark.ID, Address: address}, promised, accepted), nil
 }
 
-// Mark gives an empty disk its identity. Founders is the first set if the disk belongs to it, else nil.
-func (d Disk) Mark(id, address string, founders []Replica) (*Acceptor, error) {
+// Initialize gives an empty disk its identity. Founders is the first set if the disk belongs to it, else nil.
+func (d Disk) Initialize(id, address string, founders []Replica) (*Acceptor, error) {
 	mark := identity{ID: id, Founders: founders}
 	if err := saveRecord(d.identity, &mark); err != nil {
 		return nil, err
@@ -83,7 +83,7 @@
 	err := d.save(write)
 	switch {
 	case err == nil:
-		return Agreed
+		return NoRefusal
 	case errors.Is(err, store.ErrFull):
 		return DiskFull
 	}
--- a/coordination/register/exchange.go
+++ b/coordination/register/exchange.go
@@ -45,7 +45,7 @@
 	request := message.Request
 	if message.To.Address == n.options.Address {
 		reply := n.answer(ctx, request)
-		if reply.Refusal == OtherIdentity {
+		if reply.Refusal == IdentityMismatch {
 			reply.From = message.To // an identity that this disk has lost
 		}
 		return reply
@@ -57,7 +57,7 @@
 		return Reply{Kind: request.Kind, Ballot: request.Ballot, From: message.To, Refusal: Unreachable}
 	}
 	n.heard(message.To.Address, sent, &reply)
-	if reply.Refusal == OtherIdentity {
+	if reply.Refusal == IdentityMismatch {
 		reply.From = message.To // the one that was meant does not live there any more
 	}
 	return reply
--- a/coordination/register/exhaustive_test.go
+++ b/coordination/register/exhaustive_test.go
@@ -45,7 +45,7 @@
 type exProposer struct {
 	plan    []Change // operations that are left, the present one first
 	current Proposer
-	ballots *Ballots
+	ballots *BallotGenerator
 	at      Replica
 	retries int // that it may yet make
 	done    bool
@@ -93,7 +93,7 @@
 }
 
 func exPlan(self Replica) Change {
-	planner := Planner{Self: self, Target: 3, Most: 6, Silence: func(Replica) time.Duration { return 0 }}
+	planner := Planner{Self: self, TargetReplicas: 3, MaxReplicas: 6, SilentFor: func(Replica) time.Duration { return 0 }}
 	return func(chosen Value) (Value, error) { return planner.Next(chosen), nil }
 }
 
@@ -145,7 +145,7 @@
 	}
 	for number, plan := range s.story.proposers {
 		p := exProposer{plan: plan, retries: s.story.retries, at: state.replicas[number].acceptor.self}
-		p.ballots = NewBallots(uint64(number + 1))
+		p.ballots = NewBallotGenerator(uint64(number + 1))
 		state.proposers = append(state.proposers, p)
 	}
 	state.accepts = []exAccepts{{accepted: genesis, ids: []string{"A", "B", "C"}}}
@@ -214,7 +214,7 @@
 	next.proposers = slices.Clone(state.proposers)
 	for i := range next.proposers {
 		p := &next.proposers[i]
-		p.ballots = &Ballots{round: p.ballots.round, proposer: p.ballots.proposer}
+		p.ballots = &BallotGenerator{round: p.ballots.round, proposer: p.ballots.proposer}
 		p.current.ballots = p.ballots
 		p.current.asked = maps.Clone(p.current.asked)
 		p.current.answers = maps.Clone(p.current.answers)
@@ -292,7 +292,7 @@
 
 func (s *exSearch) learn(state *exState, at int, chosen Accepted) {
 	acceptor := &state.replicas[at].acceptor
-	if !chosen.Value.Includes(acceptor.self.ID) {
+	if !chosen.Value.HasMember(acceptor.self.ID) {
 		return
 	}
 	step := acceptor.Learn(chosen)
@@ -310,7 +310,7 @@
 			s.accepted(state, replica.acceptor.self.ID, *step.Write.Accepted)
 		}
 	}
-	if reply.Refusal == OtherIdentity {
+	if reply.Refusal == IdentityMismatch {
 		reply.From.ID = message.request.To
 	}
 	if p := &state.proposers[message.from]; answered && !p.done {
--- a/coordination/register/keeping.go
+++ b/coordination/register/keeping.go
@@ -39,7 +39,7 @@
 func (n *Node) lacksChosen() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.acceptor != nil && n.acceptor.Accepted().Ballot.Less(n.chosen.Ballot) && n.chosen.Value.Includes(n.acceptor.Self().ID)
+	return n.acceptor != nil && n.acceptor.Accepted().Ballot.Less(n.chosen.Ballot) && n.chosen.Value.HasMember(n.acceptor.Self().ID)
 }
 
 // keepChosen writes the newest chosen value to the own disk.
--- a/coordination/register/message.go
+++ b/coordination/register/message.go
@@ -13,8 +13,8 @@
 	Accept
 	// Commit tells that the value accepted under Ballot is chosen.
 	Commit
-	// Learn asks for the newest value known to be chosen, if it is newer than Known. Whoever knows one answers, replica or not.
-	Learn
+	// FetchChosen asks for the newest value known to be chosen, if it is newer than Known. Whoever knows one answers, replica or not.
+	FetchChosen
 )
 
 // Refusal is the reason for a refusal.
@@ -22,12 +22,12 @@
 
 // Reasons.
 const (
-	// Agreed is no refusal.
-	Agreed Refusal = iota
+	// NoRefusal is no refusal.
+	NoRefusal Refusal = iota
 	// Superseded says that a higher ballot was promised.
 	Superseded
-	// OtherIdentity says that the message is meant for an identity that this process does not have.
-	OtherIdentity
+	// IdentityMismatch says that the message is meant for an identity that this process does not have.
+	IdentityMismatch
 	// Busy says that too many requests wait for the disk.
 	Busy
 	// DiskFull says that the disk has no room.
--- a/coordination/register/model_test.go
+++ b/coordination/register/model_test.go
@@ -62,7 +62,7 @@
 	up       bool
 	acceptor *Acceptor
 	chosen   Accepted
-	ballots  *Ballots
+	ballots  *BallotGenerator
 	step     *Step // waits for the disk
 	stepOf   envelope
 
@@ -139,7 +139,7 @@
 	n.disk = NewDisk(n.files())
 	acceptor, err := n.disk.Load(n.address)
 	if acceptor == nil && err == nil {
-		acceptor, err = n.disk.Mark(n.id, n.address, w.firstSet(n))
+		acceptor, err = n.disk.Initialize(n.id, n.address, w.firstSet(n))
 	}
 	if err != nil {
 		return // the disk is full or fails
@@ -147,7 +147,7 @@
 	n.up = true
 	n.lives++
 	w.proposers++
-	n.ballots = NewBallots(w.proposers)
+	n.ballots = NewBallotGenerator(w.proposers)
 	n.chosen = Accepted{}
 	n.step, n.operation = nil, nil
 	n.acceptor = acceptor
@@ -203,7 +203,7 @@
 func (w *world) mayWipe() bool {
 	set := w.newest.Value
 	return !set.Joint() && len(set.Replicas) == len(w.nodes) &&
-		lo.EveryBy(w.nodes, func(n *modelNode) bool { return set.Has(n.id) })
+		lo.EveryBy(w.nodes, func(n *modelNode) bool { return set.HasReplica(n.id) })
 }
 
 func (w *world) node(address string) int {
@@ -243,9 +243,9 @@
 		if n.acceptor.Accepted().Ballot == request.Ballot {
 			n.learn(n.acceptor.Accepted())
 		}
-	case Learn:
+	case FetchChosen:
 		value := n.chosen.Value
-		reply := Reply{Kind: Learn, From: n.self(), Accepted: n.chosen.Ballot, Value: &value}
+		reply := Reply{Kind: FetchChosen, From: n.self(), Accepted: n.chosen.Ballot, Value: &value}
 		w.fly(envelope{to: e.from, life: e.life, reply: &reply})
 	default:
 		if n.step != nil {
@@ -274,7 +274,7 @@
 func (w *world) write(n *modelNode) {
 	step := *n.step
 	n.step = nil
-	if refusal := n.disk.Write(step.Write); refusal != Agreed {
+	if refusal := n.disk.Write(step.Write); refusal != NoRefusal {
 		w.reply(n, n.stepOf, n.acceptor.Abandon(step, refusal))
 		return
 	}
@@ -320,8 +320,8 @@
 }
 
 func (w *world) takeReply(n *modelNode, reply Reply) {
-	n.ballots.Saw(reply.Promised)
-	if reply.Kind == Learn && reply.Value != nil {
+	n.ballots.Observe(reply.Promised)
+	if reply.Kind == FetchChosen && reply.Value != nil {
 		n.learn(Accepted{Ballot: reply.Accepted, Value: *reply.Value})
 	}
 	if n.operation == nil {
@@ -415,14 +415,14 @@
 func (w *world) startUpkeep(n *modelNode) {
 	if len(n.chosen.Value.Replicas) == 0 {
 		other := w.draw(len(w.nodes))
-		w.fly(envelope{to: other, from: n.at, life: n.lives, request: &Request{Kind: Learn, From: n.self()}})
+		w.fly(envelope{to: other, from: n.at, life: n.lives, request: &Request{Kind: FetchChosen, From: n.self()}})
 		if len(n.known().Value.Replicas) > 0 {
 			w.propose(n, Unchanged, -1)
 		}
 		return
 	}
-	plan := Planner{Self: n.self(), Target: modelTarget, Most: 2 * modelTarget,
-		Silence: w.silence, RemoveAfter: time.Second}
+	plan := Planner{Self: n.self(), TargetReplicas: modelTarget, MaxReplicas: 2 * modelTarget,
+		SilentFor: w.silence, RemoveAfter: time.Second}
 	w.propose(n, func(value Value) (Value, error) {
 		next := plan.Next(value)
 		if w.faults.skipsJoint {
--- a/coordination/register/node.go
+++ b/coordination/register/node.go
@@ -26,7 +26,7 @@
 	disk    Disk
 	writing chan struct{} // holds a token while the disk is in use
 	turn    chan struct{} // holds a token while an own operation runs: a node does not compete with itself
-	ballots *Ballots
+	ballots *BallotGenerator
 	nudge   chan struct{} // wakes the upkeep before its next tick
 
 	mu       sync.Mutex
@@ -55,7 +55,7 @@
 		disk:     disk,
 		writing:  make(chan struct{}, 1),
 		turn:     make(chan struct{}, 1),
-		ballots:  NewBallots(randomNumber()),
+		ballots:  NewBallotGenerator(randomNumber()),
 		nudge:    make(chan struct{}, 1),
 		acceptor: acceptor,
 		changed:  make(chan struct{}),
@@ -86,7 +86,7 @@
 		founders = FoundingSet(n.options.Founders)
 	}
 	n.writing <- struct{}{}
-	acceptor, err := n.disk.Mark(id, n.options.Address, founders)
+	acceptor, err := n.disk.Initialize(id, n.options.Address, founders)
 	<-n.writing
 	if err != nil {
 		return false
@@ -151,7 +151,7 @@
 	}
 	moved := n.chosen.Value.Revision < chosen.Value.Revision || n.chosen.Ballot == (Ballot{})
 	n.chosen = chosen
-	n.ballots.Saw(chosen.Ballot)
+	n.ballots.Observe(chosen.Ballot)
 	if moved {
 		n.wake()
 		close(n.changed)
@@ -170,9 +170,9 @@
 	return known, n.chosen.Ballot
 }
 
-// SetInDoubt reports whether the own replica has accepted a value with other replicas than Latest has. The set may have changed
+// ReplicaSetInDoubt reports whether the own replica has accepted a value with other replicas than Latest has. The set may have changed
 // without this process knowing.
-func (n *Node) SetInDoubt() bool {
+func (n *Node) ReplicaSetInDoubt() bool {
 	known, chosen := n.known()
 	if known.Ballot == chosen {
 		return false
--- a/coordination/register/peers.go
+++ b/coordination/register/peers.go
@@ -44,7 +44,7 @@
 
 // heard takes note of an answer.
 func (n *Node) heard(address string, sent time.Time, reply *Reply) {
-	n.ballots.Saw(reply.Promised)
+	n.ballots.Observe(reply.Promised)
 	n.mu.Lock()
 	p := n.peerAt(address)
 	p.id = reply.From.ID
@@ -52,11 +52,11 @@
 	if p.answered.Before(sent) {
 		p.answered = sent
 	}
-	if reply.Refusal == Agreed && reply.Kind != Learn && reply.Kind != Commit {
+	if reply.Refusal == NoRefusal && reply.Kind != FetchChosen && reply.Kind != Commit {
 		p.accepted = reply.Accepted
 	}
 	n.mu.Unlock()
-	if !n.confirm(reply.Chosen) && reply.Kind != Learn {
+	if !n.confirm(reply.Chosen) && reply.Kind != FetchChosen {
 		n.fetchChosen(reply.Chosen, address)
 	}
 }
@@ -95,8 +95,8 @@
 	return max(1, now.Sub(p.missedSince))
 }
 
-// NeverHeard is the age of a contact that there never was in the life of this process.
-const NeverHeard = time.Duration(math.MaxInt64)
+// NoContact is the age of a contact that there never was in the life of this process.
+const NoContact = time.Duration(math.MaxInt64)
 
 // QuorumAge returns how long ago a majority of the set was last heard: the age of the question that its answers answered. It is
 // NeverHeard until a majority has answered this process.
@@ -117,7 +117,7 @@
 
 func (n *Node) majorityAge(replicas []Replica, now time.Time) time.Duration {
 	if len(replicas) == 0 {
-		return NeverHeard
+		return NoContact
 	}
 	ages := lo.Map(replicas, func(replica Replica, _ int) time.Duration { return n.age(replica, now) })
 	slices.SortFunc(ages, cmp.Compare[time.Duration])
@@ -130,7 +130,7 @@
 	}
 	p := n.peers[replica.Address]
 	if p == nil || p.id != replica.ID || p.answered.IsZero() {
-		return NeverHeard
+		return NoContact
 	}
 	return now.Sub(p.answered)
 }
@@ -139,7 +139,7 @@
 func (n *Node) heartbeat() {
 	known, _ := n.known()
 	addresses := lo.Map(known.Value.Members(), func(r Replica, _ int) string { return r.Address })
-	if !known.Value.Has(n.ID()) || n.QuorumAge() > lostAfter {
+	if !known.Value.HasReplica(n.ID()) || n.QuorumAge() > lostAfter {
 		addresses = append(addresses, n.options.Seeds()...)
 		addresses = append(addresses, n.strangers()...)
 	}
@@ -223,12 +223,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), learnTimeout)
 	defer cancel()
 	_, chosen := n.known()
-	request := Request{Kind: Learn, From: n.self(), Known: chosen}
+	request := Request{Kind: FetchChosen, From: n.self(), Known: chosen}
 	reply := n.call(ctx, Message{To: Replica{Address: address}, Request: request})
 	n.mu.Lock()
 	n.peerAt(address).fetching = false
 	n.mu.Unlock()
-	if reply.Refusal == Agreed && reply.Value != nil {
+	if reply.Refusal == NoRefusal && reply.Value != nil {
 		n.learnChosen(Accepted{Ballot: reply.Accepted, Value: *reply.Value})
 		n.wake()
 	}
--- a/coordination/register/plan.go
+++ b/coordination/register/plan.go
@@ -10,12 +10,12 @@
 
 // Planner plans changes of the set by what a process knows. It is pure.
 type Planner struct {
-	Self    Replica
-	Target  int // replicas wanted; once reached, the set is never smaller
-	Most    int // bounds the set while replacements join
-	Leaving bool
-	// Silence tells how long a replica has been silent, zero if it isn't.
-	Silence     func(Replica) time.Duration
+	Self           Replica
+	TargetReplicas int // replicas wanted; once reached, the set is never smaller
+	MaxReplicas    int // bounds the set while replacements join
+	Leaving        bool
+	// SilentFor tells how long a replica has been silent, zero if it isn't.
+	SilentFor   func(Replica) time.Duration
 	RemoveAfter time.Duration // the silence after which a replica above Target goes
 }
 
@@ -27,7 +27,7 @@
 		return value
 	case p.Leaving:
 		return p.change(value, p.leave(value.Replicas))
-	case value.Has(p.Self.ID):
+	case value.HasReplica(p.Self.ID):
 		return p.change(value, p.removeSilent(value.Replicas))
 	}
 	return p.change(value, p.join(value.Replicas))
@@ -45,7 +45,7 @@
 // leave takes the own replica out if enough others stay.
 func (p Planner) leave(replicas []Replica) []Replica {
 	next := lo.Reject(replicas, func(r Replica, _ int) bool { return r.ID == p.Self.ID })
-	if len(next) < p.Target {
+	if len(next) < p.TargetReplicas {
 		return replicas
 	}
 	return next
@@ -57,7 +57,7 @@
 	next := lo.Reject(replicas, func(r Replica, _ int) bool { return r.Address == p.Self.Address })
 	next = append(next, p.Self)
 	next = p.dropSilent(next, 1)
-	if len(next) > p.Most {
+	if len(next) > p.MaxReplicas {
 		return replicas // there is no room until someone leaves
 	}
 	return next
@@ -71,11 +71,11 @@
 // dropSilent removes one replica that has been silent for a time, if the set is larger than wanted. One at a time is enough:
 // the next change removes the next.
 func (p Planner) dropSilent(replicas []Replica, least time.Duration) []Replica {
-	if len(replicas) <= p.Target {
+	if len(replicas) <= p.TargetReplicas {
 		return replicas
 	}
-	longest := slices.MaxFunc(replicas, func(a, b Replica) int { return cmp.Compare(p.Silence(a), p.Silence(b)) })
-	if p.Silence(longest) < least {
+	longest := slices.MaxFunc(replicas, func(a, b Replica) int { return cmp.Compare(p.SilentFor(a), p.SilentFor(b)) })
+	if p.SilentFor(longest) < least {
 		return replicas
 	}
 	return lo.Reject(replicas, func(r Replica, _ int) bool { return r.ID == longest.ID })
--- a/coordination/register/plan_test.go
+++ b/coordination/register/plan_test.go
@@ -10,8 +10,8 @@
 
 func planner(id string, silent map[string]time.Duration) Planner {
 	return Planner{
-		Self: replicas(id)[0], Target: 3, Most: 6, RemoveAfter: time.Second,
-		Silence: func(r Replica) time.Duration { return silent[r.ID] },
+		Self: replicas(id)[0], TargetReplicas: 3, MaxReplicas: 6, RemoveAfter: time.Second,
+		SilentFor: func(r Replica) time.Duration { return silent[r.ID] },
 	}
 }
 
@@ -79,8 +79,8 @@
 		p := planner(rapid.SampledFrom(names).Draw(t, "self"), silent)
 		p.Leaving = rapid.Bool().Draw(t, "leaving")
 		next := p.Next(Value{Replicas: set})
-		require.GreaterOrEqual(t, len(next.Replicas), min(len(set), p.Target))
-		require.LessOrEqual(t, len(next.Replicas), max(len(set), p.Most))
+		require.GreaterOrEqual(t, len(next.Replicas), min(len(set), p.TargetReplicas))
+		require.LessOrEqual(t, len(next.Replicas), max(len(set), p.MaxReplicas))
 		require.LessOrEqual(t, len(set)-len(next.Replicas), 1)
 	})
 }
--- a/coordination/register/proposer.go
+++ b/coordination/register/proposer.go
@@ -33,7 +33,7 @@
 // Proposer brings one change to a chosen value, over as many ballots as it takes. It is pure.
 type Proposer struct {
 	self    Replica
-	ballots *Ballots
+	ballots *BallotGenerator
 	change  Change
 
 	base   Accepted // highest value known
@@ -80,8 +80,8 @@
 
 // NewProposer returns an operation. Known is the highest value that the driver has, with the set to begin with; chosen is
 // the highest ballot that the driver knows to be chosen.
-func NewProposer(self Replica, ballots *Ballots, known Accepted, chosen Ballot, change Change) *Proposer {
-	ballots.Saw(known.Ballot)
+func NewProposer(self Replica, ballots *BallotGenerator, known Accepted, chosen Ballot, change Change) *Proposer {
+	ballots.Observe(known.Ballot)
 	return &Proposer{self: self, ballots: ballots, base: known, chosen: chosen, change: change}
 }
 
@@ -103,7 +103,7 @@
 	if p.phase == ended || !p.base.Ballot.Less(chosen.Ballot) || !p.news.Ballot.Less(chosen.Ballot) {
 		return false
 	}
-	p.ballots.Saw(chosen.Ballot)
+	p.ballots.Observe(chosen.Ballot)
 	p.news = chosen // not the base of a ballot that may be below it
 	return p.ballot.Less(chosen.Ballot) || !slices.Equal(p.base.Value.Members(), chosen.Value.Members())
 }
@@ -116,18 +116,18 @@
 
 // Deliver takes a reply. Replies to earlier ballots and doubles are ignored.
 func (p *Proposer) Deliver(reply Reply) Output {
-	p.ballots.Saw(reply.Promised)
+	p.ballots.Observe(reply.Promised)
 	if reply.Ballot != p.ballot || !p.awaits(reply.Kind) || !p.asked[reply.From.ID] {
 		return Output{Done: p.phase == ended}
 	}
-	if old, answered := p.answers[reply.From.ID]; answered && old.Refusal == Agreed {
+	if old, answered := p.answers[reply.From.ID]; answered && old.Refusal == NoRefusal {
 		return Output{}
 	}
 	p.answers[reply.From.ID] = reply
 	if p.phase == preparing {
 		return p.promised(reply)
 	}
-	if reply.Refusal != Agreed {
+	if reply.Refusal != NoRefusal {
 		return p.refused(reply, &p.proposal)
 	}
 	return p.accepted()
@@ -172,7 +172,7 @@
 	if p.chosen.Less(reply.Chosen) {
 		p.chosen = reply.Chosen
 	}
-	if reply.Refusal != Agreed {
+	if reply.Refusal != NoRefusal {
 		return p.refused(reply, &p.base.Value)
 	}
 	if reply.Value != nil && p.base.Ballot.Less(reply.Accepted) {
@@ -190,7 +190,7 @@
 
 func (p *Proposer) agreed(id string) bool {
 	answer, answered := p.answers[id]
-	return answered && answer.Refusal == Agreed
+	return answered && answer.Refusal == NoRefusal
 }
 
 // refused asks for another ballot if a higher one was met, or if no majority is left. The back-off before it leaves those
@@ -203,7 +203,7 @@
 func (p *Proposer) hopeless(value *Value) bool {
 	return !value.Quorum(func(id string) bool {
 		answer, answered := p.answers[id]
-		return !answered || answer.Refusal == Agreed
+		return !answered || answer.Refusal == NoRefusal
 	})
 }
 
@@ -222,7 +222,7 @@
 	}
 	return p.base.Value.Quorum(func(id string) bool {
 		answer, answered := p.answers[id]
-		return answered && answer.Refusal == Agreed && answer.Accepted == p.base.Ballot
+		return answered && answer.Refusal == NoRefusal && answer.Accepted == p.base.Ballot
 	})
 }
 
--- a/coordination/register/proposer_test.go
+++ b/coordination/register/proposer_test.go
@@ -24,7 +24,7 @@
 	b := &bench{t: t, acceptors: map[string]*Acceptor{}, deaf: map[string]bool{}}
 	for _, replica := range replicas(names...) {
 		accepted := first
-		if !first.Value.Has(replica.ID) {
+		if !first.Value.HasReplica(replica.ID) {
 			accepted = Accepted{}
 		}
 		b.acceptors[replica.ID] = NewAcceptor(replica, Ballot{}, accepted)
@@ -70,7 +70,7 @@
 	first := Genesis(replicas("a", "b", "c"))
 	b := newBench(t, first, "a", "b", "c")
 	b.deaf["c"] = true
-	p := NewProposer(Replica{ID: "a"}, NewBallots(1), first, first.Ballot, setTo("x"))
+	p := NewProposer(Replica{ID: "a"}, NewBallotGenerator(1), first, first.Ballot, setTo("x"))
 	require.True(t, b.play(p, p.Start()).Done)
 	result, err := p.Result()
 	require.NoError(t, err)
@@ -84,7 +84,7 @@
 func TestProposerTellsEveryoneWhatIsChosen(t *testing.T) {
 	first := Genesis(replicas("a", "b", "c"))
 	b := newBench(t, first, "a", "b", "c")
-	p := NewProposer(Replica{ID: "a"}, NewBallots(1), first, first.Ballot, setTo("x"))
+	p := NewProposer(Replica{ID: "a"}, NewBallotGenerator(1), first, first.Ballot, setTo("x"))
 	output := b.play(p, p.Start())
 	require.True(t, output.Done)
 	require.Len(t, output.Messages, 3)
@@ -102,7 +102,7 @@
 	b.acceptors["a"] = NewAcceptor(replicas("a")[0], Ballot{}, doubtful)
 	b.deaf["c"] = true
 	var seen []string
-	p := NewProposer(Replica{ID: "b"}, NewBallots(1), first, first.Ballot, func(value Value) (Value, error) {
+	p := NewProposer(Replica{ID: "b"}, NewBallotGenerator(1), first, first.Ballot, func(value Value) (Value, error) {
 		seen = append(seen, string(value.Data))
 		value.Data = []byte("new")
 		return value, nil
@@ -122,7 +122,7 @@
 	b := newBench(t, first, "a", "b", "c")
 	refused := eris.New("refused")
 	refuse := func(value Value) (Value, error) { return value, refused }
-	p := NewProposer(Replica{ID: "a"}, NewBallots(1), first, first.Ballot, refuse)
+	p := NewProposer(Replica{ID: "a"}, NewBallotGenerator(1), first, first.Ballot, refuse)
 	require.True(t, b.play(p, p.Start()).Done)
 	_, err := p.Result()
 	require.ErrorIs(t, err, refused)
@@ -135,7 +135,7 @@
 	for _, id := range []string{"a", "b"} {
 		b.answer(Message{To: Replica{ID: id}, Request: Request{Kind: Prepare, To: id, Ballot: ballot(50)}})
 	}
-	p := NewProposer(Replica{ID: "a"}, NewBallots(1), first, first.Ballot, setTo("x"))
+	p := NewProposer(Replica{ID: "a"}, NewBallotGenerator(1), first, first.Ballot, setTo("x"))
 	require.True(t, b.play(p, p.Start()).Retry)
 	require.True(t, b.play(p, p.Retry()).Done)
 	result, _ := p.Result()
@@ -144,7 +144,7 @@
 
 // inDoubt returns a proposer whose proposal only a has accepted.
 func inDoubt(b *bench, first Accepted, change Change) *Proposer {
-	p := NewProposer(Replica{ID: "a"}, NewBallots(1), first, first.Ballot, change)
+	p := NewProposer(Replica{ID: "a"}, NewBallotGenerator(1), first, first.Ballot, change)
 	var accepts []Message
 	for _, message := range p.Start().Messages {
 		reply, _ := b.answer(message)
@@ -208,7 +208,7 @@
 		value.Previous, value.Replicas = value.Replicas, replicas("c", "d", "e")
 		return value, nil
 	}
-	p := NewProposer(Replica{ID: "a"}, NewBallots(1), first, first.Ballot, toNew)
+	p := NewProposer(Replica{ID: "a"}, NewBallotGenerator(1), first, first.Ballot, toNew)
 	b.deaf["e"] = true
 	require.False(t, b.play(p, p.Start()).Done, "a majority of the new set is missing")
 	b.deaf["e"] = false
@@ -218,7 +218,7 @@
 
 	finish := func(value Value) (Value, error) { value.Previous = nil; return value, nil }
 	b.deaf["a"], b.deaf["b"] = true, true
-	p = NewProposer(Replica{ID: "e"}, NewBallots(2), joint, joint.Ballot, finish)
+	p = NewProposer(Replica{ID: "e"}, NewBallotGenerator(2), joint, joint.Ballot, finish)
 	require.False(t, b.play(p, p.Start()).Done, "a majority of the old set is missing")
 	b.deaf["b"] = false
 	require.True(t, b.play(p, p.Retry()).Done)
@@ -239,11 +239,11 @@
 	}
 	known := first
 	for range 2 {
-		p := NewProposer(Replica{ID: "b"}, NewBallots(1), known, known.Ballot, move)
+		p := NewProposer(Replica{ID: "b"}, NewBallotGenerator(1), known, known.Ballot, move)
 		require.True(t, b.play(p, p.Start()).Done)
 		known, _ = p.Result()
 	}
-	stale := NewProposer(Replica{ID: "a"}, NewBallots(9), first, first.Ballot, setTo("x"))
+	stale := NewProposer(Replica{ID: "a"}, NewBallotGenerator(9), first, first.Ballot, setTo("x"))
 	output := b.play(stale, stale.Start())
 	for !output.Done {
 		output = b.play(stale, stale.Retry())
--- a/coordination/register/reader.go
+++ b/coordination/register/reader.go
@@ -21,7 +21,7 @@
 
 // Deliver takes a reply to a message of this read.
 func (r *Reader) Deliver(reply Reply) Output {
-	if reply.Kind != Query || reply.Refusal != Agreed || !r.asked[reply.From.ID] {
+	if reply.Kind != Query || reply.Refusal != NoRefusal || !r.asked[reply.From.ID] {
 		return Output{}
 	}
 	r.answers[reply.From.ID] = reply
--- a/coordination/register/serve.go
+++ b/coordination/register/serve.go
@@ -41,7 +41,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.acceptor == nil {
-		return n.refusal(request, OtherIdentity)
+		return n.refusal(request, IdentityMismatch)
 	}
 	reply := n.acceptor.Begin(request).Reply
 	reply.Chosen = n.chosen.Ballot
@@ -60,7 +60,7 @@
 
 // write takes a request that may need the disk. The disk has one user at a time.
 func (n *Node) write(ctx context.Context, request Request) Reply {
-	if refusal := n.awaitDisk(ctx); refusal != Agreed {
+	if refusal := n.awaitDisk(ctx); refusal != NoRefusal {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		return n.refusal(request, refusal)
@@ -79,7 +79,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var reply Reply
-	if refusal == Agreed {
+	if refusal == NoRefusal {
 		reply = n.acceptor.Finish(step)
 	} else {
 		reply = n.acceptor.Abandon(step, refusal)
@@ -92,7 +92,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.acceptor == nil {
-		return Step{Reply: n.refusal(request, OtherIdentity)}
+		return Step{Reply: n.refusal(request, IdentityMismatch)}
 	}
 	step := n.acceptor.Begin(request)
 	step.Reply.Chosen = n.chosen.Ballot
@@ -106,7 +106,7 @@
 	defer n.leaveQueue()
 	select {
 	case n.writing <- struct{}{}:
-		return Agreed
+		return NoRefusal
 	case <-ctx.Done():
 		return Busy
 	}
@@ -144,7 +144,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.refusal(request, Agreed)
+	return n.refusal(request, NoRefusal)
 }
 
 // confirm learns that a ballot is chosen, if the own acceptor holds its value. It reports whether there is nothing to fetch.
@@ -170,7 +170,7 @@
 func (n *Node) teach(request Request) Reply {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	reply := n.refusal(request, Agreed)
+	reply := n.refusal(request, NoRefusal)
 	reply.Accepted = n.chosen.Ballot
 	reply.Revision = n.chosen.Value.Revision
 	if request.Known.Less(n.chosen.Ballot) {
--- a/coordination/register/upkeep.go
+++ b/coordination/register/upkeep.go
@@ -66,7 +66,7 @@
 
 // placed reports whether the node is in the set, or on standby for one that has no room.
 func (n *Node) placed(value *Value) bool {
-	return value.Has(n.ID()) || len(value.Replicas) >= n.options.MaxReplicas
+	return value.HasReplica(n.ID()) || len(value.Replicas) >= n.options.MaxReplicas
 }
 
 // Leave takes the own replica out of the set, if enough others stay: for a process that is stopped for good while its
@@ -77,7 +77,7 @@
 	n.mu.Unlock()
 	for {
 		chosen := n.latest().Value
-		if !chosen.Joint() && !chosen.Has(n.ID()) {
+		if !chosen.Joint() && !chosen.HasReplica(n.ID()) {
 			return nil
 		}
 		plan := n.planner(0)
@@ -105,11 +105,11 @@
 		self = n.acceptor.Self()
 	}
 	return Planner{
-		Self:    self,
-		Target:  n.options.TargetReplicas,
-		Most:    n.options.MaxReplicas,
-		Leaving: n.leaving,
-		Silence: func(replica Replica) time.Duration {
+		Self:           self,
+		TargetReplicas: n.options.TargetReplicas,
+		MaxReplicas:    n.options.MaxReplicas,
+		Leaving:        n.leaving,
+		SilentFor: func(replica Replica) time.Duration {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			return n.silence(replica, now)
@@ -180,7 +180,7 @@
 		mine := chosen.Origin.Proposer == n.ballots.proposer
 		return mine || now.Sub(u.jointSince) >= rankDelay*time.Duration(1+rank(chosen, n))
 	}
-	if chosen.Has(n.ID()) {
+	if chosen.HasReplica(n.ID()) {
 		u.probeSince = time.Time{}
 		return true
 	}
--- a/coordination/register/value.go
+++ b/coordination/register/value.go
@@ -62,13 +62,13 @@
 	return lo.UniqBy(slices.Concat(v.Replicas, v.Previous), func(r Replica) string { return r.ID })
 }
 
-// Includes reports whether the identity is in one of both sets.
-func (v *Value) Includes(id string) bool {
+// HasMember reports whether the identity is in one of both sets.
+func (v *Value) HasMember(id string) bool {
 	return slices.ContainsFunc(v.Members(), func(r Replica) bool { return r.ID == id })
 }
 
-// Has reports whether the identity is in the set, or in the one that it changes to.
-func (v *Value) Has(id string) bool {
+// HasReplica reports whether the identity is in the set, or in the one that it changes to.
+func (v *Value) HasReplica(id string) bool {
 	return slices.ContainsFunc(v.Replicas, func(r Replica) bool { return r.ID == id })
 }
 
--- a/coordination/systemtest/node_test.go
+++ b/coordination/systemtest/node_test.go
@@ -41,7 +41,7 @@
 	site    *site
 	disk    register.Disk
 	number  uint64 // of this life as a proposer
-	ballots *register.Ballots
+	ballots *register.BallotGenerator
 
 	acceptor *register.Acceptor // nil until the disk has an identity
 	waiting  []func()           // requests that wait for the disk
@@ -84,7 +84,7 @@
 		site:    site,
 		disk:    register.NewDisk(process.Disk().Files()),
 		number:  number,
-		ballots: register.NewBallots(number),
+		ballots: register.NewBallotGenerator(number),
 		peers:   map[string]*peer{},
 	}
 	return n
@@ -123,7 +123,7 @@
 	}
 	var acceptor *register.Acceptor
 	work := func(*sim.Files) (err error) {
-		acceptor, err = n.disk.Mark(id, n.process.Name(), founders)
+		acceptor, err = n.disk.Initialize(id, n.process.Name(), founders)
 		return err
 	}
 	n.process.Disk().Do(n.process, work, func(err error) {
@@ -138,7 +138,7 @@
 func (n *node) adopt(acceptor *register.Acceptor) {
 	n.acceptor = acceptor
 	accepted := acceptor.Accepted()
-	n.ballots.Saw(accepted.Ballot)
+	n.ballots.Observe(accepted.Ballot)
 	if accepted.Ballot == (register.Ballot{}) {
 		return
 	}
@@ -177,7 +177,7 @@
 	}
 	n.site.checks.learnt(chosen)
 	n.chosen = chosen
-	n.ballots.Saw(chosen.Ballot)
+	n.ballots.Observe(chosen.Ballot)
 	if n.current != nil {
 		n.current.learn()
 	}
@@ -194,7 +194,7 @@
 	switch request.Kind {
 	case register.Query:
 		if n.acceptor == nil {
-			answer(n.refusal(request, register.OtherIdentity))
+			answer(n.refusal(request, register.IdentityMismatch))
 			return
 		}
 		answer(n.toldChosen(n.acceptor.Begin(request).Reply))
@@ -209,9 +209,9 @@
 		if !n.confirm(request.Ballot) {
 			n.fetch(request.Ballot, request.From.Address)
 		}
-		answer(n.refusal(request, register.Agreed))
-	case register.Learn:
-		reply := n.refusal(request, register.Agreed)
+		answer(n.refusal(request, register.NoRefusal))
+	case register.FetchChosen:
+		reply := n.refusal(request, register.NoRefusal)
 		reply.Accepted = n.chosen.Ballot
 		if request.Known.Less(n.chosen.Ballot) {
 			value := n.chosen.Value
@@ -248,7 +248,7 @@
 // write takes a request that may need the disk.
 func (n *node) write(request register.Request, answer func(register.Reply)) {
 	if n.acceptor == nil {
-		answer(n.refusal(request, register.OtherIdentity))
+		answer(n.refusal(request, register.IdentityMismatch))
 		n.written()
 		return
 	}
@@ -266,7 +266,7 @@
 		answer(n.toldChosen(n.finish(step)))
 		answer = func(register.Reply) {}
 	}
-	refusal := register.Agreed
+	refusal := register.NoRefusal
 	work := func(*sim.Files) error {
 		refusal = n.disk.Write(step.Write)
 		return nil
@@ -274,7 +274,7 @@
 	n.process.Disk().Do(n.process, work, func(error) {
 		switch {
 		case n.site.broken.answersBeforeSync:
-		case refusal == register.Agreed:
+		case refusal == register.NoRefusal:
 			answer(n.toldChosen(n.finish(step)))
 		default:
 			answer(n.toldChosen(n.acceptor.Abandon(step, refusal)))
@@ -306,7 +306,7 @@
 // call carries a message to a replica, which may be this process itself.
 func (n *node) call(message register.Message, timeout time.Duration, done func(register.Reply)) {
 	take := func(reply register.Reply) {
-		if reply.Refusal == register.OtherIdentity {
+		if reply.Refusal == register.IdentityMismatch {
 			reply.From = message.To // the one that was meant does not live there any more
 		}
 		done(reply)
@@ -337,14 +337,14 @@
 }
 
 func (n *node) heard(address string, sent time.Duration, reply register.Reply) {
-	n.ballots.Saw(reply.Promised)
+	n.ballots.Observe(reply.Promised)
 	p := n.peerAt(address)
 	p.id, p.missed, p.heard = reply.From.ID, 0, true
 	p.answered = max(p.answered, sent)
-	if reply.Refusal == register.Agreed && reply.Kind != register.Learn && reply.Kind != register.Commit {
+	if reply.Refusal == register.NoRefusal && reply.Kind != register.FetchChosen && reply.Kind != register.Commit {
 		p.accepted = reply.Accepted
 	}
-	if !n.confirm(reply.Chosen) && reply.Kind != register.Learn {
+	if !n.confirm(reply.Chosen) && reply.Kind != register.FetchChosen {
 		n.fetch(reply.Chosen, address)
 	}
 }
@@ -364,10 +364,10 @@
 		return
 	}
 	p.fetching = true
-	request := register.Request{Kind: register.Learn, From: n.self(), Known: n.chosen.Ballot}
+	request := register.Request{Kind: register.FetchChosen, From: n.self(), Known: n.chosen.Ballot}
 	n.call(register.Message{To: register.Replica{Address: address}, Request: request}, callTimeout, func(reply register.Reply) {
 		p.fetching = false
-		if reply.Refusal == register.Agreed && reply.Value != nil {
+		if reply.Refusal == register.NoRefusal && reply.Value != nil {
 			n.learn(register.Accepted{Ballot: reply.Accepted, Value: *reply.Value})
 		}
 	})
@@ -397,7 +397,7 @@
 
 func (n *node) majorityAge(replicas []register.Replica) time.Duration {
 	if len(replicas) == 0 {
-		return register.NeverHeard
+		return register.NoContact
 	}
 	ages := lo.Map(replicas, func(replica register.Replica, _ int) time.Duration { return n.age(replica) })
 	slices.SortFunc(ages, cmp.Compare[time.Duration])
@@ -410,20 +410,20 @@
 	}
 	p := n.peers[replica.Address]
 	if p == nil || p.id != replica.ID || !p.heard {
-		return register.NeverHeard
+		return register.NoContact
 	}
 	return n.process.Steady() - p.answered
 }
 
 func (n *node) placed() bool {
 	value := n.known().Value
-	return value.Has(n.id()) || len(value.Replicas) >= 2*targetReplicas
+	return value.HasReplica(n.id()) || len(value.Replicas) >= 2*targetReplicas
 }
 
 func (n *node) beat() {
 	value := n.known().Value
 	addresses := lo.Map(value.Members(), func(r register.Replica, _ int) string { return r.Address })
-	if !value.Has(n.id()) || n.quorumAge() > lostAfter {
+	if !value.HasReplica(n.id()) || n.quorumAge() > lostAfter {
 		addresses = append(addresses, n.site.seeds...)
 		addresses = append(addresses, slices.Sorted(mapKeys(n.peers))...)
 	}
--- a/coordination/systemtest/site_test.go
+++ b/coordination/systemtest/site_test.go
@@ -197,7 +197,7 @@
 func (s *site) formed() bool {
 	set := s.checks.newest.Value
 	return !set.Joint() && len(set.Replicas) >= targetReplicas && lo.EveryBy(s.cores(), func(seat *seat) bool {
-		return seat.machine.Up() && set.Has(seat.controller.node.id())
+		return seat.machine.Up() && set.HasReplica(seat.controller.node.id())
 	})
 }
 
--- a/coordination/systemtest/upkeep_test.go
+++ b/coordination/systemtest/upkeep_test.go
@@ -46,7 +46,7 @@
 // keep has the own disk take a chosen value that it lacks for a while.
 func (n *node) keep() {
 	now := n.process.Steady()
-	if !n.acceptor.Accepted().Ballot.Less(n.chosen.Ballot) || !n.chosen.Value.Includes(n.id()) {
+	if !n.acceptor.Accepted().Ballot.Less(n.chosen.Ballot) || !n.chosen.Value.HasMember(n.id()) {
 		n.behindSince = 0
 		return
 	}
@@ -61,8 +61,8 @@
 }
 
 func (n *node) planner(delay time.Duration) register.Planner {
-	return register.Planner{Self: n.self(), Target: targetReplicas, Most: 2 * targetReplicas,
-		Silence: n.silence, RemoveAfter: removeAfter + delay}
+	return register.Planner{Self: n.self(), TargetReplicas: targetReplicas, MaxReplicas: 2 * targetReplicas,
+		SilentFor: n.silence, RemoveAfter: removeAfter + delay}
 }
 
 func sameSets(a, b register.Value) bool {
@@ -99,7 +99,7 @@
 		}
 		return chosen.Origin.Proposer == n.number || now-n.jointSince >= rankDelay*time.Duration(1+n.rank(chosen))
 	}
-	if chosen.Has(n.id()) {
+	if chosen.HasReplica(n.id()) {
 		n.probeSince = 0
 		return true
 	}
--- a/coordination/systemtest/wiped_test.go
+++ b/coordination/systemtest/wiped_test.go
@@ -53,7 +53,7 @@
 // inSet returns the seats of the chosen set.
 func (s *site) inSet() []*seat {
 	set := s.checks.newest.Value
-	return lo.Filter(s.cores(), func(seat *seat, _ int) bool { return set.Has(seat.controller.node.id()) })
+	return lo.Filter(s.cores(), func(seat *seat, _ int) bool { return set.HasReplica(seat.controller.node.id()) })
 }
 
 func shuffle(s *site, seats []*seat) {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -110,7 +110,7 @@
 // none: this controller may have heard the others, but it knows nothing of what they hold.
 func (c *controller) watchAge() time.Duration {
 	if !c.synced.Load() {
-		return register.NeverHeard
+		return register.NoContact
 	}
 	return c.node.QuorumAge()
 }
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -53,7 +53,7 @@
 	var sentAt time.Duration
 	c.leases.with(func(decider *lease.Decider, now time.Duration) {
 		sentAt = now
-		decider.SetDoubt(c.node.SetInDoubt())
+		decider.SetDoubt(c.node.ReplicaSetInDoubt())
 		message.Lease = decider.Heartbeat(now, inTouch(c.node))
 	})
 	message.Gossip = c.gossip()
@@ -86,7 +86,7 @@
 func (c *controller) serveHeartbeat(_ context.Context, message heartbeat) (heartbeatReply, error) {
 	var reply heartbeatReply
 	c.leases.with(func(decider *lease.Decider, now time.Duration) {
-		decider.SetDoubt(c.node.SetInDoubt())
+		decider.SetDoubt(c.node.ReplicaSetInDoubt())
 		reply.Lease = decider.Receive(now, message.Lease)
 	})
 	c.hear(message.Lease.From.Address, message.Gossip)
--- a/internal/controller/operator_test.go
+++ b/internal/controller/operator_test.go
@@ -94,7 +94,7 @@
 
 func (f *fakeRegister) QuorumAge() time.Duration { return f.quorumAge }
 
-func (f *fakeRegister) SetInDoubt() bool { return false }
+func (f *fakeRegister) ReplicaSetInDoubt() bool { return false }
 
 func (f *fakeRegister) Close(context.Context) {}
 
--- a/internal/controller/register.go
+++ b/internal/controller/register.go
@@ -15,7 +15,7 @@
 	Latest() register.State
 	Changed() <-chan struct{}
 	QuorumAge() time.Duration
-	SetInDoubt() bool
+	ReplicaSetInDoubt() bool
 	WaitFormed(ctx context.Context) error
 	Leave(ctx context.Context) error
 	Close(ctx context.Context)
