--- a/internal/router/calls_test.go
+++ b/internal/router/calls_test.go
@@ -14,6 +14,7 @@
 	"github.com/stretchr/testify/require"
 
 	"weldscale/internal/fleetwire"
+	"weldscale/internal/router/upstream"
 )
 
 // callPeer is a worker that does one thing to the request under test, over a real socket.
@@ -237,6 +238,7 @@
 				t.Run(name, func(t *testing.T) {
 					t.Parallel()
 					scene := &callScene{fixture: newFixture(t), kind: kind, peer: peer, kept: kept}
+					scene.router.options.Pool = upstream.New(upstream.Options{VerifyMargin: 100 * time.Millisecond}) // also on a busy machine
 					response, body, err := scene.play()
 					scene.check(response, body, err)
 				})
