--- a/internal/router/abort_test.go
+++ b/internal/router/abort_test.go
@@ -15,47 +15,47 @@
 	"weldscale/internal/fleetwire"
 )
 
-func TestTheCauseOfACutIsNamed(t *testing.T) {
-	gone, leave := context.WithCancel(t.Context())
-	leave()
-	there := t.Context()
-	soon := time.Now().Add(time.Hour)
-	for _, each := range []struct {
-		name     string
-		context  context.Context
-		failed   bool
-		timedOut bool
-		ended    bool
-		giveUpAt time.Time
-		cause    abortCause
+func TestAbortCause(t *testing.T) {
+	disconnected, disconnect := context.WithCancel(t.Context())
+	disconnect()
+	connected := t.Context()
+	inAnHour := time.Now().Add(time.Hour)
+	for _, test := range []struct {
+		name        string
+		context     context.Context
+		writeFailed bool
+		timedOut    bool
+		stopped     bool
+		deadline    time.Time
+		cause       abortCause
 	}{
-		{"the client left", gone, true, true, false, soon, abortedByClient},
-		{"the client's connection takes nothing", there, true, false, false, soon, abortedByWriteFailure},
-		{"a worker was silent until the end", there, false, true, false, soon, abortedByDeadline},
-		{"the time is over", there, false, false, false, time.Now(), abortedByDeadline},
-		{"the process ends", there, false, false, true, soon, abortedByShutdown},
-		{"the worker broke off", there, false, false, false, soon, abortedByWorker},
+		{"client closed its connection", disconnected, true, true, false, inAnHour, abortedByClient},
+		{"write to the client failed", connected, true, false, false, inAnHour, abortedByWriteFailure},
+		{"worker was silent until the deadline", connected, false, true, false, inAnHour, abortedByDeadline},
+		{"deadline passed", connected, false, false, false, time.Now(), abortedByDeadline},
+		{"router shuts down", connected, false, false, true, inAnHour, abortedByShutdown},
+		{"worker broke off", connected, false, false, false, inAnHour, abortedByWorker},
 	} {
 		router := New(Options{})
-		if each.ended {
+		if test.stopped {
 			router.inFlight.stop()
 		}
-		q := &request{router: router, incoming: httptest.NewRequestWithContext(each.context, http.MethodPost, "/", nil), timedOut: each.timedOut,
-			deadline: each.giveUpAt, clientResponse: clientResponse{writeFailed: each.failed}}
-		require.Equal(t, each.cause, q.abortCause(), each.name)
+		q := &request{router: router, incoming: httptest.NewRequestWithContext(test.context, http.MethodPost, "/", nil), timedOut: test.timedOut,
+			deadline: test.deadline, clientResponse: clientResponse{writeFailed: test.writeFailed}}
+		require.Equal(t, test.cause, q.abortCause(), test.name)
 	}
 }
 
-func TestLinesAboutCutsAreBounded(t *testing.T) {
-	lines, observed := observer.New(zap.InfoLevel)
-	router := New(Options{Log: zap.New(lines)})
+func TestAbortLogLinesAreLimited(t *testing.T) {
+	core, logged := observer.New(zap.InfoLevel)
+	router := New(Options{Log: zap.New(core)})
 	q := &request{router: router, incoming: httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/", nil),
 		route: &fleetwire.Route{}, view: &view{snapshot: &watch.Snapshot{Config: &fleetwire.Config{}}}, deadline: time.Now().Add(time.Hour)}
-	now := time.Now()
+	started := time.Now()
 	for range 10 * maxLogLinesPerSecond {
 		q.logAbort()
 	}
-	seconds := int(time.Since(now)/time.Second) + 2 // that the loop may have touched
-	require.LessOrEqual(t, observed.Len(), seconds*maxLogLinesPerSecond)
-	require.Positive(t, observed.Len())
+	seconds := int(time.Since(started)/time.Second) + 2 // upper limit of the clock seconds that the loop ran in
+	require.LessOrEqual(t, logged.Len(), seconds*maxLogLinesPerSecond)
+	require.Positive(t, logged.Len())
 }
--- a/internal/router/clientconns_test.go
+++ b/internal/router/clientconns_test.go
@@ -16,7 +16,7 @@
 	"weldscale/internal/placement"
 )
 
-func TestIdleClientsAreClosedOnlyBeyondTheLimit(t *testing.T) {
+func TestIdleClientConnsAreClosedOnlyAfterTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		conns := newClientConns()
 		client, server := net.Pipe()
@@ -31,7 +31,7 @@
 		conns.closeIdle(10 * time.Second)
 		go func() { _, _ = io.WriteString(client, "x") }()
 		_, err := server.Read(make([]byte, 1))
-		require.NoError(t, err, "still open")
+		require.NoError(t, err, "the connection must still be open")
 		time.Sleep(time.Second)
 		conns.closeIdle(10 * time.Second)
 		_, err = server.Read(make([]byte, 1))
@@ -39,19 +39,19 @@
 	})
 }
 
-func TestALeavingRouterClosesConnectionsAsTheyComeToRest(t *testing.T) {
+func TestDrainClosesConnsWhenTheyBecomeIdle(t *testing.T) {
 	conns := newClientConns()
 	_, server := net.Pipe()
 	conns.attach(t.Context(), server)
 	conns.track(server, http.StateActive)
 	conns.drain()
-	require.NoError(t, server.SetDeadline(time.Time{}), "open while a request is in hand")
+	require.NoError(t, server.SetDeadline(time.Time{}), "the connection must stay open while a request is in flight")
 	conns.track(server, http.StateIdle)
 	_, err := server.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.ErrClosedPipe)
 }
 
-// countingPlacer refuses at once and counts.
+// countingPlacer refuses all jobs at once and counts them.
 type countingPlacer struct{ placed atomic.Int64 }
 
 func (p *countingPlacer) Update(*watch.Snapshot) {}
@@ -61,7 +61,7 @@
 	return placement.JobOutcome{Decision: placement.DecisionRefused}
 }
 
-// interruptedConn calls a function once its next bytes have been read, before the reader has them.
+// interruptedConn calls interrupt, if set, when the next bytes have been read but not yet returned to the reader.
 type interruptedConn struct {
 	net.Conn
 	interrupt atomic.Pointer[func()]
@@ -75,27 +75,28 @@
 	return size, err
 }
 
-// Guards against LOST: a request was passed on that had been read from a connection just as this was closed for resting.
-func TestARequestReadFromAConnectionThatIsClosedGoesNowhere(t *testing.T) {
-	for name, closing := range map[string]func(*clientConns){
+// Guards against a violation of the LOST rule: a request was forwarded that had been read from a connection just as the
+// connection was closed as idle, so that no response could be sent.
+func TestRequestReadFromClosedConnIsNotForwarded(t *testing.T) {
+	for name, closeConns := range map[string]func(*clientConns){
 		"idle":    func(conns *clientConns) { conns.closeIdle(-1) },
 		"leaving": (*clientConns).drain,
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				e := startEnding(0)
+				f := startShutdownFixture(0)
 				placer := &countingPlacer{}
-				e.router.options.Placer = placer
+				f.router.options.Placer = placer
 				client, server := net.Pipe()
 				interrupted := &interruptedConn{Conn: server}
-				e.clients.conns <- interrupted
-				require.Equal(t, http.StatusServiceUnavailable, ask(client, "/a/x").StatusCode)
+				f.clientListener.conns <- interrupted
+				require.Equal(t, http.StatusServiceUnavailable, sendGet(client, "/a/x").StatusCode)
 				synctest.Wait()
-				interrupt := func() { closing(e.router.conns) }
+				interrupt := func() { closeConns(f.router.conns) }
 				interrupted.interrupt.Store(&interrupt)
-				require.Nil(t, ask(client, "/a/x"))
-				e.leave(newShutdownSchedule(time.Second))
-				<-e.left
+				require.Nil(t, sendGet(client, "/a/x"))
+				f.shutDown(newShutdownSchedule(time.Second))
+				<-f.done
 				require.EqualValues(t, 1, placer.placed.Load())
 			})
 		})
--- a/internal/router/events_test.go
+++ b/internal/router/events_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestAnyChunkingGivesTheSameEvents(t *testing.T) {
+func TestEventsDoNotDependOnChunking(t *testing.T) {
 	lineEnd := rapid.SampledFrom([]string{"\n", "\r\n"})
 	rapid.Check(t, func(t *rapid.T) {
 		var want []string
@@ -48,7 +48,7 @@
 	})
 }
 
-func TestTakingTheRestGoesOnBehindIt(t *testing.T) {
+func TestScannerContinuesAfterTakeRest(t *testing.T) {
 	var scanner eventScanner
 	scanner.feed([]byte("id: 1\ndata: a"))
 	require.Equal(t, "id: 1\ndata: a", string(scanner.takeRest()))
--- a/internal/router/forward_test.go
+++ b/internal/router/forward_test.go
@@ -17,30 +17,31 @@
 	"weldscale/internal/router/upstream"
 )
 
-// sights counts the requests that workers saw, by id.
-type sights struct {
-	mutex sync.Mutex
-	count map[string]int
+// requestCounter counts the requests that workers received, by ID.
+type requestCounter struct {
+	mutex  sync.Mutex
+	counts map[string]int
 }
 
-func (s *sights) note(id string) int {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if s.count == nil {
-		s.count = map[string]int{}
+// add counts a request and returns its new count.
+func (c *requestCounter) add(id string) int {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.counts == nil {
+		c.counts = map[string]int{}
 	}
-	s.count[id]++
-	return s.count[id]
+	c.counts[id]++
+	return c.counts[id]
 }
 
-func (s *sights) of(id string) int {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.count[id]
+func (c *requestCounter) count(id string) int {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.counts[id]
 }
 
-// dyingWorker answers the first request of a connection and closes it once it has read the second one.
-func dyingWorker(seen *sights) func(net.Conn, func() *http.Request) {
+// breakingWorker answers the first request on a connection and closes the connection after reading the second one.
+func breakingWorker(received *requestCounter) func(net.Conn, func() *http.Request) {
 	return func(conn net.Conn, next func() *http.Request) {
 		for number := 0; ; number++ {
 			request := next()
@@ -48,21 +49,21 @@
 				return
 			}
 			id := request.Header.Get("Request-Id")
-			seen.note(id)
+			received.add(id)
 			if number == 1 {
 				return
 			}
-			_, _ = io.WriteString(conn, answerTo(id, "ok"))
+			_, _ = io.WriteString(conn, validResponse(id, "ok"))
 		}
 	}
 }
 
-// A kept connection that dies under a request may have carried it. net/http's Transport sends such a request again by
-// itself if its method is idempotent; the router must not.
-func TestNothingIsSentAgainOnADeadKeptConnection(t *testing.T) {
-	t.Run("control: a Transport sends again", func(t *testing.T) {
-		f, seen := newFixture(t), &sights{}
-		address := f.rawWorker("", dyingWorker(seen))
+// Guards against a request that runs twice. When a reused connection breaks, the worker may have received the request.
+// http.Transport sends such a request again if its method is idempotent. The router must not.
+func TestRequestIsNotResentWhenReusedConnectionBreaks(t *testing.T) {
+	t.Run("control: http.Transport resends", func(t *testing.T) {
+		f, received := newFixture(t), &requestCounter{}
+		address := f.addRawWorker("", breakingWorker(received))
 		transport := &http.Transport{DisableCompression: true}
 		defer transport.CloseIdleConnections()
 		for _, id := range []string{"first", "second"} {
@@ -75,41 +76,41 @@
 			require.NoError(t, err)
 			require.NoError(t, response.Body.Close())
 		}
-		require.Equal(t, 2, seen.of("second"), "without this the test below proves nothing")
+		require.Equal(t, 2, received.count("second"), "the cases below prove nothing unless http.Transport resends")
 	})
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodOptions} {
 		t.Run(method, func(t *testing.T) {
-			f, seen := newFixture(t), &sights{}
-			f.rawWorker("", dyingWorker(seen))
-			response, body := f.get(method, "/unsafe/x", "first")
+			f, received := newFixture(t), &requestCounter{}
+			f.addRawWorker("", breakingWorker(received))
+			response, body := f.exchange(method, "/unsafe/x", "first")
 			require.Equal(t, http.StatusOK, response.StatusCode)
 			require.Equal(t, "ok", body)
-			response, _ = f.get(method, "/unsafe/x", "second")
+			response, _ = f.exchange(method, "/unsafe/x", "second")
 			require.Equal(t, http.StatusBadGateway, response.StatusCode)
-			require.Equal(t, 1, seen.of("second"))
-			require.Equal(t, []placement.Result{placement.ResultServed, placement.ResultConnectionBroken}, f.placer.seen())
+			require.Equal(t, 1, received.count("second"))
+			require.Equal(t, []placement.Result{placement.ResultServed, placement.ResultConnectionBroken}, f.placer.pushResults())
 		})
 	}
 }
 
-func TestAConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
-	f, seen := newFixture(t), &sights{}
+func TestConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
+	f, received := newFixture(t), &requestCounter{}
 	closed := make(chan struct{}, 2)
-	f.rawWorker("", func(conn net.Conn, next func() *http.Request) {
+	f.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
 		request := next()
 		if request == nil {
 			return
 		}
 		id := request.Header.Get("Request-Id")
-		seen.note(id)
-		_, _ = io.WriteString(conn, answerTo(id, "ok"))
+		received.add(id)
+		_, _ = io.WriteString(conn, validResponse(id, "ok"))
 		_ = conn.Close()
 		closed <- struct{}{}
 	})
-	f.get(http.MethodGet, "/unsafe/x", "first")
+	f.exchange(http.MethodGet, "/unsafe/x", "first")
 	<-closed
 	pool := f.router.options.Pool
-	require.Eventually(t, func() bool { // the close has been seen by this side
+	require.Eventually(t, func() bool { // until the pool returns a new connection instead of the closed one
 		conn, err := pool.Acquire(context.Background(), f.placer.targets[""][0].Address, 1, upstream.AnyIdleTime)
 		if err != nil {
 			return false
@@ -117,78 +118,78 @@
 		defer conn.Discard()
 		return !conn.Sent()
 	}, testTimeout, time.Millisecond)
-	response, _ := f.get(http.MethodGet, "/unsafe/x", "second")
+	response, _ := f.exchange(http.MethodGet, "/unsafe/x", "second")
 	require.Equal(t, http.StatusOK, response.StatusCode)
 }
 
-func TestAnAnswerToAnotherRequestIsNotTheClients(t *testing.T) {
-	f, seen := newFixture(t), &sights{}
-	f.rawWorker("", func(conn net.Conn, next func() *http.Request) {
+func TestResponseToAnotherRequestIsNotRelayed(t *testing.T) {
+	f, received := newFixture(t), &requestCounter{}
+	f.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
 		request := next()
 		if request == nil {
 			return
 		}
 		id := request.Header.Get("Request-Id")
-		seen.note(id)
-		_, _ = io.WriteString(conn, answerTo("another", "secret"))
-		require.Nil(t, next(), "the connection is given up")
+		received.add(id)
+		_, _ = io.WriteString(conn, validResponse("another", "secret"))
+		require.Nil(t, next(), "the router must close the connection")
 	})
-	response, body := f.get(http.MethodGet, "/unsafe/x", "id")
+	response, body := f.exchange(http.MethodGet, "/unsafe/x", "id")
 	require.Equal(t, http.StatusBadGateway, response.StatusCode)
 	require.Empty(t, body)
 	require.Empty(t, response.Header.Get("Response-Signature"))
-	require.Equal(t, []placement.Result{placement.ResultConnectionBroken}, f.placer.seen())
+	require.Equal(t, []placement.Result{placement.ResultConnectionBroken}, f.placer.pushResults())
 }
 
-// A worker's statement of its load is passed on, whatever became of the request; what is no statement is not, nor one that came
-// with another request's answer.
-func TestTheLoadInAnAnswerIsPassedOn(t *testing.T) {
-	for _, trial := range []struct {
-		stated      string
-		notExecuted bool
-		stranger    bool
-		told        []placement.Load
+// A valid load report in a response is passed on whether the request ran or not. A malformed one, and one in a response to another
+// request, is not.
+func TestLoadReportInResponseIsPassedOn(t *testing.T) {
+	for _, test := range []struct {
+		serverLoad   string
+		notExecuted  bool
+		otherRequest bool
+		reported     []placement.Load
 	}{
-		{stated: "3,1,8", told: []placement.Load{{Running: 3, Queued: 1}}},
-		{stated: "8, 24, 8", notExecuted: true, told: []placement.Load{{Running: 8, Queued: 24}}},
-		{stated: "3,1,8", stranger: true},
-		{stated: ""},
-		{stated: "3"},
-		{stated: "3,x,8"},
-		{stated: "-1,0,8"},
+		{serverLoad: "3,1,8", reported: []placement.Load{{Running: 3, Queued: 1}}},
+		{serverLoad: "8, 24, 8", notExecuted: true, reported: []placement.Load{{Running: 8, Queued: 24}}},
+		{serverLoad: "3,1,8", otherRequest: true},
+		{serverLoad: ""},
+		{serverLoad: "3"},
+		{serverLoad: "3,x,8"},
+		{serverLoad: "-1,0,8"},
 	} {
 		f := newFixture(t)
-		var told []placement.Load
+		var reported []placement.Load
 		f.router.options.OnLoadReport = func(target *fleetwire.Instance, load placement.Load) {
 			require.Equal(t, "plain", target.Service)
-			told = append(told, load)
+			reported = append(reported, load)
 		}
-		f.worker("", func(w http.ResponseWriter, r *http.Request) {
-			stamped(w, r, "s")
-			w.Header().Set("Server-Load", trial.stated)
-			if trial.stranger {
+		f.addWorker("", func(w http.ResponseWriter, r *http.Request) {
+			setValidHeader(w, r, "s")
+			w.Header().Set("Server-Load", test.serverLoad)
+			if test.otherRequest {
 				w.Header().Set("Request-Id", "another")
 			}
-			if trial.notExecuted {
+			if test.notExecuted {
 				w.Header().Set("Not-Executed", "1")
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
 		})
-		f.get(http.MethodGet, "/unsafe/x", "id")
-		require.Equal(t, trial.told, told, "%+v", trial)
+		f.exchange(http.MethodGet, "/unsafe/x", "id")
+		require.Equal(t, test.reported, reported, "%+v", test)
 	}
 }
 
-func TestSurplusBytesReachNobody(t *testing.T) {
+func TestSurplusResponsesAreNotRelayed(t *testing.T) {
 	f := newFixture(t)
-	f.rawWorker("", func(conn net.Conn, next func() *http.Request) {
+	f.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
 		for request := next(); request != nil; request = next() {
 			id := request.Header.Get("Request-Id")
-			_, _ = io.WriteString(conn, answerTo(id, "body of "+id)+answerTo("surplus", "stray"))
+			_, _ = io.WriteString(conn, validResponse(id, "body of "+id)+validResponse("surplus", "stray"))
 		}
 	})
 	for _, id := range []string{"one", "two", "three", "four", "five", "six"} {
-		response, body := f.get(http.MethodGet, "/safe/x", id)
+		response, body := f.exchange(http.MethodGet, "/safe/x", id)
 		if response.StatusCode == http.StatusOK {
 			require.Equal(t, "body of "+id, body)
 		} else {
@@ -197,117 +198,117 @@
 	}
 }
 
-func TestASuccessNeedsItsStampAndAMeasure(t *testing.T) {
-	for name, answer := range map[string]string{
-		"no stamp":   "HTTP/1.1 200 OK\r\nRequest-Id: id\r\nContent-Length: 2\r\n\r\nok",
-		"no measure": "HTTP/1.1 200 OK\r\nRequest-Id: id\r\nResponse-Signature: s\r\nConnection: close\r\n\r\nok",
-		"encoded":    "HTTP/1.1 200 OK\r\nRequest-Id: id\r\nResponse-Signature: s\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n\r\nok",
-		"cut":        "HTTP/1.1 200 OK\r\nRequest-Id: id\r\nResponse-Signature: s\r\nContent-Length: 20\r\n\r\nok",
-		"cut chunk":  "HTTP/1.1 200 OK\r\nRequest-Id: id\r\nResponse-Signature: s\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nok",
-		"no answer":  "garbage\r\n\r\n",
-		"silence":    "",
+func TestSuccessNeedsSignatureAndLength(t *testing.T) {
+	for name, rawResponse := range map[string]string{
+		"no signature":    "HTTP/1.1 200 OK\r\nRequest-Id: id\r\nContent-Length: 2\r\n\r\nok",
+		"no length":       "HTTP/1.1 200 OK\r\nRequest-Id: id\r\nResponse-Signature: s\r\nConnection: close\r\n\r\nok",
+		"encoded":         "HTTP/1.1 200 OK\r\nRequest-Id: id\r\nResponse-Signature: s\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n\r\nok",
+		"cut":             "HTTP/1.1 200 OK\r\nRequest-Id: id\r\nResponse-Signature: s\r\nContent-Length: 20\r\n\r\nok",
+		"truncated chunk": "HTTP/1.1 200 OK\r\nRequest-Id: id\r\nResponse-Signature: s\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nok",
+		"no response":     "garbage\r\n\r\n",
+		"silence":         "",
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
-			f.rawWorker("", func(conn net.Conn, next func() *http.Request) {
+			f.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
 				if next() != nil {
-					_, _ = io.WriteString(conn, answer)
+					_, _ = io.WriteString(conn, rawResponse)
 				}
 			})
-			response, body := f.get(http.MethodGet, "/unsafe/x", "id")
+			response, body := f.exchange(http.MethodGet, "/unsafe/x", "id")
 			require.Equal(t, http.StatusBadGateway, response.StatusCode)
 			require.Empty(t, body)
 		})
 	}
 }
 
-func TestALargeAnswerThatBreaksNeverLooksComplete(t *testing.T) {
+func TestTruncatedLargeResponseDoesNotLookComplete(t *testing.T) {
 	f := newFixture(t)
-	f.rawWorker("", func(conn net.Conn, next func() *http.Request) {
+	f.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
 		if next() == nil {
 			return
 		}
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nRequest-Id: id\r\nResponse-Signature: s\r\nContent-Length: 3000000\r\n\r\n")
 		_, _ = io.WriteString(conn, strings.Repeat("x", 2000000))
 	})
-	response := f.send(f.request(http.MethodGet, "/safe/x", "id", ""))
+	response := f.send(f.newRequest(http.MethodGet, "/safe/x", "id", ""))
 	require.Equal(t, http.StatusOK, response.StatusCode)
 	_, err := io.ReadAll(response.Body)
 	require.Error(t, err)
-	require.Len(t, f.placer.seen(), 1)
+	require.Len(t, f.placer.pushResults(), 1)
 }
 
-func TestALargeAnswerPassesWhole(t *testing.T) {
+func TestLargeResponseIsRelayedWhole(t *testing.T) {
 	f := newFixture(t)
-	whole := strings.Repeat("0123456789", 300000)
-	f.worker("", func(w http.ResponseWriter, r *http.Request) {
-		stamped(w, r, "s")
-		_, _ = io.WriteString(w, whole)
+	large := strings.Repeat("0123456789", 300000)
+	f.addWorker("", func(w http.ResponseWriter, r *http.Request) {
+		setValidHeader(w, r, "s")
+		_, _ = io.WriteString(w, large)
 	})
-	_, body := f.get(http.MethodGet, "/safe/x", "id")
-	require.True(t, whole == body)
+	_, body := f.exchange(http.MethodGet, "/safe/x", "id")
+	require.True(t, large == body)
 }
 
-func TestWorkersWords(t *testing.T) {
+func TestWorkerStatusDeterminesResult(t *testing.T) {
 	for name, test := range map[string]struct {
-		head   string // after the status
-		path   string
-		status int
-		signed bool
-		result placement.Result
+		head    string // status line and header fields, without the protocol version
+		path    string
+		status  int
+		relayed bool
+		result  placement.Result
 	}{
-		"rejected":           {"503 X\r\nNot-Executed: 1", "/unsafe/x", 503, false, placement.ResultNotExecuted},
-		"another instance":   {"421 X", "/unsafe/x", 503, false, placement.ResultNotExecuted},
-		"503 and it may run": {"503 X\r\nResponse-Signature: s", "/unsafe/x", 502, false, placement.ResultFailed},
-		"429 and it may run": {"429 X\r\nResponse-Signature: s", "/unsafe/x", 502, false, placement.ResultFailed},
-		"failure of its own": {"500 X\r\nResponse-Signature: s", "/unsafe/x", 500, true, placement.ResultFailed},
-		"at the deadline":    {"504 X\r\nResponse-Signature: s", "/unsafe/x", 504, true, placement.ResultFailed},
-		"bad request":        {"400 X\r\nResponse-Signature: s", "/unsafe/x", 400, true, placement.ResultServed},
+		"rejected":                 {"503 X\r\nNot-Executed: 1", "/unsafe/x", 503, false, placement.ResultNotExecuted},
+		"another instance":         {"421 X", "/unsafe/x", 503, false, placement.ResultNotExecuted},
+		"503 without Not-Executed": {"503 X\r\nResponse-Signature: s", "/unsafe/x", 502, false, placement.ResultFailed},
+		"429 without Not-Executed": {"429 X\r\nResponse-Signature: s", "/unsafe/x", 502, false, placement.ResultFailed},
+		"error of the worker":      {"500 X\r\nResponse-Signature: s", "/unsafe/x", 500, true, placement.ResultFailed},
+		"at the deadline":          {"504 X\r\nResponse-Signature: s", "/unsafe/x", 504, true, placement.ResultFailed},
+		"bad request":              {"400 X\r\nResponse-Signature: s", "/unsafe/x", 400, true, placement.ResultServed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
-			f.rawWorker("", func(conn net.Conn, next func() *http.Request) {
+			f.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
 				for next() != nil {
 					_, _ = io.WriteString(conn, "HTTP/1.1 "+test.head+"\r\nRequest-Id: id\r\nContent-Length: 1\r\n\r\n!")
 				}
 			})
-			response, body := f.get(http.MethodGet, test.path, "id")
+			response, body := f.exchange(http.MethodGet, test.path, "id")
 			require.Equal(t, test.status, response.StatusCode)
-			require.Equal(t, test.signed, response.Header.Get("Response-Signature") == "s")
-			require.Equal(t, test.signed, body == "!")
-			require.Equal(t, []placement.Result{test.result}, f.placer.seen())
+			require.Equal(t, test.relayed, response.Header.Get("Response-Signature") == "s")
+			require.Equal(t, test.relayed, body == "!")
+			require.Equal(t, []placement.Result{test.result}, f.placer.pushResults())
 		})
 	}
 }
 
-// The late second half of a doubled rejection carries the id of the request, so it would look like the answer to the
-// second sending.
-func TestARequestNeverTakesItsOwnConnectionTwice(t *testing.T) {
+// Guards against a worker that sends a rejection twice. The late second one carries the request's ID, so that a retry on the same
+// connection would take it for its response.
+func TestRetryDoesNotReuseItsConnection(t *testing.T) {
 	f := newFixture(t)
 	accepted := make(chan struct{}, 4)
-	address := f.rawWorker("", func(conn net.Conn, next func() *http.Request) {
+	address := f.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
 		accepted <- struct{}{}
 		for next() != nil {
 			_, _ = io.WriteString(conn, "HTTP/1.1 503 X\r\nNot-Executed: 1\r\nRequest-Id: id\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
-	f.at("", address)
-	f.get(http.MethodGet, "/unsafe/x", "id")
+	f.addTarget("", address)
+	f.exchange(http.MethodGet, "/unsafe/x", "id")
 	<-accepted
 	<-accepted
-	require.Equal(t, []placement.Result{placement.ResultNotExecuted, placement.ResultNotExecuted}, f.placer.seen())
+	require.Equal(t, []placement.Result{placement.ResultNotExecuted, placement.ResultNotExecuted}, f.placer.pushResults())
 }
 
-func TestAConnectionOverTheWorkersCapLosesNoRequest(t *testing.T) {
+func TestNoRequestIsLostAtWorkersConnectionLimit(t *testing.T) {
 	f := newFixture(t)
-	f.router.options.Pool = upstream.New(upstream.Options{VerifyMargin: 100 * time.Millisecond}) // also on a busy machine
-	var seen sights
-	full, err := net.Listen("tcp", "127.0.0.1:0")
+	f.router.options.Pool = upstream.New(upstream.Options{VerifyMargin: 100 * time.Millisecond}) // to see the reset on a busy machine too
+	var received requestCounter
+	fullWorker, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = full.Close() })
-	go func() { // it takes each connection and resets it at once
+	t.Cleanup(func() { _ = fullWorker.Close() })
+	go func() { // accepts each connection and resets it at once
 		for {
-			conn, err := full.Accept()
+			conn, err := fullWorker.Accept()
 			if err != nil {
 				return
 			}
@@ -315,39 +316,39 @@
 			_ = conn.Close()
 		}
 	}()
-	f.at("", full.Addr().String())
-	f.worker("", func(w http.ResponseWriter, r *http.Request) {
-		seen.note(r.Header.Get("Request-Id"))
-		stamped(w, r, "s")
+	f.addTarget("", fullWorker.Addr().String())
+	f.addWorker("", func(w http.ResponseWriter, r *http.Request) {
+		received.add(r.Header.Get("Request-Id"))
+		setValidHeader(w, r, "s")
 		_, _ = io.WriteString(w, "ok")
 	})
-	response, body := f.get(http.MethodPost, "/unsafe/x", "once")
+	response, body := f.exchange(http.MethodPost, "/unsafe/x", "once")
 	require.Equal(t, http.StatusOK, response.StatusCode)
 	require.Equal(t, "ok", body)
-	require.Equal(t, 1, seen.of("once"))
-	results := f.placer.seen()
+	require.Equal(t, 1, received.count("once"))
+	results := f.placer.pushResults()
 	require.Len(t, results, 2)
-	nothingSent := []placement.Result{placement.ResultNotExecuted, placement.ResultConnectFailed}
-	require.Contains(t, nothingSent, results[0], "the reset may come before or after the connection has come about")
+	unsentResults := []placement.Result{placement.ResultNotExecuted, placement.ResultConnectFailed}
+	require.Contains(t, unsentResults, results[0], "the reset may come before or after the connection is established")
 	require.Equal(t, placement.ResultServed, results[1])
 }
 
-func TestNothingSentIsSaidSo(t *testing.T) {
+func TestFailedConnectionGives503(t *testing.T) {
 	f := newFixture(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	f.at("", listener.Addr().String())
+	f.addTarget("", listener.Addr().String())
 	require.NoError(t, listener.Close())
-	response, _ := f.get(http.MethodPost, "/unsafe/x", "id")
+	response, _ := f.exchange(http.MethodPost, "/unsafe/x", "id")
 	require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
-	require.Equal(t, []placement.Result{placement.ResultConnectFailed}, f.placer.seen())
+	require.Equal(t, []placement.Result{placement.ResultConnectFailed}, f.placer.pushResults())
 }
 
-func TestTheRouteTimeoutEndsARequest(t *testing.T) {
+func TestDeadlineEndsRequest(t *testing.T) {
 	f := newFixture(t)
-	f.worker("", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	request := f.request(http.MethodGet, "/unsafe/x", "id", "")
+	f.addWorker("", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	request := f.newRequest(http.MethodGet, "/unsafe/x", "id", "")
 	request.Header.Set("Deadline-Ms", "40")
 	require.Equal(t, http.StatusGatewayTimeout, f.send(request).StatusCode)
-	require.Equal(t, []placement.Result{placement.ResultTimedOut}, f.placer.seen())
+	require.Equal(t, []placement.Result{placement.ResultTimedOut}, f.placer.pushResults())
 }
--- a/internal/router/generation_test.go
+++ b/internal/router/generation_test.go
@@ -15,7 +15,8 @@
 	"weldscale/internal/placement"
 )
 
-// prefillWorker reads prompts and tells of the handles that are given back to it.
+// prefillWorker returns a prefill worker that answers each prompt with a KV handle and sends the handles that it is asked to free
+// to freed.
 func prefillWorker(freed chan<- string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if handle, found := strings.CutPrefix(r.URL.Path, "/kv-handle/"); found && r.Method == http.MethodDelete {
@@ -31,60 +32,63 @@
 	}
 }
 
-func decodeWorker(seen chan<- http.Header) http.HandlerFunc {
+// decodeWorker returns a decode worker that sends the header of each request to headers and answers with one event.
+func decodeWorker(headers chan<- http.Header) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		seen <- r.Header.Clone()
-		stamped(w, r, "decoded")
+		headers <- r.Header.Clone()
+		setValidHeader(w, r, "decoded")
 		_, _ = io.WriteString(w, "id: 1\ndata: a\n\n")
 	}
 }
 
-// rejecting is a decode worker that takes nothing.
-func rejecting(seen chan<- http.Header) http.HandlerFunc {
+// rejectingDecodeWorker returns a decode worker that sends the header of each request to headers and rejects the request.
+func rejectingDecodeWorker(headers chan<- http.Header) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		seen <- r.Header.Clone()
+		headers <- r.Header.Clone()
 		w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
 		w.Header().Set("Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-func (f *fixture) generation(id string) *http.Request {
-	request := f.request(http.MethodPost, "/generate/x", id, "prompt")
+// newGenerationRequest returns a client request to the engine service.
+func (f *fixture) newGenerationRequest(id string) *http.Request {
+	request := f.newRequest(http.MethodPost, "/generate/x", id, "prompt")
 	request.Header.Set("Model-Name", "m")
 	request.Header.Set("Token-Count", "1460,80")
 	request.Header.Set("Prefix-Hash", "5c1e07a2:800,91bd3f06:660")
 	return request
 }
 
+// receive returns the next value of a channel. It fails the test if there is none within testTimeout.
 func receive[T any](t *testing.T, from <-chan T) T {
 	t.Helper()
 	select {
 	case value := <-from:
 		return value
 	case <-time.After(testTimeout):
-		t.Fatal("nothing came")
+		t.Fatal("no value received in time")
 		panic("unreachable")
 	}
 }
 
-func TestAPromptIsReadThenItsMemoryHandedOn(t *testing.T) {
+func TestPrefillHandsKVHandleToDecodeWorker(t *testing.T) {
 	f := newFixture(t)
-	freed, seen := make(chan string, 1), make(chan http.Header, 1)
-	prefill := f.worker(fleetwire.StagePrefill, prefillWorker(freed))
-	decode := f.worker(fleetwire.StageDecode, decodeWorker(seen))
-	response := f.send(f.generation("id"))
+	freed, headers := make(chan string, 1), make(chan http.Header, 1)
+	prefill := f.addWorker(fleetwire.StagePrefill, prefillWorker(freed))
+	decode := f.addWorker(fleetwire.StageDecode, decodeWorker(headers))
+	response := f.send(f.newGenerationRequest("id"))
 	body, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
 	require.Equal(t, "id: 1\ndata: a\n\n", string(body))
 	require.Equal(t, "decoded", response.Header.Get("Response-Signature"))
-	header := receive(t, seen)
+	header := receive(t, headers)
 	require.Equal(t, prefill+"/h-id", header.Get("Kv-From"))
 	require.Equal(t, "1", header.Get("Expect-Version"))
 	require.Equal(t, "3", header.Get("Priority"))
 	require.Equal(t, "i-"+decode, header.Get("Expected-Instance"))
 	require.NotContains(t, header, "Serving-Stage")
-	require.Empty(t, freed, "what was taken is not freed")
+	require.Empty(t, freed, "a KV handle that was fetched must not be freed")
 	jobs := f.placer.jobs
 	require.Len(t, jobs, 2)
 	require.Equal(t, fleetwire.StagePrefill, jobs[0].Stage)
@@ -94,92 +98,92 @@
 	require.Equal(t, 80, jobs[1].OutputTokens)
 	require.Equal(t, "z-"+prefill, jobs[1].PreferredZone)
 	require.False(t, jobs[1].Repeatable)
-	require.Zero(t, jobs[1].Runs, "the first reading is no run")
+	require.Zero(t, jobs[1].Runs, "the prefill must not count as a run")
 }
 
-func TestAHandleThatIsNotTakenIsOfferedAgainThenLeftOutAndFreed(t *testing.T) {
+func TestRejectedKVHandleIsOfferedTwiceThenFreed(t *testing.T) {
 	f := newFixture(t)
-	freed, seen := make(chan string, 1), make(chan http.Header, 3)
-	f.worker(fleetwire.StagePrefill, prefillWorker(freed))
-	f.worker(fleetwire.StageDecode, rejecting(seen))
-	f.worker(fleetwire.StageDecode, rejecting(seen))
-	f.worker(fleetwire.StageDecode, decodeWorker(seen))
-	body, err := io.ReadAll(f.send(f.generation("id")).Body)
+	freed, headers := make(chan string, 1), make(chan http.Header, 3)
+	f.addWorker(fleetwire.StagePrefill, prefillWorker(freed))
+	f.addWorker(fleetwire.StageDecode, rejectingDecodeWorker(headers))
+	f.addWorker(fleetwire.StageDecode, rejectingDecodeWorker(headers))
+	f.addWorker(fleetwire.StageDecode, decodeWorker(headers))
+	body, err := io.ReadAll(f.send(f.newGenerationRequest("id")).Body)
 	require.NoError(t, err)
 	require.NotEmpty(t, body)
-	require.NotEmpty(t, receive(t, seen).Get("Kv-From"))
-	require.NotEmpty(t, receive(t, seen).Get("Kv-From"))
-	require.Empty(t, receive(t, seen).Get("Kv-From"))
+	require.NotEmpty(t, receive(t, headers).Get("Kv-From"))
+	require.NotEmpty(t, receive(t, headers).Get("Kv-From"))
+	require.Empty(t, receive(t, headers).Get("Kv-From"))
 	require.Equal(t, "h-id", receive(t, freed))
 }
 
-func TestARunAfterAReadingThatBrokeIsNotTheFirstArrival(t *testing.T) {
-	for name, worker := range map[string]struct {
-		prefill http.HandlerFunc
-		free    bool
+func TestBrokenPrefillCountsAsArrival(t *testing.T) {
+	for name, test := range map[string]struct {
+		prefill       http.HandlerFunc
+		firstPushFree bool
 	}{
 		"read":   {prefillWorker(make(chan string, 1)), true},
 		"broken": {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
-			seen := make(chan http.Header, 1)
-			f.worker(fleetwire.StagePrefill, worker.prefill)
-			f.worker(fleetwire.StageDecode, decodeWorker(seen))
-			f.send(f.generation("id"))
-			receive(t, seen)
+			headers := make(chan http.Header, 1)
+			f.addWorker(fleetwire.StagePrefill, test.prefill)
+			f.addWorker(fleetwire.StageDecode, decodeWorker(headers))
+			f.send(f.newGenerationRequest("id"))
+			receive(t, headers)
 			require.Len(t, f.placer.jobs, 2)
 			require.True(t, f.placer.jobs[0].FirstPushFree)
-			require.Equal(t, worker.free, f.placer.jobs[1].FirstPushFree, "a reading that no worker took up counts as an arrival")
+			require.Equal(t, test.firstPushFree, f.placer.jobs[1].FirstPushFree, "a prefill that broke must count as an arrival")
 		})
 	}
 }
 
-func TestAHandleIsFreedWhenNoWorkerTakesTheRequest(t *testing.T) {
+func TestKVHandleIsFreedWhenDecodeIsRefused(t *testing.T) {
 	f := newFixture(t)
-	freed, seen := make(chan string, 1), make(chan http.Header, 3)
-	f.worker(fleetwire.StagePrefill, prefillWorker(freed))
-	f.worker(fleetwire.StageDecode, rejecting(seen))
-	response := f.send(f.generation("id"))
+	freed, headers := make(chan string, 1), make(chan http.Header, 3)
+	f.addWorker(fleetwire.StagePrefill, prefillWorker(freed))
+	f.addWorker(fleetwire.StageDecode, rejectingDecodeWorker(headers))
+	response := f.send(f.newGenerationRequest("id"))
 	require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
 	require.NotEmpty(t, response.Header.Get("Retry-After"))
 	require.Equal(t, "h-id", receive(t, freed))
 }
 
-func TestAHandleIsFreedWhenTheClientLeaves(t *testing.T) {
+func TestKVHandleIsFreedWhenClientDisconnects(t *testing.T) {
 	f := newFixture(t)
-	freed, begun := make(chan string, 1), make(chan struct{})
-	f.worker(fleetwire.StagePrefill, prefillWorker(freed))
-	f.worker(fleetwire.StageDecode, func(_ http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // a server sees the end of a connection only behind the body
-		close(begun)
+	freed, started := make(chan string, 1), make(chan struct{})
+	f.addWorker(fleetwire.StagePrefill, prefillWorker(freed))
+	f.addWorker(fleetwire.StageDecode, func(_ http.ResponseWriter, r *http.Request) {
+		_, _ = io.Copy(io.Discard, r.Body) // net/http detects a closed connection only after the body is read
+		close(started)
 		<-r.Context().Done()
 	})
-	ctx, leave := context.WithCancel(context.Background())
-	request := f.generation("id").WithContext(ctx)
+	ctx, disconnect := context.WithCancel(context.Background())
+	request := f.newGenerationRequest("id").WithContext(ctx)
 	go func() {
-		<-begun
-		leave()
+		<-started
+		disconnect()
 	}()
 	_, err := http.DefaultTransport.RoundTrip(request)
 	require.Error(t, err)
 	require.Equal(t, "h-id", receive(t, freed))
 }
 
-func TestWithoutPrefillTheDecodeWorkerReads(t *testing.T) {
+func TestDecodeWorkerProcessesPromptWithoutPrefill(t *testing.T) {
 	for name, prepare := range map[string]func(f *fixture){
 		"no prefill worker": func(*fixture) {},
 		"prefill breaks": func(f *fixture) {
-			f.worker(fleetwire.StagePrefill, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+			f.addWorker(fleetwire.StagePrefill, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 		},
 		"prefill fails": func(f *fixture) {
-			f.worker(fleetwire.StagePrefill, func(w http.ResponseWriter, r *http.Request) {
+			f.addWorker(fleetwire.StagePrefill, func(w http.ResponseWriter, r *http.Request) {
 				w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
 				w.WriteHeader(http.StatusInternalServerError)
 			})
 		},
-		"handle of another": func(f *fixture) {
-			f.worker(fleetwire.StagePrefill, func(w http.ResponseWriter, _ *http.Request) {
+		"handle of another request": func(f *fixture) {
+			f.addWorker(fleetwire.StagePrefill, func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set("Request-Id", "another")
 				_, _ = io.WriteString(w, `{"KvHandle":"theirs","Tokens":1,"Version":1}`)
 			})
@@ -187,45 +191,45 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
-			seen := make(chan http.Header, 1)
+			headers := make(chan http.Header, 1)
 			prepare(f)
-			f.worker(fleetwire.StageDecode, decodeWorker(seen))
-			response := f.send(f.generation("id"))
+			f.addWorker(fleetwire.StageDecode, decodeWorker(headers))
+			response := f.send(f.newGenerationRequest("id"))
 			require.Equal(t, http.StatusOK, response.StatusCode)
-			require.NotContains(t, receive(t, seen), "Kv-From")
+			require.NotContains(t, receive(t, headers), "Kv-From")
 		})
 	}
 }
 
-func TestAPromptOfUntoldSizeIsReadByTheDecodeWorker(t *testing.T) {
+func TestPromptOfUnknownSizeSkipsPrefill(t *testing.T) {
 	f := newFixture(t)
-	seen := make(chan http.Header, 1)
-	f.worker(fleetwire.StagePrefill, func(http.ResponseWriter, *http.Request) { f.t.Error("called") })
-	f.worker(fleetwire.StageDecode, decodeWorker(seen))
-	request := f.generation("id")
+	headers := make(chan http.Header, 1)
+	f.addWorker(fleetwire.StagePrefill, func(http.ResponseWriter, *http.Request) { f.t.Error("the prefill worker was called") })
+	f.addWorker(fleetwire.StageDecode, decodeWorker(headers))
+	request := f.newGenerationRequest("id")
 	request.Header.Del("Token-Count")
 	response := f.send(request)
 	require.Equal(t, http.StatusOK, response.StatusCode)
-	require.NotContains(t, receive(t, seen), "Kv-From")
+	require.NotContains(t, receive(t, headers), "Kv-From")
 }
 
-func TestMemoryOfOtherWeightsIsNotOffered(t *testing.T) {
-	held := kvHandle{version: 2}
+func TestKVHandleMatchesModelVersion(t *testing.T) {
+	handle := kvHandle{version: 2}
 	target := fleetwire.Instance{Models: []fleetwire.Model{{Name: "m", Version: 1}}}
-	require.False(t, held.matchesVersion(&target, "m"))
-	require.True(t, held.matchesVersion(&target, "other"))
+	require.False(t, handle.matchesVersion(&target, "m"))
+	require.True(t, handle.matchesVersion(&target, "other"))
 	target.Models[0].Version = 2
-	require.True(t, held.matchesVersion(&target, "m"))
+	require.True(t, handle.matchesVersion(&target, "m"))
 }
 
-func TestFurtherReadingsCountAsAttempts(t *testing.T) {
+func TestFurtherPrefillAttemptsReduceMaxRuns(t *testing.T) {
 	f := newFixture(t)
-	seen := make(chan http.Header, 1)
+	headers := make(chan http.Header, 1)
 	for range 2 {
-		f.worker(fleetwire.StagePrefill, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+		f.addWorker(fleetwire.StagePrefill, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	}
-	f.worker(fleetwire.StageDecode, decodeWorker(seen))
-	require.Equal(t, http.StatusOK, f.send(f.generation("id")).StatusCode)
-	require.Equal(t, 2, f.placer.jobs[1].MaxRuns, fmt.Sprint(f.placer.seen()))
+	f.addWorker(fleetwire.StageDecode, decodeWorker(headers))
+	require.Equal(t, http.StatusOK, f.send(f.newGenerationRequest("id")).StatusCode)
+	require.Equal(t, 2, f.placer.jobs[1].MaxRuns, fmt.Sprint(f.placer.pushResults()))
 	require.Zero(t, f.placer.jobs[1].Runs)
 }
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -22,7 +22,7 @@
 
 const testTimeout = 10 * time.Second
 
-// fakePlacer pushes a job to the targets of its stage, in order, by the rules of placement.
+// fakePlacer pushes a job to the targets of its stage in order. It retries by the rules of package placement.
 type fakePlacer struct {
 	mutex   sync.Mutex
 	targets map[string][]fleetwire.Instance // by stage
@@ -68,13 +68,14 @@
 	return placement.JobOutcome{Decision: placement.DecisionRefused, RetryAfter: 250 * time.Millisecond}
 }
 
-func (p *fakePlacer) seen() []placement.Result {
+// pushResults returns the results of all pushes so far.
+func (p *fakePlacer) pushResults() []placement.Result {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return append([]placement.Result(nil), p.results...)
 }
 
-// fixture is a router with a configuration of one host and stand-ins for workers.
+// fixture is a router behind an HTTP server, with a configuration of one host and with fake workers.
 type fixture struct {
 	t      *testing.T
 	placer *fakePlacer
@@ -86,20 +87,20 @@
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	f := &fixture{t: t, placer: &fakePlacer{targets: map[string][]fleetwire.Instance{}}}
-	plain := []fleetwire.WeightedService{{Service: "plain", Weight: 1}}
-	engine := []fleetwire.WeightedService{{Service: "engine", Weight: 1}}
-	stream := func(name string, target []fleetwire.WeightedService, resumable bool) fleetwire.Route {
+	plainSplit := []fleetwire.WeightedService{{Service: "plain", Weight: 1}}
+	engineSplit := []fleetwire.WeightedService{{Service: "engine", Weight: 1}}
+	streamRoute := func(name string, split []fleetwire.WeightedService, resumable bool) fleetwire.Route {
 		return fleetwire.Route{Name: name, Hostname: "a.example", PathPrefix: "/" + name + "/", RouteType: "streaming", TimeoutMs: 8000,
-			Priority: 3, Split: target, MaxAttempts: 3, Resumable: resumable}
+			Priority: 3, Split: split, MaxAttempts: 3, Resumable: resumable}
 	}
 	f.config = &fleetwire.Config{
 		Version: 1,
 		Routes: []fleetwire.Route{
-			{Name: "unsafe", Hostname: "a.example", PathPrefix: "/unsafe/", RouteType: "unsafe", TimeoutMs: 8000, Split: plain, MaxAttempts: 3},
-			{Name: "safe", Hostname: "a.example", PathPrefix: "/safe/", RouteType: "safe", TimeoutMs: 8000, Split: plain, MaxAttempts: 3},
-			stream("stream", plain, false),
-			stream("resume", plain, true),
-			stream("generate", engine, false),
+			{Name: "unsafe", Hostname: "a.example", PathPrefix: "/unsafe/", RouteType: "unsafe", TimeoutMs: 8000, Split: plainSplit, MaxAttempts: 3},
+			{Name: "safe", Hostname: "a.example", PathPrefix: "/safe/", RouteType: "safe", TimeoutMs: 8000, Split: plainSplit, MaxAttempts: 3},
+			streamRoute("stream", plainSplit, false),
+			streamRoute("resume", plainSplit, true),
+			streamRoute("generate", engineSplit, false),
 		},
 		Services: []fleetwire.Service{
 			{Name: "plain", MaxConnections: 100},
@@ -114,7 +115,7 @@
 	return f
 }
 
-// update puts the configuration and all targets into force.
+// update applies the configuration and all targets to the router.
 func (f *fixture) update() {
 	snapshot := &watch.Snapshot{
 		Version: fleetwire.Version{ConfigRevision: 1, Instances: fleetwire.ListVersion{Token: 1, Sequence: 1}},
@@ -127,15 +128,16 @@
 	f.router.Update(snapshot)
 }
 
-// worker adds a stand-in to a stage.
-func (f *fixture) worker(stage string, serve http.HandlerFunc) string {
+// addWorker starts an HTTP server as a worker of a stage and returns its address.
+func (f *fixture) addWorker(stage string, serve http.HandlerFunc) string {
 	f.t.Helper()
 	server := httptest.NewServer(serve)
 	f.t.Cleanup(server.Close)
-	return f.at(stage, server.Listener.Addr().String())
+	return f.addTarget(stage, server.Listener.Addr().String())
 }
 
-func (f *fixture) at(stage, address string) string {
+// addTarget lists a ready instance of a stage at the address. It returns the address.
+func (f *fixture) addTarget(stage, address string) string {
 	service := "plain"
 	if stage != "" {
 		service = "engine"
@@ -149,17 +151,18 @@
 	return address
 }
 
-// rawWorker adds a stand-in that speaks bytes: serve gets each connection with its requests.
-func (f *fixture) rawWorker(stage string, serve func(conn net.Conn, next func() *http.Request)) string {
+// addRawWorker starts a worker that writes raw bytes: serve gets each connection and a function that reads its next request. That
+// function returns nil if there is none.
+func (f *fixture) addRawWorker(stage string, serve func(conn net.Conn, next func() *http.Request)) string {
 	f.t.Helper()
-	return f.rawConn(stage, func(conn net.Conn) {
+	return f.addConnWorker(stage, func(conn net.Conn) {
 		reader := bufio.NewReader(conn)
 		serve(conn, func() *http.Request { return readRequest(reader) })
 	})
 }
 
-// rawConn adds a stand-in that gets each connection, which is closed after it.
-func (f *fixture) rawConn(stage string, serve func(conn net.Conn)) string {
+// addConnWorker starts a worker that calls serve in a goroutine of its own for each connection and then closes the connection.
+func (f *fixture) addConnWorker(stage string, serve func(conn net.Conn)) string {
 	f.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(f.t, err)
@@ -176,11 +179,11 @@
 			}()
 		}
 	}()
-	return f.at(stage, listener.Addr().String())
+	return f.addTarget(stage, listener.Addr().String())
 }
 
-// request makes a client's request with an id of its own.
-func (f *fixture) request(method, path, id string, body string) *http.Request {
+// newRequest returns a client request with the Request-Id id and a deadline of six seconds.
+func (f *fixture) newRequest(method, path, id string, body string) *http.Request {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	f.t.Cleanup(cancel)
 	request, err := http.NewRequestWithContext(ctx, method, f.server.URL+path, strings.NewReader(body))
@@ -191,6 +194,7 @@
 	return request
 }
 
+// send sends a client request and returns the response with its body unread.
 func (f *fixture) send(request *http.Request) *http.Response {
 	f.t.Helper()
 	response, err := http.DefaultTransport.RoundTrip(request)
@@ -199,23 +203,23 @@
 	return response
 }
 
-// get sends a request and reads its answer whole.
-func (f *fixture) get(method, path, id string) (*http.Response, string) {
+// exchange sends a client request without a body and reads the whole response.
+func (f *fixture) exchange(method, path, id string) (*http.Response, string) {
 	f.t.Helper()
-	response := f.send(f.request(method, path, id, ""))
+	response := f.send(f.newRequest(method, path, id, ""))
 	body, err := io.ReadAll(response.Body)
 	require.NoError(f.t, err)
 	return response, string(body)
 }
 
-// stamped writes the head of a worker's proper answer.
-func stamped(w http.ResponseWriter, r *http.Request, stamp string) {
+// setValidHeader sets the header fields that every valid worker response has.
+func setValidHeader(w http.ResponseWriter, r *http.Request, signature string) {
 	w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
-	w.Header().Set("Response-Signature", stamp)
+	w.Header().Set("Response-Signature", signature)
 }
 
-// answerTo is a worker's proper answer as bytes.
-func answerTo(id, body string) string {
+// validResponse returns the bytes of a valid worker response.
+func validResponse(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nRequest-Id: " + id + "\r\nResponse-Signature: s-" + id + "\r\nContent-Length: " +
 		itoa(len(body)) + "\r\n\r\n" + body
 }
--- a/internal/router/observations_test.go
+++ b/internal/router/observations_test.go
@@ -13,18 +13,18 @@
 	"weldscale/internal/placement"
 )
 
-// said returns what the next poll says.
-func said(o *observations) map[string]evidence.Kind {
+// polledKinds returns the kinds of the observations in the next poll, by worker.
+func polledKinds(o *observations) map[string]evidence.Kind {
 	var request fleetwire.WatchRequest
 	o.addTo(&request)
 	kinds := map[string]evidence.Kind{}
-	for _, seen := range request.Observations {
-		kinds[seen.Worker] = evidence.Kind(seen.Kind)
+	for _, observation := range request.Observations {
+		kinds[observation.Worker] = evidence.Kind(observation.Kind)
 	}
 	return kinds
 }
 
-func TestComplaintsAreSaidAndPraiseOnlyWhereOthersComplain(t *testing.T) {
+func TestSuccessesAreReportedOnlyForDoubtedWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newObservations()
 		o.record("fails", placement.ResultFailed)
@@ -36,16 +36,16 @@
 		o.record("serves", placement.ResultServed)
 		require.Equal(t, map[string]evidence.Kind{
 			"fails": evidence.Failed, "breaks": evidence.Failed, "hangs": evidence.Late, "gone": evidence.Lost,
-		}, said(o))
-		require.Empty(t, said(o), "nothing is new")
+		}, polledKinds(o))
+		require.Empty(t, polledKinds(o), "there are no new observations")
 		require.Empty(t, o.newSuspects([]fleetwire.Doubt{{Worker: "serves"}}))
-		require.Equal(t, map[string]evidence.Kind{"serves": evidence.Fine}, said(o))
+		require.Equal(t, map[string]evidence.Kind{"serves": evidence.Fine}, polledKinds(o))
 		time.Sleep(observationSpan)
-		require.Empty(t, said(o))
+		require.Empty(t, polledKinds(o))
 	})
 }
 
-func TestAWorkerInDoubtIsDistrustedAnewAtAPace(t *testing.T) {
+func TestSuspectIsPassedOnAgainAfterInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newObservations()
 		doubts := []fleetwire.Doubt{{Worker: "a", Avoid: true}, {Worker: "b"}}
@@ -54,61 +54,61 @@
 		time.Sleep(suspectInterval)
 		require.Equal(t, []string{"a"}, o.newSuspects(doubts))
 		require.Empty(t, o.newSuspects(nil))
-		require.Equal(t, []string{"a"}, o.newSuspects(doubts), "it is in doubt once more")
+		require.Equal(t, []string{"a"}, o.newSuspects(doubts), "the worker came under suspicion again")
 	})
 }
 
-func TestWhatIsSaidAtOnceIsBounded(t *testing.T) {
+func TestObservationsPerPollAreLimited(t *testing.T) {
 	o := newObservations()
 	for i := range 3 * maxObservationsPerPoll {
 		o.record(itoa(i), placement.ResultFailed)
 	}
-	require.Len(t, said(o), maxObservationsPerPoll)
+	require.Len(t, polledKinds(o), maxObservationsPerPoll)
 }
 
-func TestEachPushIsObserved(t *testing.T) {
+func TestPushResultIsRecorded(t *testing.T) {
 	f := newFixture(t)
-	address := f.worker("", func(w http.ResponseWriter, r *http.Request) {
-		stamped(w, r, "s")
+	address := f.addWorker("", func(w http.ResponseWriter, r *http.Request) {
+		setValidHeader(w, r, "s")
 		w.WriteHeader(http.StatusInternalServerError)
 	})
-	f.get(http.MethodPost, "/unsafe/x", "r1")
-	require.Equal(t, map[string]evidence.Kind{"i-" + address: evidence.Failed}, said(f.router.observations))
+	f.exchange(http.MethodPost, "/unsafe/x", "r1")
+	require.Equal(t, map[string]evidence.Kind{"i-" + address: evidence.Failed}, polledKinds(f.router.observations))
 }
 
-func TestALimitOfOnesOwnSaysNothingOfTheWorker(t *testing.T) {
+func TestOwnConnectionLimitIsNotRecorded(t *testing.T) {
 	f := newFixture(t)
 	f.config.Services[0].MaxConnections = 1
 	entered, release := make(chan struct{}), make(chan struct{})
-	f.worker("", func(w http.ResponseWriter, r *http.Request) {
+	f.addWorker("", func(w http.ResponseWriter, r *http.Request) {
 		close(entered)
 		<-release
-		stamped(w, r, "s")
+		setValidHeader(w, r, "s")
 	})
 	first := make(chan int, 1)
 	go func() {
-		response, _ := f.get(http.MethodPost, "/unsafe/x", "r1")
+		response, _ := f.exchange(http.MethodPost, "/unsafe/x", "r1")
 		first <- response.StatusCode
 	}()
 	<-entered
-	second, _ := f.get(http.MethodPost, "/unsafe/x", "r2")
+	second, _ := f.exchange(http.MethodPost, "/unsafe/x", "r2")
 	require.Equal(t, http.StatusServiceUnavailable, second.StatusCode)
-	require.Equal(t, []placement.Result{placement.ResultNotExecuted}, f.placer.seen())
+	require.Equal(t, []placement.Result{placement.ResultNotExecuted}, f.placer.pushResults())
 	close(release)
 	require.Equal(t, http.StatusOK, <-first)
-	require.Empty(t, said(f.router.observations))
+	require.Empty(t, polledKinds(f.router.observations))
 }
 
-func TestAClientThatLeavesASilentWorkerCountsAgainstIt(t *testing.T) {
+func TestGaveUpWaiting(t *testing.T) {
 	for _, test := range []struct {
-		aim, waited time.Duration
-		counts      bool
+		targetLatency, waited time.Duration
+		want                  bool
 	}{
-		{aim: 250 * time.Millisecond, waited: time.Second, counts: false},
-		{aim: 250 * time.Millisecond, waited: 2 * time.Second, counts: true},
-		{aim: time.Second, waited: 2 * time.Second, counts: false},
-		{aim: time.Second, waited: 4 * time.Second, counts: true},
+		{targetLatency: 250 * time.Millisecond, waited: time.Second, want: false},
+		{targetLatency: 250 * time.Millisecond, waited: 2 * time.Second, want: true},
+		{targetLatency: time.Second, waited: 2 * time.Second, want: false},
+		{targetLatency: time.Second, waited: 4 * time.Second, want: true},
 	} {
-		require.Equal(t, test.counts, gaveUpWaiting(test.aim, test.waited), "%+v", test)
+		require.Equal(t, test.want, gaveUpWaiting(test.targetLatency, test.waited), "%+v", test)
 	}
 }
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -20,7 +20,7 @@
 	"weldscale/internal/placement"
 )
 
-// pipeListener hands out in-memory connections, so that the clock of the test is the only one.
+// pipeListener accepts in-memory connections, which, unlike sockets, work with the simulated clock of synctest.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -50,6 +50,7 @@
 
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
+// dial returns the client side of a new connection, or nil if the listener is closed.
 func (l *pipeListener) dial() net.Conn {
 	client, server := net.Pipe()
 	select {
@@ -60,8 +61,8 @@
 	}
 }
 
-// ask sends a request for a path and returns the answer, or nil.
-func ask(conn net.Conn, path string) *http.Response {
+// sendGet sends a GET request and returns the response, or nil if there is none.
+func sendGet(conn net.Conn, path string) *http.Response {
 	if _, err := io.WriteString(conn, "GET "+path+" HTTP/1.1\r\nHost: a.example\r\nRequest-Id: id\r\n\r\n"); err != nil {
 		return nil
 	}
@@ -73,30 +74,32 @@
 	return response
 }
 
-// slowPlacer takes its time, then refuses.
-type slowPlacer struct{ span time.Duration }
+// slowPlacer refuses each job after a delay.
+type slowPlacer struct{ delay time.Duration }
 
 func (p slowPlacer) Update(*watch.Snapshot) {}
 
 func (p slowPlacer) Place(ctx context.Context, _ placement.Job, _ placement.Push) placement.JobOutcome {
 	select {
-	case <-time.After(p.span):
+	case <-time.After(p.delay):
 	case <-ctx.Done():
 	}
 	return placement.JobOutcome{Decision: placement.DecisionRefused}
 }
 
-type ending struct {
-	router            *Router
-	clients, probes   *pipeListener
-	clientsS, probesS *http.Server
-	left              chan struct{}
+// shutdownFixture is a router with servers for clients and readiness probes.
+type shutdownFixture struct {
+	router                        *Router
+	clientListener, probeListener *pipeListener
+	clientServer, probeServer     *http.Server
+	done                          chan struct{} // closed when the shutdown is complete
 }
 
-func startEnding(span time.Duration) *ending {
-	e := &ending{clients: newPipeListener(), probes: newPipeListener(), left: make(chan struct{})}
-	e.router = New(Options{Placer: slowPlacer{span}, Pool: nil, Log: zap.NewNop()})
-	e.router.Update(&watch.Snapshot{
+// startShutdownFixture starts a router that refuses each request after the delay.
+func startShutdownFixture(delay time.Duration) *shutdownFixture {
+	f := &shutdownFixture{clientListener: newPipeListener(), probeListener: newPipeListener(), done: make(chan struct{})}
+	f.router = New(Options{Placer: slowPlacer{delay}, Pool: nil, Log: zap.NewNop()})
+	f.router.Update(&watch.Snapshot{
 		Version: fleetwire.Version{ConfigRevision: 1, Instances: fleetwire.ListVersion{Token: 1}},
 		Config: &fleetwire.Config{
 			Routes: []fleetwire.Route{{Hostname: "a.example", PathPrefix: "/a/", TimeoutMs: 60000, RouteType: "unsafe",
@@ -104,127 +107,130 @@
 			Services: []fleetwire.Service{{Name: "s"}},
 		},
 	})
-	e.clientsS = e.router.newClientServer()
-	e.probesS = &http.Server{Handler: e.router.ReadinessHandler()}
-	go func() { _ = e.clientsS.Serve(e.clients) }()
-	go func() { _ = e.probesS.Serve(e.probes) }()
-	return e
+	f.clientServer = f.router.newClientServer()
+	f.probeServer = &http.Server{Handler: f.router.ReadinessHandler()}
+	go func() { _ = f.clientServer.Serve(f.clientListener) }()
+	go func() { _ = f.probeServer.Serve(f.probeListener) }()
+	return f
 }
 
-func (e *ending) leave(times shutdownSchedule) {
+// shutDown starts the shutdown in a goroutine and waits until all goroutines are blocked.
+func (f *shutdownFixture) shutDown(schedule shutdownSchedule) {
 	go func() {
-		e.router.shutDown(e.clientsS, e.probesS, times)
-		close(e.left)
+		f.router.shutDown(f.clientServer, f.probeServer, schedule)
+		close(f.done)
 	}()
 	synctest.Wait()
 }
 
-func TestLeavingGoesStepByStep(t *testing.T) {
+func TestShutdownSteps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := startEnding(4 * time.Second)
-		require.Equal(t, http.StatusOK, ask(e.probes.dial(), "/ready").StatusCode)
-		running := make(chan *http.Response, 1)
-		go func() { running <- ask(e.clients.dial(), "/a/x") }()
+		f := startShutdownFixture(4 * time.Second)
+		require.Equal(t, http.StatusOK, sendGet(f.probeListener.dial(), "/ready").StatusCode)
+		inFlight := make(chan *http.Response, 1)
+		go func() { inFlight <- sendGet(f.clientListener.dial(), "/a/x") }()
 		synctest.Wait()
-		began := time.Now()
-		e.leave(newShutdownSchedule(8 * time.Second))
-		require.Equal(t, http.StatusServiceUnavailable, ask(e.probes.dial(), "/ready").StatusCode, "not ready at once")
+		started := time.Now()
+		f.shutDown(newShutdownSchedule(8 * time.Second))
+		require.Equal(t, http.StatusServiceUnavailable, sendGet(f.probeListener.dial(), "/ready").StatusCode, "the router must become not ready at once")
 		time.Sleep(2 * time.Second)
-		late := ask(e.clients.dial(), "/none/x") // served on: the platform needs two missed seconds
+		// The platform sends new clients until the readiness probes have failed for two seconds, so new connections are still served.
+		late := sendGet(f.clientListener.dial(), "/none/x")
 		require.Equal(t, http.StatusNotFound, late.StatusCode)
-		require.True(t, late.Close, "a client is asked to leave its connection")
-		<-e.clients.closed
-		require.Equal(t, 2500*time.Millisecond, time.Since(began).Round(100*time.Millisecond))
-		require.Equal(t, http.StatusServiceUnavailable, (<-running).StatusCode, "what was read gets its answer")
-		<-e.left
-		require.Less(t, time.Since(began), 6*time.Second)
+		require.True(t, late.Close, "the response must close the connection")
+		<-f.clientListener.closed
+		require.Equal(t, 2500*time.Millisecond, time.Since(started).Round(100*time.Millisecond))
+		require.Equal(t, http.StatusServiceUnavailable, (<-inFlight).StatusCode, "a request that was read must get a response")
+		<-f.done
+		require.Less(t, time.Since(started), 6*time.Second)
 	})
 }
 
-// Guards against LOST: a request that a draining router took was cut as its process ended.
-func TestADrainTakesNothingThatTheEndOfTheProcessWouldCut(t *testing.T) {
+// Guards against a violation of the LOST rule: a request that a draining router accepted was aborted when the process exited.
+func TestDrainRefusesRequestsThatMayOutlastShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := startEnding(6 * time.Second)
-		e.leave(newShutdownSchedule(8 * time.Second))
+		f := startShutdownFixture(6 * time.Second)
+		f.shutDown(newShutdownSchedule(8 * time.Second))
 		time.Sleep(2 * time.Second)
-		answer := ask(e.clients.dial(), "/a/x") // may last a minute
-		require.NotNil(t, answer, "the connection was closed without an answer")
-		require.Equal(t, http.StatusServiceUnavailable, answer.StatusCode)
-		require.True(t, answer.Close)
-		<-e.left
+		response := sendGet(f.clientListener.dial(), "/a/x") // without Deadline-Ms, its deadline is the route timeout of a minute
+		require.NotNil(t, response, "the connection was closed without a response")
+		require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
+		require.True(t, response.Close)
+		<-f.done
 	})
 }
 
-func TestTheTimetableOfLeavingLiesWithinAnyGrace(t *testing.T) {
+func TestShutdownScheduleFitsGracePeriod(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		grace := time.Duration(rapid.Int64Range(1, int64(time.Minute)).Draw(t, "grace"))
-		times := newShutdownSchedule(grace)
-		require.LessOrEqual(t, times.drain, times.abort)
-		require.LessOrEqual(t, times.abort, times.closeAll)
-		require.LessOrEqual(t, times.closeAll, grace)
+		schedule := newShutdownSchedule(grace)
+		require.LessOrEqual(t, schedule.drain, schedule.abort)
+		require.LessOrEqual(t, schedule.abort, schedule.closeAll)
+		require.LessOrEqual(t, schedule.closeAll, grace)
 	})
 }
 
-// A request that is sure to be over in time is served until the end of the drain.
-func TestADrainTakesWhatIsOverInTime(t *testing.T) {
+// A request whose deadline is before the abort time is served until the end of the drain.
+func TestDrainServesRequestsThatEndInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := startEnding(time.Second)
-		e.leave(newShutdownSchedule(8 * time.Second))
-		conn := e.clients.dial()
-		began := time.Now()
+		f := startShutdownFixture(time.Second)
+		f.shutDown(newShutdownSchedule(8 * time.Second))
+		conn := f.clientListener.dial()
+		started := time.Now()
 		_, err := io.WriteString(conn, "GET /a/x HTTP/1.1\r\nHost: a.example\r\nRequest-Id: id\r\nDeadline-Ms: 2500\r\n\r\n")
 		require.NoError(t, err)
-		answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
+		response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		require.NoError(t, err)
-		require.Equal(t, http.StatusServiceUnavailable, answer.StatusCode, "by the placer of the test")
-		require.Equal(t, time.Second, time.Since(began), "it was placed")
-		<-e.left
+		require.Equal(t, http.StatusServiceUnavailable, response.StatusCode, "the response must come from slowPlacer")
+		require.Equal(t, time.Second, time.Since(started), "the request must reach the placer")
+		<-f.done
 	})
 }
 
-func TestWhatDoesNotEndIsAnsweredWithinTheGrace(t *testing.T) {
+func TestAbortedRequestsGetResponsesWithinGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const grace = 8 * time.Second
-		e := startEnding(time.Hour)
-		last := make(chan *http.Response, 1)
-		go func() { last <- ask(e.clients.dial(), "/a/x") }()
+		f := startShutdownFixture(time.Hour)
+		aborted := make(chan *http.Response, 1)
+		go func() { aborted <- sendGet(f.clientListener.dial(), "/a/x") }()
 		synctest.Wait()
-		began := time.Now()
-		e.leave(newShutdownSchedule(grace))
-		answer := <-last
-		require.NotNil(t, answer, "the connection was closed without an answer")
-		require.Equal(t, http.StatusServiceUnavailable, answer.StatusCode, "no worker has seen it")
-		require.Equal(t, 7600*time.Millisecond, time.Since(began).Round(100*time.Millisecond))
-		<-e.left
-		require.Less(t, time.Since(began), grace)
+		started := time.Now()
+		f.shutDown(newShutdownSchedule(grace))
+		response := <-aborted
+		require.NotNil(t, response, "the connection was closed without a response")
+		require.Equal(t, http.StatusServiceUnavailable, response.StatusCode, "no worker has received the request")
+		require.Equal(t, 7600*time.Millisecond, time.Since(started).Round(100*time.Millisecond))
+		<-f.done
+		require.Less(t, time.Since(started), grace)
 	})
 }
 
-// What the end of a process ends must be told from what clients, workers and time-outs cut.
-func TestTheEndOfAProcessTellsWhatItEnds(t *testing.T) {
+// The log must distinguish requests that the shutdown aborts from those that clients, workers or deadlines abort.
+func TestShutdownLogsAbortedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		lines, observed := observer.New(zap.InfoLevel)
-		e := startEnding(time.Hour)
-		e.router.options.Log = zap.New(lines)
-		go func() { _ = ask(e.clients.dial(), "/a/x") }()
+		core, logged := observer.New(zap.InfoLevel)
+		f := startShutdownFixture(time.Hour)
+		f.router.options.Log = zap.New(core)
+		go func() { _ = sendGet(f.clientListener.dial(), "/a/x") }()
 		synctest.Wait()
-		e.leave(newShutdownSchedule(8 * time.Second))
-		_ = ask(e.clients.dial(), "/a/x")
-		<-e.left
-		ended := observed.FilterMessage("request ended with the process").All()
-		require.Len(t, ended, 1)
-		require.Equal(t, "id", ended[0].ContextMap()["request"])
-		left := observed.FilterMessage("router left").All()
-		require.Len(t, left, 1)
-		require.EqualValues(t, 1, left[0].ContextMap()["refused"])
+		f.shutDown(newShutdownSchedule(8 * time.Second))
+		_ = sendGet(f.clientListener.dial(), "/a/x")
+		<-f.done
+		abortLines := logged.FilterMessage("request ended with the process").All()
+		require.Len(t, abortLines, 1)
+		require.Equal(t, "id", abortLines[0].ContextMap()["request"])
+		endLines := logged.FilterMessage("router left").All()
+		require.Len(t, endLines, 1)
+		require.EqualValues(t, 1, endLines[0].ContextMap()["refused"])
 	})
 }
 
-// Guards against LOST: the write deadline of one request must not cut the answer to the next on the same connection.
-func TestAnAnswerIsNotBoundByTheRequestBeforeIt(t *testing.T) {
+// Guards against a violation of the LOST rule: the write deadline of a request cut off the response to the next request on the same
+// connection.
+func TestWriteDeadlineDoesNotAffectNextRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := startEnding(10 * time.Millisecond)
-		conn := e.clients.dial()
+		f := startShutdownFixture(10 * time.Millisecond)
+		conn := f.clientListener.dial()
 		reader := bufio.NewReader(conn)
 		exchange := func(path string) *http.Response {
 			head := "GET " + path + " HTTP/1.1\r\nHost: a.example\r\nRequest-Id: id\r\nDeadline-Ms: 100\r\n\r\n"
@@ -238,12 +244,12 @@
 			return response
 		}
 		require.NotNil(t, exchange("/a/x"))
-		time.Sleep(time.Second) // on the simulated clock: past the first request's deadline
+		time.Sleep(time.Second) // simulated time, past the first request's deadline
 		second := exchange("/none/x")
-		require.NotNil(t, second, "the connection was closed without an answer")
+		require.NotNil(t, second, "the connection was closed without a response")
 		require.Equal(t, http.StatusNotFound, second.StatusCode)
 		_ = conn.Close()
-		e.leave(newShutdownSchedule(time.Second))
-		<-e.left
+		f.shutDown(newShutdownSchedule(time.Second))
+		<-f.done
 	})
 }
