--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -40,7 +40,7 @@
 // arrive hands in job 1 of a class and returns the probes it led to.
 func arrive(d *Dispatcher, r *recorder, class int) []action {
 	r.take("")
-	d.Arrive(start, Job{ID: 1, Class: class, GiveUpAt: start + d.s.Classes[class].Deadline})
+	d.Arrive(start, Job{ID: 1, Class: class, GiveUpAt: start + d.settings.Classes[class].Deadline})
 	return r.take("probe")
 }
 
@@ -104,7 +104,7 @@
 		}
 	}
 	d.ProbeResult(start+ms, probed[1], Served, ms, free(1))
-	wake(d, acts, wakeProbes, start+probeWait)
+	wake(d, acts, wakeProbes, start+probeTimeout)
 	if got := r.take("push"); len(got) != 1 || got[0].worker != probed[1] {
 		t.Errorf("pushes %+v", got)
 	}
@@ -228,13 +228,13 @@
 			d.ProbeResult(start+ms, p.worker, Served, ms, free(2))
 		}
 		acts := r.take("")
-		wake(d, acts, wakeStart, start+ms+startSoon)
+		wake(d, acts, wakeStartDue, start+ms+startTimeout)
 		if got := count(r.take(""), "probe") > 0; got != hedges {
 			t.Errorf("class %d: hedged %v, wanted %v", class, got, hedges)
 		}
 		d.Note(start+150*ms, 1, 0, NoteStarted, 0)
 		for _, w := range d.ready {
-			if w.late != 0 {
+			if w.overdueStarts != 0 {
 				t.Errorf("class %d: worker %d still held late after its start", class, w.ID)
 			}
 		}
@@ -281,8 +281,8 @@
 // The price of a slot once began at a huge figure when the first second held no job.
 func TestIdleStartSetsNoPrice(t *testing.T) {
 	d, r := newNode(t, testSettings(), fleet(4)...)
-	d.Wake(start+3*second, wakeAsk)
-	d.Wake(start+5*second, wakeAsk)
+	d.Wake(start+3*second, wakeWatch)
+	d.Wake(start+5*second, wakeWatch)
 	r.take("")
 	d.Arrive(start+6*second, Job{ID: 1, GiveUpAt: start + 11*second})
 	for _, p := range r.take("probe") {
@@ -308,10 +308,10 @@
 		d.Arrive(now, Job{ID: 1, GiveUpAt: now + 60*second})
 		if dear { // it is in hand all along
 			j := d.jobs[1]
-			d.price = d.value(j)
+			d.price = d.slotValue(j)
 		}
 		probe(now)
-		value := d.value(d.jobs[1])
+		value := d.slotValue(d.jobs[1])
 		if !dear {
 			d.Outcome(now, Outcome{Job: 1, Worker: 1, Status: Served})
 			d.Hangup(now, 1)
@@ -337,25 +337,25 @@
 	d, _ := newNode(t, testSettings(), fleet(4)...)
 	full := func(class int) float64 {
 		j := d.newJob(Job{ID: uint32(len(d.jobs) + 1), Class: class, GiveUpAt: d.now + 5*second})
-		d.appraise(j)
+		d.estimate(j)
 		j.pair[0], j.answered[0] = d.workers[1], true
-		j.load[0] = free(0)
+		j.reports[0] = free(0)
 		before := d.price
-		d.settle(j)
+		d.resolveDraw(j)
 		return d.price / before
 	}
 	if up := full(2); up > 1.01 {
 		t.Errorf("the price rises %v times with slots free everywhere", up)
 	}
-	d.busy = 1
+	d.noRoomShare = 1
 	if up := full(2); up < 1.1 {
 		t.Errorf("the price rises %v times though slots are contended", up)
 	}
 	silent := d.newJob(Job{ID: 80, Class: 2, GiveUpAt: d.now + 5*second})
-	d.appraise(silent)
+	d.estimate(silent)
 	silent.pair[0] = d.workers[1]
 	before := d.price
-	if d.settle(silent); d.price != before {
+	if d.resolveDraw(silent); d.price != before {
 		t.Error("silence says nothing of slots")
 	}
 	d.price = 1e6
@@ -392,7 +392,7 @@
 	}
 	bad := 0
 	for _, w := range d.ready {
-		if w.badUntil > d.now {
+		if w.ejectedUntil > d.now {
 			bad++
 		}
 	}
@@ -415,7 +415,7 @@
 	d.Hangup(start, 1234)
 	d.PeerMessage(start, 3, []byte{1, 2, 3})
 	d.StreamStarted(start, 8, 0)
-	for _, purpose := range []uint64{wakeGiveUp, wakeProbes, wakeRedraw, wakeStart, 200 << 56} {
+	for _, purpose := range []uint64{wakeGiveUp, wakeProbes, wakeRedraw, wakeStartDue, 200 << 56} {
 		d.Wake(start, purpose|77)
 	}
 	d.Wake(start, wakeRedraw|9<<32|1)
@@ -481,7 +481,7 @@
 		arrive(d, r, 0)
 		d.Wake(start+second, wakeGiveUp|1)
 		acts := r.take("refuse")
-		if want := min(comeBack, respected); len(acts) != 1 || acts[0].span != want {
+		if want := min(retryAfter, respected); len(acts) != 1 || acts[0].span != want {
 			t.Errorf("clients respect %d: %+v, want a wait of %d", respected, acts, want)
 		}
 	}
--- a/decide/events.go
+++ b/decide/events.go
@@ -9,21 +9,21 @@
 	wakeGiveUp uint64 = iota << 56
 	wakeProbes
 	wakeRedraw
-	wakeStart
-	wakeAsk
-	wakeLook
+	wakeStartDue
+	wakeWatch
+	wakeCheck
 )
 
 // UpdateWorkers takes in entries that the caller sees otherwise from now on, though the worker list has not answered: whether
 // the watch stands is not touched.
 func (d *Dispatcher) UpdateWorkers(now Time, kind ListKind, list []Worker) {
-	d.tick(now)
-	d.takeList(kind, list)
+	d.advance(now)
+	d.updateList(kind, list)
 }
 
 // ProbeResult takes in the answer to a probe.
 func (d *Dispatcher) ProbeResult(now Time, id WorkerID, status Status, latency Time, r Report) {
-	d.tick(now)
+	d.advance(now)
 	w := d.workers[id]
 	if w == nil {
 		return
@@ -32,71 +32,71 @@
 	if !ok {
 		return
 	}
-	d.drop(w)
+	d.forgetWorker(w)
 	if status == Served && latency > 0 {
-		d.learnEcho(w, latency)
-		d.learnLag(w, r)
+		d.learnRTT(w, latency)
+		d.learnRefresh(w, r)
 	}
-	d.judgeProbe(w, status, latency)
+	d.learnProbe(w, status, latency)
 	j := d.jobs[p.job]
-	if p.look > 0 && j != nil && p.look <= len(j.attempts) {
-		d.afterLook(j, p.look-1, status, r)
+	if p.checkedAttempt > 0 && j != nil && p.checkedAttempt <= len(j.attempts) {
+		d.afterCheck(j, p.checkedAttempt-1, status, r)
 		return
 	}
-	if j == nil || j.closed || !j.drawing || j.draw != p.draw {
+	if j == nil || j.closed || !j.drawing || j.drawNumber != p.drawNumber {
 		return
 	}
 	for i, v := range j.pair {
 		if v == w {
-			j.answered[i], j.load[i], j.echo[i] = status == Served, r, latency
+			j.answered[i], j.reports[i], j.rtt[i] = status == Served, r, latency
 			if status != Served {
 				j.pair[i] = nil // it loses the pair
 			}
 		}
 	}
 	switch {
-	case j.unasked && !d.enough(j):
+	case j.secondUnprobed && !d.holderSuffices(j):
 		d.probeSecond(j)
-	case j.unasked, (j.pair[0] == nil || j.answered[0]) && (j.pair[1] == nil || j.answered[1]):
-		d.settle(j)
+	case j.secondUnprobed, (j.pair[0] == nil || j.answered[0]) && (j.pair[1] == nil || j.answered[1]):
+		d.resolveDraw(j)
 	}
 }
 
 // Note takes in news of a running attempt.
 func (d *Dispatcher) Note(now Time, id uint32, n int, kind NoteKind, _ float64) {
-	d.tick(now)
+	d.advance(now)
 	j := d.jobs[id]
 	if j == nil || n < 0 || n >= len(j.attempts) || kind != NoteStarted && kind != NoteProgress {
 		return
 	}
-	if a := &j.attempts[n]; a.out && !a.started {
-		d.started(j, n)
+	if a := &j.attempts[n]; a.inFlight && !a.started {
+		d.markStarted(j, n)
 	}
 }
 
 // Outcome takes in the end of an attempt.
 func (d *Dispatcher) Outcome(now Time, o Outcome) {
-	d.tick(now)
+	d.advance(now)
 	j := d.jobs[o.Job]
-	if j == nil || o.Attempt < 0 || o.Attempt >= len(j.attempts) || !j.attempts[o.Attempt].out {
+	if j == nil || o.Attempt < 0 || o.Attempt >= len(j.attempts) || !j.attempts[o.Attempt].inFlight {
 		return
 	}
 	a := &j.attempts[o.Attempt]
-	a.out, a.mayHaveRun = false, !o.Status.NeverRan()
-	j.out--
-	a.w.out--
-	a.w.held -= j.Slots
-	a.w.freed(d.now, j.ID, o.Attempt, j.Slots)
-	a.onTime()
-	d.judge(j, a, o.Status)
-	d.drop(a.w)
+	a.inFlight, a.mayHaveRun = false, !o.Status.NeverRan()
+	j.inFlight--
+	a.w.inFlight--
+	a.w.heldSlots -= j.Slots
+	a.w.releaseClaim(d.now, j.ID, o.Attempt, j.Slots)
+	a.clearOverdue()
+	d.learnOutcome(j, a, o.Status)
+	d.forgetWorker(a.w)
 	switch {
 	case j.closed:
-		d.forget(j)
+		d.forgetJob(j)
 	case o.Closed || o.Status == Served:
-		d.close(j)
+		d.closeJob(j)
 	default:
-		d.next(j, a, o.Status)
+		d.afterAttempt(j, a, o.Status)
 	}
 }
 
@@ -110,15 +110,15 @@
 
 // Hangup takes in that the client went away: the job is over.
 func (d *Dispatcher) Hangup(now Time, id uint32) {
-	d.tick(now)
+	d.advance(now)
 	if j := d.jobs[id]; j != nil && !j.closed {
-		d.close(j)
+		d.closeJob(j)
 	}
 }
 
 // GiveUp takes in that there is no time left for a job, whatever its client would wait: the scheduler ends.
 func (d *Dispatcher) GiveUp(now Time, id uint32) {
-	d.tick(now)
+	d.advance(now)
 	if j := d.jobs[id]; j != nil && !j.closed {
 		d.giveUp(j)
 	}
@@ -126,18 +126,18 @@
 
 // PeerMessage takes in a message of another node: the ID of a worker that failed it. Anything else is passed over.
 func (d *Dispatcher) PeerMessage(now Time, _ int, data []byte) {
-	d.tick(now)
+	d.advance(now)
 	if len(data) != 8 {
 		return
 	}
 	if w := d.workers[WorkerID(binary.BigEndian.Uint64(data))]; w != nil {
-		d.hear(w)
+		d.addComplaint(w)
 	}
 }
 
 // JobOf is the job that a timer's token is about, or 0.
 func JobOf(token uint64) uint32 {
-	if token>>56<<56 == wakeAsk {
+	if token>>56<<56 == wakeWatch {
 		return 0
 	}
 	return uint32(token)
@@ -145,9 +145,9 @@
 
 // Wake takes in a timer. A stale one does nothing.
 func (d *Dispatcher) Wake(now Time, token uint64) {
-	d.tick(now)
-	if token>>56<<56 == wakeAsk {
-		d.ask()
+	d.advance(now)
+	if token>>56<<56 == wakeWatch {
+		d.requestWatch()
 		return
 	}
 	j := d.jobs[uint32(token)]
@@ -162,32 +162,32 @@
 		}
 	case wakeProbes:
 		switch {
-		case !j.drawing || j.draw != mark:
-		case j.unasked:
+		case !j.drawing || j.drawNumber != mark:
+		case j.secondUnprobed:
 			d.probeSecond(j)
 		default:
-			d.settle(j)
+			d.resolveDraw(j)
 		}
 	case wakeRedraw:
-		if j.drawing && j.draw == mark {
+		if j.drawing && j.drawNumber == mark {
 			d.drawPair(j)
 		}
-	case wakeStart:
-		d.overdue(j, int(mark))
-	case wakeLook:
-		if n := int(mark); n < len(j.attempts) && j.attempts[n].out && !j.attempts[n].started {
-			d.look(j.attempts[n].w, j, n)
+	case wakeStartDue:
+		d.startOverdue(j, int(mark))
+	case wakeCheck:
+		if n := int(mark); n < len(j.attempts) && j.attempts[n].inFlight && !j.attempts[n].started {
+			d.checkWorker(j.attempts[n].w, j, n)
 		}
 	}
 }
 
-// tick moves the clock on and keeps the measure of what a warm worker gets from us.
-func (d *Dispatcher) tick(now Time) {
+// advance moves the clock on and keeps the measure of what a warm worker gets from us.
+func (d *Dispatcher) advance(now Time) {
 	d.now = max(d.now, now)
-	if d.bearAt == 0 {
-		d.bearAt = d.now
+	if d.warmRateAt == 0 {
+		d.warmRateAt = d.now
 	}
-	if span := d.now - d.bearAt; span > 1000*ms {
-		d.measure(float64(span))
+	if span := d.now - d.warmRateAt; span > 1000*ms {
+		d.updateWarmRate(float64(span))
 	}
 }
--- a/decide/failures_test.go
+++ b/decide/failures_test.go
@@ -9,11 +9,11 @@
 	d, r := newNode(t, s, fleet(10)...)
 	msg := []byte{0, 0, 0, 0, 0, 0, 0, 3}
 	d.PeerMessage(start, 1, msg)
-	if d.workers[3].badUntil > start {
+	if d.workers[3].ejectedUntil > start {
 		t.Error("one complaint was believed")
 	}
 	d.PeerMessage(start+second, 2, msg)
-	if d.workers[3].badUntil <= start {
+	if d.workers[3].ejectedUntil <= start {
 		t.Error("two complaints were not believed")
 	}
 	d.PeerMessage(start, 2, []byte("garbage"))
@@ -36,21 +36,21 @@
 	d, r := newNode(t, testSettings(), fleet(10)...)
 	w := d.workers[1]
 	d.eject(w)
-	d.now = w.badUntil + 1
-	unsafe, safe := &job{class: &d.s.Classes[1]}, &job{class: &d.s.Classes[0]}
-	if d.usable(unsafe, w) || !d.usable(safe, w) {
+	d.now = w.ejectedUntil + 1
+	unsafe, safe := &job{class: &d.settings.Classes[1]}, &job{class: &d.settings.Classes[0]}
+	if d.eligible(unsafe, w) || !d.eligible(safe, w) {
 		t.Error("the trial goes to the wrong kind of job")
 	}
-	w.level = 0
-	if !d.usable(unsafe, w) {
+	w.ejectionLevel = 0
+	if !d.eligible(unsafe, w) {
 		t.Error("a worker that served stays shut")
 	}
 	s := testSettings()
 	s.Classes = s.Classes[1:2]
 	d, _ = newNode(t, s, fleet(10)...)
 	d.eject(d.workers[1])
-	d.now = d.workers[1].badUntil + 1
-	if !d.usable(&job{class: &d.s.Classes[0]}, d.workers[1]) {
+	d.now = d.workers[1].ejectedUntil + 1
+	if !d.eligible(&job{class: &d.settings.Classes[0]}, d.workers[1]) {
 		t.Error("with unsafe classes alone an ejected worker never returns")
 	}
 	_ = r
@@ -63,11 +63,11 @@
 		w := d.workers[1]
 		for i := range Time(300) {
 			d.now += 50 * ms
-			w.out++ // something of ours is new there
-			d.learnLag(w, free(1+float64(i*50*ms/every%7)/10))
+			w.inFlight++ // something of ours is new there
+			d.learnRefresh(w, free(1+float64(i*50*ms/every%7)/10))
 		}
-		j := &job{class: &d.s.Classes[0], attempts: []attempt{{w: w, out: true}}}
-		if d.overdue(j, 0); j.drawing != want {
+		j := &job{class: &d.settings.Classes[0], attempts: []attempt{{w: w, inFlight: true}}}
+		if d.startOverdue(j, 0); j.drawing != want {
 			t.Errorf("reports every %d ms: second copies %v", every/ms, !want)
 		}
 	}
@@ -77,9 +77,9 @@
 func TestSlowWorkerIsPassedOver(t *testing.T) {
 	d, r := newNode(t, testSettings(), fleet(2)...)
 	for range 50 {
-		d.learnEcho(d.workers[1], ms)
+		d.learnRTT(d.workers[1], ms)
 	}
-	d.runs[0] = float64(200 * ms)
+	d.meanRunByClass[0] = float64(200 * ms)
 	probes := arrive(d, r, 0)
 	d.ProbeResult(start+ms, probes[0].worker, Served, ms, free(1))
 	d.ProbeResult(start+8*ms, probes[1].worker, Served, 8*ms, free(3))
@@ -91,15 +91,15 @@
 // Incident i59d148: a wide job that does not fit waits at the head of the queue and blocks its worker.
 func TestWideJobNeedsAllItsSlots(t *testing.T) {
 	d, _ := newNode(t, testSettings(), fleet(2)...)
-	j := &job{Job: Job{Slots: 4}, class: &d.s.Classes[0]}
-	if _, _, fits := d.room(j, d.workers[1], free(3.4)); fits {
+	j := &job{Job: Job{Slots: 4}, class: &d.settings.Classes[0]}
+	if _, _, fits := d.estimateRoom(j, d.workers[1], free(3.4)); fits {
 		t.Error("four slots in 3.4")
 	}
-	if _, _, fits := d.room(j, d.workers[1], free(3.6)); !fits {
+	if _, _, fits := d.estimateRoom(j, d.workers[1], free(3.6)); !fits {
 		t.Error("reports are noisy: every other idle worker of four slots shows 3.9 or less")
 	}
 	j.Slots = 1
-	if _, _, fits := d.room(j, d.workers[1], free(0.7)); !fits {
+	if _, _, fits := d.estimateRoom(j, d.workers[1], free(0.7)); !fits {
 		t.Error("reports are noisy: 0.7 free slots are one")
 	}
 }
@@ -107,18 +107,18 @@
 // An idle worker once looked too small for a wide job by the noise of its report.
 func TestIdleWorkerHasAllItsSlots(t *testing.T) {
 	d, _ := newNode(t, testSettings(), fleet(1)...)
-	w, j := d.workers[1], &job{Job: Job{Slots: 4}, class: &d.s.Classes[0]}
+	w, j := d.workers[1], &job{Job: Job{Slots: 4}, class: &d.settings.Classes[0]}
 	idle := Report{Has: HasFreeSlots | HasInFlight}
 	for _, shown := range []float64{4.4, 3.6, 4} {
 		idle.FreeSlots = shown
-		d.learnLag(w, idle)
+		d.learnRefresh(w, idle)
 	}
 	idle.FreeSlots = 3.1
-	if _, _, fits := d.room(j, w, idle); !fits {
-		t.Errorf("nothing runs there, and it has %.1f slots", w.size)
+	if _, _, fits := d.estimateRoom(j, w, idle); !fits {
+		t.Errorf("nothing runs there, and it has %.1f slots", w.capacity)
 	}
 	idle.InFlight = 1
-	if _, _, fits := d.room(j, w, idle); fits {
+	if _, _, fits := d.estimateRoom(j, w, idle); fits {
 		t.Error("something runs there")
 	}
 }
@@ -135,15 +135,15 @@
 	if probes := r.take("probe"); len(probes) != 0 {
 		t.Errorf("probes %+v of workers just seen full", probes)
 	}
-	d.Arrive(start+2*tightSpan, Job{ID: 2, GiveUpAt: start + 5*second})
+	d.Arrive(start+2*noRoomSpan, Job{ID: 2, GiveUpAt: start + 5*second})
 	if probes := r.take("probe"); len(probes) != 2 {
 		t.Errorf("probes %+v when that is long ago", probes)
 	}
 	for _, w := range d.ready {
-		w.tightUntil, w.size, w.held = 0, 4, 3
+		w.noRoomUntil, w.capacity, w.heldSlots = 0, 4, 3
 	}
 	for slots, want := range map[float64]int{1: 2, 2: 0} {
-		d.Arrive(start+2*tightSpan, Job{ID: 10 + uint32(slots), Slots: slots, GiveUpAt: start + 5*second})
+		d.Arrive(start+2*noRoomSpan, Job{ID: 10 + uint32(slots), Slots: slots, GiveUpAt: start + 5*second})
 		if probes := r.take("probe"); len(probes) != want {
 			t.Errorf("%g slots where ours hold 3 of 4: probes %+v", slots, probes)
 		}
@@ -178,7 +178,7 @@
 	}
 	open := 0
 	for _, w := range d.ready {
-		if w.badUntil <= d.now {
+		if w.ejectedUntil <= d.now {
 			open++
 		}
 	}
@@ -212,10 +212,10 @@
 		}
 	}
 	j := d.jobs[1]
-	j.misses = 3
+	j.failedDraws = 3
 	far := false
 	for range 40 {
-		far = far || d.pick(j, nil).Zone == 1
+		far = far || d.pickWorker(j, nil).Zone == 1
 	}
 	if !far {
 		t.Error("no far worker in 40 draws")
@@ -256,7 +256,7 @@
 // In overload a held job asks less and less often, and ends before its time: retries do not pile up.
 func TestRetriesBackOffInOverload(t *testing.T) {
 	d, r := newNode(t, testSettings(), fleet(20)...)
-	d.runs[0] = float64(500 * ms)
+	d.meanRunByClass[0] = float64(500 * ms)
 	r.take("")
 	d.Arrive(start, Job{ID: 1, GiveUpAt: start + 5*second})
 	probes, finals := 0, 0
@@ -292,13 +292,13 @@
 func TestAllSlowAtOnce(t *testing.T) {
 	d, _ := newNode(t, testSettings(), fleet(5)...)
 	for range 100 {
-		d.learnEcho(d.workers[1], ms)
+		d.learnRTT(d.workers[1], ms)
 	}
 	if d.slowness(d.workers[2], 6*ms) < 5 {
 		t.Error("one slow worker is not seen")
 	}
 	for range 100 {
-		d.learnEcho(d.workers[1], 6*ms)
+		d.learnRTT(d.workers[1], 6*ms)
 	}
 	if got := d.slowness(d.workers[2], 6*ms); got > 1 {
 		t.Errorf("slowness %v though all are alike", got)
@@ -361,29 +361,29 @@
 func TestBrokenConnectionsEjectNobody(t *testing.T) {
 	d, r := newNode(t, testSettings(), fleet(6)...)
 	w := d.workers[pushTo(t, d, r, 0)]
-	for i := range brokenFrom {
-		if w.badUntil > d.now {
+	for i := range resetsToEject {
+		if w.ejectedUntil > d.now {
 			t.Errorf("ejected after %d broken attempts", i)
 		}
 		j := d.newJob(Job{ID: 10 + uint32(i), Class: 0, GiveUpAt: start + 5*second})
 		d.push(j, w, 0)
 		d.Outcome(start+2*ms, Outcome{Job: j.ID, Worker: w.ID, Status: Reset})
 	}
-	if w.badUntil <= d.now {
+	if w.ejectedUntil <= d.now {
 		t.Error("that many in a row are no chance")
 	}
 	v := d.ready[0]
 	if v == w {
 		v = d.ready[1]
 	}
-	d.look(v, nil, 0)
-	for i := range Time(lostFrom) {
-		if v.badUntil > d.now {
+	d.checkWorker(v, nil, 0)
+	for i := range Time(lossesToEject) {
+		if v.ejectedUntil > d.now {
 			t.Errorf("ejected after %d lost probes", i)
 		}
 		d.ProbeResult(start+(i+3)*ms, v.ID, Reset, ms, Report{})
 	}
-	if v.badUntil <= d.now {
+	if v.ejectedUntil <= d.now {
 		t.Error("lost again when looked after at once")
 	}
 }
@@ -409,17 +409,17 @@
 		d, r := newNode(t, s, fleet(3)...)
 		w := d.workers[pushTo(t, d, r, c.class)]
 		timers := r.take("")
-		d.Wake(start+startSoon, wakeStart|1)
-		for i := range Time(lostFrom) {
-			now := start + startSoon + (i+1)*lookSpan
-			d.Wake(now, wakeLook|1)
+		d.Wake(start+startTimeout, wakeStartDue|1)
+		for i := range Time(lossesToEject) {
+			now := start + startTimeout + (i+1)*checkInterval
+			d.Wake(now, wakeCheck|1)
 			if probes := r.take("probe"); len(probes) != 1 || probes[0].worker != w.ID {
 				t.Fatalf("%s: looks %+v after %+v", c.name, probes, timers)
 			}
 			d.ProbeResult(now+ms, w.ID, Served, ms, c.shown)
 		}
-		if n := len(r.take("cancel")); n != c.want || w.late != c.late {
-			t.Errorf("%s: %d cancels, %d late", c.name, n, w.late)
+		if n := len(r.take("cancel")); n != c.want || w.overdueStarts != c.late {
+			t.Errorf("%s: %d cancels, %d late", c.name, n, w.overdueStarts)
 		}
 	}
 }
@@ -431,8 +431,8 @@
 	d, r := newNode(t, s, fleet(3)...)
 	w := d.workers[pushTo(t, d, r, 0)]
 	d.Note(start+2*ms, 1, 0, NoteStarted, 0)
-	d.look(w, nil, 0)
-	for i := range Time(lostFrom) {
+	d.checkWorker(w, nil, 0)
+	for i := range Time(lossesToEject) {
 		if probes := r.take("probe"); len(probes) != 1 {
 			t.Fatalf("%d probes in flight", len(probes))
 		}
@@ -450,21 +450,21 @@
 	w := d.workers[pushTo(t, d, r, 0)]
 	d.Outcome(start+5*second, Outcome{Job: 1, Worker: w.ID, Status: TimedOut})
 	j, other := d.newJob(Job{ID: 2, Class: 0}), d.newJob(Job{ID: 3, Class: 2})
-	if d.usable(j, w) || !d.usable(other, w) {
+	if d.eligible(j, w) || !d.eligible(other, w) {
 		t.Error("that class, and no other, stays away")
 	}
-	first := w.shuns[0].until - d.now
-	d.shun(w, 0)
-	if second := w.shuns[0].until - d.now; second <= first {
+	first := w.classEjections[0].until - d.now
+	d.ejectForClass(w, 0)
+	if second := w.classEjections[0].until - d.now; second <= first {
 		t.Errorf("a second time for %d ms after %d ms", second/ms, first/ms)
 	}
-	d.now = w.shuns[0].until
-	if !d.usable(j, w) {
+	d.now = w.classEjections[0].until
+	if !d.eligible(j, w) {
 		t.Error("it must be tried again")
 	}
 	d.push(j, w, 0)
 	d.Outcome(d.now+ms, Outcome{Job: 2, Worker: w.ID, Status: Served})
-	if w.shuns[0].strikes != 0 {
+	if w.classEjections[0].strikes != 0 {
 		t.Error("served: nothing is held against it")
 	}
 }
@@ -486,13 +486,13 @@
 		d, r := newNode(t, testSettings(), fleet(2)...)
 		w := d.workers[pushTo(t, d, r, 0)]
 		c.end(d)
-		if _, _, fits := d.room(&job{Job: Job{Slots: 1}}, w, free(1)); fits != c.fits {
+		if _, _, fits := d.estimateRoom(&job{Job: Job{Slots: 1}}, w, free(1)); fits != c.fits {
 			t.Errorf("%s: room for another job in the one free slot: %v", name, fits)
 		}
-		if d.now = start + reportLag + 2*ms; len(w.recent) == 0 != c.fits {
-			t.Errorf("%s: claims %+v", name, w.recent)
+		if d.now = start + reportLag + 2*ms; len(w.claims) == 0 != c.fits {
+			t.Errorf("%s: claims %+v", name, w.claims)
 		}
-		if _, _, fits := d.room(&job{Job: Job{Slots: 1}}, w, free(1)); !fits {
+		if _, _, fits := d.estimateRoom(&job{Job: Job{Slots: 1}}, w, free(1)); !fits {
 			t.Errorf("%s: by then the report shows it", name)
 		}
 	}
@@ -505,9 +505,9 @@
 		want   Time
 	}{
 		"idle":           {func(w *worker, i int) {}, 0},
-		"pushed, ended":  {func(w *worker, i int) { w.out++; w.out-- }, 0},
-		"more and less":  {func(w *worker, i int) { w.out = i % 2 }, 50 * ms},
-		"never reported": {func(w *worker, i int) { w.out = i }, lagMost},
+		"pushed, ended":  {func(w *worker, i int) { w.inFlight++; w.inFlight-- }, 0},
+		"more and less":  {func(w *worker, i int) { w.inFlight = i % 2 }, 50 * ms},
+		"never reported": {func(w *worker, i int) { w.inFlight = i }, maxRefresh},
 	} {
 		d, _ := newNode(t, testSettings(), fleet(1)...)
 		w := d.workers[1]
@@ -516,32 +516,32 @@
 			d.now += 50 * ms
 			r := Report{Has: HasFreeSlots, FreeSlots: 4}
 			if c.want == 50*ms {
-				r.FreeSlots -= float64(w.out)
+				r.FreeSlots -= float64(w.inFlight)
 			}
-			d.learnLag(w, r)
+			d.learnRefresh(w, r)
 		}
 		if c.want == 0 {
 			c.want = reportLag // as before the first look
 		}
-		if d.lag > c.want+c.want/10 || d.lag < c.want-c.want/10 {
-			t.Errorf("%s: reports stand for %d us, wanted %d", name, d.lag, c.want)
+		if d.refresh > c.want+c.want/10 || d.refresh < c.want-c.want/10 {
+			t.Errorf("%s: reports stand for %d us, wanted %d", name, d.refresh, c.want)
 		}
 	}
 }
 
 // Where jobs take some ms, a worker seen full is not so for long; the waits were once those of long jobs.
 func TestSpansFollowTheJobs(t *testing.T) {
-	for run, want := range map[Time][3]Time{1000 * ms: {reportLag, tightSpan, backoffMin}, 20 * ms: {50 * ms, 30 * ms, 3 * ms},
+	for run, want := range map[Time][3]Time{1000 * ms: {reportLag, noRoomSpan, backoffMin}, 20 * ms: {50 * ms, 30 * ms, 3 * ms},
 		0: {ms, ms, ms}} {
 		d, _ := newNode(t, testSettings(), fleet(1)...)
-		j := &job{class: &d.s.Classes[0]}
+		j := &job{class: &d.settings.Classes[0]}
 		a := &attempt{w: d.workers[1], started: true}
 		for range 1000 {
 			a.startedAt = d.now - run
-			d.judge(j, a, Served)
+			d.learnOutcome(j, a, Served)
 		}
-		for i, span := range []Time{reportLag, tightSpan, backoffMin} {
-			if got := d.brief(span); max(got-want[i], want[i]-got) > ms/100 {
+		for i, span := range []Time{reportLag, noRoomSpan, backoffMin} {
+			if got := d.scaleSpan(span); max(got-want[i], want[i]-got) > ms/100 {
 				t.Errorf("jobs of %d us: a span of %d us, wanted %d", run, got, want[i])
 			}
 		}
@@ -552,14 +552,14 @@
 func TestAnEndFreesAWorkerSeenFull(t *testing.T) {
 	d, r := newNode(t, testSettings(), fleet(2)...)
 	w := d.workers[pushTo(t, d, r, 0)]
-	j := &job{Job: Job{Slots: 1}, class: &d.s.Classes[0]}
-	w.tightUntil, w.tightFor = start+tightSpan, 1
+	j := &job{Job: Job{Slots: 1}, class: &d.settings.Classes[0]}
+	w.noRoomUntil, w.noRoomSlots = start+noRoomSpan, 1
 	d.Note(start+5*ms, 1, 0, NoteStarted, 0)
-	if !d.tight(j, w) {
+	if !d.lacksRoom(j, w) {
 		t.Error("a start frees nothing")
 	}
 	d.Outcome(start+10*ms, Outcome{Job: 1, Status: Served})
-	if d.tight(j, w) {
+	if d.lacksRoom(j, w) {
 		t.Error("still passed over after the end")
 	}
 }
@@ -584,10 +584,10 @@
 		s.Nodes = c.nodes
 		d, _ := newNode(t, s, fleet(2)...)
 		w := d.workers[1]
-		w.size, w.held, w.out, d.lag = 4, 2, 2, c.lag
-		w.recent = []claim{{at: d.now, job: 1, slots: 1}, {at: d.now, job: 2, slots: 1}}
+		w.capacity, w.heldSlots, w.inFlight, d.refresh = 4, 2, 2, c.lag
+		w.claims = []claim{{at: d.now, job: 1, slots: 1}, {at: d.now, job: 2, slots: 1}}
 		d.now += 10 * ms
-		r, _, fits := d.room(&job{Job: Job{Slots: 1}}, w, free(c.shown))
+		r, _, fits := d.estimateRoom(&job{Job: Job{Slots: 1}}, w, free(c.shown))
 		if fits != c.fits || r.FreeSlots > c.shown {
 			t.Errorf("%s: fits %v with %.1f free", name, fits, r.FreeSlots)
 		}
@@ -613,9 +613,9 @@
 	} {
 		d, _ := newNode(t, testSettings(), fleet(2)...)
 		w := d.workers[1]
-		w.size, d.sizes[w.Kind] = c.size, c.kind
+		w.capacity, d.capacityByKind[w.Kind] = c.size, c.kind
 		load := Report{Has: HasFreeSlots | HasInFlight, FreeSlots: c.shown, InFlight: c.inFlight}
-		if _, _, fits := d.room(&job{Job: Job{Slots: c.need}}, w, load); fits != c.fits {
+		if _, _, fits := d.estimateRoom(&job{Job: Job{Slots: c.need}}, w, load); fits != c.fits {
 			t.Errorf("%s: fits %v", name, fits)
 		}
 	}
@@ -636,16 +636,16 @@
 		}
 	}
 	d, _ := newNode(t, s, list...)
-	d.pushed = [2]float64{34e4, 0} // to five near ones, of which one is warm: 3.4 of them in all
-	d.measure(float64(second))
-	if got := d.bear; got[0] < 0.99e5 || got[0] > 1.01e5 || got[1] != 0 {
+	d.sentWork = [2]float64{34e4, 0} // to five near ones, of which one is warm: 3.4 of them in all
+	d.updateWarmRate(float64(second))
+	if got := d.warmRate; got[0] < 0.99e5 || got[0] > 1.01e5 || got[1] != 0 {
 		t.Errorf("bear %v", got)
 	}
 	for id, want := range map[WorkerID][2]int{1: {430, 570}, 2: {0, 0}} { // near: 1.6 x 0.62 x 0.1 s saved for each 0.2 s
 		w, n := d.workers[id], 0
 		for range 1000 {
-			w.credit, w.creditAt = 0, d.now-second
-			if d.admit(&job{Job: Job{Slots: 1}, work: 200 * ms}, w) {
+			w.coldCredit, w.coldCreditAt = 0, d.now-second
+			if d.admitCold(&job{Job: Job{Slots: 1}, expectedRun: 200 * ms}, w) {
 				n++
 			}
 		}
@@ -655,8 +655,8 @@
 	}
 	for size, want := range map[float64]bool{0: true, 4: false} { // a job beyond its slots, which its traffic bears
 		w := d.workers[1]
-		w.size, d.bear[0], w.credit = size, 3e6, 1e9
-		if got := d.admit(&job{Job: Job{Slots: 4}, work: 2800 * ms}, w); got != want {
+		w.capacity, d.warmRate[0], w.coldCredit = size, 3e6, 1e9
+		if got := d.admitCold(&job{Job: Job{Slots: 4}, expectedRun: 2800 * ms}, w); got != want {
 			t.Errorf("%v slots: admitted %v", size, got)
 		}
 	}
@@ -672,26 +672,26 @@
 	}{"it drains": {Error, ms, true}, "it is gone": {ConnectFailed, ms, true}, "it may be far": {ConnectFailed, 250 * ms, false},
 		"it answers": {Served, ms, false}, "the connection broke": {Reset, ms, false}} {
 		d, r := newNode(t, testSettings(), fleet(10)...)
-		j := &job{class: &d.s.Classes[1], Job: Job{Class: 1}}
+		j := &job{class: &d.settings.Classes[1], Job: Job{Class: 1}}
 		r.take("")
 		for range 2 {
 			for _, w := range d.ready { // all at once, and none of them for a cause that is shared
-				d.judgeProbe(w, c.status, c.echo)
-				if c.out && (d.usable(j, w) || w.fullUntil-d.now < denyFirst/2*Time(w.denied)) {
+				d.learnProbe(w, c.status, c.echo)
+				if c.out && (d.eligible(j, w) || w.fullUntil-d.now < refusedMin/2*Time(w.refusedProbes)) {
 					t.Errorf("%s: not kept off, or no longer the second time", name)
-				} else if !c.out && w.denied > 0 {
+				} else if !c.out && w.refusedProbes > 0 {
 					t.Errorf("%s: held against it", name)
 				}
 			}
 			if c.out && count(r.take(""), "probe") > 0 {
 				t.Errorf("%s: looked at again", name)
 			}
-			if d.now += 4 * second; c.out && d.ready[0].denied == 1 && !d.usable(j, d.ready[0]) {
+			if d.now += 4 * second; c.out && d.ready[0].refusedProbes == 1 && !d.eligible(j, d.ready[0]) {
 				t.Errorf("%s: not back after its term", name)
 			}
 		}
-		d.takeList(ListDelta, []Worker{{ID: d.ready[0].ID, State: Ready, StartedAt: d.now}})
-		if !d.usable(j, d.ready[0]) {
+		d.updateList(ListDelta, []Worker{{ID: d.ready[0].ID, State: Ready, StartedAt: d.now}})
+		if !d.eligible(j, d.ready[0]) {
 			t.Errorf("%s: held against a fresh process", name)
 		}
 	}
@@ -717,12 +717,12 @@
 	} {
 		d, _ := newNode(t, testSettings(), fleet(2)...)
 		w := d.workers[1]
-		w.size, d.widest = 4, c.widest
+		w.capacity, d.widestJob = 4, c.widest
 		if c.ends > 0 {
-			w.freed(d.now, 1, 0, c.ends)
+			w.releaseClaim(d.now, 1, 0, c.ends)
 		}
 		load := Report{Has: c.has, FreeSlots: c.free, Queue: c.queue}
-		if _, _, fits := d.room(&job{Job: Job{Slots: 1}}, w, load); fits != c.fits {
+		if _, _, fits := d.estimateRoom(&job{Job: Job{Slots: 1}}, w, load); fits != c.fits {
 			t.Errorf("%s: fits %v", name, fits)
 		}
 	}
@@ -731,7 +731,7 @@
 	r.take("")
 	d.push(j, d.workers[1], 300*ms)
 	for _, a := range r.take("wake") {
-		if a.token>>56 == wakeStart>>56 && a.span != startSoon+300*ms {
+		if a.token>>56 == wakeStartDue>>56 && a.span != startTimeout+300*ms {
 			t.Errorf("its start is late after %d ms", a.span/ms)
 		}
 	}
@@ -750,36 +750,36 @@
 	}
 	end(Error)
 	end(Error)
-	keyed, unsafe := &job{class: &d.s.Classes[2]}, &job{class: &d.s.Classes[1]}
-	if d.usable(keyed, w) {
+	keyed, unsafe := &job{class: &d.settings.Classes[2]}, &job{class: &d.settings.Classes[1]}
+	if d.eligible(keyed, w) {
 		t.Error("drawn at first")
 	}
-	keyed.misses, unsafe.misses = 1, 1
-	if !d.usable(keyed, w) || d.usable(unsafe, w) {
+	keyed.failedDraws, unsafe.failedDraws = 1, 1
+	if !d.eligible(keyed, w) || d.eligible(unsafe, w) {
 		t.Error("without room elsewhere: for what may be repeated, and for that only")
 	}
-	keyed.attempts = make([]attempt, d.s.MaxAttempts-1)
+	keyed.attempts = make([]attempt, d.settings.MaxAttempts-1)
 	for i := range keyed.attempts {
 		keyed.attempts[i] = attempt{w: w, sent: d.now, mayHaveRun: true}
 	}
-	if d.usable(keyed, w) {
+	if d.eligible(keyed, w) {
 		t.Error("the last attempt goes to a sound worker")
 	}
-	d.now = w.badUntil + 1
-	for w.level > 0 {
+	d.now = w.ejectedUntil + 1
+	for w.ejectionLevel > 0 {
 		end(Served)
 	}
-	if d.usable(unsafe, w) {
+	if d.eligible(unsafe, w) {
 		t.Error("served by luck")
 	}
 	for range 3 {
 		end(Served)
 	}
-	if !d.usable(unsafe, w) {
+	if !d.eligible(unsafe, w) {
 		t.Error("a worker that serves again stays shut")
 	}
-	w.badUntil, w.lost, w.fails = d.now+second, lostFrom, 1
-	if keyed.attempts = nil; d.usable(keyed, w) {
+	w.ejectedUntil, w.lostProbes, w.failureRate = d.now+second, lossesToEject, 1
+	if keyed.attempts = nil; d.eligible(keyed, w) {
 		t.Error("one that answers no probe fails everything")
 	}
 }
@@ -804,22 +804,22 @@
 	} {
 		d, r := newNode(t, testSettings(), fleet(4)...)
 		w := d.workers[1]
-		w.size, d.run, d.runs[0], d.widest = 4, 100e3, 100e3, 1
+		w.capacity, d.meanRun, d.meanRunByClass[0], d.widestJob = 4, 100e3, 100e3, 1
 		j := d.newJob(Job{ID: 1, GiveUpAt: start + 5*second, Hint: c.hint, Slots: 1})
-		d.appraise(j)
-		spare := Time(shortRun * float64(d.runs[0]))
+		d.estimate(j)
+		spare := Time(shortRunShare * float64(d.meanRunByClass[0]))
 		if c.hint > 0 {
 			spare = c.hint
 		}
-		if got := d.startBy(j, 1) - j.aimAt; got != spare || c.hint == 0 && got == j.work {
+		if got := d.latestStart(j, 1) - j.aimAt; got != spare || c.hint == 0 && got == j.expectedRun {
 			t.Errorf("%s: %d ms to spare, wanted %d", name, got/ms, spare/ms)
 		}
-		d.now = d.startBy(j, 1) + c.late
-		d.usual[0] = float64(10 * ms)
-		j.pair[0], j.answered[0], j.echo[0] = w, true, Time(c.slow*float64(10*ms))
-		j.load[0] = Report{Has: HasFreeSlots | HasQueue, FreeSlots: 1 - c.queue}
+		d.now = d.latestStart(j, 1) + c.late
+		d.medianRTT[0] = float64(10 * ms)
+		j.pair[0], j.answered[0], j.rtt[0] = w, true, Time(c.slow*float64(10*ms))
+		j.reports[0] = Report{Has: HasFreeSlots | HasQueue, FreeSlots: 1 - c.queue}
 		r.take("")
-		d.settle(j)
+		d.resolveDraw(j)
 		if pushed := count(r.take(""), "push") == 1; pushed != c.pushed {
 			t.Errorf("%s: pushed %v", name, pushed)
 		}
--- a/decide/holder_test.go
+++ b/decide/holder_test.go
@@ -185,11 +185,11 @@
 
 func TestAnotherIsAskedWhereTheHolderIsSilent(t *testing.T) {
 	draw := newHolderDraw(t)
-	draw.Wake(second+holderWait, draw.timeout)
+	draw.Wake(second+holderTimeout, draw.timeout)
 	timeout := draw.want(t, []WorkerID{2}, nil)
-	draw.answer(holderWait+ms, 2, 10)
+	draw.answer(holderTimeout+ms, 2, 10)
 	draw.want(t, nil, nil) // the holder may still answer
-	draw.Wake(second+holderWait+probeWait, timeout)
+	draw.Wake(second+holderTimeout+probeTimeout, timeout)
 	draw.want(t, nil, []WorkerID{2})
 }
 
--- a/decide/pass.go
+++ b/decide/pass.go
@@ -23,7 +23,7 @@
 	}
 	tried := make([]AttemptState, len(j.attempts))
 	for i, a := range j.attempts {
-		tried[i] = AttemptState{Worker: a.w.ID, Sent: a.sent, StartedAt: a.startedAt, Out: a.out, Started: a.started, MayHaveRun: a.mayHaveRun}
+		tried[i] = AttemptState{Worker: a.w.ID, Sent: a.sent, StartedAt: a.startedAt, Out: a.inFlight, Started: a.started, MayHaveRun: a.mayHaveRun}
 	}
 	return j.Job, tried, true
 }
@@ -31,33 +31,33 @@
 // Adopt goes on with a job that another dispatcher held. Its attempts keep their numbers; a worker that the list does not
 // name is one that is gone.
 func (d *Dispatcher) Adopt(now Time, in Job, tried []AttemptState) {
-	d.tick(now)
-	if d.jobs[in.ID] != nil || in.Class < 0 || in.Class >= len(d.s.Classes) {
+	d.advance(now)
+	if d.jobs[in.ID] != nil || in.Class < 0 || in.Class >= len(d.settings.Classes) {
 		return
 	}
 	j := d.newJob(in)
-	d.appraise(j)
-	d.act.Wake(max(0, in.GiveUpAt-2*d.s.Tick-now), wakeGiveUp|uint64(in.ID))
+	d.estimate(j)
+	d.actions.Wake(max(0, in.GiveUpAt-2*d.settings.Tick-now), wakeGiveUp|uint64(in.ID))
 	for n, t := range tried {
 		w := d.workers[t.Worker]
 		if w == nil {
-			w = &worker{Worker: Worker{ID: t.Worker}, shuns: make([]shunned, len(d.s.Classes))}
+			w = &worker{Worker: Worker{ID: t.Worker}, classEjections: make([]classEjection, len(d.settings.Classes))}
 			d.workers[t.Worker] = w
 		}
-		j.attempts = append(j.attempts, attempt{w: w, sent: t.Sent, startedAt: t.StartedAt, out: t.Out, started: t.Started, mayHaveRun: t.MayHaveRun})
+		j.attempts = append(j.attempts, attempt{w: w, sent: t.Sent, startedAt: t.StartedAt, inFlight: t.Out, started: t.Started, mayHaveRun: t.MayHaveRun})
 		if !t.Out {
-			d.drop(w)
+			d.forgetWorker(w)
 			continue
 		}
-		j.out++
-		w.out++
-		w.held += j.Slots
-		if !t.Started && d.s.TellsStart {
-			w.recent = append(w.recent, claim{d.now, j.ID, n, j.Slots, j.Memory})
-			d.act.Wake(startSoon, wakeStart|uint64(n)<<32|uint64(j.ID))
+		j.inFlight++
+		w.inFlight++
+		w.heldSlots += j.Slots
+		if !t.Started && d.settings.TellsStart {
+			w.claims = append(w.claims, claim{d.now, j.ID, n, j.Slots, j.Memory})
+			d.actions.Wake(startTimeout, wakeStartDue|uint64(n)<<32|uint64(j.ID))
 		}
 	}
-	if j.out == 0 {
+	if j.inFlight == 0 {
 		d.drawPair(j)
 	}
 }
@@ -94,35 +94,35 @@
 
 // Learnt returns what was learnt so far.
 func (d *Dispatcher) Learnt() Learnt {
-	l := Learnt{Runs: slices.Clone(d.runs), Run: d.run, Share: d.share, Bear: d.bear, Lag: d.lag, Looked: d.looked, Changed: d.changed,
-		Usual: slices.Clone(d.usual), Sizes: maps.Clone(d.sizes), Price: d.price, Busy: d.busy}
+	l := Learnt{Runs: slices.Clone(d.meanRunByClass), Run: d.meanRun, Share: d.deadlineShare, Bear: d.warmRate, Lag: d.refresh, Looked: d.observedSpan, Changed: d.reportChanges,
+		Usual: slices.Clone(d.medianRTT), Sizes: maps.Clone(d.capacityByKind), Price: d.price, Busy: d.noRoomShare}
 	for _, w := range d.listed {
-		l.Workers = append(l.Workers, LearntWorker{w.ID, w.StartedAt, w.size, w.badUntil, w.fullUntil, w.level, w.broken, w.denied, w.lost})
+		l.Workers = append(l.Workers, LearntWorker{w.ID, w.StartedAt, w.capacity, w.ejectedUntil, w.fullUntil, w.ejectionLevel, w.resets, w.refusedProbes, w.lostProbes})
 	}
 	return l
 }
 
 // Learn goes on from what another dispatcher with the same settings has learnt; what does not fit these is passed over.
 func (d *Dispatcher) Learn(now Time, l Learnt) {
-	d.tick(now)
-	if len(l.Runs) != len(d.runs) || len(l.Usual) != len(d.usual) || !(l.Changed > 0) || !(l.Run > 0) || !(l.Price > 0) || l.Lag <= 0 {
+	d.advance(now)
+	if len(l.Runs) != len(d.meanRunByClass) || len(l.Usual) != len(d.medianRTT) || !(l.Changed > 0) || !(l.Run > 0) || !(l.Price > 0) || l.Lag <= 0 {
 		return
 	}
-	copy(d.runs, l.Runs)
-	copy(d.usual, l.Usual)
-	d.run, d.share, d.bear, d.price, d.busy = l.Run, min(max(l.Share, 0), 1), l.Bear, l.Price, min(max(l.Busy, 0), 1)
-	d.lag, d.looked, d.changed = min(l.Lag, lagMost), l.Looked, l.Changed
-	d.measured = 1
+	copy(d.meanRunByClass, l.Runs)
+	copy(d.medianRTT, l.Usual)
+	d.meanRun, d.deadlineShare, d.warmRate, d.price, d.noRoomShare = l.Run, min(max(l.Share, 0), 1), l.Bear, l.Price, min(max(l.Busy, 0), 1)
+	d.refresh, d.observedSpan, d.reportChanges = min(l.Lag, maxRefresh), l.Looked, l.Changed
+	d.warmRateSamples = 1
 	for kind, size := range l.Sizes {
-		d.sizes[kind] = size
+		d.capacityByKind[kind] = size
 	}
 	for _, in := range l.Workers {
 		w := d.workers[in.ID]
 		if w == nil || w.StartedAt != in.StartedAt {
 			continue
 		}
-		w.size, w.badUntil, w.fullUntil = in.Size, min(in.BadUntil, now+2*ejectMax), min(in.FullUntil, now+2*ejectMax)
-		w.level, w.broken, w.denied, w.lost = in.Level, in.Broken, in.Denied, in.Lost
-		w.credit, w.creditAt = 0, now // the other dispatcher spends what it has saved up
+		w.capacity, w.ejectedUntil, w.fullUntil = in.Size, min(in.BadUntil, now+2*ejectMax), min(in.FullUntil, now+2*ejectMax)
+		w.ejectionLevel, w.resets, w.refusedProbes, w.lostProbes = in.Level, in.Broken, in.Denied, in.Lost
+		w.coldCredit, w.coldCreditAt = 0, now // the other dispatcher spends what it has saved up
 	}
 }
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -94,11 +94,11 @@
 		t.Errorf("%d workers kept, %d listed, %d exist", len(w.d.workers), len(w.d.listed), ready)
 	}
 	for _, v := range w.d.listed {
-		if v.out != 0 || v.late != 0 || len(v.probes) != 0 || len(v.recent) > 64 {
-			t.Errorf("worker %d: out %d, late %d, probes %d, claims %d", v.ID, v.out, v.late, len(v.probes), len(v.recent))
+		if v.inFlight != 0 || v.overdueStarts != 0 || len(v.probes) != 0 || len(v.claims) > 64 {
+			t.Errorf("worker %d: out %d, late %d, probes %d, claims %d", v.ID, v.inFlight, v.overdueStarts, len(v.probes), len(v.claims))
 		}
 	}
-	if n := len(w.d.spare); n > 2000 {
+	if n := len(w.d.freeJobs); n > 2000 {
 		t.Errorf("%d spare jobs kept", n)
 	}
 }
