--- a/decide/decide.go
+++ b/decide/decide.go
@@ -1,51 +1,51 @@
-// The decisions. Interface: api.go; what is remembered: state.go; the reasons at length: docs/DESIGN.md.
+// This file makes the decisions. Interface: api.go; state: state.go; the reasons in full: docs/DESIGN.md.
 
 package decide
 
 import "encoding/binary"
 
-// The settings of the decisions, each with its reason.
+// The parameters of the decisions, each with its reason. Times are in microseconds.
 const (
 	ms Time = 1000
 
-	holderTimeout   = 15 * ms    // for the holder of a job alone, before another is asked as well
-	probeTimeout    = 60 * ms    // both answers or this: longer than any round trip inside one operator's network
-	backoffMin      = 15 * ms    // a first no is often the bad luck of one pair
-	backoffMax      = 120 * ms   // by then the fleet is busy, and asking more often only costs it work
-	reportLag       = 250 * ms   // a report may not show a push younger than this, unless they prove fresher
-	noRoomSpan      = 150 * ms   // a full worker frees a slot in some hundreds of ms, and asking costs it work
-	slotNoise       = 0.75       // a worker's size is known from noisy reports
-	checkInterval   = 110 * ms   // the first look is 210 ms after the push, when no report is older
-	blockedInFlight = 2.5        // a job waits beside free slots only behind a wide one that waits for a third
-	resetsToEject   = 3          // attempts broken in a row: the worker breaks them
-	lossesToEject   = 2          // one look may come at a bad moment
-	startTimeout    = 100 * ms   // a job not started by then met a slot that was not free
-	refusedMin      = 2000 * ms  // a drain lasts for seconds; a worker that is asked too much just now is soon back
-	ejectMin        = 4000 * ms  // the first term: a stumble is often over by then
-	ejectMax        = 20000 * ms // long enough to be rid of it, short enough to notice its return
-	ejectMaxShare   = 0.4        // more suspects than this share have a common cause: eject nobody further
+	holderTimeout   = 15 * ms    // the holder alone is probed for this long before a second worker is, too
+	probeTimeout    = 60 * ms    // for both probes; longer than any round trip inside one operator's network
+	backoffMin      = 15 * ms    // the first backoff; one pair without room is often just chance
+	backoffMax      = 120 * ms   // by then the fleet is busy, and more probes only cost it work
+	reportLag       = 250 * ms   // a report may not show a younger push, unless reports prove fresher
+	noRoomSpan      = 150 * ms   // a full worker frees a slot in some hundreds of ms, and a probe costs it work
+	slotNoise       = 0.75       // slots; a worker's capacity is learned from noisy reports
+	checkInterval   = 110 * ms   // the first check is 210 ms after the push, when no report is older
+	blockedInFlight = 2.5        // jobs; one waits beside free slots only behind a wide one that waits for a 3rd
+	resetsToEject   = 3          // resets in a row; that many are caused by the worker
+	lossesToEject   = 2          // lost probes or failed checks in a row; a single one may be bad timing
+	startTimeout    = 100 * ms   // a job that has not started by then did not find a free slot
+	refusedMin      = 2000 * ms  // after a refused probe: a drain takes seconds, an overload is over soon
+	ejectMin        = 4000 * ms  // the first term; a short fault is often over by then
+	ejectMax        = 20000 * ms // long enough to avoid a bad worker, short enough to notice its recovery
+	ejectMaxShare   = 0.4        // of the ready workers; more suspects have a common cause: eject no more
 	drawTries       = 24         // random picks before the whole list is searched
-	coldShare       = 1.6        // a cold worker gets this part of a warm one's load, times its sure warmth
-	coldJobShare    = 0.25       // no single job may take more than this part of a cold worker's fall budget
-	learnRate       = 0.1        // weight of the newest in a running mean
-	priceRise       = 1.2        // a few draws without room in a row must tell
-	priceDrop       = 0.95       // each start in time shows that slots are to be had
-	priceDecay      = 0.9        // a second: a price that lets nothing through would never learn better
-	drawZoneFactor  = 1.5        // near draws only, for this part of the slack times the price of crossing
-	tenantBurst     = 8          // seconds of a tenant's share may come at once: a node sees few jobs, unevenly
-	hedgeMaxRefresh = 300 * ms   // by older reports a second copy meets a taken slot as often as the first
-	maxRefresh      = 1000 * ms  // a report older than that says nothing, and claims must not outlive it
-	referenceRun    = 100 * ms   // the spans above suit jobs that run at least as long
-	complaintWindow = 10000 * ms // two peers' complaints of a worker within this span are believed
-	slowFactor      = 2          // probes vary by less than this while all is well
-	retryAfter      = 2000 * ms  // a refused job met a fleet that stayed full for all of its slack
-	slowLearnRate   = 0.02       // a node draws tens of times a second when it is busy
-	shortRunShare   = 0.3        // of the mean: about every third run is that short
-	queueShare      = 0.3        // of its slots: a queue that keeps a worker at work until the next push
-	lowFailureRate  = 0.15       // of the jobs that a worker was sent: one failure happens, two tell
+	coldShare       = 1.6        // a cold worker gets this x its certain warmth x the load of a warm worker
+	coldJobShare    = 0.25       // of a cold worker's overload budget, the most that a single job may take
+	learnRate       = 0.1        // weight of the newest sample in a running mean
+	priceRise       = 1.2        // per draw without room; a few in a row must have an effect
+	priceDrop       = 0.95       // per start in time, which shows that slots are available
+	priceDecay      = 0.9        // per second; a price that admits no job would otherwise never fall
+	drawZoneFactor  = 1.5        // x CrossZoneCost: the part of the slack for which draws stay in the job's zone
+	tenantBurst     = 8          // seconds of a tenant's share at once; one dispatcher sees few jobs, unevenly
+	hedgeMaxRefresh = 300 * ms   // with older reports a second copy meets a taken slot as often as the first
+	maxRefresh      = 1000 * ms  // an older report is worthless, and claims must not outlive it
+	referenceRun    = 100 * ms   // the spans above suit jobs that run at least this long; see scaleSpan
+	complaintWindow = 10000 * ms // two complaints from peers about a worker within this time eject it
+	slowFactor      = 2          // x the median round trip; probes of healthy workers vary by less
+	retryAfter      = 2000 * ms  // a refused job met a fleet that stayed full for all of the job's slack
+	slowLearnRate   = 0.02       // weight per draw; a busy dispatcher draws tens of times a second
+	shortRunShare   = 0.3        // of the mean run: about one job in three is that short
+	queueShare      = 0.3        // of a worker's slots: a queue that keeps it busy until the next push
+	lowFailureRate  = 0.15       // of recent attempts: a single failure can be chance, two can't
 )
 
-// Announce takes in news of the worker list.
+// Announce applies an update of the worker list.
 func (d *Dispatcher) Announce(now Time, kind ListKind, list []Worker) {
 	d.advance(now)
 	if kind == ListFailed {
@@ -62,8 +62,8 @@
 	}
 }
 
-// scheduleWatch asks for the list soon. Its capacity is small, so calls are spread out and back off; but never
-// so far that our silence would count as having been told of a drain.
+// scheduleWatch requests the watch after a jittered backoff that spares the list service, which has little
+// capacity. The wait stays below AskWithin: a dispatcher silent for that long counts as informed of drains.
 func (d *Dispatcher) scheduleWatch() {
 	if d.settings.MustAsk {
 		span := min(d.settings.AskWithin/16<<min(d.failedWatches, 2), d.settings.AskWithin/4)
@@ -71,8 +71,8 @@
 	}
 }
 
-// requestWatch calls for the watch unless we have it or a call is under way. Each call also sets the next look: an
-// requestWatch skipped for a call that then fails unseen once left a node without a watch, deaf to drains.
+// requestWatch requests the watch unless it stands or a request is under way. Each request schedules the next
+// one: a request skipped because of another that failed unnoticed once left a dispatcher unaware of drains.
 func (d *Dispatcher) requestWatch() {
 	if d.watching || (d.watchAskedAt > 0 && d.now-d.watchAskedAt < d.settings.AskWithin/64) {
 		return
@@ -82,7 +82,7 @@
 	d.actions.Wake(d.settings.AskWithin/3, wakeWatch)
 }
 
-// Arrive takes a job.
+// Arrive accepts a job. It refuses one of an unknown class or without time left.
 func (d *Dispatcher) Arrive(now Time, in Job) {
 	d.advance(now)
 	if d.jobs[in.ID] != nil {
@@ -99,16 +99,16 @@
 	d.drawPair(j)
 }
 
-// estimate sets what we expect of a job: its running time, and how late a push still makes sense.
+// estimate sets a job's expected running time and the latest push that still makes sense.
 func (d *Dispatcher) estimate(j *job) {
 	j.expectedRun = Time(d.meanRunByClass[j.Job.Class])
 	if j.Hint > 0 {
 		j.expectedRun = j.Hint
 	}
-	// The client has been waiting since its first try; what is left of its patience tells since when.
+	// The client has waited since its first try. What is left of its deadline tells when that was.
 	d.deadlineShare = max(d.deadlineShare, min(1, float64(j.GiveUpAt-d.now)/float64(j.class.Deadline)))
-	origin := min(d.now, j.GiveUpAt-Time(d.deadlineShare*float64(j.class.Deadline)))
-	j.aimAt = origin + j.class.Aim
+	firstTryAt := min(d.now, j.GiveUpAt-Time(d.deadlineShare*float64(j.class.Deadline)))
+	j.aimAt = firstTryAt + j.class.Aim
 	j.latestPush = min(d.latestStart(j, 1), j.GiveUpAt-j.expectedRun)
 	j.drawZoneUntil = d.now + Time(min(1, drawZoneFactor*d.settings.CrossZoneCost)*float64(j.latestPush-d.now))
 	j.overShare = !d.takeTenantToken(j.Tenant)
@@ -117,23 +117,23 @@
 	}
 }
 
-// takeTenantToken takes a request from the part of its tenant's share that falls to this node.
-func (d *Dispatcher) takeTenantToken(t int) bool {
-	if t < 0 || t >= len(d.settings.Tenants) {
+// takeTenantToken takes a token from this dispatcher's part of the tenant's share, if there is one left.
+func (d *Dispatcher) takeTenantToken(tenant int) bool {
+	if tenant < 0 || tenant >= len(d.settings.Tenants) {
 		return true
 	}
-	rate := d.settings.Tenants[t].Allowance / float64(d.settings.Nodes) / 1e6
-	d.tenantTokens[t] = min(d.tenantTokens[t]+rate*float64(d.now-d.tenantTokensAt[t]), tenantBurst*(1+rate*1e6))
-	d.tenantTokensAt[t] = d.now
-	within := d.tenantTokens[t] >= 1
-	if within {
-		d.tenantTokens[t]--
+	rate := d.settings.Tenants[tenant].Allowance / float64(d.settings.Nodes) / 1e6
+	d.tenantTokens[tenant] = min(d.tenantTokens[tenant]+rate*float64(d.now-d.tenantTokensAt[tenant]), tenantBurst*(1+rate*1e6))
+	d.tenantTokensAt[tenant] = d.now
+	available := d.tenantTokens[tenant] >= 1
+	if available {
+		d.tenantTokens[tenant]--
 	}
-	return within
+	return available
 }
 
-// drawPair is the mechanism: two distinct ready workers at random, both probed. Where one is the holder and
-// may be so good that the other's answer can't matter, it is asked first.
+// drawPair draws two distinct random ready workers and probes both. If the first is the holder of the job and
+// may be so good that the other's answer can't matter, only the holder is probed at first.
 func (d *Dispatcher) drawPair(j *job) {
 	j.drawNumber++
 	j.drawing = true
@@ -165,14 +165,14 @@
 	d.probeSecond(j)
 }
 
-// probeSecond asks the second of the pair and gives both the time to answer.
+// probeSecond probes the second worker of the pair and sets the timeout of both probes.
 func (d *Dispatcher) probeSecond(j *job) {
 	j.secondUnprobed = false
 	d.sendProbe(j, j.pair[1])
 	d.actions.Wake(probeTimeout, wakeProbes|uint64(j.drawNumber)<<32|uint64(j.ID))
 }
 
-// holderSuffices tells whether the holder has answered and an answer of the other one would not matter.
+// holderSuffices reports whether the holder answered and the other worker's answer can't matter.
 func (d *Dispatcher) holderSuffices(j *job) bool {
 	w := j.pair[0]
 	if w == nil || !j.answered[0] || !d.eligible(j, w) || d.slowness(w, j.rtt[0]) > 1 {
@@ -182,15 +182,16 @@
 	return fits && r.FreeSlots+j.SavedSlots >= j.EnoughSlots
 }
 
-// pickWorker draws one worker for j. Crossing zones costs time and money, so draws stay near at first: once at
-// least, and for a part of the slack that grows with the price of crossing.
+// pickWorker draws one worker for j. Crossing zones costs time and money, so draws stay in the job's zone at
+// first: for one draw at least, and for a part of the slack that grows with the cost of crossing.
 func (d *Dispatcher) pickWorker(j *job, other *worker) *worker {
 	pool := d.ready
 	if near := d.readyByZone[j.drawZone]; (j.failedDraws == 0 || d.now < j.drawZoneUntil) && len(near) > 1 {
 		pool = near
 	}
 	for i := 0; i < drawTries && len(pool) > 0; i++ {
-		if w := pool[d.rng.IntN(len(pool))]; w != other && d.eligible(j, w) && !d.lacksRoom(j, w) && d.admitCold(j, w) {
+		if w := pool[d.rng.IntN(len(pool))]; w != other && d.eligible(j, w) &&
+			!d.lacksRoom(j, w) && d.admitCold(j, w) {
 			return w
 		}
 	}
@@ -206,35 +207,37 @@
 	return d.candidates[d.rng.IntN(len(d.candidates))]
 }
 
-// pickHolder is the worker that is believed to hold what j would need anew elsewhere. It joins the first draw in
-// the place of one random worker; a second draw means that it was full, and goes by chance alone.
+// pickHolder returns the worker believed to hold state that j would need to build anew elsewhere. It joins
+// the first draw in place of a random worker. A second draw means that it was full, and is purely random.
 func (d *Dispatcher) pickHolder(j *job) *worker {
 	w := d.workers[j.Holder]
-	if j.Holder == 0 || j.failedDraws > 0 || w == nil || !d.eligible(j, w) || d.lacksRoom(j, w) || !d.admitCold(j, w) {
+	if j.Holder == 0 || j.failedDraws > 0 || w == nil ||
+		!d.eligible(j, w) || d.lacksRoom(j, w) || !d.admitCold(j, w) {
 		return nil
 	}
 	return w
 }
 
-// eligible tells whether j may go to w at all. One that was ejected is tried with jobs that may be repeated, if
-// there are such, until it serves some: an unsafe job would be lost on it. One that only fails now and then
-// is better than none to a job that found no room elsewhere and has attempts to spare.
+// eligible reports whether j may go to w. After an ejection a worker only gets repeatable jobs, if there are
+// any, until it has served some: an unsafe job would be lost on it. A worker that fails only some jobs is
+// better than none for a job that found no room elsewhere and has attempts to spare.
 func (d *Dispatcher) eligible(j *job, w *worker) bool {
-	again := j.class.Effect != Unsafe
-	spare := w.failureRate > lowFailureRate && w.lostProbes == 0 && again && j.failedDraws > 0 && len(j.attempts) < d.settings.MaxAttempts-1
-	return w.State == Ready && (w.ejectedUntil <= d.now || spare) && w.fullUntil <= d.now && w.overdueStarts == 0 &&
-		(w.ejectionLevel == 0 && w.failureRate < lowFailureRate || again || !d.anyRepeatable) && w.classEjections[j.Job.Class].until <= d.now &&
+	repeatable := j.class.Effect != Unsafe
+	lastResort := w.failureRate > lowFailureRate && w.lostProbes == 0 && repeatable && j.failedDraws > 0 &&
+		len(j.attempts) < d.settings.MaxAttempts-1
+	return w.State == Ready && (w.ejectedUntil <= d.now || lastResort) && w.fullUntil <= d.now &&
+		w.overdueStarts == 0 && (w.ejectionLevel == 0 && w.failureRate < lowFailureRate ||
+		repeatable || !d.anyRepeatable) && w.classEjections[j.Job.Class].until <= d.now &&
 		(j.class.Kind < 0 || j.class.Kind == w.Kind) && d.mayRepeat(j, w)
 }
 
-// lacksRoom tells whether asking w for room for j would waste its work and the price of a probe: it was seen too
-// full a moment ago, or our own jobs there leave too little.
+// lacksRoom reports whether a probe of w for j is pointless: w was just seen full, or our jobs fill it.
 func (d *Dispatcher) lacksRoom(j *job, w *worker) bool {
-	full := d.now < w.noRoomUntil && j.Slots >= w.noRoomSlots
-	return full || w.capacity > 0 && w.heldSlots+j.Slots > w.capacity+slotNoise
+	seenFull := d.now < w.noRoomUntil && j.Slots >= w.noRoomSlots
+	return seenFull || w.capacity > 0 && w.heldSlots+j.Slots > w.capacity+slotNoise
 }
 
-// mayRepeat keeps the effect rule: what may have run goes again only where a repeat does no harm.
+// mayRepeat enforces the effect rule: a job that may have run is repeated only where that does no harm.
 func (d *Dispatcher) mayRepeat(j *job, w *worker) bool {
 	for i := range j.attempts {
 		a := &j.attempts[i]
@@ -248,9 +251,9 @@
 		case j.class.Effect == Unsafe:
 			return false
 		case j.class.Effect == Keyed:
-			same := j.class.Scope == ScopeAll || j.class.Scope == ScopeZone && w.Zone == a.w.Zone ||
+			sameScope := j.class.Scope == ScopeAll || j.class.Scope == ScopeZone && w.Zone == a.w.Zone ||
 				j.class.Scope == ScopeCell && w.Cell == a.w.Cell && w.Zone == a.w.Zone
-			if !same || d.now-a.sent >= j.class.MemorySpan-startTimeout {
+			if !sameScope || d.now-a.sent >= j.class.MemorySpan-startTimeout {
 				return false
 			}
 		}
@@ -258,7 +261,7 @@
 	return true
 }
 
-// warmth is the part of its capacity that w is sure to have by now.
+// warmth returns the part of its capacity that w has certainly reached by now.
 func (d *Dispatcher) warmth(w *worker) float64 {
 	age := d.now - w.StartedAt
 	if w.StartedAt <= 0 || age >= d.settings.ColdSpan {
@@ -267,9 +270,9 @@
 	return d.settings.ColdFrom + (1-d.settings.ColdFrom)*max(0, float64(age))/float64(d.settings.ColdSpan)
 }
 
-// admitCold lets a cold worker into a draw as often as keeps it standing. Idle, it would win every pair. So it
-// saves up credit at the rate that we send work to a warm one, times its warmth, and each draw that meets it
-// stakes all on one throw: on average we send what was saved, however many nodes do the same.
+// admitCold admits a cold worker to a draw as often as it can bear; while idle, it would win every pair. It
+// earns credit at the rate of work that we send to a warm worker, times its warmth. A draw spends all of the
+// credit on one random trial: on average we send what it earned, however many dispatchers do the same.
 func (d *Dispatcher) admitCold(j *job, w *worker) bool {
 	warmth := d.warmth(w)
 	if warmth >= 1 {
@@ -281,12 +284,12 @@
 	if float64(j.expectedRun)*j.Slots > coldJobShare*budget {
 		return false
 	}
-	won := d.rng.Float64()*float64(j.expectedRun)*j.Slots < w.coldCredit
+	admitted := d.rng.Float64()*float64(j.expectedRun)*j.Slots < w.coldCredit
 	w.coldCredit = 0
-	return won
+	return admitted
 }
 
-// resolveDraw pushes to the lighter of the pair that has room, where the job should end sooner, or holds the job.
+// resolveDraw pushes j to the worker of the pair that has room and should end it sooner, or backs off.
 func (d *Dispatcher) resolveDraw(j *job) {
 	var best *worker
 	var bestWait, bestEnd Time
@@ -298,14 +301,14 @@
 		slow := d.slowness(w, j.rtt[i])
 		r, queue, fits := d.estimateRoom(j, w, j.reports[i])
 		if w.ID == j.Holder {
-			r.FreeSlots += j.SavedSlots // what it need not do again counts as room
+			r.FreeSlots += j.SavedSlots // work that the holder need not repeat counts as room
 		}
 		if !fits {
 			w.noRoomUntil, w.noRoomSlots = d.now+d.scaleSpan(noRoomSpan), j.Slots
 		}
 		wait := Time(slow * queue)
 		end := wait + Time(slow*float64(j.expectedRun))
-		// What is too late already must keep nobody waiting.
+		// A job that can't end in time any more may take a free slot, but must not make others queue.
 		fits = fits && (d.now+wait <= d.latestStart(j, slow) || wait == 0 && d.now > d.latestStart(j, 1))
 		if fits && (best == nil || end < bestEnd || end == bestEnd && (r.FreeSlots > bestFree ||
 			r.FreeSlots == bestFree && w.inFlight < best.inFlight)) {
@@ -314,7 +317,7 @@
 	}
 	if best == nil {
 		d.noRoomShare += slowLearnRate * (1 - d.noRoomShare)
-		if d.slotValue(j) >= d.price && (j.answered[0] || j.answered[1]) { // silence says nothing of slots
+		if d.slotValue(j) >= d.price && (j.answered[0] || j.answered[1]) { // a lost probe is no sign of full slots
 			d.price *= 1 + (priceRise-1)*d.noRoomShare*d.noRoomShare
 		}
 		d.backOff(j)
@@ -324,14 +327,14 @@
 	d.push(j, best, bestWait)
 }
 
-// admitByPrice throttles the jobs that are worth least for their work while a job worth the price of a slot finds
-// none (settle): else the cheap ones take each slot as it comes free. Starts in time lower the price.
+// admitByPrice throttles the jobs of least value for their work while a job that is worth the price of a slot
+// finds none (see resolveDraw): else cheap jobs take each slot that frees up. Starts in time lower the price.
 func (d *Dispatcher) admitByPrice(j *job) bool {
-	part := d.slotValue(j) / d.price
-	return d.settings.Unpriced || part >= 1 || d.rng.Float64() < part*part
+	ratio := d.slotValue(j) / d.price
+	return d.settings.Unpriced || ratio >= 1 || d.rng.Float64() < ratio*ratio
 }
 
-// slotValue is what a job earns for a second of a slot.
+// slotValue is what a job earns per second of a slot.
 func (d *Dispatcher) slotValue(j *job) float64 {
 	worth := j.class.Worth
 	if j.overShare {
@@ -343,57 +346,57 @@
 	return worth / j.Slots
 }
 
-// slowness tells from the time a probe took how many times slower than usual w is, whatever slots it shows.
-func (d *Dispatcher) slowness(w *worker, echo Time) float64 {
-	usual := max(d.medianRTT[w.Zone], float64(d.settings.RTTNoise))
-	if usual <= 0 || float64(echo) < slowFactor*usual {
+// slowness estimates by the round trip of a probe how many times slower than usual w is, whatever its slots.
+func (d *Dispatcher) slowness(w *worker, rtt Time) float64 {
+	baseline := max(d.medianRTT[w.Zone], float64(d.settings.RTTNoise))
+	if baseline <= 0 || float64(rtt) < slowFactor*baseline {
 		return 1 // jitter
 	}
-	return float64(echo) / usual
+	return float64(rtt) / baseline
 }
 
-// latestStart is the last moment at which j may start and end in time on a worker that much slower than usual.
+// latestStart is the last time at which j may start on a worker that much slower than usual and end in time.
 func (d *Dispatcher) latestStart(j *job, slow float64) Time {
-	spare := (j.class.Stretch - slow) * float64(j.expectedRun)
+	slack := (j.class.Stretch - slow) * float64(j.expectedRun)
 	if j.Hint <= 0 {
-		spare = min(spare, spare*shortRunShare)
+		slack = min(slack, slack*shortRunShare)
 	}
-	return j.aimAt + Time(spare)
+	return j.aimAt + Time(slack)
 }
 
-// estimateRoom takes our own pushes that the report can't show yet off what it shows. It tells how long j would queue
-// and whether it fits. A worker's own queue is blind, so a job without estimateRoom waits here. Where it is told and
-// no job is wider than a slot, a short one keeps slots from idling till the next look.
+// estimateRoom subtracts our pushes that the report can't show yet. It returns the corrected load, how long
+// j would queue, and whether j fits. A worker's queue is not visible, so a job without room waits here. Where
+// it is reported and no job is wider than a slot, a short queue keeps slots from idling until the next probe.
 func (d *Dispatcher) estimateRoom(j *job, w *worker, r Report) (load Report, queue float64, fits bool) {
-	// More jobs than slots taken: one too wide blocks the rest. Nor does noise make room for one beside another.
-	if size := d.capacityOf(w); r.Has&HasInFlight != 0 && r.InFlight == 0 {
+	// More jobs than taken slots: one that is too wide blocks the rest. Beside a job, noise must not add room.
+	if capacity := d.capacityOf(w); r.Has&HasInFlight != 0 && r.InFlight == 0 {
 		r.FreeSlots = max(r.FreeSlots, w.capacity)
-	} else if size > 0 && r.InFlight > size-r.FreeSlots+slotNoise {
+	} else if capacity > 0 && r.InFlight > capacity-r.FreeSlots+slotNoise {
 		r.FreeSlots = 0
-	} else if size > 0 && r.Has&HasInFlight != 0 {
-		r.FreeSlots = min(r.FreeSlots, size-max(1, r.InFlight))
+	} else if capacity > 0 && r.Has&HasInFlight != 0 {
+		r.FreeSlots = min(r.FreeSlots, capacity-max(1, r.InFlight))
 	}
-	keep, shown, queues := w.claims[:0], r.FreeSlots, d.widestJob <= 1 && r.Has&HasQueue != 0
+	kept, reported, queueKnown := w.claims[:0], r.FreeSlots, d.widestJob <= 1 && r.Has&HasQueue != 0
 	for _, c := range w.claims {
-		if (c.slots > 0 || queues) && d.now-c.at < min(2*d.refresh, max(reportLag, d.refresh)) {
-			keep = append(keep, c)
+		if (c.slots > 0 || queueKnown) && d.now-c.at < min(2*d.refresh, max(reportLag, d.refresh)) {
+			kept = append(kept, c)
 			r.FreeSlots -= c.slots
 			r.FreeMemory -= c.memory
 		}
 	}
-	w.claims = keep
-	if d.settings.Nodes == 1 { // all that it holds is ours, and some of that the report shows already
-		r.FreeSlots = max(r.FreeSlots, min(shown, w.capacity-w.heldSlots))
+	w.claims = kept
+	if d.settings.Nodes == 1 { // all jobs there are ours, and the report shows some of them already
+		r.FreeSlots = max(r.FreeSlots, min(reported, w.capacity-w.heldSlots))
 	}
-	need, ahead := j.Slots, 0.5
-	if queues {
+	need, tolerance := j.Slots, 0.5
+	if queueKnown {
 		r.FreeSlots -= r.Queue
-		ahead = max(ahead, queueShare*d.capacityOf(w))
+		tolerance = max(tolerance, queueShare*d.capacityOf(w))
 	}
 	switch {
 	case r.Has&HasFreeSlots != 0:
 		queue = d.meanRun * max(0, 0.5-r.FreeSlots) / max(1, d.capacityOf(w))
-		return r, queue, r.FreeSlots > need-ahead && (r.Has&HasFreeMemory == 0 || r.FreeMemory >= j.Memory)
+		return r, queue, r.FreeSlots > need-tolerance && (r.Has&HasFreeMemory == 0 || r.FreeMemory >= j.Memory)
 	case r.Has&HasQueue != 0:
 		r.FreeSlots = -r.Queue
 		return r, 0, r.Queue < 1
@@ -405,7 +408,7 @@
 	return r, 0, r.Has&HasUtil == 0 || r.Util < 0.97
 }
 
-// push sends j to w, where it is expected to wait that long in the queue.
+// push pushes j to w, where it is expected to queue for the time wait.
 func (d *Dispatcher) push(j *job, w *worker, wait Time) {
 	if len(j.attempts) >= d.settings.MaxAttempts {
 		d.backOff(j)
@@ -413,7 +416,8 @@
 	}
 	j.drawing = false
 	n := len(j.attempts)
-	j.attempts = append(j.attempts, attempt{w: w, sent: d.now, startedAt: d.now, inFlight: true, mayHaveRun: true})
+	j.attempts = append(j.attempts,
+		attempt{w: w, sent: d.now, startedAt: d.now, inFlight: true, mayHaveRun: true})
 	j.inFlight++
 	w.inFlight++
 	w.heldSlots += j.Slots
@@ -425,7 +429,7 @@
 	}
 }
 
-// backOff keeps a job that found no room and draws a fresh pair after a jittered backoff, or sheds it if late.
+// backOff draws a fresh pair for a job without room after a jittered backoff, or sheds the job if it is late.
 func (d *Dispatcher) backOff(j *job) {
 	j.drawNumber++
 	j.failedDraws++
@@ -446,7 +450,7 @@
 	return max(min(span, Time(float64(span)*d.meanRun/float64(referenceRun))), d.settings.Tick)
 }
 
-// giveUp gives the final answer, at once. A refusal promises that nothing ran, and says when to come back.
+// giveUp gives the final answer. A refusal promises that a retry is harmless, and says when to retry.
 func (d *Dispatcher) giveUp(j *job) {
 	refuse, safe := true, j.class.Effect == Safe || j.class.Effect == Keyed && j.class.Scope == ScopeAll
 	for _, a := range j.attempts {
@@ -460,22 +464,22 @@
 	d.closeJob(j)
 }
 
-// closeJob ends a job and calls off what is still out; the entry stays until every attempt has ended.
+// closeJob ends a job and cancels its attempts in flight. Its entry stays until all of them have ended.
 func (d *Dispatcher) closeJob(j *job) {
 	j.closed, j.drawing = true, false
 	d.cancelOthers(j, -1, false)
 	d.forgetJob(j)
 }
 
-func (d *Dispatcher) cancelOthers(j *job, but int, waitingOnly bool) {
+func (d *Dispatcher) cancelOthers(j *job, except int, onlyWaiting bool) {
 	for i := range j.attempts {
-		if a := &j.attempts[i]; i != but && a.inFlight && d.settings.CanCancel && !(waitingOnly && a.started) {
+		if a := &j.attempts[i]; i != except && a.inFlight && d.settings.CanCancel && !(onlyWaiting && a.started) {
 			d.actions.Cancel(j.ID, i)
 		}
 	}
 }
 
-// afterAttempt decides what follows an attempt that came to nothing.
+// afterAttempt decides what follows an attempt that was not served.
 func (d *Dispatcher) afterAttempt(j *job, a *attempt, s Status) {
 	switch {
 	case j.inFlight > 0 || j.drawing:
@@ -487,7 +491,7 @@
 	}
 }
 
-// learnOutcome learns from how an attempt ended.
+// learnOutcome updates the worker's record and the mean running times by the end of an attempt.
 func (d *Dispatcher) learnOutcome(j *job, a *attempt, s Status) {
 	switch s {
 	case Served:
@@ -503,7 +507,7 @@
 		}
 	case Full:
 		a.w.fullUntil = d.now + d.scaleSpan(reportLag)
-	case Reset: // connections break on sound workers too, and those that are gone answer no probe
+	case Reset: // connections to healthy workers break, too; a lost worker answers no probe
 		if a.w.resets++; a.w.resets >= resetsToEject {
 			d.eject(a.w)
 		}
@@ -515,10 +519,10 @@
 	}
 }
 
-// learnProbe suspects a worker if two probes in a row were lost; the second is asked for at once. One that
-// refuses a probe tells that it drains or is gone, sooner than the list does: there no cause is shared.
-func (d *Dispatcher) learnProbe(w *worker, s Status, echo Time) {
-	if s == Error || s == ConnectFailed && echo < probeTimeout {
+// learnProbe ejects a worker after two lost probes in a row; the second is sent at once. A refusal means that
+// the worker drains or is gone, before the list shows it; the limit of eject for shared causes does not apply.
+func (d *Dispatcher) learnProbe(w *worker, s Status, rtt Time) {
+	if s == Error || s == ConnectFailed && rtt < probeTimeout {
 		w.fullUntil = d.now + d.jitter(min(refusedMin<<min(2*w.refusedProbes, 8), ejectMax))
 		w.refusedProbes++
 		return
@@ -541,7 +545,7 @@
 	}
 }
 
-// checkWorker probes w for the sake of what we have there: of attempt n of j, which has not started, or of all.
+// checkWorker probes w on behalf of attempt n of j, which has not started, or of all our attempts there.
 func (d *Dispatcher) checkWorker(w *worker, j *job, n int) {
 	p := probe{at: d.now}
 	if j != nil {
@@ -553,16 +557,16 @@
 	}
 }
 
-// afterCheck takes in what a look at an attempt that has not started shows. A worker with room for it that
-// holds next to nothing does not make it wait: the connection has fallen silent, or the job was lost.
+// afterCheck handles the result of a check of an attempt that has not started. A worker with room for it and
+// next to nothing in flight does not make it wait: the connection is dead, or the job was lost.
 func (d *Dispatcher) afterCheck(j *job, n int, s Status, r Report) {
 	a := &j.attempts[n]
 	if !a.inFlight || a.started {
 		return
 	}
-	const has = HasFreeSlots | HasInFlight
+	const needed = HasFreeSlots | HasInFlight
 	wait := checkInterval
-	if s != Served || r.Has&has != has || r.FreeSlots <= j.Slots-0.5 || r.InFlight > blockedInFlight {
+	if s != Served || r.Has&needed != needed || r.FreeSlots <= j.Slots-0.5 || r.InFlight > blockedInFlight {
 		a.failedChecks, wait = 0, 5*checkInterval
 	} else if a.failedChecks++; a.failedChecks >= lossesToEject {
 		a.clearOverdue()
@@ -573,7 +577,7 @@
 	d.actions.Wake(wait, wakeCheck|uint64(n)<<32|uint64(j.ID))
 }
 
-// cancelForRetry calls off an attempt that nothing more is expected of, if its job may and can still go elsewhere.
+// cancelForRetry cancels an attempt that is taken as lost, if its job may and can still go elsewhere.
 func (d *Dispatcher) cancelForRetry(j *job, n int) {
 	if j.attempts[n].inFlight && !j.closed && d.settings.CanCancel && j.class.Effect != Unsafe &&
 		len(j.attempts) < d.settings.MaxAttempts {
@@ -581,26 +585,26 @@
 	}
 }
 
-// ejectForClass keeps a class off a worker that did not even start a job of it: some serve the others as ever.
+// ejectForClass keeps a class off a worker that did not start a job of it: some workers fail one class only.
 func (d *Dispatcher) ejectForClass(w *worker, class int) {
 	s := &w.classEjections[class]
 	s.until = d.now + min(ejectMin<<min(2*s.strikes, 8), ejectMax)
 	s.strikes++
 }
 
-// eject keeps a worker out of draws for a growing, jittered term. When many look bad at once the cause is
-// likelier shared (the network, a common dependency) and ejecting would only crowd the rest.
+// eject keeps a worker out of draws for a growing, jittered term. When many look bad at once, a shared cause
+// is more likely (the network, a common dependency), and ejections would only overload the rest.
 func (d *Dispatcher) eject(w *worker) {
 	if w.ejectedUntil > d.now {
 		return
 	}
-	bad := 0
+	ejected := 0
 	for _, v := range d.ready {
 		if v.ejectedUntil > d.now {
-			bad++
+			ejected++
 		}
 	}
-	if float64(bad+1) > ejectMaxShare*float64(len(d.ready)) {
+	if float64(ejected+1) > ejectMaxShare*float64(len(d.ready)) {
 		return
 	}
 	w.ejectedUntil = d.now + d.jitter(min(ejectMin<<min(w.ejectionLevel, 8), ejectMax))
@@ -610,7 +614,7 @@
 	}
 }
 
-// addComplaint takes a peer's word that a worker failed it. One peer may have had bad luck; two are believed.
+// addComplaint records a peer's complaint about a worker. One may be bad luck; two eject the worker.
 func (d *Dispatcher) addComplaint(w *worker) {
 	if d.now-w.complaintAt > complaintWindow {
 		w.complaints = 0
@@ -622,7 +626,7 @@
 	}
 }
 
-// markStarted takes in that an attempt runs: no further copy is wanted, and those that wait are called off.
+// markStarted records the start of an attempt: no further copy is made, and waiting copies are cancelled.
 func (d *Dispatcher) markStarted(j *job, n int) {
 	a := &j.attempts[n]
 	a.started, a.startedAt = true, d.now
@@ -636,8 +640,8 @@
 	}
 }
 
-// startOverdue acts on a start note that did not come in the time expected. Whatever the cause, nothing more goes
-// there while our own job waits, and a job that may be repeated tries its luck elsewhere too.
+// startOverdue handles a start that was not reported in time. Whatever the cause, the worker gets no more
+// jobs while ours waits there, and a job that may be repeated is hedged on another worker.
 func (d *Dispatcher) startOverdue(j *job, n int) {
 	if n >= len(j.attempts) || !j.attempts[n].inFlight || j.attempts[n].started {
 		return
@@ -646,13 +650,13 @@
 	a.overdue = true
 	a.w.overdueStarts++
 	if j.class.Effect != Unsafe && d.settings.SecondCopies && !j.drawing && d.refresh < hedgeMaxRefresh {
-		d.drawPair(j) // mayRepeat keeps it inside its key's scope
+		d.drawPair(j) // mayRepeat keeps the copy inside its key's scope
 	}
 	d.actions.Wake(checkInterval, wakeCheck|uint64(n)<<32|uint64(j.ID))
 }
 
-// learnRefresh keeps how long reports stand, on the mean: looks at one worker in quick succession, by their
-// span, over those that found a new report. Only where what we hold there changed must there be one.
+// learnRefresh estimates the mean time for which a report stays the same: the intervals of probes in quick
+// succession, over the number that found a new report. Only if our own jobs there changed must it be new.
 func (d *Dispatcher) learnRefresh(w *worker, r Report) {
 	gap, differs := d.now-w.lastReportAt, w.inFlight != w.lastReportInFlight
 	if gap > 0 && gap <= reportLag && differs && r.FreeSlots+r.InFlight > 0 {
@@ -660,7 +664,7 @@
 		if r != w.lastReport {
 			d.reportChanges++
 		}
-		if d.observedSpan > 40*float64(reportLag) { // old looks fade
+		if d.observedSpan > 40*float64(reportLag) { // old samples fade
 			d.observedSpan, d.reportChanges = d.observedSpan/2, d.reportChanges/2
 		}
 		d.refresh = min(Time(d.observedSpan/d.reportChanges), maxRefresh)
