--- a/decide/decide.go
+++ b/decide/decide.go
@@ -123,11 +123,11 @@
 		return true
 	}
 	rate := d.settings.Tenants[tenant].Allowance / float64(d.settings.Nodes) / 1e6
-	d.tenantTokens[tenant] = min(d.tenantTokens[tenant]+rate*float64(d.now-d.tenantTokensAt[tenant]), tenantBurst*(1+rate*1e6))
-	d.tenantTokensAt[tenant] = d.now
-	available := d.tenantTokens[tenant] >= 1
+	d.tokens[tenant] = min(d.tokens[tenant]+rate*float64(d.now-d.tokensAt[tenant]), tenantBurst*(1+rate*1e6))
+	d.tokensAt[tenant] = d.now
+	available := d.tokens[tenant] >= 1
 	if available {
-		d.tenantTokens[tenant]--
+		d.tokens[tenant]--
 	}
 	return available
 }
@@ -520,7 +520,7 @@
 }
 
 // learnProbe ejects a worker after two lost probes in a row; the second is sent at once. A refusal means that
-// the worker drains or is gone, before the list shows it; the limit of eject for shared causes does not apply.
+// the worker drains or is gone, before the list shows it; the limit for shared causes in eject does not hold.
 func (d *Dispatcher) learnProbe(w *worker, s Status, rtt Time) {
 	if s == Error || s == ConnectFailed && rtt < probeTimeout {
 		w.fullUntil = d.now + d.jitter(min(refusedMin<<min(2*w.refusedProbes, 8), ejectMax))
@@ -610,7 +610,7 @@
 	w.ejectedUntil = d.now + d.jitter(min(ejectMin<<min(w.ejectionLevel, 8), ejectMax))
 	w.ejectionLevel++
 	if d.settings.CanMessagePeers && (w.complaints < 2 || d.now-w.complaintAt > complaintWindow) {
-		d.actions.SendPeer(PeerAll, binary.BigEndian.AppendUint64(d.peerMessage[:0], uint64(w.ID)))
+		d.actions.SendPeer(PeerAll, binary.BigEndian.AppendUint64(d.messageBuffer[:0], uint64(w.ID)))
 	}
 }
 
--- a/decide/events.go
+++ b/decide/events.go
@@ -2,9 +2,9 @@
 
 import "encoding/binary"
 
-// The events that need no more than to find what they are about; what follows is decided in decide.go.
+// This file dispatches events to the jobs, attempts and workers that they concern. The decisions are in decide.go.
 
-// Purposes of a timer, kept in the top byte of its token.
+// The purposes of timers. The top byte of a token holds the purpose.
 const (
 	wakeGiveUp uint64 = iota << 56
 	wakeProbes
@@ -14,14 +14,14 @@
 	wakeCheck
 )
 
-// UpdateWorkers takes in entries that the caller sees otherwise from now on, though the worker list has not answered: whether
-// the watch stands is not touched.
+// UpdateWorkers applies changes of worker entries that come from the caller, not from an answer of the list service. It does
+// not change whether the watch counts as established.
 func (d *Dispatcher) UpdateWorkers(now Time, kind ListKind, list []Worker) {
 	d.advance(now)
 	d.updateList(kind, list)
 }
 
-// ProbeResult takes in the answer to a probe.
+// ProbeResult handles the answer to a probe, or its failure.
 func (d *Dispatcher) ProbeResult(now Time, id WorkerID, status Status, latency Time, r Report) {
 	d.advance(now)
 	w := d.workers[id]
@@ -46,11 +46,11 @@
 	if j == nil || j.closed || !j.drawing || j.drawNumber != p.drawNumber {
 		return
 	}
-	for i, v := range j.pair {
-		if v == w {
+	for i, member := range j.pair {
+		if member == w {
 			j.answered[i], j.reports[i], j.rtt[i] = status == Served, r, latency
 			if status != Served {
-				j.pair[i] = nil // it loses the pair
+				j.pair[i] = nil // it drops out of the pair
 			}
 		}
 	}
@@ -62,7 +62,7 @@
 	}
 }
 
-// Note takes in news of a running attempt.
+// Note handles a notification about a running attempt.
 func (d *Dispatcher) Note(now Time, id uint32, n int, kind NoteKind, _ float64) {
 	d.advance(now)
 	j := d.jobs[id]
@@ -74,7 +74,7 @@
 	}
 }
 
-// Outcome takes in the end of an attempt.
+// Outcome handles the end of an attempt.
 func (d *Dispatcher) Outcome(now Time, o Outcome) {
 	d.advance(now)
 	j := d.jobs[o.Job]
@@ -100,7 +100,7 @@
 	}
 }
 
-// StreamStarted takes in that the client began to receive an answer; no other copy may follow.
+// StreamStarted records that the client began to receive an answer; no other copy of the job may follow.
 func (d *Dispatcher) StreamStarted(now Time, id uint32, n int) {
 	d.Note(now, id, n, NoteStarted, 0)
 	if j := d.jobs[id]; j != nil && n >= 0 && n < len(j.attempts) && !j.closed {
@@ -108,7 +108,7 @@
 	}
 }
 
-// Hangup takes in that the client went away: the job is over.
+// Hangup records that the client disconnected: the job is finished.
 func (d *Dispatcher) Hangup(now Time, id uint32) {
 	d.advance(now)
 	if j := d.jobs[id]; j != nil && !j.closed {
@@ -116,7 +116,7 @@
 	}
 }
 
-// GiveUp takes in that there is no time left for a job, whatever its client would wait: the scheduler ends.
+// GiveUp gives a job its final answer at once, whatever its deadline, for example when the scheduler shuts down.
 func (d *Dispatcher) GiveUp(now Time, id uint32) {
 	d.advance(now)
 	if j := d.jobs[id]; j != nil && !j.closed {
@@ -124,7 +124,7 @@
 	}
 }
 
-// PeerMessage takes in a message of another node: the ID of a worker that failed it. Anything else is passed over.
+// PeerMessage handles a message of another dispatcher: the ID of a worker that failed its jobs. Other messages are ignored.
 func (d *Dispatcher) PeerMessage(now Time, _ int, data []byte) {
 	d.advance(now)
 	if len(data) != 8 {
@@ -135,7 +135,7 @@
 	}
 }
 
-// JobOf is the job that a timer's token is about, or 0.
+// JobOf returns the ID of the job that a timer's token belongs to, or 0.
 func JobOf(token uint64) uint32 {
 	if token>>56<<56 == wakeWatch {
 		return 0
@@ -143,7 +143,7 @@
 	return uint32(token)
 }
 
-// Wake takes in a timer. A stale one does nothing.
+// Wake handles a timer. A stale timer has no effect.
 func (d *Dispatcher) Wake(now Time, token uint64) {
 	d.advance(now)
 	if token>>56<<56 == wakeWatch {
@@ -154,7 +154,7 @@
 	if j == nil || j.closed {
 		return
 	}
-	mark := uint16(token >> 32)
+	number := uint16(token >> 32)
 	switch token >> 56 << 56 {
 	case wakeGiveUp:
 		if !j.streamed {
@@ -162,26 +162,26 @@
 		}
 	case wakeProbes:
 		switch {
-		case !j.drawing || j.drawNumber != mark:
+		case !j.drawing || j.drawNumber != number:
 		case j.secondUnprobed:
 			d.probeSecond(j)
 		default:
 			d.resolveDraw(j)
 		}
 	case wakeRedraw:
-		if j.drawing && j.drawNumber == mark {
+		if j.drawing && j.drawNumber == number {
 			d.drawPair(j)
 		}
 	case wakeStartDue:
-		d.startOverdue(j, int(mark))
+		d.startOverdue(j, int(number))
 	case wakeCheck:
-		if n := int(mark); n < len(j.attempts) && j.attempts[n].inFlight && !j.attempts[n].started {
+		if n := int(number); n < len(j.attempts) && j.attempts[n].inFlight && !j.attempts[n].started {
 			d.checkWorker(j.attempts[n].w, j, n)
 		}
 	}
 }
 
-// advance moves the clock on and keeps the measure of what a warm worker gets from us.
+// advance moves the clock on and updates the rate of work per warm worker about once a second.
 func (d *Dispatcher) advance(now Time) {
 	d.now = max(d.now, now)
 	if d.warmRateAt == 0 {
