--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -14,9 +14,9 @@
 	return r.IntN
 }
 
-const start = 1000 * second
+const startTime = 1000 * second
 
-func newNode(t *testing.T, s Settings, workers ...Worker) (*Dispatcher, *recorder) {
+func newDispatcher(t *testing.T, s Settings, workers ...Worker) (*Dispatcher, *recorder) {
 	t.Helper()
 	r := &recorder{}
 	d, err := New(s, 1, r)
@@ -29,27 +29,27 @@
 		}
 		workers[i].State = max(workers[i].State, Ready)
 	}
-	d.Announce(start, ListCached, workers)
+	d.Announce(startTime, ListCached, workers)
 	return d, r
 }
 
 func fleet(n int) []Worker { return make([]Worker, n) }
 
-func free(n float64) Report { return Report{Has: HasFreeSlots, FreeSlots: n} }
+func freeSlots(n float64) Report { return Report{Has: HasFreeSlots, FreeSlots: n} }
 
 // arrive hands in job 1 of a class and returns the probes it led to.
 func arrive(d *Dispatcher, r *recorder, class int) []action {
 	r.take("")
-	d.Arrive(start, Job{ID: 1, Class: class, GiveUpAt: start + d.settings.Classes[class].Deadline})
+	d.Arrive(startTime, Job{ID: 1, Class: class, GiveUpAt: startTime + d.settings.Classes[class].Deadline})
 	return r.take("probe")
 }
 
-// pushTo brings job 1 onto a worker: both of the pair answer, the first with more room.
-func pushTo(t *testing.T, d *Dispatcher, r *recorder, class int) WorkerID {
+// pushJob brings job 1 onto a worker: both of the pair answer, the first with more room.
+func pushJob(t *testing.T, d *Dispatcher, r *recorder, class int) WorkerID {
 	t.Helper()
 	probes := arrive(d, r, class)
 	for i, p := range probes {
-		d.ProbeResult(start+ms, p.worker, Served, ms, free(float64(3-i)))
+		d.ProbeResult(startTime+ms, p.worker, Served, ms, freeSlots(float64(3-i)))
 	}
 	pushes := r.take("push")
 	if len(pushes) != 1 || pushes[0].worker != probes[0].worker {
@@ -58,7 +58,7 @@
 	return pushes[0].worker
 }
 
-func count(acts []action, kind string) int {
+func countKind(acts []action, kind string) int {
 	n := 0
 	for _, a := range acts {
 		if a.kind == kind {
@@ -69,7 +69,7 @@
 }
 
 // wakeAll fires the timers asked for, at the latest of their times.
-func wake(d *Dispatcher, acts []action, purpose uint64, at Time) {
+func fireTimers(d *Dispatcher, acts []action, purpose uint64, at Time) {
 	for _, a := range acts {
 		if a.kind == "wake" && a.token>>56 == purpose>>56 {
 			d.Wake(at, a.token)
@@ -77,25 +77,25 @@
 	}
 }
 
-func TestPairIsDistinctProbedAndLighterWins(t *testing.T) {
-	d, r := newNode(t, testSettings(), fleet(5)...)
+func TestDrawPushesToLessLoadedOfTwoDistinctWorkers(t *testing.T) {
+	d, r := newDispatcher(t, testSettings(), fleet(5)...)
 	probes := arrive(d, r, 0)
 	if len(probes) != 2 || probes[0].worker == probes[1].worker {
 		t.Fatalf("probes %+v", probes)
 	}
-	d.ProbeResult(start+ms, probes[0].worker, Served, ms, free(1))
+	d.ProbeResult(startTime+ms, probes[0].worker, Served, ms, freeSlots(1))
 	if got := r.take("push"); len(got) != 0 {
 		t.Fatal("pushed before both answered")
 	}
-	d.ProbeResult(start+2*ms, probes[1].worker, Served, 2*ms, free(2))
+	d.ProbeResult(startTime+2*ms, probes[1].worker, Served, 2*ms, freeSlots(2))
 	if got := r.take("push"); len(got) != 1 || got[0].worker != probes[1].worker {
 		t.Errorf("pushes %+v, wanted the one with more free slots", got)
 	}
 }
 
-func TestMissedProbeLosesThePair(t *testing.T) {
-	d, r := newNode(t, testSettings(), fleet(5)...)
-	d.Arrive(start, Job{ID: 1, GiveUpAt: start + 5*second})
+func TestWorkerWithoutProbeAnswerIsNotChosen(t *testing.T) {
+	d, r := newDispatcher(t, testSettings(), fleet(5)...)
+	d.Arrive(startTime, Job{ID: 1, GiveUpAt: startTime + 5*second})
 	acts := r.take("")
 	var probed []WorkerID
 	for _, a := range acts {
@@ -103,78 +103,78 @@
 			probed = append(probed, a.worker)
 		}
 	}
-	d.ProbeResult(start+ms, probed[1], Served, ms, free(1))
-	wake(d, acts, wakeProbes, start+probeTimeout)
+	d.ProbeResult(startTime+ms, probed[1], Served, ms, freeSlots(1))
+	fireTimers(d, acts, wakeProbes, startTime+probeTimeout)
 	if got := r.take("push"); len(got) != 1 || got[0].worker != probed[1] {
 		t.Errorf("pushes %+v", got)
 	}
 }
 
-func TestNoRoomHoldsAndDrawsAgain(t *testing.T) {
-	d, r := newNode(t, testSettings(), fleet(5)...)
+func TestNoRoomLeadsToBackoffAndRedraw(t *testing.T) {
+	d, r := newDispatcher(t, testSettings(), fleet(5)...)
 	for _, p := range arrive(d, r, 0) {
-		d.ProbeResult(start+ms, p.worker, Served, ms, free(0))
+		d.ProbeResult(startTime+ms, p.worker, Served, ms, freeSlots(0))
 	}
 	acts := r.take("")
-	if count(acts, "push")+count(acts, "refuse") != 0 {
+	if countKind(acts, "push")+countKind(acts, "refuse") != 0 {
 		t.Fatalf("acts %+v", acts)
 	}
-	wake(d, acts, wakeRedraw, start+20*ms)
-	if n := count(r.take(""), "probe"); n != 2 {
+	fireTimers(d, acts, wakeRedraw, startTime+20*ms)
+	if n := countKind(r.take(""), "probe"); n != 2 {
 		t.Errorf("%d probes in the redraw", n)
 	}
 }
 
-func TestMemoryCountsAsRoom(t *testing.T) {
-	d, r := newNode(t, testSettings(), fleet(2)...)
+func TestJobNeedsFreeMemory(t *testing.T) {
+	d, r := newDispatcher(t, testSettings(), fleet(2)...)
 	r.take("")
-	d.Arrive(start, Job{ID: 1, Memory: 2, GiveUpAt: start + 5*second})
+	d.Arrive(startTime, Job{ID: 1, Memory: 2, GiveUpAt: startTime + 5*second})
 	for _, p := range r.take("probe") {
-		d.ProbeResult(start+ms, p.worker, Served, ms, Report{Has: HasFreeSlots | HasFreeMemory, FreeSlots: 3, FreeMemory: 1})
+		d.ProbeResult(startTime+ms, p.worker, Served, ms, Report{Has: HasFreeSlots | HasFreeMemory, FreeSlots: 3, FreeMemory: 1})
 	}
-	if n := count(r.take(""), "push"); n != 0 {
+	if n := countKind(r.take(""), "push"); n != 0 {
 		t.Error("pushed where its memory does not fit")
 	}
 }
 
-func TestFewWorkers(t *testing.T) {
-	d, r := newNode(t, testSettings(), fleet(1)...)
+func TestSingleOrNoReadyWorker(t *testing.T) {
+	d, r := newDispatcher(t, testSettings(), fleet(1)...)
 	if p := arrive(d, r, 0); len(p) != 1 {
 		t.Fatalf("one worker: probes %+v", p)
 	}
-	d.ProbeResult(start+ms, 1, Served, ms, free(1))
+	d.ProbeResult(startTime+ms, 1, Served, ms, freeSlots(1))
 	if got := r.take("push"); len(got) != 1 {
 		t.Error("one worker with room: no push")
 	}
 	for name, ws := range map[string][]Worker{"none": nil, "all draining": {{State: Draining}, {State: Draining}}} {
-		d, r := newNode(t, testSettings(), ws...)
-		d.Arrive(start, Job{ID: 1, Class: 1, GiveUpAt: start + 5*second})
-		for at := start; at < start+5*second; at += 50 * ms {
+		d, r := newDispatcher(t, testSettings(), ws...)
+		d.Arrive(startTime, Job{ID: 1, Class: 1, GiveUpAt: startTime + 5*second})
+		for at := startTime; at < startTime+5*second; at += 50 * ms {
 			acts := r.take("")
-			if count(acts, "push")+count(acts, "probe") > 0 {
+			if countKind(acts, "push")+countKind(acts, "probe") > 0 {
 				t.Fatalf("%s: acts %+v", name, acts)
 			}
-			if count(acts, "refuse") == 1 {
+			if countKind(acts, "refuse") == 1 {
 				return
 			}
-			wake(d, acts, wakeRedraw, at)
+			fireTimers(d, acts, wakeRedraw, at)
 		}
 		t.Errorf("%s: never answered", name)
 	}
 }
 
-func TestWithoutProbesAPairIsStillDrawn(t *testing.T) {
+func TestPushWithoutProbes(t *testing.T) {
 	s := testSettings()
 	s.CanProbe = false
-	d, r := newNode(t, s, fleet(4)...)
+	d, r := newDispatcher(t, s, fleet(4)...)
 	r.take("")
-	d.Arrive(start, Job{ID: 1, GiveUpAt: start + 5*second})
-	if acts := r.take(""); count(acts, "push") != 1 || count(acts, "probe") != 0 {
+	d.Arrive(startTime, Job{ID: 1, GiveUpAt: startTime + 5*second})
+	if acts := r.take(""); countKind(acts, "push") != 1 || countKind(acts, "probe") != 0 {
 		t.Errorf("acts %+v", acts)
 	}
 }
 
-func TestOutcomes(t *testing.T) {
+func TestActionAfterOutcome(t *testing.T) {
 	const safe, unsafe, keyed = 0, 1, 2
 	for _, c := range []struct {
 		name   string
@@ -194,17 +194,17 @@
 		{"unsafe time-out", unsafe, TimedOut, "fail"},
 		{"safe time-out", safe, TimedOut, "refuse"},
 	} {
-		d, r := newNode(t, testSettings(), fleet(5)...)
-		w := pushTo(t, d, r, c.class)
-		d.Note(start+5*ms, 1, 0, NoteStarted, 0)
+		d, r := newDispatcher(t, testSettings(), fleet(5)...)
+		w := pushJob(t, d, r, c.class)
+		d.Note(startTime+5*ms, 1, 0, NoteStarted, 0)
 		r.take("")
-		d.Outcome(start+50*ms, Outcome{Job: 1, Worker: w, Status: c.status, Closed: c.status == Served})
+		d.Outcome(startTime+50*ms, Outcome{Job: 1, Worker: w, Status: c.status, Closed: c.status == Served})
 		acts := r.take("")
-		finals := count(acts, "fail") + count(acts, "refuse")
+		finals := countKind(acts, "fail") + countKind(acts, "refuse")
 		switch c.want {
 		case "redraw":
-			wake(d, acts, wakeRedraw, start+100*ms)
-			if finals != 0 || count(r.take(""), "probe") == 0 {
+			fireTimers(d, acts, wakeRedraw, startTime+100*ms)
+			if finals != 0 || countKind(r.take(""), "probe") == 0 {
 				t.Errorf("%s: %+v, wanted another draw", c.name, acts)
 			}
 		case "":
@@ -212,7 +212,7 @@
 				t.Errorf("%s: %+v", c.name, acts)
 			}
 		default:
-			if finals != 1 || count(acts, c.want) != 1 {
+			if finals != 1 || countKind(acts, c.want) != 1 {
 				t.Errorf("%s: %+v, wanted %s", c.name, acts, c.want)
 			}
 		}
@@ -220,19 +220,19 @@
 }
 
 // A start overdue hedges what may be repeated and leaves alone what may not.
-func TestOverdueStart(t *testing.T) {
+func TestOverdueStartHedgesRepeatableJobs(t *testing.T) {
 	for class, hedges := range map[int]bool{0: true, 1: false, 2: true} {
-		d, r := newNode(t, testSettings(), fleet(6)...)
+		d, r := newDispatcher(t, testSettings(), fleet(6)...)
 		probes := arrive(d, r, class)
 		for _, p := range probes {
-			d.ProbeResult(start+ms, p.worker, Served, ms, free(2))
+			d.ProbeResult(startTime+ms, p.worker, Served, ms, freeSlots(2))
 		}
 		acts := r.take("")
-		wake(d, acts, wakeStartDue, start+ms+startTimeout)
-		if got := count(r.take(""), "probe") > 0; got != hedges {
+		fireTimers(d, acts, wakeStartDue, startTime+ms+startTimeout)
+		if got := countKind(r.take(""), "probe") > 0; got != hedges {
 			t.Errorf("class %d: hedged %v, wanted %v", class, got, hedges)
 		}
-		d.Note(start+150*ms, 1, 0, NoteStarted, 0)
+		d.Note(startTime+150*ms, 1, 0, NoteStarted, 0)
 		for _, w := range d.ready {
 			if w.overdueStarts != 0 {
 				t.Errorf("class %d: worker %d still held late after its start", class, w.ID)
@@ -243,13 +243,13 @@
 
 // Incident i6ae661: an ask that fell close behind another was dropped, nothing asked again, and the node
 // went deaf to drains.
-func TestAsksGoOnUntilAnswered(t *testing.T) {
+func TestWatchIsRequestedUntilEstablished(t *testing.T) {
 	s := testSettings()
 	s.MustAsk, s.AskWithin = true, 10*second
-	d, r := newNode(t, s, fleet(3)...)
-	now, lastAsk := start, start
+	d, r := newDispatcher(t, s, fleet(3)...)
+	now, lastAsk := startTime, startTime
 	var timers []timer
-	for now < start+200*second {
+	for now < startTime+200*second {
 		now += 10 * ms
 		for _, a := range r.take("") {
 			switch a.kind {
@@ -280,13 +280,13 @@
 
 // The price of a slot once began at a huge figure when the first second held no job.
 func TestIdleStartSetsNoPrice(t *testing.T) {
-	d, r := newNode(t, testSettings(), fleet(4)...)
-	d.Wake(start+3*second, wakeWatch)
-	d.Wake(start+5*second, wakeWatch)
+	d, r := newDispatcher(t, testSettings(), fleet(4)...)
+	d.Wake(startTime+3*second, wakeWatch)
+	d.Wake(startTime+5*second, wakeWatch)
 	r.take("")
-	d.Arrive(start+6*second, Job{ID: 1, GiveUpAt: start + 11*second})
+	d.Arrive(startTime+6*second, Job{ID: 1, GiveUpAt: startTime + 11*second})
 	for _, p := range r.take("probe") {
-		d.ProbeResult(start+6*second, p.worker, Served, 0, free(4))
+		d.ProbeResult(startTime+6*second, p.worker, Served, 0, freeSlots(4))
 	}
 	if len(r.take("push")) != 1 {
 		t.Error("the first job of an idle fleet was not pushed")
@@ -295,16 +295,16 @@
 
 // A price from when jobs were short once kept out all that came after one that ran long: nobody drew, so nobody started and
 // showed that slots are to be had, and an idle fleet refused everything for most of a minute. Jobs that could pay it hold it.
-func TestPriceFollowsWhatIsInHand(t *testing.T) {
+func TestPriceIsBoundedByOpenJobs(t *testing.T) {
 	for _, dear := range []bool{false, true} {
-		d, r := newNode(t, testSettings(), fleet(4)...)
+		d, r := newDispatcher(t, testSettings(), fleet(4)...)
 		probe := func(now Time) (pushed int) {
 			for _, p := range r.take("probe") {
-				d.ProbeResult(now, p.worker, Served, 0, free(4))
+				d.ProbeResult(now, p.worker, Served, 0, freeSlots(4))
 			}
 			return len(r.take("push"))
 		}
-		now, pushed := start, 0
+		now, pushed := startTime, 0
 		d.Arrive(now, Job{ID: 1, GiveUpAt: now + 60*second})
 		if dear { // it is in hand all along
 			j := d.jobs[1]
@@ -333,13 +333,13 @@
 
 // Under scarcity the job worth less for its work yields: a draw without room raises the price as far as draws found
 // none lately, and only for a job that can pay it. Late starts once did, and found no scarcity where queues are short.
-func TestPriceNeedsScarcity(t *testing.T) {
-	d, _ := newNode(t, testSettings(), fleet(4)...)
+func TestPriceRisesOnlyUnderScarcity(t *testing.T) {
+	d, _ := newDispatcher(t, testSettings(), fleet(4)...)
 	full := func(class int) float64 {
 		j := d.newJob(Job{ID: uint32(len(d.jobs) + 1), Class: class, GiveUpAt: d.now + 5*second})
 		d.estimate(j)
 		j.pair[0], j.answered[0] = d.workers[1], true
-		j.reports[0] = free(0)
+		j.reports[0] = freeSlots(0)
 		before := d.price
 		d.resolveDraw(j)
 		return d.price / before
@@ -371,22 +371,22 @@
 
 // A full list after a cached one once doubled every entry.
 func TestFullListDoesNotDuplicate(t *testing.T) {
-	d, _ := newNode(t, testSettings(), Worker{ID: 1}, Worker{ID: 2}, Worker{ID: 3})
+	d, _ := newDispatcher(t, testSettings(), Worker{ID: 1}, Worker{ID: 2}, Worker{ID: 3})
 	for range 3 {
-		d.Announce(start, ListFull, []Worker{{ID: 1, State: Ready}, {ID: 2, State: Draining}})
+		d.Announce(startTime, ListFull, []Worker{{ID: 1, State: Ready}, {ID: 2, State: Draining}})
 	}
 	if len(d.ready) != 1 || len(d.listed) != 2 || len(d.workers) != 2 {
 		t.Errorf("ready %d listed %d known %d", len(d.ready), len(d.listed), len(d.workers))
 	}
-	d.Announce(start, ListDelta, []Worker{{ID: 2, State: Ready}})
+	d.Announce(startTime, ListDelta, []Worker{{ID: 2, State: Ready}})
 	if len(d.ready) != 2 {
 		t.Error("a drained worker that is ready again is not drawn")
 	}
 }
 
 // A shared cause makes the whole fleet look bad; ejecting it all would leave nothing to draw.
-func TestEjectionSparesTheFleetOnASharedCause(t *testing.T) {
-	d, _ := newNode(t, testSettings(), fleet(10)...)
+func TestEjectionIsLimitedOnASharedCause(t *testing.T) {
+	d, _ := newDispatcher(t, testSettings(), fleet(10)...)
 	for _, w := range d.ready {
 		d.eject(w)
 	}
@@ -401,32 +401,32 @@
 	}
 }
 
-func TestStrayEventsDoNothing(t *testing.T) {
-	d, r := newNode(t, testSettings(), fleet(3)...)
-	w := pushTo(t, d, r, 1)
+func TestUnknownEventsAreIgnored(t *testing.T) {
+	d, r := newDispatcher(t, testSettings(), fleet(3)...)
+	w := pushJob(t, d, r, 1)
 	r.take("")
-	d.Outcome(start, Outcome{Job: 99, Status: Error})
-	d.Outcome(start, Outcome{Job: 1, Attempt: 7, Status: Error})
-	d.Outcome(start, Outcome{Job: 1, Attempt: -1, Status: Error})
-	d.Note(start, 1, 5, NoteStarted, 0)
-	d.Note(start, 55, 0, NoteProgress, math.NaN())
-	d.ProbeResult(start, 77, Served, 0, free(3))
-	d.ProbeResult(start, w, Served, 0, free(math.Inf(1)))
-	d.Hangup(start, 1234)
-	d.PeerMessage(start, 3, []byte{1, 2, 3})
-	d.StreamStarted(start, 8, 0)
+	d.Outcome(startTime, Outcome{Job: 99, Status: Error})
+	d.Outcome(startTime, Outcome{Job: 1, Attempt: 7, Status: Error})
+	d.Outcome(startTime, Outcome{Job: 1, Attempt: -1, Status: Error})
+	d.Note(startTime, 1, 5, NoteStarted, 0)
+	d.Note(startTime, 55, 0, NoteProgress, math.NaN())
+	d.ProbeResult(startTime, 77, Served, 0, freeSlots(3))
+	d.ProbeResult(startTime, w, Served, 0, freeSlots(math.Inf(1)))
+	d.Hangup(startTime, 1234)
+	d.PeerMessage(startTime, 3, []byte{1, 2, 3})
+	d.StreamStarted(startTime, 8, 0)
 	for _, purpose := range []uint64{wakeGiveUp, wakeProbes, wakeRedraw, wakeStartDue, 200 << 56} {
-		d.Wake(start, purpose|77)
+		d.Wake(startTime, purpose|77)
 	}
-	d.Wake(start, wakeRedraw|9<<32|1)
+	d.Wake(startTime, wakeRedraw|9<<32|1)
 	if acts := r.take(""); len(acts) != 0 {
 		t.Errorf("acts %+v", acts)
 	}
-	d.Outcome(start+ms, Outcome{Job: 1, Worker: w, Status: Served, Closed: true})
-	d.Outcome(start+ms, Outcome{Job: 1, Worker: w, Status: Error})
-	d.Arrive(start+ms, Job{ID: 2, Class: 50, GiveUpAt: start + second})
-	d.Arrive(start+ms, Job{ID: 3, Slots: math.NaN(), Memory: math.Inf(1), GiveUpAt: start + second})
-	if acts := r.take(""); count(acts, "refuse") != 1 {
+	d.Outcome(startTime+ms, Outcome{Job: 1, Worker: w, Status: Served, Closed: true})
+	d.Outcome(startTime+ms, Outcome{Job: 1, Worker: w, Status: Error})
+	d.Arrive(startTime+ms, Job{ID: 2, Class: 50, GiveUpAt: startTime + second})
+	d.Arrive(startTime+ms, Job{ID: 3, Slots: math.NaN(), Memory: math.Inf(1), GiveUpAt: startTime + second})
+	if acts := r.take(""); countKind(acts, "refuse") != 1 {
 		t.Errorf("acts %+v", acts)
 	}
 }
@@ -450,7 +450,7 @@
 }
 
 // The policy file is read aloud after outages: at most 630 lines that are not blank, of at most 110 characters.
-func TestPolicyFileStaysReadable(t *testing.T) {
+func TestDecisionFileStaysShort(t *testing.T) {
 	f, err := os.Open("decide.go")
 	if err != nil {
 		t.Fatal(err)
@@ -473,13 +473,13 @@
 
 // A refused client is told when to come back, within what the site's clients respect, and nothing where they
 // respect nothing: without it the answer, given at once, brings the client straight back to a full fleet.
-func TestARefusalSaysWhenToComeBack(t *testing.T) {
+func TestRefusalCarriesRetryAfter(t *testing.T) {
 	for _, respected := range []Time{0, 300 * ms, 60 * second} {
 		s := testSettings()
 		s.MaxRetryAfter = respected
-		d, r := newNode(t, s) // no worker: nothing can be done
+		d, r := newDispatcher(t, s) // no worker: nothing can be done
 		arrive(d, r, 0)
-		d.Wake(start+second, wakeGiveUp|1)
+		d.Wake(startTime+second, wakeGiveUp|1)
 		acts := r.take("refuse")
 		if want := min(retryAfter, respected); len(acts) != 1 || acts[0].span != want {
 			t.Errorf("clients respect %d: %+v, want a wait of %d", respected, acts, want)
--- a/decide/failures_test.go
+++ b/decide/failures_test.go
@@ -3,37 +3,37 @@
 import "testing"
 
 // Incident i784a17: in a large fleet every node had to meet each fast-failing worker itself.
-func TestTwoComplaintsAreBelieved(t *testing.T) {
+func TestTwoComplaintsEjectAWorker(t *testing.T) {
 	s := testSettings()
 	s.CanMessagePeers = true
-	d, r := newNode(t, s, fleet(10)...)
+	d, r := newDispatcher(t, s, fleet(10)...)
 	msg := []byte{0, 0, 0, 0, 0, 0, 0, 3}
-	d.PeerMessage(start, 1, msg)
-	if d.workers[3].ejectedUntil > start {
+	d.PeerMessage(startTime, 1, msg)
+	if d.workers[3].ejectedUntil > startTime {
 		t.Error("one complaint was believed")
 	}
-	d.PeerMessage(start+second, 2, msg)
-	if d.workers[3].ejectedUntil <= start {
+	d.PeerMessage(startTime+second, 2, msg)
+	if d.workers[3].ejectedUntil <= startTime {
 		t.Error("two complaints were not believed")
 	}
-	d.PeerMessage(start, 2, []byte("garbage"))
-	d.PeerMessage(start, 2, []byte{9, 9, 9, 9, 9, 9, 9, 9})
+	d.PeerMessage(startTime, 2, []byte("garbage"))
+	d.PeerMessage(startTime, 2, []byte{9, 9, 9, 9, 9, 9, 9, 9})
 	r.take("")
 	d.eject(d.workers[5])
-	if n := count(r.take(""), "tell"); n != 1 {
+	if n := countKind(r.take(""), "tell"); n != 1 {
 		t.Errorf("%d complaints sent", n)
 	}
 	s.CanMessagePeers = false
-	d, r = newNode(t, s, fleet(10)...)
+	d, r = newDispatcher(t, s, fleet(10)...)
 	d.eject(d.workers[5])
-	if n := count(r.take(""), "tell"); n != 0 {
+	if n := countKind(r.take(""), "tell"); n != 0 {
 		t.Error("told peers where that is not allowed")
 	}
 }
 
 // A worker that failed is tried with what may be repeated before an unsafe job is risked on it.
 func TestEjectedWorkerIsTriedWithRepeatableJobs(t *testing.T) {
-	d, r := newNode(t, testSettings(), fleet(10)...)
+	d, r := newDispatcher(t, testSettings(), fleet(10)...)
 	w := d.workers[1]
 	d.eject(w)
 	d.now = w.ejectedUntil + 1
@@ -47,7 +47,7 @@
 	}
 	s := testSettings()
 	s.Classes = s.Classes[1:2]
-	d, _ = newNode(t, s, fleet(10)...)
+	d, _ = newDispatcher(t, s, fleet(10)...)
 	d.eject(d.workers[1])
 	d.now = d.workers[1].ejectedUntil + 1
 	if !d.eligible(&job{class: &d.settings.Classes[0]}, d.workers[1]) {
@@ -57,14 +57,14 @@
 }
 
 // Where a report stands for a second, a second copy is aimed no better than the first.
-func TestNoSecondCopyByOldReports(t *testing.T) {
+func TestNoHedgingWithOldReports(t *testing.T) {
 	for every, want := range map[Time]bool{100 * ms: true, 1000 * ms: false} {
-		d, _ := newNode(t, testSettings(), fleet(3)...)
+		d, _ := newDispatcher(t, testSettings(), fleet(3)...)
 		w := d.workers[1]
 		for i := range Time(300) {
 			d.now += 50 * ms
 			w.inFlight++ // something of ours is new there
-			d.learnRefresh(w, free(1+float64(i*50*ms/every%7)/10))
+			d.learnRefresh(w, freeSlots(1+float64(i*50*ms/every%7)/10))
 		}
 		j := &job{class: &d.settings.Classes[0], attempts: []attempt{{w: w, inFlight: true}}}
 		if d.startOverdue(j, 0); j.drawing != want {
@@ -74,15 +74,15 @@
 }
 
 // A machine that lost its cores to another program shows free slots, and is slow to answer a probe.
-func TestSlowWorkerIsPassedOver(t *testing.T) {
-	d, r := newNode(t, testSettings(), fleet(2)...)
+func TestSlowWorkerIsAvoided(t *testing.T) {
+	d, r := newDispatcher(t, testSettings(), fleet(2)...)
 	for range 50 {
 		d.learnRTT(d.workers[1], ms)
 	}
 	d.meanRunByClass[0] = float64(200 * ms)
 	probes := arrive(d, r, 0)
-	d.ProbeResult(start+ms, probes[0].worker, Served, ms, free(1))
-	d.ProbeResult(start+8*ms, probes[1].worker, Served, 8*ms, free(3))
+	d.ProbeResult(startTime+ms, probes[0].worker, Served, ms, freeSlots(1))
+	d.ProbeResult(startTime+8*ms, probes[1].worker, Served, 8*ms, freeSlots(3))
 	if got := r.take("push"); len(got) != 1 || got[0].worker != probes[0].worker {
 		t.Errorf("pushes %+v, wanted the quick worker", got)
 	}
@@ -90,23 +90,23 @@
 
 // Incident i59d148: a wide job that does not fit waits at the head of the queue and blocks its worker.
 func TestWideJobNeedsAllItsSlots(t *testing.T) {
-	d, _ := newNode(t, testSettings(), fleet(2)...)
+	d, _ := newDispatcher(t, testSettings(), fleet(2)...)
 	j := &job{Job: Job{Slots: 4}, class: &d.settings.Classes[0]}
-	if _, _, fits := d.estimateRoom(j, d.workers[1], free(3.4)); fits {
+	if _, _, fits := d.estimateRoom(j, d.workers[1], freeSlots(3.4)); fits {
 		t.Error("four slots in 3.4")
 	}
-	if _, _, fits := d.estimateRoom(j, d.workers[1], free(3.6)); !fits {
+	if _, _, fits := d.estimateRoom(j, d.workers[1], freeSlots(3.6)); !fits {
 		t.Error("reports are noisy: every other idle worker of four slots shows 3.9 or less")
 	}
 	j.Slots = 1
-	if _, _, fits := d.estimateRoom(j, d.workers[1], free(0.7)); !fits {
+	if _, _, fits := d.estimateRoom(j, d.workers[1], freeSlots(0.7)); !fits {
 		t.Error("reports are noisy: 0.7 free slots are one")
 	}
 }
 
 // An idle worker once looked too small for a wide job by the noise of its report.
 func TestIdleWorkerHasAllItsSlots(t *testing.T) {
-	d, _ := newNode(t, testSettings(), fleet(1)...)
+	d, _ := newDispatcher(t, testSettings(), fleet(1)...)
 	w, j := d.workers[1], &job{Job: Job{Slots: 4}, class: &d.settings.Classes[0]}
 	idle := Report{Has: HasFreeSlots | HasInFlight}
 	for _, shown := range []float64{4.4, 3.6, 4} {
@@ -125,17 +125,17 @@
 
 // Redraws once asked workers again that a probe had just shown full, at the price of a probe and of their work,
 // and workers whose slots our own jobs take up: half of all probes were made for wide jobs that had no chance.
-func TestNoProbeWithoutAChance(t *testing.T) {
-	d, r := newNode(t, testSettings(), fleet(2)...)
+func TestNoProbeOfWorkersWithoutRoom(t *testing.T) {
+	d, r := newDispatcher(t, testSettings(), fleet(2)...)
 	for _, p := range arrive(d, r, 0) {
-		d.ProbeResult(start+ms, p.worker, Served, ms, free(0))
+		d.ProbeResult(startTime+ms, p.worker, Served, ms, freeSlots(0))
 	}
 	timers := r.take("wake")
-	wake(d, timers, wakeRedraw, start+50*ms)
+	fireTimers(d, timers, wakeRedraw, startTime+50*ms)
 	if probes := r.take("probe"); len(probes) != 0 {
 		t.Errorf("probes %+v of workers just seen full", probes)
 	}
-	d.Arrive(start+2*noRoomSpan, Job{ID: 2, GiveUpAt: start + 5*second})
+	d.Arrive(startTime+2*noRoomSpan, Job{ID: 2, GiveUpAt: startTime + 5*second})
 	if probes := r.take("probe"); len(probes) != 2 {
 		t.Errorf("probes %+v when that is long ago", probes)
 	}
@@ -143,7 +143,7 @@
 		w.noRoomUntil, w.capacity, w.heldSlots = 0, 4, 3
 	}
 	for slots, want := range map[float64]int{1: 2, 2: 0} {
-		d.Arrive(start+2*noRoomSpan, Job{ID: 10 + uint32(slots), Slots: slots, GiveUpAt: start + 5*second})
+		d.Arrive(startTime+2*noRoomSpan, Job{ID: 10 + uint32(slots), Slots: slots, GiveUpAt: startTime + 5*second})
 		if probes := r.take("probe"); len(probes) != want {
 			t.Errorf("%g slots where ours hold 3 of 4: probes %+v", slots, probes)
 		}
@@ -151,24 +151,24 @@
 }
 
 // A tight price keeps probes off workers too, and lets a job of high worth through.
-func TestPriceSparesProbes(t *testing.T) {
-	d, r := newNode(t, testSettings(), fleet(4)...)
+func TestPriceLimitsProbes(t *testing.T) {
+	d, r := newDispatcher(t, testSettings(), fleet(4)...)
 	d.price = 1e6
 	if probes := arrive(d, r, 0); len(probes) != 0 {
 		t.Errorf("probes %+v for a job that can't afford a slot", probes)
 	}
 	d.price = 1e-3
-	d.Arrive(start, Job{ID: 2, GiveUpAt: start + 5*second})
-	if n := count(r.take(""), "probe"); n != 2 {
+	d.Arrive(startTime, Job{ID: 2, GiveUpAt: startTime + 5*second})
+	if n := countKind(r.take(""), "probe"); n != 2 {
 		t.Errorf("%d probes", n)
 	}
 }
 
 // Late reports and fast failures at once, a cut zone, and most workers silent: the job still ends in time and
 // recovery needs nobody.
-func TestRecoveryUnaided(t *testing.T) {
-	d, r := newNode(t, testSettings(), fleet(10)...)
-	now := start
+func TestRecoveryAfterLostProbes(t *testing.T) {
+	d, r := newDispatcher(t, testSettings(), fleet(10)...)
+	now := startTime
 	for id := uint32(1); id <= 40; id++ { // nothing answers
 		d.Arrive(now, Job{ID: id, Class: 1, GiveUpAt: now + 5*second})
 		for _, a := range r.take("probe") {
@@ -191,7 +191,7 @@
 		r.take("")
 		d.Arrive(now, Job{ID: id, GiveUpAt: now + 5*second})
 		for _, a := range r.take("probe") {
-			d.ProbeResult(now, a.worker, Served, 0, free(4))
+			d.ProbeResult(now, a.worker, Served, 0, freeSlots(4))
 		}
 		pushed += len(r.take("push"))
 		now += 100 * ms
@@ -202,10 +202,10 @@
 }
 
 // A near pair is drawn first; far workers come in when near shows no room.
-func TestNearFirst(t *testing.T) {
+func TestFirstDrawStaysInTheZone(t *testing.T) {
 	s := testSettings()
 	s.Zones = 2
-	d, r := newNode(t, s, Worker{}, Worker{}, Worker{}, Worker{Zone: 1}, Worker{Zone: 1}, Worker{Zone: 1})
+	d, r := newDispatcher(t, s, Worker{}, Worker{}, Worker{}, Worker{Zone: 1}, Worker{Zone: 1}, Worker{Zone: 1})
 	for _, p := range arrive(d, r, 0) {
 		if p.worker > 3 {
 			t.Errorf("first draw took far worker %d", p.worker)
@@ -233,9 +233,9 @@
 	for i := range ws {
 		ws[i] = Worker{ID: WorkerID(i + 1), State: Ready}
 	}
-	d.Announce(start, ListFull, ws)
+	d.Announce(startTime, ListFull, ws)
 	b.ReportAllocs()
-	now := start
+	now := startTime
 	for i := 0; b.Loop(); i++ {
 		now += 10 * ms
 		r.acts = r.acts[:0]
@@ -244,7 +244,7 @@
 		for k := 0; k < len(r.acts); k++ {
 			switch a := r.acts[k]; a.kind {
 			case "probe":
-				d.ProbeResult(now, a.worker, Served, 0, free(2))
+				d.ProbeResult(now, a.worker, Served, 0, freeSlots(2))
 			case "push":
 				d.Note(now, id, 0, NoteStarted, 0)
 				d.Outcome(now, Outcome{Job: id, Worker: a.worker, Status: Served, Closed: true})
@@ -255,20 +255,20 @@
 
 // In overload a held job asks less and less often, and ends before its time: retries do not pile up.
 func TestRetriesBackOffInOverload(t *testing.T) {
-	d, r := newNode(t, testSettings(), fleet(20)...)
+	d, r := newDispatcher(t, testSettings(), fleet(20)...)
 	d.meanRunByClass[0] = float64(500 * ms)
 	r.take("")
-	d.Arrive(start, Job{ID: 1, GiveUpAt: start + 5*second})
+	d.Arrive(startTime, Job{ID: 1, GiveUpAt: startTime + 5*second})
 	probes, finals := 0, 0
 	var timers []timer
-	for now := start; now < start+6*second; now += 5 * ms {
+	for now := startTime; now < startTime+6*second; now += 5 * ms {
 		for _, a := range r.take("") {
 			switch a.kind {
 			case "wake":
 				timers = append(timers, timer{now + a.span, a.token})
 			case "probe":
 				probes++
-				d.ProbeResult(now, a.worker, Served, 0, free(0))
+				d.ProbeResult(now, a.worker, Served, 0, freeSlots(0))
 			case "refuse", "fail":
 				finals++
 			}
@@ -289,8 +289,8 @@
 }
 
 // When the whole fleet slows at once nobody is slow beside the others, and work goes on.
-func TestAllSlowAtOnce(t *testing.T) {
-	d, _ := newNode(t, testSettings(), fleet(5)...)
+func TestNoWorkerIsSlowWhenAllAre(t *testing.T) {
+	d, _ := newDispatcher(t, testSettings(), fleet(5)...)
 	for range 100 {
 		d.learnRTT(d.workers[1], ms)
 	}
@@ -307,11 +307,11 @@
 
 // A zone is cut off while the list must be asked for and the asks fail: near workers still serve, and nothing
 // goes to a worker once its drain is told.
-func TestZoneCutWithAskedDiscovery(t *testing.T) {
+func TestPartitionedZoneWhileListRequestsFail(t *testing.T) {
 	s := testSettings()
 	s.Zones, s.MustAsk, s.AskWithin = 2, true, 10*second
-	d, r := newNode(t, s, Worker{}, Worker{}, Worker{}, Worker{Zone: 1}, Worker{Zone: 1}, Worker{Zone: 1})
-	now, served := start, 0
+	d, r := newDispatcher(t, s, Worker{}, Worker{}, Worker{}, Worker{Zone: 1}, Worker{Zone: 1}, Worker{Zone: 1})
+	now, served := startTime, 0
 	d.Announce(now, ListFailed, nil)
 	d.Announce(now, ListDelta, []Worker{{ID: 3, State: Draining}})
 	for id := uint32(1); id <= 50; id++ {
@@ -322,7 +322,7 @@
 			if a.worker > 3 {
 				d.ProbeResult(now+250*ms, a.worker, ConnectFailed, 250*ms, Report{})
 			} else {
-				d.ProbeResult(now, a.worker, Served, 0, free(3))
+				d.ProbeResult(now, a.worker, Served, 0, freeSlots(3))
 			}
 		}
 		for _, a := range r.take("push") {
@@ -341,13 +341,13 @@
 
 // A fleet that shrinks and grows several-fold keeps every worker in draws that is listed, and no other.
 func TestFleetShrinksAndGrows(t *testing.T) {
-	d, r := newNode(t, testSettings(), fleet(40)...)
+	d, r := newDispatcher(t, testSettings(), fleet(40)...)
 	for _, n := range []int{10, 80, 5, 60} {
 		list := fleet(n)
 		for i := range list {
 			list[i] = Worker{ID: WorkerID(i + 1), State: Ready}
 		}
-		d.Announce(start, ListFull, list)
+		d.Announce(startTime, ListFull, list)
 		if len(d.ready) != n || len(d.workers) != n {
 			t.Errorf("%d listed: %d ready, %d known", n, len(d.ready), len(d.workers))
 		}
@@ -358,16 +358,16 @@
 }
 
 // Connections that break now and then once put a third of a sound fleet out of the draws.
-func TestBrokenConnectionsEjectNobody(t *testing.T) {
-	d, r := newNode(t, testSettings(), fleet(6)...)
-	w := d.workers[pushTo(t, d, r, 0)]
+func TestSingleResetsDoNotEject(t *testing.T) {
+	d, r := newDispatcher(t, testSettings(), fleet(6)...)
+	w := d.workers[pushJob(t, d, r, 0)]
 	for i := range resetsToEject {
 		if w.ejectedUntil > d.now {
 			t.Errorf("ejected after %d broken attempts", i)
 		}
-		j := d.newJob(Job{ID: 10 + uint32(i), Class: 0, GiveUpAt: start + 5*second})
+		j := d.newJob(Job{ID: 10 + uint32(i), Class: 0, GiveUpAt: startTime + 5*second})
 		d.push(j, w, 0)
-		d.Outcome(start+2*ms, Outcome{Job: j.ID, Worker: w.ID, Status: Reset})
+		d.Outcome(startTime+2*ms, Outcome{Job: j.ID, Worker: w.ID, Status: Reset})
 	}
 	if w.ejectedUntil <= d.now {
 		t.Error("that many in a row are no chance")
@@ -381,7 +381,7 @@
 		if v.ejectedUntil > d.now {
 			t.Errorf("ejected after %d lost probes", i)
 		}
-		d.ProbeResult(start+(i+3)*ms, v.ID, Reset, ms, Report{})
+		d.ProbeResult(startTime+(i+3)*ms, v.ID, Reset, ms, Report{})
 	}
 	if v.ejectedUntil <= d.now {
 		t.Error("lost again when looked after at once")
@@ -390,7 +390,7 @@
 
 // A connection that fell silent once kept its job until the client left, and its worker out of the draws as long,
 // for a start that did not come. A look tells that nothing waits there.
-func TestLostAttemptIsCalledOff(t *testing.T) {
+func TestLostAttemptIsCancelled(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		class int
@@ -406,12 +406,12 @@
 		s := testSettings()
 		s.SecondCopies = false
 		s.Classes[c.class].Aim = 4 * second
-		d, r := newNode(t, s, fleet(3)...)
-		w := d.workers[pushTo(t, d, r, c.class)]
+		d, r := newDispatcher(t, s, fleet(3)...)
+		w := d.workers[pushJob(t, d, r, c.class)]
 		timers := r.take("")
-		d.Wake(start+startTimeout, wakeStartDue|1)
+		d.Wake(startTime+startTimeout, wakeStartDue|1)
 		for i := range Time(lossesToEject) {
-			now := start + startTimeout + (i+1)*checkInterval
+			now := startTime + startTimeout + (i+1)*checkInterval
 			d.Wake(now, wakeCheck|1)
 			if probes := r.take("probe"); len(probes) != 1 || probes[0].worker != w.ID {
 				t.Fatalf("%s: looks %+v after %+v", c.name, probes, timers)
@@ -425,18 +425,18 @@
 }
 
 // Two probes lost in a row mean a machine that is gone without a word: what may be repeated goes elsewhere.
-func TestLostWorkerIsLeft(t *testing.T) {
+func TestJobsOfALostWorkerAreCancelledForRetry(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].Aim = 4 * second
-	d, r := newNode(t, s, fleet(3)...)
-	w := d.workers[pushTo(t, d, r, 0)]
-	d.Note(start+2*ms, 1, 0, NoteStarted, 0)
+	d, r := newDispatcher(t, s, fleet(3)...)
+	w := d.workers[pushJob(t, d, r, 0)]
+	d.Note(startTime+2*ms, 1, 0, NoteStarted, 0)
 	d.checkWorker(w, nil, 0)
 	for i := range Time(lossesToEject) {
 		if probes := r.take("probe"); len(probes) != 1 {
 			t.Fatalf("%d probes in flight", len(probes))
 		}
-		d.ProbeResult(start+(i+1)*500*ms, w.ID, TimedOut, 500*ms, Report{})
+		d.ProbeResult(startTime+(i+1)*500*ms, w.ID, TimedOut, 500*ms, Report{})
 	}
 	if n := len(r.take("cancel")); n != 1 {
 		t.Errorf("%d cancels", n)
@@ -446,9 +446,9 @@
 // Workers that swallow the jobs of one class and serve all others kept being drawn for it, each job lost for the
 // whole of its client's patience.
 func TestClassIsKeptOffAWorkerThatDoesNotStartIt(t *testing.T) {
-	d, r := newNode(t, testSettings(), fleet(3)...)
-	w := d.workers[pushTo(t, d, r, 0)]
-	d.Outcome(start+5*second, Outcome{Job: 1, Worker: w.ID, Status: TimedOut})
+	d, r := newDispatcher(t, testSettings(), fleet(3)...)
+	w := d.workers[pushJob(t, d, r, 0)]
+	d.Outcome(startTime+5*second, Outcome{Job: 1, Worker: w.ID, Status: TimedOut})
 	j, other := d.newJob(Job{ID: 2, Class: 0}), d.newJob(Job{ID: 3, Class: 2})
 	if d.eligible(j, w) || !d.eligible(other, w) {
 		t.Error("that class, and no other, stays away")
@@ -477,29 +477,29 @@
 		fits bool
 	}{
 		"runs":      {func(d *Dispatcher) {}, false},
-		"started":   {func(d *Dispatcher) { d.Note(start+10*ms, 1, 0, NoteStarted, 0) }, false},
-		"served":    {func(d *Dispatcher) { d.Outcome(start+10*ms, Outcome{Job: 1, Status: Served}) }, true},
-		"failed":    {func(d *Dispatcher) { d.Outcome(start+10*ms, Outcome{Job: 1, Status: Full}) }, true},
-		"cancelled": {func(d *Dispatcher) { d.Hangup(start, 1); d.Outcome(start, Outcome{Job: 1, Status: Cancelled}) }, true},
-		"another's": {func(d *Dispatcher) { d.Outcome(start+10*ms, Outcome{Job: 1, Attempt: 1, Status: Served}) }, false},
+		"started":   {func(d *Dispatcher) { d.Note(startTime+10*ms, 1, 0, NoteStarted, 0) }, false},
+		"served":    {func(d *Dispatcher) { d.Outcome(startTime+10*ms, Outcome{Job: 1, Status: Served}) }, true},
+		"failed":    {func(d *Dispatcher) { d.Outcome(startTime+10*ms, Outcome{Job: 1, Status: Full}) }, true},
+		"cancelled": {func(d *Dispatcher) { d.Hangup(startTime, 1); d.Outcome(startTime, Outcome{Job: 1, Status: Cancelled}) }, true},
+		"another's": {func(d *Dispatcher) { d.Outcome(startTime+10*ms, Outcome{Job: 1, Attempt: 1, Status: Served}) }, false},
 	} {
-		d, r := newNode(t, testSettings(), fleet(2)...)
-		w := d.workers[pushTo(t, d, r, 0)]
+		d, r := newDispatcher(t, testSettings(), fleet(2)...)
+		w := d.workers[pushJob(t, d, r, 0)]
 		c.end(d)
-		if _, _, fits := d.estimateRoom(&job{Job: Job{Slots: 1}}, w, free(1)); fits != c.fits {
+		if _, _, fits := d.estimateRoom(&job{Job: Job{Slots: 1}}, w, freeSlots(1)); fits != c.fits {
 			t.Errorf("%s: room for another job in the one free slot: %v", name, fits)
 		}
-		if d.now = start + reportLag + 2*ms; len(w.claims) == 0 != c.fits {
+		if d.now = startTime + reportLag + 2*ms; len(w.claims) == 0 != c.fits {
 			t.Errorf("%s: claims %+v", name, w.claims)
 		}
-		if _, _, fits := d.estimateRoom(&job{Job: Job{Slots: 1}}, w, free(1)); !fits {
+		if _, _, fits := d.estimateRoom(&job{Job: Job{Slots: 1}}, w, freeSlots(1)); !fits {
 			t.Errorf("%s: by then the report shows it", name)
 		}
 	}
 }
 
 // A fleet that idles the same way shows the same figures for good; that once taught ever older reports.
-func TestLagIsLearntWhereReportsMustDiffer(t *testing.T) {
+func TestRefreshIsLearnedWhereReportsMustDiffer(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(w *worker, i int)
 		want   Time
@@ -509,7 +509,7 @@
 		"more and less":  {func(w *worker, i int) { w.inFlight = i % 2 }, 50 * ms},
 		"never reported": {func(w *worker, i int) { w.inFlight = i }, maxRefresh},
 	} {
-		d, _ := newNode(t, testSettings(), fleet(1)...)
+		d, _ := newDispatcher(t, testSettings(), fleet(1)...)
 		w := d.workers[1]
 		for i := range 1000 {
 			c.change(w, i)
@@ -530,10 +530,10 @@
 }
 
 // Where jobs take some ms, a worker seen full is not so for long; the waits were once those of long jobs.
-func TestSpansFollowTheJobs(t *testing.T) {
+func TestSpansScaleWithRunningTimes(t *testing.T) {
 	for run, want := range map[Time][3]Time{1000 * ms: {reportLag, noRoomSpan, backoffMin}, 20 * ms: {50 * ms, 30 * ms, 3 * ms},
 		0: {ms, ms, ms}} {
-		d, _ := newNode(t, testSettings(), fleet(1)...)
+		d, _ := newDispatcher(t, testSettings(), fleet(1)...)
 		j := &job{class: &d.settings.Classes[0]}
 		a := &attempt{w: d.workers[1], started: true}
 		for range 1000 {
@@ -549,16 +549,16 @@
 }
 
 // A full worker frees a slot when a job there ends, so what a probe showed before that counts no more.
-func TestAnEndFreesAWorkerSeenFull(t *testing.T) {
-	d, r := newNode(t, testSettings(), fleet(2)...)
-	w := d.workers[pushTo(t, d, r, 0)]
+func TestJobEndVoidsALackOfRoom(t *testing.T) {
+	d, r := newDispatcher(t, testSettings(), fleet(2)...)
+	w := d.workers[pushJob(t, d, r, 0)]
 	j := &job{Job: Job{Slots: 1}, class: &d.settings.Classes[0]}
-	w.noRoomUntil, w.noRoomSlots = start+noRoomSpan, 1
-	d.Note(start+5*ms, 1, 0, NoteStarted, 0)
+	w.noRoomUntil, w.noRoomSlots = startTime+noRoomSpan, 1
+	d.Note(startTime+5*ms, 1, 0, NoteStarted, 0)
 	if !d.lacksRoom(j, w) {
 		t.Error("a start frees nothing")
 	}
-	d.Outcome(start+10*ms, Outcome{Job: 1, Status: Served})
+	d.Outcome(startTime+10*ms, Outcome{Job: 1, Status: Served})
 	if d.lacksRoom(j, w) {
 		t.Error("still passed over after the end")
 	}
@@ -582,12 +582,12 @@
 	} {
 		s := testSettings()
 		s.Nodes = c.nodes
-		d, _ := newNode(t, s, fleet(2)...)
+		d, _ := newDispatcher(t, s, fleet(2)...)
 		w := d.workers[1]
 		w.capacity, w.heldSlots, w.inFlight, d.refresh = 4, 2, 2, c.lag
 		w.claims = []claim{{at: d.now, job: 1, slots: 1}, {at: d.now, job: 2, slots: 1}}
 		d.now += 10 * ms
-		r, _, fits := d.estimateRoom(&job{Job: Job{Slots: 1}}, w, free(c.shown))
+		r, _, fits := d.estimateRoom(&job{Job: Job{Slots: 1}}, w, freeSlots(c.shown))
 		if fits != c.fits || r.FreeSlots > c.shown {
 			t.Errorf("%s: fits %v with %.1f free", name, fits, r.FreeSlots)
 		}
@@ -611,7 +611,7 @@
 		"two slots taken, two more wait": {4, 0, 1, 2.1, 4.1, false},
 		"one slot taken by two, noise":   {4, 0, 1, 3, 1.6, true},
 	} {
-		d, _ := newNode(t, testSettings(), fleet(2)...)
+		d, _ := newDispatcher(t, testSettings(), fleet(2)...)
 		w := d.workers[1]
 		w.capacity, d.capacityByKind[w.Kind] = c.size, c.kind
 		load := Report{Has: HasFreeSlots | HasInFlight, FreeSlots: c.shown, InFlight: c.inFlight}
@@ -625,17 +625,17 @@
 // times what they do, and a job of 11 s of work pushed a cold one over. After a release most of a fleet is cold, and who
 // had just started never learnt what one bears: 36 new workers stood idle beside 24 full ones. And draws stay near, so
 // the mean over all zones gave a cold worker a fifth of its part where it is near.
-func TestWhatAColdWorkerBears(t *testing.T) {
+func TestColdWorkerAdmission(t *testing.T) {
 	s := testSettings()
 	s.Nodes, s.Zones = 80, 2
 	list := fleet(10)
 	for i := range list {
 		list[i].Zone = i % 2
 		if i < 8 {
-			list[i].StartedAt = start - s.ColdSpan/2 // 0.6 warm
+			list[i].StartedAt = startTime - s.ColdSpan/2 // 0.6 warm
 		}
 	}
-	d, _ := newNode(t, s, list...)
+	d, _ := newDispatcher(t, s, list...)
 	d.sentWork = [2]float64{34e4, 0} // to five near ones, of which one is warm: 3.4 of them in all
 	d.updateWarmRate(float64(second))
 	if got := d.warmRate; got[0] < 0.99e5 || got[0] > 1.01e5 || got[1] != 0 {
@@ -664,14 +664,14 @@
 
 // In a release half of the probes went to workers that drained or were gone, and were refused: the list told of it
 // seconds later, a refusal was held against nobody, and the share of suspects that may be ejected was used up.
-func TestARefusedProbeKeepsAway(t *testing.T) {
+func TestRefusedProbeKeepsAWorkerOutOfDraws(t *testing.T) {
 	for name, c := range map[string]struct {
 		status Status
 		echo   Time
 		out    bool
 	}{"it drains": {Error, ms, true}, "it is gone": {ConnectFailed, ms, true}, "it may be far": {ConnectFailed, 250 * ms, false},
 		"it answers": {Served, ms, false}, "the connection broke": {Reset, ms, false}} {
-		d, r := newNode(t, testSettings(), fleet(10)...)
+		d, r := newDispatcher(t, testSettings(), fleet(10)...)
 		j := &job{class: &d.settings.Classes[1], Job: Job{Class: 1}}
 		r.take("")
 		for range 2 {
@@ -683,7 +683,7 @@
 					t.Errorf("%s: held against it", name)
 				}
 			}
-			if c.out && count(r.take(""), "probe") > 0 {
+			if c.out && countKind(r.take(""), "probe") > 0 {
 				t.Errorf("%s: looked at again", name)
 			}
 			if d.now += 4 * second; c.out && d.ready[0].refusedProbes == 1 && !d.eligible(j, d.ready[0]) {
@@ -699,7 +699,7 @@
 
 // Where workers tell their queues and every job takes one slot, a slot once stood idle from a job's end until a draw met
 // a report that showed it, while two in five jobs were refused.
-func TestAShortQueueWhereItIsTold(t *testing.T) {
+func TestShortQueueWhereQueuesAreReported(t *testing.T) {
 	const told = HasFreeSlots | HasQueue
 	for name, c := range map[string]struct {
 		has         Fields
@@ -715,7 +715,7 @@
 		"not told, one of us left":        {HasFreeSlots, 1, 0, 0, 1, false},
 		"wide jobs":                       {told, 2, 0, 0, 1, false},
 	} {
-		d, _ := newNode(t, testSettings(), fleet(2)...)
+		d, _ := newDispatcher(t, testSettings(), fleet(2)...)
 		w := d.workers[1]
 		w.capacity, d.widestJob = 4, c.widest
 		if c.ends > 0 {
@@ -726,8 +726,8 @@
 			t.Errorf("%s: fits %v", name, fits)
 		}
 	}
-	d, r := newNode(t, testSettings(), fleet(2)...)
-	j := d.newJob(Job{ID: 1, GiveUpAt: start + 5*second})
+	d, r := newDispatcher(t, testSettings(), fleet(2)...)
+	j := d.newJob(Job{ID: 1, GiveUpAt: startTime + 5*second})
 	r.take("")
 	d.push(j, d.workers[1], 300*ms)
 	for _, a := range r.take("wake") {
@@ -740,8 +740,8 @@
 // Workers that failed four in five jobs within 30 ms were left for 20 s; a quarter of a fleet's slots stood idle beside
 // jobs that were refused, though a repeat of a keyed one costs next to nothing. What must not run twice keeps away
 // until several in a row were served: one that was served by luck once brought the next to a sick worker.
-func TestAFailingWorkerIsBetterThanNone(t *testing.T) {
-	d, _ := newNode(t, testSettings(), fleet(10)...)
+func TestFailingWorkerIsTheLastResort(t *testing.T) {
+	d, _ := newDispatcher(t, testSettings(), fleet(10)...)
 	w := d.workers[1]
 	end := func(s Status) {
 		j := d.newJob(Job{ID: uint32(d.now), Class: 0, GiveUpAt: d.now + second})
@@ -787,7 +787,7 @@
 // Where late answers earn something, and where clients come again late, a job that can't end in time any more once took
 // places in queues from those that could. And a job whose work nobody tells was expected to be of the mean: a short one
 // pushed at the last moment for such came late.
-func TestWhatMayQueue(t *testing.T) {
+func TestLateJobsDoNotQueue(t *testing.T) {
 	for name, c := range map[string]struct {
 		slow, queue float64 // of the worker; in it
 		hint, late  Time    // since the moment until which it might start
@@ -802,10 +802,10 @@
 		"too late on a slow one":           {2.5, 0, 100 * ms, -140 * ms, false},
 		"its work is told: it is no short": {1, 1, 200 * ms, -30 * ms, true},
 	} {
-		d, r := newNode(t, testSettings(), fleet(4)...)
+		d, r := newDispatcher(t, testSettings(), fleet(4)...)
 		w := d.workers[1]
 		w.capacity, d.meanRun, d.meanRunByClass[0], d.widestJob = 4, 100e3, 100e3, 1
-		j := d.newJob(Job{ID: 1, GiveUpAt: start + 5*second, Hint: c.hint, Slots: 1})
+		j := d.newJob(Job{ID: 1, GiveUpAt: startTime + 5*second, Hint: c.hint, Slots: 1})
 		d.estimate(j)
 		spare := Time(shortRunShare * float64(d.meanRunByClass[0]))
 		if c.hint > 0 {
@@ -820,7 +820,7 @@
 		j.reports[0] = Report{Has: HasFreeSlots | HasQueue, FreeSlots: 1 - c.queue}
 		r.take("")
 		d.resolveDraw(j)
-		if pushed := count(r.take(""), "push") == 1; pushed != c.pushed {
+		if pushed := countKind(r.take(""), "push") == 1; pushed != c.pushed {
 			t.Errorf("%s: pushed %v", name, pushed)
 		}
 	}
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -71,28 +71,28 @@
 	}
 }
 
-// world plays the caller of one dispatcher: it hands in events at random, all of them legal, and checks
+// simulation plays the caller of one dispatcher: it hands in events at random, all of them legal, and checks
 // the four rules on every action. It judges nothing else.
-type world struct {
-	t        *testing.T
-	rng      *rand.Rand
-	s        Settings
-	d        *Dispatcher
-	rec      recorder
-	now      Time
-	workers  []Worker
-	toldAt   map[WorkerID]Time // told that it drains or is gone
-	watching bool
-	pending  int // asks not answered
-	timers   []timer
-	probes   []sentProbe
-	jobs     map[uint32]*seen
-	order    []*seen
-	nextJob  uint32
-	pushes   int
-	fields   Fields  // the figures that reports carry
-	probesOK float64 // chance that a probe shows room
-	log      []string
+type simulation struct {
+	t            *testing.T
+	rng          *rand.Rand
+	s            Settings
+	d            *Dispatcher
+	rec          recorder
+	now          Time
+	workers      []Worker
+	drainSeenAt  map[WorkerID]Time // told that it drains or is gone
+	watching     bool
+	listRequests int // asks not answered
+	timers       []timer
+	probes       []sentProbe
+	jobs         map[uint32]*simulatedJob
+	openJobs     []*simulatedJob
+	nextJob      uint32
+	pushes       int
+	fields       Fields  // the figures that reports carry
+	roomChance   float64 // chance that a probe shows room
+	log          []string
 }
 
 type timer struct {
@@ -105,228 +105,228 @@
 	at Time
 }
 
-type seenAttempt struct {
-	w    Worker
-	at   Time
-	end  Time
-	out  bool
-	mayR bool
+type simulatedAttempt struct {
+	w          Worker
+	at         Time
+	end        Time
+	inFlight   bool
+	mayHaveRun bool
 }
 
-type seen struct {
+type simulatedJob struct {
 	Job
-	over     bool
+	closed   bool
 	answers  int
-	attempts []seenAttempt
+	attempts []simulatedAttempt
 }
 
-func newWorld(t *testing.T, s Settings, seed uint64, n int) *world {
-	w := &world{fields: 255, t: t, rng: rand.New(rand.NewPCG(seed, 1)), s: s, now: 1000 * second, probesOK: 0.7,
-		toldAt: map[WorkerID]Time{}, jobs: map[uint32]*seen{}}
-	d, err := New(s, seed, &w.rec)
+func newSimulation(t *testing.T, s Settings, seed uint64, n int) *simulation {
+	sim := &simulation{fields: 255, t: t, rng: rand.New(rand.NewPCG(seed, 1)), s: s, now: 1000 * second, roomChance: 0.7,
+		drainSeenAt: map[WorkerID]Time{}, jobs: map[uint32]*simulatedJob{}}
+	d, err := New(s, seed, &sim.rec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.d = d
+	sim.d = d
 	for i := range n {
 		e := Worker{ID: WorkerID(i + 1), Zone: i % s.Zones, Kind: i % 2, Cell: i / 3, State: Ready, Weight: 1}
-		if w.rng.IntN(4) == 0 {
-			e.StartedAt = w.now - w.rng.Int64N(20*second)
+		if sim.rng.IntN(4) == 0 {
+			e.StartedAt = sim.now - sim.rng.Int64N(20*second)
 		}
-		w.workers = append(w.workers, e)
+		sim.workers = append(sim.workers, e)
 	}
-	d.Announce(w.now, ListCached, w.workers)
-	w.drain()
-	return w
+	d.Announce(sim.now, ListCached, sim.workers)
+	sim.handleActions()
+	return sim
 }
 
-func (w *world) broken(format string, args ...any) {
-	w.t.Helper()
-	w.t.Fatalf("at %d: "+format, append([]any{w.now}, args...)...)
+func (sim *simulation) fatalf(format string, args ...any) {
+	sim.t.Helper()
+	sim.t.Fatalf("at %d: "+format, append([]any{sim.now}, args...)...)
 }
 
-func (w *world) worker(id WorkerID) *Worker {
-	for i := range w.workers {
-		if w.workers[i].ID == id {
-			return &w.workers[i]
+func (sim *simulation) worker(id WorkerID) *Worker {
+	for i := range sim.workers {
+		if sim.workers[i].ID == id {
+			return &sim.workers[i]
 		}
 	}
 	return nil
 }
 
-// drain carries out and checks what the dispatcher asked for.
-func (w *world) drain() {
-	for _, a := range w.rec.take("") {
-		w.log = append(w.log, fmt.Sprint(w.now, a))
+// handleActions carries out and checks what the dispatcher asked for.
+func (sim *simulation) handleActions() {
+	for _, a := range sim.rec.take("") {
+		sim.log = append(sim.log, fmt.Sprint(sim.now, a))
 		switch a.kind {
 		case "wake":
-			w.timers = append(w.timers, timer{w.now + max(1, a.span), a.token})
+			sim.timers = append(sim.timers, timer{sim.now + max(1, a.span), a.token})
 		case "probe":
-			if !w.s.CanProbe {
-				w.broken("probe where none is allowed")
+			if !sim.s.CanProbe {
+				sim.fatalf("probe where none is allowed")
 			}
-			w.probes = append(w.probes, sentProbe{a.worker, w.now})
+			sim.probes = append(sim.probes, sentProbe{a.worker, sim.now})
 		case "watch", "reload":
-			w.pending++
+			sim.listRequests++
 		case "tell":
-			if !w.s.CanMessagePeers {
-				w.broken("message where none is allowed")
+			if !sim.s.CanMessagePeers {
+				sim.fatalf("message where none is allowed")
 			}
 		case "push":
-			w.checkPush(a)
+			sim.checkPush(a)
 		case "cancel":
-			j := w.jobs[a.job]
-			if !w.s.CanCancel || j == nil || a.attempt < 0 || a.attempt >= len(j.attempts) {
-				w.broken("cancel of what was not sent or where it is not allowed: %+v", a)
+			j := sim.jobs[a.job]
+			if !sim.s.CanCancel || j == nil || a.attempt < 0 || a.attempt >= len(j.attempts) {
+				sim.fatalf("cancel of what was not sent or where it is not allowed: %+v", a)
 			}
-			if at := &j.attempts[a.attempt]; at.out {
-				at.end = w.now // comes back as cancelled
+			if at := &j.attempts[a.attempt]; at.inFlight {
+				at.end = sim.now // comes back as cancelled
 			}
 		case "refuse", "fail":
-			w.checkFinal(a)
+			sim.checkFinal(a)
 		}
 	}
 }
 
-func (w *world) checkFinal(a action) {
-	j := w.jobs[a.job]
-	if j == nil || j.over {
-		w.broken("rule 1: a final answer for a job that is over or unknown: %+v", a)
+func (sim *simulation) checkFinal(a action) {
+	j := sim.jobs[a.job]
+	if j == nil || j.closed {
+		sim.fatalf("rule 1: a final answer for a job that is over or unknown: %+v", a)
 	}
 	if a.kind == "refuse" {
-		c := w.s.Classes[j.Class]
+		c := sim.s.Classes[j.Class]
 		for _, at := range j.attempts {
-			if at.mayR && c.Effect != Safe && !(c.Effect == Keyed && c.Scope == ScopeAll) {
-				w.broken("rule 2: refused though it may have run: %+v", j)
+			if at.mayHaveRun && c.Effect != Safe && !(c.Effect == Keyed && c.Scope == ScopeAll) {
+				sim.fatalf("rule 2: refused though it may have run: %+v", j)
 			}
 		}
 	}
 	j.answers++
-	j.over = true
+	j.closed = true
 }
 
-func (w *world) checkPush(a action) {
-	j, e := w.jobs[a.job], w.worker(a.worker)
-	if j == nil || j.over {
-		w.broken("rule 1: push for a job that is over: %+v", a)
+func (sim *simulation) checkPush(a action) {
+	j, e := sim.jobs[a.job], sim.worker(a.worker)
+	if j == nil || j.closed {
+		sim.fatalf("rule 1: push for a job that is over: %+v", a)
 	}
 	if e == nil {
-		w.broken("push to a worker never listed")
+		sim.fatalf("push to a worker never listed")
 	}
-	if at, told := w.toldAt[a.worker]; told && w.now > at+w.s.DrainGrace {
-		w.broken("rule 3: push to worker %d, told at %d", a.worker, at)
+	if at, told := sim.drainSeenAt[a.worker]; told && sim.now > at+sim.s.DrainGrace {
+		sim.fatalf("rule 3: push to worker %d, told at %d", a.worker, at)
 	}
-	if len(j.attempts) >= w.s.MaxAttempts {
-		w.broken("attempt %d past the limit", len(j.attempts))
+	if len(j.attempts) >= sim.s.MaxAttempts {
+		sim.fatalf("attempt %d past the limit", len(j.attempts))
 	}
-	c := w.s.Classes[j.Class]
+	c := sim.s.Classes[j.Class]
 	if c.Kind >= 0 && c.Kind != e.Kind {
-		w.broken("push to a kind that can't run it")
+		sim.fatalf("push to a kind that can't run it")
 	}
 	for _, at := range j.attempts {
-		if at.out && !w.s.SecondCopies {
-			w.broken("rule 2: second copy where none is allowed")
+		if at.inFlight && !sim.s.SecondCopies {
+			sim.fatalf("rule 2: second copy where none is allowed")
 		}
-		if !at.mayR || c.Effect == Safe {
+		if !at.mayHaveRun || c.Effect == Safe {
 			continue
 		}
 		same := c.Effect == Keyed && (c.Scope == ScopeAll || c.Scope == ScopeZone && at.w.Zone == e.Zone ||
 			c.Scope == ScopeCell && at.w.Cell == e.Cell)
-		if !same || w.now-at.at > c.MemorySpan {
-			w.broken("rule 2: repeat outside its scope or span: %+v to %+v", j, e)
+		if !same || sim.now-at.at > c.MemorySpan {
+			sim.fatalf("rule 2: repeat outside its scope or span: %+v to %+v", j, e)
 		}
 	}
-	w.pushes++
-	end := w.now + a.span
-	if w.rng.IntN(3) > 0 {
-		end = w.now + w.rng.Int64N(second)
+	sim.pushes++
+	end := sim.now + a.span
+	if sim.rng.IntN(3) > 0 {
+		end = sim.now + sim.rng.Int64N(second)
 	}
-	j.attempts = append(j.attempts, seenAttempt{w: *e, at: w.now, end: min(end, w.now+a.span), out: true, mayR: true})
+	j.attempts = append(j.attempts, simulatedAttempt{w: *e, at: sim.now, end: min(end, sim.now+a.span), inFlight: true, mayHaveRun: true})
 }
 
-func (w *world) randomReport() Report {
-	r := Report{Has: 255, InFlight: float64(w.rng.IntN(9)), Queue: float64(w.rng.IntN(3)),
-		Errors: float64(w.rng.IntN(2)), Served: 5 * w.rng.Float64(), FreeMemory: 4 * w.rng.Float64(), Util: w.rng.Float64()}
-	if w.rng.Float64() < w.probesOK {
-		r.FreeSlots = 1 + 3*w.rng.Float64()
+func (sim *simulation) randomReport() Report {
+	r := Report{Has: 255, InFlight: float64(sim.rng.IntN(9)), Queue: float64(sim.rng.IntN(3)),
+		Errors: float64(sim.rng.IntN(2)), Served: 5 * sim.rng.Float64(), FreeMemory: 4 * sim.rng.Float64(), Util: sim.rng.Float64()}
+	if sim.rng.Float64() < sim.roomChance {
+		r.FreeSlots = 1 + 3*sim.rng.Float64()
 	}
-	r.Has &= w.fields
+	r.Has &= sim.fields
 	return r
 }
 
 // step moves on by a random span and hands in what is due then, and some of what may happen at any time.
-func (w *world) step() {
-	w.now += 1 + w.rng.Int64N(20*ms)
-	keep := w.timers[:0:0]
+func (sim *simulation) step() {
+	sim.now += 1 + sim.rng.Int64N(20*ms)
+	keep := sim.timers[:0:0]
 	due := []timer{}
-	for _, tm := range w.timers {
-		if tm.at <= w.now {
+	for _, tm := range sim.timers {
+		if tm.at <= sim.now {
 			due = append(due, tm)
 		} else {
 			keep = append(keep, tm)
 		}
 	}
-	w.timers = keep
+	sim.timers = keep
 	for _, tm := range due {
-		w.d.Wake(w.now, tm.token)
-		w.drain()
+		sim.d.Wake(sim.now, tm.token)
+		sim.handleActions()
 	}
-	w.endAttempts()
-	w.answerProbes()
-	for w.pending > 0 {
-		w.pending--
+	sim.endAttempts()
+	sim.answerProbes()
+	for sim.listRequests > 0 {
+		sim.listRequests--
 		kind := ListDelta
-		w.watching = w.rng.IntN(3) > 0
-		if !w.watching {
+		sim.watching = sim.rng.IntN(3) > 0
+		if !sim.watching {
 			kind = ListFailed
 		}
-		w.d.Announce(w.now, kind, nil)
-		w.drain()
+		sim.d.Announce(sim.now, kind, nil)
+		sim.handleActions()
 	}
-	if w.rng.IntN(40) == 0 {
-		w.changeFleet()
+	if sim.rng.IntN(40) == 0 {
+		sim.changeWorker()
 	}
-	if w.s.CanMessagePeers && w.rng.IntN(30) == 0 {
-		w.d.PeerMessage(w.now, w.rng.IntN(9), []byte{0, 0, 0, 0, 0, 0, 0, byte(w.rng.IntN(40))})
-		w.drain()
+	if sim.s.CanMessagePeers && sim.rng.IntN(30) == 0 {
+		sim.d.PeerMessage(sim.now, sim.rng.IntN(9), []byte{0, 0, 0, 0, 0, 0, 0, byte(sim.rng.IntN(40))})
+		sim.handleActions()
 	}
-	if w.rng.IntN(400) == 0 { // every worker restarts at once, or all drain, and the whole list comes
-		w.restartAll(State(1 + w.rng.IntN(2)))
+	if sim.rng.IntN(400) == 0 { // every worker restarts at once, or all drain, and the whole list comes
+		sim.replaceList(State(1 + sim.rng.IntN(2)))
 	}
-	if w.rng.IntN(200) == 0 {
-		w.pass()
+	if sim.rng.IntN(200) == 0 {
+		sim.handOver()
 	}
-	w.overdue()
+	sim.checkDeadlines()
 }
 
-// pass has another dispatcher go on with all that this one holds, as at an upgrade: the rules hold over both.
-func (w *world) pass() {
-	d, err := New(w.s, w.rng.Uint64(), &w.rec)
+// handOver has another dispatcher go on with all that this one holds, as at an upgrade: the rules hold over both.
+func (sim *simulation) handOver() {
+	d, err := New(sim.s, sim.rng.Uint64(), &sim.rec)
 	if err != nil {
-		w.t.Fatal(err)
-	}
-	w.timers, w.probes, w.pending = nil, nil, 0
-	d.Announce(w.now, ListCached, w.workers)
-	want := w.d.Learnt()
-	d.Learn(w.now, want)
-	if got := d.Learnt(); !sameLearnt(got, want) {
-		w.broken("learnt %+v, passed on %+v", got, want)
-	}
-	for _, j := range w.order {
-		in, tried, ok := w.d.OpenJob(j.ID)
-		if ok == j.over {
-			w.broken("job %d: held %v, over %v", j.ID, ok, j.over)
+		sim.t.Fatal(err)
+	}
+	sim.timers, sim.probes, sim.listRequests = nil, nil, 0
+	d.Announce(sim.now, ListCached, sim.workers)
+	want := sim.d.Learnt()
+	d.Learn(sim.now, want)
+	if got := d.Learnt(); !equalLearnt(got, want) {
+		sim.fatalf("learnt %+v, passed on %+v", got, want)
+	}
+	for _, j := range sim.openJobs {
+		in, tried, ok := sim.d.OpenJob(j.ID)
+		if ok == j.closed {
+			sim.fatalf("job %d: held %v, over %v", j.ID, ok, j.closed)
 		}
 		if ok {
-			d.Adopt(w.now, in, tried)
+			d.Adopt(sim.now, in, tried)
 		}
 	}
-	w.d = d
-	w.drain()
+	sim.d = d
+	sim.handleActions()
 }
 
-// sameLearnt compares all but the order of the workers, and those that only one of the two lists.
-func sameLearnt(a, b Learnt) bool {
+// equalLearnt compares all but the order of the workers, and those that only one of the two lists.
+func equalLearnt(a, b Learnt) bool {
 	known := map[WorkerID]LearntWorker{}
 	for _, w := range a.Workers {
 		known[w.ID] = w
@@ -340,120 +340,120 @@
 	return reflect.DeepEqual(a, b)
 }
 
-func (w *world) answerProbes() {
-	keep := w.probes[:0:0]
-	for _, p := range w.probes {
+func (sim *simulation) answerProbes() {
+	keep := sim.probes[:0:0]
+	for _, p := range sim.probes {
 		status := Served
-		switch w.rng.IntN(12) {
+		switch sim.rng.IntN(12) {
 		case 0:
 			status = Full
 		case 1, 2:
-			if w.now-p.at < 250*ms {
+			if sim.now-p.at < 250*ms {
 				keep = append(keep, p)
 				continue
 			}
 			status = TimedOut
 		}
-		w.d.ProbeResult(w.now, p.w, status, w.now-p.at, w.randomReport())
-		w.drain()
+		sim.d.ProbeResult(sim.now, p.w, status, sim.now-p.at, sim.randomReport())
+		sim.handleActions()
 	}
-	w.probes = append(keep, w.probes[len(w.probes):]...)
+	sim.probes = append(keep, sim.probes[len(sim.probes):]...)
 }
 
-func (w *world) endAttempts() {
-	for _, j := range w.order {
+func (sim *simulation) endAttempts() {
+	for _, j := range sim.openJobs {
 		for i := range j.attempts {
 			a := &j.attempts[i]
-			if !a.out {
+			if !a.inFlight {
 				continue
 			}
-			if a.end > w.now {
-				if w.rng.IntN(20) == 0 {
-					w.d.Note(w.now, j.ID, i, NoteStarted, 0)
-					w.drain()
+			if a.end > sim.now {
+				if sim.rng.IntN(20) == 0 {
+					sim.d.Note(sim.now, j.ID, i, NoteStarted, 0)
+					sim.handleActions()
 				}
 				continue
 			}
-			status := []Status{Served, Served, Served, Error, Full, Reset, ConnectFailed, TimedOut}[w.rng.IntN(8)]
-			if j.over {
+			status := []Status{Served, Served, Served, Error, Full, Reset, ConnectFailed, TimedOut}[sim.rng.IntN(8)]
+			if j.closed {
 				status = Cancelled
 			}
-			a.out, a.mayR = false, !status.NeverRan()
-			if status == Served && !j.over {
-				j.over = true
+			a.inFlight, a.mayHaveRun = false, !status.NeverRan()
+			if status == Served && !j.closed {
+				j.closed = true
 				j.answers++
 			}
-			w.d.Outcome(w.now, Outcome{Job: j.ID, Attempt: i, Worker: a.w.ID, Status: status, Closed: j.over})
-			w.drain()
+			sim.d.Outcome(sim.now, Outcome{Job: j.ID, Attempt: i, Worker: a.w.ID, Status: status, Closed: j.closed})
+			sim.handleActions()
 		}
 	}
 }
 
-func (w *world) changeFleet() {
-	e := &w.workers[w.rng.IntN(len(w.workers))]
-	switch w.rng.IntN(3) {
+func (sim *simulation) changeWorker() {
+	e := &sim.workers[sim.rng.IntN(len(sim.workers))]
+	switch sim.rng.IntN(3) {
 	case 0:
 		e.State = Draining
 	case 1:
 		e.State = Gone
 	case 2:
-		e.State, e.StartedAt = Ready, w.now-w.rng.Int64N(second)
-		delete(w.toldAt, e.ID)
+		e.State, e.StartedAt = Ready, sim.now-sim.rng.Int64N(second)
+		delete(sim.drainSeenAt, e.ID)
 	}
-	if _, told := w.toldAt[e.ID]; e.State != Ready && !told {
-		w.toldAt[e.ID] = w.now
+	if _, told := sim.drainSeenAt[e.ID]; e.State != Ready && !told {
+		sim.drainSeenAt[e.ID] = sim.now
 	}
-	if w.s.MustAsk && !w.watching {
-		delete(w.toldAt, e.ID) // it can't be told yet; the full list below tells
+	if sim.s.MustAsk && !sim.watching {
+		delete(sim.drainSeenAt, e.ID) // it can't be told yet; the full list below tells
 	}
-	w.d.Announce(w.now, ListDelta, []Worker{*e})
+	sim.d.Announce(sim.now, ListDelta, []Worker{*e})
 	if e.State != Ready {
-		w.toldAt[e.ID] = w.now
+		sim.drainSeenAt[e.ID] = sim.now
 	}
-	w.drain()
+	sim.handleActions()
 }
 
-func (w *world) restartAll(state State) {
-	for i := range w.workers {
-		e := &w.workers[i]
-		e.State, e.StartedAt = state, w.now-1
+func (sim *simulation) replaceList(state State) {
+	for i := range sim.workers {
+		e := &sim.workers[i]
+		e.State, e.StartedAt = state, sim.now-1
 		if state == Ready {
-			delete(w.toldAt, e.ID)
-		} else if _, told := w.toldAt[e.ID]; !told {
-			w.toldAt[e.ID] = w.now
+			delete(sim.drainSeenAt, e.ID)
+		} else if _, told := sim.drainSeenAt[e.ID]; !told {
+			sim.drainSeenAt[e.ID] = sim.now
 		}
 	}
-	w.d.Announce(w.now, ListFull, w.workers)
-	w.drain()
+	sim.d.Announce(sim.now, ListFull, sim.workers)
+	sim.handleActions()
 }
 
-func (w *world) overdue() {
-	keep := w.order[:0]
-	for _, j := range w.order {
-		if !j.over && w.now > j.GiveUpAt+w.s.AnswerSlack+25*ms { // a step of the world is up to 20 ms
-			w.broken("rule 1: no final answer by %d: %+v", j.GiveUpAt, j)
+func (sim *simulation) checkDeadlines() {
+	keep := sim.openJobs[:0]
+	for _, j := range sim.openJobs {
+		if !j.closed && sim.now > j.GiveUpAt+sim.s.AnswerSlack+25*ms { // a step of the world is up to 20 ms
+			sim.fatalf("rule 1: no final answer by %d: %+v", j.GiveUpAt, j)
 		}
 		out := false
 		for _, a := range j.attempts {
-			out = out || a.out
+			out = out || a.inFlight
 		}
-		if out || !j.over {
+		if out || !j.closed {
 			keep = append(keep, j)
 		}
 	}
-	w.order = keep
+	sim.openJobs = keep
 }
 
-func (w *world) arrive() {
-	w.nextJob++
-	class := w.rng.IntN(len(w.s.Classes))
-	j := &seen{Job: Job{ID: w.nextJob, Class: class, Slots: float64(int(1) << w.rng.IntN(4)), Hint: w.rng.Int64N(300 * ms), Memory: w.rng.Float64(),
-		GiveUpAt: w.now + 1 + w.rng.Int64N(w.s.Classes[class].Deadline)}}
-	if len(w.s.Tenants) > 0 {
-		j.Tenant = w.rng.IntN(len(w.s.Tenants))
-	}
-	w.jobs[j.ID] = j
-	w.order = append(w.order, j)
-	w.d.Arrive(w.now, j.Job)
-	w.drain()
+func (sim *simulation) arrive() {
+	sim.nextJob++
+	class := sim.rng.IntN(len(sim.s.Classes))
+	j := &simulatedJob{Job: Job{ID: sim.nextJob, Class: class, Slots: float64(int(1) << sim.rng.IntN(4)), Hint: sim.rng.Int64N(300 * ms), Memory: sim.rng.Float64(),
+		GiveUpAt: sim.now + 1 + sim.rng.Int64N(sim.s.Classes[class].Deadline)}}
+	if len(sim.s.Tenants) > 0 {
+		j.Tenant = sim.rng.IntN(len(sim.s.Tenants))
+	}
+	sim.jobs[j.ID] = j
+	sim.openJobs = append(sim.openJobs, j)
+	sim.d.Arrive(sim.now, j.Job)
+	sim.handleActions()
 }
--- a/decide/holder_test.go
+++ b/decide/holder_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// place lets a dispatcher with six equal workers place one job; each worker answers its probe by show. It returns the
+// placeJob lets a dispatcher with six equal workers placeJob one job; each worker answers its probe by show. It returns the
 // workers that were probed and the one that got the push.
-func place(t *testing.T, seed uint64, j Job, show func(WorkerID) Report) (probed []WorkerID, pushed WorkerID) {
+func placeJob(t *testing.T, seed uint64, j Job, show func(WorkerID) Report) (probed []WorkerID, pushed WorkerID) {
 	t.Helper()
 	var r recorder
 	s := testSettings()
@@ -34,10 +34,10 @@
 	return probed, pushed
 }
 
-func TestHolderJoinsTheDrawAndLosesToALighterWorker(t *testing.T) {
+func TestHolderJoinsTheDrawAndLosesToALessLoadedWorker(t *testing.T) {
 	job := Job{ID: 1, GiveUpAt: 5 * second, Holder: 5, SavedSlots: 4}
 	for seed := range uint64(50) {
-		probed, pushed := place(t, seed, job, func(id WorkerID) Report {
+		probed, pushed := placeJob(t, seed, job, func(id WorkerID) Report {
 			if id == 5 {
 				return Report{Has: HasFreeSlots, FreeSlots: 7}
 			}
@@ -49,7 +49,7 @@
 		if pushed != 5 {
 			t.Fatalf("seed %d: pushed to %d, though the holder saves more than it lacks", seed, pushed)
 		}
-		_, pushed = place(t, seed, job, func(id WorkerID) Report {
+		_, pushed = placeJob(t, seed, job, func(id WorkerID) Report {
 			if id == 5 {
 				return Report{Has: HasFreeSlots, FreeSlots: 5}
 			}
@@ -64,7 +64,7 @@
 func TestDrawsBeginInTheZoneOfTheJob(t *testing.T) {
 	for seed := range uint64(50) {
 		for zone := range 2 {
-			probed, _ := place(t, seed, Job{ID: 1, GiveUpAt: 5 * second, Zone: zone + 1}, func(WorkerID) Report {
+			probed, _ := placeJob(t, seed, Job{ID: 1, GiveUpAt: 5 * second, Zone: zone + 1}, func(WorkerID) Report {
 				return Report{Has: HasFreeSlots, FreeSlots: 10}
 			})
 			for _, id := range probed {
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestWithoutAPriceNoJobIsHeldBackForADearerOne(t *testing.T) {
+func TestUnpricedJobsAreNotThrottled(t *testing.T) {
 	for _, unpriced := range []bool{false, true} {
 		var r recorder
 		s := testSettings()
@@ -132,12 +132,12 @@
 	draw.Dispatcher = d
 	d.Announce(second, ListFull, []Worker{{ID: 1, State: Ready}, {ID: 2, State: Ready}})
 	d.Arrive(second, Job{ID: 1, GiveUpAt: 6 * second, Holder: 1, SavedSlots: 2, EnoughSlots: 10})
-	draw.timeout = draw.want(t, []WorkerID{1}, nil)
+	draw.timeout = draw.expect(t, []WorkerID{1}, nil)
 	return draw
 }
 
-// want compares the workers that were probed and pushed to since the last call, and returns the token of the last timer.
-func (draw *holderDraw) want(t *testing.T, probed, pushed []WorkerID) (token uint64) {
+// expect compares the workers that were probed and pushed to since the last call, and returns the token of the last timer.
+func (draw *holderDraw) expect(t *testing.T, probed, pushed []WorkerID) (token uint64) {
 	t.Helper()
 	var gotProbed, gotPushed []WorkerID
 	for _, a := range draw.acts.take("") {
@@ -156,44 +156,44 @@
 	return token
 }
 
-func (draw *holderDraw) answer(after Time, id WorkerID, free float64) {
+func (draw *holderDraw) answerProbe(after Time, id WorkerID, free float64) {
 	draw.ProbeResult(second+after, id, Served, ms, Report{Has: HasFreeSlots, FreeSlots: free})
 }
 
 // What the holder saves counts: eight free slots and two saved are the ten that are enough.
-func TestAHolderWithEnoughRoomGetsTheJobUnrivalled(t *testing.T) {
+func TestHolderWithEnoughSlotsGetsTheJobAlone(t *testing.T) {
 	draw := newHolderDraw(t)
-	draw.answer(ms, 1, 8)
-	draw.want(t, nil, []WorkerID{1})
+	draw.answerProbe(ms, 1, 8)
+	draw.expect(t, nil, []WorkerID{1})
 }
 
-func TestAHolderWithLessThanEnoughIsComparedWithAnother(t *testing.T) {
+func TestHolderWithTooFewSlotsIsComparedWithAnother(t *testing.T) {
 	draw := newHolderDraw(t)
-	draw.answer(ms, 1, 7)
-	draw.want(t, []WorkerID{2}, nil)
-	draw.answer(2*ms, 2, 10)
-	draw.want(t, nil, []WorkerID{2})
+	draw.answerProbe(ms, 1, 7)
+	draw.expect(t, []WorkerID{2}, nil)
+	draw.answerProbe(2*ms, 2, 10)
+	draw.expect(t, nil, []WorkerID{2})
 }
 
-func TestAnotherIsAskedWhereTheHolderRefusesItsProbe(t *testing.T) {
+func TestSecondWorkerIsProbedIfTheHolderRefusesItsProbe(t *testing.T) {
 	draw := newHolderDraw(t)
 	draw.ProbeResult(second+ms, 1, ConnectFailed, ms, Report{})
-	draw.want(t, []WorkerID{2}, nil)
-	draw.answer(2*ms, 2, 10)
-	draw.want(t, nil, []WorkerID{2})
+	draw.expect(t, []WorkerID{2}, nil)
+	draw.answerProbe(2*ms, 2, 10)
+	draw.expect(t, nil, []WorkerID{2})
 }
 
-func TestAnotherIsAskedWhereTheHolderIsSilent(t *testing.T) {
+func TestSecondWorkerIsProbedIfTheHolderDoesNotAnswer(t *testing.T) {
 	draw := newHolderDraw(t)
 	draw.Wake(second+holderTimeout, draw.timeout)
-	timeout := draw.want(t, []WorkerID{2}, nil)
-	draw.answer(holderTimeout+ms, 2, 10)
-	draw.want(t, nil, nil) // the holder may still answer
+	timeout := draw.expect(t, []WorkerID{2}, nil)
+	draw.answerProbe(holderTimeout+ms, 2, 10)
+	draw.expect(t, nil, nil) // the holder may still answer
 	draw.Wake(second+holderTimeout+probeTimeout, timeout)
-	draw.want(t, nil, []WorkerID{2})
+	draw.expect(t, nil, []WorkerID{2})
 }
 
-func TestAloneTheHolderIsNotWaitedForTwice(t *testing.T) {
+func TestSingleHolderGetsTheJobAfterItsAnswer(t *testing.T) {
 	var acts recorder
 	d, err := New(testSettings(), 1, &acts)
 	if err != nil {
--- a/decide/pass.go
+++ b/decide/pass.go
@@ -97,7 +97,8 @@
 // Learnt returns what the dispatcher has learned so far.
 func (d *Dispatcher) Learnt() Learnt {
 	learnt := Learnt{Runs: slices.Clone(d.meanRunByClass), Run: d.meanRun, Share: d.deadlineShare, Bear: d.warmRate,
-		Lag: d.refresh, Looked: d.observedSpan, Changed: d.reportChanges, Usual: slices.Clone(d.medianRTT), Sizes: maps.Clone(d.capacityByKind), Price: d.price, Busy: d.noRoomShare}
+		Lag: d.refresh, Looked: d.observedSpan, Changed: d.reportChanges, Usual: slices.Clone(d.medianRTT),
+		Sizes: maps.Clone(d.capacityByKind), Price: d.price, Busy: d.noRoomShare}
 	for _, w := range d.listed {
 		learnt.Workers = append(learnt.Workers, LearntWorker{w.ID, w.StartedAt, w.capacity, w.ejectedUntil, w.fullUntil,
 			w.ejectionLevel, w.resets, w.refusedProbes, w.lostProbes})
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -6,24 +6,24 @@
 )
 
 // randomSettings draws legal settings that have nothing to do with any one deployment.
-func randomSettings(w func(n int) int) (Settings, int) {
+func randomSettings(intN func(n int) int) (Settings, int) {
 	s := testSettings()
-	flip := func() bool { return w(2) == 0 }
-	s.Nodes, s.Zones = 1+w(300), 1+w(4)
-	s.Zone = w(s.Zones)
-	s.CanProbe, s.CanCancel, s.SecondCopies, s.TellsStart = w(5) > 0, flip(), flip(), flip()
-	s.MaxAttempts = 1 + w(5)
+	flip := func() bool { return intN(2) == 0 }
+	s.Nodes, s.Zones = 1+intN(300), 1+intN(4)
+	s.Zone = intN(s.Zones)
+	s.CanProbe, s.CanCancel, s.SecondCopies, s.TellsStart = intN(5) > 0, flip(), flip(), flip()
+	s.MaxAttempts = 1 + intN(5)
 	s.MustAsk, s.AskWithin = flip(), 8*second
 	s.WorthByWork, s.CanMessagePeers = flip(), flip()
 	for i := range s.Classes {
-		if w(3) == 0 {
-			s.Classes[i].Kind = w(2)
+		if intN(3) == 0 {
+			s.Classes[i].Kind = intN(2)
 		}
 	}
-	for range w(4) {
-		s.Tenants = append(s.Tenants, Tenant{Allowance: float64(1 + w(200))})
+	for range intN(4) {
+		s.Tenants = append(s.Tenants, Tenant{Allowance: float64(1 + intN(200))})
 	}
-	return s, 1 + w(30)
+	return s, 1 + intN(30)
 }
 
 // The four rules hold on random legal sequences of events, under random legal settings. With one guard taken
@@ -34,15 +34,15 @@
 	for seed := range uint64(150) {
 		rng := newTestRand(seed)
 		s, n := randomSettings(rng)
-		w := newWorld(t, s, seed, n)
-		w.fields = Fields(rng(256)) // any set of figures, none too
+		sim := newSimulation(t, s, seed, n)
+		sim.fields = Fields(rng(256)) // any set of figures, none too
 		for i := range 1200 {
 			if i < 1000 && rng(3) == 0 {
-				w.arrive()
+				sim.arrive()
 			}
-			w.step()
+			sim.step()
 		}
-		pushes += w.pushes
+		pushes += sim.pushes
 	}
 	if pushes < 4000 {
 		t.Errorf("only %d pushes: the test looks at too little", pushes)
@@ -50,16 +50,16 @@
 }
 
 // The same events and the same seed give the same actions.
-func TestSameEventsSameActions(t *testing.T) {
+func TestDispatcherIsDeterministic(t *testing.T) {
 	run := func() []string {
-		w := newWorld(t, testSettings(), 7, 12)
+		sim := newSimulation(t, testSettings(), 7, 12)
 		for range 800 {
-			if w.rng.IntN(2) == 0 {
-				w.arrive()
+			if sim.rng.IntN(2) == 0 {
+				sim.arrive()
 			}
-			w.step()
+			sim.step()
 		}
-		return w.log
+		return sim.log
 	}
 	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
 		t.Error("two runs on the same events differ")
@@ -68,43 +68,43 @@
 
 // State is dropped: after a long run with churn and a quiet end nothing is left of jobs, attempts, probes
 // and departed workers.
-func TestNothingLeaks(t *testing.T) {
+func TestStateIsReleased(t *testing.T) {
 	s := testSettings()
-	w := newWorld(t, s, 3, 20)
+	sim := newSimulation(t, s, 3, 20)
 	for i := range 20000 {
 		if i < 19000 && i%2 == 0 {
-			w.arrive()
+			sim.arrive()
 		}
-		w.step()
+		sim.step()
 	}
 	for range 1000 {
-		w.now += 50 * ms
-		w.step()
+		sim.now += 50 * ms
+		sim.step()
 	}
-	if len(w.d.jobs) != 0 {
-		t.Errorf("%d jobs left", len(w.d.jobs))
+	if len(sim.d.jobs) != 0 {
+		t.Errorf("%d jobs left", len(sim.d.jobs))
 	}
 	ready := 0
-	for _, e := range w.workers {
+	for _, e := range sim.workers {
 		if e.State != Gone {
 			ready++
 		}
 	}
-	if len(w.d.workers) != ready || len(w.d.listed) != ready {
-		t.Errorf("%d workers kept, %d listed, %d exist", len(w.d.workers), len(w.d.listed), ready)
+	if len(sim.d.workers) != ready || len(sim.d.listed) != ready {
+		t.Errorf("%d workers kept, %d listed, %d exist", len(sim.d.workers), len(sim.d.listed), ready)
 	}
-	for _, v := range w.d.listed {
+	for _, v := range sim.d.listed {
 		if v.inFlight != 0 || v.overdueStarts != 0 || len(v.probes) != 0 || len(v.claims) > 64 {
 			t.Errorf("worker %d: out %d, late %d, probes %d, claims %d", v.ID, v.inFlight, v.overdueStarts, len(v.probes), len(v.claims))
 		}
 	}
-	if n := len(w.d.freeJobs); n > 2000 {
+	if n := len(sim.d.freeJobs); n > 2000 {
 		t.Errorf("%d spare jobs kept", n)
 	}
 }
 
 // A cold worker that looks idle to every node gets, from all of them together, less than makes it fall.
-func TestColdWorkerIsNotPushedOver(t *testing.T) {
+func TestColdWorkerIsNotOverloaded(t *testing.T) {
 	for _, nodes := range []int{1, 40} {
 		s := testSettings()
 		s.Nodes = nodes
