--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -16,6 +16,7 @@
 
 const startTime = 1000 * second
 
+// newDispatcher returns a dispatcher with the given ready workers, and the recorder of its actions.
 func newDispatcher(t *testing.T, s Settings, workers ...Worker) (*Dispatcher, *recorder) {
 	t.Helper()
 	r := &recorder{}
@@ -37,14 +38,14 @@
 
 func freeSlots(n float64) Report { return Report{Has: HasFreeSlots, FreeSlots: n} }
 
-// arrive hands in job 1 of a class and returns the probes it led to.
+// arrive passes in job 1 of a class and returns the probes that followed.
 func arrive(d *Dispatcher, r *recorder, class int) []action {
 	r.take("")
 	d.Arrive(startTime, Job{ID: 1, Class: class, GiveUpAt: startTime + d.settings.Classes[class].Deadline})
 	return r.take("probe")
 }
 
-// pushJob brings job 1 onto a worker: both of the pair answer, the first with more room.
+// pushJob pushes job 1 to a worker: both workers of the pair answer, the first with more room.
 func pushJob(t *testing.T, d *Dispatcher, r *recorder, class int) WorkerID {
 	t.Helper()
 	probes := arrive(d, r, class)
@@ -58,9 +59,9 @@
 	return pushes[0].worker
 }
 
-func countKind(acts []action, kind string) int {
+func countKind(actions []action, kind string) int {
 	n := 0
-	for _, a := range acts {
+	for _, a := range actions {
 		if a.kind == kind {
 			n++
 		}
@@ -68,9 +69,9 @@
 	return n
 }
 
-// wakeAll fires the timers asked for, at the latest of their times.
-func fireTimers(d *Dispatcher, acts []action, purpose uint64, at Time) {
-	for _, a := range acts {
+// fireTimers fires the recorded timers of one purpose at the given time.
+func fireTimers(d *Dispatcher, actions []action, purpose uint64, at Time) {
+	for _, a := range actions {
 		if a.kind == "wake" && a.token>>56 == purpose>>56 {
 			d.Wake(at, a.token)
 		}
@@ -89,24 +90,24 @@
 	}
 	d.ProbeResult(startTime+2*ms, probes[1].worker, Served, 2*ms, freeSlots(2))
 	if got := r.take("push"); len(got) != 1 || got[0].worker != probes[1].worker {
-		t.Errorf("pushes %+v, wanted the one with more free slots", got)
+		t.Errorf("pushes %+v, want one to the worker with more free slots", got)
 	}
 }
 
 func TestWorkerWithoutProbeAnswerIsNotChosen(t *testing.T) {
 	d, r := newDispatcher(t, testSettings(), fleet(5)...)
 	d.Arrive(startTime, Job{ID: 1, GiveUpAt: startTime + 5*second})
-	acts := r.take("")
+	actions := r.take("")
 	var probed []WorkerID
-	for _, a := range acts {
+	for _, a := range actions {
 		if a.kind == "probe" {
 			probed = append(probed, a.worker)
 		}
 	}
 	d.ProbeResult(startTime+ms, probed[1], Served, ms, freeSlots(1))
-	fireTimers(d, acts, wakeProbes, startTime+probeTimeout)
+	fireTimers(d, actions, wakeProbes, startTime+probeTimeout)
 	if got := r.take("push"); len(got) != 1 || got[0].worker != probed[1] {
-		t.Errorf("pushes %+v", got)
+		t.Errorf("pushes %+v, want one to the worker that answered", got)
 	}
 }
 
@@ -115,11 +116,11 @@
 	for _, p := range arrive(d, r, 0) {
 		d.ProbeResult(startTime+ms, p.worker, Served, ms, freeSlots(0))
 	}
-	acts := r.take("")
-	if countKind(acts, "push")+countKind(acts, "refuse") != 0 {
-		t.Fatalf("acts %+v", acts)
+	actions := r.take("")
+	if countKind(actions, "push")+countKind(actions, "refuse") != 0 {
+		t.Fatalf("actions %+v", actions)
 	}
-	fireTimers(d, acts, wakeRedraw, startTime+20*ms)
+	fireTimers(d, actions, wakeRedraw, startTime+20*ms)
 	if n := countKind(r.take(""), "probe"); n != 2 {
 		t.Errorf("%d probes in the redraw", n)
 	}
@@ -133,7 +134,7 @@
 		d.ProbeResult(startTime+ms, p.worker, Served, ms, Report{Has: HasFreeSlots | HasFreeMemory, FreeSlots: 3, FreeMemory: 1})
 	}
 	if n := countKind(r.take(""), "push"); n != 0 {
-		t.Error("pushed where its memory does not fit")
+		t.Error("pushed to a worker without enough memory")
 	}
 }
 
@@ -144,20 +145,20 @@
 	}
 	d.ProbeResult(startTime+ms, 1, Served, ms, freeSlots(1))
 	if got := r.take("push"); len(got) != 1 {
-		t.Error("one worker with room: no push")
+		t.Error("no push to the only worker, which has room")
 	}
 	for name, ws := range map[string][]Worker{"none": nil, "all draining": {{State: Draining}, {State: Draining}}} {
 		d, r := newDispatcher(t, testSettings(), ws...)
 		d.Arrive(startTime, Job{ID: 1, Class: 1, GiveUpAt: startTime + 5*second})
 		for at := startTime; at < startTime+5*second; at += 50 * ms {
-			acts := r.take("")
-			if countKind(acts, "push")+countKind(acts, "probe") > 0 {
-				t.Fatalf("%s: acts %+v", name, acts)
+			actions := r.take("")
+			if countKind(actions, "push")+countKind(actions, "probe") > 0 {
+				t.Fatalf("%s: actions %+v", name, actions)
 			}
-			if countKind(acts, "refuse") == 1 {
+			if countKind(actions, "refuse") == 1 {
 				return
 			}
-			fireTimers(d, acts, wakeRedraw, at)
+			fireTimers(d, actions, wakeRedraw, at)
 		}
 		t.Errorf("%s: never answered", name)
 	}
@@ -169,8 +170,8 @@
 	d, r := newDispatcher(t, s, fleet(4)...)
 	r.take("")
 	d.Arrive(startTime, Job{ID: 1, GiveUpAt: startTime + 5*second})
-	if acts := r.take(""); countKind(acts, "push") != 1 || countKind(acts, "probe") != 0 {
-		t.Errorf("acts %+v", acts)
+	if actions := r.take(""); countKind(actions, "push") != 1 || countKind(actions, "probe") != 0 {
+		t.Errorf("actions %+v", actions)
 	}
 }
 
@@ -187,7 +188,7 @@
 		{"unsafe error", unsafe, Error, "fail"},
 		{"unsafe full never ran", unsafe, Full, "redraw"},
 		{"unsafe no connection never ran", unsafe, ConnectFailed, "redraw"},
-		{"unsafe moot never ran", unsafe, NotSent, "redraw"},
+		{"unsafe not sent never ran", unsafe, NotSent, "redraw"},
 		{"unsafe reset may have run", unsafe, Reset, "fail"},
 		{"unsafe cancelled may have run", unsafe, Cancelled, "fail"},
 		{"keyed reset", keyed, Reset, "redraw"},
@@ -199,27 +200,27 @@
 		d.Note(startTime+5*ms, 1, 0, NoteStarted, 0)
 		r.take("")
 		d.Outcome(startTime+50*ms, Outcome{Job: 1, Worker: w, Status: c.status, Closed: c.status == Served})
-		acts := r.take("")
-		finals := countKind(acts, "fail") + countKind(acts, "refuse")
+		actions := r.take("")
+		finals := countKind(actions, "fail") + countKind(actions, "refuse")
 		switch c.want {
 		case "redraw":
-			fireTimers(d, acts, wakeRedraw, startTime+100*ms)
+			fireTimers(d, actions, wakeRedraw, startTime+100*ms)
 			if finals != 0 || countKind(r.take(""), "probe") == 0 {
-				t.Errorf("%s: %+v, wanted another draw", c.name, acts)
+				t.Errorf("%s: %+v, want another draw", c.name, actions)
 			}
 		case "":
 			if finals != 0 {
-				t.Errorf("%s: %+v", c.name, acts)
+				t.Errorf("%s: %+v", c.name, actions)
 			}
 		default:
-			if finals != 1 || countKind(acts, c.want) != 1 {
-				t.Errorf("%s: %+v, wanted %s", c.name, acts, c.want)
+			if finals != 1 || countKind(actions, c.want) != 1 {
+				t.Errorf("%s: %+v, want %s", c.name, actions, c.want)
 			}
 		}
 	}
 }
 
-// A start overdue hedges what may be repeated and leaves alone what may not.
+// A job whose start is overdue is hedged if it may be repeated, and not otherwise.
 func TestOverdueStartHedgesRepeatableJobs(t *testing.T) {
 	for class, hedges := range map[int]bool{0: true, 1: false, 2: true} {
 		d, r := newDispatcher(t, testSettings(), fleet(6)...)
@@ -227,27 +228,27 @@
 		for _, p := range probes {
 			d.ProbeResult(startTime+ms, p.worker, Served, ms, freeSlots(2))
 		}
-		acts := r.take("")
-		fireTimers(d, acts, wakeStartDue, startTime+ms+startTimeout)
+		actions := r.take("")
+		fireTimers(d, actions, wakeStartDue, startTime+ms+startTimeout)
 		if got := countKind(r.take(""), "probe") > 0; got != hedges {
-			t.Errorf("class %d: hedged %v, wanted %v", class, got, hedges)
+			t.Errorf("class %d: hedged %v, want %v", class, got, hedges)
 		}
 		d.Note(startTime+150*ms, 1, 0, NoteStarted, 0)
 		for _, w := range d.ready {
 			if w.overdueStarts != 0 {
-				t.Errorf("class %d: worker %d still held late after its start", class, w.ID)
+				t.Errorf("class %d: worker %d still counts as overdue after the start", class, w.ID)
 			}
 		}
 	}
 }
 
-// Incident i6ae661: an ask that fell close behind another was dropped, nothing asked again, and the node
-// went deaf to drains.
+// Guards against incident i6ae661: a request for the watch that came shortly after another one was dropped, no further
+// request followed, and the dispatcher was never informed of drains again.
 func TestWatchIsRequestedUntilEstablished(t *testing.T) {
 	s := testSettings()
 	s.MustAsk, s.AskWithin = true, 10*second
 	d, r := newDispatcher(t, s, fleet(3)...)
-	now, lastAsk := startTime, startTime
+	now, lastRequest := startTime, startTime
 	var timers []timer
 	for now < startTime+200*second {
 		now += 10 * ms
@@ -256,29 +257,29 @@
 			case "wake":
 				timers = append(timers, timer{now + a.span, a.token})
 			case "watch":
-				lastAsk = now
+				lastRequest = now
 				d.Announce(now, ListFailed, nil)
 			}
 		}
-		keep := timers[:0:0]
+		kept := timers[:0:0]
 		for _, tm := range timers {
 			if tm.at <= now {
 				d.Wake(now, tm.token)
 			} else {
-				keep = append(keep, tm)
+				kept = append(kept, tm)
 			}
 		}
-		timers = keep
-		if now-lastAsk > s.AskWithin {
-			t.Fatalf("no ask for %d s", (now-lastAsk)/second)
+		timers = kept
+		if now-lastRequest > s.AskWithin {
+			t.Fatalf("no request of the watch for %d s", (now-lastRequest)/second)
 		}
 		if len(timers) > 50 {
-			t.Fatal("asks pile up")
+			t.Fatal("requests of the watch accumulate")
 		}
 	}
 }
 
-// The price of a slot once began at a huge figure when the first second held no job.
+// The price of a slot once started at a huge value if no job arrived in the first second.
 func TestIdleStartSetsNoPrice(t *testing.T) {
 	d, r := newDispatcher(t, testSettings(), fleet(4)...)
 	d.Wake(startTime+3*second, wakeWatch)
@@ -293,10 +294,11 @@
 	}
 }
 
-// A price from when jobs were short once kept out all that came after one that ran long: nobody drew, so nobody started and
-// showed that slots are to be had, and an idle fleet refused everything for most of a minute. Jobs that could pay it hold it.
+// A price that short jobs had set once kept out all longer jobs that came after them. Without draws no job started, and no
+// start lowered the price: an idle fleet refused everything for most of a minute. The price stays up only while an open job
+// can pay it.
 func TestPriceIsBoundedByOpenJobs(t *testing.T) {
-	for _, dear := range []bool{false, true} {
+	for _, canPay := range []bool{false, true} {
 		d, r := newDispatcher(t, testSettings(), fleet(4)...)
 		probe := func(now Time) (pushed int) {
 			for _, p := range r.take("probe") {
@@ -306,13 +308,13 @@
 		}
 		now, pushed := startTime, 0
 		d.Arrive(now, Job{ID: 1, GiveUpAt: now + 60*second})
-		if dear { // it is in hand all along
+		if canPay { // the job stays open throughout
 			j := d.jobs[1]
 			d.price = d.slotValue(j)
 		}
 		probe(now)
 		value := d.slotValue(d.jobs[1])
-		if !dear {
+		if !canPay {
 			d.Outcome(now, Outcome{Job: 1, Worker: 1, Status: Served})
 			d.Hangup(now, 1)
 			d.price = 300 * value
@@ -323,19 +325,20 @@
 			pushed += probe(now)
 		}
 		if pushed < 20 {
-			t.Errorf("dear %v: %d of 38 jobs pushed in 4 s though slots are free", dear, pushed)
+			t.Errorf("open job can pay %v: %d of 38 jobs pushed in 4 s though slots are free", canPay, pushed)
 		}
-		if dear && d.price < value/2 {
-			t.Errorf("a job that pays it is in hand, and the price fell from %v to %v", value, d.price)
+		if canPay && d.price < value/2 {
+			t.Errorf("an open job can pay the price, but it fell from %v to %v", value, d.price)
 		}
 	}
 }
 
-// Under scarcity the job worth less for its work yields: a draw without room raises the price as far as draws found
-// none lately, and only for a job that can pay it. Late starts once did, and found no scarcity where queues are short.
+// Under scarcity the job of less value for its work yields: a draw without room raises the price by the recent share of such
+// draws, and only for a job that can pay it. The price once rose with late starts instead, which found no scarcity where
+// queues are short.
 func TestPriceRisesOnlyUnderScarcity(t *testing.T) {
 	d, _ := newDispatcher(t, testSettings(), fleet(4)...)
-	full := func(class int) float64 {
+	drawWithoutRoom := func(class int) float64 {
 		j := d.newJob(Job{ID: uint32(len(d.jobs) + 1), Class: class, GiveUpAt: d.now + 5*second})
 		d.estimate(j)
 		j.pair[0], j.answered[0] = d.workers[1], true
@@ -344,32 +347,32 @@
 		d.resolveDraw(j)
 		return d.price / before
 	}
-	if up := full(2); up > 1.01 {
-		t.Errorf("the price rises %v times with slots free everywhere", up)
+	if factor := drawWithoutRoom(2); factor > 1.01 {
+		t.Errorf("the price rose %v times with free slots everywhere", factor)
 	}
 	d.noRoomShare = 1
-	if up := full(2); up < 1.1 {
-		t.Errorf("the price rises %v times though slots are contended", up)
+	if factor := drawWithoutRoom(2); factor < 1.1 {
+		t.Errorf("the price rose only %v times though slots are contended", factor)
 	}
 	silent := d.newJob(Job{ID: 80, Class: 2, GiveUpAt: d.now + 5*second})
 	d.estimate(silent)
 	silent.pair[0] = d.workers[1]
 	before := d.price
 	if d.resolveDraw(silent); d.price != before {
-		t.Error("silence says nothing of slots")
+		t.Error("the price changed after a lost probe")
 	}
 	d.price = 1e6
-	if up := full(2); up != 1 {
-		t.Errorf("the price rises %v times for a job that can't pay it", up)
+	if factor := drawWithoutRoom(2); factor != 1 {
+		t.Errorf("the price rose %v times for a job that can't pay it", factor)
 	}
 	j := d.newJob(Job{ID: 90, GiveUpAt: d.now + second})
 	d.push(j, d.workers[2], 0)
 	if d.Note(d.now, 90, 0, NoteStarted, 0); d.price >= 1e6 {
-		t.Error("a start in time lowers it")
+		t.Error("a start in time did not lower the price")
 	}
 }
 
-// A full list after a cached one once doubled every entry.
+// A full list after a cached one once duplicated every entry.
 func TestFullListDoesNotDuplicate(t *testing.T) {
 	d, _ := newDispatcher(t, testSettings(), Worker{ID: 1}, Worker{ID: 2}, Worker{ID: 3})
 	for range 3 {
@@ -384,20 +387,20 @@
 	}
 }
 
-// A shared cause makes the whole fleet look bad; ejecting it all would leave nothing to draw.
+// With a shared cause all workers look bad; ejecting all of them would leave none to draw.
 func TestEjectionIsLimitedOnASharedCause(t *testing.T) {
 	d, _ := newDispatcher(t, testSettings(), fleet(10)...)
 	for _, w := range d.ready {
 		d.eject(w)
 	}
-	bad := 0
+	ejected := 0
 	for _, w := range d.ready {
 		if w.ejectedUntil > d.now {
-			bad++
+			ejected++
 		}
 	}
-	if bad == 0 || bad > 4 {
-		t.Errorf("%d of 10 ejected", bad)
+	if ejected == 0 || ejected > 4 {
+		t.Errorf("%d of 10 ejected", ejected)
 	}
 }
 
@@ -419,20 +422,20 @@
 		d.Wake(startTime, purpose|77)
 	}
 	d.Wake(startTime, wakeRedraw|9<<32|1)
-	if acts := r.take(""); len(acts) != 0 {
-		t.Errorf("acts %+v", acts)
+	if actions := r.take(""); len(actions) != 0 {
+		t.Errorf("actions %+v", actions)
 	}
 	d.Outcome(startTime+ms, Outcome{Job: 1, Worker: w, Status: Served, Closed: true})
 	d.Outcome(startTime+ms, Outcome{Job: 1, Worker: w, Status: Error})
 	d.Arrive(startTime+ms, Job{ID: 2, Class: 50, GiveUpAt: startTime + second})
 	d.Arrive(startTime+ms, Job{ID: 3, Slots: math.NaN(), Memory: math.Inf(1), GiveUpAt: startTime + second})
-	if acts := r.take(""); countKind(acts, "refuse") != 1 {
-		t.Errorf("acts %+v", acts)
+	if actions := r.take(""); countKind(actions, "refuse") != 1 {
+		t.Errorf("actions %+v", actions)
 	}
 }
 
 func TestNewNamesTheBadSetting(t *testing.T) {
-	for key, spoil := range map[string]func(*Settings){
+	for key, corrupt := range map[string]func(*Settings){
 		"balancers":    func(s *Settings) { s.Nodes = 0 },
 		"zone":         func(s *Settings) { s.Zone = 9 },
 		"classes":      func(s *Settings) { s.Classes = nil },
@@ -442,27 +445,27 @@
 		"classes.2":    func(s *Settings) { s.Classes[2].MemorySpan = 0 },
 	} {
 		s := testSettings()
-		spoil(&s)
+		corrupt(&s)
 		if _, err := New(s, 1, &recorder{}); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: error %v", key, err)
 		}
 	}
 }
 
-// The policy file is read aloud after outages: at most 630 lines that are not blank, of at most 110 characters.
+// The decision file is read in full after outages, so it has at most 630 non-blank lines of at most 110 characters.
 func TestDecisionFileStaysShort(t *testing.T) {
-	f, err := os.Open("decide.go")
+	file, err := os.Open("decide.go")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer file.Close()
 	lines, n := 0, 0
-	for sc := bufio.NewScanner(f); sc.Scan(); {
+	for scanner := bufio.NewScanner(file); scanner.Scan(); {
 		n++
-		if strings.TrimSpace(sc.Text()) != "" {
+		if strings.TrimSpace(scanner.Text()) != "" {
 			lines++
 		}
-		if len([]rune(sc.Text())) > 110 {
+		if len([]rune(scanner.Text())) > 110 {
 			t.Errorf("line %d is longer than 110 characters", n)
 		}
 	}
@@ -471,18 +474,18 @@
 	}
 }
 
-// A refused client is told when to come back, within what the site's clients respect, and nothing where they
-// respect nothing: without it the answer, given at once, brings the client straight back to a full fleet.
+// A refusal carries a Retry-After up to the maximum that the clients respect, and none if they respect none. Without it a
+// client that is refused at once would retry at once against a full fleet.
 func TestRefusalCarriesRetryAfter(t *testing.T) {
 	for _, respected := range []Time{0, 300 * ms, 60 * second} {
 		s := testSettings()
 		s.MaxRetryAfter = respected
-		d, r := newDispatcher(t, s) // no worker: nothing can be done
+		d, r := newDispatcher(t, s) // without workers the job is refused
 		arrive(d, r, 0)
 		d.Wake(startTime+second, wakeGiveUp|1)
-		acts := r.take("refuse")
-		if want := min(retryAfter, respected); len(acts) != 1 || acts[0].span != want {
-			t.Errorf("clients respect %d: %+v, want a wait of %d", respected, acts, want)
+		actions := r.take("refuse")
+		if want := min(retryAfter, respected); len(actions) != 1 || actions[0].span != want {
+			t.Errorf("clients respect %d: %+v, want a Retry-After of %d", respected, actions, want)
 		}
 	}
 }
--- a/decide/failures_test.go
+++ b/decide/failures_test.go
@@ -238,11 +238,11 @@
 	now := startTime
 	for i := 0; b.Loop(); i++ {
 		now += 10 * ms
-		r.acts = r.acts[:0]
+		r.actions = r.actions[:0]
 		id := uint32(i + 1)
 		d.Arrive(now, Job{ID: id, GiveUpAt: now + 5*second})
-		for k := 0; k < len(r.acts); k++ {
-			switch a := r.acts[k]; a.kind {
+		for k := 0; k < len(r.actions); k++ {
+			switch a := r.actions[k]; a.kind {
 			case "probe":
 				d.ProbeResult(now, a.worker, Served, 0, freeSlots(2))
 			case "push":
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -18,9 +18,9 @@
 }
 
 // recorder keeps the actions asked for.
-type recorder struct{ acts []action }
+type recorder struct{ actions []action }
 
-func (r *recorder) add(a action) { r.acts = append(r.acts, a) }
+func (r *recorder) add(a action) { r.actions = append(r.actions, a) }
 func (r *recorder) Push(job uint32, w WorkerID, timeout Time) {
 	r.add(action{kind: "push", job: job, worker: w, span: timeout})
 }
@@ -42,12 +42,12 @@
 // take returns the actions since the last take, of one kind or all.
 func (r *recorder) take(kind string) []action {
 	var out []action
-	for _, a := range r.acts {
+	for _, a := range r.actions {
 		if kind == "" || a.kind == kind {
 			out = append(out, a)
 		}
 	}
-	r.acts = r.acts[:0]
+	r.actions = r.actions[:0]
 	return out
 }
 
--- a/decide/holder_test.go
+++ b/decide/holder_test.go
@@ -118,14 +118,14 @@
 // holderDraw is a dispatcher that draws for a job whose holder, worker 1, is asked first.
 type holderDraw struct {
 	*Dispatcher
-	acts    recorder
+	actions recorder
 	timeout uint64 // of the first probe
 }
 
 func newHolderDraw(t *testing.T) *holderDraw {
 	t.Helper()
 	draw := &holderDraw{}
-	d, err := New(testSettings(), 1, &draw.acts)
+	d, err := New(testSettings(), 1, &draw.actions)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -140,7 +140,7 @@
 func (draw *holderDraw) expect(t *testing.T, probed, pushed []WorkerID) (token uint64) {
 	t.Helper()
 	var gotProbed, gotPushed []WorkerID
-	for _, a := range draw.acts.take("") {
+	for _, a := range draw.actions.take("") {
 		switch a.kind {
 		case "probe":
 			gotProbed = append(gotProbed, a.worker)
@@ -194,16 +194,16 @@
 }
 
 func TestSingleHolderGetsTheJobAfterItsAnswer(t *testing.T) {
-	var acts recorder
-	d, err := New(testSettings(), 1, &acts)
+	var actions recorder
+	d, err := New(testSettings(), 1, &actions)
 	if err != nil {
 		t.Fatal(err)
 	}
 	d.Announce(second, ListFull, []Worker{{ID: 1, State: Ready}})
 	d.Arrive(second, Job{ID: 1, GiveUpAt: 6 * second, Holder: 1, EnoughSlots: 10})
-	acts.take("")
+	actions.take("")
 	d.ProbeResult(second+ms, 1, Served, ms, Report{Has: HasFreeSlots, FreeSlots: 2})
-	if pushes := acts.take("push"); len(pushes) != 1 {
+	if pushes := actions.take("push"); len(pushes) != 1 {
 		t.Fatalf("%d pushes, want one: there is no other worker", len(pushes))
 	}
 }
