--- a/decide/failures_test.go
+++ b/decide/failures_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Incident i784a17: in a large fleet every node had to meet each fast-failing worker itself.
+// Guards against incident i784a17: in a large fleet each dispatcher had to find each fast-failing worker by itself.
 func TestTwoComplaintsEjectAWorker(t *testing.T) {
 	s := testSettings()
 	s.CanMessagePeers = true
@@ -10,11 +10,11 @@
 	msg := []byte{0, 0, 0, 0, 0, 0, 0, 3}
 	d.PeerMessage(startTime, 1, msg)
 	if d.workers[3].ejectedUntil > startTime {
-		t.Error("one complaint was believed")
+		t.Error("a single complaint ejected the worker")
 	}
 	d.PeerMessage(startTime+second, 2, msg)
 	if d.workers[3].ejectedUntil <= startTime {
-		t.Error("two complaints were not believed")
+		t.Error("two complaints did not eject the worker")
 	}
 	d.PeerMessage(startTime, 2, []byte("garbage"))
 	d.PeerMessage(startTime, 2, []byte{9, 9, 9, 9, 9, 9, 9, 9})
@@ -27,11 +27,11 @@
 	d, r = newDispatcher(t, s, fleet(10)...)
 	d.eject(d.workers[5])
 	if n := countKind(r.take(""), "tell"); n != 0 {
-		t.Error("told peers where that is not allowed")
+		t.Error("sent a message to peers where that is not allowed")
 	}
 }
 
-// A worker that failed is tried with what may be repeated before an unsafe job is risked on it.
+// After an ejection a worker is tried with repeatable jobs before an unsafe job is risked on it.
 func TestEjectedWorkerIsTriedWithRepeatableJobs(t *testing.T) {
 	d, r := newDispatcher(t, testSettings(), fleet(10)...)
 	w := d.workers[1]
@@ -39,11 +39,11 @@
 	d.now = w.ejectedUntil + 1
 	unsafe, safe := &job{class: &d.settings.Classes[1]}, &job{class: &d.settings.Classes[0]}
 	if d.eligible(unsafe, w) || !d.eligible(safe, w) {
-		t.Error("the trial goes to the wrong kind of job")
+		t.Error("a worker back from ejection is tried with the wrong kind of job")
 	}
 	w.ejectionLevel = 0
 	if !d.eligible(unsafe, w) {
-		t.Error("a worker that served stays shut")
+		t.Error("a worker that served is still not eligible")
 	}
 	s := testSettings()
 	s.Classes = s.Classes[1:2]
@@ -51,19 +51,19 @@
 	d.eject(d.workers[1])
 	d.now = d.workers[1].ejectedUntil + 1
 	if !d.eligible(&job{class: &d.settings.Classes[0]}, d.workers[1]) {
-		t.Error("with unsafe classes alone an ejected worker never returns")
+		t.Error("with unsafe classes alone an ejected worker is never eligible again")
 	}
 	_ = r
 }
 
-// Where a report stands for a second, a second copy is aimed no better than the first.
+// Where reports are a second old, a second copy is placed no better than the first.
 func TestNoHedgingWithOldReports(t *testing.T) {
 	for every, want := range map[Time]bool{100 * ms: true, 1000 * ms: false} {
 		d, _ := newDispatcher(t, testSettings(), fleet(3)...)
 		w := d.workers[1]
 		for i := range Time(300) {
 			d.now += 50 * ms
-			w.inFlight++ // something of ours is new there
+			w.inFlight++ // our own jobs there have changed
 			d.learnRefresh(w, freeSlots(1+float64(i*50*ms/every%7)/10))
 		}
 		j := &job{class: &d.settings.Classes[0], attempts: []attempt{{w: w, inFlight: true}}}
@@ -73,7 +73,7 @@
 	}
 }
 
-// A machine that lost its cores to another program shows free slots, and is slow to answer a probe.
+// A machine whose cores are taken by another program reports free slots, but answers probes slowly.
 func TestSlowWorkerIsAvoided(t *testing.T) {
 	d, r := newDispatcher(t, testSettings(), fleet(2)...)
 	for range 50 {
@@ -84,27 +84,27 @@
 	d.ProbeResult(startTime+ms, probes[0].worker, Served, ms, freeSlots(1))
 	d.ProbeResult(startTime+8*ms, probes[1].worker, Served, 8*ms, freeSlots(3))
 	if got := r.take("push"); len(got) != 1 || got[0].worker != probes[0].worker {
-		t.Errorf("pushes %+v, wanted the quick worker", got)
+		t.Errorf("pushes %+v, want one to the fast worker", got)
 	}
 }
 
-// Incident i59d148: a wide job that does not fit waits at the head of the queue and blocks its worker.
+// Guards against incident i59d148: a wide job that does not fit waits at the head of the worker's queue and blocks it.
 func TestWideJobNeedsAllItsSlots(t *testing.T) {
 	d, _ := newDispatcher(t, testSettings(), fleet(2)...)
 	j := &job{Job: Job{Slots: 4}, class: &d.settings.Classes[0]}
 	if _, _, fits := d.estimateRoom(j, d.workers[1], freeSlots(3.4)); fits {
-		t.Error("four slots in 3.4")
+		t.Error("a job of four slots fits in 3.4 free slots")
 	}
 	if _, _, fits := d.estimateRoom(j, d.workers[1], freeSlots(3.6)); !fits {
-		t.Error("reports are noisy: every other idle worker of four slots shows 3.9 or less")
+		t.Error("a job of four slots does not fit in 3.6 free slots, which a noisy report of an idle worker may show")
 	}
 	j.Slots = 1
 	if _, _, fits := d.estimateRoom(j, d.workers[1], freeSlots(0.7)); !fits {
-		t.Error("reports are noisy: 0.7 free slots are one")
+		t.Error("a job of one slot does not fit in 0.7 free slots, which a noisy report of one free slot may show")
 	}
 }
 
-// An idle worker once looked too small for a wide job by the noise of its report.
+// An idle worker once looked too small for a wide job because its report was noisy.
 func TestIdleWorkerHasAllItsSlots(t *testing.T) {
 	d, _ := newDispatcher(t, testSettings(), fleet(1)...)
 	w, j := d.workers[1], &job{Job: Job{Slots: 4}, class: &d.settings.Classes[0]}
@@ -115,16 +115,16 @@
 	}
 	idle.FreeSlots = 3.1
 	if _, _, fits := d.estimateRoom(j, w, idle); !fits {
-		t.Errorf("nothing runs there, and it has %.1f slots", w.capacity)
+		t.Errorf("no room on an idle worker with %.1f slots", w.capacity)
 	}
 	idle.InFlight = 1
 	if _, _, fits := d.estimateRoom(j, w, idle); fits {
-		t.Error("something runs there")
+		t.Error("room for four slots beside a job in flight")
 	}
 }
 
-// Redraws once asked workers again that a probe had just shown full, at the price of a probe and of their work,
-// and workers whose slots our own jobs take up: half of all probes were made for wide jobs that had no chance.
+// Redraws once probed workers that a probe had just shown full, and workers filled by our own jobs, at the cost of a probe and
+// of work for the worker: half of all probes were for wide jobs that had no chance.
 func TestNoProbeOfWorkersWithoutRoom(t *testing.T) {
 	d, r := newDispatcher(t, testSettings(), fleet(2)...)
 	for _, p := range arrive(d, r, 0) {
@@ -133,11 +133,11 @@
 	timers := r.take("wake")
 	fireTimers(d, timers, wakeRedraw, startTime+50*ms)
 	if probes := r.take("probe"); len(probes) != 0 {
-		t.Errorf("probes %+v of workers just seen full", probes)
+		t.Errorf("probes %+v of workers that were just seen full", probes)
 	}
 	d.Arrive(startTime+2*noRoomSpan, Job{ID: 2, GiveUpAt: startTime + 5*second})
 	if probes := r.take("probe"); len(probes) != 2 {
-		t.Errorf("probes %+v when that is long ago", probes)
+		t.Errorf("probes %+v long after the workers were seen full", probes)
 	}
 	for _, w := range d.ready {
 		w.noRoomUntil, w.capacity, w.heldSlots = 0, 4, 3
@@ -145,12 +145,12 @@
 	for slots, want := range map[float64]int{1: 2, 2: 0} {
 		d.Arrive(startTime+2*noRoomSpan, Job{ID: 10 + uint32(slots), Slots: slots, GiveUpAt: startTime + 5*second})
 		if probes := r.take("probe"); len(probes) != want {
-			t.Errorf("%g slots where ours hold 3 of 4: probes %+v", slots, probes)
+			t.Errorf("%g slots where our jobs hold 3 of 4: probes %+v", slots, probes)
 		}
 	}
 }
 
-// A tight price keeps probes off workers too, and lets a job of high worth through.
+// A high price also saves probes, and admits a job of high worth.
 func TestPriceLimitsProbes(t *testing.T) {
 	d, r := newDispatcher(t, testSettings(), fleet(4)...)
 	d.price = 1e6
@@ -164,12 +164,12 @@
 	}
 }
 
-// Late reports and fast failures at once, a cut zone, and most workers silent: the job still ends in time and
-// recovery needs nobody.
+// After a long time without answers to probes most workers stay in draws, and the dispatcher recovers without intervention
+// once they answer.
 func TestRecoveryAfterLostProbes(t *testing.T) {
 	d, r := newDispatcher(t, testSettings(), fleet(10)...)
 	now := startTime
-	for id := uint32(1); id <= 40; id++ { // nothing answers
+	for id := uint32(1); id <= 40; id++ { // no worker answers
 		d.Arrive(now, Job{ID: id, Class: 1, GiveUpAt: now + 5*second})
 		for _, a := range r.take("probe") {
 			d.ProbeResult(now+250*ms, a.worker, TimedOut, 250*ms, Report{})
@@ -183,7 +183,7 @@
 		}
 	}
 	if open < 6 {
-		t.Errorf("only %d of 10 workers left in draws", open)
+		t.Errorf("only %d of 10 workers are left in draws", open)
 	}
 	now = d.now + 30*second
 	pushed := 0
@@ -201,14 +201,14 @@
 	}
 }
 
-// A near pair is drawn first; far workers come in when near shows no room.
+// The first pair is drawn from the zone of the dispatcher; other zones are included once it shows no room.
 func TestFirstDrawStaysInTheZone(t *testing.T) {
 	s := testSettings()
 	s.Zones = 2
 	d, r := newDispatcher(t, s, Worker{}, Worker{}, Worker{}, Worker{Zone: 1}, Worker{Zone: 1}, Worker{Zone: 1})
 	for _, p := range arrive(d, r, 0) {
 		if p.worker > 3 {
-			t.Errorf("first draw took far worker %d", p.worker)
+			t.Errorf("the first draw took worker %d of another zone", p.worker)
 		}
 	}
 	j := d.jobs[1]
@@ -218,11 +218,11 @@
 		far = far || d.pickWorker(j, nil).Zone == 1
 	}
 	if !far {
-		t.Error("no far worker in 40 draws")
+		t.Error("no worker of another zone in 40 draws")
 	}
 }
 
-// BenchmarkJob takes a job from arrival to its answer.
+// BenchmarkJob measures one job from arrival to answer.
 func BenchmarkJob(b *testing.B) {
 	r := &recorder{}
 	d, err := New(testSettings(), 1, r)
@@ -253,7 +253,7 @@
 	}
 }
 
-// In overload a held job asks less and less often, and ends before its time: retries do not pile up.
+// In overload a job backs off longer after each draw and is shed before its deadline, so retries do not accumulate.
 func TestRetriesBackOffInOverload(t *testing.T) {
 	d, r := newDispatcher(t, testSettings(), fleet(20)...)
 	d.meanRunByClass[0] = float64(500 * ms)
@@ -288,25 +288,25 @@
 	}
 }
 
-// When the whole fleet slows at once nobody is slow beside the others, and work goes on.
+// When the whole fleet slows down at once no worker is slow compared to the others, and jobs are still pushed.
 func TestNoWorkerIsSlowWhenAllAre(t *testing.T) {
 	d, _ := newDispatcher(t, testSettings(), fleet(5)...)
 	for range 100 {
 		d.learnRTT(d.workers[1], ms)
 	}
 	if d.slowness(d.workers[2], 6*ms) < 5 {
-		t.Error("one slow worker is not seen")
+		t.Error("a single slow worker is not detected")
 	}
 	for range 100 {
 		d.learnRTT(d.workers[1], 6*ms)
 	}
 	if got := d.slowness(d.workers[2], 6*ms); got > 1 {
-		t.Errorf("slowness %v though all are alike", got)
+		t.Errorf("slowness %v though all workers are equally slow", got)
 	}
 }
 
-// A zone is cut off while the list must be asked for and the asks fail: near workers still serve, and nothing
-// goes to a worker once its drain is told.
+// A zone is partitioned while the requests of the worker list fail: workers of our own zone still serve, and a worker
+// receives no push after it was announced as draining.
 func TestPartitionedZoneWhileListRequestsFail(t *testing.T) {
 	s := testSettings()
 	s.Zones, s.MustAsk, s.AskWithin = 2, true, 10*second
@@ -335,11 +335,11 @@
 		}
 	}
 	if served < 45 {
-		t.Errorf("%d of 50 jobs served near by", served)
+		t.Errorf("%d of 50 jobs served in the zone", served)
 	}
 }
 
-// A fleet that shrinks and grows several-fold keeps every worker in draws that is listed, and no other.
+// When the fleet shrinks and grows several-fold, all listed workers stay in draws, and no others.
 func TestFleetShrinksAndGrows(t *testing.T) {
 	d, r := newDispatcher(t, testSettings(), fleet(40)...)
 	for _, n := range []int{10, 80, 5, 60} {
@@ -357,20 +357,20 @@
 	}
 }
 
-// Connections that break now and then once put a third of a sound fleet out of the draws.
+// Occasional resets once ejected a third of a healthy fleet.
 func TestSingleResetsDoNotEject(t *testing.T) {
 	d, r := newDispatcher(t, testSettings(), fleet(6)...)
 	w := d.workers[pushJob(t, d, r, 0)]
 	for i := range resetsToEject {
 		if w.ejectedUntil > d.now {
-			t.Errorf("ejected after %d broken attempts", i)
+			t.Errorf("ejected after %d resets", i)
 		}
 		j := d.newJob(Job{ID: 10 + uint32(i), Class: 0, GiveUpAt: startTime + 5*second})
 		d.push(j, w, 0)
 		d.Outcome(startTime+2*ms, Outcome{Job: j.ID, Worker: w.ID, Status: Reset})
 	}
 	if w.ejectedUntil <= d.now {
-		t.Error("that many in a row are no chance")
+		t.Error("not ejected after so many resets in a row")
 	}
 	v := d.ready[0]
 	if v == w {
@@ -384,24 +384,24 @@
 		d.ProbeResult(startTime+(i+3)*ms, v.ID, Reset, ms, Report{})
 	}
 	if v.ejectedUntil <= d.now {
-		t.Error("lost again when looked after at once")
+		t.Error("not ejected after the second lost probe in a row")
 	}
 }
 
-// A connection that fell silent once kept its job until the client left, and its worker out of the draws as long,
-// for a start that did not come. A look tells that nothing waits there.
+// A dead connection once kept its job until the client left, and its worker out of the draws for as long, because the start
+// was never reported. A check shows that no job waits there.
 func TestLostAttemptIsCancelled(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		class int
 		shown Report
 		want  int // cancels
-		late  int // what is still held against the worker
+		late  int // overdue starts that remain
 	}{
-		{"room and next to nothing held", 0, Report{Has: HasFreeSlots | HasInFlight, FreeSlots: 3, InFlight: 1}, 1, 0},
+		{"room and next to nothing in flight", 0, Report{Has: HasFreeSlots | HasInFlight, FreeSlots: 3, InFlight: 1}, 1, 0},
 		{"it must not run twice", 1, Report{Has: HasFreeSlots | HasInFlight, FreeSlots: 3, InFlight: 1}, 0, 0},
 		{"no room", 0, Report{Has: HasFreeSlots | HasInFlight, InFlight: 1}, 0, 1},
-		{"behind a wide one", 0, Report{Has: HasFreeSlots | HasInFlight, FreeSlots: 3, InFlight: 3}, 0, 1},
+		{"behind a wide job", 0, Report{Has: HasFreeSlots | HasInFlight, FreeSlots: 3, InFlight: 3}, 0, 1},
 	} {
 		s := testSettings()
 		s.SecondCopies = false
@@ -414,7 +414,7 @@
 			now := startTime + startTimeout + (i+1)*checkInterval
 			d.Wake(now, wakeCheck|1)
 			if probes := r.take("probe"); len(probes) != 1 || probes[0].worker != w.ID {
-				t.Fatalf("%s: looks %+v after %+v", c.name, probes, timers)
+				t.Fatalf("%s: probes %+v after %+v", c.name, probes, timers)
 			}
 			d.ProbeResult(now+ms, w.ID, Served, ms, c.shown)
 		}
@@ -424,7 +424,7 @@
 	}
 }
 
-// Two probes lost in a row mean a machine that is gone without a word: what may be repeated goes elsewhere.
+// Two lost probes in a row mean that the machine failed without notice: repeatable jobs are retried elsewhere.
 func TestJobsOfALostWorkerAreCancelledForRetry(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].Aim = 4 * second
@@ -443,34 +443,34 @@
 	}
 }
 
-// Workers that swallow the jobs of one class and serve all others kept being drawn for it, each job lost for the
-// whole of its client's patience.
+// Workers that never started the jobs of one class but served all others were still drawn for that class, and each of its jobs
+// was lost until its client's deadline.
 func TestClassIsKeptOffAWorkerThatDoesNotStartIt(t *testing.T) {
 	d, r := newDispatcher(t, testSettings(), fleet(3)...)
 	w := d.workers[pushJob(t, d, r, 0)]
 	d.Outcome(startTime+5*second, Outcome{Job: 1, Worker: w.ID, Status: TimedOut})
 	j, other := d.newJob(Job{ID: 2, Class: 0}), d.newJob(Job{ID: 3, Class: 2})
 	if d.eligible(j, w) || !d.eligible(other, w) {
-		t.Error("that class, and no other, stays away")
+		t.Error("want that class, and no other, kept off the worker")
 	}
 	first := w.classEjections[0].until - d.now
 	d.ejectForClass(w, 0)
 	if second := w.classEjections[0].until - d.now; second <= first {
-		t.Errorf("a second time for %d ms after %d ms", second/ms, first/ms)
+		t.Errorf("the second term is %d ms after a first of %d ms", second/ms, first/ms)
 	}
 	d.now = w.classEjections[0].until
 	if !d.eligible(j, w) {
-		t.Error("it must be tried again")
+		t.Error("the class is still kept off after the term")
 	}
 	d.push(j, w, 0)
 	d.Outcome(d.now+ms, Outcome{Job: 2, Worker: w.ID, Status: Served})
 	if w.classEjections[0].strikes != 0 {
-		t.Error("served: nothing is held against it")
+		t.Error("the strikes remain after a served job")
 	}
 }
 
-// An idle fleet once refused four jobs in ten at 150 short jobs a second: each held a slot for a quarter of a second
-// after its end, since a report might not show it yet.
+// An idle fleet once refused four jobs in ten at 150 short jobs a second: each claim held a slot for a quarter of a second
+// after the end of its attempt, since a report might not show the end yet.
 func TestClaimEndsWithItsAttempt(t *testing.T) {
 	for name, c := range map[string]struct {
 		end  func(d *Dispatcher)
@@ -493,12 +493,12 @@
 			t.Errorf("%s: claims %+v", name, w.claims)
 		}
 		if _, _, fits := d.estimateRoom(&job{Job: Job{Slots: 1}}, w, freeSlots(1)); !fits {
-			t.Errorf("%s: by then the report shows it", name)
+			t.Errorf("%s: no room though reports show the push by then", name)
 		}
 	}
 }
 
-// A fleet that idles the same way shows the same figures for good; that once taught ever older reports.
+// An idle fleet reports the same figures for ever. Such reports were once taken for ever older ones.
 func TestRefreshIsLearnedWhereReportsMustDiffer(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(w *worker, i int)
@@ -521,15 +521,15 @@
 			d.learnRefresh(w, r)
 		}
 		if c.want == 0 {
-			c.want = reportLag // as before the first look
+			c.want = reportLag // the initial value
 		}
 		if d.refresh > c.want+c.want/10 || d.refresh < c.want-c.want/10 {
-			t.Errorf("%s: reports stand for %d us, wanted %d", name, d.refresh, c.want)
+			t.Errorf("%s: reports stay the same for %d us, want %d", name, d.refresh, c.want)
 		}
 	}
 }
 
-// Where jobs take some ms, a worker seen full is not so for long; the waits were once those of long jobs.
+// Where jobs take a few ms, a full worker soon has room again. The waits were once those for long jobs.
 func TestSpansScaleWithRunningTimes(t *testing.T) {
 	for run, want := range map[Time][3]Time{1000 * ms: {reportLag, noRoomSpan, backoffMin}, 20 * ms: {50 * ms, 30 * ms, 3 * ms},
 		0: {ms, ms, ms}} {
@@ -542,13 +542,13 @@
 		}
 		for i, span := range []Time{reportLag, noRoomSpan, backoffMin} {
 			if got := d.scaleSpan(span); max(got-want[i], want[i]-got) > ms/100 {
-				t.Errorf("jobs of %d us: a span of %d us, wanted %d", run, got, want[i])
+				t.Errorf("jobs of %d us: a span of %d us, want %d", run, got, want[i])
 			}
 		}
 	}
 }
 
-// A full worker frees a slot when a job there ends, so what a probe showed before that counts no more.
+// The end of a job frees a slot of a full worker, so an earlier probe that showed it full no longer counts.
 func TestJobEndVoidsALackOfRoom(t *testing.T) {
 	d, r := newDispatcher(t, testSettings(), fleet(2)...)
 	w := d.workers[pushJob(t, d, r, 0)]
@@ -556,27 +556,27 @@
 	w.noRoomUntil, w.noRoomSlots = startTime+noRoomSpan, 1
 	d.Note(startTime+5*ms, 1, 0, NoteStarted, 0)
 	if !d.lacksRoom(j, w) {
-		t.Error("a start frees nothing")
+		t.Error("a start voided the lack of room")
 	}
 	d.Outcome(startTime+10*ms, Outcome{Job: 1, Status: Served})
 	if d.lacksRoom(j, w) {
-		t.Error("still passed over after the end")
+		t.Error("still without room after the end of the job")
 	}
 }
 
-// A report that shows our own pushes already, and claims for them too, made a fleet look twice as full as it was: at
-// 600 jobs of 20 ms a second over 32 slots one in a hundred waited for half a second. Where nobody else sends, a
-// worker holds what we have there; a node among others can't tell, but learns how old reports are.
+// A report that already shows our own pushes, and claims for the same pushes, made a fleet look twice as full as it was: at
+// 600 jobs of 20 ms a second over 32 slots one job in a hundred waited for half a second. A sole dispatcher knows all jobs of
+// a worker; one of several does not, but learns how old reports are.
 func TestOwnPushesCountOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		nodes int
 		lag   Time
-		shown float64 // free slots of four, two of ours out
+		shown float64 // free slots of four, with two jobs of ours in flight
 		fits  bool
 	}{
 		"sole, shown":              {1, reportLag, 2, true},
 		"sole, not shown yet":      {1, reportLag, 4, true},
-		"sole, another's work too": {1, reportLag, 0, false},
+		"sole, foreign work too": {1, reportLag, 0, false},
 		"among others":             {4, reportLag, 2, false},
 		"among others, live":       {4, ms, 2, true},
 	} {
@@ -594,19 +594,19 @@
 	}
 }
 
-// Where free slots are told with noise, three of four once passed for four: of 25 jobs of four slots that were pushed
-// beside one in flight none started, and each kept the slots beside it idle. Nodes that had no job there went on
-// pushing into that queue, since free slots were shown. A worker not seen idle yet goes by its kind.
+// With noisy reports three free slots of four once passed for four: of 25 jobs of four slots that were pushed beside a job in
+// flight none started, and each kept the slots beside it idle. Dispatchers without jobs there went on pushing into that queue,
+// since the reports showed free slots. A worker not seen idle yet gets the mean capacity of its kind.
 func TestRoomBesideJobsInFlight(t *testing.T) {
 	for name, c := range map[string]struct {
 		size, kind, need, shown, inFlight float64
 		fits                              bool
 	}{
-		"all of four, none there":        {4, 0, 4, 3.6, 0, true},
-		"all of four, one there":         {4, 0, 4, 3.9, 1, false},
+		"all of four, none in flight":        {4, 0, 4, 3.6, 0, true},
+		"all of four, one in flight":         {4, 0, 4, 3.9, 1, false},
 		"the same, by its kind":          {0, 4, 4, 3.9, 1, false},
-		"the same, nothing known":        {0, 0, 4, 3.9, 1, true},
-		"four of five, one there":        {5, 0, 4, 4.1, 1, true},
+		"the same, capacity unknown":        {0, 0, 4, 3.9, 1, true},
+		"four of five, one in flight":        {5, 0, 4, 4.1, 1, true},
 		"two slots taken by two":         {4, 0, 1, 2.1, 2, true},
 		"two slots taken, two more wait": {4, 0, 1, 2.1, 4.1, false},
 		"one slot taken by two, noise":   {4, 0, 1, 3, 1.6, true},
@@ -621,10 +621,10 @@
 	}
 }
 
-// One scheduler's part of the traffic says little: a heavy job of its own once had it believe that workers carry three
-// times what they do, and a job of 11 s of work pushed a cold one over. After a release most of a fleet is cold, and who
-// had just started never learnt what one bears: 36 new workers stood idle beside 24 full ones. And draws stay near, so
-// the mean over all zones gave a cold worker a fifth of its part where it is near.
+// The rate of a warm worker was once extrapolated from one scheduler's part of the traffic without a limit: a heavy job made
+// it three times too high, and a job of 11 s of work overloaded a cold worker. After a release most workers are cold, and
+// dispatchers that had just started never learned the rate: 36 new workers were idle beside 24 full ones. Draws stay in the
+// zone, so a mean over all zones gave a cold worker in the zone a fifth of its part.
 func TestColdWorkerAdmission(t *testing.T) {
 	s := testSettings()
 	s.Nodes, s.Zones = 80, 2
@@ -636,12 +636,12 @@
 		}
 	}
 	d, _ := newDispatcher(t, s, list...)
-	d.sentWork = [2]float64{34e4, 0} // to five near ones, of which one is warm: 3.4 of them in all
+	d.sentWork = [2]float64{34e4, 0} // to five workers of our zone, one of them warm: 3.4 of warm capacity
 	d.updateWarmRate(float64(second))
 	if got := d.warmRate; got[0] < 0.99e5 || got[0] > 1.01e5 || got[1] != 0 {
-		t.Errorf("bear %v", got)
+		t.Errorf("rate per warm worker %v", got)
 	}
-	for id, want := range map[WorkerID][2]int{1: {430, 570}, 2: {0, 0}} { // near: 1.6 x 0.62 x 0.1 s saved for each 0.2 s
+	for id, want := range map[WorkerID][2]int{1: {430, 570}, 2: {0, 0}} { // own zone: 1.6 x 0.62 x 0.1 s of credit per job of 0.2 s
 		w, n := d.workers[id], 0
 		for range 1000 {
 			w.coldCredit, w.coldCreditAt = 0, d.now-second
@@ -653,7 +653,7 @@
 			t.Errorf("worker %d: %d of 1000 admitted", id, n)
 		}
 	}
-	for size, want := range map[float64]bool{0: true, 4: false} { // a job beyond its slots, which its traffic bears
+	for size, want := range map[float64]bool{0: true, 4: false} { // a job beyond its slots, though not beyond its traffic
 		w := d.workers[1]
 		w.capacity, d.warmRate[0], w.coldCredit = size, 3e6, 1e9
 		if got := d.admitCold(&job{Job: Job{Slots: 4}, expectedRun: 2800 * ms}, w); got != want {
@@ -662,8 +662,8 @@
 	}
 }
 
-// In a release half of the probes went to workers that drained or were gone, and were refused: the list told of it
-// seconds later, a refusal was held against nobody, and the share of suspects that may be ejected was used up.
+// In a release half of the probes went to workers that were draining or gone, and were refused. The list showed it seconds
+// later, a refusal had no effect on draws, and the share of workers that may be ejected was used up.
 func TestRefusedProbeKeepsAWorkerOutOfDraws(t *testing.T) {
 	for name, c := range map[string]struct {
 		status Status
@@ -675,30 +675,30 @@
 		j := &job{class: &d.settings.Classes[1], Job: Job{Class: 1}}
 		r.take("")
 		for range 2 {
-			for _, w := range d.ready { // all at once, and none of them for a cause that is shared
+			for _, w := range d.ready { // all at once: the limit for shared causes does not apply
 				d.learnProbe(w, c.status, c.echo)
 				if c.out && (d.eligible(j, w) || w.fullUntil-d.now < refusedMin/2*Time(w.refusedProbes)) {
-					t.Errorf("%s: not kept off, or no longer the second time", name)
+					t.Errorf("%s: still eligible, or not kept off for longer the second time", name)
 				} else if !c.out && w.refusedProbes > 0 {
-					t.Errorf("%s: held against it", name)
+					t.Errorf("%s: counted as a refused probe", name)
 				}
 			}
 			if c.out && countKind(r.take(""), "probe") > 0 {
-				t.Errorf("%s: looked at again", name)
+				t.Errorf("%s: probed again", name)
 			}
 			if d.now += 4 * second; c.out && d.ready[0].refusedProbes == 1 && !d.eligible(j, d.ready[0]) {
-				t.Errorf("%s: not back after its term", name)
+				t.Errorf("%s: not eligible after its term", name)
 			}
 		}
 		d.updateList(ListDelta, []Worker{{ID: d.ready[0].ID, State: Ready, StartedAt: d.now}})
 		if !d.eligible(j, d.ready[0]) {
-			t.Errorf("%s: held against a fresh process", name)
+			t.Errorf("%s: a new process is not eligible", name)
 		}
 	}
 }
 
-// Where workers tell their queues and every job takes one slot, a slot once stood idle from a job's end until a draw met
-// a report that showed it, while two in five jobs were refused.
+// Where workers report their queues and every job takes one slot, a slot once stayed idle from the end of a job until a draw
+// met a report that showed it free, while two jobs in five were refused.
 func TestShortQueueWhereQueuesAreReported(t *testing.T) {
 	const told = HasFreeSlots | HasQueue
 	for name, c := range map[string]struct {
@@ -708,11 +708,11 @@
 		ends        float64
 		fits        bool
 	}{
-		"full, nobody waits":              {told, 1, 0, 0, 0, true},
+		"full, none waits":              {told, 1, 0, 0, 0, true},
 		"full, one waits":                 {told, 1, 0, 1, 0, false},
-		"full, one waits, one of us left": {told, 1, 0, 1, 1, true},
-		"full, the queue is not told":     {HasFreeSlots, 1, 0, 0, 0, false},
-		"not told, one of us left":        {HasFreeSlots, 1, 0, 0, 1, false},
+		"full, one waits, one of ours ended": {told, 1, 0, 1, 1, true},
+		"full, queue not reported":     {HasFreeSlots, 1, 0, 0, 0, false},
+		"queue not reported, one of ours ended":        {HasFreeSlots, 1, 0, 0, 1, false},
 		"wide jobs":                       {told, 2, 0, 0, 1, false},
 	} {
 		d, _ := newDispatcher(t, testSettings(), fleet(2)...)
@@ -732,14 +732,14 @@
 	d.push(j, d.workers[1], 300*ms)
 	for _, a := range r.take("wake") {
 		if a.token>>56 == wakeStartDue>>56 && a.span != startTimeout+300*ms {
-			t.Errorf("its start is late after %d ms", a.span/ms)
+			t.Errorf("the start is overdue after %d ms", a.span/ms)
 		}
 	}
 }
 
-// Workers that failed four in five jobs within 30 ms were left for 20 s; a quarter of a fleet's slots stood idle beside
-// jobs that were refused, though a repeat of a keyed one costs next to nothing. What must not run twice keeps away
-// until several in a row were served: one that was served by luck once brought the next to a sick worker.
+// Workers that failed four jobs in five within 30 ms were once ejected for 20 s: a quarter of the slots were idle while jobs
+// were refused, though the repeat of a keyed job costs next to nothing. Unsafe jobs avoid such a worker until it has served
+// several jobs in a row: a single success by chance once brought the next unsafe job to a faulty worker.
 func TestFailingWorkerIsTheLastResort(t *testing.T) {
 	d, _ := newDispatcher(t, testSettings(), fleet(10)...)
 	w := d.workers[1]
@@ -752,45 +752,45 @@
 	end(Error)
 	keyed, unsafe := &job{class: &d.settings.Classes[2]}, &job{class: &d.settings.Classes[1]}
 	if d.eligible(keyed, w) {
-		t.Error("drawn at first")
+		t.Error("eligible for the first draw")
 	}
 	keyed.failedDraws, unsafe.failedDraws = 1, 1
 	if !d.eligible(keyed, w) || d.eligible(unsafe, w) {
-		t.Error("without room elsewhere: for what may be repeated, and for that only")
+		t.Error("without room elsewhere, want it eligible for repeatable jobs only")
 	}
 	keyed.attempts = make([]attempt, d.settings.MaxAttempts-1)
 	for i := range keyed.attempts {
 		keyed.attempts[i] = attempt{w: w, sent: d.now, mayHaveRun: true}
 	}
 	if d.eligible(keyed, w) {
-		t.Error("the last attempt goes to a sound worker")
+		t.Error("eligible for the last attempt")
 	}
 	d.now = w.ejectedUntil + 1
 	for w.ejectionLevel > 0 {
 		end(Served)
 	}
 	if d.eligible(unsafe, w) {
-		t.Error("served by luck")
+		t.Error("eligible for unsafe jobs after too few served jobs")
 	}
 	for range 3 {
 		end(Served)
 	}
 	if !d.eligible(unsafe, w) {
-		t.Error("a worker that serves again stays shut")
+		t.Error("a worker that serves again is not eligible for unsafe jobs")
 	}
 	w.ejectedUntil, w.lostProbes, w.failureRate = d.now+second, lossesToEject, 1
 	if keyed.attempts = nil; d.eligible(keyed, w) {
-		t.Error("one that answers no probe fails everything")
+		t.Error("eligible though it answers no probe")
 	}
 }
 
-// Where late answers earn something, and where clients come again late, a job that can't end in time any more once took
-// places in queues from those that could. And a job whose work nobody tells was expected to be of the mean: a short one
-// pushed at the last moment for such came late.
+// Where late answers have some worth, and where clients retry late, jobs that could no longer end in time once took places in
+// queues from jobs that could. A job without a hint was expected to run for the mean time, so one pushed at the last moment
+// for a short job was late.
 func TestLateJobsDoNotQueue(t *testing.T) {
 	for name, c := range map[string]struct {
-		slow, queue float64 // of the worker; in it
-		hint, late  Time    // since the moment until which it might start
+		slow, queue float64 // slowness of the worker; jobs in its queue
+		hint, late  Time    // time since the latest start
 		pushed      bool
 	}{
 		"in time":                          {1, 0, 0, -50 * ms, true},
@@ -800,7 +800,7 @@
 		"late, a queue":                    {1, 1, 0, 50 * ms, false},
 		"in time, on a slow one":           {2.5, 0, 100 * ms, -160 * ms, true},
 		"too late on a slow one":           {2.5, 0, 100 * ms, -140 * ms, false},
-		"its work is told: it is no short": {1, 1, 200 * ms, -30 * ms, true},
+		"its running time is known: it is no short": {1, 1, 200 * ms, -30 * ms, true},
 	} {
 		d, r := newDispatcher(t, testSettings(), fleet(4)...)
 		w := d.workers[1]
@@ -812,7 +812,7 @@
 			spare = c.hint
 		}
 		if got := d.latestStart(j, 1) - j.aimAt; got != spare || c.hint == 0 && got == j.expectedRun {
-			t.Errorf("%s: %d ms to spare, wanted %d", name, got/ms, spare/ms)
+			t.Errorf("%s: %d ms of slack, want %d", name, got/ms, spare/ms)
 		}
 		d.now = d.latestStart(j, 1) + c.late
 		d.medianRTT[0] = float64(10 * ms)
