--- a/decide/failures_test.go
+++ b/decide/failures_test.go
@@ -7,12 +7,12 @@
 	s := testSettings()
 	s.CanMessagePeers = true
 	d, r := newDispatcher(t, s, fleet(10)...)
-	msg := []byte{0, 0, 0, 0, 0, 0, 0, 3}
-	d.PeerMessage(startTime, 1, msg)
+	complaint := []byte{0, 0, 0, 0, 0, 0, 0, 3}
+	d.PeerMessage(startTime, 1, complaint)
 	if d.workers[3].ejectedUntil > startTime {
 		t.Error("a single complaint ejected the worker")
 	}
-	d.PeerMessage(startTime+second, 2, msg)
+	d.PeerMessage(startTime+second, 2, complaint)
 	if d.workers[3].ejectedUntil <= startTime {
 		t.Error("two complaints did not eject the worker")
 	}
@@ -176,14 +176,14 @@
 		}
 		now += 300 * ms
 	}
-	open := 0
+	available := 0
 	for _, w := range d.ready {
 		if w.ejectedUntil <= d.now {
-			open++
+			available++
 		}
 	}
-	if open < 6 {
-		t.Errorf("only %d of 10 workers are left in draws", open)
+	if available < 6 {
+		t.Errorf("only %d of 10 workers are left in draws", available)
 	}
 	now = d.now + 30*second
 	pushed := 0
@@ -213,11 +213,11 @@
 	}
 	j := d.jobs[1]
 	j.failedDraws = 3
-	far := false
+	otherZone := false
 	for range 40 {
-		far = far || d.pickWorker(j, nil).Zone == 1
+		otherZone = otherZone || d.pickWorker(j, nil).Zone == 1
 	}
-	if !far {
+	if !otherZone {
 		t.Error("no worker of another zone in 40 draws")
 	}
 }
@@ -273,15 +273,15 @@
 				finals++
 			}
 		}
-		keep := timers[:0:0]
+		kept := timers[:0:0]
 		for _, tm := range timers {
 			if tm.at <= now {
 				d.Wake(now, tm.token)
 			} else {
-				keep = append(keep, tm)
+				kept = append(kept, tm)
 			}
 		}
-		timers = keep
+		timers = kept
 	}
 	if finals != 1 || probes < 6 || probes > 40 {
 		t.Errorf("%d probes and %d answers for one job that found no room", probes, finals)
@@ -392,11 +392,11 @@
 // was never reported. A check shows that no job waits there.
 func TestLostAttemptIsCancelled(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		class int
-		shown Report
-		want  int // cancels
-		late  int // overdue starts that remain
+		name    string
+		class   int
+		shown   Report
+		cancels int // cancels
+		overdue int // overdue starts that remain
 	}{
 		{"room and next to nothing in flight", 0, Report{Has: HasFreeSlots | HasInFlight, FreeSlots: 3, InFlight: 1}, 1, 0},
 		{"it must not run twice", 1, Report{Has: HasFreeSlots | HasInFlight, FreeSlots: 3, InFlight: 1}, 0, 0},
@@ -418,7 +418,7 @@
 			}
 			d.ProbeResult(now+ms, w.ID, Served, ms, c.shown)
 		}
-		if n := len(r.take("cancel")); n != c.want || w.overdueStarts != c.late {
+		if n := len(r.take("cancel")); n != c.cancels || w.overdueStarts != c.overdue {
 			t.Errorf("%s: %d cancels, %d late", c.name, n, w.overdueStarts)
 		}
 	}
@@ -569,22 +569,22 @@
 // a worker; one of several does not, but learns how old reports are.
 func TestOwnPushesCountOnce(t *testing.T) {
 	for name, c := range map[string]struct {
-		nodes int
-		lag   Time
-		shown float64 // free slots of four, with two jobs of ours in flight
-		fits  bool
+		nodes   int
+		refresh Time
+		shown   float64 // free slots of four, with two jobs of ours in flight
+		fits    bool
 	}{
-		"sole, shown":              {1, reportLag, 2, true},
-		"sole, not shown yet":      {1, reportLag, 4, true},
+		"sole, shown":            {1, reportLag, 2, true},
+		"sole, not shown yet":    {1, reportLag, 4, true},
 		"sole, foreign work too": {1, reportLag, 0, false},
-		"among others":             {4, reportLag, 2, false},
-		"among others, live":       {4, ms, 2, true},
+		"among others":           {4, reportLag, 2, false},
+		"among others, live":     {4, ms, 2, true},
 	} {
 		s := testSettings()
 		s.Nodes = c.nodes
 		d, _ := newDispatcher(t, s, fleet(2)...)
 		w := d.workers[1]
-		w.capacity, w.heldSlots, w.inFlight, d.refresh = 4, 2, 2, c.lag
+		w.capacity, w.heldSlots, w.inFlight, d.refresh = 4, 2, 2, c.refresh
 		w.claims = []claim{{at: d.now, job: 1, slots: 1}, {at: d.now, job: 2, slots: 1}}
 		d.now += 10 * ms
 		r, _, fits := d.estimateRoom(&job{Job: Job{Slots: 1}}, w, freeSlots(c.shown))
@@ -599,21 +599,21 @@
 // since the reports showed free slots. A worker not seen idle yet gets the mean capacity of its kind.
 func TestRoomBesideJobsInFlight(t *testing.T) {
 	for name, c := range map[string]struct {
-		size, kind, need, shown, inFlight float64
-		fits                              bool
+		capacity, kindCapacity, need, shown, inFlight float64
+		fits                                          bool
 	}{
-		"all of four, none in flight":        {4, 0, 4, 3.6, 0, true},
-		"all of four, one in flight":         {4, 0, 4, 3.9, 1, false},
+		"all of four, none in flight":    {4, 0, 4, 3.6, 0, true},
+		"all of four, one in flight":     {4, 0, 4, 3.9, 1, false},
 		"the same, by its kind":          {0, 4, 4, 3.9, 1, false},
-		"the same, capacity unknown":        {0, 0, 4, 3.9, 1, true},
-		"four of five, one in flight":        {5, 0, 4, 4.1, 1, true},
+		"the same, capacity unknown":     {0, 0, 4, 3.9, 1, true},
+		"four of five, one in flight":    {5, 0, 4, 4.1, 1, true},
 		"two slots taken by two":         {4, 0, 1, 2.1, 2, true},
 		"two slots taken, two more wait": {4, 0, 1, 2.1, 4.1, false},
 		"one slot taken by two, noise":   {4, 0, 1, 3, 1.6, true},
 	} {
 		d, _ := newDispatcher(t, testSettings(), fleet(2)...)
 		w := d.workers[1]
-		w.capacity, d.capacityByKind[w.Kind] = c.size, c.kind
+		w.capacity, d.capacityByKind[w.Kind] = c.capacity, c.kindCapacity
 		load := Report{Has: HasFreeSlots | HasInFlight, FreeSlots: c.shown, InFlight: c.inFlight}
 		if _, _, fits := d.estimateRoom(&job{Job: Job{Slots: c.need}}, w, load); fits != c.fits {
 			t.Errorf("%s: fits %v", name, fits)
@@ -653,11 +653,11 @@
 			t.Errorf("worker %d: %d of 1000 admitted", id, n)
 		}
 	}
-	for size, want := range map[float64]bool{0: true, 4: false} { // a job beyond its slots, though not beyond its traffic
+	for capacity, want := range map[float64]bool{0: true, 4: false} { // a job beyond its slots, though not beyond its traffic
 		w := d.workers[1]
-		w.capacity, d.warmRate[0], w.coldCredit = size, 3e6, 1e9
+		w.capacity, d.warmRate[0], w.coldCredit = capacity, 3e6, 1e9
 		if got := d.admitCold(&job{Job: Job{Slots: 4}, expectedRun: 2800 * ms}, w); got != want {
-			t.Errorf("%v slots: admitted %v", size, got)
+			t.Errorf("%v slots: admitted %v", capacity, got)
 		}
 	}
 }
@@ -666,9 +666,9 @@
 // later, a refusal had no effect on draws, and the share of workers that may be ejected was used up.
 func TestRefusedProbeKeepsAWorkerOutOfDraws(t *testing.T) {
 	for name, c := range map[string]struct {
-		status Status
-		echo   Time
-		out    bool
+		status  Status
+		rtt     Time
+		keptOff bool
 	}{"it drains": {Error, ms, true}, "it is gone": {ConnectFailed, ms, true}, "it may be far": {ConnectFailed, 250 * ms, false},
 		"it answers": {Served, ms, false}, "the connection broke": {Reset, ms, false}} {
 		d, r := newDispatcher(t, testSettings(), fleet(10)...)
@@ -676,17 +676,17 @@
 		r.take("")
 		for range 2 {
 			for _, w := range d.ready { // all at once: the limit for shared causes does not apply
-				d.learnProbe(w, c.status, c.echo)
-				if c.out && (d.eligible(j, w) || w.fullUntil-d.now < refusedMin/2*Time(w.refusedProbes)) {
+				d.learnProbe(w, c.status, c.rtt)
+				if c.keptOff && (d.eligible(j, w) || w.fullUntil-d.now < refusedMin/2*Time(w.refusedProbes)) {
 					t.Errorf("%s: still eligible, or not kept off for longer the second time", name)
-				} else if !c.out && w.refusedProbes > 0 {
+				} else if !c.keptOff && w.refusedProbes > 0 {
 					t.Errorf("%s: counted as a refused probe", name)
 				}
 			}
-			if c.out && countKind(r.take(""), "probe") > 0 {
+			if c.keptOff && countKind(r.take(""), "probe") > 0 {
 				t.Errorf("%s: probed again", name)
 			}
-			if d.now += 4 * second; c.out && d.ready[0].refusedProbes == 1 && !d.eligible(j, d.ready[0]) {
+			if d.now += 4 * second; c.keptOff && d.ready[0].refusedProbes == 1 && !d.eligible(j, d.ready[0]) {
 				t.Errorf("%s: not eligible after its term", name)
 			}
 		}
@@ -700,26 +700,26 @@
 // Where workers report their queues and every job takes one slot, a slot once stayed idle from the end of a job until a draw
 // met a report that showed it free, while two jobs in five were refused.
 func TestShortQueueWhereQueuesAreReported(t *testing.T) {
-	const told = HasFreeSlots | HasQueue
+	const reported = HasFreeSlots | HasQueue
 	for name, c := range map[string]struct {
 		has         Fields
-		widest      float64
+		widestJob   float64
 		free, queue float64
-		ends        float64
+		endedSlots  float64
 		fits        bool
 	}{
-		"full, none waits":              {told, 1, 0, 0, 0, true},
-		"full, one waits":                 {told, 1, 0, 1, 0, false},
-		"full, one waits, one of ours ended": {told, 1, 0, 1, 1, true},
-		"full, queue not reported":     {HasFreeSlots, 1, 0, 0, 0, false},
-		"queue not reported, one of ours ended":        {HasFreeSlots, 1, 0, 0, 1, false},
-		"wide jobs":                       {told, 2, 0, 0, 1, false},
+		"full, none waits":                      {reported, 1, 0, 0, 0, true},
+		"full, one waits":                       {reported, 1, 0, 1, 0, false},
+		"full, one waits, one of ours ended":    {reported, 1, 0, 1, 1, true},
+		"full, queue not reported":              {HasFreeSlots, 1, 0, 0, 0, false},
+		"queue not reported, one of ours ended": {HasFreeSlots, 1, 0, 0, 1, false},
+		"wide jobs":                             {reported, 2, 0, 0, 1, false},
 	} {
 		d, _ := newDispatcher(t, testSettings(), fleet(2)...)
 		w := d.workers[1]
-		w.capacity, d.widestJob = 4, c.widest
-		if c.ends > 0 {
-			w.releaseClaim(d.now, 1, 0, c.ends)
+		w.capacity, d.widestJob = 4, c.widestJob
+		if c.endedSlots > 0 {
+			w.releaseClaim(d.now, 1, 0, c.endedSlots)
 		}
 		load := Report{Has: c.has, FreeSlots: c.free, Queue: c.queue}
 		if _, _, fits := d.estimateRoom(&job{Job: Job{Slots: 1}}, w, load); fits != c.fits {
@@ -793,13 +793,13 @@
 		hint, late  Time    // time since the latest start
 		pushed      bool
 	}{
-		"in time":                          {1, 0, 0, -50 * ms, true},
-		"in time, a queue":                 {1, 1, 0, -50 * ms, true},
-		"the queue is too long":            {1, 1, 0, -10 * ms, false},
-		"late, a slot is free":             {1, 0, 0, 50 * ms, true},
-		"late, a queue":                    {1, 1, 0, 50 * ms, false},
-		"in time, on a slow one":           {2.5, 0, 100 * ms, -160 * ms, true},
-		"too late on a slow one":           {2.5, 0, 100 * ms, -140 * ms, false},
+		"in time":                                   {1, 0, 0, -50 * ms, true},
+		"in time, a queue":                          {1, 1, 0, -50 * ms, true},
+		"the queue is too long":                     {1, 1, 0, -10 * ms, false},
+		"late, a slot is free":                      {1, 0, 0, 50 * ms, true},
+		"late, a queue":                             {1, 1, 0, 50 * ms, false},
+		"in time, on a slow one":                    {2.5, 0, 100 * ms, -160 * ms, true},
+		"too late on a slow one":                    {2.5, 0, 100 * ms, -140 * ms, false},
 		"its running time is known: it is no short": {1, 1, 200 * ms, -30 * ms, true},
 	} {
 		d, r := newDispatcher(t, testSettings(), fleet(4)...)
@@ -807,12 +807,12 @@
 		w.capacity, d.meanRun, d.meanRunByClass[0], d.widestJob = 4, 100e3, 100e3, 1
 		j := d.newJob(Job{ID: 1, GiveUpAt: startTime + 5*second, Hint: c.hint, Slots: 1})
 		d.estimate(j)
-		spare := Time(shortRunShare * float64(d.meanRunByClass[0]))
+		slack := Time(shortRunShare * float64(d.meanRunByClass[0]))
 		if c.hint > 0 {
-			spare = c.hint
+			slack = c.hint
 		}
-		if got := d.latestStart(j, 1) - j.aimAt; got != spare || c.hint == 0 && got == j.expectedRun {
-			t.Errorf("%s: %d ms of slack, want %d", name, got/ms, spare/ms)
+		if got := d.latestStart(j, 1) - j.aimAt; got != slack || c.hint == 0 && got == j.expectedRun {
+			t.Errorf("%s: %d ms of slack, want %d", name, got/ms, slack/ms)
 		}
 		d.now = d.latestStart(j, 1) + c.late
 		d.medianRTT[0] = float64(10 * ms)
