--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -6,7 +6,7 @@
 	"weldscale/decide"
 )
 
-// printer is the caller's side: it carries out actions. Here it prints them and keeps what must be answered.
+// printer is the caller. It prints the requested actions and records those that need an answer.
 type printer struct {
 	probes []decide.WorkerID
 	pushed decide.WorkerID
@@ -26,7 +26,7 @@
 func (p *printer) Reload()                          {}
 func (p *printer) SendPeer(int, []byte)             {}
 
-// A job from its arrival to its final answer: the first worker turns it away as full, a fresh pair takes it.
+// A job from its arrival to its final answer: the first worker rejects it as full, and a worker of a new pair serves it.
 func Example() {
 	settings := decide.Settings{
 		Nodes: 1, Zones: 1, CanProbe: true, CanCancel: true, MaxAttempts: 3,
@@ -43,7 +43,7 @@
 	d.Announce(now, decide.ListFull, []decide.Worker{
 		{ID: 1, State: decide.Ready}, {ID: 2, State: decide.Ready}, {ID: 3, State: decide.Ready}})
 
-	answer := func() { // the probed workers tell of two free slots each
+	answer := func() { // the probed workers report two free slots each
 		fmt.Println("probes:", len(caller.probes))
 		for _, w := range caller.probes {
 			d.ProbeResult(now, w, decide.Served, 500, decide.Report{Has: decide.HasFreeSlots, FreeSlots: 2})
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// action is one thing that a dispatcher asked for, as the tests record it.
+// action is one action that a dispatcher requested, as recorded by the tests.
 type action struct {
 	kind    string
 	job     uint32
@@ -17,7 +17,7 @@
 	token   uint64
 }
 
-// recorder keeps the actions asked for.
+// recorder records the requested actions.
 type recorder struct{ actions []action }
 
 func (r *recorder) add(a action) { r.actions = append(r.actions, a) }
@@ -39,7 +39,7 @@
 }
 func (r *recorder) SendPeer(int, []byte) { r.add(action{kind: "tell"}) }
 
-// take returns the actions since the last take, of one kind or all.
+// take returns and removes the recorded actions; it returns those of one kind, or all if kind is empty.
 func (r *recorder) take(kind string) []action {
 	var out []action
 	for _, a := range r.actions {
@@ -71,8 +71,9 @@
 	}
 }
 
-// simulation plays the caller of one dispatcher: it hands in events at random, all of them legal, and checks
-// the four rules on every action. It judges nothing else.
+// simulation is the caller of one dispatcher. It passes in random valid events and checks the rules on every action: one final
+// answer in time (rule 1), no unsafe repeat (rule 2), and no push to a draining worker (rule 3), beside the limits of the
+// settings. It does not check the quality of the decisions.
 type simulation struct {
 	t            *testing.T
 	rng          *rand.Rand
@@ -81,17 +82,17 @@
 	rec          recorder
 	now          Time
 	workers      []Worker
-	drainSeenAt  map[WorkerID]Time // told that it drains or is gone
+	drainSeenAt  map[WorkerID]Time // when the dispatcher was informed that the worker drains or is gone
 	watching     bool
-	listRequests int // asks not answered
+	listRequests int // not answered
 	timers       []timer
 	probes       []sentProbe
 	jobs         map[uint32]*simulatedJob
 	openJobs     []*simulatedJob
 	nextJob      uint32
 	pushes       int
-	fields       Fields  // the figures that reports carry
-	roomChance   float64 // chance that a probe shows room
+	fields       Fields  // the figures in reports
+	roomChance   float64 // probability that a probe shows room
 	log          []string
 }
 
@@ -140,6 +141,7 @@
 	return sim
 }
 
+// fatalf ends the test with a message that starts with the simulated time.
 func (sim *simulation) fatalf(format string, args ...any) {
 	sim.t.Helper()
 	sim.t.Fatalf("at %d: "+format, append([]any{sim.now}, args...)...)
@@ -154,7 +156,7 @@
 	return nil
 }
 
-// handleActions carries out and checks what the dispatcher asked for.
+// handleActions carries out and checks the actions that the dispatcher requested.
 func (sim *simulation) handleActions() {
 	for _, a := range sim.rec.take("") {
 		sim.log = append(sim.log, fmt.Sprint(sim.now, a))
@@ -163,24 +165,24 @@
 			sim.timers = append(sim.timers, timer{sim.now + max(1, a.span), a.token})
 		case "probe":
 			if !sim.s.CanProbe {
-				sim.fatalf("probe where none is allowed")
+				sim.fatalf("probe though probes are not allowed")
 			}
 			sim.probes = append(sim.probes, sentProbe{a.worker, sim.now})
 		case "watch", "reload":
 			sim.listRequests++
 		case "tell":
 			if !sim.s.CanMessagePeers {
-				sim.fatalf("message where none is allowed")
+				sim.fatalf("message though messages are not allowed")
 			}
 		case "push":
 			sim.checkPush(a)
 		case "cancel":
 			j := sim.jobs[a.job]
 			if !sim.s.CanCancel || j == nil || a.attempt < 0 || a.attempt >= len(j.attempts) {
-				sim.fatalf("cancel of what was not sent or where it is not allowed: %+v", a)
+				sim.fatalf("cancel of an attempt that was not sent, or though it is not allowed: %+v", a)
 			}
 			if at := &j.attempts[a.attempt]; at.inFlight {
-				at.end = sim.now // comes back as cancelled
+				at.end = sim.now // it ends as cancelled
 			}
 		case "refuse", "fail":
 			sim.checkFinal(a)
@@ -188,16 +190,17 @@
 	}
 }
 
+// checkFinal checks a refusal or a failure.
 func (sim *simulation) checkFinal(a action) {
 	j := sim.jobs[a.job]
 	if j == nil || j.closed {
-		sim.fatalf("rule 1: a final answer for a job that is over or unknown: %+v", a)
+		sim.fatalf("rule 1: final answer for a finished or unknown job: %+v", a)
 	}
 	if a.kind == "refuse" {
 		c := sim.s.Classes[j.Class]
 		for _, at := range j.attempts {
 			if at.mayHaveRun && c.Effect != Safe && !(c.Effect == Keyed && c.Scope == ScopeAll) {
-				sim.fatalf("rule 2: refused though it may have run: %+v", j)
+				sim.fatalf("rule 2: refusal of a job that may have run: %+v", j)
 			}
 		}
 	}
@@ -208,31 +211,31 @@
 func (sim *simulation) checkPush(a action) {
 	j, e := sim.jobs[a.job], sim.worker(a.worker)
 	if j == nil || j.closed {
-		sim.fatalf("rule 1: push for a job that is over: %+v", a)
+		sim.fatalf("rule 1: push of a finished or unknown job: %+v", a)
 	}
 	if e == nil {
-		sim.fatalf("push to a worker never listed")
+		sim.fatalf("push to a worker that was never listed")
 	}
-	if at, told := sim.drainSeenAt[a.worker]; told && sim.now > at+sim.s.DrainGrace {
-		sim.fatalf("rule 3: push to worker %d, told at %d", a.worker, at)
+	if at, informed := sim.drainSeenAt[a.worker]; informed && sim.now > at+sim.s.DrainGrace {
+		sim.fatalf("rule 3: push to worker %d, whose drain was announced at %d", a.worker, at)
 	}
 	if len(j.attempts) >= sim.s.MaxAttempts {
 		sim.fatalf("attempt %d past the limit", len(j.attempts))
 	}
 	c := sim.s.Classes[j.Class]
 	if c.Kind >= 0 && c.Kind != e.Kind {
-		sim.fatalf("push to a kind that can't run it")
+		sim.fatalf("push to a worker of the wrong kind")
 	}
 	for _, at := range j.attempts {
 		if at.inFlight && !sim.s.SecondCopies {
-			sim.fatalf("rule 2: second copy where none is allowed")
+			sim.fatalf("rule 2: second copy though copies are not allowed")
 		}
 		if !at.mayHaveRun || c.Effect == Safe {
 			continue
 		}
-		same := c.Effect == Keyed && (c.Scope == ScopeAll || c.Scope == ScopeZone && at.w.Zone == e.Zone ||
+		sameScope := c.Effect == Keyed && (c.Scope == ScopeAll || c.Scope == ScopeZone && at.w.Zone == e.Zone ||
 			c.Scope == ScopeCell && at.w.Cell == e.Cell)
-		if !same || sim.now-at.at > c.MemorySpan {
+		if !sameScope || sim.now-at.at > c.MemorySpan {
 			sim.fatalf("rule 2: repeat outside its scope or span: %+v to %+v", j, e)
 		}
 	}
@@ -241,7 +244,8 @@
 	if sim.rng.IntN(3) > 0 {
 		end = sim.now + sim.rng.Int64N(second)
 	}
-	j.attempts = append(j.attempts, simulatedAttempt{w: *e, at: sim.now, end: min(end, sim.now+a.span), inFlight: true, mayHaveRun: true})
+	j.attempts = append(j.attempts, simulatedAttempt{w: *e, at: sim.now, end: min(end, sim.now+a.span),
+		inFlight: true, mayHaveRun: true})
 }
 
 func (sim *simulation) randomReport() Report {
@@ -254,19 +258,19 @@
 	return r
 }
 
-// step moves on by a random span and hands in what is due then, and some of what may happen at any time.
+// step advances the time by a random span, passes in the events that are due, and some random ones.
 func (sim *simulation) step() {
 	sim.now += 1 + sim.rng.Int64N(20*ms)
-	keep := sim.timers[:0:0]
+	kept := sim.timers[:0:0]
 	due := []timer{}
 	for _, tm := range sim.timers {
 		if tm.at <= sim.now {
 			due = append(due, tm)
 		} else {
-			keep = append(keep, tm)
+			kept = append(kept, tm)
 		}
 	}
-	sim.timers = keep
+	sim.timers = kept
 	for _, tm := range due {
 		sim.d.Wake(sim.now, tm.token)
 		sim.handleActions()
@@ -290,7 +294,7 @@
 		sim.d.PeerMessage(sim.now, sim.rng.IntN(9), []byte{0, 0, 0, 0, 0, 0, 0, byte(sim.rng.IntN(40))})
 		sim.handleActions()
 	}
-	if sim.rng.IntN(400) == 0 { // every worker restarts at once, or all drain, and the whole list comes
+	if sim.rng.IntN(400) == 0 { // all workers restart or drain at once, and the whole list is sent
 		sim.replaceList(State(1 + sim.rng.IntN(2)))
 	}
 	if sim.rng.IntN(200) == 0 {
@@ -299,7 +303,7 @@
 	sim.checkDeadlines()
 }
 
-// handOver has another dispatcher go on with all that this one holds, as at an upgrade: the rules hold over both.
+// handOver replaces the dispatcher by another one that continues its jobs, as in an upgrade. The rules hold across both.
 func (sim *simulation) handOver() {
 	d, err := New(sim.s, sim.rng.Uint64(), &sim.rec)
 	if err != nil {
@@ -310,22 +314,22 @@
 	want := sim.d.Learnt()
 	d.Learn(sim.now, want)
 	if got := d.Learnt(); !equalLearnt(got, want) {
-		sim.fatalf("learnt %+v, passed on %+v", got, want)
+		sim.fatalf("the new dispatcher has the state %+v, want %+v", got, want)
 	}
 	for _, j := range sim.openJobs {
-		in, tried, ok := sim.d.OpenJob(j.ID)
+		in, attempts, ok := sim.d.OpenJob(j.ID)
 		if ok == j.closed {
-			sim.fatalf("job %d: held %v, over %v", j.ID, ok, j.closed)
+			sim.fatalf("job %d: open in the dispatcher %v, closed in the simulation %v", j.ID, ok, j.closed)
 		}
 		if ok {
-			d.Adopt(sim.now, in, tried)
+			d.Adopt(sim.now, in, attempts)
 		}
 	}
 	sim.d = d
 	sim.handleActions()
 }
 
-// equalLearnt compares all but the order of the workers, and those that only one of the two lists.
+// equalLearnt compares two states, except for the order of workers and for workers that only one of them lists.
 func equalLearnt(a, b Learnt) bool {
 	known := map[WorkerID]LearntWorker{}
 	for _, w := range a.Workers {
@@ -340,8 +344,9 @@
 	return reflect.DeepEqual(a, b)
 }
 
+// answerProbes answers probes at random: most are served, some rejected or timed out.
 func (sim *simulation) answerProbes() {
-	keep := sim.probes[:0:0]
+	kept := sim.probes[:0:0]
 	for _, p := range sim.probes {
 		status := Served
 		switch sim.rng.IntN(12) {
@@ -349,7 +354,7 @@
 			status = Full
 		case 1, 2:
 			if sim.now-p.at < 250*ms {
-				keep = append(keep, p)
+				kept = append(kept, p)
 				continue
 			}
 			status = TimedOut
@@ -357,9 +362,10 @@
 		sim.d.ProbeResult(sim.now, p.w, status, sim.now-p.at, sim.randomReport())
 		sim.handleActions()
 	}
-	sim.probes = append(keep, sim.probes[len(sim.probes):]...)
+	sim.probes = append(kept, sim.probes[len(sim.probes):]...)
 }
 
+// endAttempts ends the attempts that are due with a random status, and reports some starts.
 func (sim *simulation) endAttempts() {
 	for _, j := range sim.openJobs {
 		for i := range j.attempts {
@@ -389,6 +395,7 @@
 	}
 }
 
+// changeWorker drains, removes or restarts a random worker.
 func (sim *simulation) changeWorker() {
 	e := &sim.workers[sim.rng.IntN(len(sim.workers))]
 	switch sim.rng.IntN(3) {
@@ -400,11 +407,11 @@
 		e.State, e.StartedAt = Ready, sim.now-sim.rng.Int64N(second)
 		delete(sim.drainSeenAt, e.ID)
 	}
-	if _, told := sim.drainSeenAt[e.ID]; e.State != Ready && !told {
+	if _, informed := sim.drainSeenAt[e.ID]; e.State != Ready && !informed {
 		sim.drainSeenAt[e.ID] = sim.now
 	}
 	if sim.s.MustAsk && !sim.watching {
-		delete(sim.drainSeenAt, e.ID) // it can't be told yet; the full list below tells
+		delete(sim.drainSeenAt, e.ID) // the dispatcher can't be informed yet; the announcement below does
 	}
 	sim.d.Announce(sim.now, ListDelta, []Worker{*e})
 	if e.State != Ready {
@@ -413,13 +420,14 @@
 	sim.handleActions()
 }
 
+// replaceList sets the state of all workers, as freshly started processes, and sends the whole list.
 func (sim *simulation) replaceList(state State) {
 	for i := range sim.workers {
 		e := &sim.workers[i]
 		e.State, e.StartedAt = state, sim.now-1
 		if state == Ready {
 			delete(sim.drainSeenAt, e.ID)
-		} else if _, told := sim.drainSeenAt[e.ID]; !told {
+		} else if _, informed := sim.drainSeenAt[e.ID]; !informed {
 			sim.drainSeenAt[e.ID] = sim.now
 		}
 	}
@@ -427,27 +435,30 @@
 	sim.handleActions()
 }
 
+// checkDeadlines checks that each job has its final answer in time, and forgets those that have ended.
 func (sim *simulation) checkDeadlines() {
-	keep := sim.openJobs[:0]
+	kept := sim.openJobs[:0]
 	for _, j := range sim.openJobs {
-		if !j.closed && sim.now > j.GiveUpAt+sim.s.AnswerSlack+25*ms { // a step of the world is up to 20 ms
+		if !j.closed && sim.now > j.GiveUpAt+sim.s.AnswerSlack+25*ms { // a step takes up to 20 ms
 			sim.fatalf("rule 1: no final answer by %d: %+v", j.GiveUpAt, j)
 		}
-		out := false
+		inFlight := false
 		for _, a := range j.attempts {
-			out = out || a.inFlight
+			inFlight = inFlight || a.inFlight
 		}
-		if out || !j.closed {
-			keep = append(keep, j)
+		if inFlight || !j.closed {
+			kept = append(kept, j)
 		}
 	}
-	sim.openJobs = keep
+	sim.openJobs = kept
 }
 
+// arrive passes in a random job.
 func (sim *simulation) arrive() {
 	sim.nextJob++
 	class := sim.rng.IntN(len(sim.s.Classes))
-	j := &simulatedJob{Job: Job{ID: sim.nextJob, Class: class, Slots: float64(int(1) << sim.rng.IntN(4)), Hint: sim.rng.Int64N(300 * ms), Memory: sim.rng.Float64(),
+	j := &simulatedJob{Job: Job{ID: sim.nextJob, Class: class, Slots: float64(int(1) << sim.rng.IntN(4)),
+		Hint: sim.rng.Int64N(300 * ms), Memory: sim.rng.Float64(),
 		GiveUpAt: sim.now + 1 + sim.rng.Int64N(sim.s.Classes[class].Deadline)}}
 	if len(sim.s.Tenants) > 0 {
 		j.Tenant = sim.rng.IntN(len(sim.s.Tenants))
--- a/decide/holder_test.go
+++ b/decide/holder_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// placeJob lets a dispatcher with six equal workers placeJob one job; each worker answers its probe by show. It returns the
-// workers that were probed and the one that got the push.
+// placeJob has a dispatcher with six equal workers place one job. Each worker answers its probe with the report of show. It
+// returns the workers that were probed and the one that received the push.
 func placeJob(t *testing.T, seed uint64, j Job, show func(WorkerID) Report) (probed []WorkerID, pushed WorkerID) {
 	t.Helper()
 	var r recorder
@@ -44,10 +44,10 @@
 			return Report{Has: HasFreeSlots, FreeSlots: 10}
 		})
 		if len(probed) != 2 || probed[0] != 5 || probed[1] == 5 {
-			t.Fatalf("seed %d: probed %v, want the holder and one other", seed, probed)
+			t.Fatalf("seed %d: probed %v, want the holder and another worker", seed, probed)
 		}
 		if pushed != 5 {
-			t.Fatalf("seed %d: pushed to %d, though the holder saves more than it lacks", seed, pushed)
+			t.Fatalf("seed %d: pushed to %d, though the saved slots of the holder outweigh its fewer free ones", seed, pushed)
 		}
 		_, pushed = placeJob(t, seed, job, func(id WorkerID) Report {
 			if id == 5 {
@@ -56,7 +56,7 @@
 			return Report{Has: HasFreeSlots, FreeSlots: 10}
 		})
 		if pushed == 5 {
-			t.Fatalf("seed %d: the holder got the job, though another is lighter by more than it saves", seed)
+			t.Fatalf("seed %d: the holder got the job, though another worker has more room, saved slots included", seed)
 		}
 	}
 }
@@ -69,7 +69,7 @@
 			})
 			for _, id := range probed {
 				if int(id%2) != zone {
-					t.Fatalf("seed %d: worker %d is not of zone %d", seed, id, zone)
+					t.Fatalf("seed %d: worker %d is not in zone %d", seed, id, zone)
 				}
 			}
 		}
@@ -110,16 +110,16 @@
 			drawn += min(1, len(r.take("probe")))
 		}
 		if want := map[bool]int{false: 0, true: 100}[unpriced]; drawn != want {
-			t.Errorf("unpriced %v: %d of 100 wide jobs were drawn for, want %d", unpriced, drawn, want)
+			t.Errorf("unpriced %v: %d of 100 wide jobs got a draw, want %d", unpriced, drawn, want)
 		}
 	}
 }
 
-// holderDraw is a dispatcher that draws for a job whose holder, worker 1, is asked first.
+// holderDraw is a dispatcher with an open draw for a job whose holder, worker 1, is probed first.
 type holderDraw struct {
 	*Dispatcher
 	actions recorder
-	timeout uint64 // of the first probe
+	timeout uint64 // token of the timeout of the first probe
 }
 
 func newHolderDraw(t *testing.T) *holderDraw {
@@ -136,7 +136,7 @@
 	return draw
 }
 
-// expect compares the workers that were probed and pushed to since the last call, and returns the token of the last timer.
+// expect checks which workers were probed and pushed to since the last call, and returns the token of the last timer.
 func (draw *holderDraw) expect(t *testing.T, probed, pushed []WorkerID) (token uint64) {
 	t.Helper()
 	var gotProbed, gotPushed []WorkerID
@@ -160,7 +160,7 @@
 	draw.ProbeResult(second+after, id, Served, ms, Report{Has: HasFreeSlots, FreeSlots: free})
 }
 
-// What the holder saves counts: eight free slots and two saved are the ten that are enough.
+// SavedSlots count: eight free slots and two saved ones are the ten that are enough.
 func TestHolderWithEnoughSlotsGetsTheJobAlone(t *testing.T) {
 	draw := newHolderDraw(t)
 	draw.answerProbe(ms, 1, 8)
@@ -188,7 +188,7 @@
 	draw.Wake(second+holderTimeout, draw.timeout)
 	timeout := draw.expect(t, []WorkerID{2}, nil)
 	draw.answerProbe(holderTimeout+ms, 2, 10)
-	draw.expect(t, nil, nil) // the holder may still answer
+	draw.expect(t, nil, nil) // the answer of the holder is still awaited
 	draw.Wake(second+holderTimeout+probeTimeout, timeout)
 	draw.expect(t, nil, []WorkerID{2})
 }
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// randomSettings draws legal settings that have nothing to do with any one deployment.
+// randomSettings returns random valid settings and a number of workers.
 func randomSettings(intN func(n int) int) (Settings, int) {
 	s := testSettings()
 	flip := func() bool { return intN(2) == 0 }
@@ -26,16 +26,16 @@
 	return s, 1 + intN(30)
 }
 
-// The four rules hold on random legal sequences of events, under random legal settings. With one guard taken
-// out at a time (mayRepeat, the attempt limit, the refusal check and the Fail of giveUp) it was seen to fail; drains have two, the list of
-// ready workers and usable, and it fails with both gone.
+// The rules hold on random sequences of valid events under random valid settings. The test was seen to fail with each guard
+// removed on its own: mayRepeat, the limit of attempts, the check before a refusal, and the Fail in giveUp. Drains have two
+// guards, the list of ready workers and eligible, and it fails with both removed.
 func TestRulesHoldOnRandomEvents(t *testing.T) {
 	pushes := 0
 	for seed := range uint64(150) {
 		rng := newTestRand(seed)
 		s, n := randomSettings(rng)
 		sim := newSimulation(t, s, seed, n)
-		sim.fields = Fields(rng(256)) // any set of figures, none too
+		sim.fields = Fields(rng(256)) // any set of figures, or none
 		for i := range 1200 {
 			if i < 1000 && rng(3) == 0 {
 				sim.arrive()
@@ -45,11 +45,11 @@
 		pushes += sim.pushes
 	}
 	if pushes < 4000 {
-		t.Errorf("only %d pushes: the test looks at too little", pushes)
+		t.Errorf("only %d pushes, too few for a meaningful test", pushes)
 	}
 }
 
-// The same events and the same seed give the same actions.
+// The same events and the same seed lead to the same actions.
 func TestDispatcherIsDeterministic(t *testing.T) {
 	run := func() []string {
 		sim := newSimulation(t, testSettings(), 7, 12)
@@ -62,12 +62,12 @@
 		return sim.log
 	}
 	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
-		t.Error("two runs on the same events differ")
+		t.Error("two runs with the same events differ")
 	}
 }
 
-// State is dropped: after a long run with churn and a quiet end nothing is left of jobs, attempts, probes
-// and departed workers.
+// After a long run with many changes of the fleet and an idle end, no state remains of jobs, attempts, probes and removed
+// workers.
 func TestStateIsReleased(t *testing.T) {
 	s := testSettings()
 	sim := newSimulation(t, s, 3, 20)
@@ -91,7 +91,7 @@
 		}
 	}
 	if len(sim.d.workers) != ready || len(sim.d.listed) != ready {
-		t.Errorf("%d workers kept, %d listed, %d exist", len(sim.d.workers), len(sim.d.listed), ready)
+		t.Errorf("%d workers known, %d listed, %d exist", len(sim.d.workers), len(sim.d.listed), ready)
 	}
 	for _, v := range sim.d.listed {
 		if v.inFlight != 0 || v.overdueStarts != 0 || len(v.probes) != 0 || len(v.claims) > 64 {
@@ -99,17 +99,17 @@
 		}
 	}
 	if n := len(sim.d.freeJobs); n > 2000 {
-		t.Errorf("%d spare jobs kept", n)
+		t.Errorf("%d entries of finished jobs kept", n)
 	}
 }
 
-// A cold worker that looks idle to every node gets, from all of them together, less than makes it fall.
+// A cold worker that looks idle to all dispatchers receives less from them in total than would overload it.
 func TestColdWorkerIsNotOverloaded(t *testing.T) {
 	for _, nodes := range []int{1, 40} {
 		s := testSettings()
 		s.Nodes = nodes
-		var ds []*Dispatcher
-		var recs []*recorder
+		var dispatchers []*Dispatcher
+		var recorders []*recorder
 		now := 1000 * second
 		fleet := []Worker{}
 		for i := range 10 {
@@ -122,26 +122,26 @@
 				t.Fatal(err)
 			}
 			d.Announce(now, ListCached, fleet)
-			recs, ds = append(recs, r), append(ds, d)
+			recorders, dispatchers = append(recorders, r), append(dispatchers, d)
 		}
 		const run = 200 * ms
 		id, start, cold := uint32(0), now+20*second, 0
-		gap := 5 * ms // 200 jobs of 0.2 s a second for 10 workers: four cores each, nearly full
+		gap := 5 * ms // 200 jobs of 0.2 s per second for 10 workers of four cores, which are nearly full
 		sent := map[Time]float64{}
 		for step := range 6000 {
 			now += gap
 			if now >= start && now < start+gap {
 				fleet[0].StartedAt = now
-				for _, d := range ds {
+				for _, d := range dispatchers {
 					d.Announce(now, ListDelta, fleet[:1])
 				}
 			}
 			i := step % nodes
-			d, r := ds[i], recs[i]
-			for other, v := range recs {
+			d, r := dispatchers[i], recorders[i]
+			for other, v := range recorders {
 				for _, a := range v.take("wake") {
 					if a.token>>56 == wakeRedraw>>56 {
-						ds[other].Wake(now, a.token)
+						dispatchers[other].Wake(now, a.token)
 					}
 				}
 			}
@@ -171,11 +171,11 @@
 		for sec, work := range sent {
 			warmth := s.ColdFrom + (1-s.ColdFrom)*float64(sec)/20
 			if limit := s.OverloadMultiple * warmth * 4 * float64(second); work > limit {
-				t.Errorf("%d nodes: %.0f us of work in second %d, a fall budget of %.0f", nodes, work, sec, limit)
+				t.Errorf("%d dispatchers: %.0f us of work in second %d, over a budget of %.0f", nodes, work, sec, limit)
 			}
 		}
 		if cold == 0 {
-			t.Errorf("%d nodes: the cold worker never got a job", nodes)
+			t.Errorf("%d dispatchers: the cold worker never received a job", nodes)
 		}
 	}
 }
