--- a/decide/decide.go
+++ b/decide/decide.go
@@ -28,9 +28,9 @@
 	coldShare       = 1.6        // a cold worker gets this x its certain warmth x the load of a warm worker
 	coldJobShare    = 0.25       // of a cold worker's overload budget, the most that a single job may take
 	learnRate       = 0.1        // weight of the newest sample in a running mean
-	priceRise       = 1.2        // per draw without room; a few in a row must have an effect
-	priceDrop       = 0.95       // per start in time, which shows that slots are available
-	priceDecay      = 0.9        // per second; a price that admits no job would otherwise never fall
+	priceRise       = 1.2        // factor per draw without room; a few in a row must have an effect
+	priceDrop       = 0.95       // factor per start in time, which shows that slots are available
+	priceDecay      = 0.9        // factor per second; a price that admits no job would otherwise never fall
 	drawZoneFactor  = 1.5        // x CrossZoneCost: the part of the slack for which draws stay in the job's zone
 	tenantBurst     = 8          // seconds of a tenant's share at once; one dispatcher sees few jobs, unevenly
 	hedgeMaxRefresh = 300 * ms   // with older reports a second copy meets a taken slot as often as the first
@@ -74,10 +74,10 @@
 // requestWatch requests the watch unless it stands or a request is under way. Each request schedules the next
 // one: a request skipped because of another that failed unnoticed once left a dispatcher unaware of drains.
 func (d *Dispatcher) requestWatch() {
-	if d.watching || (d.watchAskedAt > 0 && d.now-d.watchAskedAt < d.settings.AskWithin/64) {
+	if d.watching || (d.watchRequestedAt > 0 && d.now-d.watchRequestedAt < d.settings.AskWithin/64) {
 		return
 	}
-	d.watchAskedAt = d.now
+	d.watchRequestedAt = d.now
 	d.actions.Watch(true)
 	d.actions.Wake(d.settings.AskWithin/3, wakeWatch)
 }
@@ -105,7 +105,7 @@
 	if j.Hint > 0 {
 		j.expectedRun = j.Hint
 	}
-	// The client has waited since its first try. What is left of its deadline tells when that was.
+	// The client has waited since its first try. The time left until its deadline shows when that was.
 	d.deadlineShare = max(d.deadlineShare, min(1, float64(j.GiveUpAt-d.now)/float64(j.class.Deadline)))
 	firstTryAt := min(d.now, j.GiveUpAt-Time(d.deadlineShare*float64(j.class.Deadline)))
 	j.aimAt = firstTryAt + j.class.Aim
@@ -520,7 +520,7 @@
 }
 
 // learnProbe ejects a worker after two lost probes in a row; the second is sent at once. A refusal means that
-// the worker drains or is gone, before the list shows it; the limit for shared causes in eject does not hold.
+// the worker drains or is gone, before the list shows it; the limit in eject for shared causes is skipped.
 func (d *Dispatcher) learnProbe(w *worker, s Status, rtt Time) {
 	if s == Error || s == ConnectFailed && rtt < probeTimeout {
 		w.fullUntil = d.now + d.jitter(min(refusedMin<<min(2*w.refusedProbes, 8), ejectMax))
@@ -614,7 +614,7 @@
 	}
 }
 
-// addComplaint records a peer's complaint about a worker. One may be bad luck; two eject the worker.
+// addComplaint records a peer's complaint about a worker. A single one may be chance; two eject the worker.
 func (d *Dispatcher) addComplaint(w *worker) {
 	if d.now-w.complaintAt > complaintWindow {
 		w.complaints = 0
--- a/decide/state.go
+++ b/decide/state.go
@@ -130,7 +130,7 @@
 	noRoomShare                 float64         // share of recent draws that found no room
 	minSlotValue                float64         // the least slotValue of a job seen
 	watching                    bool
-	watchAskedAt                Time
+	watchRequestedAt            Time
 	failedWatches               int // failed requests in a row
 }
 
