--- a/coordination/systemtest/frontend_test.go
+++ b/coordination/systemtest/frontend_test.go
@@ -63,7 +63,7 @@
 		f.follow()
 	}
 	follower := f.follower
-	ask, request := follower.Next(f.process.SteadyTime())
+	ask, request := follower.NextPoll(f.process.SteadyTime())
 	f.process.After(ask.Delay, func() {
 		if ask.Address == "" {
 			f.poll()
@@ -72,10 +72,10 @@
 		sent := f.process.SteadyTime()
 		f.process.Call(ask.Address, request, ask.Deadline, func(answer any, err error) {
 			if err != nil {
-				follower.Failed(f.process.SteadyTime(), ask)
+				follower.HandleFailure(f.process.SteadyTime(), ask)
 			} else {
 				reply := answer.(fleetwire.WatchReply)
-				follower.Answered(f.process.SteadyTime(), sent, ask, &reply)
+				follower.HandleReply(f.process.SteadyTime(), sent, ask, &reply)
 			}
 			f.poll()
 		})
--- a/coordination/transport/transport.go
+++ b/coordination/transport/transport.go
@@ -32,17 +32,17 @@
 	http *http.Transport
 }
 
-// Dial opens a connection, as net.Dialer.DialContext does.
-type Dial func(ctx context.Context, network, address string) (net.Conn, error)
+// DialFunc opens a connection, as net.Dialer.DialContext does.
+type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// TCP returns a Dial over TCP without keep-alive probes, which cost wake-ups: calls have deadlines of their own.
-func TCP() Dial {
+// TCPDial returns a DialFunc over TCP without keep-alive probes, which cost wake-ups: calls have deadlines of their own.
+func TCPDial() DialFunc {
 	dialer := &net.Dialer{KeepAlive: -1}
 	return dialer.DialContext
 }
 
-// Within returns a Dial that gives up after a time. net/http does not end the opening of a connection with its request.
-func (d Dial) Within(timeout time.Duration) Dial {
+// WithTimeout returns a DialFunc that gives up after a time. net/http does not end the opening of a connection with its request.
+func (d DialFunc) WithTimeout(timeout time.Duration) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
@@ -51,12 +51,12 @@
 }
 
 // NewClient returns a client with its own connections.
-func NewClient() *Client { return NewClientDialing(TCP()) }
+func NewClient() *Client { return NewClientWithDial(TCPDial()) }
 
-// NewClientDialing returns a client whose connections a function opens.
-func NewClientDialing(dial Dial) *Client {
+// NewClientWithDial returns a client whose connections a function opens.
+func NewClientWithDial(dial DialFunc) *Client {
 	return &Client{http: &http.Transport{
-		DialContext:         dial.Within(dialTimeout),
+		DialContext:         dial.WithTimeout(dialTimeout),
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: idleConnsPerAddress,
 		IdleConnTimeout:     idleTimeout,
--- a/coordination/watch/follower.go
+++ b/coordination/watch/follower.go
@@ -34,8 +34,8 @@
 	Grace        time.Duration // beyond the wait until a source counts as silent; 0: the default
 	// Jitter spreads the polls of followers, in [0, 1); nil: at random.
 	Jitter func() float64
-	// Hint may add to each request before it is sent; nil: nothing is added.
-	Hint func(*fleetwire.WatchRequest)
+	// BeforePoll may add to each request before it is sent; nil: nothing is added.
+	BeforePoll func(*fleetwire.WatchRequest)
 	// OnDoubts is called with the doubts of each answer, even if there are none, by the goroutine of Run; nil: nobody is told.
 	OnDoubts func([]fleetwire.Doubt)
 	Log      *zap.Logger // nil: nothing is logged
@@ -94,7 +94,7 @@
 // Run polls until ctx is done.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		ask, request := f.Next(time.Now())
+		ask, request := f.NextPoll(time.Now())
 		if !sleep(ctx, ask.Delay) || ask.Address == "" {
 			continue
 		}
@@ -103,8 +103,8 @@
 	}
 }
 
-// Next returns the next poll. Without an address there is nobody to ask, and Next is to be called again after the delay.
-func (f *Follower) Next(now time.Time) (Ask, fleetwire.WatchRequest) {
+// NextPoll returns the next poll. Without an address there is nobody to ask, and NextPoll is to be called again after the delay.
+func (f *Follower) NextPoll(now time.Time) (Ask, fleetwire.WatchRequest) {
 	ask := f.choice.Next(now, f.known, f.options.Sources())
 	request := fleetwire.WatchRequest{Have: f.held.snapshot.Version, WaitMs: ask.Wait.Milliseconds(), Member: f.options.Self,
 		Steps: true}
@@ -150,8 +150,8 @@
 }
 
 func (f *Follower) poll(ctx context.Context, ask Ask, request *fleetwire.WatchRequest) {
-	if f.options.Hint != nil {
-		f.options.Hint(request)
+	if f.options.BeforePoll != nil {
+		f.options.BeforePoll(request)
 	}
 	callContext, cancel := context.WithTimeout(ctx, ask.Deadline)
 	defer cancel()
@@ -159,17 +159,17 @@
 	var reply fleetwire.WatchReply
 	err := f.options.Client.Call(callContext, ask.Address, fleetwire.PathWatch, request, &reply)
 	if err != nil {
-		f.Failed(time.Now(), ask)
+		f.HandleFailure(time.Now(), ask)
 		return
 	}
-	f.Answered(time.Now(), sent, ask, &reply)
+	f.HandleReply(time.Now(), sent, ask, &reply)
 }
 
-// Failed notes that a poll got no answer in time.
-func (f *Follower) Failed(now time.Time, ask Ask) { f.choice.Failed(now, ask) }
+// HandleFailure notes that a poll got no answer in time.
+func (f *Follower) HandleFailure(now time.Time, ask Ask) { f.choice.Failed(now, ask) }
 
-// Answered takes the answer to a poll that was sent at the given moment.
-func (f *Follower) Answered(now, sent time.Time, ask Ask, reply *fleetwire.WatchReply) {
+// HandleReply takes the answer to a poll that was sent at the given moment.
+func (f *Follower) HandleReply(now, sent time.Time, ask Ask, reply *fleetwire.WatchReply) {
 	if err := f.take(reply, sent, now); err != nil {
 		f.options.Log.Warn("watch answer", zap.String("address", ask.Address), zap.Error(err))
 		f.choice.Failed(now, ask)
--- a/coordination/watch/hub.go
+++ b/coordination/watch/hub.go
@@ -33,8 +33,8 @@
 	MaxQuorumAge time.Duration
 	// MaxWait caps the time that a poll is held; 0: DefaultMaxWait.
 	MaxWait time.Duration
-	// Seen is told of each poll; nil: nobody is. It must not block.
-	Seen func(request *fleetwire.WatchRequest)
+	// OnPoll is told of each poll; nil: nobody is. It must not block.
+	OnPoll func(request *fleetwire.WatchRequest)
 	// Doubts returns what a watcher is told of workers that others complain of; nil: nothing. It must not block.
 	Doubts func(request *fleetwire.WatchRequest) []fleetwire.Doubt
 }
@@ -253,8 +253,8 @@
 // the time to wait is over.
 func (h *Hub) Serve(ctx context.Context, request fleetwire.WatchRequest) (fleetwire.WatchReply, error) {
 	received := time.Now()
-	if h.options.Seen != nil {
-		h.options.Seen(&request)
+	if h.options.OnPoll != nil {
+		h.options.OnPoll(&request)
 	}
 	wait := min(time.Duration(max(request.WaitMs, 0))*time.Millisecond, h.options.MaxWait)
 	for {
--- a/coordination/watch/hub_test.go
+++ b/coordination/watch/hub_test.go
@@ -180,7 +180,7 @@
 
 func TestHubTellsWhoPolls(t *testing.T) {
 	seen := make(chan fleetwire.Member, 1)
-	hub := NewHub(HubOptions{Seen: func(request *fleetwire.WatchRequest) { seen <- request.Member }})
+	hub := NewHub(HubOptions{OnPoll: func(request *fleetwire.WatchRequest) { seen <- request.Member }})
 	member := fleetwire.Member{Name: "frontend-1", Role: fleetwire.RoleAgent}
 	_, err := hub.Serve(t.Context(), fleetwire.WatchRequest{Member: member})
 	require.NoError(t, err)
--- a/coordination/watch/list_test.go
+++ b/coordination/watch/list_test.go
@@ -93,19 +93,19 @@
 
 // pollOnce has a follower poll a hub once, and a change done to the answer on its way.
 func pollOnce(follower *Follower, hub *Hub, change func(*fleetwire.WatchReply)) {
-	ask, request := follower.Next(time.Now())
+	ask, request := follower.NextPoll(time.Now())
 	request.WaitMs = 0
 	sent := time.Now()
 	reply, err := hub.Serve(context.Background(), request)
 	if err != nil {
-		follower.Failed(time.Now(), ask)
+		follower.HandleFailure(time.Now(), ask)
 		return
 	}
 	reply.Steps = slices.Clone(reply.Steps)
 	if change != nil {
 		change(&reply)
 	}
-	follower.Answered(time.Now(), sent, ask, &reply)
+	follower.HandleReply(time.Now(), sent, ask, &reply)
 }
 
 // Whatever the lists, the polls and the restarts, each who has polled has the newest list of what it polled.
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -65,17 +65,17 @@
 	agent.hub = watch.NewHub(watch.HubOptions{
 		QuorumAge:    func() time.Duration { return agent.follower.QuorumAge() },
 		MaxQuorumAge: watch.RelayMaxQuorumAge,
-		Seen:         agent.sawPoll,
+		OnPoll:       agent.sawPoll,
 		Doubts:       func(*fleetwire.WatchRequest) []fleetwire.Doubt { return agent.evidence.doubts(time.Now()) },
 	})
 	agent.follower = watch.NewFollower(watch.FollowerOptions{
-		Self:     self(current),
-		Sources:  func() []string { return agent.settings.Load().SeedInternalAddresses() },
-		Client:   agent.client,
-		Relay:    agent.hub,
-		Hint:     func(request *fleetwire.WatchRequest) { request.Observations = agent.evidence.take() },
-		OnDoubts: func(doubts []fleetwire.Doubt) { agent.evidence.told(time.Now(), doubts) },
-		Log:      log,
+		Self:       self(current),
+		Sources:    func() []string { return agent.settings.Load().SeedInternalAddresses() },
+		Client:     agent.client,
+		Relay:      agent.hub,
+		BeforePoll: func(request *fleetwire.WatchRequest) { request.Observations = agent.evidence.take() },
+		OnDoubts:   func(doubts []fleetwire.Doubt) { agent.evidence.told(time.Now(), doubts) },
+		Log:        log,
 	})
 	return agent
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -57,7 +57,7 @@
 }
 
 func newController(
-	ctx context.Context, latest *atomic.Pointer[settings.Settings], node stateRegister, client *transport.Client, dial transport.Dial,
+	ctx context.Context, latest *atomic.Pointer[settings.Settings], node stateRegister, client *transport.Client, dial transport.DialFunc,
 	log *zap.Logger,
 ) *controller {
 	current := latest.Load()
@@ -75,7 +75,7 @@
 	}
 	c.roster = newRoster(c.self.Address, current.SeedInternalAddresses())
 	c.hub = watch.NewHub(watch.HubOptions{
-		QuorumAge: c.watchAge, MaxQuorumAge: maxQuorumAge, Seen: c.sawWatcher, Doubts: c.doubts,
+		QuorumAge: c.watchAge, MaxQuorumAge: maxQuorumAge, OnPoll: c.sawWatcher, Doubts: c.doubts,
 	})
 	c.leases = newLeases(c.self, current.Bootstrap)
 	c.reports = newReports(c.leases.started)
--- a/internal/controller/firstlist_test.go
+++ b/internal/controller/firstlist_test.go
@@ -20,7 +20,7 @@
 	client := transport.NewClient()
 	t.Cleanup(client.Close)
 	node := newFakeRegister()
-	return newController(t.Context(), &latest, node, client, transport.TCP(), zap.NewNop()), node
+	return newController(t.Context(), &latest, node, client, transport.TCPDial(), zap.NewNop()), node
 }
 
 func (c *controller) learnReader(holder lease.Member, token uint64) {
--- a/internal/controller/run.go
+++ b/internal/controller/run.go
@@ -63,7 +63,7 @@
 // host is what a controller uses of its machine.
 type host struct {
 	listen func(address string) (net.Listener, error)
-	dial   transport.Dial
+	dial   transport.DialFunc
 	files  func() (store.Files, error) // of the register
 }
 
@@ -71,7 +71,7 @@
 func hostOf(current *settings.Settings) host {
 	return host{
 		listen: func(address string) (net.Listener, error) { return net.Listen("tcp", address) },
-		dial:   transport.TCP(),
+		dial:   transport.TCPDial(),
 		files: func() (store.Files, error) {
 			return store.OpenFolder(filepath.Join(current.DataDir, registerDirectory))
 		},
@@ -85,7 +85,7 @@
 	}
 	var latest atomic.Pointer[settings.Settings]
 	latest.Store(current)
-	client := transport.NewClientDialing(on.dial)
+	client := transport.NewClientWithDial(on.dial)
 	node, err := openRegister(&latest, on, client, log)
 	if err != nil {
 		opened.close()
--- a/internal/controller/simulation_site_test.go
+++ b/internal/controller/simulation_site_test.go
@@ -273,7 +273,7 @@
 		return
 	}
 	life := m.machine.Start()
-	client := transport.NewClientDialing(life.Dial)
+	client := transport.NewClientWithDial(life.Dial)
 	var last fleetwire.Version
 	follower := watch.NewFollower(watch.FollowerOptions{
 		Self: fleetwire.Member{Name: m.machine.IP(), Address: m.machine.IP() + ":1", Role: fleetwire.RoleAgent, Zone: "z"},
--- a/internal/instances/reader.go
+++ b/internal/instances/reader.go
@@ -37,12 +37,12 @@
 }
 
 // NewReader returns a reader of the platform at the address (IP:PORT) that the function gives at each reading.
-func NewReader(address func() string) *Reader { return NewReaderDialing(address, transport.TCP()) }
+func NewReader(address func() string) *Reader { return NewReaderDialing(address, transport.TCPDial()) }
 
 // NewReaderDialing returns a reader whose connections a function opens.
-func NewReaderDialing(address func() string, dial transport.Dial) *Reader {
+func NewReaderDialing(address func() string, dial transport.DialFunc) *Reader {
 	return &Reader{address: address, http: &http.Transport{
-		DialContext:         dial.Within(dialTimeout),
+		DialContext:         dial.WithTimeout(dialTimeout),
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: 1,
 		IdleConnTimeout:     idleTimeout,
--- a/internal/placement/probe.go
+++ b/internal/placement/probe.go
@@ -49,12 +49,12 @@
 type httpProber struct{ transport *http.Transport }
 
 // NewHTTPProber returns a prober over net/http.
-func NewHTTPProber() Prober { return NewHTTPProberDialing(transport.TCP()) }
+func NewHTTPProber() Prober { return NewHTTPProberDialing(transport.TCPDial()) }
 
 // NewHTTPProberDialing returns a prober over net/http whose connections a function opens.
-func NewHTTPProberDialing(dial transport.Dial) Prober {
+func NewHTTPProberDialing(dial transport.DialFunc) Prober {
 	return &httpProber{transport: &http.Transport{
-		DialContext:         dial.Within(probeTimeout),
+		DialContext:         dial.WithTimeout(probeTimeout),
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: probeConnections,
 		IdleConnTimeout:     30 * time.Second,
--- a/internal/router/run.go
+++ b/internal/router/run.go
@@ -95,7 +95,7 @@
 // follow keeps this router up to date, and tells what it saw of workers.
 func (r *Router) follow(ctx context.Context, current *settings.Settings) {
 	options := followerOptions(current, r.Update, r.options.Log)
-	options.Hint = r.observations.hint
+	options.BeforePoll = r.observations.hint
 	options.OnDoubts = func(doubts []fleetwire.Doubt) {
 		if distrusted := r.observations.doubted(doubts); len(distrusted) > 0 && r.options.Distrust != nil {
 			r.options.Distrust(distrusted)
--- a/internal/stages/keeper.go
+++ b/internal/stages/keeper.go
@@ -41,8 +41,8 @@
 	// Fenced is told of a token that a worker refused because it has seen a higher one. Nil: nobody is.
 	Fenced func(token uint64)
 	Fleet  func() Fleet
-	Prober placement.Prober // nil: by HTTP
-	Dial   transport.Dial   // opens the connections to workers; nil: by TCP
+	Prober placement.Prober   // nil: by HTTP
+	Dial   transport.DialFunc // opens the connections to workers; nil: by TCP
 	// Quiet is how long a new holder waits before its first order: what the former one has sent must have arrived long before.
 	Quiet time.Duration
 	// Fresh says that no one can have sent an order before: the whole system starts for the first time.
@@ -63,12 +63,12 @@
 // NewKeeper returns a keeper.
 func NewKeeper(options Options) *Keeper {
 	if options.Dial == nil {
-		options.Dial = transport.TCP()
+		options.Dial = transport.TCPDial()
 	}
 	if options.Prober == nil {
 		options.Prober = placement.NewHTTPProberDialing(options.Dial)
 	}
-	dial := options.Dial.Within(orderTimeout)
+	dial := options.Dial.WithTimeout(orderTimeout)
 	return &Keeper{
 		options:   options,
 		transport: &http.Transport{DialContext: dial, DisableKeepAlives: true, DisableCompression: true},
