--- a/internal/router/run.go
+++ b/internal/router/run.go
@@ -97,7 +97,7 @@
 // and the answers name the suspected workers.
 func (r *Router) follow(ctx context.Context, current *settings.Settings) {
 	options := followerOptions(current, r.Update, r.options.Log)
-	options.Hint = r.observations.addTo
+	options.BeforePoll = r.observations.addTo
 	options.OnDoubts = func(doubts []fleetwire.Doubt) {
 		if suspects := r.observations.newSuspects(doubts); len(suspects) > 0 && r.options.OnSuspects != nil {
 			r.options.OnSuspects(suspects)
--- a/internal/stages/rebalancer.go
+++ b/internal/stages/rebalancer.go
@@ -41,8 +41,8 @@
 	// OnFenced is called with a token that a worker rejected because it has seen a higher one. It may be nil.
 	OnFenced func(token uint64)
 	Fleet    func() Fleet
-	Prober   placement.Prober // nil: an HTTP prober
-	Dial     transport.Dial   // opens connections to workers; nil: TCP
+	Prober   placement.Prober   // nil: an HTTP prober
+	Dial     transport.DialFunc // opens connections to workers; nil: TCP
 	// TakeoverDelay is how long a new lease holder waits before its first order. All orders of the previous holder must have
 	// arrived by then.
 	TakeoverDelay time.Duration
@@ -64,12 +64,12 @@
 // NewRebalancer returns a rebalancer. Run starts it.
 func NewRebalancer(options Options) *Rebalancer {
 	if options.Dial == nil {
-		options.Dial = transport.TCP()
+		options.Dial = transport.TCPDial()
 	}
 	if options.Prober == nil {
 		options.Prober = placement.NewHTTPProberWithDial(options.Dial)
 	}
-	dial := options.Dial.Within(orderTimeout)
+	dial := options.Dial.WithTimeout(orderTimeout)
 	return &Rebalancer{
 		options:   options,
 		transport: &http.Transport{DialContext: dial, DisableKeepAlives: true, DisableCompression: true},
