--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -42,7 +42,7 @@
 	census   *census
 	reports  *reports
 	poller   *instances.Poller
-	keeper   *stages.Keeper
+	keeper   *stages.Rebalancer
 
 	settledAt time.Time       // when the number of routers is known
 	ctx       context.Context // of the whole run, for work that no caller waits for
@@ -57,7 +57,7 @@
 }
 
 func newController(
-	ctx context.Context, latest *atomic.Pointer[settings.Settings], node stateRegister, client *transport.Client, dial transport.Dial,
+	ctx context.Context, latest *atomic.Pointer[settings.Settings], node stateRegister, client *transport.Client, dial transport.DialFunc,
 	log *zap.Logger,
 ) *controller {
 	current := latest.Load()
@@ -75,7 +75,7 @@
 	}
 	c.roster = newRoster(c.self.Address, current.SeedInternalAddresses())
 	c.hub = watch.NewHub(watch.HubOptions{
-		QuorumAge: c.watchAge, MaxQuorumAge: maxQuorumAge, Seen: c.sawWatcher, Doubts: c.doubts,
+		QuorumAge: c.watchAge, MaxQuorumAge: maxQuorumAge, OnPoll: c.sawWatcher, Doubts: c.doubts,
 	})
 	c.leases = newLeases(c.self, current.Bootstrap)
 	c.reports = newReports(c.leases.started)
@@ -83,15 +83,15 @@
 	c.lists = newLists(c.hub, log)
 	reader := instances.NewReaderDialing(func() string { return latest.Load().Cloud.Address }, dial)
 	c.poller = instances.NewPoller(reader, c.mayRead, c.listRead(ctx), log)
-	c.keeper = stages.NewKeeper(stages.Options{
-		Holder: current.NodeName,
-		Lease:  func() (uint64, bool) { return c.leases.holds(roleStages) },
-		Fenced: func(token uint64) { c.leases.giveUp(roleStages, token) },
-		Fleet:  c.knownFleet,
-		Quiet:  current.Bounds.Lease() + current.Bounds.Thaw(),
-		Fresh:  current.Bootstrap,
-		Dial:   dial,
-		Log:    log,
+	c.keeper = stages.NewRebalancer(stages.Options{
+		Holder:        current.NodeName,
+		Lease:         func() (uint64, bool) { return c.leases.holds(roleStages) },
+		OnFenced:      func(token uint64) { c.leases.giveUp(roleStages, token) },
+		Fleet:         c.knownFleet,
+		TakeoverDelay: current.Bounds.Lease() + current.Bounds.Thaw(),
+		Bootstrap:     current.Bootstrap,
+		Dial:          dial,
+		Log:           log,
 	})
 	return c
 }
@@ -110,7 +110,7 @@
 // none: this controller may have heard the others, but it knows nothing of what they hold.
 func (c *controller) watchAge() time.Duration {
 	if !c.synced.Load() {
-		return register.NeverHeard
+		return register.NoContact
 	}
 	return c.node.QuorumAge()
 }
