--- a/decide/failures_test.go
+++ b/decide/failures_test.go
@@ -288,7 +288,7 @@
 	}
 }
 
-// When the whole fleet slows down at once no worker is slow compared to the others, and jobs are still pushed.
+// When the whole fleet slows down at once no worker counts as slow.
 func TestNoWorkerIsSlowWhenAllAre(t *testing.T) {
 	d, _ := newDispatcher(t, testSettings(), fleet(5)...)
 	for range 100 {
@@ -641,7 +641,7 @@
 	if got := d.warmRate; got[0] < 0.99e5 || got[0] > 1.01e5 || got[1] != 0 {
 		t.Errorf("rate per warm worker %v", got)
 	}
-	for id, want := range map[WorkerID][2]int{1: {430, 570}, 2: {0, 0}} { // own zone: 1.6 x 0.62 x 0.1 s of credit per job of 0.2 s
+	for id, want := range map[WorkerID][2]int{1: {430, 570}, 2: {0, 0}} { // own zone: 1.6 x 0.62 x 0.1 s of credit per 0.2 s
 		w, n := d.workers[id], 0
 		for range 1000 {
 			w.coldCredit, w.coldCreditAt = 0, d.now-second
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -77,9 +77,9 @@
 type simulation struct {
 	t            *testing.T
 	rng          *rand.Rand
-	s            Settings
-	d            *Dispatcher
-	rec          recorder
+	settings     Settings
+	dispatcher   *Dispatcher
+	recorder     recorder
 	now          Time
 	workers      []Worker
 	drainSeenAt  map[WorkerID]Time // when the dispatcher was informed that the worker drains or is gone
@@ -102,12 +102,12 @@
 }
 
 type sentProbe struct {
-	w  WorkerID
-	at Time
+	worker WorkerID
+	at     Time
 }
 
 type simulatedAttempt struct {
-	w          Worker
+	worker     Worker
 	at         Time
 	end        Time
 	inFlight   bool
@@ -122,13 +122,13 @@
 }
 
 func newSimulation(t *testing.T, s Settings, seed uint64, n int) *simulation {
-	sim := &simulation{fields: 255, t: t, rng: rand.New(rand.NewPCG(seed, 1)), s: s, now: 1000 * second, roomChance: 0.7,
+	sim := &simulation{fields: 255, t: t, rng: rand.New(rand.NewPCG(seed, 1)), settings: s, now: 1000 * second, roomChance: 0.7,
 		drainSeenAt: map[WorkerID]Time{}, jobs: map[uint32]*simulatedJob{}}
-	d, err := New(s, seed, &sim.rec)
+	d, err := New(s, seed, &sim.recorder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	sim.d = d
+	sim.dispatcher = d
 	for i := range n {
 		e := Worker{ID: WorkerID(i + 1), Zone: i % s.Zones, Kind: i % 2, Cell: i / 3, State: Ready, Weight: 1}
 		if sim.rng.IntN(4) == 0 {
@@ -158,27 +158,27 @@
 
 // handleActions carries out and checks the actions that the dispatcher requested.
 func (sim *simulation) handleActions() {
-	for _, a := range sim.rec.take("") {
+	for _, a := range sim.recorder.take("") {
 		sim.log = append(sim.log, fmt.Sprint(sim.now, a))
 		switch a.kind {
 		case "wake":
 			sim.timers = append(sim.timers, timer{sim.now + max(1, a.span), a.token})
 		case "probe":
-			if !sim.s.CanProbe {
+			if !sim.settings.CanProbe {
 				sim.fatalf("probe though probes are not allowed")
 			}
 			sim.probes = append(sim.probes, sentProbe{a.worker, sim.now})
 		case "watch", "reload":
 			sim.listRequests++
 		case "tell":
-			if !sim.s.CanMessagePeers {
+			if !sim.settings.CanMessagePeers {
 				sim.fatalf("message though messages are not allowed")
 			}
 		case "push":
 			sim.checkPush(a)
 		case "cancel":
 			j := sim.jobs[a.job]
-			if !sim.s.CanCancel || j == nil || a.attempt < 0 || a.attempt >= len(j.attempts) {
+			if !sim.settings.CanCancel || j == nil || a.attempt < 0 || a.attempt >= len(j.attempts) {
 				sim.fatalf("cancel of an attempt that was not sent, or though it is not allowed: %+v", a)
 			}
 			if at := &j.attempts[a.attempt]; at.inFlight {
@@ -197,7 +197,7 @@
 		sim.fatalf("rule 1: final answer for a finished or unknown job: %+v", a)
 	}
 	if a.kind == "refuse" {
-		c := sim.s.Classes[j.Class]
+		c := sim.settings.Classes[j.Class]
 		for _, at := range j.attempts {
 			if at.mayHaveRun && c.Effect != Safe && !(c.Effect == Keyed && c.Scope == ScopeAll) {
 				sim.fatalf("rule 2: refusal of a job that may have run: %+v", j)
@@ -216,25 +216,25 @@
 	if e == nil {
 		sim.fatalf("push to a worker that was never listed")
 	}
-	if at, informed := sim.drainSeenAt[a.worker]; informed && sim.now > at+sim.s.DrainGrace {
+	if at, informed := sim.drainSeenAt[a.worker]; informed && sim.now > at+sim.settings.DrainGrace {
 		sim.fatalf("rule 3: push to worker %d, whose drain was announced at %d", a.worker, at)
 	}
-	if len(j.attempts) >= sim.s.MaxAttempts {
+	if len(j.attempts) >= sim.settings.MaxAttempts {
 		sim.fatalf("attempt %d past the limit", len(j.attempts))
 	}
-	c := sim.s.Classes[j.Class]
+	c := sim.settings.Classes[j.Class]
 	if c.Kind >= 0 && c.Kind != e.Kind {
 		sim.fatalf("push to a worker of the wrong kind")
 	}
 	for _, at := range j.attempts {
-		if at.inFlight && !sim.s.SecondCopies {
+		if at.inFlight && !sim.settings.SecondCopies {
 			sim.fatalf("rule 2: second copy though copies are not allowed")
 		}
 		if !at.mayHaveRun || c.Effect == Safe {
 			continue
 		}
-		sameScope := c.Effect == Keyed && (c.Scope == ScopeAll || c.Scope == ScopeZone && at.w.Zone == e.Zone ||
-			c.Scope == ScopeCell && at.w.Cell == e.Cell)
+		sameScope := c.Effect == Keyed && (c.Scope == ScopeAll || c.Scope == ScopeZone && at.worker.Zone == e.Zone ||
+			c.Scope == ScopeCell && at.worker.Cell == e.Cell)
 		if !sameScope || sim.now-at.at > c.MemorySpan {
 			sim.fatalf("rule 2: repeat outside its scope or span: %+v to %+v", j, e)
 		}
@@ -244,7 +244,7 @@
 	if sim.rng.IntN(3) > 0 {
 		end = sim.now + sim.rng.Int64N(second)
 	}
-	j.attempts = append(j.attempts, simulatedAttempt{w: *e, at: sim.now, end: min(end, sim.now+a.span),
+	j.attempts = append(j.attempts, simulatedAttempt{worker: *e, at: sim.now, end: min(end, sim.now+a.span),
 		inFlight: true, mayHaveRun: true})
 }
 
@@ -272,7 +272,7 @@
 	}
 	sim.timers = kept
 	for _, tm := range due {
-		sim.d.Wake(sim.now, tm.token)
+		sim.dispatcher.Wake(sim.now, tm.token)
 		sim.handleActions()
 	}
 	sim.endAttempts()
@@ -284,14 +284,14 @@
 		if !sim.watching {
 			kind = ListFailed
 		}
-		sim.d.Announce(sim.now, kind, nil)
+		sim.dispatcher.Announce(sim.now, kind, nil)
 		sim.handleActions()
 	}
 	if sim.rng.IntN(40) == 0 {
 		sim.changeWorker()
 	}
-	if sim.s.CanMessagePeers && sim.rng.IntN(30) == 0 {
-		sim.d.PeerMessage(sim.now, sim.rng.IntN(9), []byte{0, 0, 0, 0, 0, 0, 0, byte(sim.rng.IntN(40))})
+	if sim.settings.CanMessagePeers && sim.rng.IntN(30) == 0 {
+		sim.dispatcher.PeerMessage(sim.now, sim.rng.IntN(9), []byte{0, 0, 0, 0, 0, 0, 0, byte(sim.rng.IntN(40))})
 		sim.handleActions()
 	}
 	if sim.rng.IntN(400) == 0 { // all workers restart or drain at once, and the whole list is sent
@@ -305,19 +305,19 @@
 
 // handOver replaces the dispatcher by another one that continues its jobs, as in an upgrade. The rules hold across both.
 func (sim *simulation) handOver() {
-	d, err := New(sim.s, sim.rng.Uint64(), &sim.rec)
+	d, err := New(sim.settings, sim.rng.Uint64(), &sim.recorder)
 	if err != nil {
 		sim.t.Fatal(err)
 	}
 	sim.timers, sim.probes, sim.listRequests = nil, nil, 0
 	d.Announce(sim.now, ListCached, sim.workers)
-	want := sim.d.Learnt()
+	want := sim.dispatcher.Learnt()
 	d.Learn(sim.now, want)
 	if got := d.Learnt(); !equalLearnt(got, want) {
 		sim.fatalf("the new dispatcher has the state %+v, want %+v", got, want)
 	}
 	for _, j := range sim.openJobs {
-		in, attempts, ok := sim.d.OpenJob(j.ID)
+		in, attempts, ok := sim.dispatcher.OpenJob(j.ID)
 		if ok == j.closed {
 			sim.fatalf("job %d: open in the dispatcher %v, closed in the simulation %v", j.ID, ok, j.closed)
 		}
@@ -325,7 +325,7 @@
 			d.Adopt(sim.now, in, attempts)
 		}
 	}
-	sim.d = d
+	sim.dispatcher = d
 	sim.handleActions()
 }
 
@@ -359,7 +359,7 @@
 			}
 			status = TimedOut
 		}
-		sim.d.ProbeResult(sim.now, p.w, status, sim.now-p.at, sim.randomReport())
+		sim.dispatcher.ProbeResult(sim.now, p.worker, status, sim.now-p.at, sim.randomReport())
 		sim.handleActions()
 	}
 	sim.probes = append(kept, sim.probes[len(sim.probes):]...)
@@ -375,7 +375,7 @@
 			}
 			if a.end > sim.now {
 				if sim.rng.IntN(20) == 0 {
-					sim.d.Note(sim.now, j.ID, i, NoteStarted, 0)
+					sim.dispatcher.Note(sim.now, j.ID, i, NoteStarted, 0)
 					sim.handleActions()
 				}
 				continue
@@ -389,7 +389,7 @@
 				j.closed = true
 				j.answers++
 			}
-			sim.d.Outcome(sim.now, Outcome{Job: j.ID, Attempt: i, Worker: a.w.ID, Status: status, Closed: j.closed})
+			sim.dispatcher.Outcome(sim.now, Outcome{Job: j.ID, Attempt: i, Worker: a.worker.ID, Status: status, Closed: j.closed})
 			sim.handleActions()
 		}
 	}
@@ -410,10 +410,10 @@
 	if _, informed := sim.drainSeenAt[e.ID]; e.State != Ready && !informed {
 		sim.drainSeenAt[e.ID] = sim.now
 	}
-	if sim.s.MustAsk && !sim.watching {
+	if sim.settings.MustAsk && !sim.watching {
 		delete(sim.drainSeenAt, e.ID) // the dispatcher can't be informed yet; the announcement below does
 	}
-	sim.d.Announce(sim.now, ListDelta, []Worker{*e})
+	sim.dispatcher.Announce(sim.now, ListDelta, []Worker{*e})
 	if e.State != Ready {
 		sim.drainSeenAt[e.ID] = sim.now
 	}
@@ -431,7 +431,7 @@
 			sim.drainSeenAt[e.ID] = sim.now
 		}
 	}
-	sim.d.Announce(sim.now, ListFull, sim.workers)
+	sim.dispatcher.Announce(sim.now, ListFull, sim.workers)
 	sim.handleActions()
 }
 
@@ -439,7 +439,7 @@
 func (sim *simulation) checkDeadlines() {
 	kept := sim.openJobs[:0]
 	for _, j := range sim.openJobs {
-		if !j.closed && sim.now > j.GiveUpAt+sim.s.AnswerSlack+25*ms { // a step takes up to 20 ms
+		if !j.closed && sim.now > j.GiveUpAt+sim.settings.AnswerSlack+25*ms { // a step takes up to 20 ms
 			sim.fatalf("rule 1: no final answer by %d: %+v", j.GiveUpAt, j)
 		}
 		inFlight := false
@@ -456,15 +456,15 @@
 // arrive passes in a random job.
 func (sim *simulation) arrive() {
 	sim.nextJob++
-	class := sim.rng.IntN(len(sim.s.Classes))
+	class := sim.rng.IntN(len(sim.settings.Classes))
 	j := &simulatedJob{Job: Job{ID: sim.nextJob, Class: class, Slots: float64(int(1) << sim.rng.IntN(4)),
 		Hint: sim.rng.Int64N(300 * ms), Memory: sim.rng.Float64(),
-		GiveUpAt: sim.now + 1 + sim.rng.Int64N(sim.s.Classes[class].Deadline)}}
-	if len(sim.s.Tenants) > 0 {
-		j.Tenant = sim.rng.IntN(len(sim.s.Tenants))
+		GiveUpAt: sim.now + 1 + sim.rng.Int64N(sim.settings.Classes[class].Deadline)}}
+	if len(sim.settings.Tenants) > 0 {
+		j.Tenant = sim.rng.IntN(len(sim.settings.Tenants))
 	}
 	sim.jobs[j.ID] = j
 	sim.openJobs = append(sim.openJobs, j)
-	sim.d.Arrive(sim.now, j.Job)
+	sim.dispatcher.Arrive(sim.now, j.Job)
 	sim.handleActions()
 }
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -81,8 +81,8 @@
 		sim.now += 50 * ms
 		sim.step()
 	}
-	if len(sim.d.jobs) != 0 {
-		t.Errorf("%d jobs left", len(sim.d.jobs))
+	if len(sim.dispatcher.jobs) != 0 {
+		t.Errorf("%d jobs left", len(sim.dispatcher.jobs))
 	}
 	ready := 0
 	for _, e := range sim.workers {
@@ -90,15 +90,15 @@
 			ready++
 		}
 	}
-	if len(sim.d.workers) != ready || len(sim.d.listed) != ready {
-		t.Errorf("%d workers known, %d listed, %d exist", len(sim.d.workers), len(sim.d.listed), ready)
+	if len(sim.dispatcher.workers) != ready || len(sim.dispatcher.listed) != ready {
+		t.Errorf("%d workers known, %d listed, %d exist", len(sim.dispatcher.workers), len(sim.dispatcher.listed), ready)
 	}
-	for _, v := range sim.d.listed {
+	for _, v := range sim.dispatcher.listed {
 		if v.inFlight != 0 || v.overdueStarts != 0 || len(v.probes) != 0 || len(v.claims) > 64 {
 			t.Errorf("worker %d: out %d, late %d, probes %d, claims %d", v.ID, v.inFlight, v.overdueStarts, len(v.probes), len(v.claims))
 		}
 	}
-	if n := len(sim.d.freeJobs); n > 2000 {
+	if n := len(sim.dispatcher.freeJobs); n > 2000 {
 		t.Errorf("%d entries of finished jobs kept", n)
 	}
 }
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -803,7 +803,7 @@
 			assert.Zero(t, few.NextDelay(1))
 			assert.LessOrEqual(t, few.CallTimeout(), time.Second)
 			// A watch without an answer and a call without an answer after it, with the dispatcher's longest pause
-			// (decide.askLater), end before a drain that both have missed must be obeyed: 2 s after the hold plus its
+			// (decide.scheduleWatch), end before a drain that both have missed must be obeyed: 2 s after the hold plus its
 			// grace of at least 0.3 s.
 			pause := few.AskWithin / 16 * 5 / 4
 			assert.Less(t, few.HoldSlack()+few.CallTimeout()+pause, 2300*time.Millisecond)
