--- a/coordination/watch/follower.go
+++ b/coordination/watch/follower.go
@@ -44,15 +44,15 @@
 // Follower keeps a snapshot up to date by polling one of several sources. Run drives it; a simulation may do so instead, by
 // Next, Answered and Failed, which take the time and use no clock, socket or goroutine.
 type Follower struct {
-	options FollowerOptions
-	choice  *Choice
-	known   []string // controllers that sources told of
-	held    state
-	// needsWhole is set after steps that didn't fit, until a whole list is there.
-	needsWhole bool
-	current    atomic.Pointer[Snapshot]
-	heard      atomic.Pointer[time.Time] // the newest moment at which a majority was heard by a source
-	source     atomic.Pointer[string]
+	options          FollowerOptions
+	selector         *SourceSelector
+	knownControllers []string // controllers that sources told of
+	held             state
+	// needsFullList is set after steps that didn't fit, until a whole list is there.
+	needsFullList bool
+	current       atomic.Pointer[Snapshot]
+	quorumContact atomic.Pointer[time.Time] // the newest moment at which a majority was heard by a source
+	source        atomic.Pointer[string]
 }
 
 // NewFollower returns a follower that holds nothing.
@@ -67,7 +67,7 @@
 		options.Jitter = rand.Float64
 	}
 	follower := &Follower{options: options}
-	follower.choice = NewChoice(ChoiceOptions{
+	follower.selector = NewSourceSelector(SourceSelectorOptions{
 		Node:         options.Self.Name,
 		Wait:         options.Wait,
 		Grace:        options.Grace,
@@ -84,7 +84,7 @@
 func (f *Follower) QuorumAge() time.Duration { return f.quorumAgeAt(time.Now()) }
 
 func (f *Follower) quorumAgeAt(now time.Time) time.Duration {
-	heard := f.heard.Load()
+	heard := f.quorumContact.Load()
 	if heard == nil {
 		return unknownAge
 	}
@@ -94,27 +94,27 @@
 // Run polls until ctx is done.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		ask, request := f.NextPoll(time.Now())
-		if !sleep(ctx, ask.Delay) || ask.Address == "" {
+		poll, request := f.NextPoll(time.Now())
+		if !sleep(ctx, poll.Delay) || poll.Address == "" {
 			continue
 		}
-		f.poll(ctx, ask, &request)
-		f.noteSource()
+		f.poll(ctx, poll, &request)
+		f.updateSource()
 	}
 }
 
 // NextPoll returns the next poll. Without an address there is nobody to ask, and NextPoll is to be called again after the delay.
-func (f *Follower) NextPoll(now time.Time) (Ask, fleetwire.WatchRequest) {
-	ask := f.choice.Next(now, f.known, f.options.Sources())
-	request := fleetwire.WatchRequest{Have: f.held.snapshot.Version, WaitMs: ask.Wait.Milliseconds(), Member: f.options.Self,
+func (f *Follower) NextPoll(now time.Time) (Poll, fleetwire.WatchRequest) {
+	poll := f.selector.NextPoll(now, f.knownControllers, f.options.Sources())
+	request := fleetwire.WatchRequest{Have: f.held.snapshot.Version, WaitMs: poll.Wait.Milliseconds(), Member: f.options.Self,
 		Steps: true}
-	if f.options.Relay != nil && f.options.Relay.listBroken.Load() {
-		f.needsWhole = true
+	if f.options.Relay != nil && f.options.Relay.listCorrupt.Load() {
+		f.needsFullList = true
 	}
-	if f.needsWhole {
+	if f.needsFullList {
 		request.Have.Instances = fleetwire.ListVersion{}
 	}
-	return ask, request
+	return poll, request
 }
 
 // Source returns the address of the hub that serves, or nothing while none does.
@@ -125,8 +125,8 @@
 	return ""
 }
 
-func (f *Follower) noteSource() {
-	source := f.choice.Current()
+func (f *Follower) updateSource() {
+	source := f.selector.Current()
 	if source == f.Source() {
 		return
 	}
@@ -149,30 +149,30 @@
 	}
 }
 
-func (f *Follower) poll(ctx context.Context, ask Ask, request *fleetwire.WatchRequest) {
+func (f *Follower) poll(ctx context.Context, poll Poll, request *fleetwire.WatchRequest) {
 	if f.options.BeforePoll != nil {
 		f.options.BeforePoll(request)
 	}
-	callContext, cancel := context.WithTimeout(ctx, ask.Deadline)
+	callContext, cancel := context.WithTimeout(ctx, poll.Deadline)
 	defer cancel()
 	sent := time.Now()
 	var reply fleetwire.WatchReply
-	err := f.options.Client.Call(callContext, ask.Address, fleetwire.PathWatch, request, &reply)
+	err := f.options.Client.Call(callContext, poll.Address, fleetwire.PathWatch, request, &reply)
 	if err != nil {
-		f.HandleFailure(time.Now(), ask)
+		f.HandleFailure(time.Now(), poll)
 		return
 	}
-	f.HandleReply(time.Now(), sent, ask, &reply)
+	f.HandleReply(time.Now(), sent, poll, &reply)
 }
 
 // HandleFailure notes that a poll got no answer in time.
-func (f *Follower) HandleFailure(now time.Time, ask Ask) { f.choice.Failed(now, ask) }
+func (f *Follower) HandleFailure(now time.Time, poll Poll) { f.selector.RecordFailure(now, poll) }
 
 // HandleReply takes the answer to a poll that was sent at the given moment.
-func (f *Follower) HandleReply(now, sent time.Time, ask Ask, reply *fleetwire.WatchReply) {
-	if err := f.take(reply, sent, now); err != nil {
-		f.options.Log.Warn("watch answer", zap.String("address", ask.Address), zap.Error(err))
-		f.choice.Failed(now, ask)
+func (f *Follower) HandleReply(now, sent time.Time, poll Poll, reply *fleetwire.WatchReply) {
+	if err := f.apply(reply, sent, now); err != nil {
+		f.options.Log.Warn("watch answer", zap.String("address", poll.Address), zap.Error(err))
+		f.selector.RecordFailure(now, poll)
 		return
 	}
 	if f.options.OnDoubts != nil {
@@ -180,7 +180,7 @@
 	}
 	age := fromMillis(reply.QuorumAgeMs) + transit(reply, sent, now)
 	behind := reply.Now.ConfigRevision < f.held.snapshot.Version.ConfigRevision
-	f.choice.Answered(now, ask, age, behind)
+	f.selector.RecordReply(now, poll, age, behind)
 }
 
 // transit bounds the time that an answer was on its way: all of the call that its source didn't hold it.
@@ -188,9 +188,9 @@
 	return max(now.Sub(sent)-fromMillis(reply.HeldMs), 0)
 }
 
-// take adopts what an answer brings. The first snapshot is taken only from a source in touch with the majority; after it,
+// apply adopts what an answer brings. The first snapshot is taken only from a source in touch with the majority; after it,
 // whatever is newer is taken from any, as what has once been chosen stays chosen.
-func (f *Follower) take(reply *fleetwire.WatchReply, sent, now time.Time) error {
+func (f *Follower) apply(reply *fleetwire.WatchReply, sent, now time.Time) error {
 	onTheWay := transit(reply, sent, now)
 	quorumAge := fromMillis(reply.QuorumAgeMs) + onTheWay
 	inTouch := quorumAge <= f.options.MaxQuorumAge
@@ -205,8 +205,8 @@
 	if inTouch {
 		f.setMembers(&next, reply)
 	}
-	f.noteHeard(now.Add(-quorumAge))
-	f.adopt(&next, now)
+	f.recordQuorumContact(now.Add(-quorumAge))
+	f.install(&next, now)
 	return nil
 }
 
@@ -224,8 +224,8 @@
 	if err := f.mergeList(next, reply, confirmed); err != nil {
 		return err
 	}
-	if reply.Now.Instances == next.snapshot.Version.Instances && confirmed.After(next.confirmed) {
-		next.confirmed = confirmed
+	if reply.Now.Instances == next.snapshot.Version.Instances && confirmed.After(next.confirmedAt) {
+		next.confirmedAt = confirmed
 	}
 	return nil
 }
@@ -234,17 +234,17 @@
 func (f *Follower) mergeList(next *state, reply *fleetwire.WatchReply, confirmed time.Time) error {
 	held, now := next.snapshot.Version.Instances, reply.Now.Instances
 	switch {
-	case reply.Instances != nil && (held.Less(now) || f.needsWhole && held == now):
-		list, err := f.wholeList(now, reply.Instances)
+	case reply.Instances != nil && (held.Less(now) || f.needsFullList && held == now):
+		list, err := f.newFullList(now, reply.Instances)
 		if err != nil {
 			return err
 		}
 		next.setList(list, confirmed)
-		f.needsWhole = false
+		f.needsFullList = false
 	case len(reply.Steps) > 0 && held.Less(now):
-		list, err := f.steppedList(next.list(), reply.Steps)
+		list, err := f.advanceList(next.list(), reply.Steps)
 		if err != nil || list.packed.version != now {
-			f.needsWhole = true
+			f.needsFullList = true
 			f.options.Log.Warn("steps of the list", zap.Error(err))
 			return nil
 		}
@@ -253,9 +253,9 @@
 	return nil
 }
 
-// wholeList returns a list that came whole.
-func (f *Follower) wholeList(version fleetwire.ListVersion, packed fleetwire.Packed) (heldList, error) {
-	list := heldList{packed: &packedList{version: version}}
+// newFullList returns a list that came whole.
+func (f *Follower) newFullList(version fleetwire.ListVersion, packed fleetwire.Packed) (instanceList, error) {
+	list := instanceList{packed: &packedList{version: version}}
 	if f.options.Relay != nil {
 		list.packed = newPackedList(version, packed)
 	}
@@ -263,27 +263,27 @@
 		return list, nil
 	}
 	if err := unpack(packed, &list.decoded); err != nil {
-		return heldList{}, err
+		return instanceList{}, err
 	}
-	list.digest = digestOf(list.decoded)
+	list.digest = listDigest(list.decoded)
 	return list, nil
 }
 
-// steppedList returns the list that steps lead to from the one held.
-func (f *Follower) steppedList(held heldList, steps []fleetwire.ListStep) (heldList, error) {
+// advanceList returns the list that steps lead to from the one held.
+func (f *Follower) advanceList(held instanceList, steps []fleetwire.ListStep) (instanceList, error) {
 	next := held
 	if next.packed == nil {
-		return heldList{}, eris.Wrap(ErrSteps, "no list is held")
+		return instanceList{}, eris.Wrap(ErrStepMismatch, "no list is held")
 	}
 	var err error
 	for _, step := range steps {
 		if f.options.Relay != nil {
-			next.packed, err = next.packed.with(step)
+			next.packed, err = next.packed.withStep(step)
 		} else {
-			next.packed, err = next.packed.past(step)
+			next.packed, err = next.packed.advanceVersion(step)
 		}
 		if err != nil {
-			return heldList{}, err
+			return instanceList{}, err
 		}
 	}
 	if f.decodes() {
@@ -298,29 +298,29 @@
 	if reply.Routers > 0 { // one that was just started can't tell, and what is held is better than nothing
 		next.snapshot.Routers = reply.Routers
 	}
-	if len(reply.Controllers) == 0 || slices.Equal(reply.Controllers, f.known) {
+	if len(reply.Controllers) == 0 || slices.Equal(reply.Controllers, f.knownControllers) {
 		return
 	}
-	f.known = reply.Controllers
+	f.knownControllers = reply.Controllers
 	next.snapshot.Controllers = reply.Controllers
 }
 
-// noteHeard keeps the newest moment at which a majority was heard.
-func (f *Follower) noteHeard(moment time.Time) {
-	if heard := f.heard.Load(); heard == nil || moment.After(*heard) {
-		f.heard.Store(&moment)
+// recordQuorumContact keeps the newest moment at which a majority was heard.
+func (f *Follower) recordQuorumContact(moment time.Time) {
+	if heard := f.quorumContact.Load(); heard == nil || moment.After(*heard) {
+		f.quorumContact.Store(&moment)
 	}
 }
 
-// adopt makes a state the current one and passes it on.
-func (f *Follower) adopt(next *state, now time.Time) {
+// install makes a state the current one and passes it on.
+func (f *Follower) install(next *state, now time.Time) {
 	previous := f.held.snapshot
 	first := f.current.Load() == nil
 	f.held = *next
 	snapshot := next.snapshot
 	snapshot.At = now
 	snapshot.QuorumAge = f.quorumAgeAt(now)
-	snapshot.ListAge = ageAt(now, next.confirmed)
+	snapshot.ListAge = ageAt(now, next.confirmedAt)
 	f.current.Store(&snapshot)
 	if f.options.Relay != nil {
 		f.options.Relay.relay(next)
@@ -338,11 +338,11 @@
 		version := &from.snapshot.Version
 		next.setConfig(version.ConfigRevision, from.snapshot.Config, from.packedConfig)
 		if next.packedList != from.packedList {
-			next.setList(from.list(), from.confirmed)
-			h.listBroken.Store(false)
+			next.setList(from.list(), from.confirmedAt)
+			h.listCorrupt.Store(false)
 		}
 		if version.Instances == next.snapshot.Version.Instances {
-			next.confirmed = from.confirmed
+			next.confirmedAt = from.confirmedAt
 		}
 		next.snapshot.Controllers = from.snapshot.Controllers
 		next.snapshot.Routers = from.snapshot.Routers
--- a/coordination/watch/follower_test.go
+++ b/coordination/watch/follower_test.go
@@ -31,7 +31,7 @@
 
 func newFleet(t *testing.T, options FollowerOptions) *fleet {
 	options.Self.Name = "frontend-1"
-	f := &fleet{t: t, network: newNetwork(), order: rendezvous.Rank(options.Self.Name, controllers(3))}
+	f := &fleet{t: t, network: newNetwork(), order: rendezvous.Rank(options.Self.Name, controllerAddresses(3))}
 	f.hubs = map[string]*Hub{}
 	f.quorums = map[string]*touch{}
 	for _, address := range f.order {
@@ -165,7 +165,7 @@
 		f.settle(2 * time.Second)
 		require.Equal(t, f.order[1], f.follower.Source())
 		f.network.set(f.order[0], linkUp)
-		f.settle(2 * probeEvery)
+		f.settle(2 * probeInterval)
 		require.Equal(t, f.order[0], f.follower.Source())
 	})
 }
--- a/coordination/watch/fuzz_test.go
+++ b/coordination/watch/fuzz_test.go
@@ -31,7 +31,7 @@
 			{Now: fleetwire.Version{ConfigRevision: revision / 2, Instances: first}, Config: config, Instances: list},
 		} {
 			before := follower.held.snapshot.Version
-			_ = follower.take(&reply, now, now)
+			_ = follower.apply(&reply, now, now)
 			after := follower.held.snapshot.Version
 			require.GreaterOrEqual(t, after.ConfigRevision, before.ConfigRevision)
 			require.False(t, after.Instances.Less(before.Instances))
--- a/coordination/watch/hub.go
+++ b/coordination/watch/hub.go
@@ -41,14 +41,14 @@
 
 // Hub holds the current state and answers long polls. It is safe for use by several goroutines.
 type Hub struct {
-	options HubOptions
-	closed  chan struct{}
-	closing sync.Once
+	options   HubOptions
+	closed    chan struct{}
+	closeOnce sync.Once
 
-	mutex      sync.Mutex  // orders writers
-	publishing sync.Mutex  // orders publishers of lists
-	listBroken atomic.Bool // the list that a follower gave can't be made whole
-	state      atomic.Pointer[state]
+	writeMutex   sync.Mutex  // orders writers
+	publishMutex sync.Mutex  // orders publishers of lists
+	listCorrupt  atomic.Bool // the list that a follower gave can't be made whole
+	state        atomic.Pointer[state]
 }
 
 // state is what a hub holds at one moment; it is replaced whole.
@@ -57,7 +57,7 @@
 	packedConfig fleetwire.Packed
 	packedList   *packedList   // nil without a list
 	digest       uint64        // of the list, where it is decoded
-	confirmed    time.Time     // when the platform confirmed the list; zero: never
+	confirmedAt  time.Time     // when the platform confirmed the list; zero: never
 	changed      chan struct{} // closed once a newer version is there
 }
 
@@ -83,7 +83,7 @@
 }
 
 // Close ends all polls, now and later, as those of a hub that is out of touch: watchers leave at once.
-func (h *Hub) Close() { h.closing.Do(func() { close(h.closed) }) }
+func (h *Hub) Close() { h.closeOnce.Do(func() { close(h.closed) }) }
 
 // Current returns the state. A hub that is fed by a Follower without OnChange has no decoded configuration and list.
 func (h *Hub) Current() *Snapshot {
@@ -91,7 +91,7 @@
 	snapshot := current.snapshot
 	snapshot.At = time.Now()
 	snapshot.QuorumAge = h.quorumAge()
-	snapshot.ListAge = ageAt(snapshot.At, current.confirmed)
+	snapshot.ListAge = ageAt(snapshot.At, current.confirmedAt)
 	return &snapshot
 }
 
@@ -110,8 +110,8 @@
 
 // PublishInstances makes a list known that the platform gave just now. One that isn't newer than the current one is ignored.
 func (h *Hub) PublishInstances(version fleetwire.ListVersion, instances []fleetwire.Instance) error {
-	h.publishing.Lock()
-	defer h.publishing.Unlock()
+	h.publishMutex.Lock()
+	defer h.publishMutex.Unlock()
 	current := h.state.Load()
 	if !current.snapshot.Version.Instances.Less(version) {
 		return nil
@@ -131,21 +131,21 @@
 	if list == nil {
 		return nil
 	}
-	return list.shortSince(have)
+	return list.smallStepsSince(have)
 }
 
 // PublishSteps makes a newer list known by the steps that StepsSince of another hub gave. It returns the list, or ErrSteps if
 // they don't lead from the list that is held.
 func (h *Hub) PublishSteps(steps []fleetwire.ListStep) ([]fleetwire.Instance, error) {
-	h.publishing.Lock()
-	defer h.publishing.Unlock()
+	h.publishMutex.Lock()
+	defer h.publishMutex.Unlock()
 	next := h.state.Load().list()
 	if next.packed == nil {
-		return nil, eris.Wrap(ErrSteps, "no list is held")
+		return nil, eris.Wrap(ErrStepMismatch, "no list is held")
 	}
 	var err error
 	for _, step := range steps {
-		if next.packed, err = next.packed.with(step); err != nil {
+		if next.packed, err = next.packed.withStep(step); err != nil {
 			return nil, err
 		}
 	}
@@ -158,29 +158,29 @@
 }
 
 // nextList returns the list that follows the current one, as a step from it where that is possible and much smaller.
-func nextList(current *state, version fleetwire.ListVersion, instances []fleetwire.Instance) (heldList, error) {
-	if current.packedList != nil && ordered(current.snapshot.Instances) && ordered(instances) {
+func nextList(current *state, version fleetwire.ListVersion, instances []fleetwire.Instance) (instanceList, error) {
+	if current.packedList != nil && sortedByID(current.snapshot.Instances) && sortedByID(instances) {
 		step, decoded, err := newStep(current, version, instances)
 		if err != nil {
-			return heldList{}, err
+			return instanceList{}, err
 		}
-		if float64(len(step.Body)) <= stepsShare*float64(len(current.packedList.base)) {
-			packed, err := current.packedList.with(step)
-			return heldList{packed: packed, decoded: decoded, digest: step.Digest}, err
+		if float64(len(step.Body)) <= maxStepsRatio*float64(len(current.packedList.base)) {
+			packed, err := current.packedList.withStep(step)
+			return instanceList{packed: packed, decoded: decoded, digest: step.Digest}, err
 		}
 	}
 	whole, err := pack(instances)
 	if err != nil {
-		return heldList{}, err
+		return instanceList{}, err
 	}
-	return heldList{packed: newPackedList(version, whole), decoded: instances, digest: digestOf(instances)}, nil
+	return instanceList{packed: newPackedList(version, whole), decoded: instances, digest: listDigest(instances)}, nil
 }
 
 // ConfirmInstances notes that the platform gave the current list again at the given moment. It wakes nobody.
 func (h *Hub) ConfirmInstances(at time.Time) {
 	h.update(func(next *state) {
-		if at.After(next.confirmed) {
-			next.confirmed = at
+		if at.After(next.confirmedAt) {
+			next.confirmedAt = at
 		}
 	})
 }
@@ -204,8 +204,8 @@
 
 // update swaps the state for a changed copy and wakes the polls if its version moved on.
 func (h *Hub) update(change func(next *state)) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
+	h.writeMutex.Lock()
+	defer h.writeMutex.Unlock()
 	current := h.state.Load()
 	next := *current
 	change(&next)
@@ -227,26 +227,26 @@
 	s.packedConfig = packed
 }
 
-// heldList is a list of instances in its forms. A relay has only the packed one.
-type heldList struct {
+// instanceList is a list of instances in its forms. A relay has only the packed one.
+type instanceList struct {
 	packed  *packedList
 	decoded []fleetwire.Instance
 	digest  uint64 // of decoded
 }
 
-func (s *state) list() heldList {
-	return heldList{packed: s.packedList, decoded: s.snapshot.Instances, digest: s.digest}
+func (s *state) list() instanceList {
+	return instanceList{packed: s.packedList, decoded: s.snapshot.Instances, digest: s.digest}
 }
 
 // setList takes a list that isn't older than the one held.
-func (s *state) setList(list heldList, at time.Time) {
+func (s *state) setList(list instanceList, at time.Time) {
 	if list.packed == nil || list.packed.version.Less(s.snapshot.Version.Instances) {
 		return
 	}
 	s.snapshot.Version.Instances = list.packed.version
 	s.snapshot.Instances = list.decoded
 	s.packedList, s.digest = list.packed, list.digest
-	s.confirmed = at
+	s.confirmedAt = at
 }
 
 // Serve answers one poll: at once if there is something newer or the hub is out of touch, otherwise when either comes about or
@@ -263,7 +263,7 @@
 		if remaining <= 0 || newer(current.snapshot.Version, request.Have) {
 			return h.reply(current, &request, received)
 		}
-		if err := h.waitFor(ctx, current.changed, remaining); err != nil {
+		if err := h.waitForChange(ctx, current.changed, remaining); err != nil {
 			return fleetwire.WatchReply{}, err
 		}
 		if h.isClosed() {
@@ -272,8 +272,8 @@
 	}
 }
 
-// waitFor returns once the state changed, the hub is closed or the time is over, and with an error when the watcher left.
-func (h *Hub) waitFor(ctx context.Context, changed <-chan struct{}, longest time.Duration) error {
+// waitForChange returns once the state changed, the hub is closed or the time is over, and with an error when the watcher left.
+func (h *Hub) waitForChange(ctx context.Context, changed <-chan struct{}, longest time.Duration) error {
 	timer := time.NewTimer(longest)
 	defer timer.Stop()
 	select {
@@ -310,7 +310,7 @@
 		Controllers: current.snapshot.Controllers,
 		Routers:     current.snapshot.Routers,
 		QuorumAgeMs: millis(h.quorumAge()),
-		ListAgeMs:   millis(ageAt(now, current.confirmed)),
+		ListAgeMs:   millis(ageAt(now, current.confirmedAt)),
 		HeldMs:      now.Sub(received).Milliseconds(),
 	}
 	if h.options.Doubts != nil {
@@ -323,14 +323,14 @@
 		return reply, nil
 	}
 	if request.Steps {
-		reply.Steps = current.packedList.shortSince(have.Instances)
+		reply.Steps = current.packedList.smallStepsSince(have.Instances)
 	}
 	if len(reply.Steps) > 0 {
 		return reply, nil
 	}
-	whole, err := current.packedList.whole()
+	whole, err := current.packedList.full()
 	if err != nil {
-		h.listBroken.Store(true)
+		h.listCorrupt.Store(true)
 		return fleetwire.WatchReply{}, err
 	}
 	reply.Instances = whole
--- a/coordination/watch/list_test.go
+++ b/coordination/watch/list_test.go
@@ -40,7 +40,7 @@
 
 // A watcher gets the steps from what it has, or the whole list where it takes none, has nothing or was away for long.
 func TestHubSendsSteps(t *testing.T) {
-	const last = 2*maxSteps + 5
+	const last = 2*maxKeptSteps + 5
 	hub := NewHub(HubOptions{})
 	for sequence := uint64(1); sequence <= last; sequence++ {
 		require.NoError(t, hub.PublishInstances(listVersion(sequence), longList(900, int(sequence), fmt.Sprint(sequence))))
@@ -93,19 +93,19 @@
 
 // pollOnce has a follower poll a hub once, and a change done to the answer on its way.
 func pollOnce(follower *Follower, hub *Hub, change func(*fleetwire.WatchReply)) {
-	ask, request := follower.NextPoll(time.Now())
+	poll, request := follower.NextPoll(time.Now())
 	request.WaitMs = 0
 	sent := time.Now()
 	reply, err := hub.Serve(context.Background(), request)
 	if err != nil {
-		follower.HandleFailure(time.Now(), ask)
+		follower.HandleFailure(time.Now(), poll)
 		return
 	}
 	reply.Steps = slices.Clone(reply.Steps)
 	if change != nil {
 		change(&reply)
 	}
-	follower.HandleReply(time.Now(), sent, ask, &reply)
+	follower.HandleReply(time.Now(), sent, poll, &reply)
 }
 
 // Whatever the lists, the polls and the restarts, each who has polled has the newest list of what it polled.
@@ -117,7 +117,7 @@
 			if snapshot != nil {
 				require.Equal(t, len(lists[snapshot.Version.Instances.Sequence]), len(snapshot.Instances))
 				for i, instance := range lists[snapshot.Version.Instances.Sequence] {
-					require.True(t, sameInstance(&instance, &snapshot.Instances[i]))
+					require.True(t, equalInstances(&instance, &snapshot.Instances[i]))
 				}
 			}
 		}
@@ -187,7 +187,7 @@
 	pollOnce(c.agent, c.top, nil)
 	pollOnce(c.router, c.relay, nil)
 	require.Equal(t, longList(900, 1, "b"), c.router.Current().Instances)
-	require.False(t, c.relay.listBroken.Load())
+	require.False(t, c.relay.listCorrupt.Load())
 }
 
 // A router learns of a change of the list at once through a relay.
--- a/coordination/watch/pack.go
+++ b/coordination/watch/pack.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// flateFrom is the size from which compression saves more on the links than it costs in processor time.
-	flateFrom = 4 << 10
+	// minFlateBytes is the size from which compression saves more on the links than it costs in processor time.
+	minFlateBytes = 4 << 10
 	// maxUnpackedBytes bounds what a packed value may grow to.
 	maxUnpackedBytes = 16 << 20
 )
@@ -34,12 +34,12 @@
 	if err := encoder.Encode(value); err != nil {
 		return nil, eris.Wrap(err, "encode")
 	}
-	if plain.Len() < flateFrom {
+	if plain.Len() < minFlateBytes {
 		return plain.Bytes(), nil
 	}
-	var squeezed bytes.Buffer
-	squeezed.WriteByte(packedFlate)
-	writer, err := flate.NewWriter(&squeezed, flate.BestSpeed)
+	var compressed bytes.Buffer
+	compressed.WriteByte(packedFlate)
+	writer, err := flate.NewWriter(&compressed, flate.BestSpeed)
 	if err != nil {
 		return nil, eris.Wrap(err, "make compressor")
 	}
@@ -49,7 +49,7 @@
 	if err := writer.Close(); err != nil {
 		return nil, eris.Wrap(err, "end compression")
 	}
-	return squeezed.Bytes(), nil
+	return compressed.Bytes(), nil
 }
 
 // unpack decodes what pack made.
--- a/coordination/watch/step.go
+++ b/coordination/watch/step.go
@@ -10,8 +10,8 @@
 	"weldscale/internal/fleetwire"
 )
 
-// ordered reports whether a list is in the order of its ids, each once. Only such lists have steps.
-func ordered(list []fleetwire.Instance) bool {
+// sortedByID reports whether a list is in the order of its ids, each once. Only such lists have steps.
+func sortedByID(list []fleetwire.Instance) bool {
 	for i := 1; i < len(list); i++ {
 		if list[i-1].ID >= list[i].ID {
 			return false
@@ -20,8 +20,8 @@
 	return true
 }
 
-// deltaOf returns what leads from one ordered list to another.
-func deltaOf(from, to []fleetwire.Instance) fleetwire.ListDelta {
+// diffLists returns what leads from one ordered list to another.
+func diffLists(from, to []fleetwire.Instance) fleetwire.ListDelta {
 	var delta fleetwire.ListDelta
 	for len(from) > 0 || len(to) > 0 {
 		switch {
@@ -32,7 +32,7 @@
 			delta.Put = append(delta.Put, to[0])
 			to = to[1:]
 		default:
-			if !sameInstance(&from[0], &to[0]) {
+			if !equalInstances(&from[0], &to[0]) {
 				delta.Put = append(delta.Put, to[0])
 			}
 			from, to = from[1:], to[1:]
@@ -41,8 +41,8 @@
 	return delta
 }
 
-// sameInstance reports whether two entries are the same in all fields.
-func sameInstance(a, b *fleetwire.Instance) bool {
+// equalInstances reports whether two entries are the same in all fields.
+func equalInstances(a, b *fleetwire.Instance) bool {
 	return a.ID == b.ID && a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone && a.Version == b.Version &&
 		a.Slots == b.Slots && a.State == b.State && a.ColdRemainingMs == b.ColdRemainingMs && a.Stage == b.Stage &&
 		slices.Equal(a.Models, b.Models)
@@ -51,32 +51,32 @@
 // applyDelta returns a new list and its digest. The entries that a delta removes must be there, and its new ones in order.
 func applyDelta(list []fleetwire.Instance, digest uint64, delta fleetwire.ListDelta) ([]fleetwire.Instance, uint64, error) {
 	next := make([]fleetwire.Instance, 0, max(0, len(list)+len(delta.Put)-len(delta.Removed)))
-	if !ordered(delta.Put) || !slices.IsSorted(delta.Removed) {
-		return nil, 0, eris.Wrap(ErrSteps, "a delta out of order")
+	if !sortedByID(delta.Put) || !slices.IsSorted(delta.Removed) {
+		return nil, 0, eris.Wrap(ErrStepMismatch, "a delta out of order")
 	}
 	put, removed := delta.Put, delta.Removed
 	for i := range list {
 		entry := &list[i]
 		for len(put) > 0 && put[0].ID < entry.ID {
-			next, digest = append(next, put[0]), digest+digestOfInstance(&put[0])
+			next, digest = append(next, put[0]), digest+instanceDigest(&put[0])
 			put = put[1:]
 		}
 		switch {
 		case len(removed) > 0 && removed[0] == entry.ID:
-			digest -= digestOfInstance(entry)
+			digest -= instanceDigest(entry)
 			removed = removed[1:]
 		case len(put) > 0 && put[0].ID == entry.ID:
-			next, digest = append(next, put[0]), digest-digestOfInstance(entry)+digestOfInstance(&put[0])
+			next, digest = append(next, put[0]), digest-instanceDigest(entry)+instanceDigest(&put[0])
 			put = put[1:]
 		default:
 			next = append(next, *entry)
 		}
 	}
 	for i := range put {
-		next, digest = append(next, put[i]), digest+digestOfInstance(&put[i])
+		next, digest = append(next, put[i]), digest+instanceDigest(&put[i])
 	}
 	if len(removed) > 0 {
-		return nil, 0, eris.Wrap(ErrSteps, "an entry to be removed is not there")
+		return nil, 0, eris.Wrap(ErrStepMismatch, "an entry to be removed is not there")
 	}
 	return next, digest, nil
 }
@@ -93,22 +93,22 @@
 			return nil, 0, err
 		}
 		if digest != step.Digest {
-			return nil, 0, eris.Wrap(ErrSteps, "the digest differs")
+			return nil, 0, eris.Wrap(ErrStepMismatch, "the digest differs")
 		}
 	}
 	return list, digest, nil
 }
 
-// digestOf returns the sum of the digests of all entries, so that a change of one entry changes it without the others.
-func digestOf(list []fleetwire.Instance) uint64 {
+// listDigest returns the sum of the digests of all entries, so that a change of one entry changes it without the others.
+func listDigest(list []fleetwire.Instance) uint64 {
 	var sum uint64
 	for i := range list {
-		sum += digestOfInstance(&list[i])
+		sum += instanceDigest(&list[i])
 	}
 	return sum
 }
 
-func digestOfInstance(instance *fleetwire.Instance) uint64 {
+func instanceDigest(instance *fleetwire.Instance) uint64 {
 	sum := fnv.New64a()
 	encoder := msgpack.GetEncoder()
 	defer msgpack.PutEncoder(encoder)
@@ -123,7 +123,7 @@
 
 // newStep packs the step between two ordered lists, and returns the new list and its digest as watchers will hold them.
 func newStep(from *state, version fleetwire.ListVersion, list []fleetwire.Instance) (fleetwire.ListStep, []fleetwire.Instance, error) {
-	delta := deltaOf(from.snapshot.Instances, list)
+	delta := diffLists(from.snapshot.Instances, list)
 	next, digest, err := applyDelta(from.snapshot.Instances, from.digest, delta)
 	if err != nil {
 		return fleetwire.ListStep{}, nil, err
--- a/coordination/watch/step_test.go
+++ b/coordination/watch/step_test.go
@@ -37,10 +37,10 @@
 func TestDeltaLeadsToTheList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := orderedList(t, "from"), orderedList(t, "to")
-		got, digest, err := applyDelta(from, digestOf(from), deltaOf(from, to))
+		got, digest, err := applyDelta(from, listDigest(from), diffLists(from, to))
 		require.NoError(t, err)
 		require.Equal(t, to, got)
-		require.Equal(t, digestOf(to), digest)
+		require.Equal(t, listDigest(to), digest)
 	})
 }
 
@@ -48,14 +48,14 @@
 func TestDeltaIsSmall(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := orderedList(t, "list")
-		require.Zero(t, deltaOf(list, list))
+		require.Zero(t, diffLists(list, list))
 		changed := slices.Clone(list)
 		if len(changed) == 0 {
 			return
 		}
 		changed[rapid.IntRange(0, len(list)-1).Draw(t, "which")].Slots = 7
-		require.Len(t, deltaOf(list, changed).Put, 1)
-		require.Empty(t, deltaOf(list, changed).Removed)
+		require.Len(t, diffLists(list, changed).Put, 1)
+		require.Empty(t, diffLists(list, changed).Removed)
 	})
 }
 
@@ -76,8 +76,8 @@
 		default:
 			t.Fatalf("a field of another kind: %s", kind.Field(i).Name)
 		}
-		require.False(t, sameInstance(&plain, &changed), kind.Field(i).Name)
-		require.NotEqual(t, digestOfInstance(&plain), digestOfInstance(&changed), kind.Field(i).Name)
+		require.False(t, equalInstances(&plain, &changed), kind.Field(i).Name)
+		require.NotEqual(t, instanceDigest(&plain), instanceDigest(&changed), kind.Field(i).Name)
 	}
 }
 
@@ -85,10 +85,10 @@
 func TestStepsOfAnotherList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to, other := orderedList(t, "from"), orderedList(t, "to"), orderedList(t, "other")
-		body, err := pack(deltaOf(from, to))
+		body, err := pack(diffLists(from, to))
 		require.NoError(t, err)
-		step := fleetwire.ListStep{From: listVersion(1), To: listVersion(2), Digest: digestOf(to), Body: body}
-		got, _, err := applySteps(other, digestOf(other), []fleetwire.ListStep{step})
+		step := fleetwire.ListStep{From: listVersion(1), To: listVersion(2), Digest: listDigest(to), Body: body}
+		got, _, err := applySteps(other, listDigest(other), []fleetwire.ListStep{step})
 		if err == nil {
 			require.Equal(t, to, got, "where it fits, it leads to the same list")
 		}
@@ -103,7 +103,7 @@
 		{Removed: []string{"absent"}},
 	} {
 		_, _, err := applyDelta([]fleetwire.Instance{{ID: "a"}, {ID: "b"}}, 0, delta)
-		require.ErrorIs(t, err, ErrSteps)
+		require.ErrorIs(t, err, ErrStepMismatch)
 	}
 }
 
