--- a/coordination/watch/follower.go
+++ b/coordination/watch/follower.go
@@ -13,49 +13,51 @@
 	"weldscale/internal/fleetwire"
 )
 
-// Caller sends a message and decodes the answer. *transport.Client is one.
+// Caller sends a request to an address and decodes the reply. *transport.Client implements it.
 type Caller interface {
 	Call(ctx context.Context, address, path string, request, reply any) error
 }
 
-// FollowerOptions sets up a follower.
+// FollowerOptions configures a Follower.
 type FollowerOptions struct {
 	Self    fleetwire.Member
-	Sources func() []string // the addresses that are known from outside: read anew for each poll
-	Client  Caller
-	// OnChange is called with each new snapshot whose version, controllers or number of routers changed, one at a time, by
-	// the goroutine of Run. With nil, configurations and lists are not decoded.
+	Sources func() []string // returns the configured addresses of sources; called before each poll
+	Client  Caller          // sends the polls of Run
+	// OnChange is called on the goroutine of Run with each snapshot whose version, controllers or number of routers changed.
+	// If it is nil, configurations and lists are not decoded.
 	OnChange func(*Snapshot)
-	// Relay is a hub that is given all that the follower learns; nil: none.
+	// Relay is a hub that receives every update of the follower; nil: none.
 	Relay *Hub
-	// MaxQuorumAge is the age beyond which a source is left, and from beyond which no first snapshot is taken; 0: the default.
+	// MaxQuorumAge is the quorum age beyond which the follower leaves a source, and beyond which it accepts no first snapshot;
+	// 0: DefaultMaxQuorumAge.
 	MaxQuorumAge time.Duration
-	Wait         time.Duration // how long a source may hold a poll; 0: the default
-	Grace        time.Duration // beyond the wait until a source counts as silent; 0: the default
-	// Jitter spreads the polls of followers, in [0, 1); nil: at random.
+	Wait         time.Duration // how long a source may hold a poll; 0: DefaultMaxWait
+	Grace        time.Duration // time beyond Wait after which a source counts as failed; 0: DefaultGrace
+	// Jitter returns a value in [0, 1) that spreads the polls of followers; nil: random values.
 	Jitter func() float64
-	// BeforePoll may add to each request before it is sent; nil: nothing is added.
+	// BeforePoll is called on the goroutine of Run and may add to each request before it is sent; nil: no callback.
 	BeforePoll func(*fleetwire.WatchRequest)
-	// OnDoubts is called with the doubts of each answer, even if there are none, by the goroutine of Run; nil: nobody is told.
+	// OnDoubts is called on the goroutine of Run with the doubts in each reply, even if there are none; nil: no callback.
 	OnDoubts func([]fleetwire.Doubt)
-	Log      *zap.Logger // nil: nothing is logged
+	Log      *zap.Logger // nil: no logging
 }
 
-// Follower keeps a snapshot up to date by polling one of several sources. Run drives it; a simulation may do so instead, by
-// Next, Answered and Failed, which take the time and use no clock, socket or goroutine.
+// Follower keeps a snapshot up to date by polling one of several sources. Run drives it. A simulation may instead call NextPoll,
+// HandleReply and HandleFailure, which take the time as an argument and use no clock, socket or goroutine. Current, QuorumAge
+// and Source are safe for concurrent use.
 type Follower struct {
 	options          FollowerOptions
 	selector         *SourceSelector
-	knownControllers []string // controllers that sources told of
-	held             state
-	// needsFullList is set after steps that didn't fit, until a whole list is there.
+	knownControllers []string // addresses of the controllers, from the replies of sources
+	state            state
+	// needsFullList is set when steps could not be applied, until a full list arrives.
 	needsFullList bool
 	current       atomic.Pointer[Snapshot]
-	quorumContact atomic.Pointer[time.Time] // the newest moment at which a majority was heard by a source
+	quorumContact atomic.Pointer[time.Time] // the latest moment at which a source had contact with a majority
 	source        atomic.Pointer[string]
 }
 
-// NewFollower returns a follower that holds nothing.
+// NewFollower returns a follower without a snapshot.
 func NewFollower(options FollowerOptions) *Follower {
 	if options.MaxQuorumAge == 0 {
 		options.MaxQuorumAge = DefaultMaxQuorumAge
@@ -77,18 +79,19 @@
 	return follower
 }
 
-// Current returns the newest snapshot, or nil before the first.
+// Current returns the newest snapshot, or nil before the first one.
 func (f *Follower) Current() *Snapshot { return f.current.Load() }
 
-// QuorumAge tells how long ago a majority was heard by a source, as far as this follower knows.
+// QuorumAge returns the time since the latest contact of a source with a majority of the replicas that this follower has
+// received.
 func (f *Follower) QuorumAge() time.Duration { return f.quorumAgeAt(time.Now()) }
 
 func (f *Follower) quorumAgeAt(now time.Time) time.Duration {
-	heard := f.quorumContact.Load()
-	if heard == nil {
+	contact := f.quorumContact.Load()
+	if contact == nil {
 		return unknownAge
 	}
-	return ageAt(now, *heard)
+	return ageAt(now, *contact)
 }
 
 // Run polls until ctx is done.
@@ -103,10 +106,11 @@
 	}
 }
 
-// NextPoll returns the next poll. Without an address there is nobody to ask, and NextPoll is to be called again after the delay.
+// NextPoll returns the next poll and its request. A poll without an address means that no source is known; the caller must then
+// call NextPoll again after the delay.
 func (f *Follower) NextPoll(now time.Time) (Poll, fleetwire.WatchRequest) {
 	poll := f.selector.NextPoll(now, f.knownControllers, f.options.Sources())
-	request := fleetwire.WatchRequest{Have: f.held.snapshot.Version, WaitMs: poll.Wait.Milliseconds(), Member: f.options.Self,
+	request := fleetwire.WatchRequest{Have: f.state.snapshot.Version, WaitMs: poll.Wait.Milliseconds(), Member: f.options.Self,
 		Steps: true}
 	if f.options.Relay != nil && f.options.Relay.listCorrupt.Load() {
 		f.needsFullList = true
@@ -117,7 +121,7 @@
 	return poll, request
 }
 
-// Source returns the address of the hub that serves, or nothing while none does.
+// Source returns the address of the source in use, or an empty string if there is none.
 func (f *Follower) Source() string {
 	if source := f.source.Load(); source != nil {
 		return *source
@@ -125,6 +129,7 @@
 	return ""
 }
 
+// updateSource publishes the source in use to Source and logs a change.
 func (f *Follower) updateSource() {
 	source := f.selector.Current()
 	if source == f.Source() {
@@ -134,7 +139,7 @@
 	f.options.Log.Info("watch source", zap.String("address", source))
 }
 
-// sleep reports whether ctx is still good after the delay.
+// sleep waits for the delay and returns true, or returns false as soon as ctx is done.
 func sleep(ctx context.Context, delay time.Duration) bool {
 	if delay <= 0 {
 		return ctx.Err() == nil
@@ -149,6 +154,7 @@
 	}
 }
 
+// poll sends one poll and handles its reply or failure.
 func (f *Follower) poll(ctx context.Context, poll Poll, request *fleetwire.WatchRequest) {
 	if f.options.BeforePoll != nil {
 		f.options.BeforePoll(request)
@@ -165,10 +171,11 @@
 	f.HandleReply(time.Now(), sent, poll, &reply)
 }
 
-// HandleFailure notes that a poll got no answer in time.
+// HandleFailure records that a poll failed or got no reply in time.
 func (f *Follower) HandleFailure(now time.Time, poll Poll) { f.selector.RecordFailure(now, poll) }
 
-// HandleReply takes the answer to a poll that was sent at the given moment.
+// HandleReply processes the reply to a poll that was sent at the given moment. A reply that cannot be decoded counts as a
+// failure of its source.
 func (f *Follower) HandleReply(now, sent time.Time, poll Poll, reply *fleetwire.WatchReply) {
 	if err := f.apply(reply, sent, now); err != nil {
 		f.options.Log.Warn("watch answer", zap.String("address", poll.Address), zap.Error(err))
@@ -179,30 +186,31 @@
 		f.options.OnDoubts(reply.Doubts)
 	}
 	age := fromMillis(reply.QuorumAgeMs) + transit(reply, sent, now)
-	behind := reply.Now.ConfigRevision < f.held.snapshot.Version.ConfigRevision
+	behind := reply.Now.ConfigRevision < f.state.snapshot.Version.ConfigRevision
 	f.selector.RecordReply(now, poll, age, behind)
 }
 
-// transit bounds the time that an answer was on its way: all of the call that its source didn't hold it.
+// transit returns an upper bound of the time that a reply spent in transit: the duration of the call without the time that the
+// source held the poll.
 func transit(reply *fleetwire.WatchReply, sent, now time.Time) time.Duration {
 	return max(now.Sub(sent)-fromMillis(reply.HeldMs), 0)
 }
 
-// apply adopts what an answer brings. The first snapshot is taken only from a source in touch with the majority; after it,
-// whatever is newer is taken from any, as what has once been chosen stays chosen.
+// apply applies a reply to the state. The first snapshot is accepted only from a source with recent quorum contact. After that,
+// newer versions are accepted from any source, because a committed version stays committed.
 func (f *Follower) apply(reply *fleetwire.WatchReply, sent, now time.Time) error {
-	onTheWay := transit(reply, sent, now)
-	quorumAge := fromMillis(reply.QuorumAgeMs) + onTheWay
-	inTouch := quorumAge <= f.options.MaxQuorumAge
-	if !inTouch && f.current.Load() == nil {
+	transitTime := transit(reply, sent, now)
+	quorumAge := fromMillis(reply.QuorumAgeMs) + transitTime
+	quorumFresh := quorumAge <= f.options.MaxQuorumAge
+	if !quorumFresh && f.current.Load() == nil {
 		return nil
 	}
-	next := f.held
-	confirmed := now.Add(-fromMillis(reply.ListAgeMs) - onTheWay)
-	if err := f.merge(&next, reply, confirmed); err != nil {
+	next := f.state
+	confirmedAt := now.Add(-fromMillis(reply.ListAgeMs) - transitTime)
+	if err := f.merge(&next, reply, confirmedAt); err != nil {
 		return err
 	}
-	if inTouch {
+	if quorumFresh {
 		f.setMembers(&next, reply)
 	}
 	f.recordQuorumContact(now.Add(-quorumAge))
@@ -210,8 +218,8 @@
 	return nil
 }
 
-// merge adds the newer parts of an answer to a state.
-func (f *Follower) merge(next *state, reply *fleetwire.WatchReply, confirmed time.Time) error {
+// merge adds the newer parts of a reply to a state. confirmedAt is when the platform confirmed the source's list.
+func (f *Follower) merge(next *state, reply *fleetwire.WatchReply, confirmedAt time.Time) error {
 	if reply.Config != nil && reply.Now.ConfigRevision > next.snapshot.Version.ConfigRevision {
 		var config *fleetwire.Config
 		if f.decodes() {
@@ -221,39 +229,40 @@
 		}
 		next.setConfig(reply.Now.ConfigRevision, config, reply.Config)
 	}
-	if err := f.mergeList(next, reply, confirmed); err != nil {
+	if err := f.mergeList(next, reply, confirmedAt); err != nil {
 		return err
 	}
-	if reply.Now.Instances == next.snapshot.Version.Instances && confirmed.After(next.confirmedAt) {
-		next.confirmedAt = confirmed
+	if reply.Now.Instances == next.snapshot.Version.Instances && confirmedAt.After(next.confirmedAt) {
+		next.confirmedAt = confirmedAt
 	}
 	return nil
 }
 
-// mergeList takes a whole list, or steps from the list that is held. After steps that don't fit the whole list is asked for.
-func (f *Follower) mergeList(next *state, reply *fleetwire.WatchReply, confirmed time.Time) error {
-	held, now := next.snapshot.Version.Instances, reply.Now.Instances
+// mergeList stores a full list, or applies steps to the current one. If the steps cannot be applied, the next poll requests the
+// full list.
+func (f *Follower) mergeList(next *state, reply *fleetwire.WatchReply, confirmedAt time.Time) error {
+	current, now := next.snapshot.Version.Instances, reply.Now.Instances
 	switch {
-	case reply.Instances != nil && (held.Less(now) || f.needsFullList && held == now):
+	case reply.Instances != nil && (current.Less(now) || f.needsFullList && current == now):
 		list, err := f.newFullList(now, reply.Instances)
 		if err != nil {
 			return err
 		}
-		next.setList(list, confirmed)
+		next.setList(list, confirmedAt)
 		f.needsFullList = false
-	case len(reply.Steps) > 0 && held.Less(now):
+	case len(reply.Steps) > 0 && current.Less(now):
 		list, err := f.advanceList(next.list(), reply.Steps)
 		if err != nil || list.packed.version != now {
 			f.needsFullList = true
 			f.options.Log.Warn("steps of the list", zap.Error(err))
 			return nil
 		}
-		next.setList(list, confirmed)
+		next.setList(list, confirmedAt)
 	}
 	return nil
 }
 
-// newFullList returns a list that came whole.
+// newFullList returns the list in a full encoding, decoded if the follower decodes, and ready to be relayed if it has a relay.
 func (f *Follower) newFullList(version fleetwire.ListVersion, packed fleetwire.Packed) (instanceList, error) {
 	list := instanceList{packed: &packedList{version: version}}
 	if f.options.Relay != nil {
@@ -269,11 +278,11 @@
 	return list, nil
 }
 
-// advanceList returns the list that steps lead to from the one held.
-func (f *Follower) advanceList(held instanceList, steps []fleetwire.ListStep) (instanceList, error) {
-	next := held
+// advanceList returns the list that results from applying steps to the given one.
+func (f *Follower) advanceList(current instanceList, steps []fleetwire.ListStep) (instanceList, error) {
+	next := current
 	if next.packed == nil {
-		return instanceList{}, eris.Wrap(ErrStepMismatch, "no list is held")
+		return instanceList{}, eris.Wrap(ErrStepMismatch, "there is no list yet")
 	}
 	var err error
 	for _, step := range steps {
@@ -292,10 +301,12 @@
 	return next, err
 }
 
+// decodes reports whether the follower decodes configurations and lists. A follower that only relays them does not.
 func (f *Follower) decodes() bool { return f.options.OnChange != nil }
 
+// setMembers stores the controllers and the number of routers of a reply, if it has them.
 func (f *Follower) setMembers(next *state, reply *fleetwire.WatchReply) {
-	if reply.Routers > 0 { // one that was just started can't tell, and what is held is better than nothing
+	if reply.Routers > 0 { // a source that has just started does not know it yet; keep the previous number
 		next.snapshot.Routers = reply.Routers
 	}
 	if len(reply.Controllers) == 0 || slices.Equal(reply.Controllers, f.knownControllers) {
@@ -305,18 +316,18 @@
 	next.snapshot.Controllers = reply.Controllers
 }
 
-// recordQuorumContact keeps the newest moment at which a majority was heard.
+// recordQuorumContact stores the moment of a source's contact with a majority if it is the latest one.
 func (f *Follower) recordQuorumContact(moment time.Time) {
-	if heard := f.quorumContact.Load(); heard == nil || moment.After(*heard) {
+	if contact := f.quorumContact.Load(); contact == nil || moment.After(*contact) {
 		f.quorumContact.Store(&moment)
 	}
 }
 
-// install makes a state the current one and passes it on.
+// install makes a state the current one, relays it, and calls OnChange if the version, controllers or number of routers changed.
 func (f *Follower) install(next *state, now time.Time) {
-	previous := f.held.snapshot
+	previous := f.state.snapshot
 	first := f.current.Load() == nil
-	f.held = *next
+	f.state = *next
 	snapshot := next.snapshot
 	snapshot.At = now
 	snapshot.QuorumAge = f.quorumAgeAt(now)
@@ -332,7 +343,7 @@
 	}
 }
 
-// relay takes over what a follower holds, without encoding it again.
+// relay copies the state of a follower to the hub, without encoding it again.
 func (h *Hub) relay(from *state) {
 	h.update(func(next *state) {
 		version := &from.snapshot.Version
--- a/coordination/watch/fuzz_test.go
+++ b/coordination/watch/fuzz_test.go
@@ -30,9 +30,9 @@
 			{Now: fleetwire.Version{Instances: last}, Steps: []fleetwire.ListStep{{From: first, To: last, Digest: digest, Body: delta}}},
 			{Now: fleetwire.Version{ConfigRevision: revision / 2, Instances: first}, Config: config, Instances: list},
 		} {
-			before := follower.held.snapshot.Version
+			before := follower.state.snapshot.Version
 			_ = follower.apply(&reply, now, now)
-			after := follower.held.snapshot.Version
+			after := follower.state.snapshot.Version
 			require.GreaterOrEqual(t, after.ConfigRevision, before.ConfigRevision)
 			require.False(t, after.Instances.Less(before.Instances))
 		}
--- a/coordination/watch/hub.go
+++ b/coordination/watch/hub.go
@@ -15,27 +15,28 @@
 )
 
 const (
-	// DefaultMaxWait is the longest time that a hub holds a poll: a watcher tells silence from quiet by it.
+	// DefaultMaxWait is the longest time that a hub holds a poll. A subscriber that gets no reply within this time and a grace
+	// period treats the hub as failed.
 	DefaultMaxWait = 400 * time.Millisecond
-	// DefaultMaxQuorumAge is the age from which a hub counts as out of touch with the majority. It covers a few missed
-	// heartbeats of the replicas and leaves watchers time to find another hub within the bound of propagation.
+	// DefaultMaxQuorumAge is the age of the last quorum contact beyond which a hub counts as stale. It covers a few missed
+	// heartbeats of the replicas and leaves subscribers time to fail over to another hub within the propagation bound.
 	DefaultMaxQuorumAge = time.Second
-	// RelayMaxQuorumAge is the bound for a hub that is fed by a follower, and for its watchers. It covers what a good hub may
-	// show, the time that a poll is held and the change to another hub.
+	// RelayMaxQuorumAge is the bound for a hub that is fed by a follower, and for its subscribers. It covers the quorum age that
+	// a healthy source may report, the time that a poll is held and a failover to another source.
 	RelayMaxQuorumAge = 2 * time.Second
 )
 
-// HubOptions sets up a hub.
+// HubOptions configures a Hub.
 type HubOptions struct {
-	// QuorumAge tells how long ago a majority of the replicas was heard; nil: always in touch.
+	// QuorumAge returns the time since the last contact with a majority of the replicas; nil: always 0.
 	QuorumAge func() time.Duration
-	// MaxQuorumAge is the age beyond which all polls are ended at once; 0: DefaultMaxQuorumAge.
+	// MaxQuorumAge is the quorum age from which the hub answers all polls without delay; 0: DefaultMaxQuorumAge.
 	MaxQuorumAge time.Duration
 	// MaxWait caps the time that a poll is held; 0: DefaultMaxWait.
 	MaxWait time.Duration
-	// OnPoll is told of each poll; nil: nobody is. It must not block.
+	// OnPoll is called with each poll before it is answered; nil: no callback. It must not block.
 	OnPoll func(request *fleetwire.WatchRequest)
-	// Doubts returns what a watcher is told of workers that others complain of; nil: nothing. It must not block.
+	// Doubts returns the suspected workers to report to a subscriber; nil: none. It must not block.
 	Doubts func(request *fleetwire.WatchRequest) []fleetwire.Doubt
 }
 
@@ -45,23 +46,23 @@
 	closed    chan struct{}
 	closeOnce sync.Once
 
-	writeMutex   sync.Mutex  // orders writers
-	publishMutex sync.Mutex  // orders publishers of lists
-	listCorrupt  atomic.Bool // the list that a follower gave can't be made whole
+	writeMutex   sync.Mutex  // serializes updates of state
+	publishMutex sync.Mutex  // serializes PublishInstances and PublishSteps; acquired before writeMutex
+	listCorrupt  atomic.Bool // the full list can't be built from the steps that a follower relayed
 	state        atomic.Pointer[state]
 }
 
-// state is what a hub holds at one moment; it is replaced whole.
+// state is the state of a hub or a follower at one moment. Updates replace it as a whole.
 type state struct {
-	snapshot     Snapshot // its ages and At are set on reading
+	snapshot     Snapshot // its ages and At are set when it is read
 	packedConfig fleetwire.Packed
 	packedList   *packedList   // nil without a list
-	digest       uint64        // of the list, where it is decoded
+	digest       uint64        // of the decoded list; 0 if the list is not decoded
 	confirmedAt  time.Time     // when the platform confirmed the list; zero: never
-	changed      chan struct{} // closed once a newer version is there
+	changed      chan struct{} // closed when a newer version replaces this one
 }
 
-// NewHub returns a hub that holds nothing.
+// NewHub returns a hub with an empty state.
 func NewHub(options HubOptions) *Hub {
 	if options.QuorumAge == nil {
 		options.QuorumAge = func() time.Duration { return 0 }
@@ -77,15 +78,17 @@
 	return hub
 }
 
-// Register mounts the long poll.
+// Register adds the handler of long polls to mux.
 func (h *Hub) Register(mux *http.ServeMux) {
 	mux.Handle("POST "+fleetwire.PathWatch, transport.Handle(h.Serve))
 }
 
-// Close ends all polls, now and later, as those of a hub that is out of touch: watchers leave at once.
+// Close makes the hub answer all current and later polls without delay and report its quorum contact as stale, so that
+// subscribers fail over at once. It may be called more than once.
 func (h *Hub) Close() { h.closeOnce.Do(func() { close(h.closed) }) }
 
-// Current returns the state. A hub that is fed by a Follower without OnChange has no decoded configuration and list.
+// Current returns the current snapshot. The snapshot holds no configuration and no instances if the hub is fed by a Follower
+// without OnChange, which does not decode them.
 func (h *Hub) Current() *Snapshot {
 	current := h.state.Load()
 	snapshot := current.snapshot
@@ -95,7 +98,8 @@
 	return &snapshot
 }
 
-// PublishConfig makes a chosen configuration known. One that isn't newer than the current one is ignored.
+// PublishConfig distributes a configuration that the register has committed. It ignores a revision that is not newer than the
+// current one.
 func (h *Hub) PublishConfig(revision uint64, config *fleetwire.Config) error {
 	if revision <= h.state.Load().snapshot.Version.ConfigRevision {
 		return nil
@@ -108,7 +112,8 @@
 	return nil
 }
 
-// PublishInstances makes a list known that the platform gave just now. One that isn't newer than the current one is ignored.
+// PublishInstances distributes a list of instances that the platform has just returned. It ignores a version that is not newer
+// than the current one.
 func (h *Hub) PublishInstances(version fleetwire.ListVersion, instances []fleetwire.Instance) error {
 	h.publishMutex.Lock()
 	defer h.publishMutex.Unlock()
@@ -125,7 +130,8 @@
 	return nil
 }
 
-// StepsSince returns the steps from a version of the list to the newest, or nothing if they aren't known or not worth sending.
+// StepsSince returns the steps from a version of the list to the newest one. It returns nil if they are not kept or not much
+// smaller than the full list.
 func (h *Hub) StepsSince(have fleetwire.ListVersion) []fleetwire.ListStep {
 	list := h.state.Load().packedList
 	if list == nil {
@@ -134,14 +140,14 @@
 	return list.smallStepsSince(have)
 }
 
-// PublishSteps makes a newer list known by the steps that StepsSince of another hub gave. It returns the list, or ErrSteps if
-// they don't lead from the list that is held.
+// PublishSteps applies steps that StepsSince of another hub returned, and distributes and returns the resulting list. It fails
+// with ErrStepMismatch if the steps do not apply to the current list.
 func (h *Hub) PublishSteps(steps []fleetwire.ListStep) ([]fleetwire.Instance, error) {
 	h.publishMutex.Lock()
 	defer h.publishMutex.Unlock()
 	next := h.state.Load().list()
 	if next.packed == nil {
-		return nil, eris.Wrap(ErrStepMismatch, "no list is held")
+		return nil, eris.Wrap(ErrStepMismatch, "there is no list yet")
 	}
 	var err error
 	for _, step := range steps {
@@ -157,7 +163,8 @@
 	return next.decoded, nil
 }
 
-// nextList returns the list that follows the current one, as a step from it where that is possible and much smaller.
+// nextList returns the list to publish after the current one. It adds a step if both lists are sorted by ID and the step is much
+// smaller than the full list. Otherwise it starts from a new full list.
 func nextList(current *state, version fleetwire.ListVersion, instances []fleetwire.Instance) (instanceList, error) {
 	if current.packedList != nil && sortedByID(current.snapshot.Instances) && sortedByID(instances) {
 		step, decoded, err := newStep(current, version, instances)
@@ -169,14 +176,14 @@
 			return instanceList{packed: packed, decoded: decoded, digest: step.Digest}, err
 		}
 	}
-	whole, err := pack(instances)
+	full, err := pack(instances)
 	if err != nil {
 		return instanceList{}, err
 	}
-	return instanceList{packed: newPackedList(version, whole), decoded: instances, digest: listDigest(instances)}, nil
+	return instanceList{packed: newPackedList(version, full), decoded: instances, digest: listDigest(instances)}, nil
 }
 
-// ConfirmInstances notes that the platform gave the current list again at the given moment. It wakes nobody.
+// ConfirmInstances records that the platform returned the current list again at the given moment. It does not end any poll.
 func (h *Hub) ConfirmInstances(at time.Time) {
 	h.update(func(next *state) {
 		if at.After(next.confirmedAt) {
@@ -185,16 +192,16 @@
 	})
 }
 
-// SetControllers makes the internal addresses of the controllers known. They go out with the next answers.
+// SetControllers sets the internal addresses of the controllers. Later replies carry them; the call does not end any poll.
 func (h *Hub) SetControllers(addresses []string) {
 	if slices.Equal(h.state.Load().snapshot.Controllers, addresses) {
 		return
 	}
-	own := slices.Clone(addresses)
-	h.update(func(next *state) { next.snapshot.Controllers = own })
+	cloned := slices.Clone(addresses)
+	h.update(func(next *state) { next.snapshot.Controllers = cloned })
 }
 
-// SetRouters makes the number of living routers known; 0: it is not known yet. It goes out with the next answers.
+// SetRouters sets the number of live routers; 0: not known yet. Later replies carry it; the call does not end any poll.
 func (h *Hub) SetRouters(count int) {
 	if h.state.Load().snapshot.Routers == max(count, 0) {
 		return
@@ -202,7 +209,7 @@
 	h.update(func(next *state) { next.snapshot.Routers = max(count, 0) })
 }
 
-// update swaps the state for a changed copy and wakes the polls if its version moved on.
+// update replaces the state by a changed copy, and ends the held polls if its version is newer.
 func (h *Hub) update(change func(next *state)) {
 	h.writeMutex.Lock()
 	defer h.writeMutex.Unlock()
@@ -218,6 +225,7 @@
 	close(current.changed)
 }
 
+// setConfig stores a configuration unless its revision is not newer than the current one.
 func (s *state) setConfig(revision uint64, config *fleetwire.Config, packed fleetwire.Packed) {
 	if revision <= s.snapshot.Version.ConfigRevision {
 		return
@@ -227,18 +235,19 @@
 	s.packedConfig = packed
 }
 
-// instanceList is a list of instances in its forms. A relay has only the packed one.
+// instanceList is a list of instances in packed and decoded form. A relay has only the packed form.
 type instanceList struct {
 	packed  *packedList
 	decoded []fleetwire.Instance
 	digest  uint64 // of decoded
 }
 
+// list returns the list of the state.
 func (s *state) list() instanceList {
 	return instanceList{packed: s.packedList, decoded: s.snapshot.Instances, digest: s.digest}
 }
 
-// setList takes a list that isn't older than the one held.
+// setList stores a list that the platform confirmed at the given moment. It ignores a list older than the current one.
 func (s *state) setList(list instanceList, at time.Time) {
 	if list.packed == nil || list.packed.version.Less(s.snapshot.Version.Instances) {
 		return
@@ -249,8 +258,9 @@
 	s.confirmedAt = at
 }
 
-// Serve answers one poll: at once if there is something newer or the hub is out of touch, otherwise when either comes about or
-// the time to wait is over.
+// Serve answers one poll. It replies at once if the hub has a newer version than the subscriber or its quorum contact is stale.
+// Otherwise it holds the poll until one of these occurs, the hub is closed or the requested wait is over. It returns an error if
+// ctx is done first.
 func (h *Hub) Serve(ctx context.Context, request fleetwire.WatchRequest) (fleetwire.WatchReply, error) {
 	received := time.Now()
 	if h.options.OnPoll != nil {
@@ -272,9 +282,9 @@
 	}
 }
 
-// waitForChange returns once the state changed, the hub is closed or the time is over, and with an error when the watcher left.
-func (h *Hub) waitForChange(ctx context.Context, changed <-chan struct{}, longest time.Duration) error {
-	timer := time.NewTimer(longest)
+// waitForChange returns nil when changed or the hub is closed or the timeout is over, and the error of ctx when ctx is done.
+func (h *Hub) waitForChange(ctx context.Context, changed <-chan struct{}, timeout time.Duration) error {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-changed:
@@ -286,6 +296,7 @@
 	return nil
 }
 
+// isClosed reports whether Close was called.
 func (h *Hub) isClosed() bool {
 	select {
 	case <-h.closed:
@@ -295,7 +306,7 @@
 	}
 }
 
-// quorumAge is the age that watchers are told: beyond every bound once the hub is closed.
+// quorumAge returns the quorum age that replies report. It is unknownAge, which exceeds every bound, once the hub is closed.
 func (h *Hub) quorumAge() time.Duration {
 	if h.isClosed() {
 		return unknownAge
@@ -303,6 +314,8 @@
 	return min(h.options.QuorumAge(), unknownAge)
 }
 
+// reply builds the reply to a poll. It contains the configuration and the list only if they are newer than those of the
+// subscriber, and the list as steps if the subscriber accepts them and they are much smaller.
 func (h *Hub) reply(current *state, request *fleetwire.WatchRequest, received time.Time) (fleetwire.WatchReply, error) {
 	now, have := time.Now(), request.Have
 	reply := fleetwire.WatchReply{
@@ -328,11 +341,11 @@
 	if len(reply.Steps) > 0 {
 		return reply, nil
 	}
-	whole, err := current.packedList.full()
+	full, err := current.packedList.full()
 	if err != nil {
 		h.listCorrupt.Store(true)
 		return fleetwire.WatchReply{}, err
 	}
-	reply.Instances = whole
+	reply.Instances = full
 	return reply, nil
 }
--- a/coordination/watch/list.go
+++ b/coordination/watch/list.go
@@ -10,44 +10,47 @@
 )
 
 const (
-	// maxKeptSteps bounds the steps that a list keeps. At the pace of the platform's reader it is several seconds of changes: a
-	// watcher that was away longer gets the whole list.
+	// maxKeptSteps bounds the steps that are kept with a list. At the rate at which the platform is read, they cover several
+	// seconds of changes. A subscriber that was disconnected for longer receives the full list.
 	maxKeptSteps = 16
-	// maxStepsRatio is the part of the whole list from which steps save too little to be sent.
+	// maxStepsRatio is the size of steps, relative to the full list, above which the full list is sent instead.
 	maxStepsRatio = 0.5
 )
 
-// ErrStepMismatch means that steps don't lead from a list to the one that they name.
-var ErrStepMismatch = eris.New("the steps don't fit the list")
+// ErrStepMismatch reports that steps cannot be applied to the current list or do not produce the list that they announce.
+var ErrStepMismatch = eris.New("the steps do not match the list")
 
-// packedList is a list of instances as it is passed on: a whole list, and the steps that lead from it to newer ones. It is
-// immutable. A relay needs no decoded list: it adds the steps that it was given and makes the whole list when one is asked for.
+// packedList is an encoded list of instances: a full list at a base version, and the steps from it to newer versions. It is
+// immutable. A relay needs no decoded list: it appends the steps that it receives, and builds the full list on demand.
 type packedList struct {
 	version     fleetwire.ListVersion
-	base        fleetwire.Packed // the whole list at baseVersion
+	base        fleetwire.Packed // the full list at baseVersion
 	baseVersion fleetwire.ListVersion
-	steps       []fleetwire.ListStep             // the last ones; with base they lead to version
-	full        func() (fleetwire.Packed, error) // the whole list at version, made once
+	steps       []fleetwire.ListStep             // the most recent ones, with all from baseVersion to version
+	full        func() (fleetwire.Packed, error) // returns the full list at version, built once
 }
 
-func newPackedList(version fleetwire.ListVersion, whole fleetwire.Packed) *packedList {
+// newPackedList returns a packed list without steps.
+func newPackedList(version fleetwire.ListVersion, full fleetwire.Packed) *packedList {
 	return &packedList{
 		version:     version,
-		base:        whole,
+		base:        full,
 		baseVersion: version,
-		full:        func() (fleetwire.Packed, error) { return whole, nil },
+		full:        func() (fleetwire.Packed, error) { return full, nil },
 	}
 }
 
-// advanceVersion returns the version after one more step and nothing else, for a watcher that passes no list on.
+// advanceVersion returns a packed list with the version after the step and no content, for a follower without a relay. It fails
+// with ErrStepMismatch if the step does not lead from the current version to a newer one.
 func (l *packedList) advanceVersion(step fleetwire.ListStep) (*packedList, error) {
 	if step.From != l.version || !step.From.Less(step.To) {
-		return nil, eris.Wrap(ErrStepMismatch, "not the next step")
+		return nil, eris.Wrap(ErrStepMismatch, "the step does not lead from the current version to a newer one")
 	}
 	return &packedList{version: step.To}, nil
 }
 
-// withStep returns the list withStep one more step.
+// withStep returns the list with one more step. If maxKeptSteps are kept already, it drops the oldest one. If the oldest one
+// starts at the base, the full list at the current version becomes the new base.
 func (l *packedList) withStep(step fleetwire.ListStep) (*packedList, error) {
 	if _, err := l.advanceVersion(step); err != nil {
 		return nil, err
@@ -56,11 +59,11 @@
 	kept := l.steps
 	if len(kept) == maxKeptSteps {
 		if kept[0].From == l.baseVersion {
-			whole, err := l.full()
+			full, err := l.full()
 			if err != nil {
 				return nil, err
 			}
-			next.base, next.baseVersion = whole, l.version
+			next.base, next.baseVersion = full, l.version
 		}
 		kept = kept[1:]
 	}
@@ -69,7 +72,7 @@
 	return next, nil
 }
 
-// buildFull leads the base to the version.
+// buildFull returns the full list at the newest version, by applying the steps to the base.
 func (l *packedList) buildFull() (fleetwire.Packed, error) {
 	var list []fleetwire.Instance
 	if err := unpack(l.base, &list); err != nil {
@@ -83,7 +86,7 @@
 	return pack(list)
 }
 
-// stepsSince returns the steps from a version to the newest, or nothing if they aren't known.
+// stepsSince returns the steps from a version to the newest one, or nil if they are not kept.
 func (l *packedList) stepsSince(have fleetwire.ListVersion) []fleetwire.ListStep {
 	first := slices.IndexFunc(l.steps, func(step fleetwire.ListStep) bool { return step.From == have })
 	if first < 0 {
@@ -92,7 +95,8 @@
 	return l.steps[first:]
 }
 
-// smallStepsSince returns the steps from a version to the newest if they are known and much smaller than the whole list.
+// smallStepsSince returns the steps from a version to the newest one if they are kept and much smaller than the full list, and
+// nil otherwise.
 func (l *packedList) smallStepsSince(have fleetwire.ListVersion) []fleetwire.ListStep {
 	steps := l.stepsSince(have)
 	size := 0
--- a/coordination/watch/pack.go
+++ b/coordination/watch/pack.go
@@ -11,20 +11,21 @@
 	"weldscale/internal/fleetwire"
 )
 
-// The first byte of a packed value tells how the rest is to be read.
+// The first byte of a packed value gives the encoding of the rest.
 const (
 	packedPlain byte = 0
 	packedFlate byte = 1
 )
 
 const (
-	// minFlateBytes is the size from which compression saves more on the links than it costs in processor time.
+	// minFlateBytes is the size from which compression saves more bandwidth than it costs in CPU time.
 	minFlateBytes = 4 << 10
-	// maxUnpackedBytes bounds what a packed value may grow to.
+	// maxUnpackedBytes bounds the decompressed size of a packed value.
 	maxUnpackedBytes = 16 << 20
 )
 
-// pack encodes a value once for all watchers: msgpack without field names, compressed if it is large.
+// pack encodes a value as msgpack without field names, and compresses it if it is large. Packed values are encoded once and
+// shared by all subscribers.
 func pack(value any) (fleetwire.Packed, error) {
 	var plain bytes.Buffer
 	plain.WriteByte(packedPlain)
@@ -41,21 +42,21 @@
 	compressed.WriteByte(packedFlate)
 	writer, err := flate.NewWriter(&compressed, flate.BestSpeed)
 	if err != nil {
-		return nil, eris.Wrap(err, "make compressor")
+		return nil, eris.Wrap(err, "create compressor")
 	}
 	if _, err := writer.Write(plain.Bytes()[1:]); err != nil {
 		return nil, eris.Wrap(err, "compress")
 	}
 	if err := writer.Close(); err != nil {
-		return nil, eris.Wrap(err, "end compression")
+		return nil, eris.Wrap(err, "finish compression")
 	}
 	return compressed.Bytes(), nil
 }
 
-// unpack decodes what pack made.
+// unpack decodes a value that was encoded by pack.
 func unpack(packed fleetwire.Packed, value any) error {
 	if len(packed) == 0 {
-		return eris.New("nothing to unpack")
+		return eris.New("the packed value is empty")
 	}
 	body := packed[1:]
 	switch packed[0] {
@@ -67,7 +68,7 @@
 		}
 		body = plain
 	default:
-		return eris.Errorf("unknown packing %d", packed[0])
+		return eris.Errorf("unknown encoding %d of a packed value", packed[0])
 	}
 	return eris.Wrap(msgpack.Unmarshal(body, value), "decode")
 }
--- a/coordination/watch/step.go
+++ b/coordination/watch/step.go
@@ -10,7 +10,7 @@
 	"weldscale/internal/fleetwire"
 )
 
-// sortedByID reports whether a list is in the order of its ids, each once. Only such lists have steps.
+// sortedByID reports whether a list is sorted by ID without duplicates. Steps are only computed between such lists.
 func sortedByID(list []fleetwire.Instance) bool {
 	for i := 1; i < len(list); i++ {
 		if list[i-1].ID >= list[i].ID {
@@ -20,7 +20,7 @@
 	return true
 }
 
-// diffLists returns what leads from one ordered list to another.
+// diffLists returns the delta from one list to another. Both must be sorted by ID without duplicates.
 func diffLists(from, to []fleetwire.Instance) fleetwire.ListDelta {
 	var delta fleetwire.ListDelta
 	for len(from) > 0 || len(to) > 0 {
@@ -41,18 +41,19 @@
 	return delta
 }
 
-// equalInstances reports whether two entries are the same in all fields.
+// equalInstances reports whether two instances are equal in all fields.
 func equalInstances(a, b *fleetwire.Instance) bool {
 	return a.ID == b.ID && a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone && a.Version == b.Version &&
 		a.Slots == b.Slots && a.State == b.State && a.ColdRemainingMs == b.ColdRemainingMs && a.Stage == b.Stage &&
 		slices.Equal(a.Models, b.Models)
 }
 
-// applyDelta returns a new list and its digest. The entries that a delta removes must be there, and its new ones in order.
+// applyDelta applies a delta to a list with the given digest and returns the new list and its digest. It fails with
+// ErrStepMismatch if the delta is not sorted by ID or removes an instance that is not in the list.
 func applyDelta(list []fleetwire.Instance, digest uint64, delta fleetwire.ListDelta) ([]fleetwire.Instance, uint64, error) {
 	next := make([]fleetwire.Instance, 0, max(0, len(list)+len(delta.Put)-len(delta.Removed)))
 	if !sortedByID(delta.Put) || !slices.IsSorted(delta.Removed) {
-		return nil, 0, eris.Wrap(ErrStepMismatch, "a delta out of order")
+		return nil, 0, eris.Wrap(ErrStepMismatch, "the delta is not sorted by ID")
 	}
 	put, removed := delta.Put, delta.Removed
 	for i := range list {
@@ -76,12 +77,13 @@
 		next, digest = append(next, put[i]), digest+instanceDigest(&put[i])
 	}
 	if len(removed) > 0 {
-		return nil, 0, eris.Wrap(ErrStepMismatch, "an entry to be removed is not there")
+		return nil, 0, eris.Wrap(ErrStepMismatch, "a removed instance is not in the list")
 	}
 	return next, digest, nil
 }
 
-// applySteps leads a list from step to step. The digest after each must be the one that the step tells.
+// applySteps applies steps in order to a list with the given digest and returns the new list and its digest. It fails with
+// ErrStepMismatch if the digest after a step differs from the one in the step.
 func applySteps(list []fleetwire.Instance, digest uint64, steps []fleetwire.ListStep) ([]fleetwire.Instance, uint64, error) {
 	for _, step := range steps {
 		var delta fleetwire.ListDelta
@@ -93,13 +95,14 @@
 			return nil, 0, err
 		}
 		if digest != step.Digest {
-			return nil, 0, eris.Wrap(ErrStepMismatch, "the digest differs")
+			return nil, 0, eris.Wrap(ErrStepMismatch, "the digest after the step differs")
 		}
 	}
 	return list, digest, nil
 }
 
-// listDigest returns the sum of the digests of all entries, so that a change of one entry changes it without the others.
+// listDigest returns the sum of the digests of all instances. The digest can be updated for a changed instance without hashing
+// the others.
 func listDigest(list []fleetwire.Instance) uint64 {
 	var sum uint64
 	for i := range list {
@@ -108,6 +111,7 @@
 	return sum
 }
 
+// instanceDigest returns the FNV-1a hash of the encoded instance.
 func instanceDigest(instance *fleetwire.Instance) uint64 {
 	sum := fnv.New64a()
 	encoder := msgpack.GetEncoder()
@@ -116,12 +120,13 @@
 	encoder.UseArrayEncodedStructs(true)
 	encoder.UseCompactInts(true)
 	if err := encoder.Encode(instance); err != nil {
-		return 0 // it can't fail: the writer doesn't, and the type can be encoded
+		return 0 // unreachable: writes to the hash do not fail, and every Instance can be encoded
 	}
 	return sum.Sum64()
 }
 
-// newStep packs the step between two ordered lists, and returns the new list and its digest as watchers will hold them.
+// newStep returns the step from the current list to a newer one, and the new list as subscribers will hold it. Both lists must
+// be sorted by ID without duplicates.
 func newStep(from *state, version fleetwire.ListVersion, list []fleetwire.Instance) (fleetwire.ListStep, []fleetwire.Instance, error) {
 	delta := diffLists(from.snapshot.Instances, list)
 	next, digest, err := applyDelta(from.snapshot.Instances, from.digest, delta)
