--- a/coordination/transport/transport.go
+++ b/coordination/transport/transport.go
@@ -1,5 +1,5 @@
-// Package transport carries typed messages between processes: msgpack bodies in HTTP POST requests. A call has a
-// deadline of its own, and a call that reaches it closes its connection, so that a peer behind a cut is noticed at once.
+// Package transport carries typed messages between processes as msgpack bodies of HTTP POST requests. Each call has its own
+// deadline. A call that exceeds it closes its connection, so that an unreachable peer is detected at once.
 package transport
 
 import (
@@ -24,24 +24,26 @@
 	idleConnsPerAddress = 4
 )
 
-// ErrStatus is the root of errors for calls that were answered with another status than 200.
+// ErrStatus is the root of the errors of calls whose response has a status other than 200.
 var ErrStatus = eris.New("unexpected status")
 
-// Client sends calls. It is safe for use by several goroutines.
+// Client sends calls over its own pool of connections. It is safe for use by several goroutines.
 type Client struct {
 	http *http.Transport
 }
 
-// DialFunc opens a connection, as net.Dialer.DialContext does.
+// DialFunc opens a connection in the same way as net.Dialer.DialContext.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// TCPDial returns a DialFunc over TCP without keep-alive probes, which cost wake-ups: calls have deadlines of their own.
+// TCPDial returns a DialFunc that opens TCP connections. It disables keep-alive probes because they cause wake-ups, and calls
+// have their own deadlines.
 func TCPDial() DialFunc {
 	dialer := &net.Dialer{KeepAlive: -1}
 	return dialer.DialContext
 }
 
-// WithTimeout returns a DialFunc that gives up after a time. net/http does not end the opening of a connection with its request.
+// WithTimeout returns a DialFunc that fails after the timeout. It is needed because net/http continues to open a connection after
+// the request that started it was canceled.
 func (d DialFunc) WithTimeout(timeout time.Duration) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -50,10 +52,10 @@
 	}
 }
 
-// NewClient returns a client with its own connections.
+// NewClient returns a client that connects over TCP.
 func NewClient() *Client { return NewClientWithDial(TCPDial()) }
 
-// NewClientWithDial returns a client whose connections a function opens.
+// NewClientWithDial returns a client that opens its connections with dial.
 func NewClientWithDial(dial DialFunc) *Client {
 	return &Client{http: &http.Transport{
 		DialContext:         dial.WithTimeout(dialTimeout),
@@ -63,37 +65,37 @@
 	}}
 }
 
-// Call posts request to path at address (IP:PORT) and decodes the answer into reply. It returns at the latest when ctx is done.
+// Call posts request to path at address (IP:PORT) and decodes the response into reply. It returns at the latest when ctx is done.
 func (c *Client) Call(ctx context.Context, address, path string, request, reply any) error {
 	body, err := msgpack.Marshal(request)
 	if err != nil {
 		return eris.Wrap(err, "encode request")
 	}
-	message, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(body))
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
-		return eris.Wrap(err, "make request")
+		return eris.Wrap(err, "create request")
 	}
-	message.Header.Set("Content-Type", ContentType)
-	response, err := c.http.RoundTrip(message)
+	httpRequest.Header.Set("Content-Type", ContentType)
+	response, err := c.http.RoundTrip(httpRequest)
 	if err != nil {
 		return eris.Wrapf(err, "call %s%s", address, path)
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxMessageBytes))
+	responseBody, err := io.ReadAll(io.LimitReader(response.Body, maxMessageBytes))
 	if err != nil {
-		return eris.Wrapf(err, "read answer of %s%s", address, path)
+		return eris.Wrapf(err, "read response of %s%s", address, path)
 	}
 	if response.StatusCode != http.StatusOK {
 		return eris.Wrapf(ErrStatus, "%s%s: %d", address, path, response.StatusCode)
 	}
-	return eris.Wrapf(msgpack.Unmarshal(answer, reply), "decode answer of %s%s", address, path)
+	return eris.Wrapf(msgpack.Unmarshal(responseBody, reply), "decode response of %s%s", address, path)
 }
 
 // Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Handle returns an HTTP handler that decodes a request, calls serve and encodes its reply. An error of serve is answered
-// with 503.
+// Handle returns an HTTP handler that decodes a request, calls serve and encodes its reply. If serve returns an error, the
+// handler responds with status 503 and the error text.
 func Handle[Request, Reply any](serve func(ctx context.Context, request Request) (Reply, error)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(io.LimitReader(r.Body, maxMessageBytes))
@@ -111,12 +113,12 @@
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
 		}
-		answer, err := msgpack.Marshal(reply)
+		encoded, err := msgpack.Marshal(reply)
 		if err != nil {
 			http.Error(w, "encode", http.StatusInternalServerError)
 			return
 		}
 		w.Header().Set("Content-Type", ContentType)
-		_, _ = w.Write(answer)
+		_, _ = w.Write(encoded)
 	})
 }
--- a/internal/fleetwire/fleetwire.go
+++ b/internal/fleetwire/fleetwire.go
@@ -1,26 +1,26 @@
-// Package fleetwire holds the messages that the programs of the fleet send each other, encoded as msgpack by
-// coordination/transport. It holds no behaviour beyond comparing versions.
+// Package fleetwire defines the messages that the programs of the fleet exchange, encoded as msgpack by
+// coordination/transport. Its only logic is the comparison of versions.
 package fleetwire
 
-// Paths of the internal calls. All are POST with a msgpack body.
+// Paths of the internal calls. All calls use POST with a msgpack body.
 const (
-	// PathWatch is the long poll by version, served by controllers to agents and by an agent to its router.
+	// PathWatch is the long poll for newer versions. Controllers serve it to agents, and an agent serves it to its router.
 	PathWatch = "/internal/watch"
-	// PathInstances passes a list of instances from the controller that reads it to the others.
+	// PathInstances transfers the list of instances from the controller that reads it from the platform to the other ones.
 	PathInstances = "/internal/instances"
-	// PathStatus tells what a process knows of the fleet.
+	// PathStatus returns the state of the fleet as the process knows it.
 	PathStatus = "/internal/status"
 )
 
-// Route sends requests of one host and path prefix to a service.
+// Route assigns the requests for a host and a path prefix to one or more services.
 type Route struct {
 	Name            string
 	Hostname        string
-	PathPrefix      string // begins and ends with a slash
+	PathPrefix      string // starts and ends with a slash
 	RouteType       string // "safe", "unsafe" or "streaming"
 	TimeoutMs       int64
 	TargetLatencyMs int64
-	Priority        int // 0 is the most urgent
+	Priority        int // 0 is the highest priority
 	Split           []WeightedService
 	MaxAttempts     int
 	Sticky          bool
@@ -28,7 +28,7 @@
 	GapAimMs        int64
 }
 
-// WeightedService is one target of a route.
+// WeightedService is a target of a route and its share of the requests.
 type WeightedService struct {
 	Service string
 	Weight  int64
@@ -48,13 +48,13 @@
 	KvTokens     int64
 	KvTokenBytes int64
 	LinkMbps     float64
-	Stride       int // tokens in one event
+	Stride       int // tokens per event
 	HandleTTLS   float64
 	SwitchS      float64
 	Models       []string
 }
 
-// Limits bound what a client may send and how long it may take.
+// Limits bounds the size and the duration of client requests.
 type Limits struct {
 	MaxHeaderBytes  int
 	MaxBodyBytes    int64
@@ -62,7 +62,7 @@
 	IdleTimeoutMs   int64
 }
 
-// Config is a configuration of the operator, checked and in the form that routers use.
+// Config is the validated configuration of the operator in the form that routers use.
 type Config struct {
 	Version  int64
 	Routes   []Route
@@ -70,7 +70,7 @@
 	Limits   Limits
 }
 
-// Instance is one worker as the platform lists it.
+// Instance is a worker from the platform's list of instances.
 type Instance struct {
 	ID              string
 	Service         string
@@ -84,25 +84,26 @@
 	Models          []Model
 }
 
-// Model is a model that a worker has loaded.
+// Model is a model that is loaded on a worker.
 type Model struct {
 	Name    string
 	Version int64
 }
 
-// States of an instance.
+// Values of Instance.State.
 const (
 	InstanceReady    = "ready"
 	InstanceDraining = "draining"
 )
 
-// Stages of a worker of an engine.
+// Values of Instance.Stage for the workers of a service with a model engine.
 const (
 	StagePrefill = "prefill"
 	StageDecode  = "decode"
 )
 
-// ListVersion orders lists of instances: by the fencing token of their reader, then by its sequence.
+// ListVersion orders lists of instances by the fencing token of the controller that read the list, and then by the sequence
+// number that this controller assigned.
 type ListVersion struct {
 	Token    uint64
 	Sequence uint64
@@ -116,83 +117,87 @@
 	return v.Sequence < other.Sequence
 }
 
-// Version names the state that a watcher holds. The zero value is a watcher that holds nothing.
+// Version identifies the state that a subscriber holds. The zero value identifies the empty state.
 type Version struct {
 	ConfigRevision uint64 // revision of the register
 	Instances      ListVersion
 }
 
-// WatchRequest asks for what is newer than Have. The answer comes at once if there is something newer, otherwise within WaitMs.
+// WatchRequest asks for parts of the state that are newer than Have. The reply is sent at once if there are any, and otherwise
+// after at most WaitMs.
 type WatchRequest struct {
 	Have   Version
 	WaitMs int64
-	Member Member // the asking process
-	Steps  bool   // the list of instances may come as steps from the one that the watcher has
-	// Observations are what the router beside the asking process saw last of some workers.
+	Member Member // the subscriber
+	Steps  bool   // the subscriber accepts the list of instances as steps from its own version
+	// Observations are the latest observations of workers by the router on the subscriber's machine.
 	Observations []Observation
 }
 
-// Observation is what one router saw last of one worker. A later one of the same router replaces an earlier one.
+// Observation is the latest outcome that one router observed at one worker. It replaces earlier observations of the same worker
+// by the same router.
 type Observation struct {
 	Worker   string // ID of the instance
-	Kind     int    // of package evidence
+	Kind     int    // an evidence.Kind
 	AgeMs    int64
-	Life     uint64 // of the router
-	Sequence uint64
+	Life     uint64 // identifies one run of the router process
+	Sequence uint64 // orders the observations of this run
 }
 
-// Doubt names a worker that some routers complain of.
+// Doubt names a suspected worker: some routers have reported failures of it.
 type Doubt struct {
 	Worker string // ID of the instance
-	// Avoid says that enough routers do. Without it, those that fare well there are asked to say so.
+	// Avoid is set if enough routers report failures. Otherwise routers that use the worker successfully are asked to report so.
 	Avoid bool
 }
 
-// Packed is a value that was encoded once for all watchers; package watch makes and reads it.
+// Packed is a value that package watch encoded once for all subscribers. Only package watch decodes it.
 type Packed []byte
 
-// ListStep leads from one list of instances to a newer one.
+// ListStep is a delta from one version of the list of instances to a newer one.
 type ListStep struct {
 	From, To ListVersion
-	Digest   uint64 // of the list at To, made by package watch
-	Body     Packed // of ListDelta
+	Digest   uint64 // digest of the list at To, computed by package watch
+	Body     Packed // a packed ListDelta
 }
 
-// ListDelta is what differs between two lists. Both parts are in the order of the ids.
+// ListDelta contains the differences between two lists of instances. Both fields are sorted by ID.
 type ListDelta struct {
-	Put     []Instance // new or changed
-	Removed []string   // ids
+	Put     []Instance // new or changed instances
+	Removed []string   // IDs of removed instances
 }
 
-// WatchReply carries only the parts that are newer than what the watcher holds; the others are nil.
+// WatchReply is the reply to a WatchRequest. Config, Instances and Steps are nil unless they are newer than the subscriber's
+// version.
 type WatchReply struct {
 	Now         Version
-	Config      Packed // of Config
-	Instances   Packed // of the whole list of Instance; nil where there are Steps
+	Config      Packed // a packed Config
+	Instances   Packed // the full list, a packed []Instance; nil if Steps is set
 	Steps       []ListStep
 	Controllers []string // internal addresses of the known controllers, IP:PORT
-	Routers     int      // routers that the controllers know to be alive; 0: not known yet
-	// QuorumAgeMs tells how long ago the controller behind this answer last heard a majority of the replicas. A watcher
-	// leaves a controller whose age grows beyond its bound.
+	Routers     int      // number of live routers; 0: not known yet
+	// QuorumAgeMs is the time since the controller at the origin of this reply last had contact with a majority of the replicas.
+	// A subscriber fails over to another source when this age exceeds its bound.
 	QuorumAgeMs int64
-	// ListAgeMs tells how long ago the platform confirmed the list.
+	// ListAgeMs is the time since the platform last confirmed the list.
 	ListAgeMs int64
-	// Doubts are the workers that routers of the asking process's zone complain of.
+	// Doubts are the workers that routers in the subscriber's zone suspect.
 	Doubts []Doubt
-	// HeldMs tells how long the poll was held: the rest of the call's time the messages were on their way, and older by that.
+	// HeldMs is the time that the poll was held. The rest of the call's duration bounds the time that the reply was in transit,
+	// which the subscriber adds to the ages.
 	HeldMs int64
 }
 
-// Member is a process as others see it.
+// Member identifies a process of the fleet.
 type Member struct {
 	Name    string
 	Address string // internal address, IP:PORT
-	Role    string // RoleController, RoleAgent or RoleRouter
+	Role    string // one of the Role constants
 	Zone    string
 	Region  string
 }
 
-// Roles of a member.
+// Values of Member.Role.
 const (
 	RoleController = "controller"
 	RoleAgent      = "agent"
