--- a/coordination/watch/follower_test.go
+++ b/coordination/watch/follower_test.go
@@ -12,31 +12,31 @@
 	"weldscale/internal/fleetwire"
 )
 
-// propagation is the bound within which everyone in touch must hold the newest version.
-const propagation = 2 * time.Second
+// propagationBound is the time within which every follower with quorum contact must hold the newest version.
+const propagationBound = 2 * time.Second
 
-// liveness is the time after the end of a cut from which a machine is held to the bounds.
-const liveness = 3 * time.Second
+// recoveryBound is the time after the end of a partition from which a machine must meet the other bounds again.
+const recoveryBound = 3 * time.Second
 
-// fleet is three hubs of controllers and a follower of them, under synctest.
-type fleet struct {
-	t        *testing.T
-	network  *network
-	order    []string // the follower's order
-	hubs     map[string]*Hub
-	quorums  map[string]*touch
-	follower *Follower
-	changes  []*Snapshot
+// hubFleet consists of the hubs of three controllers and a follower of them. It runs under synctest.
+type hubFleet struct {
+	t           *testing.T
+	network     *network
+	order       []string // addresses of the hubs in the follower's order of preference
+	hubs        map[string]*Hub
+	quorumLinks map[string]*quorumLink
+	follower    *Follower
+	changes     []*Snapshot
 }
 
-func newFleet(t *testing.T, options FollowerOptions) *fleet {
+func newHubFleet(t *testing.T, options FollowerOptions) *hubFleet {
 	options.Self.Name = "frontend-1"
-	f := &fleet{t: t, network: newNetwork(), order: rendezvous.Rank(options.Self.Name, controllerAddresses(3))}
+	f := &hubFleet{t: t, network: newNetwork(), order: rendezvous.Rank(options.Self.Name, controllerAddresses(3))}
 	f.hubs = map[string]*Hub{}
-	f.quorums = map[string]*touch{}
+	f.quorumLinks = map[string]*quorumLink{}
 	for _, address := range f.order {
-		f.quorums[address] = &touch{}
-		f.hubs[address] = NewHub(HubOptions{QuorumAge: f.quorums[address].age})
+		f.quorumLinks[address] = &quorumLink{}
+		f.hubs[address] = NewHub(HubOptions{QuorumAge: f.quorumLinks[address].age})
 		f.network.add(address, f.hubs[address])
 	}
 	if options.Sources == nil {
@@ -54,9 +54,10 @@
 	return f
 }
 
-// run starts the follower; it ends with the test's bubble.
-func (f *fleet) run() { runUntilCleanup(f.t, f.follower) }
+// run starts the follower. It stops when the test ends.
+func (f *hubFleet) run() { runUntilCleanup(f.t, f.follower) }
 
+// runUntilCleanup runs a follower until the cleanup of the test.
 func runUntilCleanup(t *testing.T, follower *Follower) {
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -64,8 +65,8 @@
 	t.Cleanup(func() { stop(); <-ended })
 }
 
-// publish makes a configuration known at all hubs but some.
-func (f *fleet) publish(revision uint64, except ...string) {
+// publish publishes a configuration at all hubs except the given ones.
+func (f *hubFleet) publish(revision uint64, except ...string) {
 	f.t.Helper()
 	for address, hub := range f.hubs {
 		skip := false
@@ -73,18 +74,19 @@
 			skip = skip || excepted == address
 		}
 		if !skip {
-			require.NoError(f.t, hub.PublishConfig(revision, configOf(revision)))
+			require.NoError(f.t, hub.PublishConfig(revision, testConfig(revision)))
 		}
 	}
 }
 
-// settle lets time pass.
-func (f *fleet) settle(span time.Duration) {
-	time.Sleep(span) // of the bubble's clock
+// advance advances the clock of the synctest bubble and waits until all goroutines are blocked.
+func (f *hubFleet) advance(span time.Duration) {
+	time.Sleep(span)
 	synctest.Wait()
 }
 
-func (f *fleet) requireRevision(revision uint64) {
+// requireRevision requires that the follower holds the configuration of the given revision.
+func (f *hubFleet) requireRevision(revision uint64) {
 	f.t.Helper()
 	snapshot := f.follower.Current()
 	require.NotNil(f.t, snapshot)
@@ -94,42 +96,42 @@
 	}
 }
 
-func TestFollowerHasANewVersionAtOnce(t *testing.T) {
+func TestFollowerReceivesNewVersionAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, FollowerOptions{})
+		f := newHubFleet(t, FollowerOptions{})
 		f.publish(1)
 		f.run()
-		f.settle(10 * time.Millisecond)
+		f.advance(10 * time.Millisecond)
 		f.requireRevision(1)
 		require.Equal(t, f.order[0], f.follower.Source())
-		f.settle(time.Second)
+		f.advance(time.Second)
 		f.publish(2)
-		f.settle(10 * time.Millisecond)
+		f.advance(10 * time.Millisecond)
 		f.requireRevision(2)
 	})
 }
 
-// TestFollowerReachesTheNewestVersionAfterTrouble takes away the hub that is polled in each way, at any moment of a poll, while
-// a configuration is acknowledged by the others.
-func TestFollowerReachesTheNewestVersionAfterTrouble(t *testing.T) {
-	troubles := map[string]func(f *fleet, address string){
-		"cut from all":        func(f *fleet, address string) { f.network.set(address, linkSilent) },
-		"frozen":              func(f *fleet, address string) { f.network.set(address, linkSilent) },
-		"killed":              func(f *fleet, address string) { f.network.set(address, linkRefused) },
-		"cut from the core":   func(f *fleet, address string) { f.quorums[address].lose() },
-		"stopped in an order": func(f *fleet, address string) { f.hubs[address].Close() },
+// TestFollowerFailsOverFromEachFault makes the source fail in several ways, at different moments of a poll, while the other hubs
+// publish a new configuration. The follower must fail over and receive it within the propagation bound.
+func TestFollowerFailsOverFromEachFault(t *testing.T) {
+	faults := map[string]func(f *hubFleet, address string){
+		"cut from the follower": func(f *hubFleet, address string) { f.network.setLink(address, linkSilent) },
+		"frozen":                func(f *hubFleet, address string) { f.network.setLink(address, linkSilent) },
+		"killed":                func(f *hubFleet, address string) { f.network.setLink(address, linkRefused) },
+		"cut from the quorum":   func(f *hubFleet, address string) { f.quorumLinks[address].lose() },
+		"stopped gracefully":    func(f *hubFleet, address string) { f.hubs[address].Close() },
 	}
-	for name, trouble := range troubles {
+	for name, inject := range faults {
 		for moment := time.Duration(0); moment < DefaultMaxWait; moment += 100 * time.Millisecond {
 			t.Run(name+" at "+moment.String(), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					f := newFleet(t, FollowerOptions{})
+					f := newHubFleet(t, FollowerOptions{})
 					f.publish(1)
 					f.run()
-					f.settle(time.Second + moment)
-					trouble(f, f.order[0])
+					f.advance(time.Second + moment)
+					inject(f, f.order[0])
 					f.publish(2, f.order[0])
-					f.settle(propagation - 200*time.Millisecond)
+					f.advance(propagationBound - 200*time.Millisecond)
 					f.requireRevision(2)
 					require.Equal(t, f.order[1], f.follower.Source())
 				})
@@ -138,251 +140,251 @@
 	}
 }
 
-func TestFollowerPassesTwoSilentHubs(t *testing.T) {
+func TestFollowerSkipsTwoSilentHubs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, FollowerOptions{})
+		f := newHubFleet(t, FollowerOptions{})
 		f.publish(1)
 		f.run()
-		f.settle(time.Second)
-		f.network.set(f.order[0], linkSilent)
-		f.network.set(f.order[1], linkSilent)
+		f.advance(time.Second)
+		f.network.setLink(f.order[0], linkSilent)
+		f.network.setLink(f.order[1], linkSilent)
 		f.publish(2, f.order[0], f.order[1])
-		f.settle(propagation)
+		f.advance(propagationBound)
 		f.requireRevision(2)
 	})
 }
 
-func TestFollowerGoesBackToItsFirstHubOnceItIsGood(t *testing.T) {
+func TestFollowerReturnsToPreferredHubAfterRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, FollowerOptions{})
+		f := newHubFleet(t, FollowerOptions{})
 		f.publish(1)
 		for _, hub := range f.hubs {
 			hub.SetControllers(f.order)
 		}
 		f.run()
-		f.settle(time.Second)
-		f.network.set(f.order[0], linkSilent)
-		f.settle(2 * time.Second)
+		f.advance(time.Second)
+		f.network.setLink(f.order[0], linkSilent)
+		f.advance(2 * time.Second)
 		require.Equal(t, f.order[1], f.follower.Source())
-		f.network.set(f.order[0], linkUp)
-		f.settle(2 * probeInterval)
+		f.network.setLink(f.order[0], linkUp)
+		f.advance(2 * probeInterval)
 		require.Equal(t, f.order[0], f.follower.Source())
 	})
 }
 
-func TestFollowerNeverGoesBack(t *testing.T) {
+func TestFollowerVersionNeverDecreases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, FollowerOptions{})
+		f := newHubFleet(t, FollowerOptions{})
 		older := fleetwire.ListVersion{Token: 1, Sequence: 99}
 		newest := fleetwire.ListVersion{Token: 2, Sequence: 1}
 		f.publish(5)
-		f.hubs[f.order[0]].PublishInstances(newest, listOf("new"))
+		f.hubs[f.order[0]].PublishInstances(newest, testList("new"))
 		f.run()
-		f.settle(time.Second)
+		f.advance(time.Second)
 		f.requireRevision(5)
-		for _, address := range f.order[1:] { // as after their restart
+		for _, address := range f.order[1:] { // these hubs restart with an older state
 			hub := NewHub(HubOptions{})
-			require.NoError(t, hub.PublishConfig(4, configOf(4)))
-			require.NoError(t, hub.PublishInstances(older, listOf("old")))
+			require.NoError(t, hub.PublishConfig(4, testConfig(4)))
+			require.NoError(t, hub.PublishInstances(older, testList("old")))
 			f.network.add(address, hub)
 		}
-		f.network.set(f.order[0], linkRefused)
-		f.settle(5 * time.Second)
+		f.network.setLink(f.order[0], linkRefused)
+		f.advance(5 * time.Second)
 		f.requireRevision(5)
 		require.Equal(t, newest, f.follower.Current().Version.Instances)
 		require.Equal(t, "new", f.follower.Current().Instances[0].ID)
 		for i, change := range f.changes[1:] {
-			require.False(t, newer(f.changes[i].Version, change.Version), "went back")
+			require.False(t, newer(f.changes[i].Version, change.Version), "the version decreased")
 		}
 	})
 }
 
-func TestFirstSnapshotComesFromAHubInTouch(t *testing.T) {
+func TestFirstSnapshotRequiresQuorumContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, FollowerOptions{})
+		f := newHubFleet(t, FollowerOptions{})
 		f.publish(1)
 		for _, address := range f.order {
-			f.quorums[address].lose()
+			f.quorumLinks[address].lose()
 		}
-		f.settle(2 * DefaultMaxQuorumAge)
+		f.advance(2 * DefaultMaxQuorumAge)
 		f.run()
-		f.settle(5 * time.Second)
+		f.advance(5 * time.Second)
 		require.Nil(t, f.follower.Current())
 		for _, address := range f.order {
-			require.Greater(t, f.network.callsOf(address), 3, "all are tried in turn")
+			require.Greater(t, f.network.callCount(address), 3, "all hubs must be tried in turn")
 		}
 		f.publish(2, f.order[:2]...)
-		f.quorums[f.order[2]].regain()
-		f.settle(time.Second)
+		f.quorumLinks[f.order[2]].regain()
+		f.advance(time.Second)
 		f.requireRevision(2)
 	})
 }
 
-func TestAHubOutOfTouchMayStillBringSomethingNewer(t *testing.T) {
+func TestNewerVersionIsAcceptedFromStaleHub(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, FollowerOptions{})
+		f := newHubFleet(t, FollowerOptions{})
 		f.publish(1)
 		f.run()
-		f.settle(time.Second)
+		f.advance(time.Second)
 		for _, address := range f.order {
-			f.quorums[address].lose()
+			f.quorumLinks[address].lose()
 		}
-		f.settle(5 * time.Second)
+		f.advance(5 * time.Second)
 		f.requireRevision(1)
 		require.Empty(t, f.follower.Source())
-		require.NoError(t, f.hubs[f.order[2]].PublishConfig(2, configOf(2)))
-		f.settle(time.Second)
+		require.NoError(t, f.hubs[f.order[2]].PublishConfig(2, testConfig(2)))
+		f.advance(time.Second)
 		f.requireRevision(2)
-		require.Greater(t, f.follower.QuorumAge(), 5*time.Second, "it is as old as before")
+		require.Greater(t, f.follower.QuorumAge(), 5*time.Second, "the quorum age must not be reset")
 	})
 }
 
-func TestSearchingCostsFewCalls(t *testing.T) {
+func TestBackoffLimitsCallsToRefusingHubs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, FollowerOptions{})
+		f := newHubFleet(t, FollowerOptions{})
 		for _, address := range f.order {
-			f.network.set(address, linkRefused)
+			f.network.setLink(address, linkRefused)
 		}
 		f.run()
-		f.settle(30 * time.Second)
+		f.advance(30 * time.Second)
 		calls := 0
 		for _, address := range f.order {
-			calls += f.network.callsOf(address)
+			calls += f.network.callCount(address)
 		}
-		require.Less(t, calls, 250, "refusals come at once, and back-off must bound them")
+		require.Less(t, calls, 250, "refusals are immediate, so only the backoff limits the calls")
 		f.publish(1)
-		f.network.set(f.order[1], linkUp)
-		f.settle(3*maxBackoff + 50*time.Millisecond)
+		f.network.setLink(f.order[1], linkUp)
+		f.advance(3*maxBackoff + 50*time.Millisecond)
 		f.requireRevision(1)
 	})
 }
 
-func TestKnownControllersOutliveTheSeeds(t *testing.T) {
+func TestKnownControllersAreUsedWhenSeedsFail(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var f *fleet
+		var f *hubFleet
 		seeds := []string{}
-		f = newFleet(t, FollowerOptions{Sources: func() []string { return seeds }})
+		f = newHubFleet(t, FollowerOptions{Sources: func() []string { return seeds }})
 		seeds = []string{f.order[2]}
 		for _, hub := range f.hubs {
 			hub.SetControllers(f.order)
 		}
 		f.publish(1)
 		f.run()
-		f.settle(time.Second)
-		require.Equal(t, f.order[0], f.follower.Source(), "it learnt of better ranked ones and moved")
-		f.network.set(f.order[2], linkSilent)
+		f.advance(time.Second)
+		require.Equal(t, f.order[0], f.follower.Source(), "the follower must move to the preferred hub that a reply named")
+		f.network.setLink(f.order[2], linkSilent)
 		seeds = []string{"10.9.9.9:1"}
-		f.network.set(f.order[0], linkSilent)
+		f.network.setLink(f.order[0], linkSilent)
 		f.publish(2, f.order[0], f.order[2])
-		f.settle(propagation)
+		f.advance(propagationBound)
 		f.requireRevision(2)
 	})
 }
 
-func TestSnapshotTellsAges(t *testing.T) {
+func TestSnapshotAges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, FollowerOptions{})
+		f := newHubFleet(t, FollowerOptions{})
 		first := f.hubs[f.order[0]]
-		require.NoError(t, first.PublishInstances(fleetwire.ListVersion{Token: 1, Sequence: 1}, listOf("a")))
+		require.NoError(t, first.PublishInstances(fleetwire.ListVersion{Token: 1, Sequence: 1}, testList("a")))
 		f.run()
-		f.settle(3 * time.Second)
+		f.advance(3 * time.Second)
 		snapshot := f.follower.Current()
 		age := snapshot.ListAgeAt(time.Now())
 		require.InDelta(t, 3*time.Second, age, float64(10*time.Millisecond))
 		first.ConfirmInstances(time.Now())
-		f.settle(DefaultMaxWait + 10*time.Millisecond)
+		f.advance(DefaultMaxWait + 10*time.Millisecond)
 		require.Less(t, f.follower.Current().ListAgeAt(time.Now()), time.Second)
 		require.Less(t, f.follower.Current().QuorumAgeAt(time.Now()), DefaultMaxWait+20*time.Millisecond)
 	})
 }
 
-// chain is a router's follower behind an agent's follower and hub.
-type chain struct {
-	*fleet
+// relayChain is the follower of a router that polls the hub of an agent. The agent's follower feeds that hub.
+type relayChain struct {
+	*hubFleet
 	relay  *Hub
 	router *Follower
 }
 
 const agentAddress = "127.0.0.1:7721"
 
-func newChain(t *testing.T) *chain {
-	c := &chain{}
+func newRelayChain(t *testing.T) *relayChain {
+	c := &relayChain{}
 	c.relay = NewHub(HubOptions{
-		QuorumAge:    func() time.Duration { return c.fleet.follower.QuorumAge() },
+		QuorumAge:    func() time.Duration { return c.hubFleet.follower.QuorumAge() },
 		MaxQuorumAge: RelayMaxQuorumAge,
 	})
-	c.fleet = newFleet(t, FollowerOptions{Relay: c.relay})
-	c.fleet.follower.options.OnChange = nil // an agent decodes nothing
-	c.fleet.network.add(agentAddress, c.relay)
+	c.hubFleet = newHubFleet(t, FollowerOptions{Relay: c.relay})
+	c.hubFleet.follower.options.OnChange = nil // an agent relays without decoding
+	c.hubFleet.network.add(agentAddress, c.relay)
 	c.router = NewFollower(FollowerOptions{
 		Self:         fleetwire.Member{Name: "router"},
 		Sources:      func() []string { return []string{agentAddress} },
-		Client:       c.fleet.network,
+		Client:       c.hubFleet.network,
 		OnChange:     func(*Snapshot) {},
 		MaxQuorumAge: RelayMaxQuorumAge,
 	})
 	return c
 }
 
-func (c *chain) run() {
-	c.fleet.run()
-	runUntilCleanup(c.fleet.t, c.router)
+func (c *relayChain) run() {
+	c.hubFleet.run()
+	runUntilCleanup(c.hubFleet.t, c.router)
 }
 
-func TestChainPassesVersionsOn(t *testing.T) {
+func TestChainRelaysVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newChain(t)
+		c := newRelayChain(t)
 		c.publish(1)
 		c.run()
-		c.settle(time.Second)
+		c.advance(time.Second)
 		require.EqualValues(t, 1, c.router.Current().Config.Version)
 		require.Nil(t, c.follower.Current().Config, "the agent relays without decoding")
-		c.network.set(c.order[0], linkSilent)
+		c.network.setLink(c.order[0], linkSilent)
 		c.publish(2, c.order[0])
-		c.settle(propagation)
+		c.advance(propagationBound)
 		require.EqualValues(t, 2, c.router.Current().Config.Version)
 	})
 }
 
-func TestChainAddsUpAges(t *testing.T) {
+func TestChainAddsUpQuorumAges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newChain(t)
+		c := newRelayChain(t)
 		c.publish(1)
 		c.run()
-		c.settle(time.Second)
+		c.advance(time.Second)
 		for _, address := range c.order {
-			c.network.set(address, linkSilent)
+			c.network.setLink(address, linkSilent)
 		}
-		cut := time.Now()
-		c.settle(4 * time.Second)
+		cutAt := time.Now()
+		c.advance(4 * time.Second)
 		age := c.router.QuorumAge()
-		require.GreaterOrEqual(t, age, time.Since(cut), "never younger than it is")
-		require.Less(t, age, time.Since(cut)+DefaultMaxWait+20*time.Millisecond)
-		require.Empty(t, c.router.Source(), "the agent is known to be out of touch")
+		require.GreaterOrEqual(t, age, time.Since(cutAt), "the age must not be underestimated")
+		require.Less(t, age, time.Since(cutAt)+DefaultMaxWait+20*time.Millisecond)
+		require.Empty(t, c.router.Source(), "the agent's quorum contact is stale")
 
 		restarted := NewFollower(c.router.options)
 		runUntilCleanup(t, restarted)
-		c.settle(2 * time.Second)
-		require.Nil(t, restarted.Current(), "a fresh router takes nothing from an agent out of touch")
-		c.network.set(c.order[1], linkUp)
-		c.settle(liveness)
+		c.advance(2 * time.Second)
+		require.Nil(t, restarted.Current(), "a restarted router must not accept a first snapshot from a stale agent")
+		c.network.setLink(c.order[1], linkUp)
+		c.advance(recoveryBound)
 		require.NotNil(t, restarted.Current())
 		require.Equal(t, agentAddress, c.router.Source())
 	})
 }
 
-func TestRouterOutlivesItsAgent(t *testing.T) {
+func TestRouterKeepsSnapshotWhenAgentRestarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newChain(t)
+		c := newRelayChain(t)
 		c.publish(3)
 		c.run()
-		c.settle(time.Second)
-		c.network.set(agentAddress, linkRefused)
-		c.settle(time.Second)
+		c.advance(time.Second)
+		c.network.setLink(agentAddress, linkRefused)
+		c.advance(time.Second)
 		fresh := NewHub(HubOptions{QuorumAge: func() time.Duration { return unknownAge }})
 		c.network.add(agentAddress, fresh)
-		c.network.set(agentAddress, linkUp)
-		c.settle(2 * time.Second)
-		require.EqualValues(t, 3, c.router.Current().Config.Version, "it lives on with what it has")
+		c.network.setLink(agentAddress, linkUp)
+		c.advance(2 * time.Second)
+		require.EqualValues(t, 3, c.router.Current().Config.Version, "the router must keep its snapshot")
 	})
 }
--- a/coordination/watch/fuzz_test.go
+++ b/coordination/watch/fuzz_test.go
@@ -9,7 +9,8 @@
 	"weldscale/internal/fleetwire"
 )
 
-// Whatever a hub answers, a follower takes it or leaves it: it never goes back, and never holds half of an answer.
+// FuzzAnswers applies arbitrary replies to a follower. The follower applies or rejects each of them, and the version of its state
+// never decreases.
 func FuzzAnswers(f *testing.F) {
 	config, err := pack(&fleetwire.Config{Version: 3})
 	require.NoError(f, err)
--- a/coordination/watch/hub.go
+++ b/coordination/watch/hub.go
@@ -282,7 +282,7 @@
 	}
 }
 
-// waitForChange returns nil when changed or the hub is closed or the timeout is over, and the error of ctx when ctx is done.
+// waitForChange returns nil once changed is closed, the hub is closed or the timeout is over, and an error if ctx is done first.
 func (h *Hub) waitForChange(ctx context.Context, changed <-chan struct{}, timeout time.Duration) error {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
--- a/coordination/watch/hub_test.go
+++ b/coordination/watch/hub_test.go
@@ -16,8 +16,8 @@
 	"weldscale/internal/fleetwire"
 )
 
-// serve polls a hub and returns the answer and the time that it took.
-func serve(t *testing.T, hub *Hub, have fleetwire.Version, wait time.Duration) (fleetwire.WatchReply, time.Duration) {
+// pollTimed polls a hub and returns the reply and the duration of the call.
+func pollTimed(t *testing.T, hub *Hub, have fleetwire.Version, wait time.Duration) (fleetwire.WatchReply, time.Duration) {
 	t.Helper()
 	start := time.Now()
 	reply, err := hub.Serve(t.Context(), fleetwire.WatchRequest{Have: have, WaitMs: wait.Milliseconds()})
@@ -25,49 +25,49 @@
 	return reply, time.Since(start)
 }
 
-func TestHubAnswersAtOnceWithWhatIsNewer(t *testing.T) {
+func TestHubRepliesAtOnceWithNewerParts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hub := NewHub(HubOptions{})
-		require.NoError(t, hub.PublishConfig(3, configOf(3)))
-		require.NoError(t, hub.PublishInstances(fleetwire.ListVersion{Token: 1, Sequence: 1}, listOf("a")))
+		require.NoError(t, hub.PublishConfig(3, testConfig(3)))
+		require.NoError(t, hub.PublishInstances(fleetwire.ListVersion{Token: 1, Sequence: 1}, testList("a")))
 
-		reply, took := serve(t, hub, fleetwire.Version{}, time.Second)
+		reply, took := pollTimed(t, hub, fleetwire.Version{}, time.Second)
 		require.Zero(t, took)
 		require.NotNil(t, reply.Config)
 		require.NotNil(t, reply.Instances)
 
-		reply, took = serve(t, hub, fleetwire.Version{ConfigRevision: 3}, time.Second)
+		reply, took = pollTimed(t, hub, fleetwire.Version{ConfigRevision: 3}, time.Second)
 		require.Zero(t, took)
-		require.Nil(t, reply.Config, "only what is newer is sent")
+		require.Nil(t, reply.Config, "only newer parts are sent")
 		require.NotNil(t, reply.Instances)
 	})
 }
 
-func TestHubHoldsPollsNoLongerThanItsCapAndTheRequest(t *testing.T) {
+func TestHubHoldsPollsAtMostMaxWaitAndRequestedWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hub := NewHub(HubOptions{MaxWait: 300 * time.Millisecond})
-		_, took := serve(t, hub, fleetwire.Version{}, time.Minute)
+		_, took := pollTimed(t, hub, fleetwire.Version{}, time.Minute)
 		require.Equal(t, 300*time.Millisecond, took)
-		reply, took := serve(t, hub, fleetwire.Version{}, 100*time.Millisecond)
+		reply, took := pollTimed(t, hub, fleetwire.Version{}, 100*time.Millisecond)
 		require.Equal(t, 100*time.Millisecond, took)
 		require.EqualValues(t, 100, reply.HeldMs)
-		_, took = serve(t, hub, fleetwire.Version{}, 0)
+		_, took = pollTimed(t, hub, fleetwire.Version{}, 0)
 		require.Zero(t, took)
 	})
 }
 
-func TestHubWakesPollsOnSomethingNewerOnly(t *testing.T) {
+func TestHubEndsPollsOnlyForNewerVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hub := NewHub(HubOptions{})
 		list := fleetwire.ListVersion{Token: 1, Sequence: 1}
-		require.NoError(t, hub.PublishInstances(list, listOf("a")))
+		require.NoError(t, hub.PublishInstances(list, testList("a")))
 		time.AfterFunc(100*time.Millisecond, func() {
 			hub.ConfirmInstances(time.Now())
 			hub.SetRouters(7)
 			hub.SetControllers([]string{"10.0.0.1:1"})
 		})
-		time.AfterFunc(200*time.Millisecond, func() { _ = hub.PublishConfig(1, configOf(1)) })
-		reply, took := serve(t, hub, fleetwire.Version{Instances: list}, time.Second)
+		time.AfterFunc(200*time.Millisecond, func() { _ = hub.PublishConfig(1, testConfig(1)) })
+		reply, took := pollTimed(t, hub, fleetwire.Version{Instances: list}, time.Second)
 		require.Equal(t, 200*time.Millisecond, took)
 		require.EqualValues(t, 1, reply.Now.ConfigRevision)
 		require.EqualValues(t, 100, reply.ListAgeMs)
@@ -76,9 +76,9 @@
 	})
 }
 
-func TestHubEndsAllPollsWhenItsQuorumAges(t *testing.T) {
+func TestHubEndsAllPollsWhenQuorumContactIsStale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var quorum touch
+		var quorum quorumLink
 		hub := NewHub(HubOptions{QuorumAge: quorum.age, MaxQuorumAge: 500 * time.Millisecond, MaxWait: time.Minute})
 		quorum.lose()
 		ended := make(chan time.Duration, 3)
@@ -95,59 +95,59 @@
 			require.Equal(t, 500*time.Millisecond, <-ended)
 		}
 		quorum.regain()
-		_, took := serve(t, hub, fleetwire.Version{}, time.Second)
+		_, took := pollTimed(t, hub, fleetwire.Version{}, time.Second)
 		require.Equal(t, time.Second, took, "polls are held again")
 	})
 }
 
-func TestHubGoesOnHoldingWhileItsQuorumIsHeardAnew(t *testing.T) {
+func TestHubHoldsPollsWhileQuorumContactIsRenewed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var quorum touch
+		var quorum quorumLink
 		quorum.lose()
 		hub := NewHub(HubOptions{QuorumAge: quorum.age, MaxQuorumAge: 500 * time.Millisecond, MaxWait: time.Minute})
-		heard := time.AfterFunc(400*time.Millisecond, quorum.lose) // an age of zero, growing again
+		heard := time.AfterFunc(400*time.Millisecond, quorum.lose) // resets the quorum age to zero
 		defer heard.Stop()
-		_, took := serve(t, hub, fleetwire.Version{}, 800*time.Millisecond)
+		_, took := pollTimed(t, hub, fleetwire.Version{}, 800*time.Millisecond)
 		require.Equal(t, 800*time.Millisecond, took)
 	})
 }
 
-func TestClosedHubEndsPollsAsOutOfTouch(t *testing.T) {
+func TestClosedHubReportsStaleQuorumContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hub := NewHub(HubOptions{})
 		time.AfterFunc(50*time.Millisecond, hub.Close)
-		reply, took := serve(t, hub, fleetwire.Version{}, time.Second)
+		reply, took := pollTimed(t, hub, fleetwire.Version{}, time.Second)
 		require.Equal(t, 50*time.Millisecond, took)
 		require.Greater(t, fromMillis(reply.QuorumAgeMs), RelayMaxQuorumAge)
 		hub.Close()
-		_, took = serve(t, hub, fleetwire.Version{}, time.Second)
+		_, took = pollTimed(t, hub, fleetwire.Version{}, time.Second)
 		require.Zero(t, took)
 	})
 }
 
-func TestHubEndsAPollWhoseWatcherLeft(t *testing.T) {
+func TestHubEndsPollWhenContextIsCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hub := NewHub(HubOptions{})
-		ctx, leave := context.WithCancel(t.Context())
-		time.AfterFunc(10*time.Millisecond, leave)
+		ctx, cancel := context.WithCancel(t.Context())
+		time.AfterFunc(10*time.Millisecond, cancel)
 		_, err := hub.Serve(ctx, fleetwire.WatchRequest{WaitMs: 1000})
 		require.ErrorIs(t, err, context.Canceled)
 	})
 }
 
-func TestHubEncodesOnceForAllWatchers(t *testing.T) {
+func TestHubEncodesOnceForAllSubscribers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hub := NewHub(HubOptions{})
-		require.NoError(t, hub.PublishConfig(1, configOf(1)))
-		first, _ := serve(t, hub, fleetwire.Version{}, 0)
+		require.NoError(t, hub.PublishConfig(1, testConfig(1)))
+		first, _ := pollTimed(t, hub, fleetwire.Version{}, 0)
 		for range 70 {
-			next, _ := serve(t, hub, fleetwire.Version{}, 0)
-			require.Same(t, &first.Config[0], &next.Config[0], "the same bytes")
+			next, _ := pollTimed(t, hub, fleetwire.Version{}, 0)
+			require.Same(t, &first.Config[0], &next.Config[0], "the encoded configuration must be shared")
 		}
 	})
 }
 
-func TestHubNeverGoesBack(t *testing.T) {
+func TestHubVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hub := NewHub(HubOptions{})
 		var newest fleetwire.Version
@@ -157,10 +157,10 @@
 				Token:    rapid.Uint64Range(1, 4).Draw(t, "token"),
 				Sequence: rapid.Uint64Range(1, 4).Draw(t, "sequence"),
 			}
-			if err := hub.PublishConfig(revision, configOf(revision)); err != nil {
+			if err := hub.PublishConfig(revision, testConfig(revision)); err != nil {
 				t.Fatal(err)
 			}
-			if err := hub.PublishInstances(list, listOf(fmt.Sprint(list))); err != nil {
+			if err := hub.PublishInstances(list, testList(fmt.Sprint(list))); err != nil {
 				t.Fatal(err)
 			}
 			newest.ConfigRevision = max(newest.ConfigRevision, revision)
@@ -169,16 +169,16 @@
 			}
 			now := hub.Current()
 			if now.Version != newest {
-				t.Fatalf("version %v, not %v", now.Version, newest)
+				t.Fatalf("version %v, want %v", now.Version, newest)
 			}
 			if now.Config.Version != int64(newest.ConfigRevision) || now.Instances[0].ID != fmt.Sprint(newest.Instances) {
-				t.Fatalf("version %v holds %d and %s", newest, now.Config.Version, now.Instances[0].ID)
+				t.Fatalf("version %v has configuration %d and instance %s", newest, now.Config.Version, now.Instances[0].ID)
 			}
 		}
 	})
 }
 
-func TestHubTellsWhoPolls(t *testing.T) {
+func TestHubCallsOnPollWithMember(t *testing.T) {
 	seen := make(chan fleetwire.Member, 1)
 	hub := NewHub(HubOptions{OnPoll: func(request *fleetwire.WatchRequest) { seen <- request.Member }})
 	member := fleetwire.Member{Name: "frontend-1", Role: fleetwire.RoleAgent}
@@ -187,7 +187,7 @@
 	require.Equal(t, member, <-seen)
 }
 
-func TestHubServesOverSockets(t *testing.T) {
+func TestHubServesOverHTTP(t *testing.T) {
 	hub := NewHub(HubOptions{})
 	mux := http.NewServeMux()
 	hub.Register(mux)
@@ -205,7 +205,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { follower.Run(ctx); close(ended) }()
-	require.Zero(t, (<-got).Version, "a hub in touch that holds nothing yet")
+	require.Zero(t, (<-got).Version, "the hub has quorum contact but no state yet")
 	require.NoError(t, hub.PublishConfig(1, largeConfig(350)))
 	require.Equal(t, largeConfig(350), (<-got).Config)
 	stop()
--- a/coordination/watch/network_test.go
+++ b/coordination/watch/network_test.go
@@ -11,67 +11,70 @@
 	"weldscale/internal/fleetwire"
 )
 
-// latency is the time of one call over the network of tests, without what the hub holds it.
+// latency is the duration of a call over the test network, without the time that the hub holds the poll.
 const latency = 2 * time.Millisecond
 
 var errRefused = eris.New("refused")
 
-// link is the state of the way to one hub.
-type link int
+// linkState is the state of the network path to one hub.
+type linkState int
 
 const (
-	linkUp link = iota
-	linkSilent
-	linkRefused
+	linkUp      linkState = iota
+	linkSilent            // calls get no reply until their context is done
+	linkRefused           // calls fail at once
 )
 
-// network is an in-memory Caller for tests under synctest: it encodes messages as the real transport does.
+// network is an in-memory Caller for tests under synctest. It encodes replies as the real transport does.
 type network struct {
 	mutex sync.Mutex
 	hubs  map[string]*Hub
-	links map[string]link
-	cut   map[string]chan struct{} // closed when a hub's link leaves linkUp
+	links map[string]linkState
+	down  map[string]chan struct{} // closed when a hub's link leaves linkUp
 	calls map[string]int
 }
 
 func newNetwork() *network {
-	return &network{hubs: map[string]*Hub{}, links: map[string]link{}, cut: map[string]chan struct{}{}, calls: map[string]int{}}
+	return &network{hubs: map[string]*Hub{}, links: map[string]linkState{}, down: map[string]chan struct{}{}, calls: map[string]int{}}
 }
 
 func (n *network) add(address string, hub *Hub) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.hubs[address] = hub
-	n.cut[address] = make(chan struct{})
+	n.down[address] = make(chan struct{})
 }
 
-// set changes a link; calls that are on their way meet the new state.
-func (n *network) set(address string, next link) {
+// setLink changes the state of a link. Calls in progress see the new state.
+func (n *network) setLink(address string, next linkState) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if n.links[address] == linkUp && next != linkUp {
-		close(n.cut[address])
+		close(n.down[address])
 	}
 	if next == linkUp {
-		n.cut[address] = make(chan struct{})
+		n.down[address] = make(chan struct{})
 	}
 	n.links[address] = next
 }
 
-func (n *network) callsOf(address string) int {
+// callCount returns the number of calls to a hub so far.
+func (n *network) callCount(address string) int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.calls[address]
 }
 
-func (n *network) look(address string) (*Hub, link, <-chan struct{}) {
+// lookup counts a call to a hub and returns the hub, the state of its link and the channel that is closed when the link goes
+// down.
+func (n *network) lookup(address string) (*Hub, linkState, <-chan struct{}) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.calls[address]++
-	return n.hubs[address], n.links[address], n.cut[address]
+	return n.hubs[address], n.links[address], n.down[address]
 }
 
-func (n *network) linkOf(address string) link {
+func (n *network) linkOf(address string) linkState {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.links[address]
@@ -79,7 +82,7 @@
 
 // Call implements Caller.
 func (n *network) Call(ctx context.Context, address, _ string, request, reply any) error {
-	hub, state, cut := n.look(address)
+	hub, state, down := n.lookup(address)
 	if hub == nil || state == linkRefused {
 		return errRefused
 	}
@@ -104,8 +107,8 @@
 		if answer.err != nil {
 			return answer.err
 		}
-		return recode(answer.reply, reply)
-	case <-cut:
+		return copyEncoded(answer.reply, reply)
+	case <-down:
 		if n.linkOf(address) == linkRefused {
 			return errRefused
 		}
@@ -116,7 +119,8 @@
 	}
 }
 
-func recode(from, to any) error {
+// copyEncoded copies a message by encoding and decoding it.
+func copyEncoded(from, to any) error {
 	body, err := msgpack.Marshal(from)
 	if err != nil {
 		return err
@@ -124,13 +128,13 @@
 	return msgpack.Unmarshal(body, to)
 }
 
-// touch is the contact of a hub with its majority, as tests set it.
-type touch struct {
+// quorumLink is the contact of a hub with its majority, as tests set it.
+type quorumLink struct {
 	mutex sync.Mutex
-	lost  time.Time // zero: in touch
+	lost  time.Time // when contact was lost; zero: there is contact
 }
 
-func (t *touch) age() time.Duration {
+func (t *quorumLink) age() time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.lost.IsZero() {
@@ -139,20 +143,20 @@
 	return time.Since(t.lost)
 }
 
-func (t *touch) lose() {
+func (t *quorumLink) lose() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.lost = time.Now()
 }
 
-func (t *touch) regain() {
+func (t *quorumLink) regain() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.lost = time.Time{}
 }
 
-// configOf returns a configuration that tells its revision.
-func configOf(revision uint64) *fleetwire.Config {
+// testConfig returns a configuration whose version is the given revision.
+func testConfig(revision uint64) *fleetwire.Config {
 	return &fleetwire.Config{
 		Version:  int64(revision),
 		Routes:   []fleetwire.Route{{Name: "route", Split: []fleetwire.WeightedService{{Service: "service", Weight: 1}}}},
@@ -160,7 +164,7 @@
 	}
 }
 
-// listOf returns a list with one worker.
-func listOf(id string) []fleetwire.Instance {
+// testList returns a list that contains one worker.
+func testList(id string) []fleetwire.Instance {
 	return []fleetwire.Instance{{ID: id, Service: "service", State: fleetwire.InstanceReady}}
 }
--- a/coordination/watch/pack_test.go
+++ b/coordination/watch/pack_test.go
@@ -10,7 +10,7 @@
 	"weldscale/internal/fleetwire"
 )
 
-// largeConfig is a configuration of many routes.
+// largeConfig returns a configuration with the given number of routes.
 func largeConfig(routes int) *fleetwire.Config {
 	config := &fleetwire.Config{Version: 7, Services: []fleetwire.Service{{Name: "service", HealthCheck: "/health"}}}
 	for i := range routes {
@@ -26,38 +26,38 @@
 	return config
 }
 
-func TestPackKeepsValues(t *testing.T) {
+func TestPackPreservesValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := rapid.Make[fleetwire.Config]().Draw(t, "config")
 		packed, err := pack(&config)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var again *fleetwire.Config
-		if err := unpack(packed, &again); err != nil {
+		var decoded *fleetwire.Config
+		if err := unpack(packed, &decoded); err != nil {
 			t.Fatal(err)
 		}
-		repacked, err := pack(again)
+		repacked, err := pack(decoded)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if string(packed) != string(repacked) {
-			t.Fatalf("%+v became %+v", config, again)
+			t.Fatalf("%+v became %+v", config, decoded)
 		}
 	})
 }
 
-func TestPackMakesLargeConfigurationsSmall(t *testing.T) {
+func TestPackCompressesLargeConfigurations(t *testing.T) {
 	config := largeConfig(350)
 	packed, err := pack(config)
 	require.NoError(t, err)
-	require.Less(t, len(packed), 8<<10, "350 routes for 70 watchers must fit slow links")
-	var again *fleetwire.Config
-	require.NoError(t, unpack(packed, &again))
-	require.Equal(t, config, again)
+	require.Less(t, len(packed), 8<<10, "the configuration of 350 routes must fit slow links to 70 subscribers")
+	var decoded *fleetwire.Config
+	require.NoError(t, unpack(packed, &decoded))
+	require.Equal(t, config, decoded)
 }
 
-func TestUnpackRefusesDamage(t *testing.T) {
+func TestUnpackRejectsInvalidData(t *testing.T) {
 	var config *fleetwire.Config
 	require.Error(t, unpack(nil, &config))
 	require.Error(t, unpack(fleetwire.Packed{9, 1, 2}, &config))
--- a/coordination/watch/step_test.go
+++ b/coordination/watch/step_test.go
@@ -12,8 +12,8 @@
 	"weldscale/internal/fleetwire"
 )
 
-// orderedList draws a list in the order of its ids, of few ids so that lists overlap.
-func orderedList(t *rapid.T, label string) []fleetwire.Instance {
+// drawSortedList draws a list that is sorted by ID. The range of IDs is small so that lists overlap.
+func drawSortedList(t *rapid.T, label string) []fleetwire.Instance {
 	ids := rapid.SliceOfNDistinct(rapid.IntRange(0, 30), 0, 20, rapid.ID[int]).Draw(t, label)
 	slices.Sort(ids)
 	list := []fleetwire.Instance{}
@@ -33,10 +33,10 @@
 	return list
 }
 
-// What leads from one list to another makes the other of the one, with its digest.
-func TestDeltaLeadsToTheList(t *testing.T) {
+// TestDeltaProducesTargetList checks that applying the delta between two lists to the first yields the second and its digest.
+func TestDeltaProducesTargetList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		from, to := orderedList(t, "from"), orderedList(t, "to")
+		from, to := drawSortedList(t, "from"), drawSortedList(t, "to")
 		got, digest, err := applyDelta(from, listDigest(from), diffLists(from, to))
 		require.NoError(t, err)
 		require.Equal(t, to, got)
@@ -44,10 +44,10 @@
 	})
 }
 
-// A delta holds nothing that stays.
-func TestDeltaIsSmall(t *testing.T) {
+// TestDeltaOmitsUnchangedInstances checks that a delta contains changed instances only.
+func TestDeltaOmitsUnchangedInstances(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		list := orderedList(t, "list")
+		list := drawSortedList(t, "list")
 		require.Zero(t, diffLists(list, list))
 		changed := slices.Clone(list)
 		if len(changed) == 0 {
@@ -59,8 +59,9 @@
 	})
 }
 
-// A change of any field, also of one that is added to the type later, is a change of the entry and of its digest.
-func TestEachFieldCounts(t *testing.T) {
+// TestEveryFieldIsComparedAndDigested guards against a field that is added to Instance but ignored by equalInstances or by the
+// digest: followers would miss changes of it.
+func TestEveryFieldIsComparedAndDigested(t *testing.T) {
 	var plain fleetwire.Instance
 	kind := reflect.TypeFor[fleetwire.Instance]()
 	for i := range kind.NumField() {
@@ -74,28 +75,29 @@
 		case reflect.Slice:
 			field.Set(reflect.MakeSlice(field.Type(), 1, 1))
 		default:
-			t.Fatalf("a field of another kind: %s", kind.Field(i).Name)
+			t.Fatalf("field %s has a kind that the test does not support", kind.Field(i).Name)
 		}
 		require.False(t, equalInstances(&plain, &changed), kind.Field(i).Name)
 		require.NotEqual(t, instanceDigest(&plain), instanceDigest(&changed), kind.Field(i).Name)
 	}
 }
 
-// A delta that belongs to another list is refused or seen by the digest.
+// TestStepsOfAnotherList checks that a step applied to a list other than its base is rejected, by the delta's form or by the
+// digest, unless it produces the announced list.
 func TestStepsOfAnotherList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		from, to, other := orderedList(t, "from"), orderedList(t, "to"), orderedList(t, "other")
+		from, to, other := drawSortedList(t, "from"), drawSortedList(t, "to"), drawSortedList(t, "other")
 		body, err := pack(diffLists(from, to))
 		require.NoError(t, err)
 		step := fleetwire.ListStep{From: listVersion(1), To: listVersion(2), Digest: listDigest(to), Body: body}
 		got, _, err := applySteps(other, listDigest(other), []fleetwire.ListStep{step})
 		if err == nil {
-			require.Equal(t, to, got, "where it fits, it leads to the same list")
+			require.Equal(t, to, got, "a step that is accepted must produce the announced list")
 		}
 	})
 }
 
-func TestDeltaOutOfOrderIsRefused(t *testing.T) {
+func TestInvalidDeltaIsRejected(t *testing.T) {
 	for _, delta := range []fleetwire.ListDelta{
 		{Put: []fleetwire.Instance{{ID: "b"}, {ID: "a"}}},
 		{Put: []fleetwire.Instance{{ID: "a"}, {ID: "a"}}},
