--- a/coordination/watch/follower_test.go
+++ b/coordination/watch/follower_test.go
@@ -115,11 +115,11 @@
 // publish a new configuration. The follower must fail over and receive it within the propagation bound.
 func TestFollowerFailsOverFromEachFault(t *testing.T) {
 	faults := map[string]func(f *hubFleet, address string){
-		"cut from the follower": func(f *hubFleet, address string) { f.network.setLink(address, linkSilent) },
-		"frozen":                func(f *hubFleet, address string) { f.network.setLink(address, linkSilent) },
-		"killed":                func(f *hubFleet, address string) { f.network.setLink(address, linkRefused) },
-		"cut from the quorum":   func(f *hubFleet, address string) { f.quorumLinks[address].lose() },
-		"stopped gracefully":    func(f *hubFleet, address string) { f.hubs[address].Close() },
+		"partitioned from the follower": func(f *hubFleet, address string) { f.network.setLink(address, linkSilent) },
+		"frozen":                        func(f *hubFleet, address string) { f.network.setLink(address, linkSilent) },
+		"killed":                        func(f *hubFleet, address string) { f.network.setLink(address, linkRefused) },
+		"partitioned from the quorum":   func(f *hubFleet, address string) { f.quorumLinks[address].lose() },
+		"stopped gracefully":            func(f *hubFleet, address string) { f.hubs[address].Close() },
 	}
 	for name, inject := range faults {
 		for moment := time.Duration(0); moment < DefaultMaxWait; moment += 100 * time.Millisecond {
--- a/coordination/watch/hub_test.go
+++ b/coordination/watch/hub_test.go
@@ -105,8 +105,8 @@
 		var quorum quorumLink
 		quorum.lose()
 		hub := NewHub(HubOptions{QuorumAge: quorum.age, MaxQuorumAge: 500 * time.Millisecond, MaxWait: time.Minute})
-		heard := time.AfterFunc(400*time.Millisecond, quorum.lose) // resets the quorum age to zero
-		defer heard.Stop()
+		renewal := time.AfterFunc(400*time.Millisecond, quorum.lose) // resets the quorum age to zero
+		defer renewal.Stop()
 		_, took := pollTimed(t, hub, fleetwire.Version{}, 800*time.Millisecond)
 		require.Equal(t, 800*time.Millisecond, took)
 	})
