--- a/coordination/watch/fuzz_test.go
+++ b/coordination/watch/fuzz_test.go
@@ -9,7 +9,8 @@
 	"weldscale/internal/fleetwire"
 )
 
-// Whatever a hub answers, a follower takes it or leaves it: it never goes back, and never holds half of an answer.
+// FuzzAnswers applies arbitrary replies to a follower. The follower applies or rejects each of them, and the version of its state
+// never decreases.
 func FuzzAnswers(f *testing.F) {
 	config, err := pack(&fleetwire.Config{Version: 3})
 	require.NoError(f, err)
@@ -30,9 +31,9 @@
 			{Now: fleetwire.Version{Instances: last}, Steps: []fleetwire.ListStep{{From: first, To: last, Digest: digest, Body: delta}}},
 			{Now: fleetwire.Version{ConfigRevision: revision / 2, Instances: first}, Config: config, Instances: list},
 		} {
-			before := follower.held.snapshot.Version
-			_ = follower.take(&reply, now, now)
-			after := follower.held.snapshot.Version
+			before := follower.state.snapshot.Version
+			_ = follower.apply(&reply, now, now)
+			after := follower.state.snapshot.Version
 			require.GreaterOrEqual(t, after.ConfigRevision, before.ConfigRevision)
 			require.False(t, after.Instances.Less(before.Instances))
 		}
