--- a/internal/placement/probe.go
+++ b/internal/placement/probe.go
@@ -50,12 +50,12 @@
 type httpProber struct{ transport *http.Transport }
 
 // NewHTTPProber returns a prober over net/http.
-func NewHTTPProber() Prober { return NewHTTPProberWithDial(transport.TCP()) }
+func NewHTTPProber() Prober { return NewHTTPProberWithDial(transport.TCPDial()) }
 
 // NewHTTPProberWithDial returns a prober over net/http that opens its connections with dial.
-func NewHTTPProberWithDial(dial transport.Dial) Prober {
+func NewHTTPProberWithDial(dial transport.DialFunc) Prober {
 	return &httpProber{transport: &http.Transport{
-		DialContext:         dial.Within(probeTimeout),
+		DialContext:         dial.WithTimeout(probeTimeout),
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: probeIdleConns,
 		IdleConnTimeout:     30 * time.Second,
