--- a/internal/router/calls_test.go
+++ b/internal/router/calls_test.go
@@ -216,8 +216,8 @@
 		return nil, "", err
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(response.Body)
-	return response, string(answer), err
+	responseBody, err := io.ReadAll(response.Body)
+	return response, string(responseBody), err
 }
 
 // run sends the warm-up request, if the connection is to be reused, and then the request under test.
