--- a/cmd/weldscale/moments_clients_test.go
+++ b/cmd/weldscale/moments_clients_test.go
@@ -424,7 +424,7 @@
 			status, _ = b.ask("next", "view", patience)
 			assert.Equal(t, 200, status)
 			assert.Equal(t, []string{"holds", "next"}, w.IDs())
-			assert.Equal(t, 1, dials.Open())
+			assert.Equal(t, 1, dials.OpenConns())
 		})
 	}
 }
--- a/cmd/weldscale/moments_stop_test.go
+++ b/cmd/weldscale/moments_stop_test.go
@@ -81,7 +81,7 @@
 		close(at)
 		<-let
 		l := pace.Defaults(1 << 20)
-		l.Fresh, l.Hurry = 0, 0
+		l.NewPeerGrace, l.EvictionGrace = 0, 0
 		b.s.server.Pace.SetLimits(l)
 		assert.Zero(t, b.s.server.EvictClients(9, false))
 	})
--- a/cmd/weldscale/serve.go
+++ b/cmd/weldscale/serve.go
@@ -139,9 +139,9 @@
 	e         *engine.Engine
 	driver    *net.Driver
 	server    *jobs.Server
-	overlay   *jobs.Overlay // of workers taken out by hand
-	second    *net.Second   // nil: the platform names no second address
-	up        *upgrade      // nil: the platform passes no listening socket
+	overlay   *jobs.Overlay         // of workers taken out by hand
+	second    *net.ManagementServer // nil: the platform names no second address
+	up        *upgrade              // nil: the platform passes no listening socket
 	workers   *jobs.Workers
 	discovery *jobs.Discovery
 	services  map[string]*service // that the operator's file names
@@ -219,8 +219,8 @@
 		discovery.Watch(true)
 	}
 	if c.Mgmt != "" {
-		driver.KeepForSecond()
-		s.second, err = net.ListenSecond(c.Mgmt, operate{s})
+		driver.ReserveForManagement()
+		s.second, err = net.ListenManagement(c.Mgmt, operate{s})
 	}
 	return s, err
 }
@@ -282,7 +282,7 @@
 		s.shut = true
 		s.server.RefuseNew()
 	}
-	if !s.closed && since >= graceFor && (!s.driver.Waits() || since >= max(graceFor+lastWords, min(graceFor+waitFor, last))) {
+	if !s.closed && since >= graceFor && (!s.driver.HasPendingClients() || since >= max(graceFor+lastWords, min(graceFor+waitFor, last))) {
 		s.closed = true
 		s.driver.StopListening()
 	}
--- a/cmd/weldscale/upgrade.go
+++ b/cmd/weldscale/upgrade.go
@@ -53,7 +53,7 @@
 func (s *scheduler) joinOthers() error {
 	u := &upgrade{s: s, dir: os.TempDir(), began: time.Now().UnixMicro(), waiting: map[uint64]chan struct{}{},
 		ends: map[*handover.Link]bool{}}
-	if err := s.driver.OpenDoor(); err != nil {
+	if err := s.driver.EnableHandover(); err != nil {
 		return err
 	}
 	out, err := handover.Saved(u.dir, s.c.Name)
@@ -104,7 +104,7 @@
 			slog.Warn("what was learnt can't be passed on", "why", err)
 			h.Learnt = json.RawMessage("{}")
 		}
-		h.Open, h.Out, h.List = u.s.driver.Open(), u.s.out(), u.s.overlay.Snapshot(u.s.discovery.Index())
+		h.Open, h.Out, h.List = u.s.driver.OpenDescriptors(), u.s.out(), u.s.overlay.Snapshot(u.s.discovery.Index())
 	})
 	return h
 }
@@ -155,7 +155,7 @@
 			if l.Other.Started < s.up.began { // the elder keeps what it has
 				descriptors -= min(max(descriptors/2, l.Other.Open+32), descriptors*3/4)
 			} else {
-				descriptors = min(max(descriptors/2, s.driver.Open()+32), descriptors*3/4)
+				descriptors = min(max(descriptors/2, s.driver.OpenDescriptors()+32), descriptors*3/4)
 			}
 		}
 	}
@@ -296,7 +296,7 @@
 	if s.up.successor() == nil {
 		return false
 	}
-	s.driver.Leave()
+	s.driver.LeaveSharedListener()
 	s.up.pass()
 	return true
 }
@@ -312,7 +312,7 @@
 		s.stopped()
 		return
 	}
-	s.driver.Quiet(func() {
+	s.driver.WithReadsPaused(func() {
 		left := s.server.HandOverIdle(func(c jobs.Conn) bool {
 			ok := u.give(to, handover.Message{Kind: handover.KindClient}, c)
 			if ok {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -50,7 +50,7 @@
 
 // Default is what holds without a file, for a scheduler of that much memory.
 func Default(memory int) File {
-	return File{SlowPeers: pace.Defaults(memory / 8), Workers: pace.Workers()}
+	return File{SlowPeers: pace.Defaults(memory / 8), Workers: pace.DefaultWorkerRate()}
 }
 
 // unit is what a setting is measured in, and so how it may be written.
@@ -98,11 +98,11 @@
 	{"slow_peers", "most_per_prefix", count, 1, 1 << 20, "how many of one prefix", func(f *File) any { return &f.SlowPeers.SlowPerPrefix }},
 	{"slow_peers", "prefix_v4", count, 8, 32, "bits of an IPv4 prefix", func(f *File) any { return &f.SlowPeers.V4Bits }},
 	{"slow_peers", "prefix_v6", count, 16, 128, "bits of an IPv6 prefix", func(f *File) any { return &f.SlowPeers.V6Bits }},
-	{"slow_peers", "hurry", span, 1e4, minute, "how long a transfer is spared while descriptors or memory run short", func(f *File) any { return &f.SlowPeers.Hurry }},
-	{"slow_peers", "fresh", span, 0, minute, "how long a new connection is spared then", func(f *File) any { return &f.SlowPeers.Fresh }},
-	{"slow_peers", "crowd", count, 1, 100, "per cent of all connections from which on a prefix is spared no time then", func(f *File) any { return &f.SlowPeers.Crowd }},
-	{"slow_peers", "remember", count, 1, 1 << 20, "how many addresses that were cut are remembered", func(f *File) any { return &f.SlowPeers.Remember }},
-	{"slow_peers", "forgive", span, 1e6, 24 * hour, "for how long; each cut halves the grace", func(f *File) any { return &f.SlowPeers.Forgive }},
+	{"slow_peers", "hurry", span, 1e4, minute, "how long a transfer is spared while descriptors or memory run short", func(f *File) any { return &f.SlowPeers.EvictionGrace }},
+	{"slow_peers", "fresh", span, 0, minute, "how long a new connection is spared then", func(f *File) any { return &f.SlowPeers.NewPeerGrace }},
+	{"slow_peers", "crowd", count, 1, 100, "per cent of all connections from which on a prefix is spared no time then", func(f *File) any { return &f.SlowPeers.CrowdPercent }},
+	{"slow_peers", "remember", count, 1, 1 << 20, "how many addresses that were cut are remembered", func(f *File) any { return &f.SlowPeers.RememberedAddrs }},
+	{"slow_peers", "forgive", span, 1e6, 24 * hour, "for how long; each cut halves the grace", func(f *File) any { return &f.SlowPeers.StrikeTTL }},
 	{"slow_peers", "least_grace", span, 1e5, hour, "the grace that is left to such an address at least", func(f *File) any { return &f.SlowPeers.LeastGrace }},
 	{"workers", "least_rate", rate, 1, gib, "least rate at which a worker takes a request or writes a line of its answer", func(f *File) any { return &f.Workers.Least }},
 	{"workers", "grace", span, 1e5, hour, "how long nothing may pass at its start", func(f *File) any { return &f.Workers.Grace }},
--- a/internal/jobs/client.go
+++ b/internal/jobs/client.go
@@ -87,7 +87,7 @@
 // SetPace sets the keeper that decides how slow clients may be. The keeper can ask whether a connection has data that
 // has not been read yet.
 func (s *Server) SetPace(k *pace.Keeper) {
-	k.Unseen = func(owner any) bool { return owner.(*client).conn.Unread() }
+	k.Unread = func(owner any) bool { return owner.(*client).conn.Unread() }
 	s.Pace = k
 }
 
@@ -207,7 +207,7 @@
 // less than a timer for each request.
 func (x *client) armPaceTimer() {
 	now := x.server.Loop.Now()
-	due := x.peer.Next(now)
+	due := x.peer.NextCheck(now)
 	if due == pace.Never || x.paceTimer != nil && x.paceDue <= due {
 		return
 	}
@@ -226,7 +226,7 @@
 	}
 	x.recordAcked(now)
 	if p := x.peer.Check(now); p != nil {
-		p.Struck(now)
+		p.AddStrike(now)
 		p.Owner.(*client).cutSlow()
 	}
 	if !x.closed {
@@ -240,7 +240,7 @@
 		return
 	}
 	unacked := x.conn.Unacked()
-	x.peer.Taken(now, max(0, x.unacked-unacked))
+	x.peer.Acked(now, max(0, x.unacked-unacked))
 	x.unacked = unacked
 	x.peer.HoldOut(x.conn.Queued())
 	if unacked == 0 && x.peer.Phase() == pace.Draining {
@@ -287,7 +287,7 @@
 
 // evictForMemory evicts slow peers until n more bytes are within the limits, as far as there are slow peers.
 func (s *Server) evictForMemory(n int) {
-	for _, p := range s.Pace.Excess(s.Loop.Now(), n) {
+	for _, p := range s.Pace.VictimsForBytes(s.Loop.Now(), n) {
 		p.Owner.(*client).evict()
 	}
 }
@@ -326,7 +326,7 @@
 	if x.closed {
 		return
 	}
-	x.peer.Judge(x.server.Loop.Now())
+	x.peer.RequestComplete(x.server.Loop.Now())
 	x.server.Main.Engine.Counts.BadRequests++
 	slog.Warn("bad request", "status", status, "why", reason)
 	x.answer(status, []byte(reason+"\n"))
@@ -363,7 +363,7 @@
 	}
 	p := &payload{method: m.Method, target: m.Target, id: m.Get("x-call-id"), key: m.Get("idempotency-key"), body: m.Body,
 		atMostOnce: service.Engine.Class(job.Class).Effect == decide.Unsafe}
-	x.peer.Judge(now)
+	x.peer.RequestComplete(now)
 	if x.server.refusing {
 		service.Engine.Counts.Ended[1][job.Class]++
 		x.Refused(0)
@@ -385,7 +385,7 @@
 	}
 	x.server.claimCallID(x, p.id)
 	x.service, x.class, x.bookedBytes, x.unbooked = service, job.Class, len(m.Body), pool.Unbooked{}
-	x.peer.Work(now)
+	x.peer.JobAccepted(now)
 	r := service.Engine.Submit(job, p, x)
 	if service.Engine.Trace != nil {
 		service.Engine.Trace("taken", r.ID, "call_id", p.id, "target", p.target, "addr", x.conn.Peer())
@@ -450,7 +450,7 @@
 		x.refuseRequest(404, "unknown path")
 		return
 	}
-	x.peer.Judge(x.server.Loop.Now())
+	x.peer.RequestComplete(x.server.Loop.Now())
 	switch path {
 	case "/-/ready":
 		if x.server.Ready() && !x.server.closing {
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -406,12 +406,12 @@
 		return out
 	}
 	l := pace.Defaults(1 << 20)
-	l.Fresh = 1 << 40
+	l.NewPeerGrace = 1 << 40
 	b.server.Pace.SetLimits(l)
 	assert.Zero(t, b.server.EvictClients(9, true))
 	assert.Equal(t, 1, b.server.EvictClients(1, false))
 	assert.Equal(t, []bool{false, false, true, false}, closed())
-	l.Fresh = 0
+	l.NewPeerGrace = 0
 	b.server.Pace.SetLimits(l)
 	assert.Equal(t, 3, b.server.EvictClients(9, true))
 	assert.Equal(t, []bool{true, true, true, true}, closed())
@@ -456,7 +456,7 @@
 	b.pushed[0].End(decide.Served, []byte("x"), decide.Report{})
 	x.checkPace()
 	assert.False(t, working.closed)
-	assert.Equal(t, pace.Never, x.peer.Next(b.engine.Now()), "no pace is required between requests")
+	assert.Equal(t, pace.Never, x.peer.NextCheck(b.engine.Now()), "no pace is required between requests")
 	assert.Nil(t, x.paceTimer)
 	assert.Equal(t, 1, b.server.Pace.Counts().Peers)
 }
@@ -630,7 +630,7 @@
 	conns := []*fakeConn{b.client(), b.client(), b.client(), b.client()}
 	conns[0].handler.Data([]byte("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")) // just answered
 	l := pace.Defaults(1 << 20)
-	l.Fresh = 0
+	l.NewPeerGrace = 0
 	b.server.Pace.SetLimits(l)
 	assert.Equal(t, 2, b.server.EvictClients(2, false))
 	for i, want := range []bool{false, true, true, false} {
--- a/internal/jobs/pass.go
+++ b/internal/jobs/pass.go
@@ -91,7 +91,7 @@
 		return
 	}
 	x := s.addClient(c)
-	x.peer.Vouched(s.Loop.Now())
+	x.peer.Adopted(s.Loop.Now())
 	x.armPaceTimer()
 }
 
@@ -99,11 +99,11 @@
 func (s *Server) Adopt(service *Service, p *HandoverJob, c, worker Conn) {
 	x := s.addClient(c)
 	now := s.Loop.Now()
-	x.peer.Vouched(now)
+	x.peer.Adopted(now)
 	class, known := service.Classes[p.Class]
 	x.busy, x.keepAlive = true, p.KeepAlive
 	x.pipelined = append(x.pipelined, p.Ahead...)
-	x.peer.Work(now)
+	x.peer.JobAccepted(now)
 	if !known || s.callIDInUse(p.ID) { // the job may have run, and its outcome can't be determined
 		if worker != nil {
 			worker.Close()
--- a/internal/jobs/worker.go
+++ b/internal/jobs/worker.go
@@ -200,7 +200,7 @@
 // armPaceTimer sets the timer for the next pace check.
 func (x *exchange) armPaceTimer() {
 	now := x.workers.Engine.Now()
-	if due := x.meter.End(); due != pace.Never && x.paceTimer == nil {
+	if due := x.meter.Deadline(); due != pace.Never && x.paceTimer == nil {
 		x.paceDue = due
 		x.paceTimer = x.workers.Engine.After(time.Duration(due-now)*time.Microsecond, x.checkPace)
 	}
--- a/internal/net/door.go
+++ b/internal/net/door.go
@@ -153,13 +153,13 @@
 	}
 }
 
-// Quiet has f run on the loop, soon, while nothing is read from any connection. Only after OpenDoor.
-func (d *Driver) Quiet(f func()) {
+// WithReadsPaused has f run on the loop, soon, while nothing is read from any connection. Only after OpenDoor.
+func (d *Driver) WithReadsPaused(f func()) {
 	d.door.push(func() net.Conn { d.loop.Do(f); return nil })
 }
 
-// OpenDoor makes ready for connections that come from another process or go to one.
-func (d *Driver) OpenDoor() (err error) {
+// EnableHandover makes ready for connections that come from another process or go to one.
+func (d *Driver) EnableHandover() (err error) {
 	d.door, err = d.openDoor()
 	return err
 }
@@ -210,8 +210,8 @@
 	return fd, true
 }
 
-// Leave takes this process off a listening socket that it shares; false: it shares none.
-func (d *Driver) Leave() bool {
+// LeaveSharedListener takes this process off a listening socket that it shares; false: it shares none.
+func (d *Driver) LeaveSharedListener() bool {
 	if d.shared != nil {
 		d.shared.left.Store(true)
 	}
--- a/internal/net/net.go
+++ b/internal/net/net.go
@@ -123,8 +123,8 @@
 // SetLimit changes the bound; what is open stays open.
 func (d *Dialer) SetLimit(n int) { d.account.limit.Store(int64(n)) }
 
-// Open is how many connections are on the account.
-func (d *Dialer) Open() int { return int(d.account.open.Load()) }
+// OpenConns is how many connections are on the account.
+func (d *Dialer) OpenConns() int { return int(d.account.open.Load()) }
 
 // Get implements jobs.Dialer.
 func (d *Dialer) Get(addr string, fresh bool, ready func(jobs.Conn)) (giveUp func()) {
@@ -146,11 +146,11 @@
 // SetDescriptors changes the budget of descriptors; what is open stays open until room is needed.
 func (d *Driver) SetDescriptors(n int) { d.room.Store(int64(n - reserved - d.kept)) }
 
-// Open is how many descriptors are in use, with those that are set apart.
-func (d *Driver) Open() int { return int(d.open.Load()) + reserved + d.kept }
+// OpenDescriptors is how many descriptors are in use, with those that are set apart.
+func (d *Driver) OpenDescriptors() int { return int(d.open.Load()) + reserved + d.kept }
 
-// KeepForSecond sets apart what the second address needs.
-func (d *Driver) KeepForSecond() {
+// ReserveForManagement sets apart what the second address needs.
+func (d *Driver) ReserveForManagement() {
 	d.kept = secondConns
 	d.room.Add(-secondConns)
 }
@@ -384,8 +384,8 @@
 	return d.ln.Addr().String()
 }
 
-// Waits reports whether connections of clients wait with the system to be accepted.
-func (d *Driver) Waits() bool {
+// HasPendingClients reports whether connections of clients wait with the system to be accepted.
+func (d *Driver) HasPendingClients() bool {
 	if d.ln == nil {
 		return false // what waits on a shared socket is the other processes'
 	}
@@ -396,7 +396,7 @@
 
 // StopListening refuses new connections from here on.
 func (d *Driver) StopListening() {
-	if d.Leave() {
+	if d.LeaveSharedListener() {
 		return
 	}
 	// Not ln.Close: netpoll would close the descriptor twice, and the number may be another's by then.
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -438,7 +438,7 @@
 		giveUp()
 	})
 	assert.NotNil(t, get(other), "another's account")
-	assert.Equal(t, 2, d.Open())
+	assert.Equal(t, 2, d.OpenConns())
 	assert.Empty(t, third, "it waits")
 	g.do(first.Close)
 	assert.NotNil(t, <-third)
@@ -448,7 +448,7 @@
 	for range 5 {
 		(<-conns).Close()
 	}
-	require.Eventually(t, func() bool { return d.Open() == 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return d.OpenConns() == 0 }, patience, time.Millisecond)
 }
 
 // A passed socket may block, as another process has set it. An accept for a client that another process took must not wait
@@ -478,7 +478,7 @@
 			t.Fatal("it waits")
 		}
 	}
-	assert.True(t, d.Leave())
+	assert.True(t, d.LeaveSharedListener())
 	_, err = d.shared.Accept()
 	assert.ErrorIs(t, err, errLeft, "it takes nothing more, and leaves the queue to others")
 	assert.ErrorContains(t, d.ListenOn(0), "no listening socket")
--- a/internal/net/second.go
+++ b/internal/net/second.go
@@ -20,8 +20,8 @@
 	acceptPause = 20 * time.Millisecond // after an accept that failed: no descriptors are left just now
 )
 
-// Second is the listener of the second address.
-type Second struct {
+// ManagementServer is the listener of the second address.
+type ManagementServer struct {
 	ln      net.Listener
 	control mgmt.Control
 
@@ -31,29 +31,29 @@
 	closed  bool
 }
 
-// ListenSecond takes calls at the address until Close.
-func ListenSecond(addr string, control mgmt.Control) (*Second, error) {
+// ListenManagement takes calls at the address until Close.
+func ListenManagement(addr string, control mgmt.Control) (*ManagementServer, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	s := &Second{ln: ln, control: control}
+	s := &ManagementServer{ln: ln, control: control}
 	go s.accept()
 	return s, nil
 }
 
 // Addr is the address that it took.
-func (s *Second) Addr() string { return s.ln.Addr().String() }
+func (s *ManagementServer) Addr() string { return s.ln.Addr().String() }
 
 // Close ends the listener; calls that are being answered go on.
-func (s *Second) Close() {
+func (s *ManagementServer) Close() {
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
 	s.ln.Close()
 }
 
-func (s *Second) accept() {
+func (s *ManagementServer) accept() {
 	for {
 		c, err := s.ln.Accept()
 		switch {
@@ -71,7 +71,7 @@
 }
 
 // enter makes room for a connection: the one that has been silent longest goes.
-func (s *Second) enter(c net.Conn) bool {
+func (s *ManagementServer) enter(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.open >= secondConns-2 {
@@ -88,7 +88,7 @@
 }
 
 // heard takes a connection out of those that wait, and reports whether it was still among them.
-func (s *Second) heard(c net.Conn) bool {
+func (s *ManagementServer) heard(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, w := range s.waiting {
@@ -100,14 +100,14 @@
 	return false
 }
 
-func (s *Second) left() {
+func (s *ManagementServer) left() {
 	s.mu.Lock()
 	s.open--
 	s.mu.Unlock()
 }
 
 // serve answers the one call of a connection.
-func (s *Second) serve(c net.Conn) {
+func (s *ManagementServer) serve(c net.Conn) {
 	defer c.Close()
 	_ = c.SetDeadline(time.Now().Add(secondTime))
 	call, b := mgmt.NewCall(), make([]byte, 2<<10)
--- a/internal/pace/keeper.go
+++ b/internal/pace/keeper.go
@@ -22,18 +22,18 @@
 	SlowPeers, SlowPerPrefix int
 	// V4Bits and V6Bits are the length of a prefix.
 	V4Bits, V6Bits int
-	// Hurry is the least time that a transfer is spared, behind its rate or not, while room runs short.
-	Hurry Time
-	// Fresh is how long a new connection is spared then, since its first request may be on the way.
-	Fresh Time
-	// Crowd is the share of all connections, in hundredths, from which on a prefix is not spared any time then: who is
+	// EvictionGrace is the least time that a transfer is spared, behind its rate or not, while room runs short.
+	EvictionGrace Time
+	// NewPeerGrace is how long a new connection is spared then, since its first request may be on the way.
+	NewPeerGrace Time
+	// CrowdPercent is the share of all connections, in hundredths, from which on a prefix is not spared any time then: who is
 	// not ahead of the rate there, or has said nothing yet, may be let go at once. It counts from a handful on.
-	Crowd int
-	// Remember is how many addresses that were cut off are remembered, for Forgive each since the last time. Each
+	CrowdPercent int
+	// RememberedAddrs is how many addresses that were cut off are remembered, for Forgive each since the last time. Each
 	// time halves the grace, which is never less than LeastGrace.
-	Remember            int
-	Forgive, LeastGrace Time
-	Links               []Link
+	RememberedAddrs       int
+	StrikeTTL, LeastGrace Time
+	Links                 []Link
 }
 
 // Link is a line that is known to be slow: its peers are held to rates of their own.
@@ -47,12 +47,12 @@
 func Defaults(totalBytes int) Limits {
 	r := Rate{Least: 4 << 10, Grace: 5 * second / 2, Span: 5 * second / 2}
 	return Limits{In: r, Out: r, TotalBytes: totalBytes, PrefixBytes: totalBytes / 2, PeerBytes: min(512<<10, totalBytes/2),
-		SlowPeers: 256, SlowPerPrefix: 64, V4Bits: 24, V6Bits: 64, Hurry: second / 4, Fresh: second / 10, Crowd: 25,
-		Remember: 4096, Forgive: 60 * second, LeastGrace: second}
+		SlowPeers: 256, SlowPerPrefix: 64, V4Bits: 24, V6Bits: 64, EvictionGrace: second / 4, NewPeerGrace: second / 10, CrowdPercent: 25,
+		RememberedAddrs: 4096, StrikeTTL: 60 * second, LeastGrace: second}
 }
 
-// Workers is how slow a worker may be, at taking a request or writing a line of an answer.
-func Workers() Rate { return Rate{Least: 4 << 10, Grace: 5 * second, Span: 5 * second} }
+// DefaultWorkerRate is how slow a worker may be, at taking a request or writing a line of an answer.
+func DefaultWorkerRate() Rate { return Rate{Least: 4 << 10, Grace: 5 * second, Span: 5 * second} }
 
 // Phase is what a peer is at.
 type Phase uint8
@@ -100,29 +100,29 @@
 
 // Counts is what a Keeper has seen. Slowed counts transfers that fell behind, Recovered those of them that caught up.
 type Counts struct {
-	Slowed, Recovered                int
-	CutIn, CutOut                    int // behind the rate for too long
-	CutCrowd                         int // slow, and more peers were than may be
-	GivenUp                          int // slow or idle, as room ran short
-	Spared                           int // transfers of a slow line that by the usual rate would have been cut
-	Refused                          int // bytes not taken, since a cap was reached
-	Peers, Slow, Bytes, BytesAtMost  int // just now; the most bytes at once
-	Remembered, Prefixes, SlowAtMost int
+	Slowed, Recovered               int
+	CutIn, CutOut                   int // behind the rate for too long
+	CutCrowd                        int // slow, and more peers were than may be
+	Evicted                         int // slow or idle, as room ran short
+	Spared                          int // transfers of a slow line that by the usual rate would have been cut
+	Refused                         int // bytes not taken, since a cap was reached
+	Peers, Slow, Bytes, PeakBytes   int // just now; the most bytes at once
+	StruckAddrs, Prefixes, PeakSlow int
 }
 
 // String gives the counts as name=value words.
 func (c Counts) String() string {
 	return fmt.Sprintf("peers=%d peers_slow=%d peers_slow_most=%d slowed=%d recovered=%d spared=%d cut_senders=%d cut_readers=%d "+
 		"cut_crowd=%d given_up=%d bytes_held=%d bytes_held_most=%d bytes_refused=%d strikes=%d prefixes=%d",
-		c.Peers, c.Slow, c.SlowAtMost, c.Slowed, c.Recovered, c.Spared, c.CutIn, c.CutOut, c.CutCrowd, c.GivenUp, c.Bytes,
-		c.BytesAtMost, c.Refused, c.Remembered, c.Prefixes)
+		c.Peers, c.Slow, c.PeakSlow, c.Slowed, c.Recovered, c.Spared, c.CutIn, c.CutOut, c.CutCrowd, c.Evicted, c.Bytes,
+		c.PeakBytes, c.Refused, c.StruckAddrs, c.Prefixes)
 }
 
 // Keeper is the account of all peers.
 type Keeper struct {
-	// Unseen, if set, tells by a peer's Owner whether something has come from it that this account was not told yet. Such a
+	// Unread, if set, tells by a peer's Owner whether something has come from it that this account was not told yet. Such a
 	// peer is not silent, and to let it go might be to lose a request that is here whole.
-	Unseen func(owner any) bool
+	Unread func(owner any) bool
 
 	limits  Limits
 	peers   []*Peer
@@ -141,7 +141,7 @@
 // New returns a keeper without peers. Limits that make no sense are for the reader of the operator's file to refuse.
 func New(l Limits) *Keeper {
 	k := &Keeper{groups: map[netip.Prefix]*group{}}
-	k.strikes, _ = simplelru.NewLRU[netip.Addr, strike](max(1, l.Remember), nil)
+	k.strikes, _ = simplelru.NewLRU[netip.Addr, strike](max(1, l.RememberedAddrs), nil)
 	k.SetLimits(l)
 	return k
 }
@@ -149,13 +149,13 @@
 // SetLimits changes the terms. Transfers under way end by the old ones.
 func (k *Keeper) SetLimits(l Limits) {
 	k.limits = l
-	k.strikes.Resize(max(1, l.Remember))
+	k.strikes.Resize(max(1, l.RememberedAddrs))
 }
 
 // Counts tells what was seen.
 func (k *Keeper) Counts() Counts {
 	c := k.counts
-	c.Peers, c.Slow, c.Bytes, c.Remembered, c.Prefixes = len(k.peers), k.slow, k.bytes, k.strikes.Len(), len(k.groups)
+	c.Peers, c.Slow, c.Bytes, c.StruckAddrs, c.Prefixes = len(k.peers), k.slow, k.bytes, k.strikes.Len(), len(k.groups)
 	return c
 }
 
@@ -209,7 +209,7 @@
 	if !ok {
 		return r
 	}
-	if now-s.last > k.limits.Forgive {
+	if now-s.last > k.limits.StrikeTTL {
 		k.strikes.Remove(addr)
 		return r
 	}
@@ -232,20 +232,20 @@
 	}
 }
 
-// Vouched takes in that the peer is a known one, between two requests: its past was with another process.
-func (p *Peer) Vouched(now Time) {
+// Adopted takes in that the peer is a known one, between two requests: its past was with another process.
+func (p *Peer) Adopted(now Time) {
 	p.stop(now)
 	p.phase, p.known, p.rested = Resting, true, now
 }
 
-// Work takes in that the request has come whole: nothing is asked of the peer until it is answered.
-func (p *Peer) Work(now Time) {
+// JobAccepted takes in that the request has come whole: nothing is asked of the peer until it is answered.
+func (p *Peer) JobAccepted(now Time) {
 	p.stop(now)
 	p.phase, p.known = Working, true
 }
 
-// Judge takes in that what has come is no job: its answer is next.
-func (p *Peer) Judge(now Time) {
+// RequestComplete takes in that what has come is no job: its answer is next.
+func (p *Peer) RequestComplete(now Time) {
 	p.stop(now)
 	p.phase = Working
 }
@@ -256,8 +256,8 @@
 	p.begin(now, p.out)
 }
 
-// Taken takes in that the peer took n bytes of it.
-func (p *Peer) Taken(now Time, n int) {
+// Acked takes in that the peer took n bytes of it.
+func (p *Peer) Acked(now Time, n int) {
 	if p.phase == Sending || p.phase == Draining {
 		p.meter.Add(now, n)
 		p.census(now)
@@ -304,12 +304,12 @@
 // State tells how the present transfer stands.
 func (p *Peer) State(now Time) State { return p.meter.State(now) }
 
-// Next is when Check has something to say if nothing passes until then; never while nothing is measured.
-func (p *Peer) Next(now Time) Time {
+// NextCheck is when Check has something to say if nothing passes until then; never while nothing is measured.
+func (p *Peer) NextCheck(now Time) Time {
 	if p.meter.Running() && now < p.meter.slowAt() {
 		return p.meter.slowAt()
 	}
-	return p.meter.End()
+	return p.meter.Deadline()
 }
 
 // Extend holds nothing against the peer for a span in which its caller could not look.
@@ -321,7 +321,7 @@
 
 // unseen reports whether the peer, from which a request may come, has sent what was not looked at yet.
 func (k *Keeper) unseen(p *Peer) bool {
-	return k.Unseen != nil && p.phase != Working && p.phase != Sending && k.Unseen(p.Owner)
+	return k.Unread != nil && p.phase != Working && p.phase != Sending && k.Unread(p.Owner)
 }
 
 // unseenFor is how much longer such a peer is spared: what it has sent is seen by then, or looked for again.
@@ -333,7 +333,7 @@
 	p.census(now)
 	if p.meter.State(now) == Cut {
 		if p.k.unseen(p) {
-			p.meter.Extend(now + unseenFor - p.meter.End())
+			p.meter.Extend(now + unseenFor - p.meter.Deadline())
 			return nil
 		}
 		if p.phase == Sending || p.phase == Draining {
@@ -360,7 +360,7 @@
 	p.group.slow++
 	p.k.slow++
 	p.k.counts.Slowed++
-	p.k.counts.SlowAtMost = max(p.k.counts.SlowAtMost, p.k.slow)
+	p.k.counts.PeakSlow = max(p.k.counts.PeakSlow, p.k.slow)
 }
 
 func (p *Peer) uncount(recovered bool) {
@@ -406,7 +406,7 @@
 
 // cost weighs what a peer holds by how little it has done of what the rate asks for.
 func (p *Peer) cost(now Time) float64 {
-	return float64(descriptor+p.heldIn+p.heldOut) * (2 - min(1, p.meter.Share(now, 0)))
+	return float64(descriptor+p.heldIn+p.heldOut) * (2 - min(1, p.meter.Progress(now, 0)))
 }
 
 // HoldIn books that n bytes of a request are in memory for the peer. It reports false, and books nothing, where a cap
@@ -435,11 +435,11 @@
 func (p *Peer) book(more int) {
 	p.group.bytes += more
 	p.k.bytes += more
-	p.k.counts.BytesAtMost = max(p.k.counts.BytesAtMost, p.k.bytes)
+	p.k.counts.PeakBytes = max(p.k.counts.PeakBytes, p.k.bytes)
 }
 
-// Excess returns slow peers whose going makes room for n more bytes, as far as there are such.
-func (k *Keeper) Excess(now Time, n int) []*Peer {
+// VictimsForBytes returns slow peers whose going makes room for n more bytes, as far as there are such.
+func (k *Keeper) VictimsForBytes(now Time, n int) []*Peer {
 	over := k.bytes + n - k.limits.TotalBytes
 	if over <= 0 {
 		return nil
@@ -454,7 +454,7 @@
 			out = append(out, p)
 		}
 	}
-	k.counts.GivenUp += len(out)
+	k.counts.Evicted += len(out)
 	return out
 }
 
@@ -471,7 +471,7 @@
 			out = append(out, p)
 		}
 	}
-	k.counts.GivenUp += len(out)
+	k.counts.Evicted += len(out)
 	return out
 }
 
@@ -507,14 +507,14 @@
 	var all []candidate
 	for _, p := range k.peers {
 		c := candidate{p: p, cost: float64(now - p.rested)}
-		hurry, fresh := k.limits.Hurry, k.limits.Fresh
-		if n := p.group.peers; n >= handful && n*100 >= k.limits.Crowd*len(k.peers) {
+		hurry, fresh := k.limits.EvictionGrace, k.limits.NewPeerGrace
+		if n := p.group.peers; n >= handful && n*100 >= k.limits.CrowdPercent*len(k.peers) {
 			hurry, fresh = 0, 0
 		}
 		if p.phase == Sending || p.phase == Draining {
 			hurry *= windows
 		}
-		behind := p.meter.Share(now, hurry) < 1
+		behind := p.meter.Progress(now, hurry) < 1
 		switch {
 		case p.phase == Working, !behind && (p.phase == Receiving || p.phase == Sending):
 			continue
@@ -539,10 +539,10 @@
 	return out
 }
 
-// Struck remembers that the peer was cut for being slow: it gets less grace for a while.
-func (p *Peer) Struck(now Time) {
+// AddStrike remembers that the peer was cut for being slow: it gets less grace for a while.
+func (p *Peer) AddStrike(now Time) {
 	s, _ := p.k.strikes.Get(p.addr)
-	if now-s.last > p.k.limits.Forgive {
+	if now-s.last > p.k.limits.StrikeTTL {
 		s.n = 0
 	}
 	p.k.strikes.Add(p.addr, strike{min(s.n+1, 16), now})
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -74,8 +74,8 @@
 // Extend moves the end on: for a span in which we did not look, nothing is held against the peer.
 func (m *Meter) Extend(span Time) { m.begun += span }
 
-// End is when the transfer is cut if nothing more passes; never for one that is not measured.
-func (m *Meter) End() Time {
+// Deadline is when the transfer is cut if nothing more passes; never for one that is not measured.
+func (m *Meter) Deadline() Time {
 	end := Never
 	if m.rate.Least > 0 {
 		end = m.begun + Time(m.until)
@@ -88,7 +88,7 @@
 
 // slowAt is when it counts as slow if nothing more passes.
 func (m *Meter) slowAt() Time {
-	end := m.End()
+	end := m.Deadline()
 	if end == Never {
 		return end
 	}
@@ -100,15 +100,15 @@
 	switch {
 	case !m.Running() || now < m.slowAt():
 		return Fine
-	case now < m.End():
+	case now < m.Deadline():
 		return Slow
 	}
 	return Cut
 }
 
-// Share is the part that has passed of what the least rate asks for by now, the first moments left out; 1 or more
+// Progress is the part that has passed of what the least rate asks for by now, the first moments left out; 1 or more
 // for one that keeps it.
-func (m *Meter) Share(now, lenient Time) float64 {
+func (m *Meter) Progress(now, lenient Time) float64 {
 	asked := m.rate.Least * float64(now-m.begun-lenient) / float64(second)
 	if asked <= 0 {
 		return 1
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -65,9 +65,9 @@
 	var m Meter
 	m.Begin(0, usual)
 	m.Extend(second)
-	assert.Equal(t, 3*second, m.End(), "a span in which nobody looked is not held against it")
+	assert.Equal(t, 3*second, m.Deadline(), "a span in which nobody looked is not held against it")
 	m.Stop()
-	assert.Equal(t, Never, m.End())
+	assert.Equal(t, Never, m.Deadline())
 }
 
 // Whatever the terms and however the bytes are spread: a peer that is never more than half a span behind its rate is
@@ -101,7 +101,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{In: Rate{Least: 1000, Grace: second, Span: second}, Out: Rate{Least: 500, Grace: second, Span: second},
 			TotalBytes: 5000, PrefixBytes: 3000, PeerBytes: 2000, SlowPeers: 4, SlowPerPrefix: 2, V4Bits: 24, V6Bits: 64,
-			Hurry: 200 * ms, Fresh: 100 * ms, Crowd: 30, Remember: 3, Forgive: 10 * second, LeastGrace: 300 * ms,
+			EvictionGrace: 200 * ms, NewPeerGrace: 100 * ms, CrowdPercent: 30, RememberedAddrs: 3, StrikeTTL: 10 * second, LeastGrace: 300 * ms,
 			Links: []Link{{"murun", []netip.Prefix{netip.MustParsePrefix("127.0.3.0/24")}, 100, 100}}}
 		k := New(l)
 		type model struct {
@@ -125,7 +125,7 @@
 				t.Fatalf("%s: it kept its rate: %+v", why, *p)
 			}
 			if forRate {
-				p.Struck(now)
+				p.AddStrike(now)
 			}
 			p.Close()
 			p.Close()
@@ -147,7 +147,7 @@
 				}
 			}
 			for _, m := range live { // as the timers would
-				if !m.closed && now >= m.p.Next(now) {
+				if !m.closed && now >= m.p.NextCheck(now) {
 					if p := m.p.Check(now); p != nil {
 						end(p, "check", true)
 					}
@@ -186,19 +186,19 @@
 				}
 			case 4:
 				if p.Phase() == Receiving {
-					p.Work(now)
+					p.JobAccepted(now)
 				}
 			case 5:
 				if p.Phase() == Working {
 					p.Send(now)
 					begin(m, p.out.Least)
 					p.HoldOut(n)
-					for _, v := range k.Excess(now, 0) {
+					for _, v := range k.VictimsForBytes(now, 0) {
 						end(v, "excess", false)
 					}
 				}
 			case 6:
-				p.Taken(now, n)
+				p.Acked(now, n)
 				if p.Phase() == Sending {
 					pass(m, n)
 				}
@@ -219,7 +219,7 @@
 				m.closed = true
 			}
 			c := k.Counts()
-			if c.Slow > l.SlowPeers+1 || c.Remembered > l.Remember { // one more until it is looked at
+			if c.Slow > l.SlowPeers+1 || c.StruckAddrs > l.RememberedAddrs { // one more until it is looked at
 				t.Fatalf("%+v", c)
 			}
 		}
@@ -241,7 +241,7 @@
 	idle := func(addr string, at Time) *Peer {
 		p := open(k, at, addr)
 		p.Received(at, 100)
-		p.Work(at)
+		p.JobAccepted(at)
 		p.Send(at)
 		p.Sent(at)
 		p.Rest(at)
@@ -250,7 +250,7 @@
 	now := 100 * second
 	old, older := idle("127.0.0.1", 60*second), idle("127.0.0.1", 50*second)
 	job := open(k, now-second, "127.0.2.1")
-	job.Work(now)
+	job.JobAccepted(now)
 	slow := open(k, now-second, "127.0.3.1")
 	slow.Received(now-second, 10)
 	honest := open(k, now-second, "127.0.3.1")
@@ -276,7 +276,7 @@
 func TestUnseenIsNotSilent(t *testing.T) {
 	k := New(Defaults(1 << 20))
 	var unseen []*Peer
-	k.Unseen = func(owner any) bool { return slices.Contains(unseen, *owner.(**Peer)) }
+	k.Unread = func(owner any) bool { return slices.Contains(unseen, *owner.(**Peer)) }
 	add := func() *Peer {
 		p := new(*Peer)
 		*p = k.Open(0, netip.MustParseAddr("127.0.0.1"), p)
@@ -284,7 +284,7 @@
 	}
 	silent, spoke, half, reads := add(), add(), add(), add()
 	half.Received(0, 10)
-	reads.Work(0)
+	reads.JobAccepted(0)
 	reads.Send(0)
 	unseen = []*Peer{spoke, half, reads}
 	now := 3 * second
@@ -293,7 +293,7 @@
 	assert.Equal(t, reads, reads.Check(now))
 	for _, p := range []*Peer{spoke, half} {
 		assert.Nil(t, p.Check(now))
-		assert.Greater(t, p.Next(now), now, "it is looked at again")
+		assert.Greater(t, p.NextCheck(now), now, "it is looked at again")
 	}
 	unseen = nil
 	now += second
@@ -334,16 +334,16 @@
 	k := New(l)
 	for addr, want := range map[string]State{"127.0.3.7": Fine, "127.0.4.7": Cut} {
 		in, out := open(k, 0, addr), open(k, 0, addr)
-		out.Work(0)
+		out.JobAccepted(0)
 		out.Send(0)
 		cut := Fine
 		for now := 100 * ms; now <= 30*second; now += 100 * ms {
 			cut = max(cut, in.State(now), out.State(now))
 			in.Received(now, 26)
-			out.Taken(now, 13)
+			out.Acked(now, 13)
 		}
 		assert.Equal(t, want, cut, addr)
-		in.Work(30 * second)
+		in.JobAccepted(30 * second)
 		out.Sent(30 * second)
 		out.Rest(30 * second)
 	}
@@ -355,17 +355,17 @@
 	k := New(Defaults(1 << 20))
 	for i, want := range []Time{5 * second / 2, 5 * second / 4, second, second} {
 		p := open(k, Time(i), "127.0.0.1")
-		assert.Equal(t, Time(i)+want, p.meter.End())
-		p.Struck(Time(i))
+		assert.Equal(t, Time(i)+want, p.meter.Deadline())
+		p.AddStrike(Time(i))
 		p.Close()
 	}
 	now := 61 * second
-	assert.Equal(t, now+5*second/2, open(k, now, "127.0.0.1").meter.End())
-	assert.Equal(t, now+5*second/2, open(k, now, "127.0.0.2").meter.End())
+	assert.Equal(t, now+5*second/2, open(k, now, "127.0.0.1").meter.Deadline())
+	assert.Equal(t, now+5*second/2, open(k, now, "127.0.0.2").meter.Deadline())
 	for i := range 5000 {
 		p := open(k, now, fmt.Sprintf("127.1.%d.%d", i/250, i%250))
-		p.Struck(now)
+		p.AddStrike(now)
 		p.Close()
 	}
-	assert.Equal(t, 4096, k.Counts().Remembered)
+	assert.Equal(t, 4096, k.Counts().StruckAddrs)
 }
