--- a/internal/pace/keeper.go
+++ b/internal/pace/keeper.go
@@ -9,41 +9,44 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// This file owns the account of all peers: what each is at, what waits for it, who is slow and who goes first. It
-// must hold no more than its limits allow, whatever the peers do.
+// This file tracks all peers: the phase of each, the bytes buffered for it, which are slow and which are evicted first.
+// The memory it uses must stay within the limits, whatever the peers do.
 
-// Limits are the terms of a Keeper. Every figure has a default; see Defaults.
+// Limits are the limits of a Keeper. Every one has a default; see Defaults.
 type Limits struct {
-	In, Out Rate // of what a client sends, and of what it takes
-	// TotalBytes bounds the bytes that wait for all peers: requests coming in or in hand, answers not yet taken.
-	// PrefixBytes bounds those of one network prefix, PeerBytes those of one peer.
+	In, Out Rate // for what a client sends, and for what it reads
+	// TotalBytes limits the bytes buffered for all peers: incomplete requests, requests in flight, and answers not yet
+	// sent. PrefixBytes limits those of one network prefix, PeerBytes those of one peer.
 	TotalBytes, PrefixBytes, PeerBytes int
-	// SlowPeers is how many may be slow at once, SlowPerPrefix how many of one prefix.
+	// SlowPeers limits how many peers may be slow at once, SlowPerPrefix how many of one prefix.
 	SlowPeers, SlowPerPrefix int
-	// V4Bits and V6Bits are the length of a prefix.
+	// V4Bits and V6Bits are the lengths of the network prefixes by which peers are grouped.
 	V4Bits, V6Bits int
-	// EvictionGrace is the least time that a transfer is spared, behind its rate or not, while room runs short.
+	// EvictionGrace is how long after its start a transfer is not evicted for being behind its rate, when memory or
+	// descriptors run short.
 	EvictionGrace Time
-	// NewPeerGrace is how long a new connection is spared then, since its first request may be on the way.
+	// NewPeerGrace is how long a new connection is evicted only after all others, since its first request may be on the
+	// way.
 	NewPeerGrace Time
-	// CrowdPercent is the share of all connections, in hundredths, from which on a prefix is not spared any time then: who is
-	// not ahead of the rate there, or has said nothing yet, may be let go at once. It counts from a handful on.
+	// CrowdPercent is the percentage of all connections from which on both of these times are 0 for the peers of a
+	// prefix, so that those that are behind their rate or have sent nothing yet may be evicted at once. It applies to
+	// prefixes with at least minCrowd peers.
 	CrowdPercent int
-	// RememberedAddrs is how many addresses that were cut off are remembered, for Forgive each since the last time. Each
-	// time halves the grace, which is never less than LeastGrace.
+	// RememberedAddrs is how many addresses that were cut are remembered, for StrikeTTL each since the last cut. Each
+	// cut halves the grace, down to LeastGrace.
 	RememberedAddrs       int
 	StrikeTTL, LeastGrace Time
 	Links                 []Link
 }
 
-// Link is a line that is known to be slow: its peers are held to rates of their own.
+// Link is a network link that is known to be slow. Its peers have least rates of their own.
 type Link struct {
 	Name     string
 	Prefixes []netip.Prefix
-	In, Out  float64 // least rates, bytes a second
+	In, Out  float64 // least rates in bytes per second
 }
 
-// Defaults are the limits that hold where an operator's file says nothing, for so many bytes in all.
+// Defaults returns the limits that apply unless the operator's file sets others, for a total of totalBytes.
 func Defaults(totalBytes int) Limits {
 	r := Rate{Least: 4 << 10, Grace: 5 * second / 2, Span: 5 * second / 2}
 	return Limits{In: r, Out: r, TotalBytes: totalBytes, PrefixBytes: totalBytes / 2, PeerBytes: min(512<<10, totalBytes/2),
@@ -51,66 +54,67 @@
 		RememberedAddrs: 4096, StrikeTTL: 60 * second, LeastGrace: second}
 }
 
-// DefaultWorkerRate is how slow a worker may be, at taking a request or writing a line of an answer.
+// DefaultWorkerRate returns the default limits of a worker that receives a request or sends a line of an answer.
 func DefaultWorkerRate() Rate { return Rate{Least: 4 << 10, Grace: 5 * second, Span: 5 * second} }
 
-// Phase is what a peer is at.
+// Phase is the stage of a peer's current exchange.
 type Phase uint8
 
-// The phases.
+// The phases of a peer.
 const (
 	Resting   Phase = iota // between two requests
-	Receiving              // a request comes in
-	Working                // its request is a job in hand
-	Sending                // an answer goes out, and a part of it waits here
-	Draining               // the system holds the rest of an answer: to let go loses nothing
+	Receiving              // a request is arriving
+	Working                // its request is complete and not answered yet
+	Sending                // an answer is being sent, and part of it is buffered here
+	Draining               // the system holds the rest of the answer: closing the connection loses nothing
 )
 
 func (p Phase) String() string {
 	return [...]string{"resting", "receiving", "working", "sending", "draining"}[p]
 }
 
-// Peer is one connection of a client.
+// Peer is the state of one client connection.
 type Peer struct {
-	// Owner is the caller's, to find its own by.
+	// Owner is for the caller, to find its own data of the connection.
 	Owner any
-	// Link is the name of the slow line that the peer comes by, or "".
+	// Link is the name of the slow link that the peer uses, or "".
 	Link string
 
-	k        *Keeper
-	addr     netip.Addr
-	group    *group
-	in, out  Rate
-	phase    Phase
-	known    bool // it brought a job
-	slow     bool // counted as such
-	meter    Meter
-	heldIn   int
-	heldOut  int
-	came     Time
-	rested   Time
-	position int // in the keeper's list
-}
-
-// group is the peers of one network prefix.
-type group struct {
+	keeper    *Keeper
+	addr      netip.Addr
+	group     *prefixGroup
+	in, out   Rate
+	phase     Phase
+	proven    bool // it has sent a job
+	slow      bool // counted as slow
+	meter     Meter
+	heldIn    int
+	heldOut   int
+	opened    Time
+	idleSince Time
+	index     int // in the keeper's peers; -1 once closed
+}
+
+// prefixGroup counts the peers of one network prefix.
+type prefixGroup struct {
 	prefix             netip.Prefix
 	peers, slow, bytes int
 }
 
-// Counts is what a Keeper has seen. Slowed counts transfers that fell behind, Recovered those of them that caught up.
+// Counts are the counters of a Keeper. Slowed counts transfers that fell behind their rate, Recovered those of them
+// that caught up.
 type Counts struct {
 	Slowed, Recovered               int
-	CutIn, CutOut                   int // behind the rate for too long
-	CutCrowd                        int // slow, and more peers were than may be
-	Evicted                         int // slow or idle, as room ran short
-	Spared                          int // transfers of a slow line that by the usual rate would have been cut
-	Refused                         int // bytes not taken, since a cap was reached
-	Peers, Slow, Bytes, PeakBytes   int // just now; the most bytes at once
+	CutIn, CutOut                   int // behind their rate for too long
+	CutCrowd                        int // slow while too many peers were slow
+	Evicted                         int // slow or idle while memory or descriptors ran short
+	Spared                          int // transfers of a slow link that would have been cut by the general rate
+	Refused                         int // reservations refused because a cap was reached
+	Peers, Slow, Bytes, PeakBytes   int // current values, and the peak of Bytes
 	StruckAddrs, Prefixes, PeakSlow int
 }
 
-// String gives the counts as name=value words.
+// String returns the counts as name=value pairs.
 func (c Counts) String() string {
 	return fmt.Sprintf("peers=%d peers_slow=%d peers_slow_most=%d slowed=%d recovered=%d spared=%d cut_senders=%d cut_readers=%d "+
 		"cut_crowd=%d given_up=%d bytes_held=%d bytes_held_most=%d bytes_refused=%d strikes=%d prefixes=%d",
@@ -118,15 +122,15 @@
 		c.PeakBytes, c.Refused, c.StruckAddrs, c.Prefixes)
 }
 
-// Keeper is the account of all peers.
+// Keeper tracks all peers. It is not safe for concurrent use.
 type Keeper struct {
-	// Unread, if set, tells by a peer's Owner whether something has come from it that this account was not told yet. Such a
-	// peer is not silent, and to let it go might be to lose a request that is here whole.
+	// Unread, if set, reports whether data or the end of the connection of a peer, given by its Owner, has arrived that
+	// the Keeper was not told of yet. Such a peer is not silent, and evicting it might lose a complete request.
 	Unread func(owner any) bool
 
 	limits  Limits
 	peers   []*Peer
-	groups  map[netip.Prefix]*group
+	groups  map[netip.Prefix]*prefixGroup
 	slow    int
 	bytes   int
 	strikes *simplelru.LRU[netip.Addr, strike]
@@ -134,46 +138,46 @@
 }
 
 type strike struct {
-	n    int
-	last Time
+	count int
+	last  Time
 }
 
-// New returns a keeper without peers. Limits that make no sense are for the reader of the operator's file to refuse.
+// New returns a Keeper without peers. It does not validate the limits; the reader of the operator's file does.
 func New(l Limits) *Keeper {
-	k := &Keeper{groups: map[netip.Prefix]*group{}}
+	k := &Keeper{groups: map[netip.Prefix]*prefixGroup{}}
 	k.strikes, _ = simplelru.NewLRU[netip.Addr, strike](max(1, l.RememberedAddrs), nil)
 	k.SetLimits(l)
 	return k
 }
 
-// SetLimits changes the terms. Transfers under way end by the old ones.
+// SetLimits changes the limits. Open connections keep their rates.
 func (k *Keeper) SetLimits(l Limits) {
 	k.limits = l
 	k.strikes.Resize(max(1, l.RememberedAddrs))
 }
 
-// Counts tells what was seen.
+// Counts returns the counters and the current values.
 func (k *Keeper) Counts() Counts {
 	c := k.counts
 	c.Peers, c.Slow, c.Bytes, c.StruckAddrs, c.Prefixes = len(k.peers), k.slow, k.bytes, k.strikes.Len(), len(k.groups)
 	return c
 }
 
-// Open takes in a new connection. Its first request is awaited from now on.
+// Open registers a new connection and starts measuring its first request.
 func (k *Keeper) Open(now Time, addr netip.Addr, owner any) *Peer {
 	addr = addr.Unmap()
-	p := &Peer{Owner: owner, k: k, addr: addr, in: k.limits.In, out: k.limits.Out, came: now, rested: now, position: len(k.peers)}
+	p := &Peer{Owner: owner, keeper: k, addr: addr, in: k.limits.In, out: k.limits.Out, opened: now, idleSince: now, index: len(k.peers)}
 	if l := k.link(addr); l != nil {
 		p.Link, p.in.Least, p.out.Least = l.Name, l.In, l.Out
 	}
 	k.peers = append(k.peers, p)
 	at := k.prefix(addr)
 	if p.group = k.groups[at]; p.group == nil {
-		p.group = &group{prefix: at}
+		p.group = &prefixGroup{prefix: at}
 		k.groups[at] = p.group
 	}
 	p.group.peers++
-	p.meter.Begin(now, k.strict(now, addr, p.in))
+	p.meter.Begin(now, k.shortenGrace(now, addr, p.in))
 	return p
 }
 
@@ -189,7 +193,7 @@
 	return p
 }
 
-// link finds the line of the address: the one that names it most closely.
+// link returns the link with the longest prefix that contains the address, or nil.
 func (k *Keeper) link(addr netip.Addr) *Link {
 	var best *Link
 	bits := -1
@@ -203,8 +207,8 @@
 	return best
 }
 
-// strict shortens the grace for an address that was cut off before.
-func (k *Keeper) strict(now Time, addr netip.Addr, r Rate) Rate {
+// shortenGrace shortens the grace of a rate for an address that was cut recently.
+func (k *Keeper) shortenGrace(now Time, addr netip.Addr, r Rate) Rate {
 	s, ok := k.strikes.Get(addr)
 	if !ok {
 		return r
@@ -213,98 +217,101 @@
 		k.strikes.Remove(addr)
 		return r
 	}
-	r.Grace = max(min(r.Grace, k.limits.LeastGrace), r.Grace>>min(s.n, 16))
+	r.Grace = max(min(r.Grace, k.limits.LeastGrace), r.Grace>>min(s.count, 16))
 	return r
 }
 
-// Received takes in that n bytes of a request have come. It begins the transfer if none was under way.
+// Received records that n bytes of a request have arrived. It starts the transfer unless one is in progress.
 func (p *Peer) Received(now Time, n int) {
 	if p.phase == Resting || p.phase == Draining {
-		fresh := p.phase == Resting && p.meter.Running() // the connection's first request: measured from its opening
+		first := p.phase == Resting && p.meter.Running() // the first request of the connection is measured from its opening
 		p.phase = Receiving
-		if !fresh {
+		if !first {
 			p.begin(now, p.in)
 		}
 	}
 	if p.phase == Receiving {
 		p.meter.Add(now, n)
-		p.census(now)
+		p.updateSlow(now)
 	}
 }
 
-// Adopted takes in that the peer is a known one, between two requests: its past was with another process.
+// Adopted records that the connection was handed over from another process, where its peer has sent jobs. The peer
+// becomes Resting.
 func (p *Peer) Adopted(now Time) {
 	p.stop(now)
-	p.phase, p.known, p.rested = Resting, true, now
+	p.phase, p.proven, p.idleSince = Resting, true, now
 }
 
-// JobAccepted takes in that the request has come whole: nothing is asked of the peer until it is answered.
+// JobAccepted records that the request is complete and is a job. No rate is required until it is answered.
 func (p *Peer) JobAccepted(now Time) {
 	p.stop(now)
-	p.phase, p.known = Working, true
+	p.phase, p.proven = Working, true
 }
 
-// RequestComplete takes in that what has come is no job: its answer is next.
+// RequestComplete records that the request is complete, or rejected, and not a job so far. No rate is required until it
+// is answered.
 func (p *Peer) RequestComplete(now Time) {
 	p.stop(now)
 	p.phase = Working
 }
 
-// Send takes in that an answer goes out.
+// Send records that the sending of an answer begins.
 func (p *Peer) Send(now Time) {
 	p.phase = Sending
 	p.begin(now, p.out)
 }
 
-// Acked takes in that the peer took n bytes of it.
+// Acked records that the peer has received n more bytes of the answer.
 func (p *Peer) Acked(now Time, n int) {
 	if p.phase == Sending || p.phase == Draining {
 		p.meter.Add(now, n)
-		p.census(now)
+		p.updateSlow(now)
 	}
 }
 
-// Sent takes in that the system has the rest of the answer. The peer may send its next request.
+// Sent records that the system has accepted the rest of the answer. The peer may send its next request.
 func (p *Peer) Sent(now Time) {
 	if p.phase == Sending {
-		p.phase, p.rested = Draining, now
+		p.phase, p.idleSince = Draining, now
 	}
 }
 
-// Rest takes in that the peer has taken all.
+// Rest records that the peer has received the whole answer.
 func (p *Peer) Rest(now Time) {
 	if p.phase != Receiving && p.phase != Working {
 		p.stop(now)
 		p.phase = Resting
-		p.rested = max(p.rested, now)
+		p.idleSince = max(p.idleSince, now)
 	}
 }
 
 func (p *Peer) begin(now Time, r Rate) {
-	p.uncount(false)
-	p.meter.Begin(now, p.k.strict(now, p.addr, r))
+	p.clearSlow(false)
+	p.meter.Begin(now, p.keeper.shortenGrace(now, p.addr, r))
 }
 
-// stop ends a transfer that has come to its end.
+// stop ends the measuring of a complete transfer. A transfer of a slow link that the general rate would have cut counts
+// as Spared.
 func (p *Peer) stop(now Time) {
-	usual := p.k.limits.In
+	usual := p.keeper.limits.In
 	if p.phase == Sending || p.phase == Draining {
-		usual = p.k.limits.Out
+		usual = p.keeper.limits.Out
 	}
-	if p.meter.rate.Least < usual.Least && p.meter.bytes < usual.Least*float64(now-p.meter.begun-usual.Grace)/float64(second) {
-		p.k.counts.Spared++
+	if p.meter.rate.Least < usual.Least && p.meter.bytes < usual.Least*float64(now-p.meter.start-usual.Grace)/float64(second) {
+		p.keeper.counts.Spared++
 	}
-	p.uncount(p.meter.Running())
+	p.clearSlow(p.meter.Running())
 	p.meter.Stop()
 }
 
-// Phase tells what the peer is at.
+// Phase returns the phase of the peer.
 func (p *Peer) Phase() Phase { return p.phase }
 
-// State tells how the present transfer stands.
+// State returns the state of the current transfer.
 func (p *Peer) State(now Time) State { return p.meter.State(now) }
 
-// NextCheck is when Check has something to say if nothing passes until then; never while nothing is measured.
+// NextCheck returns when Check must be called next if nothing passes until then, or Never if no transfer is measured.
 func (p *Peer) NextCheck(now Time) Time {
 	if p.meter.Running() && now < p.meter.slowAt() {
 		return p.meter.slowAt()
@@ -312,72 +319,74 @@
 	return p.meter.Deadline()
 }
 
-// Extend holds nothing against the peer for a span in which its caller could not look.
+// Extend extends the deadline of the current transfer by span, for a time in which the caller could not observe it.
 func (p *Peer) Extend(span Time) {
 	if p.meter.Running() {
 		p.meter.Extend(span)
 	}
 }
 
-// unseen reports whether the peer, from which a request may come, has sent what was not looked at yet.
-func (k *Keeper) unseen(p *Peer) bool {
+// hasUnread reports whether the peer may be sending a request and data from it has arrived that was not processed yet.
+func (k *Keeper) hasUnread(p *Peer) bool {
 	return k.Unread != nil && p.phase != Working && p.phase != Sending && k.Unread(p.Owner)
 }
 
-// unseenFor is how much longer such a peer is spared: what it has sent is seen by then, or looked for again.
-const unseenFor = second / 20
+// unreadExtension is the extension for a peer with unread data. By its end the data has been read, or is checked for
+// again.
+const unreadExtension = second / 20
 
-// Check judges the present transfer and returns who is to be cut now: the peer itself, or one of a crowd of slow ones
-// that has grown too large. For each the caller calls Struck and Close.
+// Check returns the peer that is to be cut now, if any: p itself, or the costliest slow peer if too many are slow. The
+// caller must call AddStrike and Close for it.
 func (p *Peer) Check(now Time) (cut *Peer) {
-	p.census(now)
+	p.updateSlow(now)
 	if p.meter.State(now) == Cut {
-		if p.k.unseen(p) {
-			p.meter.Extend(now + unseenFor - p.meter.Deadline())
+		if p.keeper.hasUnread(p) {
+			p.meter.Extend(now + unreadExtension - p.meter.Deadline())
 			return nil
 		}
 		if p.phase == Sending || p.phase == Draining {
-			p.k.counts.CutOut++
+			p.keeper.counts.CutOut++
 		} else {
-			p.k.counts.CutIn++
+			p.keeper.counts.CutIn++
 		}
 		return p
 	}
-	return p.crowd(now)
+	return p.excessSlowPeer(now)
 }
 
-// census keeps the count of slow peers.
-func (p *Peer) census(now Time) {
+// updateSlow updates the counts of slow peers when the current transfer has become slow or has caught up.
+func (p *Peer) updateSlow(now Time) {
 	slow := p.meter.State(now) != Fine
 	if slow == p.slow {
 		return
 	}
 	if !slow {
-		p.uncount(true)
+		p.clearSlow(true)
 		return
 	}
 	p.slow = true
 	p.group.slow++
-	p.k.slow++
-	p.k.counts.Slowed++
-	p.k.counts.PeakSlow = max(p.k.counts.PeakSlow, p.k.slow)
+	p.keeper.slow++
+	p.keeper.counts.Slowed++
+	p.keeper.counts.PeakSlow = max(p.keeper.counts.PeakSlow, p.keeper.slow)
 }
 
-func (p *Peer) uncount(recovered bool) {
+func (p *Peer) clearSlow(recovered bool) {
 	if !p.slow {
 		return
 	}
 	p.slow = false
 	p.group.slow--
-	p.k.slow--
+	p.keeper.slow--
 	if recovered {
-		p.k.counts.Recovered++
+		p.keeper.counts.Recovered++
 	}
 }
 
-// crowd returns the least promising slow peer where more are slow than may be.
-func (p *Peer) crowd(now Time) *Peer {
-	k := p.k
+// excessSlowPeer returns the slow peer of the highest cost if more peers are slow than allowed, in all or in p's
+// prefix.
+func (p *Peer) excessSlowPeer(now Time) *Peer {
+	k := p.keeper
 	if !p.slow || k.slow <= k.limits.SlowPeers && p.group.slow <= k.limits.SlowPerPrefix {
 		return nil
 	}
@@ -388,31 +397,32 @@
 			worst = v
 		}
 	}
-	if worst == nil || k.unseen(worst) {
+	if worst == nil || k.hasUnread(worst) {
 		return nil
 	}
 	k.counts.CutCrowd++
 	return worst
 }
 
-// windows is how many times longer than a request an answer is spared: what a peer takes shows in whole TCP windows.
-const windows = 4
+// answerGraceFactor multiplies EvictionGrace for answers, since the progress of a reader shows only in whole TCP
+// windows.
+const answerGraceFactor = 4
 
-// handful is how many connections of one prefix are no crowd yet, however few there are in all.
-const handful = 16
+// minCrowd is the number of peers of one prefix from which on CrowdPercent applies, however few peers there are in all.
+const minCrowd = 16
 
-// descriptor is what a connection costs besides the bytes that wait for it.
-const descriptor = 16 << 10
+// connCost is the cost of a connection in bytes, besides those buffered for it.
+const connCost = 16 << 10
 
-// cost weighs what a peer holds by how little it has done of what the rate asks for.
+// cost weighs the memory that a peer occupies by how far it is behind its rate.
 func (p *Peer) cost(now Time) float64 {
-	return float64(descriptor+p.heldIn+p.heldOut) * (2 - min(1, p.meter.Progress(now, 0)))
+	return float64(connCost+p.heldIn+p.heldOut) * (2 - min(1, p.meter.Progress(now, 0)))
 }
 
-// HoldIn books that n bytes of a request are in memory for the peer. It reports false, and books nothing, where a cap
-// would be passed.
+// HoldIn sets the number of request bytes that are buffered for the peer. It returns false and changes nothing if that
+// would exceed a cap.
 func (p *Peer) HoldIn(n int) bool {
-	k := p.k
+	k := p.keeper
 	more := n - p.heldIn
 	if more > 0 && (n+p.heldOut > k.limits.PeerBytes || p.group.bytes+more > k.limits.PrefixBytes ||
 		k.bytes+more > k.limits.TotalBytes) {
@@ -420,36 +430,37 @@
 		return false
 	}
 	p.heldIn = n
-	p.book(more)
+	p.addBytes(more)
 	return true
 }
 
-// HoldOut books that n bytes of an answer wait for the peer. An answer is never refused: it has been earned. Over the
-// caps, Excess names who makes room.
+// HoldOut sets the number of answer bytes that are buffered for the peer. It never refuses, since the work for the
+// answer is done. If the caps are exceeded, VictimsForBytes returns the peers to evict.
 func (p *Peer) HoldOut(n int) {
 	more := n - p.heldOut
 	p.heldOut = n
-	p.book(more)
+	p.addBytes(more)
 }
 
-func (p *Peer) book(more int) {
+func (p *Peer) addBytes(more int) {
 	p.group.bytes += more
-	p.k.bytes += more
-	p.k.counts.PeakBytes = max(p.k.counts.PeakBytes, p.k.bytes)
+	p.keeper.bytes += more
+	p.keeper.counts.PeakBytes = max(p.keeper.counts.PeakBytes, p.keeper.bytes)
 }
 
-// VictimsForBytes returns slow peers whose going makes room for n more bytes, as far as there are such.
+// VictimsForBytes returns idle unproven and slow peers to evict until n more bytes are within TotalBytes, as far as
+// there are such peers.
 func (k *Keeper) VictimsForBytes(now Time, n int) []*Peer {
 	over := k.bytes + n - k.limits.TotalBytes
 	if over <= 0 {
 		return nil
 	}
 	var out []*Peer
-	for _, p := range k.ranked(now, true) {
+	for _, p := range k.rankVictims(now, true) {
 		if over <= 0 {
 			break
 		}
-		if held := p.heldIn + p.heldOut; held > 0 && !k.unseen(p) {
+		if held := p.heldIn + p.heldOut; held > 0 && !k.hasUnread(p) {
 			over -= held
 			out = append(out, p)
 		}
@@ -458,16 +469,16 @@
 	return out
 }
 
-// Victims returns up to n peers to let go as descriptors run short, in this order: strangers that sit idle, peers
-// behind their rate, clients that sit idle, and last strangers that have only just come. With strangersOnly it stops
-// before the clients.
-func (k *Keeper) Victims(now Time, n int, strangersOnly bool) []*Peer {
+// Victims returns up to n peers to evict when descriptors run short, in this order: idle unproven peers, peers behind
+// their rate, idle peers that have sent jobs, and unproven peers that have just connected. With unprovenOnly it returns
+// only the first two kinds.
+func (k *Keeper) Victims(now Time, n int, unprovenOnly bool) []*Peer {
 	var out []*Peer
-	for _, p := range k.ranked(now, strangersOnly) {
+	for _, p := range k.rankVictims(now, unprovenOnly) {
 		if len(out) >= n {
 			break
 		}
-		if !k.unseen(p) {
+		if !k.hasUnread(p) {
 			out = append(out, p)
 		}
 	}
@@ -486,7 +497,7 @@
 	return out
 }
 
-// Working lists those with a request in hand.
+// Working returns the peers whose request is complete and not answered yet.
 func (k *Keeper) Working() []*Peer {
 	var out []*Peer
 	for _, p := range k.peers {
@@ -497,8 +508,9 @@
 	return out
 }
 
-// ranked lists who may be let go, the first to go first. Peers of the prefix that holds most go before others.
-func (k *Keeper) ranked(now Time, strangersOnly bool) []*Peer {
+// rankVictims returns the peers that may be evicted, in the order of eviction. Peers behind their rate are ordered by
+// cost times the number of peers of their prefix.
+func (k *Keeper) rankVictims(now Time, unprovenOnly bool) []*Peer {
 	type candidate struct {
 		p    *Peer
 		rank int
@@ -506,31 +518,31 @@
 	}
 	var all []candidate
 	for _, p := range k.peers {
-		c := candidate{p: p, cost: float64(now - p.rested)}
-		hurry, fresh := k.limits.EvictionGrace, k.limits.NewPeerGrace
-		if n := p.group.peers; n >= handful && n*100 >= k.limits.CrowdPercent*len(k.peers) {
-			hurry, fresh = 0, 0
+		c := candidate{p: p, cost: float64(now - p.idleSince)}
+		grace, newPeerGrace := k.limits.EvictionGrace, k.limits.NewPeerGrace
+		if n := p.group.peers; n >= minCrowd && n*100 >= k.limits.CrowdPercent*len(k.peers) {
+			grace, newPeerGrace = 0, 0
 		}
 		if p.phase == Sending || p.phase == Draining {
-			hurry *= windows
+			grace *= answerGraceFactor
 		}
-		behind := p.meter.Progress(now, hurry) < 1
+		behind := p.meter.Progress(now, grace) < 1
 		switch {
 		case p.phase == Working, !behind && (p.phase == Receiving || p.phase == Sending):
 			continue
 		case behind && p.phase != Resting:
 			c.rank, c.cost = 1, p.cost(now)*float64(p.group.peers)
-		case p.known: // what the system still holds of its answer is not lost
+		case p.proven: // what the system still holds of its answer is not lost
 			c.rank = 2
-		case now-p.came < fresh:
+		case now-p.opened < newPeerGrace:
 			c.rank = 3
 		}
-		if c.rank < 2 || !strangersOnly {
+		if c.rank < 2 || !unprovenOnly {
 			all = append(all, c)
 		}
 	}
 	slices.SortFunc(all, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(b.cost, a.cost), cmp.Compare(a.p.came, b.p.came))
+		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(b.cost, a.cost), cmp.Compare(a.p.opened, b.p.opened))
 	})
 	out := make([]*Peer, len(all))
 	for i, c := range all {
@@ -539,30 +551,30 @@
 	return out
 }
 
-// AddStrike remembers that the peer was cut for being slow: it gets less grace for a while.
+// AddStrike records that the peer was cut for being slow. Its address gets less grace for a while.
 func (p *Peer) AddStrike(now Time) {
-	s, _ := p.k.strikes.Get(p.addr)
-	if now-s.last > p.k.limits.StrikeTTL {
-		s.n = 0
+	s, _ := p.keeper.strikes.Get(p.addr)
+	if now-s.last > p.keeper.limits.StrikeTTL {
+		s.count = 0
 	}
-	p.k.strikes.Add(p.addr, strike{min(s.n+1, 16), now})
+	p.keeper.strikes.Add(p.addr, strike{min(s.count+1, 16), now})
 }
 
-// Close takes the peer out of the account. Closing twice does nothing.
+// Close removes the peer from the Keeper. Closing twice has no effect.
 func (p *Peer) Close() {
-	k := p.k
-	if p.position < 0 {
+	k := p.keeper
+	if p.index < 0 {
 		return
 	}
-	p.uncount(false)
+	p.clearSlow(false)
 	p.meter.Stop()
 	p.HoldOut(0)
 	p.HoldIn(0)
 	last := k.peers[len(k.peers)-1]
-	k.peers[p.position], last.position = last, p.position
+	k.peers[p.index], last.index = last, p.index
 	k.peers[len(k.peers)-1] = nil
 	k.peers = k.peers[:len(k.peers)-1]
-	p.position = -1
+	p.index = -1
 	if p.group.peers--; p.group.peers == 0 {
 		delete(k.groups, p.group.prefix)
 	}
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -1,92 +1,94 @@
-// Package pace decides how long a peer may be slow, how much may wait for it, and whom to give up when room runs
-// short. It owns the terms (least rates, grace, caps), the account of every peer and the memory of those that were
-// cut off. It must never see a socket, a clock or a message: its caller tells it what came and went, and when, and
-// carries out what it names. It never names a peer whose request is a job in hand, nor one that keeps its rate.
+// Package pace decides how long a peer may be slow, how many bytes may be buffered for it, and which peers are evicted
+// when memory or descriptors run short. It owns the limits (least rates, grace, caps), the state of every peer and the
+// record of addresses that were cut. It must never use a socket, a clock or a message: its caller reports the bytes
+// that pass and when, and closes the peers that it returns. It never returns a peer whose request is a job in flight,
+// nor one that keeps its rate.
 //
-// The measure is one figure for each transfer: the moment until which the peer may say nothing. It starts a grace
-// after the transfer, moves on with each byte by the time that a byte takes at the least rate, and is never further
-// ahead than the span. So a peer that keeps its rate is never cut, however unevenly its bytes come within the span,
-// and one that stops is cut a span later at the latest, whatever it did before. (Apache's mod_reqtimeout extends a
-// time-out by a rate in the same way, without the span: a fast start there buys silence later.)
+// Each transfer has one figure, the time until which the peer may be silent. It starts one grace after the start of the
+// transfer, moves on with each byte by the time that a byte takes at the least rate, and is never further ahead than
+// the span. So a peer that keeps its rate is never cut, however unevenly its bytes arrive within the span, and one that
+// stops is cut one span later at the latest, whatever it did before. Apache's mod_reqtimeout extends a timeout by a
+// rate in the same way but without the span, so that a fast start there allows silence later.
 package pace
 
-// Time is a moment or a span in whole microseconds, as in package decide.
+// Time is a point in time or a duration in whole microseconds, as in package decide.
 type Time = int64
 
 const second Time = 1e6
 
-// Never is later than every moment.
+// Never is later than every other Time.
 const Never Time = 1<<63 - 1
 
-// Rate is the terms of one direction.
+// Rate holds the limits of transfers in one direction.
 type Rate struct {
-	// Least is the least acceptable rate in bytes a second; 0: no rate is asked, and only Ceiling ends a transfer.
+	// Least is the least acceptable rate in bytes per second. If it is 0, no rate is required and only Ceiling ends a
+	// transfer.
 	Least float64
-	// Grace is how long a transfer may bring nothing at its start.
+	// Grace is how long nothing may pass at the start of a transfer.
 	Grace Time
-	// Span is how long it may bring nothing later: bytes ahead of the rate count for that much.
+	// Span is how long nothing may pass later. Bytes ahead of the rate count for at most that long.
 	Span Time
-	// Ceiling is how long a transfer may take in all; 0: as long as it keeps its rate.
+	// Ceiling is the longest duration of a transfer. 0 means that there is no limit while it keeps its rate.
 	Ceiling Time
 }
 
-// State is how a transfer stands.
+// State describes how a transfer keeps its rate.
 type State uint8
 
-// The states.
+// The states of a transfer.
 const (
 	Fine State = iota
-	Slow       // behind its rate, and half of what it may stay silent is used up
-	Cut        // to be given up
+	Slow       // behind its rate, with half of the allowed silence used up
+	Cut        // the peer is to be closed
 )
 
 func (s State) String() string { return [...]string{"fine", "slow", "cut"}[s] }
 
-// Meter measures one transfer by a Rate. The zero Meter measures nothing.
+// Meter measures one transfer against a Rate. The zero Meter measures nothing.
 type Meter struct {
-	rate  Rate
-	begun Time
-	until float64 // microseconds after begun; with nothing more it is cut then
-	bytes float64
+	rate     Rate
+	start    Time
+	cutAfter float64 // microseconds after start; the transfer is cut then if nothing more passes
+	bytes    float64
 }
 
-// Begin starts a transfer.
+// Begin starts measuring a transfer.
 func (m *Meter) Begin(now Time, r Rate) {
-	*m = Meter{rate: r, begun: now, until: float64(r.Grace)}
+	*m = Meter{rate: r, start: now, cutAfter: float64(r.Grace)}
 }
 
-// Stop ends it: whatever comes later, it is fine.
+// Stop ends the measuring. A stopped Meter is never slow or cut.
 func (m *Meter) Stop() { *m = Meter{} }
 
-// Running reports whether a transfer is measured.
+// Running reports whether a transfer is being measured.
 func (m *Meter) Running() bool { return m.rate.Least > 0 || m.rate.Ceiling > 0 }
 
-// Add takes in that n bytes have passed.
+// Add records that n bytes have passed.
 func (m *Meter) Add(now Time, n int) {
 	m.bytes += float64(n)
 	if m.rate.Least <= 0 || n <= 0 {
 		return
 	}
-	ahead := float64(now-m.begun) + float64(m.rate.Span)
-	m.until = max(m.until, min(m.until+float64(n)/m.rate.Least*float64(second), ahead))
+	latest := float64(now-m.start) + float64(m.rate.Span)
+	m.cutAfter = max(m.cutAfter, min(m.cutAfter+float64(n)/m.rate.Least*float64(second), latest))
 }
 
-// Extend moves the end on: for a span in which we did not look, nothing is held against the peer.
-func (m *Meter) Extend(span Time) { m.begun += span }
+// Extend moves the deadline by span, for a time in which the caller could not observe the transfer.
+func (m *Meter) Extend(span Time) { m.start += span }
 
-// Deadline is when the transfer is cut if nothing more passes; never for one that is not measured.
+// Deadline returns when the transfer is cut if nothing more passes, or Never if none is measured.
 func (m *Meter) Deadline() Time {
 	end := Never
 	if m.rate.Least > 0 {
-		end = m.begun + Time(m.until)
+		end = m.start + Time(m.cutAfter)
 	}
 	if m.rate.Ceiling > 0 {
-		end = min(end, m.begun+m.rate.Ceiling)
+		end = min(end, m.start+m.rate.Ceiling)
 	}
 	return end
 }
 
-// slowAt is when it counts as slow if nothing more passes.
+// slowAt returns when the transfer counts as slow if nothing more passes.
 func (m *Meter) slowAt() Time {
 	end := m.Deadline()
 	if end == Never {
@@ -95,7 +97,7 @@
 	return end - min(m.rate.Grace, m.rate.Span)/2
 }
 
-// State tells how the transfer stands.
+// State returns the state of the transfer.
 func (m *Meter) State(now Time) State {
 	switch {
 	case !m.Running() || now < m.slowAt():
@@ -106,12 +108,12 @@
 	return Cut
 }
 
-// Progress is the part that has passed of what the least rate asks for by now, the first moments left out; 1 or more
-// for one that keeps it.
-func (m *Meter) Progress(now, lenient Time) float64 {
-	asked := m.rate.Least * float64(now-m.begun-lenient) / float64(second)
-	if asked <= 0 {
+// Progress returns the bytes passed as a fraction of those that the least rate requires by now, not counting an initial
+// time of grace. It is 1 or more if the transfer keeps its rate.
+func (m *Meter) Progress(now, grace Time) float64 {
+	required := m.rate.Least * float64(now-m.start-grace) / float64(second)
+	if required <= 0 {
 		return 1
 	}
-	return m.bytes / asked
+	return m.bytes / required
 }
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -15,7 +15,7 @@
 
 var usual = Rate{Least: 4000, Grace: 2 * second, Span: second}
 
-// How a transfer stands after a course of bytes; each step is a moment and what passes then.
+// Each case is a series of steps, the time and the bytes that pass then, and the state of the transfer after it.
 func TestMeter(t *testing.T) {
 	type step struct {
 		at Time
@@ -33,31 +33,31 @@
 		at    Time
 		want  State
 	}{
-		"says nothing, in its grace":      {usual, nil, second, Fine},
-		"says nothing, late in its grace": {usual, nil, 3 * second / 2, Slow},
-		"says nothing":                    {usual, nil, 2 * second, Cut},
-		"exactly its rate":                {usual, steady(100*ms, 60*second, 100*ms, 400), 60 * second, Fine},
-		"exactly its rate, in gulps":      {usual, steady(second/2, 60*second, second/2, 2000), 60 * second, Fine},
-		"a twentieth below":               {usual, steady(100*ms, 60*second, 100*ms, 380), 60 * second, Cut},
-		"stops":                           {usual, steady(100*ms, 10*second, 100*ms, 40000), 11*second + 1, Cut},
-		"stops, resumes just in time":     {usual, append(steady(0, 10*second, 100*ms, 4000), step{11*second - 1, 4000}), 11*second + second/3, Fine},
-		"a fast start buys no silence":    {usual, []step{{0, 1 << 30}}, 2 * second, Cut},
-		"alternates above":                {usual, steady(0, 60*second, second*9/10, 3700), 60 * second, Slow},
-		"alternates below":                {usual, steady(0, 60*second, second*9/10, 3500), 60 * second, Cut},
-		"no rate is asked":                {Rate{}, nil, 1000 * second, Fine},
-		"a ceiling":                       {Rate{Least: 1, Grace: second, Span: second, Ceiling: 3 * second}, steady(0, 3*second, 100*ms, 999), 3 * second, Cut},
-		"a ceiling alone":                 {Rate{Ceiling: 3 * second}, nil, 3*second - 1, Fine},
+		"silent, within its grace":       {usual, nil, second, Fine},
+		"silent, late in its grace":      {usual, nil, 3 * second / 2, Slow},
+		"silent from the start":          {usual, nil, 2 * second, Cut},
+		"exactly its rate":               {usual, steady(100*ms, 60*second, 100*ms, 400), 60 * second, Fine},
+		"exactly its rate, in bursts":    {usual, steady(second/2, 60*second, second/2, 2000), 60 * second, Fine},
+		"5 % below its rate":             {usual, steady(100*ms, 60*second, 100*ms, 380), 60 * second, Cut},
+		"stops":                          {usual, steady(100*ms, 10*second, 100*ms, 40000), 11*second + 1, Cut},
+		"stops, resumes just in time":    {usual, append(steady(0, 10*second, 100*ms, 4000), step{11*second - 1, 4000}), 11*second + second/3, Fine},
+		"a fast start allows no silence": {usual, []step{{0, 1 << 30}}, 2 * second, Cut},
+		"alternates above its rate":      {usual, steady(0, 60*second, second*9/10, 3700), 60 * second, Slow},
+		"alternates below its rate":      {usual, steady(0, 60*second, second*9/10, 3500), 60 * second, Cut},
+		"no rate is required":            {Rate{}, nil, 1000 * second, Fine},
+		"a ceiling":                      {Rate{Least: 1, Grace: second, Span: second, Ceiling: 3 * second}, steady(0, 3*second, 100*ms, 999), 3 * second, Cut},
+		"a ceiling without a rate":       {Rate{Ceiling: 3 * second}, nil, 3*second - 1, Fine},
 	} {
 		var m Meter
 		const from = 77 * second
 		m.Begin(from, c.rate)
-		dead := false
+		cut := false
 		for _, s := range c.steps {
-			dead = dead || m.State(from+s.at) == Cut
+			cut = cut || m.State(from+s.at) == Cut
 			m.Add(from+s.at, s.n)
 		}
 		got := m.State(from + c.at)
-		if dead {
+		if cut {
 			got = Cut
 		}
 		assert.Equal(t, c.want, got, name)
@@ -65,14 +65,14 @@
 	var m Meter
 	m.Begin(0, usual)
 	m.Extend(second)
-	assert.Equal(t, 3*second, m.Deadline(), "a span in which nobody looked is not held against it")
+	assert.Equal(t, 3*second, m.Deadline(), "Extend moves the deadline")
 	m.Stop()
 	assert.Equal(t, Never, m.Deadline())
 }
 
-// Whatever the terms and however the bytes are spread: a peer that is never more than half a span behind its rate is
-// never slow, let alone cut; one that stops is cut within the longer of grace and span.
-func TestARateThatIsKept(t *testing.T) {
+// For any limits and any distribution of the bytes: a peer that is never more than half of the shorter of grace and
+// span behind its rate is never slow, and one that stops is cut within the longer of them.
+func TestKeptRateIsNeverSlow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := Rate{Least: rapid.Float64Range(1, 1e9).Draw(t, "least"), Grace: rapid.Int64Range(ms, 60*second).Draw(t, "grace"),
 			Span: rapid.Int64Range(ms, 60*second).Draw(t, "span")}
@@ -90,14 +90,14 @@
 		}
 		now += max(r.Grace, r.Span)
 		if m.State(now+1) != Cut {
-			t.Fatalf("silent, and not cut: %+v", m)
+			t.Fatalf("silent peer not cut: %+v", m)
 		}
 	})
 }
 
-// The keeper under any order of events, against a model that knows no more than the rules: no cap is passed, no peer
-// with a job in hand and none that kept its rate is cut or let go, and nothing of a peer stays behind.
-func TestKeeperKeepsItsRules(t *testing.T) {
+// Checks a Keeper under random events against a simple model: no cap is exceeded, no peer with a job in flight or that
+// kept its rate is cut or evicted, and closed peers leave nothing behind.
+func TestKeeperInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{In: Rate{Least: 1000, Grace: second, Span: second}, Out: Rate{Least: 500, Grace: second, Span: second},
 			TotalBytes: 5000, PrefixBytes: 3000, PeerBytes: 2000, SlowPeers: 4, SlowPerPrefix: 2, V4Bits: 24, V6Bits: 64,
@@ -105,36 +105,36 @@
 			Links: []Link{{"murun", []netip.Prefix{netip.MustParsePrefix("127.0.3.0/24")}, 100, 100}}}
 		k := New(l)
 		type model struct {
-			p      *Peer
-			begun  Time // of the transfer
-			quick  bool // no gap in which it brought less than the rate asks for
-			last   Time
-			rate   float64
-			closed bool
+			p        *Peer
+			started    Time // start of the transfer
+			keptRate bool // in no interval fewer bytes passed than the rate requires
+			last     Time
+			rate     float64
+			closed   bool
 		}
 		var all []*model
 		now := Time(1 << 40)
 		byPeer := func(p *Peer) *model { return p.Owner.(*model) }
-		end := func(p *Peer, why string, forRate bool) {
+		end := func(p *Peer, why string, forSlowness bool) {
 			m := byPeer(p)
 			if p.Phase() == Working {
-				t.Fatalf("%s: a job in hand is given up", why)
+				t.Fatalf("%s: a peer with a job in flight is closed", why)
 			}
 			transfer := p.Phase() == Receiving || p.Phase() == Sending
-			if transfer && m.quick && now-m.last < l.LeastGrace/2 && now-m.begun > 0 {
-				t.Fatalf("%s: it kept its rate: %+v", why, *p)
+			if transfer && m.keptRate && now-m.last < l.LeastGrace/2 && now-m.started > 0 {
+				t.Fatalf("%s: the peer kept its rate: %+v", why, *p)
 			}
-			if forRate {
+			if forSlowness {
 				p.AddStrike(now)
 			}
 			p.Close()
 			p.Close()
 			m.closed = true
 		}
-		begin := func(m *model, rate float64) { m.begun, m.last, m.quick, m.rate = now, now, true, rate }
+		begin := func(m *model, rate float64) { m.started, m.last, m.keptRate, m.rate = now, now, true, rate }
 		pass := func(m *model, n int) {
-			if asked := m.rate * float64(now-m.last) / 1e6; float64(n) < asked || now-m.last >= l.LeastGrace/2 {
-				m.quick = false
+			if required := m.rate * float64(now-m.last) / 1e6; float64(n) < required || now-m.last >= l.LeastGrace/2 {
+				m.keptRate = false
 			}
 			m.last = now
 		}
@@ -146,7 +146,7 @@
 					live = append(live, m)
 				}
 			}
-			for _, m := range live { // as the timers would
+			for _, m := range live { // as the timers do
 				if !m.closed && now >= m.p.NextCheck(now) {
 					if p := m.p.Check(now); p != nil {
 						end(p, "check", true)
@@ -170,7 +170,7 @@
 			n := rapid.IntRange(0, 1500).Draw(t, "bytes")
 			switch op {
 			case 1, 2, 3:
-				if p.Phase() == Resting && p.known || p.Phase() == Draining {
+				if p.Phase() == Resting && p.proven || p.Phase() == Draining {
 					begin(m, p.in.Least)
 				}
 				if p.Phase() != Working && p.Phase() != Sending {
@@ -219,7 +219,7 @@
 				m.closed = true
 			}
 			c := k.Counts()
-			if c.Slow > l.SlowPeers+1 || c.StruckAddrs > l.RememberedAddrs { // one more until it is looked at
+			if c.Slow > l.SlowPeers+1 || c.StruckAddrs > l.RememberedAddrs { // one more until the next check
 				t.Fatalf("%+v", c)
 			}
 		}
@@ -234,9 +234,10 @@
 
 func open(k *Keeper, now Time, addr string) *Peer { return k.Open(now, netip.MustParseAddr(addr), nil) }
 
-// Who goes first: silent strangers, then those behind their rate (the prefix that crowds first), then idle clients,
-// the longest idle first, then who has only come; never one with a job or one that keeps its rate.
-func TestWhoGoesFirst(t *testing.T) {
+// The order of eviction: silent unproven peers, then those behind their rate (of the prefix with most peers first),
+// then idle proven peers, longest idle first, then those that have just connected. Peers with a job or that keep their
+// rate are never evicted.
+func TestVictimOrder(t *testing.T) {
 	k := New(Defaults(1 << 20))
 	idle := func(addr string, at Time) *Peer {
 		p := open(k, at, addr)
@@ -253,57 +254,57 @@
 	job.JobAccepted(now)
 	slow := open(k, now-second, "127.0.3.1")
 	slow.Received(now-second, 10)
-	honest := open(k, now-second, "127.0.3.1")
-	honest.Received(now-ms, 4<<10)
+	steady := open(k, now-second, "127.0.3.1")
+	steady.Received(now-ms, 4<<10)
 	crowd := []*Peer{}
 	for range 5 {
 		p := open(k, now-second, "127.0.9.1")
 		p.Received(now-second, 1000)
 		crowd = append(crowd, p)
 	}
-	stranger := open(k, now-second, "127.0.4.1")
-	young := open(k, now-10*ms, "127.0.5.1")
-	assert.Equal(t, append(append([]*Peer{stranger}, crowd...), slow), k.Victims(now, 99, true))
+	unproven := open(k, now-second, "127.0.4.1")
+	recent := open(k, now-10*ms, "127.0.5.1")
+	assert.Equal(t, append(append([]*Peer{unproven}, crowd...), slow), k.Victims(now, 99, true))
 	all := k.Victims(now, 99, false)
 	require.Len(t, all, 10)
-	assert.Equal(t, []*Peer{older, old, young}, all[7:])
+	assert.Equal(t, []*Peer{older, old, recent}, all[7:])
 	assert.NotContains(t, all, job)
-	assert.NotContains(t, all, honest)
+	assert.NotContains(t, all, steady)
 }
 
-// Who has sent what was not looked at yet is not let go, nor cut as silent, until it has been looked at; one that has a whole
-// answer waiting is judged by how it takes that.
-func TestUnseenIsNotSilent(t *testing.T) {
+// A peer with unread data must not be evicted, nor cut as silent, until the data has been read. A peer that is being
+// sent an answer is judged only by how it reads that.
+func TestUnreadDataDefersCut(t *testing.T) {
 	k := New(Defaults(1 << 20))
-	var unseen []*Peer
-	k.Unread = func(owner any) bool { return slices.Contains(unseen, *owner.(**Peer)) }
+	var unread []*Peer
+	k.Unread = func(owner any) bool { return slices.Contains(unread, *owner.(**Peer)) }
 	add := func() *Peer {
 		p := new(*Peer)
 		*p = k.Open(0, netip.MustParseAddr("127.0.0.1"), p)
 		return *p
 	}
-	silent, spoke, half, reads := add(), add(), add(), add()
-	half.Received(0, 10)
-	reads.JobAccepted(0)
-	reads.Send(0)
-	unseen = []*Peer{spoke, half, reads}
+	silent, hasData, partial, reader := add(), add(), add(), add()
+	partial.Received(0, 10)
+	reader.JobAccepted(0)
+	reader.Send(0)
+	unread = []*Peer{hasData, partial, reader}
 	now := 3 * second
-	assert.Equal(t, []*Peer{silent, reads}, k.Victims(now, 9, false))
+	assert.Equal(t, []*Peer{silent, reader}, k.Victims(now, 9, false))
 	assert.Equal(t, silent, silent.Check(now))
-	assert.Equal(t, reads, reads.Check(now))
-	for _, p := range []*Peer{spoke, half} {
+	assert.Equal(t, reader, reader.Check(now))
+	for _, p := range []*Peer{hasData, partial} {
 		assert.Nil(t, p.Check(now))
-		assert.Greater(t, p.NextCheck(now), now, "it is looked at again")
+		assert.Greater(t, p.NextCheck(now), now, "it is checked again")
 	}
-	unseen = nil
+	unread = nil
 	now += second
-	assert.Equal(t, spoke, spoke.Check(now))
-	assert.Equal(t, half, half.Check(now))
+	assert.Equal(t, hasData, hasData.Check(now))
+	assert.Equal(t, partial, partial.Check(now))
 	assert.Len(t, k.Victims(now, 9, false), 4)
 }
 
-// A flood of slow peers from one prefix is bounded there, and costs a slow peer of another nothing.
-func TestAFloodOfOnePrefix(t *testing.T) {
+// The number of slow peers of one prefix is limited, and peers of other prefixes are not cut for it.
+func TestSlowPeersOfOnePrefixAreLimited(t *testing.T) {
 	l := Defaults(1 << 20)
 	l.SlowPerPrefix = 3
 	k := New(l)
@@ -314,7 +315,7 @@
 	}
 	now := 3 * second / 2
 	for _, p := range append([]*Peer(nil), k.peers...) {
-		if p.position >= 0 {
+		if p.index >= 0 {
 			if c := p.Check(now); c != nil {
 				cut = append(cut, c)
 				c.Close()
@@ -326,8 +327,8 @@
 	assert.Equal(t, Slow, other.State(now))
 }
 
-// A known slow line is held to its own rate, in both directions; the same course by another line is cut.
-func TestSlowLine(t *testing.T) {
+// Peers of a known slow link are measured by its rates in both directions. The same course on another link is cut.
+func TestSlowLink(t *testing.T) {
 	l := Defaults(1 << 20)
 	l.Links = []Link{{"all", []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, 4096, 4096},
 		{"murun", []netip.Prefix{netip.MustParsePrefix("127.0.3.0/24")}, 256, 128}}
@@ -350,7 +351,7 @@
 	assert.Equal(t, 2, k.Counts().Spared)
 }
 
-// An address that was cut off gets less grace, down to the least, and is forgiven after a while.
+// An address that was cut gets less grace, down to the least, until its strikes expire.
 func TestStrikes(t *testing.T) {
 	k := New(Defaults(1 << 20))
 	for i, want := range []Time{5 * second / 2, 5 * second / 4, second, second} {
