--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -106,7 +106,7 @@
 		k := New(l)
 		type model struct {
 			p        *Peer
-			started    Time // start of the transfer
+			started  Time // start of the transfer
 			keptRate bool // in no interval fewer bytes passed than the rate requires
 			last     Time
 			rate     float64
