--- a/internal/net/door.go
+++ b/internal/net/door.go
@@ -16,28 +16,29 @@
 	"weldscale/internal/jobs"
 )
 
-// This file owns what makes an upgrade possible at the sockets: a listening socket that is another's too, moments in
-// which the poller reads nothing, and connections that leave the process or come into it open. It must never shut the
-// listening socket down, nor let a connection go of which a byte has been read and not been acted on.
+// This file implements the socket side of an upgrade: a listening socket that is shared with other processes, pauses in
+// which the poller reads nothing, and connections that are handed over to or adopted from another process. It must
+// never shut down the shared listening socket, nor hand over a connection with data that has been read but not
+// processed.
 
-// shared is a listening socket that other processes accept from too.
-type shared struct {
+// sharedListener is a listening socket from which other processes accept too.
+type sharedListener struct {
 	netpoll.Listener
-	left atomic.Bool
+	stopped atomic.Bool
 }
 
-var errLeft = errors.New("closed for this process")
+var errStoppedAccepting = errors.New("this process no longer accepts from the shared socket")
 
-// Accept implements net.Listener. Once the socket is left it takes nothing more, and netpoll takes it out of the poll at
-// that word; what waits in the socket's queue is the other processes'.
-func (l *shared) Accept() (net.Conn, error) {
-	if l.left.Load() {
-		return nil, errLeft
+// Accept implements net.Listener. After LeaveSharedListener it fails, which makes netpoll remove the socket from its
+// poller. Pending connections are left to the other processes.
+func (l *sharedListener) Accept() (net.Conn, error) {
+	if l.stopped.Load() {
+		return nil, errStoppedAccepting
 	}
 	return l.Listener.Accept()
 }
 
-// ListenOn accepts clients at a listening socket that this process was started with.
+// ListenOn accepts clients from a listening socket that this process inherited.
 func (d *Driver) ListenOn(fd int) error {
 	if listening, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || listening != 1 {
 		return fmt.Errorf("descriptor %d is no listening socket", fd)
@@ -47,19 +48,19 @@
 	if err != nil {
 		return err
 	}
-	d.shared = &shared{Listener: inherited{fd: fd, addr: tcpAddr(addr)}}
+	d.shared = &sharedListener{Listener: inheritedListener{fd: fd, addr: tcpAddr(addr)}}
 	return d.serve(d.shared)
 }
 
-// inherited is a listening socket by its descriptor.
-type inherited struct {
+// inheritedListener is a listening socket that is known by its descriptor only.
+type inheritedListener struct {
 	fd   int
 	addr net.Addr
 }
 
-func (l inherited) Accept() (net.Conn, error) {
-	// Whether the socket blocks is one setting for all processes that have it. Where it does and another process was
-	// quicker, the poller would wait here for the next client, and nobody's bytes would be read meanwhile.
+func (l inheritedListener) Accept() (net.Conn, error) {
+	// O_NONBLOCK is shared by all processes that have the socket. If it were off and another process had accepted the
+	// client first, the poller would block here until the next client and would read from no connection meanwhile.
 	if err := unix.SetNonblock(l.fd, true); err != nil {
 		return nil, err
 	}
@@ -67,32 +68,32 @@
 	switch err {
 	case nil:
 		_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-		return &accepted{fd: fd, local: l.addr, remote: tcpAddr(from)}, nil
+		return &acceptedConn{fd: fd, local: l.addr, remote: tcpAddr(from)}, nil
 	case unix.EAGAIN, unix.ECONNABORTED, unix.EINTR:
-		return nil, nil // another process was quicker, or the client has gone
+		return nil, nil // another process accepted the client, or the client is gone
 	}
 	return nil, err
 }
 
-func (l inherited) Close() error   { return nil }
-func (l inherited) Addr() net.Addr { return l.addr }
-func (l inherited) Fd() int        { return l.fd }
+func (l inheritedListener) Close() error   { return nil }
+func (l inheritedListener) Addr() net.Addr { return l.addr }
+func (l inheritedListener) Fd() int        { return l.fd }
 
-// accepted is what netpoll makes a connection of.
-type accepted struct {
+// acceptedConn carries an accepted descriptor and its addresses to netpoll, which makes a connection from it.
+type acceptedConn struct {
 	net.Conn
 	fd            int
 	local, remote net.Addr
 }
 
-func (c *accepted) Fd() int              { return c.fd }
-func (c *accepted) LocalAddr() net.Addr  { return c.local }
-func (c *accepted) RemoteAddr() net.Addr { return c.remote }
+func (c *acceptedConn) Fd() int              { return c.fd }
+func (c *acceptedConn) LocalAddr() net.Addr  { return c.local }
+func (c *acceptedConn) RemoteAddr() net.Addr { return c.remote }
 
-// passedAddr carries the taker of a passed connection through netpoll, which hands on no more than addresses.
-type passedAddr struct {
+// handoverAddr carries the callback for an adopted connection through netpoll, which preserves only the addresses.
+type handoverAddr struct {
 	net.Addr
-	taker func(jobs.Conn)
+	adopted func(jobs.Conn)
 }
 
 func tcpAddr(sa unix.Sockaddr) net.Addr {
@@ -105,38 +106,38 @@
 	return &net.TCPAddr{}
 }
 
-// door is a listener that netpoll takes for one more socket: what it accepts comes from the loop. netpoll's one poller
-// calls Accept, so while that is at work nothing is read anywhere.
-type door struct {
+// taskListener is an eventfd that netpoll treats as a listening socket. It runs functions within netpoll's only poller,
+// so nothing is read from any connection while one runs. A function may return a connection for netpoll to register.
+type taskListener struct {
 	d  *Driver
 	fd int
 
-	mu   sync.Mutex
-	todo []func() net.Conn
+	mu    sync.Mutex
+	tasks []func() net.Conn
 }
 
-func (d *Driver) openDoor() (*door, error) {
+func (d *Driver) startTaskListener() (*taskListener, error) {
 	fd, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC|unix.EFD_SEMAPHORE)
 	if err != nil {
 		return nil, err
 	}
-	x := &door{d: d, fd: fd}
+	x := &taskListener{d: d, fd: fd}
 	return x, d.serve(x)
 }
 
-func (x *door) Close() error   { return nil }
-func (x *door) Addr() net.Addr { return &net.TCPAddr{} }
-func (x *door) Fd() int        { return x.fd }
+func (x *taskListener) Close() error   { return nil }
+func (x *taskListener) Addr() net.Addr { return &net.TCPAddr{} }
+func (x *taskListener) Fd() int        { return x.fd }
 
 // Accept implements net.Listener.
-func (x *door) Accept() (net.Conn, error) {
+func (x *taskListener) Accept() (net.Conn, error) {
 	var b [8]byte
 	if _, err := unix.Read(x.fd, b[:]); err != nil {
 		return nil, nil
 	}
 	x.mu.Lock()
-	next := x.todo[0]
-	x.todo = x.todo[1:]
+	next := x.tasks[0]
+	x.tasks = x.tasks[1:]
 	x.mu.Unlock()
 	if c := next(); c != nil {
 		return c, nil
@@ -144,81 +145,85 @@
 	return nil, nil
 }
 
-func (x *door) push(f func() net.Conn) {
+func (x *taskListener) push(f func() net.Conn) {
 	x.mu.Lock()
-	x.todo = append(x.todo, f)
+	x.tasks = append(x.tasks, f)
 	x.mu.Unlock()
 	if _, err := unix.Write(x.fd, []byte{1, 0, 0, 0, 0, 0, 0, 0}); err != nil {
-		slog.Error("the poller can't be told", "why", err)
+		slog.Error("poller can't be notified", "why", err)
 	}
 }
 
-// WithReadsPaused has f run on the loop, soon, while nothing is read from any connection. Only after OpenDoor.
+// WithReadsPaused schedules f to run on the loop while the poller reads from no connection. It returns before f has
+// run. EnableHandover must have been called.
 func (d *Driver) WithReadsPaused(f func()) {
-	d.door.push(func() net.Conn { d.loop.Do(f); return nil })
+	d.pollerTasks.push(func() net.Conn { d.loop.Do(f); return nil })
 }
 
-// EnableHandover makes ready for connections that come from another process or go to one.
+// EnableHandover prepares the driver for connections that are handed over from or to another process.
 func (d *Driver) EnableHandover() (err error) {
-	d.door, err = d.openDoor()
+	d.pollerTasks, err = d.startTaskListener()
 	return err
 }
 
-// Adopt takes over a client's connection of another process: taker gets it on the loop, in place of Accepted, or nil.
-func (d *Driver) Adopt(fd int, taker func(jobs.Conn)) {
+// Adopt takes over a client connection from another process. It calls adopted on the loop, instead of Accepted, with
+// the connection, or with nil if that has ended. If the client is already gone, it calls adopted(nil) at once.
+func (d *Driver) Adopt(fd int, adopted func(jobs.Conn)) {
 	remote, err := unix.Getpeername(fd)
-	if err != nil { // the client has gone meanwhile
+	if err != nil { // the client is gone
 		unix.Close(fd)
-		taker(nil)
+		adopted(nil)
 		return
 	}
 	unix.CloseOnExec(fd)
-	d.door.push(func() net.Conn {
-		return &accepted{fd: fd, local: &net.TCPAddr{}, remote: passedAddr{tcpAddr(remote), taker}}
+	d.pollerTasks.push(func() net.Conn {
+		return &acceptedConn{fd: fd, local: &net.TCPAddr{}, remote: handoverAddr{tcpAddr(remote), adopted}}
 	})
 }
 
-// AdoptWorker takes over a connection to a worker of another process, that the attempt on it goes on with.
+// AdoptWorker takes over a worker connection from another process, on which an attempt continues. It returns nil on
+// failure.
 func (d *Driver) AdoptWorker(addr string, fd int) jobs.Conn {
 	unix.CloseOnExec(fd)
 	nc, err := netpoll.NewFDConnection(fd)
 	if err != nil {
-		slog.Warn("a worker's connection can't be taken over", "worker", addr, "why", err)
+		slog.Warn("worker connection can't be adopted", "worker", addr, "why", err)
 		unix.Close(fd)
 		return nil
 	}
-	d.open.Add(1)
-	d.own.open.Add(1)
-	c := &Conn{d: d, nc: nc, handler: discard{}, leaving: make(chan struct{}), host: d.host(addr), account: &d.own}
-	c.wire()
+	d.openConns.Add(1)
+	d.ownQuota.open.Add(1)
+	c := &Conn{d: d, nc: nc, handler: discardHandler{}, ending: make(chan struct{}), host: d.host(addr), quota: &d.ownQuota}
+	c.registerCallbacks()
 	return c
 }
 
-// DupFD implements jobs.Transferable. Only within Quiet.
+// DupFD implements jobs.Transferable. It may only be called within WithReadsPaused.
 func (c *Conn) DupFD() (fd int, ok bool) {
-	if c.ended || c.closed.Load() || len(c.out) > 0 || c.closeAfter || !c.nc.IsActive() || c.reading.Load() > 0 || c.nc.Reader().Len() > 0 {
+	if c.ended || c.closeCalled.Load() || len(c.writeQueue) > 0 || c.closeAfterWrite || !c.nc.IsActive() || c.activeReads.Load() > 0 || c.nc.Reader().Len() > 0 {
 		return -1, false
 	}
-	err := c.system(func(own int) (err error) {
-		fd, err = unix.FcntlInt(uintptr(own), unix.F_DUPFD_CLOEXEC, 0)
+	err := c.withDescriptor(func(ownFD int) (err error) {
+		fd, err = unix.FcntlInt(uintptr(ownFD), unix.F_DUPFD_CLOEXEC, 0)
 		return err
 	})
 	if err != nil {
 		return -1, false
 	}
-	c.copied = true
+	c.duplicated = true
 	return fd, true
 }
 
-// LeaveSharedListener takes this process off a listening socket that it shares; false: it shares none.
+// LeaveSharedListener stops accepting from a listening socket that is shared with other processes. It returns false if
+// there is none.
 func (d *Driver) LeaveSharedListener() bool {
 	if d.shared != nil {
-		d.shared.left.Store(true)
+		d.shared.stopped.Store(true)
 	}
 	return d.shared != nil
 }
 
-// serve has netpoll accept from a listener.
+// serve starts a netpoll event loop that accepts from the listener.
 func (d *Driver) serve(ln net.Listener) error {
 	loop, err := netpoll.NewEventLoop(
 		func(ctx context.Context, nc netpoll.Connection) error { return nil }, netpoll.WithOnPrepare(d.prepare), netpoll.WithOnConnect(d.connected))
@@ -233,37 +238,38 @@
 	return nil
 }
 
-// prepare makes ours of a connection that netpoll has accepted. The loop must not have it yet: one that it closed before
-// netpoll had entered it was entered after its end, under a descriptor that was another's by then.
+// prepare creates the Conn for a connection that netpoll has accepted. The loop must not get it yet: when the loop
+// closed a connection before netpoll had registered it, netpoll registered it after its end, under a descriptor that by
+// then belonged to another connection.
 func (d *Driver) prepare(nc netpoll.Connection) context.Context {
-	_, passed := nc.RemoteAddr().(passedAddr)
-	if d.open.Add(1) > d.shedFrom() {
-		d.loop.Do(d.makeRoom) // the rest of a burst waits with the system meanwhile
+	_, isAdopted := nc.RemoteAddr().(handoverAddr)
+	if d.openConns.Add(1) > d.shedThreshold() {
+		d.loop.Do(d.freeDescriptors) // further connections of a burst wait in the listen queue meanwhile
 	}
-	if !passed && d.open.Load() > d.room.Load() { // one that was passed may have a job in hand
-		d.open.Add(-1)
+	if !isAdopted && d.openConns.Load() > d.maxConns.Load() { // an adopted connection may have a job in flight
+		d.openConns.Add(-1)
 		_ = nc.Close()
 		return nil
 	}
-	c := &Conn{d: d, nc: nc, handler: discard{}, leaving: make(chan struct{})}
-	c.wire()
+	c := &Conn{d: d, nc: nc, handler: discardHandler{}, ending: make(chan struct{})}
+	c.registerCallbacks()
 	return context.WithValue(context.Background(), connKey{}, c)
 }
 
-// connected hands a connection over once netpoll has entered it. What it brings follows.
+// connected gives a connection to the loop once netpoll has registered it. Its data is delivered afterwards.
 func (d *Driver) connected(ctx context.Context, nc netpoll.Connection) context.Context {
 	c := ctx.Value(connKey{}).(*Conn)
-	taker := d.Accepted
-	passed, ok := nc.RemoteAddr().(passedAddr)
-	if ok {
-		taker = passed.taker
+	accept := d.Accepted
+	addr, isAdopted := nc.RemoteAddr().(handoverAddr)
+	if isAdopted {
+		accept = addr.adopted
 	}
 	d.loop.Post(func() {
 		switch {
 		case !c.ended:
-			taker(c)
-		case ok:
-			taker(nil) // what was passed with it is to be let go
+			accept(c)
+		case isAdopted:
+			accept(nil) // lets the caller release what was handed over with it
 		}
 	})
 	return ctx
--- a/internal/net/net.go
+++ b/internal/net/net.go
@@ -1,9 +1,8 @@
-// Package net is the driver between sockets and the state machines that are fed their bytes, on
-// cloudwego/netpoll. It owns the listener, dialling, the pool of connections to workers and the budget of
-// descriptors. It must never read meaning into the bytes, never send a byte twice, and never make the loop
-// wait: what can block (a dial) runs on a goroutine of its own and comes back to the loop by Post. Writes go to the
-// system from the loop as far as it takes them; what it does not take waits, and one goroutine for all tells when
-// there is room again (write.go).
+// Package net connects sockets, by way of cloudwego/netpoll, to the state machines that process their bytes. It owns
+// the listener, dialling, the pool of connections to workers and the budget of descriptors. It must never interpret the
+// bytes, never send a byte twice, and never block the loop: a call that can block (a dial) runs on a goroutine of its
+// own and reports to the loop by Post. The loop writes directly to the sockets; data that the system does not accept is
+// queued, and one goroutine for all connections reports when a socket is writable again (write.go).
 package net
 
 import (
@@ -25,142 +24,147 @@
 )
 
 const (
-	reserved    = 32          // descriptors kept for the poller, the listener and the log
-	margin      = 64          // below the budget, where shedding idle connections starts; of a small one a quarter
-	linger      = time.Second // for a peer to take our last answer before the close
-	idlePerHost = 8
-	bufferSize  = 4 << 10  // of a connection's reads at first
-	receive     = 64 << 10 // what the system may hold of a client's bytes unread
-	transmit    = 64 << 10 // what it may hold of an answer that the client does not take; it doubles the figure
-	maxUnread   = 2 << 20  // what netpoll may: it reads on while the loop is busy, but from clients
-	maxIgnored  = 1 << 20  // of what a client sends after its last answer
-	maxHosts    = 256      // before those without a connection at rest are forgotten
+	reservedDescriptors = 32          // for the poller, the listener and the log
+	shedMargin          = 64          // idle connections are shed from this far below the budget; see shedThreshold
+	linger              = time.Second // time for a peer to read the last answer before the connection is closed
+	maxIdlePerHost      = 8
+	bufferSize          = 4 << 10  // initial read buffer of a connection
+	receiveBuffer       = 64 << 10 // SO_RCVBUF of client connections
+	sendBuffer          = 64 << 10 // SO_SNDBUF of client connections, which bounds unread answers; the system doubles it
+	maxUnread           = 2 << 20  // for netpoll to buffer per connection; it reads on while the loop is busy, except from clients
+	maxIgnored          = 1 << 20  // bytes that a client may send after its last answer
+	maxHosts            = 256      // hosts without idle connections and waiters are removed beyond that
 )
 
-// Config says within which bounds a Driver works.
+// Config holds the limits of a Driver.
 type Config struct {
-	Descriptors    int           // of the process
+	Descriptors    int           // descriptor budget of the process
 	ConnectTimeout time.Duration // for a dial
-	IdleLimit      time.Duration // after which a worker closes an idle connection
+	IdleLimit      time.Duration // time after which a worker closes an idle connection
 }
 
-// Driver owns the sockets of a scheduler. Its methods are for code on the loop.
+// Driver owns the sockets of a scheduler. Its methods must be called on the loop.
 type Driver struct {
-	loop   *engine.Loop
-	c      Config
-	hosts  map[string]*host
-	idle   []*Conn // idle connections to workers, the longest idle first
-	own    account // of what is dialled on no service's account
-	open   atomic.Int64
-	room   atomic.Int64 // descriptors for connections
-	kept   int          // descriptors for the second address
-	ln     netpoll.Listener
-	shared *shared // in place of ln
-	door   *door
-	watch  *watch // of descriptors that take no more just now
-	unsent int    // connections with bytes that the system has not taken
-
-	// Accepted takes over a client's connection.
+	loop              *engine.Loop
+	config            Config
+	hosts             map[string]*host
+	idle              []*Conn   // idle connections to workers, longest idle first
+	ownQuota          connQuota // for connections that are not dialled for a service
+	openConns         atomic.Int64
+	maxConns          atomic.Int64 // descriptors available for connections
+	managementReserve int          // descriptors reserved for the management address
+	ln                netpoll.Listener
+	shared            *sharedListener // used instead of ln, if set
+	pollerTasks       *taskListener
+	watcher           *writeWatcher // waits for sockets to become writable
+	unsent            int           // number of connections with a non-empty writeQueue
+
+	// Accepted is called with each new client connection.
 	Accepted func(jobs.Conn)
-	// ShedIdle closes up to n idle connections of clients and returns how many; with strangers only those of
-	// clients that have brought nothing to do.
-	ShedIdle func(n int, strangers bool) int
-	// Dial opens a connection to a worker; it may wait. netpoll's unless a test holds it.
+	// ShedIdle closes up to n idle client connections and returns how many it closed. With unproven it closes only
+	// those of clients that have not sent a job.
+	ShedIdle func(n int, unproven bool) int
+	// Dial opens a connection to a worker and may block. It is netpoll's unless a test replaces it.
 	Dial func(addr string, timeout time.Duration) (netpoll.Connection, error)
-	// Counted is told of dials and of shed connections.
+	// Counted is called with the numbers of new dials, failed dials and shed connections.
 	Counted func(dials, failed, shed int)
 }
 
-// host is what the driver keeps for one address.
+// host holds the idle connections and the waiters of one worker address.
 type host struct {
 	addr    string
-	idle    []*Conn // the latest used last
-	waiting []*waiter
+	idle    []*Conn // most recently used last
+	waiters []*waiter
 }
 
 type waiter struct {
-	fresh   bool // takes only the connection dialled for it
-	ready   func(jobs.Conn)
-	account *account
+	fresh bool // accepts only the connection dialled for it
+	ready func(jobs.Conn)
+	quota *connQuota
 }
 
-// account counts the connections that were dialled for one service, and bounds them: what a service in trouble holds open
-// must not be what its neighbours need.
-type account struct {
-	limit   atomic.Int64 // 0: none but the driver's
-	open    atomic.Int64
-	pending []func() // dials that wait until one of its connections ends; the loop's
+// connQuota counts and limits the connections dialled for one service, so that a service in trouble can't use up the
+// connections that other services need.
+type connQuota struct {
+	limit        atomic.Int64 // 0: only the driver's limit applies
+	open         atomic.Int64
+	pendingDials []func() // dials that wait until a connection of this quota ends; used on the loop only
 }
 
-// full reports whether the account bears no further connection.
-func (a *account) full() bool {
-	limit := a.limit.Load()
-	return limit > 0 && a.open.Load() >= limit
+// full reports whether the quota allows no further connection.
+func (q *connQuota) full() bool {
+	limit := q.limit.Load()
+	return limit > 0 && q.open.Load() >= limit
 }
 
-// next goes on with dials that wait, as far as the account bears them. Only for code on the loop.
-func (a *account) next() {
-	for len(a.pending) > 0 && !a.full() {
-		dial := a.pending[0]
-		a.pending = a.pending[1:]
+// startPendingDials starts waiting dials as far as the quota allows. It must be called on the loop.
+func (q *connQuota) startPendingDials() {
+	for len(q.pendingDials) > 0 && !q.full() {
+		dial := q.pendingDials[0]
+		q.pendingDials = q.pendingDials[1:]
 		dial()
 	}
 }
 
-// Dialer is the driver's dialling on one service's account.
+// Dialer dials through the driver within one service's quota.
 type Dialer struct {
 	*Driver
-	account account
+	quota connQuota
 }
 
-// Dialer returns a dialler that holds no more than so many connections; 0: as many as the driver bears.
+// Dialer returns a Dialer that opens at most limit connections; 0 means that only the driver's limit applies.
 func (d *Driver) Dialer(limit int) *Dialer {
-	out := &Dialer{Driver: d}
-	out.SetLimit(limit)
-	return out
+	dialer := &Dialer{Driver: d}
+	dialer.SetLimit(limit)
+	return dialer
 }
 
-// SetLimit changes the bound; what is open stays open.
-func (d *Dialer) SetLimit(n int) { d.account.limit.Store(int64(n)) }
+// SetLimit changes the limit. Open connections stay open.
+func (d *Dialer) SetLimit(n int) { d.quota.limit.Store(int64(n)) }
 
-// OpenConns is how many connections are on the account.
-func (d *Dialer) OpenConns() int { return int(d.account.open.Load()) }
+// OpenConns returns how many connections of the quota are open.
+func (d *Dialer) OpenConns() int { return int(d.quota.open.Load()) }
 
 // Get implements jobs.Dialer.
 func (d *Dialer) Get(addr string, fresh bool, ready func(jobs.Conn)) (giveUp func()) {
-	return d.get(addr, fresh, ready, &d.account)
+	return d.get(addr, fresh, ready, &d.quota)
 }
 
-var configure sync.Once
+var configureOnce sync.Once
 
-// New returns a driver for the loop.
+// New returns a Driver for the loop.
 func New(loop *engine.Loop, c Config) *Driver {
-	configure.Do(func() {
-		_ = netpoll.Configure(netpoll.Config{PollerNum: 1, BufferSize: bufferSize, Runner: run, LoggerOutput: os.Stderr})
+	configureOnce.Do(func() {
+		_ = netpoll.Configure(netpoll.Config{PollerNum: 1, BufferSize: bufferSize, Runner: runReader, LoggerOutput: os.Stderr})
 	})
-	d := &Driver{loop: loop, c: c, hosts: map[string]*host{}, watch: newWatch(loop), Dial: dial}
+	d := &Driver{loop: loop, config: c, hosts: map[string]*host{}, watcher: newWriteWatcher(loop), Dial: dial}
 	d.SetDescriptors(c.Descriptors)
 	return d
 }
 
-// SetDescriptors changes the budget of descriptors; what is open stays open until room is needed.
-func (d *Driver) SetDescriptors(n int) { d.room.Store(int64(n - reserved - d.kept)) }
+// SetDescriptors changes the budget of descriptors. Open connections stay open until their descriptors are needed.
+func (d *Driver) SetDescriptors(n int) {
+	d.maxConns.Store(int64(n - reservedDescriptors - d.managementReserve))
+}
 
-// OpenDescriptors is how many descriptors are in use, with those that are set apart.
-func (d *Driver) OpenDescriptors() int { return int(d.open.Load()) + reserved + d.kept }
+// OpenDescriptors returns how many descriptors are in use, including the reserved ones.
+func (d *Driver) OpenDescriptors() int {
+	return int(d.openConns.Load()) + reservedDescriptors + d.managementReserve
+}
 
-// ReserveForManagement sets apart what the second address needs.
+// ReserveForManagement reserves the descriptors that the management address needs.
 func (d *Driver) ReserveForManagement() {
-	d.kept = secondConns
-	d.room.Add(-secondConns)
+	d.managementReserve = managementConns
+	d.maxConns.Add(-managementConns)
 }
 
 type connKey struct{}
 
-// run starts what netpoll does for a connection that has bytes to read. The poller reads on meanwhile, faster than
-// anyone takes the bytes, and a few large bodies once could have filled the memory; so for a client it waits until
-// the loop has taken them. A connection that is being closed waits for the poller in turn, and lets it go.
-func run(ctx context.Context, f func()) {
+// runReader runs netpoll's read task f of a connection. For a client it blocks the poller until the loop has processed
+// the data. Otherwise the poller would keep reading faster than the data is processed, and a few large bodies could
+// fill the memory. A connection that is being closed waits for the poller in turn, so runReader returns when the
+// closing starts.
+func runReader(ctx context.Context, f func()) {
 	c, _ := ctx.Value(connKey{}).(*Conn)
 	if c == nil {
 		go f()
@@ -173,36 +177,37 @@
 	}()
 	select {
 	case <-done:
-	case <-c.leaving:
+	case <-c.ending:
 	}
 }
 
-// Conn is one connection. Only the loop uses it, but for what is under mu and the flags.
+// Conn is one connection. It is used on the loop only, except for the atomic fields, discardedBytes and the field under
+// mu.
 type Conn struct {
-	d       *Driver
-	nc      netpoll.Connection
-	handler jobs.Handler
-	host    *host         // of a connection to a worker
-	account *account      // of the service that it was dialled for
-	retire  *engine.Timer // of an idle one
-	rests   time.Time     // since when
-	closed  atomic.Bool   // by us
-	deaf    atomic.Bool   // nothing that comes counts any more
-	leaving chan struct{} // closed when the system's end is near
-	ended   bool          // as the loop knows it
-	copied  bool          // another process may have it too: to end the sending would end it there
-	ignored int           // bytes that came while deaf
-
-	out        []chunk // what the system has not taken yet
-	queued     int     // bytes of it
-	watched    uint64  // the number that the watch knows it by; 0: it does not
-	closeAfter bool
-
-	reading atomic.Int32 // hand-overs of bytes to the loop that are under way
-	untold  atomic.Int32 // those of them that the loop has not come to
+	d              *Driver
+	nc             netpoll.Connection
+	handler        jobs.Handler
+	host           *host         // nil for client connections
+	quota          *connQuota    // quota it was dialled under; nil for client connections
+	idleTimer      *engine.Timer // closes the connection when it has been idle too long
+	idleSince      time.Time     // when it became idle
+	closeCalled    atomic.Bool   // Close was called
+	discarding     atomic.Bool   // input is discarded
+	ending         chan struct{} // closed when netpoll starts to close the connection
+	ended          bool          // closed from the loop's point of view
+	duplicated     bool          // another process may have the connection too; a shutdown would end it there as well
+	discardedBytes int           // bytes discarded so far; used by the reading goroutine only
+
+	writeQueue      []chunk // data that the system has not accepted yet
+	queuedBytes     int     // bytes in writeQueue
+	watchID         uint64  // ID in the writeWatcher; 0: not registered
+	closeAfterWrite bool
+
+	activeReads atomic.Int32 // calls of read in progress
+	undelivered atomic.Int32 // those of them whose data the loop has not processed yet
 
 	mu       sync.Mutex
-	released bool // the descriptor may be another's by now
+	released bool // the descriptor may belong to another connection by now
 }
 
 // SetHandler implements jobs.Conn.
@@ -217,13 +222,14 @@
 	return a.Addr().Unmap()
 }
 
-// PeerClosed implements jobs.Conn. The poller may not have come to it yet, or wait for the loop.
-func (c *Conn) PeerClosed() bool { return c.ended || c.shows(unix.POLLRDHUP) }
+// PeerClosed implements jobs.Conn. It asks the system, since the poller may not have noticed the end yet or may wait
+// for the loop.
+func (c *Conn) PeerClosed() bool { return c.ended || c.hasEvent(unix.POLLRDHUP) }
 
-// shows reports whether the system has one of the events for the connection just now, or its end.
-func (c *Conn) shows(events int16) bool {
+// hasEvent reports whether the system shows one of the poll events for the connection, or its end.
+func (c *Conn) hasEvent(events int16) bool {
 	p := []unix.PollFd{{Events: events}}
-	err := c.system(func(fd int) error {
+	err := c.withDescriptor(func(fd int) error {
 		p[0].Fd = int32(fd)
 		_, err := unix.Poll(p, 0)
 		return err
@@ -233,109 +239,109 @@
 
 // Unread implements jobs.Conn.
 func (c *Conn) Unread() bool {
-	return !c.ended && (c.untold.Load() > 0 || c.nc.Reader().Len() > 0 || c.shows(unix.POLLIN|unix.POLLRDHUP))
+	return !c.ended && (c.undelivered.Load() > 0 || c.nc.Reader().Len() > 0 || c.hasEvent(unix.POLLIN|unix.POLLRDHUP))
 }
 
-// quiet reports whether nothing has come on a connection beyond what the loop was told, nor its end. One that the worker
-// has ended would take a request along, and what comes unasked would be read as the next one's answer.
-func (c *Conn) quiet() bool {
+// reusable reports whether the connection is open and has no unread data. A request on a connection that the worker has
+// closed would be lost, and unsolicited data would be read as the answer to the next request.
+func (c *Conn) reusable() bool {
 	return c.nc.IsActive() && !c.Unread()
 }
 
 // CloseAfterWrite implements jobs.Conn.
 func (c *Conn) CloseAfterWrite() {
-	c.handler = discard{}
-	c.deaf.Store(true)
-	c.closeAfter = true
-	if len(c.out) == 0 {
-		c.finish()
+	c.handler = discardHandler{}
+	c.discarding.Store(true)
+	c.closeAfterWrite = true
+	if len(c.writeQueue) == 0 {
+		c.shutdownWrite()
 	}
 }
 
-// finish ends our sending and leaves the peer a moment to read: a close with bytes unread would reset the
-// connection and could take the last answer with it.
-func (c *Conn) finish() {
+// shutdownWrite shuts down the sending side and closes the connection after the linger time. Closing it at once with
+// unread input would reset the connection, and the peer could lose the last answer.
+func (c *Conn) shutdownWrite() {
 	if c.ended {
 		return
 	}
-	_ = c.system(func(fd int) error { return unix.Shutdown(fd, unix.SHUT_WR) })
+	_ = c.withDescriptor(func(fd int) error { return unix.Shutdown(fd, unix.SHUT_WR) })
 	c.d.loop.After(linger, c.Close)
 }
 
-type discard struct{}
+type discardHandler struct{}
 
-func (discard) Data([]byte) {}
-func (discard) Closed()     {}
+func (discardHandler) Data([]byte) {}
+func (discardHandler) Closed()     {}
 
 // Close implements jobs.Conn.
 func (c *Conn) Close() {
 	if c.ended {
 		return
 	}
-	c.end()
-	c.closed.Store(true)
-	if c.account != nil && !c.copied { // netpoll closes after a read that is at work, which may wait for us: what was given up must not be out
-		_ = c.system(func(fd int) error { return unix.Shutdown(fd, unix.SHUT_WR) })
+	c.unregister()
+	c.closeCalled.Store(true)
+	if c.quota != nil && !c.duplicated { // netpoll closes only after a read in progress, which may wait for the loop; an abandoned attempt must end at once
+		_ = c.withDescriptor(func(fd int) error { return unix.Shutdown(fd, unix.SHUT_WR) })
 	}
 	_ = c.nc.Close()
 }
 
-// end takes a connection out of the books.
-func (c *Conn) end() {
+// unregister marks the connection as ended, drops its queued data and removes it from the idle pool.
+func (c *Conn) unregister() {
 	c.ended = true
-	c.forgetOut()
-	c.d.forgetIdle(c)
+	c.dropQueue()
+	c.d.removeIdle(c)
 }
 
-// wire has the connection's bytes and end reported on the loop. The driver's count of open descriptors
-// falls when the system's does.
-func (c *Conn) wire() {
+// registerCallbacks registers the callbacks that deliver the connection's data and its end to the loop. The count of
+// open connections is decremented when the descriptor is closed.
+func (c *Conn) registerCallbacks() {
 	var once sync.Once
-	gone := func() {
+	onEnd := func() {
 		once.Do(func() {
-			close(c.leaving)
+			close(c.ending)
 			c.mu.Lock()
 			c.released = true
 			c.mu.Unlock()
-			c.d.open.Add(-1)
-			if a := c.account; a != nil {
-				if a.open.Add(-1); a.limit.Load() > 0 {
-					go c.d.loop.Post(a.next) // this may be the loop, which must not wait for itself
+			c.d.openConns.Add(-1)
+			if q := c.quota; q != nil {
+				if q.open.Add(-1); q.limit.Load() > 0 {
+					go c.d.loop.Post(q.startPendingDials) // on its own goroutine: the loop, which may run this, must not wait for itself
 				}
 			}
-			if c.closed.Load() {
+			if c.closeCalled.Load() {
 				return
 			}
 			c.d.loop.Post(func() {
-				c.failOut() // what that leads to may close it in turn
+				c.failQueue() // its callbacks may close the connection
 				if !c.ended {
-					c.end()
+					c.unregister()
 					c.handler.Closed()
 				}
 			})
 		})
 	}
-	_ = c.nc.AddCloseCallback(func(netpoll.Connection) error { gone(); return nil })
+	_ = c.nc.AddCloseCallback(func(netpoll.Connection) error { onEnd(); return nil })
 	_ = c.nc.SetOnRequest(func(_ context.Context, nc netpoll.Connection) error {
 		c.read(nc)
 		return nil
 	})
-	if !c.nc.IsActive() { // it ended before the callback stood
+	if !c.nc.IsActive() { // it ended before the callback was registered
 		_ = c.nc.Close()
-		gone()
+		onEnd()
 	}
 }
 
-// read hands on what has come and waits until the loop has taken it: the bytes are netpoll's.
+// read delivers the available data to the loop and waits until it is processed, because netpoll owns the buffer.
 func (c *Conn) read(nc netpoll.Connection) {
-	c.reading.Add(1)
-	defer c.reading.Add(-1)
+	c.activeReads.Add(1)
+	defer c.activeReads.Add(-1)
 	r := nc.Reader()
 	n := r.Len()
-	if c.deaf.Load() {
+	if c.discarding.Load() {
 		_ = r.Skip(n)
 		_ = r.Release()
-		if c.ignored += n; c.ignored > maxIgnored {
+		if c.discardedBytes += n; c.discardedBytes > maxIgnored {
 			_ = nc.Close()
 		}
 		return
@@ -344,14 +350,14 @@
 		_ = nc.Close()
 		return
 	}
-	c.untold.Add(1)
+	c.undelivered.Add(1)
 	b, err := r.Next(n)
 	if err != nil {
-		c.untold.Add(-1)
+		c.undelivered.Add(-1)
 		return
 	}
 	c.d.loop.Do(func() {
-		c.untold.Add(-1)
+		c.undelivered.Add(-1)
 		if !c.ended {
 			c.handler.Data(b)
 		}
@@ -359,24 +365,25 @@
 	_ = r.Release()
 }
 
-// Listen accepts clients at the address.
+// Listen accepts clients at addr.
 func (d *Driver) Listen(addr string) error {
 	ln, err := netpoll.CreateListener("tcp", addr)
 	if err != nil {
 		return err
 	}
 	d.ln = ln
-	// Connections inherit it. What a client sends ahead of our reading stays with the client.
-	if err := syscall.SetsockoptInt(ln.Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receive); err != nil {
+	// Accepted connections inherit the buffer sizes. The receive buffer limits what a client can send ahead of the
+	// reads.
+	if err := syscall.SetsockoptInt(ln.Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBuffer); err != nil {
 		return err
 	}
-	if err := syscall.SetsockoptInt(ln.Fd(), syscall.SOL_SOCKET, syscall.SO_SNDBUF, transmit); err != nil {
+	if err := syscall.SetsockoptInt(ln.Fd(), syscall.SOL_SOCKET, syscall.SO_SNDBUF, sendBuffer); err != nil {
 		return err
 	}
 	return d.serve(ln)
 }
 
-// Addr is the address that Listen took.
+// Addr returns the address of the listener.
 func (d *Driver) Addr() string {
 	if d.shared != nil {
 		return d.shared.Addr().String()
@@ -384,53 +391,54 @@
 	return d.ln.Addr().String()
 }
 
-// HasPendingClients reports whether connections of clients wait with the system to be accepted.
+// HasPendingClients reports whether client connections wait to be accepted. It returns false for a shared socket.
 func (d *Driver) HasPendingClients() bool {
 	if d.ln == nil {
-		return false // what waits on a shared socket is the other processes'
+		return false // pending connections of a shared socket are left to the other processes
 	}
 	p := []unix.PollFd{{Fd: int32(d.ln.Fd()), Events: unix.POLLIN}}
 	n, err := unix.Poll(p, 0)
 	return err == nil && n > 0
 }
 
-// StopListening refuses new connections from here on.
+// StopListening stops accepting connections. It shuts down the listening socket unless that is shared.
 func (d *Driver) StopListening() {
 	if d.LeaveSharedListener() {
 		return
 	}
-	// Not ln.Close: netpoll would close the descriptor twice, and the number may be another's by then.
+	// ln.Close is not used: netpoll would close the descriptor twice, and the number may belong to another file by
+	// then.
 	_ = syscall.Shutdown(d.ln.Fd(), syscall.SHUT_RD)
 }
 
 // Get implements jobs.Dialer.
 func (d *Driver) Get(addr string, fresh bool, ready func(jobs.Conn)) (giveUp func()) {
-	return d.get(addr, fresh, ready, &d.own)
+	return d.get(addr, fresh, ready, &d.ownQuota)
 }
 
-func (d *Driver) get(addr string, fresh bool, ready func(jobs.Conn), acc *account) (giveUp func()) {
+func (d *Driver) get(addr string, fresh bool, ready func(jobs.Conn), quota *connQuota) (giveUp func()) {
 	h := d.host(addr)
 	for !fresh && len(h.idle) > 0 {
 		c := h.idle[len(h.idle)-1]
-		if !c.quiet() || time.Since(c.rests) >= d.restFor() { // its timer may not have had its turn
+		if !c.reusable() || time.Since(c.idleSince) >= d.maxIdleTime() { // its idle timer may be late
 			c.Close()
 			continue
 		}
-		d.forgetIdle(c)
+		d.removeIdle(c)
 		ready(c)
 		return func() {}
 	}
-	w := &waiter{fresh, ready, acc}
-	h.waiting = append(h.waiting, w)
+	w := &waiter{fresh, ready, quota}
+	h.waiters = append(h.waiters, w)
 	d.dial(h, w)
-	return func() { h.leave(w) }
+	return func() { h.removeWaiter(w) }
 }
 
 func (d *Driver) host(addr string) *host {
 	h := d.hosts[addr]
 	if h == nil {
-		if len(d.hosts) >= maxHosts { // addresses come and go for as long as the scheduler runs
-			maps.DeleteFunc(d.hosts, func(_ string, h *host) bool { return len(h.idle)+len(h.waiting) == 0 })
+		if len(d.hosts) >= maxHosts { // addresses change while the scheduler runs
+			maps.DeleteFunc(d.hosts, func(_ string, h *host) bool { return len(h.idle)+len(h.waiters) == 0 })
 		}
 		h = &host{addr: addr}
 		d.hosts[addr] = h
@@ -438,13 +446,13 @@
 	return h
 }
 
-// leave takes a waiter out and reports whether it was still waiting.
-func (h *host) leave(w *waiter) bool {
-	i := slices.Index(h.waiting, w)
+// removeWaiter removes a waiter and reports whether it was still waiting.
+func (h *host) removeWaiter(w *waiter) bool {
+	i := slices.Index(h.waiters, w)
 	if i < 0 {
 		return false
 	}
-	h.waiting = slices.Delete(h.waiting, i, i+1)
+	h.waiters = slices.Delete(h.waiters, i, i+1)
 	return true
 }
 
@@ -452,54 +460,55 @@
 	return netpoll.DialConnection("tcp", addr, timeout)
 }
 
-// dial opens a connection on behalf of w, if it is not nil.
+// dial opens a connection for w, within the budget of descriptors and the quota.
 func (d *Driver) dial(h *host, w *waiter) {
-	d.makeRoom()
-	if d.open.Load() >= d.room.Load() {
-		d.loop.After(0, func() { d.dialled(h, w, nil) })
+	d.freeDescriptors()
+	if d.openConns.Load() >= d.maxConns.Load() {
+		d.loop.After(0, func() { d.dialDone(h, w, nil) })
 		return
 	}
-	if w.account.full() {
-		// One that sits idle elsewhere makes room; else it waits. To fail it would be held against the worker.
-		if i := slices.IndexFunc(d.idle, func(c *Conn) bool { return c.account == w.account }); i >= 0 {
+	if w.quota.full() {
+		// Closes an idle connection of the same quota. If there is none, the dial waits: a failure would count against
+		// the worker.
+		if i := slices.IndexFunc(d.idle, func(c *Conn) bool { return c.quota == w.quota }); i >= 0 {
 			d.idle[i].Close()
 		}
 	}
-	if w.account.full() {
-		w.account.pending = append(w.account.pending, func() {
-			if slices.Contains(h.waiting, w) { // not given up meanwhile
+	if w.quota.full() {
+		w.quota.pendingDials = append(w.quota.pendingDials, func() {
+			if slices.Contains(h.waiters, w) { // not cancelled meanwhile
 				d.dial(h, w)
 			}
 		})
 		return
 	}
-	d.open.Add(1)
-	w.account.open.Add(1)
+	d.openConns.Add(1)
+	w.quota.open.Add(1)
 	go func() {
-		nc, err := d.Dial(h.addr, d.c.ConnectTimeout)
+		nc, err := d.Dial(h.addr, d.config.ConnectTimeout)
 		if err != nil {
-			d.open.Add(-1)
-			w.account.open.Add(-1)
+			d.openConns.Add(-1)
+			w.quota.open.Add(-1)
 			nc = nil
 		}
-		d.loop.Post(func() { d.dialled(h, w, nc) })
+		d.loop.Post(func() { d.dialDone(h, w, nc) })
 	}()
 }
 
-// dialled hands a new connection to whoever it was dialled for, if that one takes no other, or else to whoever has
-// waited longest. A dial that failed fails only its own.
-func (d *Driver) dialled(h *host, w *waiter, nc netpoll.Connection) {
+// dialDone handles the end of a dial. A new connection goes to its own waiter if that accepts no other one, else to the
+// first waiter that accepts any connection, else into the idle pool. A failed dial fails only its own waiter.
+func (d *Driver) dialDone(h *host, w *waiter, nc netpoll.Connection) {
 	if nc == nil {
 		d.Counted(1, 1, 0)
-		if w != nil && h.leave(w) {
+		if w != nil && h.removeWaiter(w) {
 			w.ready(nil)
 		}
 		return
 	}
 	d.Counted(1, 0, 0)
-	c := &Conn{d: d, nc: nc, handler: discard{}, leaving: make(chan struct{}), host: h, account: w.account}
-	c.wire()
-	if w != nil && w.fresh && h.leave(w) {
+	c := &Conn{d: d, nc: nc, handler: discardHandler{}, ending: make(chan struct{}), host: h, quota: w.quota}
+	c.registerCallbacks()
+	if w != nil && w.fresh && h.removeWaiter(w) {
 		w.ready(c)
 		return
 	}
@@ -510,44 +519,44 @@
 func (d *Driver) Put(addr string, in jobs.Conn) {
 	c := in.(*Conn)
 	h := d.host(addr)
-	if c.ended || len(c.out) > 0 || !c.quiet() {
+	if c.ended || len(c.writeQueue) > 0 || !c.reusable() {
 		c.Close()
 		return
 	}
-	if i := slices.IndexFunc(h.waiting, func(w *waiter) bool { return !w.fresh }); i >= 0 {
-		w := h.waiting[i]
-		h.leave(w)
+	if i := slices.IndexFunc(h.waiters, func(w *waiter) bool { return !w.fresh }); i >= 0 {
+		w := h.waiters[i]
+		h.removeWaiter(w)
 		w.ready(c)
 		return
 	}
-	if len(h.idle) >= idlePerHost {
+	if len(h.idle) >= maxIdlePerHost {
 		c.Close()
 		return
 	}
-	c.host = h // the one it was dialled for may be forgotten
+	c.host = h // the host it was dialled for may have been removed
 	c.handler = idleHandler{c}
 	h.idle = append(h.idle, c)
 	d.idle = append(d.idle, c)
-	c.rests = time.Now()
-	c.retire = d.loop.After(d.restFor(), c.Close)
+	c.idleSince = time.Now()
+	c.idleTimer = d.loop.After(d.maxIdleTime(), c.Close)
 }
 
-// restFor is how long a connection to a worker may rest. A request on one that the worker is about to close may be lost with
-// it, so ours ends first.
-func (d *Driver) restFor() time.Duration { return d.c.IdleLimit * 7 / 10 }
+// maxIdleTime returns how long a connection to a worker may be idle. A request on a connection that the worker is about
+// to close could be lost, so it must end before the worker's limit.
+func (d *Driver) maxIdleTime() time.Duration { return d.config.IdleLimit * 7 / 10 }
 
-// idleHandler watches over a connection that no exchange uses.
+// idleHandler handles the events of an idle connection.
 type idleHandler struct{ c *Conn }
 
-func (i idleHandler) Data([]byte) { i.c.Close() } // nobody asked: what comes can't be trusted
+func (i idleHandler) Data([]byte) { i.c.Close() } // unsolicited data: the connection can't be trusted
 func (i idleHandler) Closed()     {}
 
-func (d *Driver) forgetIdle(c *Conn) {
-	if c.host == nil || c.retire == nil {
+func (d *Driver) removeIdle(c *Conn) {
+	if c.host == nil || c.idleTimer == nil {
 		return
 	}
-	c.retire.Stop()
-	c.retire = nil
+	c.idleTimer.Stop()
+	c.idleTimer = nil
 	if i := slices.Index(c.host.idle, c); i >= 0 {
 		c.host.idle = slices.Delete(c.host.idle, i, i+1)
 	}
@@ -556,17 +565,17 @@
 	}
 }
 
-// shedFrom is how many connections there may be before idle ones are shed. Of a small budget it leaves more than the margin
-// would: all that is idle went at each new connection.
-func (d *Driver) shedFrom() int64 {
-	room := d.room.Load()
-	return room - min(margin, room/4)
+// shedThreshold returns the number of connections above which idle ones are shed. For a small budget the margin is a
+// quarter of it: with the full margin every new connection shed all idle ones.
+func (d *Driver) shedThreshold() int64 {
+	limit := d.maxConns.Load()
+	return limit - min(shedMargin, limit/4)
 }
 
-// makeRoom sheds idle connections once the budget of descriptors runs short: first those of clients that only sit
-// there, then those to workers, since a new one costs no more than time, then those of clients that work with us.
-func (d *Driver) makeRoom() {
-	over := int(d.open.Load() - d.shedFrom())
+// freeDescriptors sheds idle connections when descriptors run short: first those of unproven clients, then those to
+// workers, which can be dialled again at the cost of some time, then those of clients that have sent jobs.
+func (d *Driver) freeDescriptors() {
+	over := int(d.openConns.Load() - d.shedThreshold())
 	if over <= 0 {
 		return
 	}
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -17,19 +17,19 @@
 	"weldscale/internal/jobs"
 )
 
-const patience = 20 * time.Second
-
-// rig is a driver on a running loop.
-type rig struct {
-	t    *testing.T
-	loop *engine.Loop
-	d    *Driver
-	dead chan struct{} // gets one for each connection that ended
+const testTimeout = 20 * time.Second
+
+// testDriver is a driver on a running loop. It also serves as the handler of connections.
+type testDriver struct {
+	t     *testing.T
+	loop  *engine.Loop
+	d     *Driver
+	ended chan struct{} // gets one value for each connection that ended
 }
 
-func newRig(t *testing.T, c Config) *rig {
-	c.ConnectTimeout = patience
-	g := &rig{t: t, loop: engine.NewLoop(), dead: make(chan struct{}, 1000)}
+func newTestDriver(t *testing.T, c Config) *testDriver {
+	c.ConnectTimeout = testTimeout
+	g := &testDriver{t: t, loop: engine.NewLoop(), ended: make(chan struct{}, 1000)}
 	g.d = New(g.loop, c)
 	g.d.Counted = func(int, int, int) {}
 	g.d.ShedIdle = func(int, bool) int { return 0 }
@@ -39,24 +39,24 @@
 	return g
 }
 
-func (g *rig) Data([]byte) {}
-func (g *rig) Closed()     { g.dead <- struct{}{} }
+func (g *testDriver) Data([]byte) {}
+func (g *testDriver) Closed()     { g.ended <- struct{}{} }
 
 // do runs f on the loop and waits for it.
-func (g *rig) do(f func()) {
+func (g *testDriver) do(f func()) {
 	done := make(chan struct{})
 	g.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-func (g *rig) get(addr string) jobs.Conn {
+func (g *testDriver) get(addr string) jobs.Conn {
 	got := make(chan jobs.Conn, 1)
 	g.do(func() { g.d.Get(addr, false, func(c jobs.Conn) { got <- c }) })
 	return <-got
 }
 
-// peer listens and hands over what it accepts.
-func peer(t *testing.T) (string, chan stdnet.Conn) {
+// listen returns the address of a new listener and a channel with the connections that it accepts.
+func listen(t *testing.T) (string, chan stdnet.Conn) {
 	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
@@ -73,113 +73,114 @@
 	return ln.Addr().String(), conns
 }
 
-// ended waits for the other side to close or reset.
-func ended(t *testing.T, c stdnet.Conn) {
-	require.NoError(t, c.SetReadDeadline(time.Now().Add(patience)))
+// requireEnded waits for the other side to close or reset the connection.
+func requireEnded(t *testing.T, c stdnet.Conn) {
+	require.NoError(t, c.SetReadDeadline(time.Now().Add(testTimeout)))
 	_, err := c.Read(make([]byte, 1))
 	require.Error(t, err)
 	nerr, ok := err.(stdnet.Error)
-	assert.False(t, ok && nerr.Timeout(), "it stayed open")
+	assert.False(t, ok && nerr.Timeout(), "the connection stayed open")
 }
 
-func TestPool(t *testing.T) {
-	addr, conns := peer(t)
-	g := newRig(t, Config{Descriptors: 1024, IdleLimit: 100 * time.Millisecond})
+func TestIdleConnectionsAreReused(t *testing.T) {
+	addr, conns := listen(t)
+	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: 100 * time.Millisecond})
 	first := g.get(addr)
-	theirs := <-conns
+	workerSide := <-conns
 	g.do(func() {
 		g.d.Put(addr, first)
-		g.d.Get(addr, false, func(c jobs.Conn) { assert.Same(t, first, c, "an idle one is used again") })
+		g.d.Get(addr, false, func(c jobs.Conn) { assert.Same(t, first, c, "an idle connection is reused") })
 		g.d.Put(addr, first)
 	})
 	other := make(chan jobs.Conn, 1)
 	g.do(func() { g.d.Get(addr, true, func(c jobs.Conn) { other <- c }) })
-	assert.NotSame(t, first, <-other, "a fresh one is dialled")
+	assert.NotSame(t, first, <-other, "a fresh connection is dialled")
 	<-conns
-	ended(t, theirs) // before the worker would, or a request could be lost on it
+	requireEnded(t, workerSide) // before the worker closes it, or a request could be lost
 
-	// One that the worker closes while it is idle is not handed out.
-	g = newRig(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
+	// A connection that the worker closes while it is idle is not returned by Get.
+	g = newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
 	first = g.get(addr)
-	theirs = <-conns
+	workerSide = <-conns
 	g.do(func() { g.d.Put(addr, first) })
-	theirs.Close()
-	require.Eventually(t, func() bool { return g.d.open.Load() == 0 }, patience, time.Millisecond)
+	workerSide.Close()
+	require.Eventually(t, func() bool { return g.d.openConns.Load() == 0 }, testTimeout, time.Millisecond)
 	assert.NotSame(t, first, g.get(addr))
 }
 
-// The loop is late: a connection has rested for longer than the worker keeps it, and its timer has not had its turn. It is not
-// used, though nothing of its end has come.
-func TestRestIsOverAsItIsUsed(t *testing.T) {
-	addr, conns := peer(t)
+// An idle connection has expired, but its timer has not run since the loop is busy. Get must not return it, although no
+// end of the connection has been seen.
+func TestExpiredIdleConnectionIsNotReused(t *testing.T) {
+	addr, conns := listen(t)
 	const limit = 50 * time.Millisecond
-	g := newRig(t, Config{Descriptors: 1024, IdleLimit: limit})
-	rests := g.get(addr)
-	theirs := <-conns
+	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: limit})
+	idle := g.get(addr)
+	workerSide := <-conns
 	got := make(chan jobs.Conn, 1)
 	g.do(func() {
-		g.d.Put(addr, rests)
-		time.Sleep(limit) // the loop is at work
+		g.d.Put(addr, idle)
+		time.Sleep(limit) // keeps the loop busy
 		g.d.Get(addr, false, func(c jobs.Conn) { got <- c })
 	})
-	assert.NotSame(t, rests, <-got)
-	ended(t, theirs)
+	assert.NotSame(t, idle, <-got)
+	requireEnded(t, workerSide)
 }
 
-// heldListener holds netpoll as it enters a connection that it has accepted.
-type heldListener struct {
+// blockingListener blocks netpoll while it registers an accepted connection.
+type blockingListener struct {
 	netpoll.Listener
-	at, let chan struct{}
+	entered, release chan struct{}
 }
 
-type heldConn struct {
+type blockingConn struct {
 	netpoll.Conn
-	l     heldListener
-	asked int
+	l       blockingListener
+	fdCalls int
 }
 
-func (l heldListener) Accept() (stdnet.Conn, error) {
+func (l blockingListener) Accept() (stdnet.Conn, error) {
 	c, err := l.Listener.Accept()
 	if c == nil || err != nil {
 		return nil, err
 	}
-	return &heldConn{Conn: c.(netpoll.Conn), l: l}, nil
+	return &blockingConn{Conn: c.(netpoll.Conn), l: l}, nil
 }
 
-// Fd is asked first as the connection is made, and then as it is entered.
-func (c *heldConn) Fd() int {
-	if c.asked++; c.asked == 2 {
-		close(c.l.at)
-		<-c.l.let
+// netpoll calls Fd first when it creates the connection, and again when it registers it.
+func (c *blockingConn) Fd() int {
+	if c.fdCalls++; c.fdCalls == 2 {
+		close(c.l.entered)
+		<-c.l.release
 	}
 	return c.Conn.Fd()
 }
 
-// A connection is not the loop's, which may close it, before netpoll has entered it.
-func TestAcceptedOnceItIsEntered(t *testing.T) {
-	g := newRig(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
+// The loop may close a connection, so it must not get one before netpoll has registered it.
+func TestAcceptedOnlyAfterRegistration(t *testing.T) {
+	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
 	accepted := make(chan jobs.Conn, 1)
 	g.d.Accepted = func(c jobs.Conn) { c.Close(); accepted <- c }
 	ln, err := netpoll.CreateListener("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	held := heldListener{ln, make(chan struct{}), make(chan struct{})}
-	require.NoError(t, g.d.serve(held))
+	blocking := blockingListener{ln, make(chan struct{}), make(chan struct{})}
+	require.NoError(t, g.d.serve(blocking))
 	c, err := stdnet.Dial("tcp", ln.Addr().String())
 	require.NoError(t, err)
 	defer c.Close()
-	<-held.at
-	g.do(func() {}) // whatever was posted before has run
+	<-blocking.entered
+	g.do(func() {}) // everything posted before has run
 	assert.Empty(t, accepted)
-	close(held.let)
+	close(blocking.release)
 	<-accepted
-	ended(t, c)
-	require.Eventually(t, func() bool { return g.d.open.Load() == 0 }, patience, time.Millisecond)
+	requireEnded(t, c)
+	require.Eventually(t, func() bool { return g.d.openConns.Load() == 0 }, testTimeout, time.Millisecond)
 }
 
-// Hosts do not pile up while addresses change, and a connection that was out meanwhile comes back whole.
-func TestHostsAreForgotten(t *testing.T) {
-	addr, _ := peer(t)
-	g := newRig(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
+// Hosts must not accumulate while addresses change. A connection whose host was removed while it was in use returns to
+// the idle pool.
+func TestUnusedHostsAreRemoved(t *testing.T) {
+	addr, _ := listen(t)
+	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
 	c := g.get(addr)
 	g.do(func() {
 		for i := range 3 * maxHosts {
@@ -194,44 +195,45 @@
 	})
 }
 
-func TestDialThatFails(t *testing.T) {
+func TestFailedDial(t *testing.T) {
 	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	ln.Close() // nobody listens there now
-	g := newRig(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
+	ln.Close() // the address refuses connections now
+	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
 	assert.Nil(t, g.get(ln.Addr().String()))
-	assert.Zero(t, g.d.open.Load())
-	g = newRig(t, Config{Descriptors: reserved, IdleLimit: time.Hour})
+	assert.Zero(t, g.d.openConns.Load())
+	g = newTestDriver(t, Config{Descriptors: reservedDescriptors, IdleLimit: time.Hour})
 	assert.Nil(t, g.get(ln.Addr().String()), "no descriptor is left")
 }
 
-// A broken connection says so, and a write on it that nothing of it has left.
-func TestWriteAfterTheEnd(t *testing.T) {
-	addr, conns := peer(t)
-	g := newRig(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
+// The handler is told of a broken connection, and a later write on it reports that it was not sent.
+func TestWriteAfterPeerClosed(t *testing.T) {
+	addr, conns := listen(t)
+	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
 	c := g.get(addr)
 	g.do(func() { c.SetHandler(g) })
 	wrote := make(chan jobs.WriteResult, 1)
 	g.do(func() { c.Write([]byte("x"), func(e jobs.WriteResult) { wrote <- e }) })
 	assert.Equal(t, jobs.Written, <-wrote)
 	(<-conns).Close()
-	<-g.dead
+	<-g.ended
 	g.do(func() { c.Write([]byte("y"), func(e jobs.WriteResult) { wrote <- e }) })
 	assert.Equal(t, jobs.WriteIncomplete, <-wrote)
 }
 
-// takes counts what a client sends.
-type takes struct {
-	*rig
+// byteCounter counts the bytes that a client sends.
+type byteCounter struct {
+	*testDriver
 	n int
 }
 
-func (k *takes) Data(b []byte) { k.n += len(b) }
+func (k *byteCounter) Data(b []byte) { k.n += len(b) }
 
-// While the loop is busy, bytes stay with the client that sends them: large bodies once piled up here.
-func TestBytesWaitWithTheClient(t *testing.T) {
-	g := newRig(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
-	k := &takes{rig: g}
+// While the loop is busy, the driver must stop reading, so that the client's writes block. Large bodies once
+// accumulated in memory.
+func TestBusyLoopStopsReading(t *testing.T) {
+	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
+	k := &byteCounter{testDriver: g}
 	accepted := make(chan jobs.Conn, 1)
 	g.d.Accepted = func(c jobs.Conn) { c.SetHandler(k); accepted <- c }
 	g.do(func() { require.NoError(t, g.d.Listen("127.0.0.1:0")) })
@@ -244,43 +246,43 @@
 	require.NoError(t, c.SetWriteDeadline(time.Now().Add(time.Second)))
 	const body = 64 << 20
 	sent, err := c.Write(make([]byte, body))
-	assert.Error(t, err, "all of it found room here")
+	assert.Error(t, err, "the whole body was read or buffered")
 	assert.Less(t, sent, body/4)
 	close(release)
-	require.Eventually(t, func() (all bool) { g.do(func() { all = k.n == sent }); return }, patience, time.Millisecond)
+	require.Eventually(t, func() (all bool) { g.do(func() { all = k.n == sent }); return }, testTimeout, time.Millisecond)
 
-	// After the last answer it is not even looked at, and there is an end to that.
+	// After the last answer input is discarded, and beyond maxIgnored the connection is closed.
 	g.do(func() { conn.Write([]byte("bye"), nil); conn.CloseAfterWrite() })
-	require.NoError(t, c.SetDeadline(time.Now().Add(patience)))
+	require.NoError(t, c.SetDeadline(time.Now().Add(testTimeout)))
 	_, err = c.Write(make([]byte, body))
 	assert.Error(t, err)
-	require.Eventually(t, func() bool { return g.d.open.Load() == 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return g.d.openConns.Load() == 0 }, testTimeout, time.Millisecond)
 	g.do(func() { assert.Equal(t, sent, k.n) })
 }
 
-// What we close to a worker has ended for it by the time that the call returns, though a read of it waits for the loop: the
-// next attempt may go out in the same turn, and never two may be out at once.
-func TestCloseEndsTheSendingAtOnce(t *testing.T) {
-	addr, conns := peer(t)
-	g := newRig(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
-	c, theirs := g.get(addr), <-conns
-	at, come, closed, let := make(chan struct{}), make(chan struct{}), make(chan struct{}), make(chan struct{})
-	go g.do(func() { close(at); <-come; c.Close(); close(closed); <-let })
-	<-at
-	_, err := theirs.Write([]byte("x"))
+// Close must end a worker connection for the worker before it returns, although a read of it waits for the loop. The
+// next attempt may be sent in the same event, and two attempts must never be running at once.
+func TestCloseShutsDownWorkerConnectionAtOnce(t *testing.T) {
+	addr, conns := listen(t)
+	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
+	c, workerSide := g.get(addr), <-conns
+	entered, dataQueued, closed, release := make(chan struct{}), make(chan struct{}), make(chan struct{}), make(chan struct{})
+	go g.do(func() { close(entered); <-dataQueued; c.Close(); close(closed); <-release })
+	<-entered
+	_, err := workerSide.Write([]byte("x"))
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return g.loop.QueueLen() > 0 }, patience, time.Millisecond)
-	close(come)
+	require.Eventually(t, func() bool { return g.loop.QueueLen() > 0 }, testTimeout, time.Millisecond)
+	close(dataQueued)
 	<-closed
-	ended(t, theirs)
-	close(let)
-	require.Eventually(t, func() bool { return g.d.open.Load() == 0 }, patience, time.Millisecond)
+	requireEnded(t, workerSide)
+	close(release)
+	require.Eventually(t, func() bool { return g.d.openConns.Load() == 0 }, testTimeout, time.Millisecond)
 }
 
-// A client may leave, or be closed, while its bytes wait for the loop.
-func TestEndWhileBytesWait(t *testing.T) {
-	for _, ours := range []bool{true, false} {
-		g := newRig(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
+// A connection may be closed by either side while its data waits for the loop. Its descriptor must be released.
+func TestCloseWithPendingInput(t *testing.T) {
+	for _, closeHere := range []bool{true, false} {
+		g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
 		accepted := make(chan jobs.Conn, 1)
 		g.d.Accepted = func(c jobs.Conn) { c.SetHandler(g); accepted <- c }
 		g.do(func() { require.NoError(t, g.d.Listen("127.0.0.1:0")) })
@@ -289,50 +291,50 @@
 			require.NoError(t, err)
 			conn := <-accepted
 			go c.Write(make([]byte, 1<<20))
-			if ours {
+			if closeHere {
 				g.do(conn.Close)
-				ended(t, c)
+				requireEnded(t, c)
 			}
 			c.Close()
 		}
-		require.Eventually(t, func() bool { return g.d.open.Load() == 0 }, patience, time.Millisecond)
+		require.Eventually(t, func() bool { return g.d.openConns.Load() == 0 }, testTimeout, time.Millisecond)
 	}
 }
 
-// With few descriptors a connection at rest stays while there is room: the margin is a part of the budget. All that was idle
-// once went at each new one.
-func TestSmallBudgetKeepsWhatRests(t *testing.T) {
+// With a small budget an idle connection must stay open while there is room: the margin is a fraction of the budget.
+// With a fixed margin every new connection once shed all idle ones.
+func TestSmallBudgetKeepsIdleConnections(t *testing.T) {
 	for _, n := range []int{64, 96, 128, 320, 1024} {
-		addr, conns := peer(t)
-		g := newRig(t, Config{Descriptors: n, IdleLimit: time.Hour})
-		rests := g.get(addr)
-		theirs := <-conns
-		g.do(func() { g.d.Put(addr, rests) })
-		fresh := make(chan jobs.Conn, 1)
+		addr, conns := listen(t)
+		g := newTestDriver(t, Config{Descriptors: n, IdleLimit: time.Hour})
+		idle := g.get(addr)
+		workerSide := <-conns
+		g.do(func() { g.d.Put(addr, idle) })
+		dialled := make(chan jobs.Conn, 1)
 		for range 8 {
-			g.do(func() { g.d.Get(addr, true, func(c jobs.Conn) { fresh <- c }) })
-			require.NotNil(t, <-fresh)
+			g.do(func() { g.d.Get(addr, true, func(c jobs.Conn) { dialled <- c }) })
+			require.NotNil(t, <-dialled)
 			<-conns
 		}
-		g.do(func() { g.d.Get(addr, false, func(c jobs.Conn) { assert.Same(t, rests, c, n) }) })
-		_ = theirs.Close()
+		g.do(func() { g.d.Get(addr, false, func(c jobs.Conn) { assert.Same(t, idle, c, n) }) })
+		_ = workerSide.Close()
 	}
 }
 
-// With the budget of descriptors used up, idle connections to workers go first, then those of clients, and
-// what is over the hard bound is turned away at once.
-func TestBudgetOfDescriptors(t *testing.T) {
-	addr, conns := peer(t)
+// When descriptors run short, idle connections to workers are shed first, then those of clients. A client connection
+// above the hard limit is closed at once.
+func TestDescriptorBudget(t *testing.T) {
+	addr, conns := listen(t)
 	const room = 4
-	g := newRig(t, Config{Descriptors: reserved + 4*margin, IdleLimit: time.Hour}) // a quarter of it is the margin
-	g.do(func() { g.d.open.Add(3*margin - room) })                                 // as if as many were in use
+	g := newTestDriver(t, Config{Descriptors: reservedDescriptors + 4*shedMargin, IdleLimit: time.Hour}) // the margin is a quarter of the budget
+	g.do(func() { g.d.openConns.Add(3*shedMargin - room) })                                              // as if as many were in use
 	var accepted []jobs.Conn
 	g.d.Accepted = func(c jobs.Conn) { c.SetHandler(g); accepted = append(accepted, c) }
-	g.d.ShedIdle = func(n int, strangers bool) int {
-		if strangers {
+	g.d.ShedIdle = func(n int, unproven bool) int {
+		if unproven {
 			return 0
 		}
-		n = min(n, max(0, len(accepted)-1)) // several may be open before the first is handed over
+		n = min(n, max(0, len(accepted)-1)) // several may be open before Accepted gets the first
 		for _, c := range accepted[:n] {
 			c.Close()
 		}
@@ -350,16 +352,16 @@
 		defer c.Close()
 		clients = append(clients, c)
 	}
-	ended(t, worker)
+	requireEnded(t, worker)
 	c, err := stdnet.Dial("tcp", g.d.Addr())
 	require.NoError(t, err)
 	defer c.Close()
-	ended(t, clients[0])
-	g.do(func() { g.d.open.Add(margin + room) }) // as if as many were in use
+	requireEnded(t, clients[0])
+	g.do(func() { g.d.openConns.Add(shedMargin + room) }) // as if as many were in use
 	over, err := stdnet.Dial("tcp", g.d.Addr())
 	require.NoError(t, err)
-	ended(t, over)
-	g.do(func() { g.d.open.Add(-margin - room) })
+	requireEnded(t, over)
+	g.do(func() { g.d.openConns.Add(-shedMargin - room) })
 
 	g.do(g.d.StopListening)
 	require.Eventually(t, func() bool {
@@ -368,21 +370,21 @@
 			c.Close()
 		}
 		return err != nil
-	}, patience, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 }
 
-// A client that takes nothing of its answer holds no goroutine and no other's bytes; what it then takes comes whole
-// and in order, and what it never takes has surely not left.
-func TestSlowReaderHoldsNobodyUp(t *testing.T) {
+// A client that does not read its answer must not occupy a goroutine or delay the answers of others. When it reads
+// later, the answer arrives complete and in order. If the connection ends first, the write is reported as incomplete.
+func TestSlowReadersDoNotBlockOthers(t *testing.T) {
 	const readers, size = 40, 1 << 20
-	g := newRig(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
+	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
 	accepted := make(chan jobs.Conn, readers+1)
 	g.d.Accepted = func(c jobs.Conn) { c.SetHandler(g); accepted <- c }
 	g.do(func() { require.NoError(t, g.d.Listen("127.0.0.1:0")) })
 	answer := bytes.Repeat([]byte("0123456789abcdef"), size/16)
 	type end struct {
-		i   int
-		how jobs.WriteResult
+		i      int
+		result jobs.WriteResult
 	}
 	ends := make(chan end, readers+1)
 	var clients []stdnet.Conn
@@ -397,15 +399,15 @@
 			g.do(func() { conn.Write(answer[:1], nil) })
 		}
 		g.do(func() {
-			conn.Write(answer, func(how jobs.WriteResult) { ends <- end{i, how} })
-			assert.Positive(t, conn.Queued(), "more than the system takes")
-			assert.Greater(t, conn.Unacked(), conn.Queued(), "the system holds some")
+			conn.Write(answer, func(result jobs.WriteResult) { ends <- end{i, result} })
+			assert.Positive(t, conn.Queued(), "the answer exceeds the system's buffer")
+			assert.Greater(t, conn.Unacked(), conn.Queued(), "the system holds a part")
 		})
 		if i == 0 {
-			before = runtime.NumGoroutine() // the one that watches runs now
+			before = runtime.NumGoroutine() // includes the goroutine of the writeWatcher
 		}
 	}
-	assert.Less(t, runtime.NumGoroutine(), before+readers/2, "goroutines grow with the readers")
+	assert.Less(t, runtime.NumGoroutine(), before+readers/2, "the number of goroutines grows with the readers")
 	g.do(func() { assert.Equal(t, readers+1, g.d.Unsent()) })
 
 	got, err := io.ReadAll(io.LimitReader(clients[1], size))
@@ -414,14 +416,14 @@
 	assert.Equal(t, end{1, jobs.Written}, <-ends)
 	clients[2].Close()
 	assert.Equal(t, end{2, jobs.WriteIncomplete}, <-ends)
-	<-g.dead
+	<-g.ended
 	g.do(func() { assert.Equal(t, readers-1, g.d.Unsent()) })
 }
 
-// What one account holds open is bounded, and is given back with its connections; others are not touched by it.
-func TestAccountOfAService(t *testing.T) {
-	addr, conns := peer(t)
-	g := newRig(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
+// A quota limits the connections of one service and is released as they end. Other services are not affected.
+func TestServiceQuota(t *testing.T) {
+	addr, conns := listen(t)
+	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
 	d, other := g.d.Dialer(2), g.d.Dialer(0)
 	get := func(d jobs.Dialer) jobs.Conn {
 		got := make(chan jobs.Conn, 1)
@@ -431,36 +433,36 @@
 	first, second := get(d), get(d)
 	require.NotNil(t, first)
 	require.NotNil(t, second)
-	third, gone := make(chan jobs.Conn, 1), make(chan jobs.Conn, 1)
+	third, cancelled := make(chan jobs.Conn, 1), make(chan jobs.Conn, 1)
 	g.do(func() {
-		giveUp := d.Get(addr, true, func(c jobs.Conn) { gone <- c })
+		giveUp := d.Get(addr, true, func(c jobs.Conn) { cancelled <- c })
 		d.Get(addr, true, func(c jobs.Conn) { third <- c })
 		giveUp()
 	})
-	assert.NotNil(t, get(other), "another's account")
+	assert.NotNil(t, get(other), "the quota of another service")
 	assert.Equal(t, 2, d.OpenConns())
-	assert.Empty(t, third, "it waits")
+	assert.Empty(t, third, "the third dial waits")
 	g.do(first.Close)
 	assert.NotNil(t, <-third)
 	g.do(func() { d.Put(addr, second) })
-	assert.NotNil(t, get(d), "the idle one makes room")
-	assert.Empty(t, gone)
+	assert.NotNil(t, get(d), "an idle connection is closed to make room")
+	assert.Empty(t, cancelled)
 	for range 5 {
 		(<-conns).Close()
 	}
-	require.Eventually(t, func() bool { return d.OpenConns() == 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return d.OpenConns() == 0 }, testTimeout, time.Millisecond)
 }
 
-// A passed socket may block, as another process has set it. An accept for a client that another process took must not wait
-// for the next one: the poller reads nothing meanwhile.
-func TestAcceptOnAPassedSocketNeverWaits(t *testing.T) {
+// Another process may have set an inherited listening socket to blocking. Accept for a client that another process has
+// taken must not wait for the next one, since the poller reads nothing meanwhile.
+func TestAcceptOnInheritedSocketNeverBlocks(t *testing.T) {
 	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	file, err := ln.(*stdnet.TCPListener).File()
 	require.NoError(t, err)
 	defer file.Close()
 	ln.Close()
-	fd := int(file.Fd()) // which makes it block
+	fd := int(file.Fd()) // File.Fd sets the socket to blocking
 	d := New(engine.NewLoop(), Config{Descriptors: 256})
 	require.NoError(t, d.ListenOn(fd))
 	for range 2 {
@@ -474,26 +476,26 @@
 		}()
 		select {
 		case <-returned:
-		case <-time.After(patience):
-			t.Fatal("it waits")
+		case <-time.After(testTimeout):
+			t.Fatal("Accept blocks")
 		}
 	}
 	assert.True(t, d.LeaveSharedListener())
 	_, err = d.shared.Accept()
-	assert.ErrorIs(t, err, errLeft, "it takes nothing more, and leaves the queue to others")
+	assert.ErrorIs(t, err, errStoppedAccepting, "the rest of the queue is left to other processes")
 	assert.ErrorContains(t, d.ListenOn(0), "no listening socket")
 }
 
-// A connection that was put back within the turn in which its answer came is used again in the same turn: that the goroutine
-// which read the answer has not come to its end yet says nothing against it. Many were once closed for that.
-func TestPutBackIsUsedAtOnce(t *testing.T) {
-	addr, conns := peer(t)
-	g := newRig(t, Config{Descriptors: 1024, ConnectTimeout: patience, IdleLimit: time.Hour})
+// A connection that is put back while its answer is being processed must be reusable at once, although the goroutine
+// that read the answer has not returned yet. Many connections were once closed for that reason.
+func TestReturnedConnectionIsReusedAtOnce(t *testing.T) {
+	addr, conns := listen(t)
+	g := newTestDriver(t, Config{Descriptors: 1024, ConnectTimeout: testTimeout, IdleLimit: time.Hour})
 	c := g.get(addr)
 	worker := <-conns
 	again := make(chan jobs.Conn, 1)
 	g.do(func() {
-		c.SetHandler(answered(func() {
+		c.SetHandler(onData(func() {
 			g.d.Put(addr, c)
 			g.d.Get(addr, false, func(c jobs.Conn) { again <- c })
 		}))
@@ -503,7 +505,7 @@
 	assert.Same(t, c, <-again)
 }
 
-type answered func()
+type onData func()
 
-func (f answered) Data([]byte) { f() }
-func (f answered) Closed()     {}
+func (f onData) Data([]byte) { f() }
+func (f onData) Closed()     {}
--- a/internal/net/second.go
+++ b/internal/net/second.go
@@ -10,28 +10,28 @@
 	"weldscale/internal/mgmt"
 )
 
-// This file owns the second address. It is apart from netpoll, whose one poller waits for the loop while a client's bytes
-// are taken: a call must not wait behind the load that it asks about. It must never hold more than secondConns
-// connections, nor one for longer than its time.
+// This file implements the listener of the management address. It doesn't use netpoll, whose single poller waits for
+// the loop while a client's data is processed: a management call must not wait behind the load that it asks about. It
+// must never hold more than managementConns connections, nor hold one longer than managementTimeout.
 
 const (
-	secondConns = 16 // descriptors set apart for it, the listener's too
-	secondTime  = 3 * time.Second
-	acceptPause = 20 * time.Millisecond // after an accept that failed: no descriptors are left just now
+	managementConns   = 16 // reserved descriptors, including the listener's
+	managementTimeout = 3 * time.Second
+	acceptPause       = 20 * time.Millisecond // delay after a failed accept, as when no descriptors are left
 )
 
-// ManagementServer is the listener of the second address.
+// ManagementServer serves management calls, one on each connection.
 type ManagementServer struct {
 	ln      net.Listener
 	control mgmt.Control
 
-	mu      sync.Mutex
-	waiting []net.Conn // those whose call is not whole, the one that came first in front
-	open    int
-	closed  bool
+	mu         sync.Mutex
+	incomplete []net.Conn // connections without a complete call, oldest first
+	openConns  int
+	closed     bool
 }
 
-// ListenManagement takes calls at the address until Close.
+// ListenManagement serves management calls at addr until Close.
 func ListenManagement(addr string, control mgmt.Control) (*ManagementServer, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -42,10 +42,10 @@
 	return s, nil
 }
 
-// Addr is the address that it took.
+// Addr returns the address of the listener.
 func (s *ManagementServer) Addr() string { return s.ln.Addr().String() }
 
-// Close ends the listener; calls that are being answered go on.
+// Close closes the listener. Calls in progress continue.
 func (s *ManagementServer) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -62,54 +62,55 @@
 		case err != nil:
 			slog.Warn("second address: accept failed", "why", err)
 			time.Sleep(acceptPause)
-		case !s.enter(c):
-			c.Close() // all are being answered
+		case !s.admit(c):
+			c.Close() // every open connection has a complete call
 		default:
 			go s.serve(c)
 		}
 	}
 }
 
-// enter makes room for a connection: the one that has been silent longest goes.
-func (s *ManagementServer) enter(c net.Conn) bool {
+// admit registers a connection and reports whether there is room for it. If necessary, it closes the oldest connection
+// without a complete call.
+func (s *ManagementServer) admit(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open >= secondConns-2 {
-		if len(s.waiting) == 0 {
+	if s.openConns >= managementConns-2 {
+		if len(s.incomplete) == 0 {
 			return false
 		}
-		s.waiting[0].Close() // its reader ends it in the books
-		s.waiting = s.waiting[1:]
-		s.open--
+		s.incomplete[0].Close() // its reader gets an error and ends without calling release
+		s.incomplete = s.incomplete[1:]
+		s.openConns--
 	}
-	s.open++
-	s.waiting = append(s.waiting, c)
+	s.openConns++
+	s.incomplete = append(s.incomplete, c)
 	return true
 }
 
-// heard takes a connection out of those that wait, and reports whether it was still among them.
-func (s *ManagementServer) heard(c net.Conn) bool {
+// removeIncomplete removes a connection from incomplete and reports whether it was still listed.
+func (s *ManagementServer) removeIncomplete(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, w := range s.waiting {
+	for i, w := range s.incomplete {
 		if w == c {
-			s.waiting = append(s.waiting[:i:i], s.waiting[i+1:]...)
+			s.incomplete = append(s.incomplete[:i:i], s.incomplete[i+1:]...)
 			return true
 		}
 	}
 	return false
 }
 
-func (s *ManagementServer) left() {
+func (s *ManagementServer) release() {
 	s.mu.Lock()
-	s.open--
+	s.openConns--
 	s.mu.Unlock()
 }
 
-// serve answers the one call of a connection.
+// serve answers the single call of a connection.
 func (s *ManagementServer) serve(c net.Conn) {
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(secondTime))
+	_ = c.SetDeadline(time.Now().Add(managementTimeout))
 	call, b := mgmt.NewCall(), make([]byte, 2<<10)
 	for {
 		n, err := c.Read(b)
@@ -117,10 +118,10 @@
 		if request == nil && answer == nil && err == nil {
 			continue
 		}
-		if !s.heard(c) {
-			return // another took its place
+		if !s.removeIncomplete(c) {
+			return // admit closed it for a newer connection
 		}
-		defer s.left()
+		defer s.release()
 		if request != nil {
 			answer = request.Do(s.control).Bytes()
 		}
@@ -130,10 +131,11 @@
 		if _, err := c.Write(answer); err != nil {
 			return
 		}
-		// What the caller has sent beyond its call must not turn the close into a reset that takes the answer along.
+		// Reads what the caller has sent after its call. If it stayed unread, the close would reset the connection and
+		// the caller could lose the answer.
 		_ = c.(*net.TCPConn).CloseWrite()
-		_ = c.SetReadDeadline(time.Now().Add(secondTime / 10))
-		for left := 64 << 10; left > 0; left -= n {
+		_ = c.SetReadDeadline(time.Now().Add(managementTimeout / 10))
+		for remaining := 64 << 10; remaining > 0; remaining -= n {
 			if n, err = c.Read(b); err != nil {
 				return
 			}
--- a/internal/net/write.go
+++ b/internal/net/write.go
@@ -11,17 +11,18 @@
 	"weldscale/internal/jobs"
 )
 
-// This file owns the bytes on their way out. They go to the system at once as far as it takes them; the rest waits
-// with its connection and is counted, and a descriptor that takes no more is watched by one goroutine for all. No
-// peer that takes nothing may hold a goroutine, nor delay another's bytes.
+// This file implements writing. Data goes to the system at once as far as it accepts it; the rest is queued on the
+// connection and counted, and one goroutine for all connections waits for sockets to become writable. A peer that does
+// not read must not occupy a goroutine, nor delay the data of others.
 
 type chunk struct {
 	b    []byte
 	done func(jobs.WriteResult)
 }
 
-// system does something to the descriptor, unless it may be another's by now.
-func (c *Conn) system(f func(fd int) error) error {
+// withDescriptor calls f with the connection's descriptor. It returns EPIPE without calling f if the descriptor may
+// belong to another connection by now.
+func (c *Conn) withDescriptor(f func(fd int) error) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	fd, ok := c.nc.(netpoll.Conn)
@@ -39,118 +40,121 @@
 		}
 		return
 	}
-	c.queued += len(b)
-	if c.out = append(c.out, chunk{b, done}); len(c.out) == 1 {
+	c.queuedBytes += len(b)
+	if c.writeQueue = append(c.writeQueue, chunk{b, done}); len(c.writeQueue) == 1 {
 		c.d.unsent++
 		c.flush()
 	}
 }
 
-// flush gives the system what it takes.
+// flush writes queued data until the system accepts no more.
 func (c *Conn) flush() {
-	for len(c.out) > 0 {
-		first := &c.out[0]
+	for len(c.writeQueue) > 0 {
+		first := &c.writeQueue[0]
 		n := 0
-		err := c.system(func(fd int) (err error) {
+		err := c.withDescriptor(func(fd int) (err error) {
 			n, err = unix.Write(fd, first.b)
 			return err
 		})
 		if n > 0 {
 			first.b = first.b[n:]
-			c.queued -= n
+			c.queuedBytes -= n
 		}
 		switch {
 		case err == unix.EINTR:
 		case err == unix.EAGAIN:
-			c.await()
+			c.awaitWritable()
 			return
 		case err != nil:
-			c.d.loop.Defer(c.failOut) // the system took none of the rest; the poller tells the connection's end
+			c.d.loop.Defer(c.failQueue) // none of the rest was sent; the poller reports the end
 			return
 		case len(first.b) == 0:
-			c.wrote(jobs.Written)
+			c.finishChunk(jobs.Written)
 		}
 	}
-	if c.closeAfter {
-		c.finish()
+	if c.closeAfterWrite {
+		c.shutdownWrite()
 	}
 }
 
-// wrote takes the first chunk out and tells how it went, after the work at hand.
-func (c *Conn) wrote(end jobs.WriteResult) {
-	done := c.out[0].done
-	c.out[0] = chunk{}
-	if c.out = c.out[1:]; len(c.out) == 0 {
-		c.out = nil
+// finishChunk removes the first chunk and schedules its done callback to run after the current event.
+func (c *Conn) finishChunk(result jobs.WriteResult) {
+	done := c.writeQueue[0].done
+	c.writeQueue[0] = chunk{}
+	if c.writeQueue = c.writeQueue[1:]; len(c.writeQueue) == 0 {
+		c.writeQueue = nil
 		c.d.unsent--
 	}
 	if done != nil {
-		c.d.loop.Defer(func() { done(end) })
+		c.d.loop.Defer(func() { done(result) })
 	}
 }
 
-// failOut ends what waits: of each chunk a byte at least has surely not left.
-func (c *Conn) failOut() {
-	var all []func(jobs.WriteResult)
-	for _, w := range c.out {
+// failQueue drops the queue and reports every chunk as incomplete: at least one byte of each has certainly not been
+// sent.
+func (c *Conn) failQueue() {
+	var callbacks []func(jobs.WriteResult)
+	for _, w := range c.writeQueue {
 		if w.done != nil {
-			all = append(all, w.done)
+			callbacks = append(callbacks, w.done)
 		}
 	}
-	c.forgetOut()
-	for _, done := range all {
+	c.dropQueue()
+	for _, done := range callbacks {
 		done(jobs.WriteIncomplete)
 	}
 }
 
-// forgetOut drops what waits without a word.
-func (c *Conn) forgetOut() {
-	if len(c.out) > 0 {
+// dropQueue drops the queue without calling the done callbacks.
+func (c *Conn) dropQueue() {
+	if len(c.writeQueue) > 0 {
 		c.d.unsent--
 	}
-	c.out, c.queued = nil, 0
-	c.d.watch.forget(c)
+	c.writeQueue, c.queuedBytes = nil, 0
+	c.d.watcher.remove(c)
 }
 
-// await has the connection's flush called once the system takes bytes again.
-func (c *Conn) await() {
-	if err := c.system(func(fd int) error { return c.d.watch.add(c, fd) }); err != nil && !errors.Is(err, unix.EPIPE) {
+// awaitWritable registers the connection for a call of flush once the socket is writable.
+func (c *Conn) awaitWritable() {
+	if err := c.withDescriptor(func(fd int) error { return c.d.watcher.add(c, fd) }); err != nil && !errors.Is(err, unix.EPIPE) {
 		slog.Error("descriptor can't be watched", "why", err)
 		c.Close()
 	}
 }
 
 // Queued implements jobs.Conn.
-func (c *Conn) Queued() int { return c.queued }
+func (c *Conn) Queued() int { return c.queuedBytes }
 
 // Unacked implements jobs.Conn.
 func (c *Conn) Unacked() int {
 	system := 0
-	_ = c.system(func(fd int) (err error) {
+	_ = c.withDescriptor(func(fd int) (err error) {
 		system, err = unix.IoctlGetInt(fd, unix.SIOCOUTQ)
 		return err
 	})
-	return c.queued + system
+	return c.queuedBytes + system
 }
 
-// Unsent returns how many connections hold bytes that the system has not taken.
+// Unsent returns the number of connections with data that the system has not accepted.
 func (d *Driver) Unsent() int { return d.unsent }
 
-// watch tells when descriptors take bytes again. The loop owns it but for the descriptor of the epoll itself.
-type watch struct {
-	loop  *engine.Loop
-	epoll int
-	last  uint64
-	conns map[uint64]*Conn
+// writeWatcher waits with epoll for sockets to become writable. All fields are for the loop only; its goroutine uses
+// only loop and the epoll descriptor.
+type writeWatcher struct {
+	loop   *engine.Loop
+	epoll  int
+	lastID uint64
+	conns  map[uint64]*Conn
 }
 
-func newWatch(loop *engine.Loop) *watch {
-	return &watch{loop: loop, epoll: -1, conns: map[uint64]*Conn{}}
+func newWriteWatcher(loop *engine.Loop) *writeWatcher {
+	return &writeWatcher{loop: loop, epoll: -1, conns: map[uint64]*Conn{}}
 }
 
-// add watches for one event. Numbers, not descriptors, name a connection: a descriptor may be another's by the time an
-// event is read. The system forgets a descriptor with its close.
-func (w *watch) add(c *Conn, fd int) error {
+// add waits for one event. Connections are identified by IDs and not by descriptors, since a descriptor may belong to
+// another connection by the time an event is read. The system removes a descriptor from the epoll set when it is
+// closed.
+func (w *writeWatcher) add(c *Conn, fd int) error {
 	if w.epoll < 0 {
 		epoll, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 		if err != nil {
@@ -160,28 +164,28 @@
 		go w.run()
 	}
 	op := unix.EPOLL_CTL_MOD
-	if c.watched == 0 {
-		w.last++
-		c.watched, op = w.last, unix.EPOLL_CTL_ADD
+	if c.watchID == 0 {
+		w.lastID++
+		c.watchID, op = w.lastID, unix.EPOLL_CTL_ADD
 	}
-	w.conns[c.watched] = c
+	w.conns[c.watchID] = c
 	return unix.EpollCtl(w.epoll, op, fd, &unix.EpollEvent{Events: unix.EPOLLOUT | unix.EPOLLONESHOT,
-		Fd: int32(c.watched), Pad: int32(c.watched >> 32)})
+		Fd: int32(c.watchID), Pad: int32(c.watchID >> 32)})
 }
 
-func (w *watch) forget(c *Conn) {
-	if c.watched != 0 {
-		delete(w.conns, c.watched)
+func (w *writeWatcher) remove(c *Conn) {
+	if c.watchID != 0 {
+		delete(w.conns, c.watchID)
 	}
 }
 
-// run hands on what the system tells, for as long as the process lives.
-func (w *watch) run() {
+// run passes events to the loop for the lifetime of the process.
+func (w *writeWatcher) run() {
 	events := make([]unix.EpollEvent, 128)
 	for {
 		n, err := unix.EpollWait(w.epoll, events, -1)
 		if err != nil && err != unix.EINTR {
-			slog.Error("watch of descriptors ended", "why", err)
+			slog.Error("epoll of descriptors ended", "why", err)
 			return
 		}
 		if n <= 0 {
@@ -192,8 +196,8 @@
 			ready[i] = uint64(uint32(e.Fd)) | uint64(uint32(e.Pad))<<32
 		}
 		w.loop.Post(func() {
-			for _, number := range ready {
-				if c := w.conns[number]; c != nil {
+			for _, id := range ready {
+				if c := w.conns[id]; c != nil {
 					c.flush()
 				}
 			}
