--- a/coordination/handoff/handoff.go
+++ b/coordination/handoff/handoff.go
@@ -38,12 +38,12 @@
 // Drops counts hints that were given up before their peer had them.
 type Drops struct {
 	Expired    int // they reached the greatest age
-	Crowded    int // they were the oldest when there was no room
+	Evicted    int // they were the oldest when there was no room
 	Superseded int // a newer version took their place
 }
 
-// Keeper keeps hints. It is not safe for use by several goroutines.
-type Keeper[V Version[V], P any] struct {
+// Store keeps hints. It is not safe for use by several goroutines.
+type Store[V Version[V], P any] struct {
 	limits Limits
 	hints  []kept[V, P] // in the order in which they were kept, the oldest first
 	bytes  int
@@ -57,11 +57,11 @@
 }
 
 // New returns a keeper without hints.
-func New[V Version[V], P any](limits Limits) *Keeper[V, P] { return &Keeper[V, P]{limits: limits} }
+func New[V Version[V], P any](limits Limits) *Store[V, P] { return &Store[V, P]{limits: limits} }
 
-// Keep keeps a hint for a peer. It reports false if the peer has one of the same key that is as new, or if the hint alone is
+// Add keeps a hint for a peer. It reports false if the peer has one of the same key that is as new, or if the hint alone is
 // beyond the limits. The oldest hints of all make room.
-func (k *Keeper[V, P]) Keep(now time.Duration, peer string, hint Hint[V, P]) bool {
+func (k *Store[V, P]) Add(now time.Duration, peer string, hint Hint[V, P]) bool {
 	k.Expire(now)
 	if k.limits.Hints < 1 || k.limits.Age <= 0 || hint.Bytes > k.limits.Bytes {
 		return false
@@ -76,15 +76,15 @@
 	}
 	for len(k.hints) >= k.limits.Hints || k.bytes+hint.Bytes > k.limits.Bytes {
 		k.remove(0)
-		k.drops.Crowded++
+		k.drops.Evicted++
 	}
 	k.hints = append(k.hints, kept[V, P]{Hint: hint, peer: peer, since: now})
 	k.bytes += hint.Bytes
 	return true
 }
 
-// For returns the hints for a peer that is back, in the order of their versions. They stay until Holds says that it has them.
-func (k *Keeper[V, P]) For(now time.Duration, peer string) []Hint[V, P] {
+// HintsFor returns the hints for a peer that is back, in the order of their versions. They stay until Holds says that it has them.
+func (k *Store[V, P]) HintsFor(now time.Duration, peer string) []Hint[V, P] {
 	k.Expire(now)
 	var hints []Hint[V, P]
 	for _, held := range k.hints {
@@ -104,43 +104,43 @@
 	return hints
 }
 
-// Holds notes that a peer has a version of a key: a hint up to that version is delivered.
-func (k *Keeper[V, P]) Holds(peer, key string, version V) {
+// MarkDelivered notes that a peer has a version of a key: a hint up to that version is delivered.
+func (k *Store[V, P]) MarkDelivered(peer, key string, version V) {
 	k.removeIf(func(held *kept[V, P]) bool {
 		return held.peer == peer && held.Key == key && !version.Less(held.Version)
 	})
 }
 
 // Supersede notes that there is a newer version of a key: older hints of it are worth nothing to any peer.
-func (k *Keeper[V, P]) Supersede(key string, version V) {
+func (k *Store[V, P]) Supersede(key string, version V) {
 	k.drops.Superseded += k.removeIf(func(held *kept[V, P]) bool { return held.Key == key && held.Version.Less(version) })
 }
 
-// Forget drops the hints for a peer that is gone for good.
-func (k *Keeper[V, P]) Forget(peer string) {
+// RemovePeer drops the hints for a peer that is gone for good.
+func (k *Store[V, P]) RemovePeer(peer string) {
 	k.removeIf(func(held *kept[V, P]) bool { return held.peer == peer })
 }
 
 // Expire drops the hints that have reached the greatest age.
-func (k *Keeper[V, P]) Expire(now time.Duration) {
+func (k *Store[V, P]) Expire(now time.Duration) {
 	k.drops.Expired += k.removeIf(func(held *kept[V, P]) bool { return now-held.since >= k.limits.Age })
 }
 
 // Len returns the number of hints.
-func (k *Keeper[V, P]) Len() int { return len(k.hints) }
+func (k *Store[V, P]) Len() int { return len(k.hints) }
 
 // Bytes returns what all payloads weigh.
-func (k *Keeper[V, P]) Bytes() int { return k.bytes }
+func (k *Store[V, P]) Bytes() int { return k.bytes }
 
 // Drops tells how many hints were given up.
-func (k *Keeper[V, P]) Drops() Drops { return k.drops }
+func (k *Store[V, P]) Drops() Drops { return k.drops }
 
-func (k *Keeper[V, P]) remove(at int) {
+func (k *Store[V, P]) remove(at int) {
 	k.bytes -= k.hints[at].Bytes
 	k.hints = slices.Delete(k.hints, at, at+1)
 }
 
-func (k *Keeper[V, P]) removeIf(gone func(held *kept[V, P]) bool) int {
+func (k *Store[V, P]) removeIf(gone func(held *kept[V, P]) bool) int {
 	before := len(k.hints)
 	k.hints = slices.DeleteFunc(k.hints, func(held kept[V, P]) bool {
 		if gone(&held) {
--- a/coordination/handoff/handoff_test.go
+++ b/coordination/handoff/handoff_test.go
@@ -20,10 +20,10 @@
 
 var roomy = Limits{Hints: 100, Bytes: 1000, Age: time.Minute}
 
-func keepAll(t *testing.T, keeper *Keeper[number, string], peer string, hints ...hint) {
+func keepAll(t *testing.T, keeper *Store[number, string], peer string, hints ...hint) {
 	t.Helper()
 	for _, hint := range hints {
-		require.True(t, keeper.Keep(0, peer, hint))
+		require.True(t, keeper.Add(0, peer, hint))
 	}
 }
 
@@ -31,13 +31,13 @@
 	keeper := New[number, string](roomy)
 	keepAll(t, keeper, "a", hint{Key: "y", Version: 7}, hint{Key: "x", Version: 3}, hint{Key: "z", Version: 5})
 	keepAll(t, keeper, "b", hint{Key: "x", Version: 4})
-	require.Equal(t, []hint{{Key: "x", Version: 3}, {Key: "z", Version: 5}, {Key: "y", Version: 7}}, keeper.For(0, "a"))
-	require.Len(t, keeper.For(0, "a"), 3, "they stay until they are known to have come")
-	keeper.Holds("a", "z", 5)
-	keeper.Holds("a", "y", 6)
-	require.Equal(t, []hint{{Key: "x", Version: 3}, {Key: "y", Version: 7}}, keeper.For(0, "a"))
-	keeper.Holds("a", "x", 9)
-	keeper.Forget("b")
+	require.Equal(t, []hint{{Key: "x", Version: 3}, {Key: "z", Version: 5}, {Key: "y", Version: 7}}, keeper.HintsFor(0, "a"))
+	require.Len(t, keeper.HintsFor(0, "a"), 3, "they stay until they are known to have come")
+	keeper.MarkDelivered("a", "z", 5)
+	keeper.MarkDelivered("a", "y", 6)
+	require.Equal(t, []hint{{Key: "x", Version: 3}, {Key: "y", Version: 7}}, keeper.HintsFor(0, "a"))
+	keeper.MarkDelivered("a", "x", 9)
+	keeper.RemovePeer("b")
 	require.Equal(t, 1, keeper.Len())
 	require.Zero(t, keeper.Drops())
 }
@@ -45,9 +45,9 @@
 func TestTheNewestOfAKeyWins(t *testing.T) {
 	keeper := New[number, string](roomy)
 	keepAll(t, keeper, "a", hint{Key: "x", Version: 3, Payload: "old", Bytes: 5}, hint{Key: "x", Version: 4, Payload: "new", Bytes: 7})
-	require.False(t, keeper.Keep(0, "a", hint{Key: "x", Version: 4, Payload: "double"}))
-	require.False(t, keeper.Keep(0, "a", hint{Key: "x", Version: 2, Payload: "late"}))
-	require.Equal(t, []hint{{Key: "x", Version: 4, Payload: "new", Bytes: 7}}, keeper.For(0, "a"))
+	require.False(t, keeper.Add(0, "a", hint{Key: "x", Version: 4, Payload: "double"}))
+	require.False(t, keeper.Add(0, "a", hint{Key: "x", Version: 2, Payload: "late"}))
+	require.Equal(t, []hint{{Key: "x", Version: 4, Payload: "new", Bytes: 7}}, keeper.HintsFor(0, "a"))
 	require.Equal(t, 7, keeper.Bytes())
 	require.Equal(t, Drops{Superseded: 1}, keeper.Drops())
 }
@@ -57,29 +57,29 @@
 	keepAll(t, keeper, "a", hint{Key: "x", Version: 3}, hint{Key: "y", Version: 3})
 	keepAll(t, keeper, "b", hint{Key: "x", Version: 4})
 	keeper.Supersede("x", 4)
-	require.Equal(t, []hint{{Key: "y", Version: 3}}, keeper.For(0, "a"))
-	require.Len(t, keeper.For(0, "b"), 1)
+	require.Equal(t, []hint{{Key: "y", Version: 3}}, keeper.HintsFor(0, "a"))
+	require.Len(t, keeper.HintsFor(0, "b"), 1)
 }
 
 func TestTheOldestMakeRoom(t *testing.T) {
 	keeper := New[number, string](Limits{Hints: 3, Bytes: 10, Age: time.Minute})
 	keepAll(t, keeper, "a", hint{Key: "1", Version: 9, Bytes: 4}, hint{Key: "2", Version: 8, Bytes: 4})
 	keepAll(t, keeper, "b", hint{Key: "3", Version: 7, Bytes: 4})
-	require.Equal(t, []hint{{Key: "2", Version: 8, Bytes: 4}}, keeper.For(0, "a"))
+	require.Equal(t, []hint{{Key: "2", Version: 8, Bytes: 4}}, keeper.HintsFor(0, "a"))
 	keepAll(t, keeper, "b", hint{Key: "4", Version: 1}, hint{Key: "5", Version: 2})
-	require.Empty(t, keeper.For(0, "a"))
-	require.Equal(t, Drops{Crowded: 2}, keeper.Drops())
-	require.False(t, keeper.Keep(0, "a", hint{Key: "6", Bytes: 11}), "alone beyond the limit")
+	require.Empty(t, keeper.HintsFor(0, "a"))
+	require.Equal(t, Drops{Evicted: 2}, keeper.Drops())
+	require.False(t, keeper.Add(0, "a", hint{Key: "6", Bytes: 11}), "alone beyond the limit")
 	require.Equal(t, 3, keeper.Len())
 }
 
 func TestHintsExpire(t *testing.T) {
 	keeper := New[number, string](roomy)
 	keepAll(t, keeper, "a", hint{Key: "x", Version: 3})
-	require.Len(t, keeper.For(roomy.Age-1, "a"), 1)
-	require.Empty(t, keeper.For(roomy.Age, "a"))
+	require.Len(t, keeper.HintsFor(roomy.Age-1, "a"), 1)
+	require.Empty(t, keeper.HintsFor(roomy.Age, "a"))
 	require.Equal(t, Drops{Expired: 1}, keeper.Drops())
-	require.False(t, New[number, string](Limits{}).Keep(0, "a", hint{}))
+	require.False(t, New[number, string](Limits{}).Add(0, "a", hint{}))
 }
 
 // Whatever is done, the bounds hold, hints come in order, and each peer has the newest hint of a key or something newer, if
@@ -100,14 +100,14 @@
 				peer := peers.Draw(t, "peer")
 				hint := hint{Key: keys.Draw(t, "key"), Version: number(rapid.IntRange(0, 20).Draw(t, "version")),
 					Bytes: rapid.IntRange(0, 70).Draw(t, "weight")}
-				if keeper.Keep(now, peer, hint) {
+				if keeper.Add(now, peer, hint) {
 					newest[[2]string{peer, hint.Key}] = hint.Version
 				}
 			},
 			"holds": func(t *rapid.T) {
 				peer, key, version := peers.Draw(t, "peer"), keys.Draw(t, "key"), number(rapid.IntRange(0, 20).Draw(t, "version"))
-				keeper.Holds(peer, key, version)
-				for _, hint := range keeper.For(now, peer) {
+				keeper.MarkDelivered(peer, key, version)
+				for _, hint := range keeper.HintsFor(now, peer) {
 					require.False(t, hint.Key == key && hint.Version <= version)
 				}
 			},
@@ -115,14 +115,14 @@
 				key, version := keys.Draw(t, "key"), number(rapid.IntRange(0, 20).Draw(t, "version"))
 				keeper.Supersede(key, version)
 				for _, peer := range []string{"a", "b", "c"} {
-					require.NotContains(t, versionsBelow(keeper.For(now, peer), key, version), true)
+					require.NotContains(t, versionsBelow(keeper.HintsFor(now, peer), key, version), true)
 				}
 			},
 			"wait": func(t *rapid.T) { now += time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond },
 			"": func(t *rapid.T) {
 				total, weight := 0, 0
 				for _, peer := range []string{"a", "b", "c"} {
-					hints := keeper.For(now, peer)
+					hints := keeper.HintsFor(now, peer)
 					require.True(t, slices.IsSortedFunc(hints, func(a, b hint) int { return int(a.Version) - int(b.Version) }))
 					seen := map[string]bool{}
 					for _, hint := range hints {
@@ -153,7 +153,7 @@
 // teller tells its peers of versions, keeps hints for those that don't answer, and hands them over when it hears them.
 type teller struct {
 	process *sim.Process
-	keeper  *Keeper[number, string]
+	keeper  *Store[number, string]
 	version number
 }
 
@@ -169,9 +169,9 @@
 func (l *teller) send(peer string, message hint) {
 	l.process.Call(peer, message, time.Second, func(_ any, err error) {
 		if err != nil {
-			l.keeper.Keep(l.process.Steady(), peer, message)
+			l.keeper.Add(l.process.Steady(), peer, message)
 		} else {
-			l.keeper.Holds(peer, message.Key, message.Version)
+			l.keeper.MarkDelivered(peer, message.Key, message.Version)
 		}
 	})
 }
@@ -187,7 +187,7 @@
 		world.AddMachine("teller").Start(func(process *sim.Process) {
 			l = &teller{process: process, keeper: New[number, string](roomy)}
 			process.OnMessage(func(from string, _ any) {
-				for _, message := range l.keeper.For(process.Steady(), from) {
+				for _, message := range l.keeper.HintsFor(process.Steady(), from) {
 					l.send(from, message)
 				}
 			})
--- a/coordination/lease/claim.go
+++ b/coordination/lease/claim.go
@@ -7,7 +7,7 @@
 
 // Claims returns the roles that this member should take now. A claim is returned once; it is due again when nothing has
 // come of it within the bound of silence.
-func (d *Decider) Claims(now time.Duration) []Claim {
+func (d *Participant) Claims(now time.Duration) []Claim {
 	if d.leaving || !d.healthy || !slices.Contains(d.voters, d.self.Address) || !d.hearsMajority(now) {
 		return nil
 	}
@@ -24,7 +24,7 @@
 
 // hearsMajority reports whether more than half of the voters, this member included, were heard lately. Before that, every
 // member of a group that starts would take itself for the only one.
-func (d *Decider) hearsMajority(now time.Duration) bool {
+func (d *Participant) hearsMajority(now time.Duration) bool {
 	count := 1
 	for _, address := range d.voters {
 		other := d.peers[address]
@@ -35,7 +35,7 @@
 	return count > len(d.voters)/2
 }
 
-func (d *Decider) due(now time.Duration, known *role) bool {
+func (d *Participant) due(now time.Duration, known *role) bool {
 	if !d.isVacant(now, known) {
 		known.vacant = false
 		return false
@@ -56,7 +56,7 @@
 
 // isVacant reports whether the role needs a new holder: it never had one, its holder gave it up or has started anew, or a
 // majority of the voters has not heard it for the bound of silence.
-func (d *Decider) isVacant(now time.Duration, known *role) bool {
+func (d *Participant) isVacant(now time.Duration, known *role) bool {
 	record := known.record
 	if record.Token == 0 || known.released == record.Token {
 		return true
@@ -78,7 +78,7 @@
 }
 
 // candidates returns the voters that could take the role: live, healthy and not its silent holder.
-func (d *Decider) candidates(now time.Duration, known *role) []string {
+func (d *Participant) candidates(now time.Duration, known *role) []string {
 	var candidates []string
 	for _, address := range d.voters {
 		if address == d.self.Address {
--- a/coordination/lease/decider.go
+++ b/coordination/lease/decider.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Decider is one member's part in all roles. It is not safe for use by several goroutines.
-type Decider struct {
+// Participant is one member's part in all roles. It is not safe for use by several goroutines.
+type Participant struct {
 	self    Member
 	timing  Timing
 	voters  []string // addresses
@@ -43,7 +43,7 @@
 
 // New returns the decider of a member. Fresh tells that the whole group starts for the first time, so that there can be no
 // grants of a former life.
-func New(self Member, keys []string, timing Timing, now time.Duration, fresh bool) *Decider {
+func New(self Member, keys []string, timing Timing, now time.Duration, fresh bool) *Participant {
 	mutedTil := now + timing.Grant
 	if fresh {
 		mutedTil = now
@@ -52,7 +52,7 @@
 	for _, key := range keys {
 		roles[key] = newRole(key, now)
 	}
-	return &Decider{
+	return &Participant{
 		self:   self,
 		timing: timing,
 		voter:  newVoter(timing.Grant, mutedTil),
@@ -72,7 +72,7 @@
 
 // Learn takes the newest state of the register: the addresses of its replicas, which are the voters, and the records. A
 // record older than the known one is passed over.
-func (d *Decider) Learn(now time.Duration, voters []string, records map[string]Record) {
+func (d *Participant) Learn(now time.Duration, voters []string, records map[string]Record) {
 	d.setVoters(now, voters)
 	for key, record := range records {
 		d.voter.saw(key, record.Token)
@@ -82,7 +82,7 @@
 	}
 }
 
-func (d *Decider) setVoters(now time.Duration, voters []string) {
+func (d *Participant) setVoters(now time.Duration, voters []string) {
 	d.voters = slices.Clone(voters)
 	if len(voters) == 0 {
 		return
@@ -94,14 +94,14 @@
 	d.group = group
 }
 
-// SetDoubt tells whether this member's replica has accepted a value with other replicas than the newest one that is known to
+// SetVotersInDoubt tells whether this member's replica has accepted a value with other replicas than the newest one that is known to
 // be chosen. While it has, this member grants nothing: the former voters may have no say any more. It has to be told before
 // each Heartbeat and Receive.
-func (d *Decider) SetDoubt(inDoubt bool) { d.inDoubt = inDoubt }
+func (d *Participant) SetVotersInDoubt(inDoubt bool) { d.inDoubt = inDoubt }
 
-// Synced tells that what was learned comes from a linearizable read of the register that began after the start of this
+// MarkSynced tells that what was learned comes from a linearizable read of the register that began after the start of this
 // member. Before it, this member grants nothing: it has forgotten which tokens it was asked for.
-func (d *Decider) Synced() { d.voter.synced = true }
+func (d *Participant) MarkSynced() { d.voter.synced = true }
 
 func (r *role) change(now time.Duration, record Record) {
 	r.record = record
@@ -114,14 +114,14 @@
 
 // Heartbeat returns the message to be sent to every other member now. Healthy tells that this member hears a majority of
 // the register's replicas.
-func (d *Decider) Heartbeat(now time.Duration, healthy bool) Message {
+func (d *Participant) Heartbeat(now time.Duration, healthy bool) Message {
 	d.healthy = healthy
 	message := Message{From: d.self, Healthy: healthy, Group: d.group}
 	for _, known := range d.sorted() {
 		if known.record.Token == 0 || known.record.Holder != d.self {
 			continue
 		}
-		ask := Ask{Key: known.key, Token: known.record.Token}
+		ask := RoleToken{Key: known.key, Token: known.record.Token}
 		if known.released == ask.Token {
 			message.Released = append(message.Released, ask)
 			d.voter.release(now, ask)
@@ -140,7 +140,7 @@
 }
 
 // Receive answers the heartbeat of another member.
-func (d *Decider) Receive(now time.Duration, message Message) Reply {
+func (d *Participant) Receive(now time.Duration, message Message) Reply {
 	d.hear(now, message.From, message.Healthy)
 	reply := Reply{From: d.self, Healthy: d.healthy}
 	for _, released := range message.Released {
@@ -164,8 +164,8 @@
 	return reply
 }
 
-// Answered takes the reply to a message that was sent at sentAt and came at now.
-func (d *Decider) Answered(sentAt, now time.Duration, reply Reply) {
+// ReceiveReply takes the reply to a message that was sent at sentAt and came at now.
+func (d *Participant) ReceiveReply(sentAt, now time.Duration, reply Reply) {
 	d.hear(now, reply.From, reply.Healthy)
 	for _, granted := range reply.Granted {
 		known, ok := d.roles[granted.Key]
@@ -174,7 +174,7 @@
 		}
 	}
 	for _, known := range d.roles {
-		ask := Ask{Key: known.key, Token: known.record.Token}
+		ask := RoleToken{Key: known.key, Token: known.record.Token}
 		if slices.Contains(reply.Silent, ask) {
 			known.silent[reply.From.Address] = now
 		} else {
@@ -184,7 +184,7 @@
 }
 
 // Holds reports whether this member may act in a role now, and under which token. It must be asked again before each act.
-func (d *Decider) Holds(now time.Duration, key string) (uint64, bool) {
+func (d *Participant) Holds(now time.Duration, key string) (uint64, bool) {
 	known, ok := d.roles[key]
 	if !ok || !d.holds(now, known) {
 		return 0, false
@@ -192,10 +192,10 @@
 	return known.record.Token, true
 }
 
-// Recorded reports whether the register names this member as the holder of a role, and under which token, as far as it knows.
+// RecordedToken reports whether the register names this member as the holder of a role, and under which token, as far as it knows.
 // It does not allow to act: another may have been recorded since, and the grants of a former holder may still run. What is
 // done under the token alone must be of no harm beside the work of another holder.
-func (d *Decider) Recorded(key string) (uint64, bool) {
+func (d *Participant) RecordedToken(key string) (uint64, bool) {
 	known, ok := d.roles[key]
 	if !ok || !d.recorded(known) {
 		return 0, false
@@ -203,8 +203,8 @@
 	return known.record.Token, true
 }
 
-// Release gives up all roles of this member for good; it takes none again. The next heartbeat tells the others.
-func (d *Decider) Release() {
+// ReleaseAll gives up all roles of this member for good; it takes none again. The next heartbeat tells the others.
+func (d *Participant) ReleaseAll() {
 	d.leaving = true
 	for _, known := range d.roles {
 		if known.record.Holder == d.self {
@@ -213,9 +213,9 @@
 	}
 }
 
-// GiveUp gives up one role that this member is recorded for under a token. Any member may take the role anew, this one too, under a
+// ReleaseRole gives up one role that this member is recorded for under a token. Any member may take the role anew, this one too, under a
 // higher token. The next heartbeat tells the others.
-func (d *Decider) GiveUp(key string, token uint64) {
+func (d *Participant) ReleaseRole(key string, token uint64) {
 	known, ok := d.roles[key]
 	if ok && d.recorded(known) && known.record.Token == token {
 		known.released = token
@@ -223,15 +223,15 @@
 }
 
 // Record returns what this member knows of a role.
-func (d *Decider) Record(key string) Record {
+func (d *Participant) Record(key string) Record {
 	if known, ok := d.roles[key]; ok {
 		return known.record
 	}
 	return Record{}
 }
 
-// Live returns the addresses of the members that were heard within the bound of silence, this one included, in order.
-func (d *Decider) Live(now time.Duration) []string {
+// LiveAddresses returns the addresses of the members that were heard within the bound of silence, this one included, in order.
+func (d *Participant) LiveAddresses(now time.Duration) []string {
 	live := []string{d.self.Address}
 	for address, known := range d.peers {
 		if address != d.self.Address && now-known.heardAt < d.timing.Silence {
@@ -244,12 +244,12 @@
 
 // grants answers an ask as a voter. The asker counts this grant among those of the voters that it knows, so these must be the
 // same that this member knows, itself among them.
-func (d *Decider) grants(now time.Duration, group uint64, ask Ask) bool {
+func (d *Participant) grants(now time.Duration, group uint64, ask RoleToken) bool {
 	agreed := group == d.group && !d.inDoubt && slices.Contains(d.voters, d.self.Address)
 	return agreed && d.voter.ask(now, ask)
 }
 
-func (d *Decider) hear(now time.Duration, from Member, healthy bool) {
+func (d *Participant) hear(now time.Duration, from Member, healthy bool) {
 	known := d.peers[from.Address]
 	if known == nil {
 		known = &peer{}
@@ -260,11 +260,11 @@
 	known.heardAt = now
 }
 
-func (d *Decider) recorded(known *role) bool {
+func (d *Participant) recorded(known *role) bool {
 	return known.record.Token != 0 && known.record.Holder == d.self && known.released != known.record.Token
 }
 
-func (d *Decider) holds(now time.Duration, known *role) bool {
+func (d *Participant) holds(now time.Duration, known *role) bool {
 	if !d.recorded(known) {
 		return false
 	}
@@ -273,7 +273,7 @@
 }
 
 // majority reports whether more than half of the voters have an entry that counts.
-func (d *Decider) majority(entries map[string]time.Duration, counts func(time.Duration) bool) bool {
+func (d *Participant) majority(entries map[string]time.Duration, counts func(time.Duration) bool) bool {
 	count := 0
 	for _, address := range d.voters {
 		if at, ok := entries[address]; ok && counts(at) {
@@ -283,21 +283,21 @@
 	return count > len(d.voters)/2
 }
 
-func (d *Decider) silentRoles(now time.Duration) []Ask {
-	var silent []Ask
+func (d *Participant) silentRoles(now time.Duration) []RoleToken {
+	var silent []RoleToken
 	for _, known := range d.sorted() {
 		if d.silentHere(now, known) {
-			silent = append(silent, Ask{Key: known.key, Token: known.record.Token})
+			silent = append(silent, RoleToken{Key: known.key, Token: known.record.Token})
 		}
 	}
 	return silent
 }
 
-func (d *Decider) silentHere(now time.Duration, known *role) bool {
+func (d *Participant) silentHere(now time.Duration, known *role) bool {
 	return now-known.lastSign >= d.timing.Silence
 }
 
-func (d *Decider) sorted() []*role {
+func (d *Participant) sorted() []*role {
 	roles := make([]*role, 0, len(d.roles))
 	for _, known := range d.roles {
 		roles = append(roles, known)
--- a/coordination/lease/decider_test.go
+++ b/coordination/lease/decider_test.go
@@ -17,18 +17,18 @@
 	t        *testing.T
 	now      time.Duration
 	voters   []string
-	deciders map[string]*Decider
+	deciders map[string]*Participant
 	record   Record
 }
 
 func newTable(t *testing.T, addresses ...string) *table {
-	set := &table{t: t, voters: addresses, deciders: make(map[string]*Decider)}
+	set := &table{t: t, voters: addresses, deciders: make(map[string]*Participant)}
 	for _, address := range addresses {
 		set.deciders[address] = New(Member{address, "1"}, []string{key}, timing, 0, true)
 	}
 	set.learn()
 	for _, decider := range set.deciders {
-		decider.Synced()
+		decider.MarkSynced()
 	}
 	return set
 }
@@ -46,7 +46,7 @@
 		message := s.deciders[from].Heartbeat(s.now, true)
 		for _, to := range receivers {
 			if to != from {
-				s.deciders[from].Answered(s.now, s.now, s.deciders[to].Receive(s.now, message))
+				s.deciders[from].ReceiveReply(s.now, s.now, s.deciders[to].Receive(s.now, message))
 			}
 		}
 	}
@@ -138,7 +138,7 @@
 func TestAReleasedRoleIsTakenAtOnce(t *testing.T) {
 	set := newTable(t, "a", "b", "c")
 	holder, others := set.settle()
-	set.deciders[holder].Release()
+	set.deciders[holder].ReleaseAll()
 	require.Empty(t, set.holders())
 	require.Empty(t, set.round([]string{holder}, set.voters), "who leaves takes nothing")
 	claiming := set.round(others, others)
@@ -152,9 +152,9 @@
 	set := newTable(t, "a", "b", "c")
 	holder, _ := set.settle()
 	token := set.record.Token
-	set.deciders[holder].GiveUp(key, token-1)
+	set.deciders[holder].ReleaseRole(key, token-1)
 	require.Equal(t, []string{holder}, set.holders(), "another token")
-	set.deciders[holder].GiveUp(key, token)
+	set.deciders[holder].ReleaseRole(key, token)
 	require.Empty(t, set.holders())
 	claiming := set.round(set.voters, set.voters)
 	require.NotEmpty(t, claiming)
@@ -170,7 +170,7 @@
 	holder, _ := set.settle()
 	set.deciders[holder] = New(Member{holder, "2"}, []string{key}, timing, set.now, false)
 	set.learn()
-	set.deciders[holder].Synced()
+	set.deciders[holder].MarkSynced()
 	claiming := set.round(set.voters, set.voters)
 	require.NotEmpty(t, claiming)
 	set.take(claiming[0])
@@ -185,14 +185,14 @@
 	set := newTable(t, "a", "b", "c")
 	holder, others := set.settle()
 	set.now += timing.Grant
-	token, recorded := set.deciders[holder].Recorded(key)
+	token, recorded := set.deciders[holder].RecordedToken(key)
 	require.True(t, recorded, "its grants have run out, its record stands")
 	require.Equal(t, uint64(1), token)
 	set.take(others[0])
-	_, recorded = set.deciders[holder].Recorded(key)
+	_, recorded = set.deciders[holder].RecordedToken(key)
 	require.False(t, recorded)
-	set.deciders[others[0]].Release()
-	_, recorded = set.deciders[others[0]].Recorded(key)
+	set.deciders[others[0]].ReleaseAll()
+	_, recorded = set.deciders[others[0]].RecordedToken(key)
 	require.False(t, recorded, "it was given up")
 }
 
@@ -206,27 +206,27 @@
 
 func TestAVoterThatStartedAnewGrantsNothingYet(t *testing.T) {
 	restarted := newVoter(timing.Grant, timing.Grant)
-	require.False(t, restarted.ask(timing.Grant, Ask{key, 7}), "not read from the register")
+	require.False(t, restarted.ask(timing.Grant, RoleToken{key, 7}), "not read from the register")
 	restarted.synced = true
-	require.False(t, restarted.ask(timing.Grant-1, Ask{key, 7}))
-	require.True(t, restarted.ask(timing.Grant, Ask{key, 7}))
+	require.False(t, restarted.ask(timing.Grant-1, RoleToken{key, 7}))
+	require.True(t, restarted.ask(timing.Grant, RoleToken{key, 7}))
 	restarted.saw(key, 8)
-	require.False(t, restarted.ask(timing.Grant, Ask{key, 7}))
+	require.False(t, restarted.ask(timing.Grant, RoleToken{key, 7}))
 }
 
 func TestAVoterGrantsOneTokenAtATime(t *testing.T) {
 	member := newVoter(timing.Grant, 0)
 	member.synced = true
-	require.True(t, member.ask(0, Ask{key, 1}))
-	require.True(t, member.ask(100, Ask{key, 1}))
-	require.False(t, member.ask(200, Ask{key, 2}), "granted to 1")
-	require.False(t, member.ask(300, Ask{key, 1}), "2 was asked for: 1 is not renewed")
-	require.True(t, member.ask(100+timing.Grant, Ask{key, 2}))
-	require.False(t, member.ask(100+timing.Grant, Ask{key, 1}))
-	member.release(200+timing.Grant, Ask{key, 1})
-	require.False(t, member.ask(200+timing.Grant, Ask{key, 3}), "a late release of 1 does not end the grant of 2")
-	member.release(200+timing.Grant, Ask{key, 2})
-	require.True(t, member.ask(200+timing.Grant, Ask{key, 3}))
+	require.True(t, member.ask(0, RoleToken{key, 1}))
+	require.True(t, member.ask(100, RoleToken{key, 1}))
+	require.False(t, member.ask(200, RoleToken{key, 2}), "granted to 1")
+	require.False(t, member.ask(300, RoleToken{key, 1}), "2 was asked for: 1 is not renewed")
+	require.True(t, member.ask(100+timing.Grant, RoleToken{key, 2}))
+	require.False(t, member.ask(100+timing.Grant, RoleToken{key, 1}))
+	member.release(200+timing.Grant, RoleToken{key, 1})
+	require.False(t, member.ask(200+timing.Grant, RoleToken{key, 3}), "a late release of 1 does not end the grant of 2")
+	member.release(200+timing.Grant, RoleToken{key, 2})
+	require.True(t, member.ask(200+timing.Grant, RoleToken{key, 3}))
 }
 
 func TestOwnerMovesOnlyTheKeysOfTheMemberThatLeft(t *testing.T) {
@@ -250,12 +250,12 @@
 // nothing.
 func TestARestartedMemberGrantsOnlyAfterTheGrantsOfItsFormerLife(t *testing.T) {
 	asker, voters := Member{Address: "a", Life: "1"}, []string{"a", "b", "c"}
-	ask := Message{From: asker, Healthy: true, Group: groupOf(voters), Asks: []Ask{{Key: key, Token: 3}}}
+	ask := Message{From: asker, Healthy: true, Group: groupOf(voters), Asks: []RoleToken{{Key: key, Token: 3}}}
 	for _, fresh := range []bool{false, true} {
 		const started = 100 * time.Second
 		voter := New(Member{Address: "b", Life: "2"}, []string{key}, timing, started, fresh)
 		voter.Learn(started, voters, map[string]Record{key: {Holder: asker, Token: 3}})
-		voter.Synced()
+		voter.MarkSynced()
 		require.Equal(t, fresh, len(voter.Receive(started, ask).Granted) == 1)
 		require.Equal(t, fresh, len(voter.Receive(started+timing.Grant-1, ask).Granted) == 1)
 		require.Len(t, voter.Receive(started+timing.Grant, ask).Granted, 1)
@@ -267,10 +267,10 @@
 	self, voters := Member{Address: "a", Life: "1"}, []string{"a", "b", "c"}
 	holder := New(self, []string{key}, timing, 0, true)
 	holder.Learn(0, voters, map[string]Record{key: {Holder: self, Token: 1}})
-	holder.Synced()
+	holder.MarkSynced()
 	const sent, slow = 100 * time.Millisecond, 400 * time.Millisecond
-	holder.Answered(sent, sent+slow, Reply{From: Member{Address: "b", Life: "1"}, Granted: []Ask{{Key: key, Token: 1}}})
-	holder.Answered(sent, sent+slow, Reply{From: Member{Address: "c", Life: "1"}, Granted: []Ask{{Key: key, Token: 1}}})
+	holder.ReceiveReply(sent, sent+slow, Reply{From: Member{Address: "b", Life: "1"}, Granted: []RoleToken{{Key: key, Token: 1}}})
+	holder.ReceiveReply(sent, sent+slow, Reply{From: Member{Address: "c", Life: "1"}, Granted: []RoleToken{{Key: key, Token: 1}}})
 	ends := sent + timing.Grant - timing.Margin
 	_, held := holder.Holds(ends-1, key)
 	require.True(t, held)
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -31,8 +31,8 @@
 	Token  uint64
 }
 
-// Ask names a role under a token.
-type Ask struct {
+// RoleToken names a role under a token.
+type RoleToken struct {
 	Key   string
 	Token uint64
 }
@@ -43,20 +43,20 @@
 	Healthy bool   // the sender hears a majority of the register's replicas
 	Group   uint64 // names the voters that the sender knows
 	// Asks are the roles that the register records for the sender: it asks the receiver for its grant.
-	Asks []Ask
+	Asks []RoleToken
 	// Holding are those of the asks for which the sender has the grants of a majority.
-	Holding []Ask
+	Holding []RoleToken
 	// Released are roles that the sender has given up for good.
-	Released []Ask
+	Released []RoleToken
 }
 
 // Reply answers a Message.
 type Reply struct {
 	From    Member
 	Healthy bool
-	Granted []Ask
+	Granted []RoleToken
 	// Silent are the roles whose recorded holder has not been heard for the bound of silence.
-	Silent []Ask
+	Silent []RoleToken
 }
 
 // Claim is a role to be taken by a write of the register, if its token is still Previous.
--- a/coordination/lease/simulation_test.go
+++ b/coordination/lease/simulation_test.go
@@ -32,7 +32,7 @@
 
 // simulated is one member. Its steady clock has a reading of its own.
 type simulated struct {
-	decider *Decider
+	decider *Participant
 	life    int
 	offset  time.Duration
 	thawsAt time.Duration
@@ -71,7 +71,7 @@
 	self := Member{Address: address, Life: fmt.Sprint(member.life)}
 	member.decider = New(self, []string{key}, timing, s.now+member.offset, fresh)
 	s.learn(address, s.record)
-	member.decider.Synced()
+	member.decider.MarkSynced()
 }
 
 func (s *simulation) learn(address string, record Record) {
@@ -109,7 +109,7 @@
 		s.send(address, other, func(receiver *simulated) {
 			reply := receiver.decider.Receive(s.now+receiver.offset, message)
 			s.send(other, address, func(sender *simulated) {
-				sender.decider.Answered(sentAt, s.now+sender.offset, reply)
+				sender.decider.ReceiveReply(sentAt, s.now+sender.offset, reply)
 			})
 		})
 	}
@@ -146,7 +146,7 @@
 	case 2:
 		s.start(address, false)
 	case 3:
-		member.decider.Release()
+		member.decider.ReleaseAll()
 	case 4:
 		s.mute[[2]string{address, s.voters[s.draw(0, len(s.voters)-1)]}] = s.now + 2*time.Second
 	case 5:
--- a/coordination/lease/voter.go
+++ b/coordination/lease/voter.go
@@ -24,7 +24,7 @@
 }
 
 // ask reports whether the role is granted for the voter's span from now on.
-func (v *voter) ask(now time.Duration, ask Ask) bool {
+func (v *voter) ask(now time.Duration, ask RoleToken) bool {
 	current := v.grants[ask.Key]
 	if ask.Token < current.highest {
 		return false
@@ -53,7 +53,7 @@
 }
 
 // release ends the grant of the role, if it was given under the token.
-func (v *voter) release(now time.Duration, released Ask) {
+func (v *voter) release(now time.Duration, released RoleToken) {
 	current := v.grants[released.Key]
 	if current.token != released.Token || now >= current.until {
 		return
--- a/coordination/lease/voters_test.go
+++ b/coordination/lease/voters_test.go
@@ -8,7 +8,7 @@
 )
 
 // ask has the holder ask a voter for its grant.
-func (s *table) ask(holder, voter string) []Ask {
+func (s *table) ask(holder, voter string) []RoleToken {
 	return s.deciders[voter].Receive(s.now, s.deciders[holder].Heartbeat(s.now, true)).Granted
 }
 
@@ -39,11 +39,11 @@
 func TestAVoterInDoubtAboutTheVotersGrantsNothing(t *testing.T) {
 	set := newTable(t, "a", "b", "c")
 	holder, others := set.settle()
-	set.deciders[others[0]].SetDoubt(true)
+	set.deciders[others[0]].SetVotersInDoubt(true)
 	require.Empty(t, set.ask(holder, others[0]))
-	set.deciders[others[0]].SetDoubt(false)
+	set.deciders[others[0]].SetVotersInDoubt(false)
 	require.Len(t, set.ask(holder, others[0]), 1)
-	set.deciders[holder].SetDoubt(true)
+	set.deciders[holder].SetVotersInDoubt(true)
 	set.now += timing.Grant
 	require.Empty(t, set.ask(others[0], holder))
 	set.deciders[holder].Heartbeat(set.now, true)
@@ -77,10 +77,10 @@
 	successor := Member{Address: "e", Life: "1"}
 	former, next := []string{"a", "b", "c"}, []string{"c", "d", "e"}
 	records := map[string]Record{key: {Holder: successor, Token: 4}}
-	ask := Message{From: successor, Healthy: true, Group: groupOf(next), Asks: []Ask{{Key: key, Token: 4}}}
+	ask := Message{From: successor, Healthy: true, Group: groupOf(next), Asks: []RoleToken{{Key: key, Token: 4}}}
 	const changed = time.Minute // long after its start
 	voter := New(Member{Address: "d", Life: "1"}, []string{key}, timing, 0, false)
-	voter.Synced()
+	voter.MarkSynced()
 	voter.Learn(time.Second, former, map[string]Record{key: {Holder: Member{Address: "a", Life: "1"}, Token: 3}})
 	voter.Learn(changed, next, records)
 	require.Empty(t, voter.Receive(changed, ask).Granted)
--- a/coordination/membership/detector.go
+++ b/coordination/membership/detector.go
@@ -72,8 +72,8 @@
 	return &Detector{options: options, records: map[string]*record{}}
 }
 
-// Living returns the other members that are thought to be alive, in order of their names. The result must not be changed.
-func (d *Detector) Living() []Member {
+// LiveMembers returns the other members that are thought to be alive, in order of their names. The result must not be changed.
+func (d *Detector) LiveMembers() []Member {
 	d.refresh()
 	return d.living
 }
@@ -90,8 +90,8 @@
 	return record.Notice, true
 }
 
-// Learn adds members that were told of from outside. What is known of a member is not overridden.
-func (d *Detector) Learn(now time.Time, members []Member) {
+// AddMembers adds members that were told of from outside. What is known of a member is not overridden.
+func (d *Detector) AddMembers(now time.Time, members []Member) {
 	for _, member := range members {
 		if _, known := d.records[member.Name]; !known && member.Name != d.options.Self.Name {
 			d.put(now, Notice{Member: member})
--- a/coordination/membership/detector_test.go
+++ b/coordination/membership/detector_test.go
@@ -132,7 +132,7 @@
 		s.run(rapid.IntRange(0, 2*noticeIntervals).Draw(t, "down"), nil)
 		node.down = false
 		node.detector = NewDetector(Options{Self: node.member, Interval: interval})
-		node.detector.Learn(s.now, []Member{s.nodes[1].member})
+		node.detector.AddMembers(s.now, []Member{s.nodes[1].member})
 		s.run(joinIntervals, nil)
 		s.requireAgreement(t, "after its restart")
 	})
@@ -167,7 +167,7 @@
 	now := time.Now()
 	detector := NewDetector(Options{Self: Member{Name: "frontend-hall-offset-1", Address: "10.101.102.103:17720"}})
 	for _, name := range namesOf(200) {
-		detector.Learn(now, []Member{{Name: name + "-of-a-long-name", Address: "10.101.102.103:17720"}})
+		detector.AddMembers(now, []Member{{Name: name + "-of-a-long-name", Address: "10.101.102.103:17720"}})
 	}
 	for _, envelope := range detector.Tick(now) {
 		body, err := encode(&envelope.Message)
--- a/coordination/membership/node.go
+++ b/coordination/membership/node.go
@@ -51,18 +51,18 @@
 	}
 }
 
-// Learn adds members that were told of from outside.
-func (n *Node) Learn(members []Member) {
+// AddMembers adds members that were told of from outside.
+func (n *Node) AddMembers(members []Member) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.detector.Learn(time.Now(), members)
+	n.detector.AddMembers(time.Now(), members)
 }
 
-// Living returns the other members that are thought to be alive, in order of their names. The result must not be changed.
-func (n *Node) Living() []Member {
+// LiveMembers returns the other members that are thought to be alive, in order of their names. The result must not be changed.
+func (n *Node) LiveMembers() []Member {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.detector.Living()
+	return n.detector.LiveMembers()
 }
 
 func (n *Node) tick() {
--- a/coordination/membership/node_test.go
+++ b/coordination/membership/node_test.go
@@ -24,13 +24,13 @@
 	first, firstSelf := startNode(t, "first")
 	second, secondSelf := startNode(t, "second")
 	buffer := make([]byte, maxDatagram)
-	first.Learn([]Member{secondSelf})
+	first.AddMembers([]Member{secondSelf})
 	first.tick()
 	require.NoError(t, second.receiveOne(buffer)) // the heartbeat
 	require.NoError(t, second.receiveOne(buffer)) // the question
 	require.NoError(t, first.receiveOne(buffer))  // the answer
-	require.Equal(t, []Member{secondSelf}, first.Living())
-	require.Equal(t, []Member{firstSelf}, second.Living())
+	require.Equal(t, []Member{secondSelf}, first.LiveMembers())
+	require.Equal(t, []Member{firstSelf}, second.LiveMembers())
 }
 
 func TestANodePassesDamageOver(t *testing.T) {
@@ -42,10 +42,10 @@
 	require.NoError(t, err)
 	buffer := make([]byte, maxDatagram)
 	require.Error(t, first.receiveOne(buffer))
-	second.Learn([]Member{firstSelf})
+	second.AddMembers([]Member{firstSelf})
 	second.tick()
 	require.NoError(t, first.receiveOne(buffer))
-	require.Equal(t, []Member{secondSelf}, first.Living())
+	require.Equal(t, []Member{secondSelf}, first.LiveMembers())
 }
 
 func TestANodeEndsWithItsContext(t *testing.T) {
--- a/coordination/membership/simulation_test.go
+++ b/coordination/membership/simulation_test.go
@@ -53,7 +53,7 @@
 	}
 	// Each knows its neighbour only; the rest travels with the heartbeats.
 	for i, node := range s.nodes {
-		node.detector.Learn(s.now, []Member{s.nodes[(i+1)%fleet].member})
+		node.detector.AddMembers(s.now, []Member{s.nodes[(i+1)%fleet].member})
 	}
 	return s
 }
@@ -142,7 +142,7 @@
 			continue
 		}
 		living := map[string]bool{}
-		for _, member := range node.detector.Living() {
+		for _, member := range node.detector.LiveMembers() {
 			living[member.Name] = true
 		}
 		for _, other := range s.nodes {
--- a/coordination/systemtest/controller_test.go
+++ b/coordination/systemtest/controller_test.go
@@ -84,7 +84,7 @@
 	site     *site
 	node     *node
 	self     lease.Member
-	decider  *lease.Decider
+	decider  *lease.Participant
 	hub      *watch.Hub
 	list     listMessage
 	readings int
@@ -121,7 +121,7 @@
 	case register.Request:
 		c.node.serve(request, func(reply register.Reply) { answer(reply) })
 	case heartbeat:
-		c.decider.SetDoubt(c.node.setInDoubt())
+		c.decider.SetVotersInDoubt(c.node.setInDoubt())
 		reply := c.decider.Receive(c.process.Steady(), request.Lease)
 		c.hear(request.Revision, request.List)
 		answer(heartbeatReply{Lease: reply, Revision: c.node.chosen.Value.Revision, List: c.list})
@@ -194,7 +194,7 @@
 		c.node.read(claimBudget, func(_ register.Accepted, err error) {
 			if err == nil {
 				c.synced = true
-				c.decider.Synced()
+				c.decider.MarkSynced()
 			}
 		})
 	}
@@ -209,7 +209,7 @@
 func (c *controller) beat() {
 	now := c.process.Steady()
 	inTouch := c.node.quorumAge() <= watch.DefaultMaxQuorumAge
-	c.decider.SetDoubt(c.node.setInDoubt())
+	c.decider.SetVotersInDoubt(c.node.setInDoubt())
 	message := heartbeat{Lease: c.decider.Heartbeat(now, inTouch), Revision: c.node.chosen.Value.Revision, List: c.list}
 	for _, address := range c.others() {
 		if c.beating[address] {
@@ -220,7 +220,7 @@
 			c.beating[address] = false
 			if err == nil {
 				reply := answer.(heartbeatReply)
-				c.decider.Answered(now, c.process.Steady(), reply.Lease)
+				c.decider.ReceiveReply(now, c.process.Steady(), reply.Lease)
 				c.hear(reply.Revision, reply.List)
 			}
 		})
--- a/coordination/systemtest/frontend_test.go
+++ b/coordination/systemtest/frontend_test.go
@@ -29,7 +29,7 @@
 		f.send(f.detector.Receive(process.SteadyTime(), message.(membership.Message)))
 	})
 	// Each is told of one other; the rest travels with the heartbeats.
-	f.detector.Learn(process.SteadyTime(), []membership.Member{memberOf(site.neighbour(process.Name()))})
+	f.detector.AddMembers(process.SteadyTime(), []membership.Member{memberOf(site.neighbour(process.Name()))})
 	process.Every(memberInterval, func() { f.send(f.detector.Tick(process.SteadyTime())) })
 	f.poll()
 	return f
--- a/coordination/systemtest/site_test.go
+++ b/coordination/systemtest/site_test.go
@@ -242,7 +242,7 @@
 				n.known().Ballot, n.quorumAge())
 		}
 		if machine.Up() && !seat.core {
-			living := lo.Map(seat.frontend.detector.Living(), func(m member, _ int) string { return m.Name })
+			living := lo.Map(seat.frontend.detector.LiveMembers(), func(m member, _ int) string { return m.Name })
 			fmt.Fprintf(&text, ", revision %d, living %v", seat.frontend.revision(), living)
 		}
 		text.WriteString("\n")
--- a/coordination/systemtest/system_test.go
+++ b/coordination/systemtest/system_test.go
@@ -68,7 +68,7 @@
 // agreed reports whether the frontends know of each other.
 func (s *site) agreed() bool {
 	return lo.EveryBy(s.frontends(), func(seat *seat) bool {
-		return len(seat.frontend.detector.Living()) == len(s.frontends())-1
+		return len(seat.frontend.detector.LiveMembers()) == len(s.frontends())-1
 	})
 }
 
--- a/internal/controller/firstlist_test.go
+++ b/internal/controller/firstlist_test.go
@@ -24,7 +24,7 @@
 }
 
 func (c *controller) learnReader(holder lease.Member, token uint64) {
-	c.leases.with(func(decider *lease.Decider, now time.Duration) {
+	c.leases.with(func(decider *lease.Participant, now time.Duration) {
 		voters := []string{c.self.Address, "127.0.0.3:7000", "127.0.0.4:7000"}
 		decider.Learn(now, voters, map[string]lease.Record{roleReader: {Holder: holder, Token: token}})
 	})
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -51,9 +51,9 @@
 func (c *controller) sendHeartbeats(ctx context.Context, everyone bool) *sync.WaitGroup {
 	var message heartbeat
 	var sentAt time.Duration
-	c.leases.with(func(decider *lease.Decider, now time.Duration) {
+	c.leases.with(func(decider *lease.Participant, now time.Duration) {
 		sentAt = now
-		decider.SetDoubt(c.node.ReplicaSetInDoubt())
+		decider.SetVotersInDoubt(c.node.ReplicaSetInDoubt())
 		message.Lease = decider.Heartbeat(now, inTouch(c.node))
 	})
 	message.Gossip = c.gossip()
@@ -76,7 +76,7 @@
 	if err != nil {
 		return
 	}
-	c.leases.with(func(decider *lease.Decider, now time.Duration) { decider.Answered(sentAt, now, reply.Lease) })
+	c.leases.with(func(decider *lease.Participant, now time.Duration) { decider.ReceiveReply(sentAt, now, reply.Lease) })
 	if len(reply.Lease.Granted) > 0 {
 		c.poller.Wake()
 	}
@@ -85,8 +85,8 @@
 
 func (c *controller) serveHeartbeat(_ context.Context, message heartbeat) (heartbeatReply, error) {
 	var reply heartbeatReply
-	c.leases.with(func(decider *lease.Decider, now time.Duration) {
-		decider.SetDoubt(c.node.ReplicaSetInDoubt())
+	c.leases.with(func(decider *lease.Participant, now time.Duration) {
+		decider.SetVotersInDoubt(c.node.ReplicaSetInDoubt())
 		reply.Lease = decider.Receive(now, message.Lease)
 	})
 	c.hear(message.Lease.From.Address, message.Gossip)
@@ -142,7 +142,7 @@
 // takeRoles writes the claims that are due to the register.
 func (c *controller) takeRoles(ctx context.Context) {
 	var claims []lease.Claim
-	c.leases.with(func(decider *lease.Decider, now time.Duration) { claims = decider.Claims(now) })
+	c.leases.with(func(decider *lease.Participant, now time.Duration) { claims = decider.Claims(now) })
 	for _, claim := range claims {
 		go c.takeRole(ctx, claim)
 	}
--- a/internal/controller/hints.go
+++ b/internal/controller/hints.go
@@ -19,7 +19,7 @@
 	started time.Time
 
 	mutex  sync.Mutex
-	keeper *handoff.Keeper[fleetwire.ListVersion, struct{}]
+	keeper *handoff.Store[fleetwire.ListVersion, struct{}]
 }
 
 func newHints() *hints {
@@ -30,15 +30,15 @@
 func (h *hints) missed(address string, version fleetwire.ListVersion) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.keeper.Keep(time.Since(h.started), address, handoff.Hint[fleetwire.ListVersion, struct{}]{Key: listKey, Version: version})
+	h.keeper.Add(time.Since(h.started), address, handoff.Hint[fleetwire.ListVersion, struct{}]{Key: listKey, Version: version})
 }
 
 // take reports whether a controller that is back, and tells which list it holds, has missed a newer one.
 func (h *hints) take(address string, holds fleetwire.ListVersion) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.keeper.Holds(address, listKey, holds)
-	missed := len(h.keeper.For(time.Since(h.started), address)) > 0
-	h.keeper.Forget(address) // if it is missed again, there will be another hint
+	h.keeper.MarkDelivered(address, listKey, holds)
+	missed := len(h.keeper.HintsFor(time.Since(h.started), address)) > 0
+	h.keeper.RemovePeer(address) // if it is missed again, there will be another hint
 	return missed
 }
--- a/internal/controller/leases.go
+++ b/internal/controller/leases.go
@@ -21,7 +21,7 @@
 	started time.Time
 
 	mutex   sync.Mutex
-	decider *lease.Decider
+	decider *lease.Participant
 }
 
 func newLeases(self lease.Member, fresh bool) *leases {
@@ -32,27 +32,27 @@
 // now is the steady time since the start.
 func (l *leases) now() time.Duration { return time.Since(l.started) }
 
-func (l *leases) with(act func(decider *lease.Decider, now time.Duration)) {
+func (l *leases) with(act func(decider *lease.Participant, now time.Duration)) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	act(l.decider, l.now())
 }
 
 func (l *leases) holds(key string) (token uint64, held bool) {
-	l.with(func(decider *lease.Decider, now time.Duration) { token, held = decider.Holds(now, key) })
+	l.with(func(decider *lease.Participant, now time.Duration) { token, held = decider.Holds(now, key) })
 	return token, held
 }
 
 func (l *leases) recorded(key string) (token uint64, is bool) {
-	l.with(func(decider *lease.Decider, _ time.Duration) { token, is = decider.Recorded(key) })
+	l.with(func(decider *lease.Participant, _ time.Duration) { token, is = decider.RecordedToken(key) })
 	return token, is
 }
 
 func (l *leases) giveUp(key string, token uint64) {
-	l.with(func(decider *lease.Decider, _ time.Duration) { decider.GiveUp(key, token) })
+	l.with(func(decider *lease.Participant, _ time.Duration) { decider.ReleaseRole(key, token) })
 }
 
 func (l *leases) live() (live []string) {
-	l.with(func(decider *lease.Decider, now time.Duration) { live = decider.Live(now) })
+	l.with(func(decider *lease.Participant, now time.Duration) { live = decider.LiveAddresses(now) })
 	return live
 }
--- a/internal/controller/publish.go
+++ b/internal/controller/publish.go
@@ -38,7 +38,7 @@
 		cancel()
 		if err == nil {
 			c.publish(state)
-			c.leases.with(func(decider *lease.Decider, _ time.Duration) { decider.Synced() })
+			c.leases.with(func(decider *lease.Participant, _ time.Duration) { decider.MarkSynced() })
 			c.synced.Store(true)
 			return
 		}
@@ -63,7 +63,7 @@
 		c.log.Error("the register's state could not be read", zap.String("cause", err.Error()))
 		return
 	}
-	c.leases.with(func(decider *lease.Decider, now time.Duration) { decider.Learn(now, replicas, state.Roles) })
+	c.leases.with(func(decider *lease.Participant, now time.Duration) { decider.Learn(now, replicas, state.Roles) })
 	c.publishConfig(state)
 	c.hurry()
 }
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -102,7 +102,7 @@
 // leave gives up the roles, tells the other controllers, ends the polls of the watchers, and takes the replica out of the
 // register's set if enough others stay.
 func (c *controller) leave() {
-	c.leases.with(func(decider *lease.Decider, _ time.Duration) { decider.Release() })
+	c.leases.with(func(decider *lease.Participant, _ time.Duration) { decider.ReleaseAll() })
 	c.hub.Close()
 	ctx, cancel := context.WithTimeout(c.ctx, releaseTimeout)
 	defer cancel()
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -36,7 +36,7 @@
 
 func (c *controller) heldRoles() []string {
 	var held []string
-	c.leases.with(func(decider *lease.Decider, now time.Duration) {
+	c.leases.with(func(decider *lease.Participant, now time.Duration) {
 		for _, key := range roles {
 			if _, ok := decider.Holds(now, key); ok {
 				held = append(held, key)
