--- a/coordination/lease/decider.go
+++ b/coordination/lease/decider.go
@@ -164,8 +164,8 @@
 	return reply
 }
 
-// ReceiveReply takes the reply to a message that was sent at sentAt and came at now.
-func (d *Participant) ReceiveReply(sentAt, now time.Duration, reply Reply) {
+// HandleReply takes the reply to a message that was sent at sentAt and came at now.
+func (d *Participant) HandleReply(sentAt, now time.Duration, reply Reply) {
 	d.hear(now, reply.From, reply.Healthy)
 	for _, granted := range reply.Granted {
 		known, ok := d.roles[granted.Key]
--- a/coordination/lease/decider_test.go
+++ b/coordination/lease/decider_test.go
@@ -46,7 +46,7 @@
 		message := s.deciders[from].Heartbeat(s.now, true)
 		for _, to := range receivers {
 			if to != from {
-				s.deciders[from].ReceiveReply(s.now, s.now, s.deciders[to].Receive(s.now, message))
+				s.deciders[from].HandleReply(s.now, s.now, s.deciders[to].Receive(s.now, message))
 			}
 		}
 	}
@@ -269,8 +269,8 @@
 	holder.Learn(0, voters, map[string]Record{key: {Holder: self, Token: 1}})
 	holder.MarkSynced()
 	const sent, slow = 100 * time.Millisecond, 400 * time.Millisecond
-	holder.ReceiveReply(sent, sent+slow, Reply{From: Member{Address: "b", Life: "1"}, Granted: []RoleToken{{Key: key, Token: 1}}})
-	holder.ReceiveReply(sent, sent+slow, Reply{From: Member{Address: "c", Life: "1"}, Granted: []RoleToken{{Key: key, Token: 1}}})
+	holder.HandleReply(sent, sent+slow, Reply{From: Member{Address: "b", Life: "1"}, Granted: []RoleToken{{Key: key, Token: 1}}})
+	holder.HandleReply(sent, sent+slow, Reply{From: Member{Address: "c", Life: "1"}, Granted: []RoleToken{{Key: key, Token: 1}}})
 	ends := sent + timing.Grant - timing.Margin
 	_, held := holder.Holds(ends-1, key)
 	require.True(t, held)
--- a/coordination/lease/simulation_test.go
+++ b/coordination/lease/simulation_test.go
@@ -109,7 +109,7 @@
 		s.send(address, other, func(receiver *simulated) {
 			reply := receiver.decider.Receive(s.now+receiver.offset, message)
 			s.send(other, address, func(sender *simulated) {
-				sender.decider.ReceiveReply(sentAt, s.now+sender.offset, reply)
+				sender.decider.HandleReply(sentAt, s.now+sender.offset, reply)
 			})
 		})
 	}
--- a/coordination/systemtest/controller_test.go
+++ b/coordination/systemtest/controller_test.go
@@ -220,7 +220,7 @@
 			c.beating[address] = false
 			if err == nil {
 				reply := answer.(heartbeatReply)
-				c.decider.ReceiveReply(now, c.process.Steady(), reply.Lease)
+				c.decider.HandleReply(now, c.process.Steady(), reply.Lease)
 				c.hear(reply.Revision, reply.List)
 			}
 		})
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return
 	}
-	c.leases.with(func(decider *lease.Participant, now time.Duration) { decider.ReceiveReply(sentAt, now, reply.Lease) })
+	c.leases.with(func(decider *lease.Participant, now time.Duration) { decider.HandleReply(sentAt, now, reply.Lease) })
 	if len(reply.Lease.Granted) > 0 {
 		c.poller.Wake()
 	}
