--- a/coordination/lease/claim.go
+++ b/coordination/lease/claim.go
@@ -5,91 +5,94 @@
 	"time"
 )
 
-// Claims returns the roles that this member should take now. A claim is returned once; it is due again when nothing has
-// come of it within the bound of silence.
-func (d *Participant) Claims(now time.Duration) []Claim {
-	if d.leaving || !d.healthy || !slices.Contains(d.voters, d.self.Address) || !d.hearsMajority(now) {
+// Claims returns the roles that this member should claim now. Each claim is returned once, and again if the role is still
+// vacant after the silence timeout.
+func (p *Participant) Claims(now time.Duration) []Claim {
+	if p.leaving || !p.healthy || !slices.Contains(p.voters, p.self.Address) || !p.majorityIsLive(now) {
 		return nil
 	}
 	var claims []Claim
-	for _, known := range d.sorted() {
-		if d.due(now, known) {
-			known.claimed = true
-			known.claimedAt = now
-			claims = append(claims, Claim{Key: known.key, Previous: known.record.Token})
+	for _, role := range p.sortedRoles() {
+		if p.claimIsDue(now, role) {
+			role.claimed = true
+			role.claimedAt = now
+			claims = append(claims, Claim{Key: role.key, Previous: role.record.Token})
 		}
 	}
 	return claims
 }
 
-// hearsMajority reports whether more than half of the voters, this member included, were heard lately. Before that, every
-// member of a group that starts would take itself for the only one.
-func (d *Participant) hearsMajority(now time.Duration) bool {
+// majorityIsLive reports whether messages of more than half of the voters, this member included, arrived within the silence
+// timeout. Without this condition every member of a starting group would consider itself the only candidate.
+func (p *Participant) majorityIsLive(now time.Duration) bool {
 	count := 1
-	for _, address := range d.voters {
-		other := d.peers[address]
-		if address != d.self.Address && other != nil && now-other.heardAt < d.timing.Silence {
+	for _, address := range p.voters {
+		other := p.peers[address]
+		if address != p.self.Address && other != nil && now-other.lastSeenAt < p.timing.SilenceTimeout {
 			count++
 		}
 	}
-	return count > len(d.voters)/2
+	return count > len(p.voters)/2
 }
 
-func (d *Participant) due(now time.Duration, known *role) bool {
-	if !d.isVacant(now, known) {
-		known.vacant = false
+// claimIsDue reports whether this member should claim a role now. It also updates since when the role is vacant.
+func (p *Participant) claimIsDue(now time.Duration, role *roleState) bool {
+	if !p.isVacant(now, role) {
+		role.vacant = false
 		return false
 	}
-	if !known.vacant {
-		known.vacant = true
-		known.vacantAt = now
+	if !role.vacant {
+		role.vacant = true
+		role.vacantSince = now
 	}
-	if known.claimed && now-known.claimedAt < d.timing.Silence {
+	if role.claimed && now-role.claimedAt < p.timing.SilenceTimeout {
 		return false
 	}
-	if Owner(known.key, d.candidates(now, known)) == d.self.Address {
+	if Owner(role.key, p.candidates(now, role)) == p.self.Address {
 		return true
 	}
-	// The owner did not take the role in time: it may see another group than this member does.
-	return now-known.vacantAt >= 2*d.timing.Silence
+	// The owner did not take the role in time. It may see a different set of live members.
+	return now-role.vacantSince >= 2*p.timing.SilenceTimeout
 }
 
-// isVacant reports whether the role needs a new holder: it never had one, its holder gave it up or has started anew, or a
-// majority of the voters has not heard it for the bound of silence.
-func (d *Participant) isVacant(now time.Duration, known *role) bool {
-	record := known.record
-	if record.Token == 0 || known.released == record.Token {
+// isVacant reports whether the role needs a new holder: it never had one, its holder released it or was restarted, or a
+// majority of the voters report that the holder has been silent for the silence timeout.
+func (p *Participant) isVacant(now time.Duration, role *roleState) bool {
+	record := role.record
+	if record.Token == 0 || role.releasedToken == record.Token {
 		return true
 	}
-	if record.Holder == d.self {
+	if record.Holder == p.self {
 		return false
 	}
-	if record.Holder.Address == d.self.Address {
+	if record.Holder.Address == p.self.Address {
 		return true
 	}
-	if holder := d.peers[record.Holder.Address]; holder != nil && holder.life != record.Holder.Life {
+	if holder := p.peers[record.Holder.Address]; holder != nil && holder.life != record.Holder.Life {
 		return true
 	}
-	if !d.silentHere(now, known) {
+	if !p.holderIsSilent(now, role) {
 		return false
 	}
-	known.silent[d.self.Address] = now
-	return d.majority(known.silent, func(saidAt time.Duration) bool { return now-saidAt < d.timing.Silence })
+	role.silenceReports[p.self.Address] = now
+	return p.hasMajority(role.silenceReports, func(reportedAt time.Duration) bool {
+		return now-reportedAt < p.timing.SilenceTimeout
+	})
 }
 
-// candidates returns the voters that could take the role: live, healthy and not its silent holder.
-func (d *Participant) candidates(now time.Duration, known *role) []string {
+// candidates returns the voters that could take the role: those that are live and healthy, without its silent holder.
+func (p *Participant) candidates(now time.Duration, role *roleState) []string {
 	var candidates []string
-	for _, address := range d.voters {
-		if address == d.self.Address {
+	for _, address := range p.voters {
+		if address == p.self.Address {
 			candidates = append(candidates, address)
 			continue
 		}
-		other := d.peers[address]
-		if other == nil || !other.healthy || now-other.heardAt >= d.timing.Silence {
+		other := p.peers[address]
+		if other == nil || !other.healthy || now-other.lastSeenAt >= p.timing.SilenceTimeout {
 			continue
 		}
-		if address == known.record.Holder.Address && other.life == known.record.Holder.Life {
+		if address == role.record.Holder.Address && other.life == role.record.Holder.Life {
 			continue
 		}
 		candidates = append(candidates, address)
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -1,16 +1,16 @@
-// Package lease decides which process of a group holds a singleton role. A role has a key; its holder is recorded in a
-// linearizable register together with a fencing token that rises with every change of holder. The record alone does not
-// let a holder act: it also needs grants, short promises of the voters, from a majority of them. A voter grants a role
-// under one token at a time, so that a new holder begins to act only after the grants of the former one have run out or
-// have been given back. A process that was frozen or cut off sees by its own steady clock that its grants have run out.
+// Package lease elects the holder of each singleton role in a group of processes. A linearizable register records the holder
+// of a role together with a fencing token that rises with every change of holder. The record alone does not let a holder act:
+// it also needs unexpired grants, short-lived leases given by the voters, from a majority of them. A voter grants a role under
+// one token at a time, so a new holder begins to act only after the grants of the former one have expired or were released. A
+// process that was suspended or partitioned finds by its own monotonic clock that its grants have expired.
 //
-// The voters are the replicas of the register and may change. A voter grants only to members that know the same voters, and
-// nothing while its replica has accepted a change of them that it doesn't know to be chosen. Each change is accepted by a
-// majority of the former voters, so a holder that doesn't hear of it loses its majority; and since the new voters give new
-// grants only after those of the former ones have run out, its successor acts after it.
+// The voters are the replicas of the register, and their set may change. A voter grants only to members that know the same set
+// of voters, and grants nothing while its replica has accepted a change of the set that is not known to be chosen. Each change
+// is accepted by a majority of the former voters, so a holder that has not learned of it loses its majority. The new voters
+// give new grants only after those of the former voters have expired, so the successor acts only after the former holder.
 //
-// The package holds no clock, socket or disk. Times are readings of one steady clock of the process; durations of
-// different processes are compared, their readings never are.
+// The package contains no clock, socket or disk. Times are readings of one monotonic clock of the process. Durations are
+// compared between processes, clock readings never are.
 package lease
 
 import (
@@ -19,34 +19,34 @@
 	"time"
 )
 
-// Member is one life of a process: the address stays over a restart, the life does not.
+// Member identifies one run of a process. The address survives a restart; Life differs for each run.
 type Member struct {
 	Address string
 	Life    string
 }
 
-// Record is what the register holds of a role. The zero value is a role that nobody has held.
+// Record is the entry of a role in the register. The zero value is a role that has never had a holder.
 type Record struct {
 	Holder Member
 	Token  uint64
 }
 
-// RoleToken names a role under a token.
+// RoleToken names a role and the fencing token of one of its holders.
 type RoleToken struct {
 	Key   string
 	Token uint64
 }
 
-// Message is the heartbeat that every member sends to every other.
+// Message is the heartbeat that every member sends to every other member.
 type Message struct {
 	From    Member
-	Healthy bool   // the sender hears a majority of the register's replicas
-	Group   uint64 // names the voters that the sender knows
-	// Asks are the roles that the register records for the sender: it asks the receiver for its grant.
+	Healthy bool   // the sender is in contact with a majority of the register's replicas
+	Group   uint64 // hash of the set of voters that the sender knows
+	// Asks lists the roles whose recorded holder is the sender. The sender requests the receiver's grant for each.
 	Asks []RoleToken
-	// Holding are those of the asks for which the sender has the grants of a majority.
+	// Holding lists those of Asks for which the sender has the grants of a majority.
 	Holding []RoleToken
-	// Released are roles that the sender has given up for good.
+	// Released lists the roles that the sender has given up under these tokens.
 	Released []RoleToken
 }
 
@@ -55,38 +55,38 @@
 	From    Member
 	Healthy bool
 	Granted []RoleToken
-	// Silent are the roles whose recorded holder has not been heard for the bound of silence.
+	// Silent lists the roles whose recorded holder has not been heard from for the silence timeout.
 	Silent []RoleToken
 }
 
-// Claim is a role to be taken by a write of the register, if its token is still Previous.
+// Claim asks the embedder to take a role by a write of the register, on condition that its token is still Previous.
 type Claim struct {
 	Key      string
 	Previous uint64
 }
 
-// Timing holds the spans of a group. All members must use the same.
+// Timing holds the durations of the protocol. All members of a group must use the same values.
 type Timing struct {
-	// Grant is how long a voter's grant holds.
-	Grant time.Duration
-	// Margin is how much earlier a holder takes a grant to have ended, for timers that fire late.
-	Margin time.Duration
-	// Silence is how long a holder must not have been heard before it is replaced. It is above Grant, so that the grants
-	// of a holder that is gone have run out when its successor asks for them.
-	Silence time.Duration
+	// GrantDuration is how long a voter's grant is valid.
+	GrantDuration time.Duration
+	// ExpiryMargin is how much earlier a holder considers a grant expired, to allow for timers that fire late.
+	ExpiryMargin time.Duration
+	// SilenceTimeout is how long a holder must be silent before it is replaced. It is longer than GrantDuration, so that
+	// the grants of a failed holder have expired when its successor requests them.
+	SilenceTimeout time.Duration
 }
 
-// DefaultTiming fits heartbeats each 200 ms: a grant outlives two lost heartbeats.
+// DefaultTiming returns durations for heartbeats every 200 ms: a grant survives two lost heartbeats.
 func DefaultTiming() Timing {
 	return Timing{
-		Grant:   600 * time.Millisecond,
-		Margin:  50 * time.Millisecond,
-		Silence: 700 * time.Millisecond,
+		GrantDuration:  600 * time.Millisecond,
+		ExpiryMargin:   50 * time.Millisecond,
+		SilenceTimeout: 700 * time.Millisecond,
 	}
 }
 
-// groupOf names a set of voters, whatever their order. It is not 0.
-func groupOf(voters []string) uint64 {
+// hashVoters returns a hash of a set of voters that does not depend on their order. It is never 0.
+func hashVoters(voters []string) uint64 {
 	hash := fnv.New64a()
 	for _, address := range slices.Sorted(slices.Values(voters)) {
 		_, _ = hash.Write([]byte(address))
--- a/coordination/lease/voter.go
+++ b/coordination/lease/voter.go
@@ -2,62 +2,63 @@
 
 import "time"
 
-// voter is the part of a member that grants roles to others. It remembers grants in memory only: after a start it grants
-// nothing until those of its former life have run out, and until it has read from the register which tokens there are.
+// voter grants roles to members. It keeps grants in memory only. After a start it therefore grants nothing until the grants of
+// its previous run have expired and until it has read the current tokens from the register.
 type voter struct {
-	grant    time.Duration
-	mutedTil time.Duration
-	// settledAt is when the grants that former voters gave have run out. Before it, grants are only renewed.
-	settledAt time.Duration
-	synced    bool
-	grants    map[string]grant
+	grantDuration time.Duration
+	mutedUntil    time.Duration
+	// formerGrantsExpireAt is when the grants given by the former voters have expired. Before it, grants are only renewed.
+	formerGrantsExpireAt time.Duration
+	synced               bool
+	grants               map[string]grant
 }
 
 type grant struct {
-	token   uint64 // of the current or last grant
-	highest uint64 // highest token that was asked for
-	until   time.Duration
+	token            uint64 // of the current or last grant
+	highestRequested uint64
+	expiresAt        time.Duration
 }
 
-func newVoter(span time.Duration, mutedTil time.Duration) voter {
-	return voter{grant: span, mutedTil: mutedTil, grants: make(map[string]grant)}
+func newVoter(grantDuration time.Duration, mutedUntil time.Duration) voter {
+	return voter{grantDuration: grantDuration, mutedUntil: mutedUntil, grants: make(map[string]grant)}
 }
 
-// ask reports whether the role is granted for the voter's span from now on.
-func (v *voter) ask(now time.Duration, ask RoleToken) bool {
-	current := v.grants[ask.Key]
-	if ask.Token < current.highest {
+// tryGrant grants or renews a role for grantDuration from now on, and reports whether it did.
+func (v *voter) tryGrant(now time.Duration, requested RoleToken) bool {
+	current := v.grants[requested.Key]
+	if requested.Token < current.highestRequested {
 		return false
 	}
-	current.highest = ask.Token
-	running := now < current.until
-	renewed := running && current.token == ask.Token
-	free := !running && now >= v.mutedTil && now >= v.settledAt
+	current.highestRequested = requested.Token
+	running := now < current.expiresAt
+	renewed := running && current.token == requested.Token
+	free := !running && now >= v.mutedUntil && now >= v.formerGrantsExpireAt
 	granted := v.synced && (renewed || free)
 	if granted {
-		current.token = ask.Token
-		current.until = now + v.grant
+		current.token = requested.Token
+		current.expiresAt = now + v.grantDuration
 	}
-	v.grants[ask.Key] = current
+	v.grants[requested.Key] = current
 	return granted
 }
 
-// regroup notes that there are other voters. A holder may have the grants of a majority of the former ones for a while.
-func (v *voter) regroup(now time.Duration) { v.settledAt = now + v.grant }
+// delayNewGrants is called when the set of voters has changed. A holder may keep the grants of a majority of the former voters
+// until they expire.
+func (v *voter) delayNewGrants(now time.Duration) { v.formerGrantsExpireAt = now + v.grantDuration }
 
-// saw notes that a token is in the register: none below it is granted any more.
-func (v *voter) saw(key string, token uint64) {
+// observeToken records that a token is in the register. No lower token is granted from then on.
+func (v *voter) observeToken(key string, token uint64) {
 	current := v.grants[key]
-	current.highest = max(current.highest, token)
+	current.highestRequested = max(current.highestRequested, token)
 	v.grants[key] = current
 }
 
-// release ends the grant of the role, if it was given under the token.
+// release ends the grant of a role if it was given under the released token.
 func (v *voter) release(now time.Duration, released RoleToken) {
 	current := v.grants[released.Key]
-	if current.token != released.Token || now >= current.until {
+	if current.token != released.Token || now >= current.expiresAt {
 		return
 	}
-	current.until = now
+	current.expiresAt = now
 	v.grants[released.Key] = current
 }
