--- a/coordination/membership/detector.go
+++ b/coordination/membership/detector.go
@@ -7,58 +7,59 @@
 )
 
 const (
-	// DefaultMonitors is the number of members that monitor one: all are lost at once in few troubles.
+	// DefaultMonitors is the number of monitors of each member. Few failures take down all three at once.
 	DefaultMonitors = 3
-	// DefaultInterval is the pace of heartbeats.
+	// DefaultInterval is the interval between heartbeats.
 	DefaultInterval = time.Second
-	// A monitor asks after suspectIntervals without a heartbeat, and declares a member dead after deadIntervals: between
-	// them lie several questions, so that lost datagrams alone kill nobody.
+	// A monitor suspects and probes a member after suspectIntervals without a message, and declares it dead after
+	// deadIntervals. Several probes are sent in between, so that lost datagrams alone do not cause a false positive.
 	suspectIntervals = 2
 	deadIntervals    = 5
-	// isolatedIntervals without a word of anyone say that the silence of others may be this member's own. It lies far enough
-	// before deadIntervals that a member behind a cut declares nobody dead.
+	// After isolatedIntervals without a message from any member, this member considers itself isolated and does not judge the
+	// others. It is well below deadIntervals, so that a partitioned member declares no other member dead.
 	isolatedIntervals = 3
-	// forgetIntervals is how long the dead are remembered, so that an old notice doesn't bring them back.
+	// forgetIntervals is how long dead members are kept, so that an old notice does not add them again.
 	forgetIntervals = 120
-	// maxNews and maxRecalled bound the notices in one message, which has to fit into one datagram: what is new, and what is
-	// held, in turn, so that a member that missed some news gets it later.
-	maxNews     = 6
-	maxRecalled = 2
+	// maxGossipNotices and maxAntiEntropyNotices bound the notices in one message, which must fit into one datagram. Gossip
+	// notices are recent changes. Anti-entropy notices are taken from all records in rotation, so that a member that missed a
+	// change receives it later.
+	maxGossipNotices      = 6
+	maxAntiEntropyNotices = 2
 )
 
-// Options sets up a detector.
+// Options configures a detector.
 type Options struct {
 	Self     Member
 	Monitors int           // 0: DefaultMonitors
 	Interval time.Duration // 0: DefaultInterval
 }
 
-// Detector decides who is alive. It is pure: ticks and messages come in, messages and states come out. It is not safe for use
-// by several goroutines.
+// Detector is the failure detector of one member. It does no I/O and reads no clock: its inputs are ticks and messages, its
+// outputs messages and states. It is not safe for concurrent use.
 type Detector struct {
-	options     Options
-	incarnation uint64
-	records     map[string]*record
-	news        news
-	lastTick    time.Time
-	lastHeard   time.Time // the last message of anyone
-	asked       string    // the member that was asked last in turn
-	recalled    string    // the member that was recalled last in turn
+	options         Options
+	incarnation     uint64
+	records         map[string]*record
+	gossip          gossipQueue
+	lastTick        time.Time
+	lastReceivedAt  time.Time // when the last message of any member arrived
+	lastProbed      string    // the member last probed in the rotation over all members
+	lastAntiEntropy string    // the member of the last anti-entropy notice
 
-	stale    bool     // the living members changed since monitors and watched were worked out
-	monitors []string // members that get this one's heartbeats
-	watched  []string // members whose heartbeats this one expects
-	living   []Member // without this one, in order of their names
-	names    []string // of all records, in order
+	stale       bool     // the live members changed since monitors and watched were computed
+	monitors    []string // members that receive heartbeats of this one
+	watched     []string // members that this one monitors
+	liveMembers []Member // without this one, sorted by name
+	names       []string // of all records, sorted
 }
 
 // record is what is known of another member.
 type record struct {
 	Notice
-	heard   time.Time // its last message, or when its silence began to count
-	spoke   time.Time // its last message
-	changed time.Time
-	doubted bool // it left a question in turn without an answer, and is watched like those that this member monitors
+	silentSince   time.Time // when its last message arrived, or when its silence started to count
+	lastMessageAt time.Time
+	changedAt     time.Time
+	unresponsive  bool // it did not answer a rotating probe, and is watched like the members that this one monitors
 }
 
 // NewDetector returns a detector that knows only itself.
@@ -72,16 +73,16 @@
 	return &Detector{options: options, records: map[string]*record{}}
 }
 
-// LiveMembers returns the other members that are thought to be alive, in order of their names. The result must not be changed.
+// LiveMembers returns the other members that are not known to be dead, sorted by name. The result must not be modified.
 func (d *Detector) LiveMembers() []Member {
 	d.refresh()
-	return d.living
+	return d.liveMembers
 }
 
 // Incarnation returns the incarnation of this member.
 func (d *Detector) Incarnation() uint64 { return d.incarnation }
 
-// StateOf returns what is known of a member.
+// StateOf returns the newest notice about a member, and whether the member is known.
 func (d *Detector) StateOf(name string) (Notice, bool) {
 	record, known := d.records[name]
 	if !known {
@@ -90,116 +91,117 @@
 	return record.Notice, true
 }
 
-// AddMembers adds members that were told of from outside. What is known of a member is not overridden.
+// AddMembers adds members that are known from another source. It does not change the state of known members.
 func (d *Detector) AddMembers(now time.Time, members []Member) {
 	for _, member := range members {
 		if _, known := d.records[member.Name]; !known && member.Name != d.options.Self.Name {
-			d.put(now, Notice{Member: member})
+			d.update(now, Notice{Member: member})
 		}
 	}
 }
 
-// Tick is to be called once an interval. It returns the heartbeats that are due, the questions to silent members, and one
-// question to a member in turn, dead or alive. By it those parted by a cut find each other again, and the death of a member
-// is noticed whose monitors died with it.
+// Tick must be called once per interval. It returns the heartbeats to the monitors, the probes of silent members, and a probe of
+// one member in rotation, dead or alive. The rotating probe lets members find each other again after a network partition, and
+// detects the death of a member whose monitors died with it.
 func (d *Detector) Tick(now time.Time) []Envelope {
-	quiet := !d.lastHeard.After(d.lastTick)
-	d.doubt(now)
-	d.noticeOwnSilence(now)
+	noneReceived := !d.lastReceivedAt.After(d.lastTick)
+	d.watchUnresponsive(now)
+	d.detectOwnPause(now)
 	d.refresh()
-	envelopes := d.judgeAll(now)
-	d.forget(now)
+	envelopes := d.checkWatched(now)
+	d.removeDead(now)
 	d.refresh()
 	for _, name := range d.monitors {
 		envelopes = append(envelopes, d.envelope(d.records[name].Member, false))
 	}
-	for _, name := range d.asks(quiet) {
+	for _, name := range d.probeTargets(noneReceived) {
 		envelopes = append(envelopes, d.envelope(d.records[name].Member, true))
 	}
 	return envelopes
 }
 
-// doubt begins to watch the member that was asked in turn at the last tick, if it hasn't answered.
-func (d *Detector) doubt(now time.Time) {
-	asked := d.records[d.asked]
-	if asked == nil || asked.State != StateAlive || asked.doubted || asked.spoke.After(d.lastTick) {
+// watchUnresponsive starts to watch the member of the last rotating probe if it has not replied.
+func (d *Detector) watchUnresponsive(now time.Time) {
+	probed := d.records[d.lastProbed]
+	if probed == nil || probed.State != StateAlive || probed.unresponsive || probed.lastMessageAt.After(d.lastTick) {
 		return
 	}
-	if slices.Contains(d.watched, d.asked) {
+	if slices.Contains(d.watched, d.lastProbed) {
 		return
 	}
-	asked.doubted = true
-	asked.heard = now
+	probed.unresponsive = true
+	probed.silentSince = now
 }
 
-// asks returns the member that is to be asked in turn, and after an interval without a word those that spoke last: by their
-// answers a member knows that it isn't cut off itself.
-func (d *Detector) asks(quiet bool) []string {
-	next := following(d.names, d.asked)
+// probeTargets returns the next member in rotation. After an interval without any message it also returns the members whose
+// messages arrived last: their replies show this member that it is not isolated.
+func (d *Detector) probeTargets(noneReceived bool) []string {
+	next := nextName(d.names, d.lastProbed)
 	if next == "" {
 		return nil
 	}
-	d.asked = next
-	if !quiet {
+	d.lastProbed = next
+	if !noneReceived {
 		return []string{next}
 	}
-	latest := slices.Clone(d.names)
-	slices.SortStableFunc(latest, func(a, b string) int { return d.records[b].spoke.Compare(d.records[a].spoke) })
-	asks := latest[:min(d.options.Monitors, len(latest))]
-	if !slices.Contains(asks, next) {
-		asks = append(asks, next)
+	byLastMessage := slices.Clone(d.names)
+	slices.SortStableFunc(byLastMessage, func(a, b string) int { return d.records[b].lastMessageAt.Compare(d.records[a].lastMessageAt) })
+	targets := byLastMessage[:min(d.options.Monitors, len(byLastMessage))]
+	if !slices.Contains(targets, next) {
+		targets = append(targets, next)
 	}
-	return asks
+	return targets
 }
 
-// noticeOwnSilence begins a new incarnation if this process stood still for so long that it may count as dead, and blames
-// nobody for the time that it has missed.
-func (d *Detector) noticeOwnSilence(now time.Time) {
+// detectOwnPause starts a new incarnation if this process was paused for so long that it may have been declared dead. The time
+// of the pause does not count as silence of other members.
+func (d *Detector) detectOwnPause(now time.Time) {
 	previous := d.lastTick
 	d.lastTick = now
 	if previous.IsZero() || now.Sub(previous) < suspectIntervals*d.options.Interval {
 		return
 	}
 	d.incarnation++
-	d.pardon(now)
+	d.restartSilence(now)
 }
 
-// pardon begins the silence of all anew.
-func (d *Detector) pardon(now time.Time) {
+// restartSilence restarts the silence of all members at now.
+func (d *Detector) restartSilence(now time.Time) {
 	for _, record := range d.records {
-		record.heard = now
+		record.silentSince = now
 	}
 }
 
-// isolated reports whether nobody was heard for so long that the silence of others says nothing about them.
+// isolated reports whether no message has arrived for so long that this member itself is probably cut off. The silence of other
+// members then says nothing about them.
 func (d *Detector) isolated(now time.Time) bool {
-	return d.lastHeard.IsZero() || now.Sub(d.lastHeard) >= isolatedIntervals*d.options.Interval
+	return d.lastReceivedAt.IsZero() || now.Sub(d.lastReceivedAt) >= isolatedIntervals*d.options.Interval
 }
 
-// judgeAll returns the questions to those that are silent.
-func (d *Detector) judgeAll(now time.Time) []Envelope {
+// checkWatched checks the silence of all watched members and returns the probes of the silent ones.
+func (d *Detector) checkWatched(now time.Time) []Envelope {
 	if d.isolated(now) {
 		return nil
 	}
-	var questions []Envelope
+	var probes []Envelope
 	for _, name := range d.names {
 		known := d.records[name]
-		if !known.doubted && !slices.Contains(d.watched, name) {
+		if !known.unresponsive && !slices.Contains(d.watched, name) {
 			continue
 		}
-		if d.judge(now, known) {
-			questions = append(questions, d.envelope(known.Member, true))
+		if d.checkSilence(now, known) {
+			probes = append(probes, d.envelope(known.Member, true))
 		}
 	}
-	return questions
+	return probes
 }
 
-// judge looks at the silence of a member that this one monitors, and reports whether it is to be asked.
-func (d *Detector) judge(now time.Time, watched *record) bool {
-	silence := now.Sub(watched.heard)
+// checkSilence marks a watched member as suspect or dead according to its silence, and reports whether to probe it.
+func (d *Detector) checkSilence(now time.Time, watched *record) bool {
+	silence := now.Sub(watched.silentSince)
 	switch {
 	case silence >= deadIntervals*d.options.Interval:
-		d.put(now, Notice{Member: watched.Member, Incarnation: watched.Incarnation, State: StateDead})
+		d.update(now, Notice{Member: watched.Member, Incarnation: watched.Incarnation, State: StateDead})
 		return true
 	case silence >= suspectIntervals*d.options.Interval:
 		watched.State = StateSuspect
@@ -209,83 +211,84 @@
 	}
 }
 
-// Receive takes a message and returns the answers to it.
+// Receive handles a message and returns the messages to send in response.
 func (d *Detector) Receive(now time.Time, message Message) []Envelope {
 	if message.From.Name == d.options.Self.Name {
 		return nil
 	}
 	if d.isolated(now) {
-		d.pardon(now)
+		d.restartSilence(now)
 	}
-	d.lastHeard = now
-	outdated := d.hear(now, message)
+	d.lastReceivedAt = now
+	outdated := d.observeSender(now, message)
 	refuted := false
 	for _, notice := range message.Notices {
-		refuted = d.take(now, notice) || refuted
+		refuted = d.applyNotice(now, notice) || refuted
 	}
-	var answers []Envelope
+	var replies []Envelope
 	if message.Ping || outdated || refuted {
-		answers = append(answers, d.answer(message.From, outdated))
+		replies = append(replies, d.replyTo(message.From, outdated))
 	}
 	if !refuted {
-		return answers
+		return replies
 	}
 	d.refresh()
 	for _, name := range d.monitors {
-		answers = append(answers, d.envelope(d.records[name].Member, false))
+		replies = append(replies, d.envelope(d.records[name].Member, false))
 	}
-	return answers
+	return replies
 }
 
-// answer returns a message to a sender, which tells one with an outdated incarnation what is known of it.
-func (d *Detector) answer(to Member, outdated bool) Envelope {
-	answer := d.envelope(to, false)
+// replyTo returns a message to a sender. To a sender with an outdated incarnation it includes the notice about that sender.
+func (d *Detector) replyTo(to Member, outdated bool) Envelope {
+	reply := d.envelope(to, false)
 	if outdated {
-		answer.Message.Notices = append(answer.Message.Notices, d.records[to.Name].told())
+		reply.Message.Notices = append(reply.Message.Notices, d.records[to.Name].sharedNotice())
 	}
-	return answer
+	return reply
 }
 
-// hear notes that the sender lives. It reports whether the sender has to be told first that it counts as dead, or that
-// another life of it has reached a higher incarnation.
-func (d *Detector) hear(now time.Time, message Message) bool {
+// observeSender records that the sender is alive. It reports whether the message is outdated: the sender is recorded as dead in
+// this incarnation, or another run of it has reached a higher one. The sender must then refute the notice first.
+func (d *Detector) observeSender(now time.Time, message Message) bool {
 	heard := Notice{Member: message.From, Incarnation: message.Incarnation}
 	known := d.records[message.From.Name]
 	switch {
 	case known == nil || heard.overrides(known.Notice):
-		d.put(now, heard)
+		d.update(now, heard)
 		known = d.records[message.From.Name]
 	case known.State == StateDead || heard.Incarnation < known.Incarnation:
-		known.spoke = now
+		known.lastMessageAt = now
 		return true
 	}
 	known.State = StateAlive
-	known.doubted = false
-	known.heard = now
-	known.spoke = now
+	known.unresponsive = false
+	known.silentSince = now
+	known.lastMessageAt = now
 	return false
 }
 
-// take adopts a notice if it is newer than what is known. It reports whether it was about this member and had to be refuted.
-func (d *Detector) take(now time.Time, notice Notice) bool {
+// applyNotice stores a notice if it is newer than the known one. It reports whether the notice was about this member and had to
+// be refuted.
+func (d *Detector) applyNotice(now time.Time, notice Notice) bool {
 	if notice.Member.Name == d.options.Self.Name {
 		return d.refute(notice)
 	}
 	if notice.State == StateSuspect {
-		return false // suspicion is the monitor's own
+		return false // suspicion is local to the monitor
 	}
 	known := d.records[notice.Member.Name]
 	switch {
 	case known == nil || notice.overrides(known.Notice):
-		d.put(now, notice)
+		d.update(now, notice)
 	case known.overrides(notice):
-		d.news.add(known.told(), len(d.records)) // the sender lives in the past
+		d.gossip.add(known.sharedNotice(), len(d.records)) // the sender has an outdated notice
 	}
 	return false
 }
 
-// refute begins the incarnation after the one that a notice tells of, if it says that this member is dead or is from an
-// earlier life of it.
+// refute handles a notice about this member. If the notice declares this incarnation dead, or carries a higher incarnation from
+// an earlier run of this member, refute starts the incarnation after that of the notice and returns true.
 func (d *Detector) refute(notice Notice) bool {
 	wrong := notice.Incarnation > d.incarnation || (notice.Incarnation == d.incarnation && notice.State == StateDead)
 	if wrong {
@@ -294,39 +297,39 @@
 	return wrong
 }
 
-// put replaces what is known of a member and tells others.
-func (d *Detector) put(now time.Time, notice Notice) {
+// update replaces the notice about a member and queues it for gossip.
+func (d *Detector) update(now time.Time, notice Notice) {
 	known := d.records[notice.Member.Name]
 	if known == nil {
-		known = &record{heard: now}
+		known = &record{silentSince: now}
 		d.records[notice.Member.Name] = known
 	}
-	known.doubted = false
+	known.unresponsive = false
 	died := notice.State == StateDead
 	if died != (known.State == StateDead) {
-		known.heard = now
+		known.silentSince = now
 		d.stale = true
 	}
 	if known.Member != notice.Member {
 		d.stale = true
 	}
 	known.Notice = notice
-	known.changed = now
-	d.news.add(notice, len(d.records))
+	known.changedAt = now
+	d.gossip.add(notice, len(d.records))
 }
 
-// forget drops those that have been dead for long.
-func (d *Detector) forget(now time.Time) {
+// removeDead removes the members that have been dead for longer than forgetIntervals.
+func (d *Detector) removeDead(now time.Time) {
 	for name, record := range d.records {
-		if record.State == StateDead && now.Sub(record.changed) > forgetIntervals*d.options.Interval {
+		if record.State == StateDead && now.Sub(record.changedAt) > forgetIntervals*d.options.Interval {
 			delete(d.records, name)
 			d.stale = true
 		}
 	}
 }
 
-// told is the notice as others are told it: suspicion stays with the monitor.
-func (r *record) told() Notice {
+// sharedNotice returns the notice as it is sent to others. A suspect is sent as alive, because suspicion is local to the monitor.
+func (r *record) sharedNotice() Notice {
 	notice := r.Notice
 	if notice.State == StateSuspect {
 		notice.State = StateAlive
@@ -334,22 +337,23 @@
 	return notice
 }
 
+// envelope returns a message to a member with gossip and anti-entropy notices.
 func (d *Detector) envelope(to Member, ping bool) Envelope {
-	notices := d.news.pick(maxNews)
-	for range min(maxRecalled, len(d.names)) {
-		d.recalled = following(d.names, d.recalled)
-		if record := d.records[d.recalled]; record != nil {
-			notices = append(notices, record.told())
+	notices := d.gossip.pick(maxGossipNotices)
+	for range min(maxAntiEntropyNotices, len(d.names)) {
+		d.lastAntiEntropy = nextName(d.names, d.lastAntiEntropy)
+		if record := d.records[d.lastAntiEntropy]; record != nil {
+			notices = append(notices, record.sharedNotice())
 		}
 	}
 	if known := d.records[to.Name]; ping && known != nil && known.State == StateDead {
-		notices = append(notices, known.Notice) // should it live, it learns what is thought of it
+		notices = append(notices, known.Notice) // if the member is alive, it refutes this notice
 	}
 	return Envelope{To: to, Message: Message{From: d.options.Self, Incarnation: d.incarnation, Ping: ping, Notices: notices}}
 }
 
-// following returns the name after the given one in a circle of names, which are in order.
-func following(names []string, name string) string {
+// nextName returns the name after the given one in the sorted names, and the first name after the last.
+func nextName(names []string, name string) string {
 	if len(names) == 0 {
 		return ""
 	}
@@ -360,36 +364,36 @@
 	return names[index%len(names)]
 }
 
-// refresh works out anew who monitors whom after the members changed.
+// refresh recomputes the live members and the monitoring relations after the members changed.
 func (d *Detector) refresh() {
 	if !d.stale {
 		return
 	}
 	d.stale = false
 	d.names = slices.Sorted(maps.Keys(d.records))
-	d.living = nil
-	living := []string{d.options.Self.Name}
+	d.liveMembers = nil
+	liveNames := []string{d.options.Self.Name}
 	for _, name := range d.names {
 		if record := d.records[name]; record.State != StateDead {
-			d.living = append(d.living, record.Member)
-			living = append(living, name)
+			d.liveMembers = append(d.liveMembers, record.Member)
+			liveNames = append(liveNames, name)
 		}
 	}
-	d.monitors = Monitors(d.options.Self.Name, living, d.options.Monitors)
-	d.watch(living)
+	d.monitors = Monitors(d.options.Self.Name, liveNames, d.options.Monitors)
+	d.setWatched(liveNames)
 }
 
-// watch works out whose heartbeats are to be expected among the living, whose first name is this member's own.
-func (d *Detector) watch(living []string) {
-	before := d.watched
+// setWatched computes the members that this one monitors. The first of liveNames is this member itself.
+func (d *Detector) setWatched(liveNames []string) {
+	previouslyWatched := d.watched
 	d.watched = nil
-	for _, name := range living[1:] {
-		if !isMonitor(d.options.Self.Name, name, living, d.options.Monitors) {
+	for _, name := range liveNames[1:] {
+		if !isMonitor(d.options.Self.Name, name, liveNames, d.options.Monitors) {
 			continue
 		}
 		d.watched = append(d.watched, name)
-		if !slices.Contains(before, name) {
-			d.records[name].heard = d.lastTick // its heartbeats went elsewhere until now
+		if !slices.Contains(previouslyWatched, name) {
+			d.records[name].silentSince = d.lastTick // until now its heartbeats were sent to other monitors
 		}
 	}
 }
--- a/coordination/membership/detector_test.go
+++ b/coordination/membership/detector_test.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// joinIntervals is enough for all to have learnt of all, and noticeIntervals for a death to be known to all.
+	// joinIntervals is enough for every member to learn of all others, and detectIntervals for a death to become known to all.
 	joinIntervals   = 60
-	noticeIntervals = deadIntervals + 12
+	detectIntervals = deadIntervals + 12
 )
 
-func TestAFleetLearnsOfAllAndKillsNobody(t *testing.T) {
+func TestFleetConvergesWithoutFalsePositives(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSimulation(t, rapid.IntRange(2, 14).Draw(t, "fleet"))
 		s.run(joinIntervals, nil)
 		s.requireAgreement(t, "after joining")
-		s.run(20, func() { s.requireAgreement(t, "in quiet") })
+		s.run(20, func() { s.requireAgreement(t, "without faults") })
 	})
 }
 
-func TestTheDeadAreNoticedWithinTheBound(t *testing.T) {
+func TestDeadMembersAreDetectedInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := rapid.IntRange(4, 14).Draw(t, "fleet")
 		s := drawSimulation(t, fleet)
@@ -34,17 +34,17 @@
 		}
 		s.run(deadIntervals+2, nil)
 		if victims < DefaultMonitors {
-			s.requireNoticed(t, s.nodes[:victims])
+			s.requireDetected(t, s.nodes[:victims])
 		}
-		// Those whose monitors died with them are noticed by the questions in turn.
-		s.run(fleet+noticeIntervals, nil)
+		// Members whose monitors died with them are detected by the rotating probes.
+		s.run(fleet+detectIntervals, nil)
 		s.requireAgreement(t, "after the deaths")
 	})
 }
 
-// TestAGroupThatMonitoredOnlyItselfIsNoticed has most of a larger fleet die at once: then some of the dead have only dead
-// monitors, in whatever way others take the places of those known to be dead.
-func TestAGroupThatMonitoredOnlyItselfIsNoticed(t *testing.T) {
+// TestMembersWithOnlyDeadMonitorsAreDetected stops most of a larger fleet at once. Some of the dead members then have only dead
+// monitors, even after other members have replaced the monitors that are known to be dead.
+func TestMembersWithOnlyDeadMonitorsAreDetected(t *testing.T) {
 	const fleet, victims = 28, 25
 	for seed := range uint64(5) {
 		s := newSimulation(seed, fleet)
@@ -52,106 +52,106 @@
 		for _, node := range s.nodes[:victims] {
 			node.down = true
 		}
-		s.run(fleet+noticeIntervals, nil)
+		s.run(fleet+detectIntervals, nil)
 		require.Empty(t, s.disagreement())
 	}
 }
 
-// requireNoticed demands that some running member holds each victim for dead.
-func (s *simulation) requireNoticed(t *rapid.T, victims []*simulated) {
+// requireDetected fails the test unless at least one running member has declared each victim dead.
+func (s *simulation) requireDetected(t *rapid.T, victims []*simulatedNode) {
 	for _, victim := range victims {
-		noticed := false
+		detected := false
 		for _, node := range s.nodes {
 			known, _ := node.detector.StateOf(victim.member.Name)
-			noticed = noticed || (!node.down && known.State == StateDead)
+			detected = detected || (!node.down && known.State == StateDead)
 		}
-		if !noticed {
-			t.Fatalf("nobody noticed the death of %s", victim.member.Name)
+		if !detected {
+			t.Fatalf("no member detected the death of %s", victim.member.Name)
 		}
 	}
 }
 
-func TestAFrozenMemberReturnsInAHigherIncarnation(t *testing.T) {
+func TestSuspendedMemberReturnsInHigherIncarnation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSimulation(t, rapid.IntRange(4, 14).Draw(t, "fleet"))
 		s.run(joinIntervals, nil)
 		before := s.nodes[0].detector.Incarnation()
-		s.nodes[0].frozen = true
-		s.run(2*noticeIntervals, nil)
-		s.requireAgreement(t, "while it is frozen")
-		s.nodes[0].frozen = false
-		s.run(noticeIntervals, nil)
-		s.requireAgreement(t, "after its return")
+		s.nodes[0].suspended = true
+		s.run(2*detectIntervals, nil)
+		s.requireAgreement(t, "while the member is suspended")
+		s.nodes[0].suspended = false
+		s.run(detectIntervals, nil)
+		s.requireAgreement(t, "after the member returned")
 		if s.nodes[0].detector.Incarnation() <= before {
-			t.Fatal("the same incarnation")
+			t.Fatal("the member returned in the same incarnation")
 		}
 	})
 }
 
-func TestAMemberThatWasCutOffReturns(t *testing.T) {
+func TestIsolatedMemberRejoins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSimulation(t, rapid.IntRange(4, 14).Draw(t, "fleet"))
 		s.run(joinIntervals, nil)
-		s.nodes[0].side = 1
-		s.run(2*noticeIntervals, nil)
+		s.nodes[0].partition = 1
+		s.run(2*detectIntervals, nil)
 		for _, node := range s.nodes[1:] {
 			known, _ := s.nodes[0].detector.StateOf(node.member.Name)
 			if known.State == StateDead {
-				t.Fatal("a member that hears nobody holds others for dead")
+				t.Fatal("an isolated member declared another member dead")
 			}
 		}
-		s.nodes[0].side = 0
-		s.run(2*noticeIntervals, nil)
-		s.requireAgreement(t, "after its return")
+		s.nodes[0].partition = 0
+		s.run(2*detectIntervals, nil)
+		s.requireAgreement(t, "after the member returned")
 	})
 }
 
-func TestHalvesOfAFleetFindEachOtherAgain(t *testing.T) {
+func TestPartitionedHalvesMerge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := rapid.IntRange(6, 14).Draw(t, "fleet")
 		s := drawSimulation(t, fleet)
 		s.run(joinIntervals, nil)
 		for _, node := range s.nodes[:fleet/2] {
-			node.side = 1
+			node.partition = 1
 		}
-		s.run(4*noticeIntervals, nil)
+		s.run(4*detectIntervals, nil)
 		for _, node := range s.nodes {
-			node.side = 0
+			node.partition = 0
 		}
 		s.run(joinIntervals, nil)
-		s.requireAgreement(t, "after the cut")
+		s.requireAgreement(t, "after the partition healed")
 	})
 }
 
-func TestARestartedMemberIsTakenUpAgain(t *testing.T) {
+func TestRestartedMemberRejoins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSimulation(t, rapid.IntRange(3, 14).Draw(t, "fleet"))
 		s.run(joinIntervals, nil)
 		node := s.nodes[0]
 		node.down = true
-		s.run(rapid.IntRange(0, 2*noticeIntervals).Draw(t, "down"), nil)
+		s.run(rapid.IntRange(0, 2*detectIntervals).Draw(t, "down"), nil)
 		node.down = false
 		node.detector = NewDetector(Options{Self: node.member, Interval: interval})
 		node.detector.AddMembers(s.now, []Member{s.nodes[1].member})
 		s.run(joinIntervals, nil)
-		s.requireAgreement(t, "after its restart")
+		s.requireAgreement(t, "after the restart")
 	})
 }
 
-func TestLostDatagramsLeaveNoHarm(t *testing.T) {
+func TestFleetConvergesAfterDatagramLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSimulation(t, rapid.IntRange(3, 14).Draw(t, "fleet"))
 		s.loss = 0.1
 		s.run(joinIntervals, nil)
 		s.loss = 0
 		s.run(joinIntervals, nil)
-		s.requireAgreement(t, "after the loss")
+		s.requireAgreement(t, "after datagram loss ended")
 	})
 }
 
-// TestMessagesDoNotGrowWithTheFleet counts what a member sends of its own accord: heartbeats to its monitors, one question in
-// turn, and in quiet nothing else.
-func TestMessagesDoNotGrowWithTheFleet(t *testing.T) {
+// TestMessageCountDoesNotGrowWithFleetSize counts the messages that a member sends unprompted. Without faults these are heartbeats to
+// its monitors and one rotating probe.
+func TestMessageCountDoesNotGrowWithFleetSize(t *testing.T) {
 	for _, fleet := range []int{5, 20, 60} {
 		s := newSimulation(uint64(fleet), fleet)
 		s.run(2*joinIntervals, nil)
@@ -163,7 +163,7 @@
 	}
 }
 
-func TestAMessageFitsIntoADatagram(t *testing.T) {
+func TestMessageFitsIntoDatagram(t *testing.T) {
 	now := time.Now()
 	detector := NewDetector(Options{Self: Member{Name: "frontend-hall-offset-1", Address: "10.101.102.103:17720"}})
 	for _, name := range namesOf(200) {
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -18,34 +18,34 @@
 
 func TestEveryMemberIsMonitoredByOthers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		living := namesOf(rapid.IntRange(2, 80).Draw(t, "fleet"))
-		name := rapid.SampledFrom(living).Draw(t, "member")
-		monitors := Monitors(name, living, DefaultMonitors)
-		if len(monitors) != min(DefaultMonitors, len(living)-1) {
-			t.Fatalf("%d monitors", len(monitors))
+		live := namesOf(rapid.IntRange(2, 80).Draw(t, "fleet"))
+		name := rapid.SampledFrom(live).Draw(t, "member")
+		monitors := Monitors(name, live, DefaultMonitors)
+		if len(monitors) != min(DefaultMonitors, len(live)-1) {
+			t.Fatalf("got %d monitors", len(monitors))
 		}
 		distinct := map[string]bool{}
 		for _, monitor := range monitors {
-			if monitor == name || !slices.Contains(living, monitor) {
+			if monitor == name || !slices.Contains(live, monitor) {
 				t.Fatalf("%s monitors %s", monitor, name)
 			}
 			distinct[monitor] = true
 		}
 		if len(distinct) != len(monitors) {
-			t.Fatal("one monitor twice")
+			t.Fatal("a monitor is listed twice")
 		}
 	})
 }
 
-func TestMonitorsStayWhenAnotherGoes(t *testing.T) {
+func TestMonitorsStayWhenAnotherMemberLeaves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		living := namesOf(rapid.IntRange(5, 40).Draw(t, "fleet"))
-		name := living[0]
-		gone := rapid.SampledFrom(living[1:]).Draw(t, "gone")
-		before := Monitors(name, living, DefaultMonitors)
-		after := Monitors(name, slices.DeleteFunc(slices.Clone(living), func(n string) bool { return n == gone }), DefaultMonitors)
+		live := namesOf(rapid.IntRange(5, 40).Draw(t, "fleet"))
+		name := live[0]
+		departed := rapid.SampledFrom(live[1:]).Draw(t, "gone")
+		before := Monitors(name, live, DefaultMonitors)
+		after := Monitors(name, slices.DeleteFunc(slices.Clone(live), func(n string) bool { return n == departed }), DefaultMonitors)
 		for _, monitor := range before {
-			if monitor != gone && !slices.Contains(after, monitor) {
+			if monitor != departed && !slices.Contains(after, monitor) {
 				t.Fatalf("%s no longer monitors %s", monitor, name)
 			}
 		}
@@ -54,13 +54,13 @@
 
 func TestIsMonitorAgreesWithMonitors(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		living := namesOf(rapid.IntRange(2, 40).Draw(t, "fleet"))
-		for _, name := range living {
-			monitors := Monitors(name, living, DefaultMonitors)
-			for _, other := range living {
-				is := other != name && isMonitor(other, name, living, DefaultMonitors)
+		live := namesOf(rapid.IntRange(2, 40).Draw(t, "fleet"))
+		for _, name := range live {
+			monitors := Monitors(name, live, DefaultMonitors)
+			for _, other := range live {
+				is := other != name && isMonitor(other, name, live, DefaultMonitors)
 				if is != slices.Contains(monitors, other) {
-					t.Fatalf("%s of %s: %v", other, name, is)
+					t.Fatalf("isMonitor of %s for %s: %v, unlike Monitors", other, name, is)
 				}
 			}
 		}
--- a/coordination/membership/node.go
+++ b/coordination/membership/node.go
@@ -14,10 +14,11 @@
 	"go.uber.org/zap"
 )
 
-// maxDatagram is a size that passes every link in one piece.
+// maxDatagram is small enough that no usual link fragments the datagram.
 const maxDatagram = 1400
 
-// Node drives a detector: it sends and receives datagrams, and ticks.
+// Node runs a detector over UDP: it sends and receives datagrams and calls Tick once per interval. Its methods are safe for
+// concurrent use.
 type Node struct {
 	conn     net.PacketConn
 	interval time.Duration
@@ -27,13 +28,13 @@
 	detector *Detector
 }
 
-// NewNode returns a node that uses the connection, and closes it at the end of Run.
+// NewNode returns a node that uses the connection. Run closes the connection when it ends.
 func NewNode(options Options, conn net.PacketConn, log *zap.Logger) *Node {
 	detector := NewDetector(options)
 	return &Node{conn: conn, interval: detector.options.Interval, log: log, detector: detector}
 }
 
-// Run takes part in the fleet until ctx is done.
+// Run takes part in the membership protocol until ctx is done.
 func (n *Node) Run(ctx context.Context) {
 	var receiver sync.WaitGroup
 	receiver.Go(n.receive)
@@ -51,14 +52,14 @@
 	}
 }
 
-// AddMembers adds members that were told of from outside.
+// AddMembers adds members that are known from another source.
 func (n *Node) AddMembers(members []Member) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.detector.AddMembers(time.Now(), members)
 }
 
-// LiveMembers returns the other members that are thought to be alive, in order of their names. The result must not be changed.
+// LiveMembers returns the other members that are not known to be dead, sorted by name. The result must not be modified.
 func (n *Node) LiveMembers() []Member {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -72,7 +73,7 @@
 	n.send(envelopes)
 }
 
-// receive takes datagrams until the connection is closed.
+// receive handles datagrams until the connection is closed.
 func (n *Node) receive() {
 	buffer := make([]byte, maxDatagram)
 	for {
@@ -80,13 +81,13 @@
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case err != nil: // damaged, or a refusal that an earlier datagram met
+		case err != nil: // a malformed datagram, or an ICMP error in response to an earlier one
 			n.log.Debug("datagram", zap.Error(err))
 		}
 	}
 }
 
-// receiveOne takes one datagram and sends the answers to it.
+// receiveOne handles one datagram and sends the replies to it.
 func (n *Node) receiveOne(buffer []byte) error {
 	size, _, err := n.conn.ReadFrom(buffer)
 	if err != nil {
@@ -97,13 +98,14 @@
 		return err
 	}
 	n.mutex.Lock()
-	answers := n.detector.Receive(time.Now(), message)
+	replies := n.detector.Receive(time.Now(), message)
 	n.mutex.Unlock()
-	n.send(answers)
+	n.send(replies)
 	return nil
 }
 
-// send sends messages; one that is lost here is made up for like one that is lost on its way.
+// send sends messages. Errors are ignored, because the protocol tolerates a message that is lost here like one that is lost on
+// the network.
 func (n *Node) send(envelopes []Envelope) {
 	for _, envelope := range envelopes {
 		address, err := netip.ParseAddrPort(envelope.To.Address)
@@ -119,7 +121,7 @@
 	}
 }
 
-// encode writes a message without field names.
+// encode encodes a message as arrays, without field names.
 func encode(message *Message) ([]byte, error) {
 	var body bytes.Buffer
 	encoder := msgpack.NewEncoder(&body)
--- a/coordination/membership/node_test.go
+++ b/coordination/membership/node_test.go
@@ -10,8 +10,8 @@
 	"go.uber.org/zap"
 )
 
-// startNode returns a node on loopback that doesn't run yet, and itself as a member.
-func startNode(t *testing.T, name string) (*Node, Member) {
+// newLoopbackNode returns a node on a loopback address, without running it, and the member that it represents.
+func newLoopbackNode(t *testing.T, name string) (*Node, Member) {
 	conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, conn.SetReadDeadline(time.Now().Add(10*time.Second)))
@@ -20,22 +20,22 @@
 	return NewNode(Options{Self: self}, conn, zap.NewNop()), self
 }
 
-func TestNodesFindEachOther(t *testing.T) {
-	first, firstSelf := startNode(t, "first")
-	second, secondSelf := startNode(t, "second")
+func TestNodesDiscoverEachOther(t *testing.T) {
+	first, firstSelf := newLoopbackNode(t, "first")
+	second, secondSelf := newLoopbackNode(t, "second")
 	buffer := make([]byte, maxDatagram)
 	first.AddMembers([]Member{secondSelf})
 	first.tick()
-	require.NoError(t, second.receiveOne(buffer)) // the heartbeat
-	require.NoError(t, second.receiveOne(buffer)) // the question
-	require.NoError(t, first.receiveOne(buffer))  // the answer
+	require.NoError(t, second.receiveOne(buffer)) // heartbeat
+	require.NoError(t, second.receiveOne(buffer)) // probe
+	require.NoError(t, first.receiveOne(buffer))  // reply
 	require.Equal(t, []Member{secondSelf}, first.LiveMembers())
 	require.Equal(t, []Member{firstSelf}, second.LiveMembers())
 }
 
-func TestANodePassesDamageOver(t *testing.T) {
-	first, firstSelf := startNode(t, "first")
-	second, secondSelf := startNode(t, "second")
+func TestNodeIgnoresMalformedDatagram(t *testing.T) {
+	first, firstSelf := newLoopbackNode(t, "first")
+	second, secondSelf := newLoopbackNode(t, "second")
 	address, err := net.ResolveUDPAddr("udp4", firstSelf.Address)
 	require.NoError(t, err)
 	_, err = second.conn.WriteTo([]byte{0xc1, 1, 2}, address)
@@ -48,10 +48,10 @@
 	require.Equal(t, []Member{secondSelf}, first.LiveMembers())
 }
 
-func TestANodeEndsWithItsContext(t *testing.T) {
-	node, _ := startNode(t, "alone")
-	ctx, stop := context.WithCancel(t.Context())
-	stop()
+func TestNodeStopsWithItsContext(t *testing.T) {
+	node, _ := newLoopbackNode(t, "alone")
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
 	node.Run(ctx)
 	_, err := node.conn.WriteTo([]byte{0}, node.conn.LocalAddr())
 	require.ErrorIs(t, err, net.ErrClosed)
--- a/coordination/membership/simulation_test.go
+++ b/coordination/membership/simulation_test.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	interval = time.Second
-	steps    = 4 // of the simulation in one interval
+	interval         = time.Second
+	stepsPerInterval = 4 // simulation steps in one interval
 )
 
-// simulation is a fleet on a network with loss and delay, in steps of a part of an interval. It is deterministic by its seed.
+// simulation runs a fleet on a network with loss and delay, in steps of a fraction of an interval. The seed determines the run.
 type simulation struct {
-	random  *rand.Rand
-	now     time.Time
-	step    int
-	loss    float64
-	nodes   []*simulated
-	flights []flight
+	random   *rand.Rand
+	now      time.Time
+	step     int
+	loss     float64
+	nodes    []*simulatedNode
+	inFlight []delivery
 }
 
-type simulated struct {
-	member   Member
-	detector *Detector
-	phase    int // the step of an interval at which it ticks
-	down     bool
-	frozen   bool
-	side     int // nodes of different sides don't reach each other
-	sent     int // in the current interval
-	received int
-	inbox    []Message // what arrived while it was frozen
+type simulatedNode struct {
+	member    Member
+	detector  *Detector
+	phase     int // the step of an interval at which it ticks
+	down      bool
+	suspended bool
+	partition int // nodes in different partitions cannot reach each other
+	sent      int // in the current interval
+	received  int
+	inbox     []Message // messages that arrived while it was suspended
 }
 
-type flight struct {
-	due      int
-	from     int // side
-	envelope Envelope
+type delivery struct {
+	due           int
+	fromPartition int
+	envelope      Envelope
 }
 
 func drawSimulation(t *rapid.T, fleet int) *simulation {
@@ -51,7 +51,7 @@
 	for i := range fleet {
 		s.add(i)
 	}
-	// Each knows its neighbour only; the rest travels with the heartbeats.
+	// Each node knows only its neighbour at first and learns of the others by gossip.
 	for i, node := range s.nodes {
 		node.detector.AddMembers(s.now, []Member{s.nodes[(i+1)%fleet].member})
 	}
@@ -60,67 +60,67 @@
 
 func (s *simulation) add(i int) {
 	member := Member{Name: fmt.Sprintf("frontend-%d", i), Address: fmt.Sprintf("10.0.0.%d:1", i)}
-	s.nodes = append(s.nodes, &simulated{
+	s.nodes = append(s.nodes, &simulatedNode{
 		member:   member,
 		detector: NewDetector(Options{Self: member, Interval: interval}),
-		phase:    s.random.IntN(steps),
+		phase:    s.random.IntN(stepsPerInterval),
 	})
 }
 
-// run lets some intervals pass, and calls check after each.
+// run simulates a number of intervals and calls check after each.
 func (s *simulation) run(intervals int, check func()) {
-	for range intervals * steps {
+	for range intervals * stepsPerInterval {
 		s.step++
-		s.now = s.now.Add(interval / steps)
+		s.now = s.now.Add(interval / stepsPerInterval)
 		s.deliver()
 		for _, node := range s.nodes {
 			s.tick(node)
 		}
-		if check != nil && s.step%steps == 0 {
+		if check != nil && s.step%stepsPerInterval == 0 {
 			check()
 		}
 	}
 }
 
-func (s *simulation) tick(node *simulated) {
-	if node.down || node.frozen || s.step%steps != node.phase {
+func (s *simulation) tick(node *simulatedNode) {
+	if node.down || node.suspended || s.step%stepsPerInterval != node.phase {
 		return
 	}
 	node.sent, node.received = 0, 0
 	s.send(node, node.detector.Tick(s.now))
 }
 
-func (s *simulation) send(node *simulated, envelopes []Envelope) {
+func (s *simulation) send(node *simulatedNode, envelopes []Envelope) {
 	node.sent += len(envelopes)
 	for _, envelope := range envelopes {
 		if s.random.Float64() >= s.loss {
 			due := s.step + 1 + s.random.IntN(2)
-			s.flights = append(s.flights, flight{due: due, from: node.side, envelope: envelope})
+			s.inFlight = append(s.inFlight, delivery{due: due, fromPartition: node.partition, envelope: envelope})
 		}
 	}
 }
 
 func (s *simulation) deliver() {
-	flights := s.flights
-	s.flights = nil
-	for _, flight := range flights {
-		if flight.due > s.step {
-			s.flights = append(s.flights, flight)
+	inFlight := s.inFlight
+	s.inFlight = nil
+	for _, delivery := range inFlight {
+		if delivery.due > s.step {
+			s.inFlight = append(s.inFlight, delivery)
 			continue
 		}
-		node := s.find(flight.envelope.To.Name)
-		if node.down || node.side != flight.from {
+		node := s.nodeByName(delivery.envelope.To.Name)
+		if node.down || node.partition != delivery.fromPartition {
 			continue
 		}
-		node.inbox = append(node.inbox, flight.envelope.Message)
+		node.inbox = append(node.inbox, delivery.envelope.Message)
 	}
 	for _, node := range s.nodes {
-		s.read(node)
+		s.receive(node)
 	}
 }
 
-func (s *simulation) read(node *simulated) {
-	if node.frozen {
+func (s *simulation) receive(node *simulatedNode) {
+	if node.suspended {
 		return
 	}
 	messages := node.inbox
@@ -131,25 +131,26 @@
 	}
 }
 
-func (s *simulation) find(name string) *simulated {
-	return s.nodes[slices.IndexFunc(s.nodes, func(node *simulated) bool { return node.member.Name == name })]
+func (s *simulation) nodeByName(name string) *simulatedNode {
+	return s.nodes[slices.IndexFunc(s.nodes, func(node *simulatedNode) bool { return node.member.Name == name })]
 }
 
-// disagreement returns what is wrong with the lists of the running members, which should hold just the running ones.
+// disagreement returns the first mismatch in the member lists of the running nodes, which should contain exactly the other running
+// nodes, or "".
 func (s *simulation) disagreement() string {
 	for _, node := range s.nodes {
-		if node.down || node.frozen {
+		if node.down || node.suspended {
 			continue
 		}
-		living := map[string]bool{}
+		live := map[string]bool{}
 		for _, member := range node.detector.LiveMembers() {
-			living[member.Name] = true
+			live[member.Name] = true
 		}
 		for _, other := range s.nodes {
-			alive := living[other.member.Name]
-			should := other != node && !other.down && !other.frozen
-			if alive != should {
-				return fmt.Sprintf("%s holds %s for alive: %v", node.member.Name, other.member.Name, alive)
+			alive := live[other.member.Name]
+			expected := other != node && !other.down && !other.suspended
+			if alive != expected {
+				return fmt.Sprintf("%s considers %s alive: %v", node.member.Name, other.member.Name, alive)
 			}
 		}
 	}
@@ -157,7 +158,7 @@
 }
 
 func (s *simulation) requireAgreement(t *rapid.T, when string) {
-	if wrong := s.disagreement(); wrong != "" {
-		t.Fatalf("%s: %s", when, wrong)
+	if mismatch := s.disagreement(); mismatch != "" {
+		t.Fatalf("%s: %s", when, mismatch)
 	}
 }
