--- a/coordination/handoff/handoff.go
+++ b/coordination/handoff/handoff.go
@@ -1,11 +1,11 @@
-// Package handoff keeps hints for peers that can't be reached: what they would have been told, until they are back. Hints are
-// bounded in number, bytes and age, so that a peer that stays away costs little; what is dropped has to reach it in another
-// way, as by the comparison of versions when it is back.
+// Package handoff implements hinted handoff: it stores updates (hints) for unreachable peers until the peers are reachable again.
+// Hints are limited in number, bytes and age, so that a peer that stays away costs little. A dropped hint has to reach its peer in
+// another way, such as a comparison of versions when the peer returns.
 //
-// For each peer and key the newest version alone is kept. A peer that is back gets its hints in the order of their versions,
-// each again until it is known to hold that version or a newer one.
+// Only the newest version is stored per peer and key. A peer that returns is sent its hints in the order of their versions. Each
+// hint is sent again until the peer is known to have that version or a newer one.
 //
-// The package holds no clock, socket or goroutine: times are readings of one steady clock, and the embedder sends.
+// The package contains no clock, socket or goroutine. Times are readings of one monotonic clock, and the embedder sends the hints.
 package handoff
 
 import (
@@ -14,82 +14,83 @@
 	"time"
 )
 
-// Version orders what is told under a key. Less must be a strict order of all versions.
+// Version orders the updates of a key. Less must be a strict total order of all versions.
 type Version[V any] interface {
 	comparable
 	Less(other V) bool
 }
 
-// Hint is what a peer is to be told.
+// Hint is an update to be delivered to a peer.
 type Hint[V Version[V], P any] struct {
 	Key     string
 	Version V
 	Payload P
-	Bytes   int // what the payload weighs
+	Bytes   int // size of the payload, counted towards Limits.Bytes
 }
 
-// Limits bound what is kept. A limit of zero keeps nothing.
+// Limits bounds the stored hints. If Hints or Age is zero, nothing is stored. If Bytes is zero, only hints of size zero are stored.
 type Limits struct {
-	Hints int // of all peers
-	Bytes int // of all payloads
+	Hints int // total of all peers
+	Bytes int // total of all peers
 	Age   time.Duration
 }
 
-// Drops counts hints that were given up before their peer had them.
+// Drops counts the hints that were dropped before they were delivered.
 type Drops struct {
-	Expired    int // they reached the greatest age
-	Evicted    int // they were the oldest when there was no room
-	Superseded int // a newer version took their place
+	Expired    int // their age reached the limit
+	Evicted    int // they were the oldest when a limit was exceeded
+	Superseded int // a newer version replaced them
 }
 
-// Store keeps hints. It is not safe for use by several goroutines.
+// Store stores hints. It is not safe for concurrent use.
 type Store[V Version[V], P any] struct {
 	limits Limits
-	hints  []kept[V, P] // in the order in which they were kept, the oldest first
+	hints  []storedHint[V, P] // in the order in which they were added, oldest first
 	bytes  int
 	drops  Drops
 }
 
-type kept[V Version[V], P any] struct {
+type storedHint[V Version[V], P any] struct {
 	Hint[V, P]
-	peer  string
-	since time.Duration
+	peer     string
+	storedAt time.Duration
 }
 
-// New returns a keeper without hints.
+// New returns an empty store.
 func New[V Version[V], P any](limits Limits) *Store[V, P] { return &Store[V, P]{limits: limits} }
 
-// Add keeps a hint for a peer. It reports false if the peer has one of the same key that is as new, or if the hint alone is
-// beyond the limits. The oldest hints of all make room.
-func (k *Store[V, P]) Add(now time.Duration, peer string, hint Hint[V, P]) bool {
-	k.Expire(now)
-	if k.limits.Hints < 1 || k.limits.Age <= 0 || hint.Bytes > k.limits.Bytes {
+// Add stores a hint for a peer. It returns false if a hint of the same peer and key with this or a newer version is stored, or if
+// the hint alone exceeds the limits. Where necessary it evicts the oldest hints of all peers.
+func (s *Store[V, P]) Add(now time.Duration, peer string, hint Hint[V, P]) bool {
+	s.Expire(now)
+	if s.limits.Hints < 1 || s.limits.Age <= 0 || hint.Bytes > s.limits.Bytes {
 		return false
 	}
-	at := slices.IndexFunc(k.hints, func(held kept[V, P]) bool { return held.peer == peer && held.Key == hint.Key })
-	if at >= 0 {
-		if !k.hints[at].Version.Less(hint.Version) {
+	index := slices.IndexFunc(s.hints, func(stored storedHint[V, P]) bool { return stored.peer == peer && stored.Key == hint.Key })
+	if index >= 0 {
+		if !s.hints[index].Version.Less(hint.Version) {
 			return false
 		}
-		k.remove(at)
-		k.drops.Superseded++
+		s.remove(index)
+		s.drops.Superseded++
 	}
-	for len(k.hints) >= k.limits.Hints || k.bytes+hint.Bytes > k.limits.Bytes {
-		k.remove(0)
-		k.drops.Evicted++
+	for len(s.hints) >= s.limits.Hints || s.bytes+hint.Bytes > s.limits.Bytes {
+		s.remove(0)
+		s.drops.Evicted++
 	}
-	k.hints = append(k.hints, kept[V, P]{Hint: hint, peer: peer, since: now})
-	k.bytes += hint.Bytes
+	s.hints = append(s.hints, storedHint[V, P]{Hint: hint, peer: peer, storedAt: now})
+	s.bytes += hint.Bytes
 	return true
 }
 
-// HintsFor returns the hints for a peer that is back, in the order of their versions. They stay until Holds says that it has them.
-func (k *Store[V, P]) HintsFor(now time.Duration, peer string) []Hint[V, P] {
-	k.Expire(now)
+// HintsFor returns the hints of a peer in the order of their versions. They stay stored until MarkDelivered, or until they expire
+// or are dropped.
+func (s *Store[V, P]) HintsFor(now time.Duration, peer string) []Hint[V, P] {
+	s.Expire(now)
 	var hints []Hint[V, P]
-	for _, held := range k.hints {
-		if held.peer == peer {
-			hints = append(hints, held.Hint)
+	for _, stored := range s.hints {
+		if stored.peer == peer {
+			hints = append(hints, stored.Hint)
 		}
 	}
 	slices.SortStableFunc(hints, func(a, b Hint[V, P]) int {
@@ -104,50 +105,50 @@
 	return hints
 }
 
-// MarkDelivered notes that a peer has a version of a key: a hint up to that version is delivered.
-func (k *Store[V, P]) MarkDelivered(peer, key string, version V) {
-	k.removeIf(func(held *kept[V, P]) bool {
-		return held.peer == peer && held.Key == key && !version.Less(held.Version)
+// MarkDelivered records that a peer has a version of a key, and removes its hint for the key if the hint is not newer.
+func (s *Store[V, P]) MarkDelivered(peer, key string, version V) {
+	s.removeIf(func(stored *storedHint[V, P]) bool {
+		return stored.peer == peer && stored.Key == key && !version.Less(stored.Version)
 	})
 }
 
-// Supersede notes that there is a newer version of a key: older hints of it are worth nothing to any peer.
-func (k *Store[V, P]) Supersede(key string, version V) {
-	k.drops.Superseded += k.removeIf(func(held *kept[V, P]) bool { return held.Key == key && held.Version.Less(version) })
+// Supersede drops the hints of all peers for a key that are older than the given version, because they are obsolete.
+func (s *Store[V, P]) Supersede(key string, version V) {
+	s.drops.Superseded += s.removeIf(func(stored *storedHint[V, P]) bool { return stored.Key == key && stored.Version.Less(version) })
 }
 
-// RemovePeer drops the hints for a peer that is gone for good.
-func (k *Store[V, P]) RemovePeer(peer string) {
-	k.removeIf(func(held *kept[V, P]) bool { return held.peer == peer })
+// RemovePeer removes the hints of a peer, such as one that has left permanently. They do not count in Drops.
+func (s *Store[V, P]) RemovePeer(peer string) {
+	s.removeIf(func(stored *storedHint[V, P]) bool { return stored.peer == peer })
 }
 
-// Expire drops the hints that have reached the greatest age.
-func (k *Store[V, P]) Expire(now time.Duration) {
-	k.drops.Expired += k.removeIf(func(held *kept[V, P]) bool { return now-held.since >= k.limits.Age })
+// Expire drops the hints whose age has reached the limit.
+func (s *Store[V, P]) Expire(now time.Duration) {
+	s.drops.Expired += s.removeIf(func(stored *storedHint[V, P]) bool { return now-stored.storedAt >= s.limits.Age })
 }
 
 // Len returns the number of hints.
-func (k *Store[V, P]) Len() int { return len(k.hints) }
+func (s *Store[V, P]) Len() int { return len(s.hints) }
 
-// Bytes returns what all payloads weigh.
-func (k *Store[V, P]) Bytes() int { return k.bytes }
+// Bytes returns the total size of the payloads.
+func (s *Store[V, P]) Bytes() int { return s.bytes }
 
-// Drops tells how many hints were given up.
-func (k *Store[V, P]) Drops() Drops { return k.drops }
+// Drops returns the numbers of dropped hints since New.
+func (s *Store[V, P]) Drops() Drops { return s.drops }
 
-func (k *Store[V, P]) remove(at int) {
-	k.bytes -= k.hints[at].Bytes
-	k.hints = slices.Delete(k.hints, at, at+1)
+func (s *Store[V, P]) remove(index int) {
+	s.bytes -= s.hints[index].Bytes
+	s.hints = slices.Delete(s.hints, index, index+1)
 }
 
-func (k *Store[V, P]) removeIf(gone func(held *kept[V, P]) bool) int {
-	before := len(k.hints)
-	k.hints = slices.DeleteFunc(k.hints, func(held kept[V, P]) bool {
-		if gone(&held) {
-			k.bytes -= held.Bytes
+func (s *Store[V, P]) removeIf(matches func(stored *storedHint[V, P]) bool) int {
+	before := len(s.hints)
+	s.hints = slices.DeleteFunc(s.hints, func(stored storedHint[V, P]) bool {
+		if matches(&stored) {
+			s.bytes -= stored.Bytes
 			return true
 		}
 		return false
 	})
-	return before - len(k.hints)
+	return before - len(s.hints)
 }
--- a/coordination/rendezvous/rendezvous.go
+++ b/coordination/rendezvous/rendezvous.go
@@ -1,5 +1,6 @@
-// Package rendezvous chooses among candidates by highest random weight: all who know the same candidates choose alike, keys
-// spread evenly over them, and a candidate that comes or goes moves only the keys that it gains or loses.
+// Package rendezvous implements rendezvous hashing (highest random weight). All processes that know the same candidates make the
+// same choice for a key, keys are distributed evenly over the candidates, and a candidate that joins or leaves moves only the
+// keys that it gains or loses.
 package rendezvous
 
 import (
@@ -17,22 +18,21 @@
 	return mix(hash.Sum64())
 }
 
-// First returns the name of a key's first choice among candidates that have names, or "" if there are none. It makes no ranking of
-// them all.
+// First returns the name of a key's first choice among named candidates, or "" if there are none. It does not rank all of them.
 func First[C any](key string, candidates []C, name func(*C) string) string {
 	var first string
-	var most uint64
+	var highest uint64
 	for i := range candidates {
 		candidate := name(&candidates[i])
 		weight := Weight(key, candidate)
-		if first == "" || weight > most || weight == most && candidate < first {
-			first, most = candidate, weight
+		if first == "" || weight > highest || weight == highest && candidate < first {
+			first, highest = candidate, weight
 		}
 	}
 	return first
 }
 
-// Rank returns the candidates in the order of choice for a key, each once.
+// Rank returns the candidates in descending order of their weights for a key, without duplicates.
 func Rank(key string, candidates []string) []string {
 	type weighted struct {
 		candidate string
@@ -55,7 +55,7 @@
 	return slices.Compact(ranked)
 }
 
-// mix spreads the bits of FNV, which are weak for inputs that differ in their last bytes only.
+// mix finalizes an FNV hash, which mixes its bits poorly for inputs that differ only in their last bytes.
 func mix(value uint64) uint64 {
 	value ^= value >> 33
 	value *= 0xff51afd7ed558ccd
--- a/coordination/rendezvous/rendezvous_test.go
+++ b/coordination/rendezvous/rendezvous_test.go
@@ -17,7 +17,7 @@
 	return names
 }
 
-func TestKeysSpreadEvenly(t *testing.T) {
+func TestKeysAreDistributedEvenly(t *testing.T) {
 	counts := map[string]int{}
 	for i := range 3000 {
 		counts[Rank(fmt.Sprintf("frontend-hall-%d", i), candidates(3))[0]]++
@@ -27,36 +27,36 @@
 	}
 }
 
-func TestACandidateThatGoesMovesOnlyItsOwnKeys(t *testing.T) {
+func TestDepartedCandidateMovesOnlyItsOwnKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := candidates(rapid.IntRange(2, 20).Draw(t, "candidates"))
 		key := rapid.String().Draw(t, "key")
-		gone := rapid.SampledFrom(all).Draw(t, "gone")
+		departed := rapid.SampledFrom(all).Draw(t, "gone")
 		without := func(from []string) []string {
-			return slices.DeleteFunc(slices.Clone(from), func(candidate string) bool { return candidate == gone })
+			return slices.DeleteFunc(slices.Clone(from), func(candidate string) bool { return candidate == departed })
 		}
 		if !slices.Equal(without(Rank(key, all)), Rank(key, without(all))) {
-			t.Fatal("the order of those that stay changed")
+			t.Fatal("the order of the remaining candidates changed")
 		}
 	})
 }
 
-func TestRankDoesNotDependOnTheOrderAndDropsDoubles(t *testing.T) {
+func TestRankIgnoresInputOrderAndDuplicates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := candidates(rapid.IntRange(1, 20).Draw(t, "candidates"))
 		shuffled := rapid.Permutation(all).Draw(t, "shuffled")
 		if !slices.Equal(Rank("key", all), Rank("key", append(shuffled, all...))) {
-			t.Fatal("another order")
+			t.Fatal("the ranking depends on input order or duplicates")
 		}
 	})
 }
 
-func TestFirstIsTheHeadOfTheRanking(t *testing.T) {
-	itself := func(candidate *string) string { return *candidate }
-	require.Empty(t, First("key", nil, itself))
+func TestFirstMatchesRank(t *testing.T) {
+	identity := func(candidate *string) string { return *candidate }
+	require.Empty(t, First("key", nil, identity))
 	rapid.Check(t, func(t *rapid.T) {
 		key := rapid.String().Draw(t, "key")
 		candidates := rapid.SliceOfN(rapid.StringMatching(`[a-z]{1,8}`), 1, 20).Draw(t, "candidates")
-		require.Equal(t, Rank(key, candidates)[0], First(key, candidates, itself))
+		require.Equal(t, Rank(key, candidates)[0], First(key, candidates, identity))
 	})
 }
