--- a/internal/controller/census.go
+++ b/internal/controller/agents.go
@@ -8,17 +8,17 @@
 )
 
 // censusWindow is how long a watcher counts after it was last seen: several long polls.
-const censusWindow = 3 * time.Second
+const agentTTL = 3 * time.Second
 
 // census counts the live watchers of all controllers, each once, whichever controllers it polls.
-type census struct {
+type agentCounter struct {
 	mutex sync.Mutex
-	own   map[uint32]time.Time // last seen here
+	local map[uint32]time.Time // last seen here
 	all   map[uint32]time.Time // last seen here or told by another controller
 }
 
-func newCensus() *census {
-	return &census{own: make(map[uint32]time.Time), all: make(map[uint32]time.Time)}
+func newAgentCounter() *agentCounter {
+	return &agentCounter{local: make(map[uint32]time.Time), all: make(map[uint32]time.Time)}
 }
 
 func nameHash(name string) uint32 {
@@ -28,19 +28,19 @@
 }
 
 // saw notes a poll.
-func (c *census) saw(now time.Time, name string) {
+func (c *agentCounter) recordPoll(now time.Time, name string) {
 	if name == "" {
 		return
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	hash := nameHash(name)
-	c.own[hash] = now
+	c.local[hash] = now
 	c.all[hash] = now
 }
 
 // told notes what another controller has seen.
-func (c *census) told(now time.Time, hashes []uint32) {
+func (c *agentCounter) recordRemote(now time.Time, hashes []uint32) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, hash := range hashes {
@@ -49,12 +49,12 @@
 }
 
 // seenHere returns the watchers that were seen here lately, in order.
-func (c *census) seenHere(now time.Time) []uint32 {
+func (c *agentCounter) recentLocal(now time.Time) []uint32 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	prune(c.own, now)
-	hashes := make([]uint32, 0, len(c.own))
-	for hash := range c.own {
+	prune(c.local, now)
+	hashes := make([]uint32, 0, len(c.local))
+	for hash := range c.local {
 		hashes = append(hashes, hash)
 	}
 	slices.Sort(hashes)
@@ -62,7 +62,7 @@
 }
 
 // count returns the number of live watchers.
-func (c *census) count(now time.Time) int {
+func (c *agentCounter) count(now time.Time) int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	prune(c.all, now)
@@ -71,7 +71,7 @@
 
 func prune(seen map[uint32]time.Time, now time.Time) {
 	for hash, at := range seen {
-		if now.Sub(at) > censusWindow {
+		if now.Sub(at) > agentTTL {
 			delete(seen, hash)
 		}
 	}
--- a/internal/controller/change.go
+++ b/internal/controller/change.go
@@ -8,10 +8,10 @@
 
 // Verdicts on a change that is not taken. They hold for the state that was looked at.
 var (
-	errAlreadyTaken = eris.New("exactly this change was taken before")
-	errOtherBase    = eris.New("another version is current")
-	errNotAbove     = eris.New("the version is not above the current one")
-	errRoleMoved    = eris.New("the role has another token")
+	errAlreadyApplied      = eris.New("exactly this change was taken before")
+	errBaseMismatch        = eris.New("another version is current")
+	errVersionNotIncreased = eris.New("the version is not above the current one")
+	errTokenMismatch       = eris.New("the role has another token")
 )
 
 // change is a configuration that the operator wants, checked as far as it can be by itself.
@@ -27,19 +27,19 @@
 }
 
 // applyChange decides what a change does to a state: it returns the state after it, or one of the verdicts.
-func applyChange(state controlState, wanted change) (controlState, error) {
+func applyChange(state controlState, requested change) (controlState, error) {
 	switch {
-	case state.taken(wanted.Digest):
-		return state, errAlreadyTaken
-	case wanted.Base != state.Version:
-		return state, errOtherBase
-	case wanted.Version <= state.Version:
-		return state, errNotAbove
+	case state.hasChange(requested.Digest):
+		return state, errAlreadyApplied
+	case requested.Base != state.Version:
+		return state, errBaseMismatch
+	case requested.Version <= state.Version:
+		return state, errVersionNotIncreased
 	}
-	state.Digests = state.withDigest(wanted.Digest)
+	state.Digests = state.withDigest(requested.Digest)
 	state.Changes++
-	state.Version = wanted.Version
-	state.Config = wanted.Body
+	state.Version = requested.Version
+	state.Config = requested.Body
 	return state, nil
 }
 
@@ -47,10 +47,10 @@
 func applyClaim(state controlState, claim lease.Claim, claimant lease.Member) (controlState, error) {
 	record := state.Roles[claim.Key]
 	if record.Holder == claimant && record.Token > claim.Previous {
-		return state, errAlreadyTaken
+		return state, errAlreadyApplied
 	}
 	if record.Token != claim.Previous {
-		return state, errRoleMoved
+		return state, errTokenMismatch
 	}
 	return state.withRole(claim.Key, lease.Record{Holder: claimant, Token: claim.Previous + 1}), nil
 }
--- a/internal/controller/change_test.go
+++ b/internal/controller/change_test.go
@@ -22,18 +22,18 @@
 		want   error
 	}{
 		"the first of all":                         {controlState{}, first, nil},
-		"a base where there is none":               {controlState{}, second, errOtherBase},
+		"a base where there is none":               {controlState{}, second, errBaseMismatch},
 		"the next":                                 {afterFirst, second, nil},
-		"sent again":                               {afterFirst, first, errAlreadyTaken},
-		"sent again under a newer one":             {afterSecond, first, errAlreadyTaken},
-		"the same number with other bytes":         {afterFirst, newChange(0, 3, []byte("other")), errOtherBase},
-		"the same bytes on another base":           {afterFirst, newChange(3, 3, []byte("first")), errNotAbove},
-		"the same base after another took it":      {afterSecond, newChange(3, 9, []byte("late")), errOtherBase},
-		"a version that is not above":              {afterSecond, newChange(7, 7, []byte("third")), errNotAbove},
-		"a version below":                          {afterSecond, newChange(7, 2, []byte("third")), errNotAbove},
-		"a version of 0":                           {controlState{}, newChange(0, 0, []byte("zero")), errNotAbove},
-		"a base that is to come":                   {afterFirst, newChange(7, 9, []byte("early")), errOtherBase},
-		"an old change with one byte more is none": {afterSecond, newChange(0, 3, []byte("first ")), errOtherBase},
+		"sent again":                               {afterFirst, first, errAlreadyApplied},
+		"sent again under a newer one":             {afterSecond, first, errAlreadyApplied},
+		"the same number with other bytes":         {afterFirst, newChange(0, 3, []byte("other")), errBaseMismatch},
+		"the same bytes on another base":           {afterFirst, newChange(3, 3, []byte("first")), errVersionNotIncreased},
+		"the same base after another took it":      {afterSecond, newChange(3, 9, []byte("late")), errBaseMismatch},
+		"a version that is not above":              {afterSecond, newChange(7, 7, []byte("third")), errVersionNotIncreased},
+		"a version below":                          {afterSecond, newChange(7, 2, []byte("third")), errVersionNotIncreased},
+		"a version of 0":                           {controlState{}, newChange(0, 0, []byte("zero")), errVersionNotIncreased},
+		"a base that is to come":                   {afterFirst, newChange(7, 9, []byte("early")), errBaseMismatch},
+		"an old change with one byte more is none": {afterSecond, newChange(0, 3, []byte("first ")), errBaseMismatch},
 	}
 	for name, each := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -47,12 +47,12 @@
 			require.Equal(t, each.change.Version, next.Version)
 			require.Equal(t, each.change.Body, next.Config)
 			require.Equal(t, each.state.Changes+1, next.Changes)
-			require.True(t, next.taken(each.change.Digest))
+			require.True(t, next.hasChange(each.change.Digest))
 		})
 	}
 }
 
-func TestTheStateKeepsTheNewestDigests(t *testing.T) {
+func TestStateKeepsNewestDigests(t *testing.T) {
 	var state controlState
 	body := func(version int64) []byte { return binary.BigEndian.AppendUint64(nil, uint64(version)) }
 	const count = maxDigests + 10
@@ -62,12 +62,12 @@
 		state = next
 	}
 	require.Len(t, state.Digests, maxDigests*digestBytes)
-	require.False(t, state.taken(digestOf(0, body(0))))
-	require.True(t, state.taken(digestOf(10, body(10))))
-	require.True(t, state.taken(digestOf(count-1, body(count-1))))
+	require.False(t, state.hasChange(digestOf(0, body(0))))
+	require.True(t, state.hasChange(digestOf(10, body(10))))
+	require.True(t, state.hasChange(digestOf(count-1, body(count-1))))
 }
 
-func TestTheStateComesBackAsItWasEncoded(t *testing.T) {
+func TestStateEncodingRoundTrip(t *testing.T) {
 	state, err := applyChange(controlState{}, newChange(0, 3, []byte(`{"Version":3}`)))
 	require.NoError(t, err)
 	state = state.withRole(roleReader, lease.Record{Holder: lease.Member{Address: "a", Life: "1"}, Token: 4})
@@ -94,9 +94,9 @@
 	require.NoError(t, err)
 	require.Equal(t, lease.Record{Holder: member, Token: 1}, taken.Roles[roleReader])
 	_, err = applyClaim(taken, claim, member)
-	require.ErrorIs(t, err, errAlreadyTaken)
+	require.ErrorIs(t, err, errAlreadyApplied)
 	_, err = applyClaim(taken, claim, other)
-	require.ErrorIs(t, err, errRoleMoved)
+	require.ErrorIs(t, err, errTokenMismatch)
 	next, err := applyClaim(taken, lease.Claim{Key: roleReader, Previous: 1}, other)
 	require.NoError(t, err)
 	require.Equal(t, lease.Record{Holder: other, Token: 2}, next.Roles[roleReader])
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -146,7 +146,7 @@
 }
 
 func (f *fleet) start(i int) {
-	process, err := open(f.t.Context(), f.settings[i], hostOf(f.settings[i]), zap.NewNop())
+	process, err := open(f.t.Context(), f.settings[i], systemHost(f.settings[i]), zap.NewNop())
 	require.NoError(f.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	started := &runningController{process: process, cancel: cancel, ended: make(chan error, 1)}
@@ -326,7 +326,7 @@
 	require.Equal(t, http.StatusOK, f.replace(0, 0, configBody(1)))
 	f.crash(1)
 	f.crash(2)
-	f.eventually("out of touch", func() bool { return !inTouch(f.running[0].process.node) })
+	f.eventually("out of touch", func() bool { return !hasQuorum(f.running[0].process.node) })
 	request, err := http.NewRequest(http.MethodPost, "http://"+f.settings[0].Listen.Control+pathReplace, strings.NewReader(configBody(2)))
 	require.NoError(t, err)
 	request.Header.Set(headerBase, "1")
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -36,24 +36,24 @@
 	operator *operatorAPI
 	hub      *watch.Hub
 	leases   *leases
-	lists    *lists
+	lists    *listStore
 	hints    *hints
-	roster   *roster
-	census   *census
+	peers    *peers
+	agents   *agentCounter
 	reports  *reports
 	poller   *instances.Poller
 	keeper   *stages.Keeper
 
-	settledAt time.Time       // when the number of routers is known
-	ctx       context.Context // of the whole run, for work that no caller waits for
-	beatNow   chan struct{}
-	fetching  atomic.Bool
-	catching  atomic.Bool
-	synced    atomic.Bool // the register was read since the start
+	settledAt    time.Time       // when the number of routers is known
+	ctx          context.Context // of the whole run, for work that no caller waits for
+	heartbeatNow chan struct{}
+	fetchingList atomic.Bool
+	catchingUp   atomic.Bool
+	synced       atomic.Bool // the register was read since the start
 
-	publishing sync.Mutex
-	revision   uint64 // of the newest state that was published
-	published  uint64 // number of the newest configuration that was published
+	publishMutex      sync.Mutex
+	publishedRevision uint64 // of the newest state that was published
+	publishedChange   uint64 // number of the newest configuration that was published
 }
 
 func newController(
@@ -62,32 +62,32 @@
 ) *controller {
 	current := latest.Load()
 	c := &controller{
-		settings: latest,
-		self:     lease.Member{Address: current.InternalAddress(), Life: rand.Text()},
-		log:      log,
-		client:   client,
-		node:     node,
-		operator: newOperatorAPI(node, log),
-		census:   newCensus(),
-		hints:    newHints(),
-		ctx:      ctx,
-		beatNow:  make(chan struct{}, 1),
+		settings:     latest,
+		self:         lease.Member{Address: current.InternalAddress(), Life: rand.Text()},
+		log:          log,
+		client:       client,
+		node:         node,
+		operator:     newOperatorAPI(node, log),
+		agents:       newAgentCounter(),
+		hints:        newHints(),
+		ctx:          ctx,
+		heartbeatNow: make(chan struct{}, 1),
 	}
-	c.roster = newRoster(c.self.Address, current.SeedInternalAddresses())
+	c.peers = newPeers(c.self.Address, current.SeedInternalAddresses())
 	c.hub = watch.NewHub(watch.HubOptions{
-		QuorumAge: c.watchAge, MaxQuorumAge: maxQuorumAge, Seen: c.sawWatcher, Doubts: c.doubts,
+		QuorumAge: c.quorumAge, MaxQuorumAge: maxQuorumAge, Seen: c.recordPoll, Doubts: c.doubts,
 	})
 	c.leases = newLeases(c.self, current.Bootstrap)
 	c.reports = newReports(c.leases.started)
 	c.settledAt = c.leases.started.Add(settleTime)
-	c.lists = newLists(c.hub, log)
+	c.lists = newListStore(c.hub, log)
 	reader := instances.NewReaderDialing(func() string { return latest.Load().Cloud.Address }, dial)
-	c.poller = instances.NewPoller(reader, c.mayRead, c.listRead(ctx), log)
+	c.poller = instances.NewPoller(reader, c.mayReadList, c.listHandler(ctx), log)
 	c.keeper = stages.NewKeeper(stages.Options{
 		Holder: current.NodeName,
 		Lease:  func() (uint64, bool) { return c.leases.holds(roleStages) },
 		Fenced: func(token uint64) { c.leases.giveUp(roleStages, token) },
-		Fleet:  c.knownFleet,
+		Fleet:  c.publishedFleet,
 		Quiet:  current.Bounds.Lease() + current.Bounds.Thaw(),
 		Fresh:  current.Bootstrap,
 		Dial:   dial,
@@ -97,18 +97,18 @@
 }
 
 // sawWatcher counts the agents, of which there is one beside each router.
-func (c *controller) sawWatcher(request *fleetwire.WatchRequest) {
+func (c *controller) recordPoll(request *fleetwire.WatchRequest) {
 	if request.Member.Role == fleetwire.RoleAgent {
-		c.census.saw(time.Now(), request.Member.Name)
+		c.agents.recordPoll(time.Now(), request.Member.Name)
 	}
 	if len(request.Observations) > 0 {
-		c.reports.heard(request.Member, request.Observations, c.lists.services())
+		c.reports.recordObservations(request.Member, request.Observations, c.lists.serviceByWorker())
 	}
 }
 
 // watchAge is the age of the contact with a majority that watchers are told. Before the first read of the register there is
 // none: this controller may have heard the others, but it knows nothing of what they hold.
-func (c *controller) watchAge() time.Duration {
+func (c *controller) quorumAge() time.Duration {
 	if !c.synced.Load() {
 		return register.NeverHeard
 	}
@@ -118,38 +118,38 @@
 // doubts is what a watcher is told of workers that the routers of its zone complain of.
 func (c *controller) doubts(request *fleetwire.WatchRequest) []fleetwire.Doubt {
 	zones := max(1, len(c.settings.Load().Zones))
-	return c.reports.doubts(request.Member.Zone, c.lists.services, c.routers(time.Now())/zones)
+	return c.reports.doubts(request.Member.Zone, c.lists.serviceByWorker, c.routerCount(time.Now())/zones)
 }
 
 // routers is the number of live routers, or 0 while it is not known.
-func (c *controller) routers(now time.Time) int {
+func (c *controller) routerCount(now time.Time) int {
 	if now.Before(c.settledAt) {
 		return 0
 	}
-	return c.census.count(now)
+	return c.agents.count(now)
 }
 
 // mayRead reports whether this controller may read the platform's list now, and under which token. Its holder by the record
 // need not wait for grants while there is no list here: it alone reads under that token, and a list under it gives way to
 // any of a later holder. After a loss of power of all, grants come only when those of the former lives have run out.
-func (c *controller) mayRead() (uint64, bool) {
+func (c *controller) mayReadList() (uint64, bool) {
 	if token, held := c.leases.holds(roleReader); held {
 		return token, held
 	}
-	if version, _ := c.lists.held(time.Now()); version != (fleetwire.ListVersion{}) || !inTouch(c.node) {
+	if version, _ := c.lists.versionAndAge(time.Now()); version != (fleetwire.ListVersion{}) || !hasQuorum(c.node) {
 		return 0, false
 	}
 	return c.leases.recorded(roleReader)
 }
 
 // knownFleet is what the watchers of this controller are told.
-func (c *controller) knownFleet() stages.Fleet {
+func (c *controller) publishedFleet() stages.Fleet {
 	current := c.hub.Current()
 	return stages.Fleet{Config: current.Config, Instances: current.Instances}
 }
 
 // settingsChanged takes a new settings file.
-func (c *controller) settingsChanged(next *settings.Settings) {
+func (c *controller) applySettings(next *settings.Settings) {
 	c.settings.Store(next)
-	c.roster.setSeeds(next.SeedInternalAddresses())
+	c.peers.setSeeds(next.SeedInternalAddresses())
 }
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -21,44 +21,44 @@
 )
 
 // beat sends heartbeats and takes the roles that are due until the context is done.
-func (c *controller) beat(ctx context.Context) {
+func (c *controller) runHeartbeats(ctx context.Context) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for {
 		c.sendHeartbeats(ctx, false)
-		c.takeRoles(ctx)
-		c.hub.SetRouters(c.routers(time.Now()))
-		c.hub.SetControllers(c.roster.known(time.Now()))
+		c.claimRoles(ctx)
+		c.hub.SetRouters(c.routerCount(time.Now()))
+		c.hub.SetControllers(c.peers.addresses(time.Now()))
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-c.beatNow:
+		case <-c.heartbeatNow:
 		}
 	}
 }
 
 // hurry has the next heartbeat sent at once.
-func (c *controller) hurry() {
+func (c *controller) triggerHeartbeat() {
 	select {
-	case c.beatNow <- struct{}{}:
+	case c.heartbeatNow <- struct{}{}:
 	default:
 	}
 }
 
 // sendHeartbeats sends one heartbeat to each controller that is due, or to everyone, and returns a group that is done
 // when all are answered or given up.
-func (c *controller) sendHeartbeats(ctx context.Context, everyone bool) *sync.WaitGroup {
+func (c *controller) sendHeartbeats(ctx context.Context, toAll bool) *sync.WaitGroup {
 	var message heartbeat
 	var sentAt time.Duration
-	c.leases.with(func(decider *lease.Decider, now time.Duration) {
+	c.leases.withDecider(func(decider *lease.Decider, now time.Duration) {
 		sentAt = now
 		decider.SetDoubt(c.node.SetInDoubt())
-		message.Lease = decider.Heartbeat(now, inTouch(c.node))
+		message.Lease = decider.Heartbeat(now, hasQuorum(c.node))
 	})
 	message.Gossip = c.gossip()
 	var calls sync.WaitGroup
-	for _, address := range c.roster.due(time.Now(), everyone) {
+	for _, address := range c.peers.due(time.Now(), toAll) {
 		calls.Go(func() { c.sendHeartbeat(ctx, address, sentAt, message) })
 	}
 	if len(message.Lease.Asks) > 0 {
@@ -72,26 +72,26 @@
 	defer cancel()
 	var reply heartbeatReply
 	err := c.client.Call(ctx, address, pathHeartbeat, message, &reply)
-	c.roster.done(time.Now(), address, err)
+	c.peers.recordResult(time.Now(), address, err)
 	if err != nil {
 		return
 	}
-	c.leases.with(func(decider *lease.Decider, now time.Duration) { decider.Answered(sentAt, now, reply.Lease) })
+	c.leases.withDecider(func(decider *lease.Decider, now time.Duration) { decider.Answered(sentAt, now, reply.Lease) })
 	if len(reply.Lease.Granted) > 0 {
 		c.poller.Wake()
 	}
-	c.hear(reply.Lease.From.Address, reply.Gossip)
+	c.handleGossip(reply.Lease.From.Address, reply.Gossip)
 }
 
 func (c *controller) serveHeartbeat(_ context.Context, message heartbeat) (heartbeatReply, error) {
 	var reply heartbeatReply
-	c.leases.with(func(decider *lease.Decider, now time.Duration) {
+	c.leases.withDecider(func(decider *lease.Decider, now time.Duration) {
 		decider.SetDoubt(c.node.SetInDoubt())
 		reply.Lease = decider.Receive(now, message.Lease)
 	})
-	c.hear(message.Lease.From.Address, message.Gossip)
+	c.handleGossip(message.Lease.From.Address, message.Gossip)
 	if len(message.Lease.Released) > 0 {
-		c.hurry()
+		c.triggerHeartbeat()
 	}
 	reply.Gossip = c.gossip()
 	return reply, nil
@@ -99,40 +99,40 @@
 
 func (c *controller) gossip() gossip {
 	now := time.Now()
-	version, age := c.lists.held(now)
+	version, age := c.lists.versionAndAge(now)
 	return gossip{
 		Revision:  c.node.Latest().Revision,
 		List:      version,
 		ListAgeMs: age,
-		Routers:   c.census.seenHere(now),
-		Reports:   c.reports.passOn(),
+		Routers:   c.agents.recentLocal(now),
+		Reports:   c.reports.toForward(),
 	}
 }
 
 // hear takes what another controller tells.
-func (c *controller) hear(address string, told gossip) {
+func (c *controller) handleGossip(address string, received gossip) {
 	now := time.Now()
-	c.roster.heard(now, address)
-	c.census.told(now, told.Routers)
-	if len(told.Reports) > 0 {
-		c.reports.told(told.Reports, c.lists.services())
+	c.peers.recordContact(now, address)
+	c.agents.recordRemote(now, received.Routers)
+	if len(received.Reports) > 0 {
+		c.reports.recordForwarded(received.Reports, c.lists.serviceByWorker())
 	}
-	if c.lists.told(now, told.List, told.ListAgeMs) {
+	if c.lists.observeVersion(now, received.List, received.ListAgeMs) {
 		c.fetchList(c.ctx, address)
 	}
-	c.handOver(now, address, told.List)
-	if told.Revision > c.node.Latest().Revision {
+	c.sendMissedList(now, address, received.List)
+	if received.Revision > c.node.Latest().Revision {
 		c.catchUp()
 	}
 }
 
 // catchUp reads the register once, since another controller knows a newer state.
 func (c *controller) catchUp() {
-	if !c.catching.CompareAndSwap(false, true) {
+	if !c.catchingUp.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer c.catching.Store(false)
+		defer c.catchingUp.Store(false)
 		ctx, cancel := context.WithTimeout(c.ctx, attemptTimeout)
 		defer cancel()
 		_, _ = c.node.Read(ctx)
@@ -140,18 +140,18 @@
 }
 
 // takeRoles writes the claims that are due to the register.
-func (c *controller) takeRoles(ctx context.Context) {
+func (c *controller) claimRoles(ctx context.Context) {
 	var claims []lease.Claim
-	c.leases.with(func(decider *lease.Decider, now time.Duration) { claims = decider.Claims(now) })
+	c.leases.withDecider(func(decider *lease.Decider, now time.Duration) { claims = decider.Claims(now) })
 	for _, claim := range claims {
-		go c.takeRole(ctx, claim)
+		go c.claimRole(ctx, claim)
 	}
 }
 
-func (c *controller) takeRole(ctx context.Context, claim lease.Claim) {
+func (c *controller) claimRole(ctx context.Context, claim lease.Claim) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	err := update(ctx, c.node, func(state controlState) (controlState, error) { return applyClaim(state, claim, c.self) })
+	err := updateState(ctx, c.node, func(state controlState) (controlState, error) { return applyClaim(state, claim, c.self) })
 	if err != nil {
 		c.log.Info("a role was not taken", zap.String("role", claim.Key), zap.String("cause", err.Error()))
 		return
--- a/internal/controller/hints.go
+++ b/internal/controller/hints.go
@@ -27,17 +27,17 @@
 }
 
 // missed notes that a list did not reach a controller.
-func (h *hints) missed(address string, version fleetwire.ListVersion) {
+func (h *hints) add(address string, version fleetwire.ListVersion) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.keeper.Keep(time.Since(h.started), address, handoff.Hint[fleetwire.ListVersion, struct{}]{Key: listKey, Version: version})
 }
 
 // take reports whether a controller that is back, and tells which list it holds, has missed a newer one.
-func (h *hints) take(address string, holds fleetwire.ListVersion) bool {
+func (h *hints) takeMissed(address string, held fleetwire.ListVersion) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.keeper.Holds(address, listKey, holds)
+	h.keeper.Holds(address, listKey, held)
 	missed := len(h.keeper.For(time.Since(h.started), address)) > 0
 	h.keeper.Forget(address) // if it is missed again, there will be another hint
 	return missed
--- a/internal/controller/leases.go
+++ b/internal/controller/leases.go
@@ -32,27 +32,27 @@
 // now is the steady time since the start.
 func (l *leases) now() time.Duration { return time.Since(l.started) }
 
-func (l *leases) with(act func(decider *lease.Decider, now time.Duration)) {
+func (l *leases) withDecider(use func(decider *lease.Decider, now time.Duration)) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	act(l.decider, l.now())
+	use(l.decider, l.now())
 }
 
 func (l *leases) holds(key string) (token uint64, held bool) {
-	l.with(func(decider *lease.Decider, now time.Duration) { token, held = decider.Holds(now, key) })
+	l.withDecider(func(decider *lease.Decider, now time.Duration) { token, held = decider.Holds(now, key) })
 	return token, held
 }
 
-func (l *leases) recorded(key string) (token uint64, is bool) {
-	l.with(func(decider *lease.Decider, _ time.Duration) { token, is = decider.Recorded(key) })
-	return token, is
+func (l *leases) recorded(key string) (token uint64, ok bool) {
+	l.withDecider(func(decider *lease.Decider, _ time.Duration) { token, ok = decider.Recorded(key) })
+	return token, ok
 }
 
 func (l *leases) giveUp(key string, token uint64) {
-	l.with(func(decider *lease.Decider, _ time.Duration) { decider.GiveUp(key, token) })
+	l.withDecider(func(decider *lease.Decider, _ time.Duration) { decider.GiveUp(key, token) })
 }
 
 func (l *leases) live() (live []string) {
-	l.with(func(decider *lease.Decider, now time.Duration) { live = decider.Live(now) })
+	l.withDecider(func(decider *lease.Decider, now time.Duration) { live = decider.Live(now) })
 	return live
 }
--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -30,14 +30,14 @@
 	attemptTimeout = 1500 * time.Millisecond
 	readTimeout    = 2 * time.Second
 	// doubtPause separates the tries of a change whose outcome is not known.
-	doubtPause = 20 * time.Millisecond
+	retryPause = 20 * time.Millisecond
 	// formingTimeout is how long a fresh fleet's first acknowledgement waits for the whole set of replicas, in all and per
 	// call.
 	formingTimeout     = 5 * time.Second
 	formingCallTimeout = 700 * time.Millisecond
 	// unansweredPause separates lines of the log about changes without an answer: an operator that reaches only a controller
 	// cut off from the others sends again many times a second.
-	unansweredPause = time.Second
+	unansweredLogInterval = time.Second
 )
 
 // operatorAPI serves the operator's calls.
@@ -46,20 +46,20 @@
 	started time.Time
 	log     *zap.Logger
 	// ending is done once the process is about to end: calls in hand are answered as they stand.
-	ending context.Context
-	end    context.CancelFunc
+	shutdown    context.Context
+	cancelCalls context.CancelFunc
 
-	counting   sync.Mutex
-	unanswered int       // changes since the last line about them
-	loggedAt   time.Time // zero: never
+	unansweredMutex sync.Mutex
+	unansweredCount int       // changes since the last line about them
+	loggedAt        time.Time // zero: never
 }
 
 func newOperatorAPI(node stateRegister, log *zap.Logger) *operatorAPI {
-	ending, end := context.WithCancel(context.Background())
-	return &operatorAPI{node: node, started: time.Now(), log: log, ending: ending, end: end}
+	shutdown, cancelCalls := context.WithCancel(context.Background())
+	return &operatorAPI{node: node, started: time.Now(), log: log, shutdown: shutdown, cancelCalls: cancelCalls}
 }
 
-func (a *operatorAPI) register(mux *http.ServeMux) {
+func (a *operatorAPI) registerHandlers(mux *http.ServeMux) {
 	mux.HandleFunc("POST "+pathReplace, a.replace)
 	mux.HandleFunc("GET "+pathRead, a.read)
 }
@@ -68,29 +68,29 @@
 func (a *operatorAPI) replace(w http.ResponseWriter, r *http.Request) {
 	base, err := strconv.ParseInt(r.Header.Get(headerBase), 10, 64)
 	if err != nil || base < 0 {
-		refuse(w, http.StatusBadRequest, headerBase+" is not a version")
+		writeError(w, http.StatusBadRequest, headerBase+" is not a version")
 		return
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfigBytes))
 	if err != nil {
-		refuse(w, bodyStatus(err), "the configuration could not be read whole")
+		writeError(w, bodyStatus(err), "the configuration could not be read whole")
 		return
 	}
 	config, err := fleetconfig.Parse(body)
 	if err != nil {
-		refuse(w, fleetconfig.StatusOf(err), err.Error())
+		writeError(w, fleetconfig.StatusOf(err), err.Error())
 		return
 	}
 	// The change goes on when the operator leaves: sent again, it is known.
 	ctx, cancel := a.callContext(context.WithoutCancel(r.Context()), changeTimeout)
 	defer cancel()
-	a.answer(w, a.take(ctx, newChange(base, config.Version, body)))
+	a.writeOutcome(w, a.commitChange(ctx, newChange(base, config.Version, body)))
 }
 
 // callContext bounds the work for one call by time and by the end of the process.
 func (a *operatorAPI) callContext(parent context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(parent, timeout)
-	stop := context.AfterFunc(a.ending, cancel)
+	stop := context.AfterFunc(a.shutdown, cancel)
 	return ctx, func() {
 		stop()
 		cancel()
@@ -109,40 +109,40 @@
 }
 
 // take has a change taken, or returns why it was not: a verdict, or an error that leaves the outcome open.
-func (a *operatorAPI) take(ctx context.Context, wanted change) error {
-	if err := a.waitForming(ctx); err != nil {
+func (a *operatorAPI) commitChange(ctx context.Context, requested change) error {
+	if err := a.waitFormed(ctx); err != nil {
 		return err
 	}
-	doubtful := false
+	inDoubt := false
 	for {
-		err := a.try(ctx, wanted)
-		doubtful = doubtful || errors.Is(err, register.ErrInDoubt)
-		if err == nil || isVerdict(err) || !doubtful {
+		err := a.attemptChange(ctx, requested)
+		inDoubt = inDoubt || errors.Is(err, register.ErrInDoubt)
+		if err == nil || isRejection(err) || !inDoubt {
 			return err
 		}
-		if !pause.For(ctx, doubtPause) {
+		if !pause.For(ctx, retryPause) {
 			return err
 		}
 	}
 }
 
-func (a *operatorAPI) try(ctx context.Context, wanted change) error {
-	if !inTouch(a.node) {
+func (a *operatorAPI) attemptChange(ctx context.Context, requested change) error {
+	if !hasQuorum(a.node) {
 		return register.ErrNoQuorum
 	}
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	return update(ctx, a.node, func(state controlState) (controlState, error) { return applyChange(state, wanted) })
+	return updateState(ctx, a.node, func(state controlState) (controlState, error) { return applyChange(state, requested) })
 }
 
 // isVerdict reports whether an error was found on a state that proves it.
-func isVerdict(err error) bool {
-	return errors.Is(err, errAlreadyTaken) || errors.Is(err, errOtherBase) || errors.Is(err, errNotAbove)
+func isRejection(err error) bool {
+	return errors.Is(err, errAlreadyApplied) || errors.Is(err, errBaseMismatch) || errors.Is(err, errVersionNotIncreased)
 }
 
 // waitForming holds a change back while a fresh fleet gathers its replicas: an acknowledgement must be able to outlive
 // the loss of some. It gives up for good after a while, since a replica may be missing from the start.
-func (a *operatorAPI) waitForming(ctx context.Context) error {
+func (a *operatorAPI) waitFormed(ctx context.Context) error {
 	span := min(formingCallTimeout, formingTimeout-time.Since(a.started))
 	if span <= 0 {
 		return nil
@@ -156,30 +156,30 @@
 	return err
 }
 
-func (a *operatorAPI) answer(w http.ResponseWriter, err error) {
+func (a *operatorAPI) writeOutcome(w http.ResponseWriter, err error) {
 	switch {
-	case err == nil || errors.Is(err, errAlreadyTaken):
+	case err == nil || errors.Is(err, errAlreadyApplied):
 		w.WriteHeader(http.StatusOK)
-	case errors.Is(err, errOtherBase):
-		refuse(w, http.StatusPreconditionFailed, err.Error())
-	case errors.Is(err, errNotAbove):
-		refuse(w, http.StatusBadRequest, err.Error())
+	case errors.Is(err, errBaseMismatch):
+		writeError(w, http.StatusPreconditionFailed, err.Error())
+	case errors.Is(err, errVersionNotIncreased):
+		writeError(w, http.StatusBadRequest, err.Error())
 	default:
 		a.logUnanswered(err)
-		refuse(w, http.StatusServiceUnavailable, "the outcome is not known here")
+		writeError(w, http.StatusServiceUnavailable, "the outcome is not known here")
 	}
 }
 
 // logUnanswered notes a change that is left without an answer.
 func (a *operatorAPI) logUnanswered(err error) {
-	a.counting.Lock()
-	defer a.counting.Unlock()
-	a.unanswered++
-	if !a.loggedAt.IsZero() && time.Since(a.loggedAt) < unansweredPause {
+	a.unansweredMutex.Lock()
+	defer a.unansweredMutex.Unlock()
+	a.unansweredCount++
+	if !a.loggedAt.IsZero() && time.Since(a.loggedAt) < unansweredLogInterval {
 		return
 	}
-	a.log.Warn("a change is left without an answer", zap.Int("changes", a.unanswered), zap.String("cause", err.Error()))
-	a.unanswered = 0
+	a.log.Warn("a change is left without an answer", zap.Int("changes", a.unansweredCount), zap.String("cause", err.Error()))
+	a.unansweredCount = 0
 	a.loggedAt = time.Now()
 }
 
@@ -190,9 +190,9 @@
 	state, err := a.readState(ctx)
 	switch {
 	case err != nil:
-		refuse(w, http.StatusServiceUnavailable, "no majority answers")
+		writeError(w, http.StatusServiceUnavailable, "no majority answers")
 	case state.Version == 0:
-		refuse(w, http.StatusNotFound, "there is no configuration")
+		writeError(w, http.StatusNotFound, "there is no configuration")
 	default:
 		w.Header().Set("Content-Type", "application/json")
 		w.Header().Set("Content-Length", strconv.Itoa(len(state.Config)))
@@ -208,10 +208,10 @@
 		if err == nil {
 			return decodeState(current.Data)
 		}
-		if !inTouch(a.node) || !pause.For(ctx, doubtPause) {
+		if !hasQuorum(a.node) || !pause.For(ctx, retryPause) {
 			return controlState{}, err
 		}
 	}
 }
 
-func refuse(w http.ResponseWriter, status int, text string) { http.Error(w, text, status) }
+func writeError(w http.ResponseWriter, status int, message string) { http.Error(w, message, status) }
--- a/internal/controller/operator_test.go
+++ b/internal/controller/operator_test.go
@@ -34,9 +34,9 @@
 
 // outcome is what becomes of one update.
 type outcome struct {
-	before func(f *fakeRegister) // what others do first
-	chosen bool                  // the change is chosen
-	err    error                 // what the caller is told in place of success
+	runFirst func(f *fakeRegister) // what others do first
+	chosen   bool                  // the change is chosen
+	err      error                 // what the caller is told in place of success
 }
 
 func newFakeRegister() *fakeRegister {
@@ -51,8 +51,8 @@
 	if len(f.outcomes) > 0 {
 		next, f.outcomes = f.outcomes[0], f.outcomes[1:]
 	}
-	if next.before != nil {
-		next.before(f)
+	if next.runFirst != nil {
+		next.runFirst(f)
 	}
 	if eris.Is(next.err, register.ErrNoQuorum) {
 		return register.State{}, next.err
@@ -62,12 +62,12 @@
 		return f.state, err
 	}
 	if next.chosen {
-		f.choose(data)
+		f.setChosen(data)
 	}
 	return f.state, next.err
 }
 
-func (f *fakeRegister) choose(data []byte) {
+func (f *fakeRegister) setChosen(data []byte) {
 	f.state.Revision++
 	f.state.Data = data
 	close(f.changed)
@@ -111,16 +111,16 @@
 func (f *fakeRegister) Register(*http.ServeMux) {}
 
 // holding puts a state into the register.
-func holding(t *testing.T, changes ...change) *fakeRegister {
+func newRegisterWith(t *testing.T, changes ...change) *fakeRegister {
 	fake := newFakeRegister()
 	for _, each := range changes {
-		takeElsewhere(t, each)(fake)
+		applyElsewhere(t, each)(fake)
 	}
 	return fake
 }
 
 // takeElsewhere has another controller take a change.
-func takeElsewhere(t *testing.T, taken change) func(f *fakeRegister) {
+func applyElsewhere(t *testing.T, taken change) func(f *fakeRegister) {
 	return func(f *fakeRegister) {
 		state, err := decodeState(f.state.Data)
 		require.NoError(t, err)
@@ -128,19 +128,21 @@
 		require.NoError(t, err)
 		data, err := state.encode()
 		require.NoError(t, err)
-		f.choose(data)
+		f.setChosen(data)
 	}
 }
 
-func sent(base, version int64) change { return newChange(base, version, []byte(configBody(version))) }
+func testChange(base, version int64) change {
+	return newChange(base, version, []byte(configBody(version)))
+}
 
-func send(node stateRegister, base, body string) *httptest.ResponseRecorder {
-	return sendTo(newOperatorAPI(node, zap.NewNop()), base, body)
+func sendChange(node stateRegister, base, body string) *httptest.ResponseRecorder {
+	return sendChangeTo(newOperatorAPI(node, zap.NewNop()), base, body)
 }
 
-func sendTo(api *operatorAPI, base, body string) *httptest.ResponseRecorder {
+func sendChangeTo(api *operatorAPI, base, body string) *httptest.ResponseRecorder {
 	mux := http.NewServeMux()
-	api.register(mux)
+	api.registerHandlers(mux)
 	request := httptest.NewRequest(http.MethodPost, pathReplace, strings.NewReader(body))
 	if base != "" {
 		request.Header.Set(headerBase, base)
@@ -151,32 +153,32 @@
 }
 
 // lateBody is the body of an order whose rest did not come in time.
-type lateBody struct{}
+type timeoutBody struct{}
 
-func (lateBody) Read([]byte) (int, error) { return 0, os.ErrDeadlineExceeded }
+func (timeoutBody) Read([]byte) (int, error) { return 0, os.ErrDeadlineExceeded }
 
 // An order that came too slowly, over a path in trouble, is not a wrong one: its operator has to go to another controller with it.
-func TestAnOrderThatCameTooSlowlyIsNotRefused(t *testing.T) {
+func TestReplaceAnswersSlowBodyWithRequestTimeout(t *testing.T) {
 	mux := http.NewServeMux()
-	newOperatorAPI(newFakeRegister(), zap.NewNop()).register(mux)
-	request := httptest.NewRequest(http.MethodPost, pathReplace, lateBody{})
+	newOperatorAPI(newFakeRegister(), zap.NewNop()).registerHandlers(mux)
+	request := httptest.NewRequest(http.MethodPost, pathReplace, timeoutBody{})
 	request.Header.Set(headerBase, "0")
 	recorder := httptest.NewRecorder()
 	mux.ServeHTTP(recorder, request)
 	require.Equal(t, http.StatusRequestTimeout, recorder.Code)
 }
 
-func get(node stateRegister) *httptest.ResponseRecorder {
+func readConfig(node stateRegister) *httptest.ResponseRecorder {
 	mux := http.NewServeMux()
-	newOperatorAPI(node, zap.NewNop()).register(mux)
+	newOperatorAPI(node, zap.NewNop()).registerHandlers(mux)
 	recorder := httptest.NewRecorder()
 	mux.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, pathRead, nil))
 	return recorder
 }
 
 func TestReplace(t *testing.T) {
-	doubt := outcome{err: register.ErrInDoubt}
-	doubtButChosen := outcome{err: register.ErrInDoubt, chosen: true}
+	inDoubt := outcome{err: register.ErrInDoubt}
+	inDoubtButChosen := outcome{err: register.ErrInDoubt, chosen: true}
 	noQuorum := outcome{err: register.ErrNoQuorum}
 	other := newChange(3, 9, []byte(configBody(9)))
 	cases := map[string]struct {
@@ -188,32 +190,32 @@
 		version  int64 // in place afterwards
 	}{
 		"the first":                     {nil, nil, "0", configBody(3), 200, 3},
-		"the next":                      {[]change{sent(0, 3)}, nil, "3", configBody(7), 200, 7},
-		"again":                         {[]change{sent(0, 3)}, nil, "0", configBody(3), 200, 3},
-		"again under newer ones":        {[]change{sent(0, 3), sent(3, 7)}, nil, "0", configBody(3), 200, 7},
-		"another base":                  {[]change{sent(0, 3)}, nil, "0", configBody(7), 412, 3},
-		"not above":                     {[]change{sent(0, 3)}, nil, "3", configBody(3), 400, 3},
+		"the next":                      {[]change{testChange(0, 3)}, nil, "3", configBody(7), 200, 7},
+		"again":                         {[]change{testChange(0, 3)}, nil, "0", configBody(3), 200, 3},
+		"again under newer ones":        {[]change{testChange(0, 3), testChange(3, 7)}, nil, "0", configBody(3), 200, 7},
+		"another base":                  {[]change{testChange(0, 3)}, nil, "0", configBody(7), 412, 3},
+		"not above":                     {[]change{testChange(0, 3)}, nil, "3", configBody(3), 400, 3},
 		"no base":                       {nil, nil, "", configBody(3), 400, 0},
 		"a base that is no number":      {nil, nil, "x", configBody(3), 400, 0},
 		"cut off":                       {nil, nil, "0", configBody(3)[:40], 400, 0},
 		"no majority":                   {nil, []outcome{noQuorum}, "0", configBody(3), 503, 0},
-		"in doubt, then known":          {nil, []outcome{doubtButChosen}, "0", configBody(3), 200, 3},
-		"in doubt, then made":           {nil, []outcome{doubt, doubt}, "0", configBody(3), 200, 3},
-		"in doubt, cut off, then known": {nil, []outcome{doubtButChosen, noQuorum}, "0", configBody(3), 200, 3},
+		"in doubt, then known":          {nil, []outcome{inDoubtButChosen}, "0", configBody(3), 200, 3},
+		"in doubt, then made":           {nil, []outcome{inDoubt, inDoubt}, "0", configBody(3), 200, 3},
+		"in doubt, cut off, then known": {nil, []outcome{inDoubtButChosen, noQuorum}, "0", configBody(3), 200, 3},
 		"in doubt, then another won": {
-			[]change{sent(0, 3)}, []outcome{doubt, {before: takeElsewhere(t, other), chosen: true}}, "3", configBody(7), 412, 9,
+			[]change{testChange(0, 3)}, []outcome{inDoubt, {runFirst: applyElsewhere(t, other), chosen: true}}, "3", configBody(7), 412, 9,
 		},
 		"chosen in doubt, and another on top": {
-			[]change{sent(0, 3)},
-			[]outcome{doubtButChosen, {before: takeElsewhere(t, newChange(7, 11, []byte(configBody(11))))}},
+			[]change{testChange(0, 3)},
+			[]outcome{inDoubtButChosen, {runFirst: applyElsewhere(t, newChange(7, 11, []byte(configBody(11))))}},
 			"3", configBody(7), 200, 11,
 		},
 	}
 	for name, each := range cases {
 		t.Run(name, func(t *testing.T) {
-			fake := holding(t, each.before...)
+			fake := newRegisterWith(t, each.before...)
 			fake.outcomes = each.outcomes
-			require.Equal(t, each.status, send(fake, each.base, each.body).Code)
+			require.Equal(t, each.status, sendChange(fake, each.base, each.body).Code)
 			state, err := decodeState(fake.state.Data)
 			require.NoError(t, err)
 			require.Equal(t, each.version, state.Version)
@@ -221,31 +223,31 @@
 	}
 }
 
-func TestReplaceGivesUpOnADoubtThatStays(t *testing.T) {
+func TestReplaceGivesUpWhenTheOutcomeStaysUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := newFakeRegister()
 		for range 10_000 {
 			fake.outcomes = append(fake.outcomes, outcome{err: register.ErrInDoubt})
 		}
 		begun := time.Now()
-		require.Equal(t, http.StatusServiceUnavailable, send(fake, "0", configBody(3)).Code)
+		require.Equal(t, http.StatusServiceUnavailable, sendChange(fake, "0", configBody(3)).Code)
 		require.LessOrEqual(t, time.Since(begun), changeTimeout)
 	})
 }
 
-func TestReplaceRefusesWhatIsTooLarge(t *testing.T) {
+func TestReplaceRejectsTooLargeBody(t *testing.T) {
 	body := configBody(3) + strings.Repeat(" ", maxConfigBytes)
-	require.Equal(t, http.StatusRequestEntityTooLarge, send(newFakeRegister(), "0", body).Code)
+	require.Equal(t, http.StatusRequestEntityTooLarge, sendChange(newFakeRegister(), "0", body).Code)
 }
 
-func TestReplaceTurnsTheOperatorAwayAtOnceWithoutAMajority(t *testing.T) {
+func TestReplaceFailsAtOnceWithoutQuorum(t *testing.T) {
 	fake := newFakeRegister()
 	fake.quorumAge = 2 * maxQuorumAge
-	require.Equal(t, http.StatusServiceUnavailable, send(fake, "0", configBody(3)).Code)
+	require.Equal(t, http.StatusServiceUnavailable, sendChange(fake, "0", configBody(3)).Code)
 	require.Zero(t, fake.updates)
 }
 
-func TestTheFirstAcknowledgementWaitsForTheReplicas(t *testing.T) {
+func TestFirstAcknowledgementWaitsForReplicas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := newFakeRegister()
 		fake.formed = false
@@ -253,21 +255,21 @@
 		begun := time.Now()
 		for time.Since(begun) < formingTimeout-formingCallTimeout {
 			called := time.Now()
-			require.Equal(t, http.StatusServiceUnavailable, sendTo(api, "0", configBody(3)).Code)
+			require.Equal(t, http.StatusServiceUnavailable, sendChangeTo(api, "0", configBody(3)).Code)
 			require.LessOrEqual(t, time.Since(called), formingCallTimeout)
 		}
 		time.Sleep(formingCallTimeout) // of the bubble's clock: takes no time
-		require.Equal(t, http.StatusOK, sendTo(api, "0", configBody(3)).Code)
+		require.Equal(t, http.StatusOK, sendChangeTo(api, "0", configBody(3)).Code)
 	})
 }
 
-func TestManyOperatorsOnOneBase(t *testing.T) {
-	fake := holding(t, sent(0, 1))
+func TestConcurrentChangesOnOneBase(t *testing.T) {
+	fake := newRegisterWith(t, testChange(0, 1))
 	api := newOperatorAPI(fake, zap.NewNop())
 	statuses := make(chan int)
 	const operators = 8
 	for i := range operators {
-		go func() { statuses <- sendTo(api, "1", configBody(int64(2+i))).Code }()
+		go func() { statuses <- sendChangeTo(api, "1", configBody(int64(2+i))).Code }()
 	}
 	counts := make(map[int]int)
 	for range operators {
@@ -278,14 +280,14 @@
 
 func TestRead(t *testing.T) {
 	fake := newFakeRegister()
-	require.Equal(t, http.StatusNotFound, get(fake).Code)
-	takeElsewhere(t, sent(0, 3))(fake)
-	answer := get(fake)
+	require.Equal(t, http.StatusNotFound, readConfig(fake).Code)
+	applyElsewhere(t, testChange(0, 3))(fake)
+	answer := readConfig(fake)
 	require.Equal(t, http.StatusOK, answer.Code)
 	require.Equal(t, configBody(3), answer.Body.String())
 	require.Equal(t, "application/json", answer.Header().Get("Content-Type"))
 	require.Equal(t, strconv.Itoa(len(configBody(3))), answer.Header().Get("Content-Length"))
 	fake.readError = register.ErrNoQuorum
 	fake.quorumAge = 2 * maxQuorumAge
-	require.Equal(t, http.StatusServiceUnavailable, get(fake).Code)
+	require.Equal(t, http.StatusServiceUnavailable, readConfig(fake).Code)
 }
--- a/internal/controller/publish.go
+++ b/internal/controller/publish.go
@@ -13,7 +13,7 @@
 )
 
 // syncPause separates the tries of the first read.
-const syncPause = 50 * time.Millisecond
+const syncRetryPause = 50 * time.Millisecond
 
 // followRegister passes each newly chosen state on to the watchers and the leases until the context is done.
 func (c *controller) followRegister(ctx context.Context) {
@@ -31,45 +31,45 @@
 }
 
 // sync reads the register once after the start. From then on this controller votes on roles.
-func (c *controller) sync(ctx context.Context) {
+func (c *controller) initialSync(ctx context.Context) {
 	for {
 		attempt, cancel := context.WithTimeout(ctx, attemptTimeout)
 		state, err := c.node.Read(attempt)
 		cancel()
 		if err == nil {
 			c.publish(state)
-			c.leases.with(func(decider *lease.Decider, _ time.Duration) { decider.Synced() })
+			c.leases.withDecider(func(decider *lease.Decider, _ time.Duration) { decider.Synced() })
 			c.synced.Store(true)
 			return
 		}
-		if !pause.For(ctx, syncPause) {
+		if !pause.For(ctx, syncRetryPause) {
 			return
 		}
 	}
 }
 
 // publish takes a chosen state, if it is not older than the last one.
-func (c *controller) publish(latest register.State) {
-	c.publishing.Lock()
-	defer c.publishing.Unlock()
-	if latest.Revision < c.revision {
+func (c *controller) publish(chosen register.State) {
+	c.publishMutex.Lock()
+	defer c.publishMutex.Unlock()
+	if chosen.Revision < c.publishedRevision {
 		return
 	}
-	c.revision = latest.Revision
-	replicas := replicaAddresses(latest)
-	c.roster.setReplicas(replicas)
-	state, err := decodeState(latest.Data)
+	c.publishedRevision = chosen.Revision
+	replicas := replicaAddresses(chosen)
+	c.peers.setReplicas(replicas)
+	state, err := decodeState(chosen.Data)
 	if err != nil {
 		c.log.Error("the register's state could not be read", zap.String("cause", err.Error()))
 		return
 	}
-	c.leases.with(func(decider *lease.Decider, now time.Duration) { decider.Learn(now, replicas, state.Roles) })
+	c.leases.withDecider(func(decider *lease.Decider, now time.Duration) { decider.Learn(now, replicas, state.Roles) })
 	c.publishConfig(state)
-	c.hurry()
+	c.triggerHeartbeat()
 }
 
 func (c *controller) publishConfig(state controlState) {
-	if state.Changes <= c.published {
+	if state.Changes <= c.publishedChange {
 		return
 	}
 	config, err := fleetconfig.Parse(state.Config)
@@ -80,6 +80,6 @@
 		c.log.Error("the configuration could not be published", zap.Int64("version", state.Version), zap.String("cause", err.Error()))
 		return
 	}
-	c.published = state.Changes
+	c.publishedChange = state.Changes
 	c.log.Info("configuration published", zap.Int64("version", state.Version), zap.Uint64("change", state.Changes))
 }
--- a/internal/controller/register.go
+++ b/internal/controller/register.go
@@ -26,10 +26,10 @@
 // takes no roles.
 const maxQuorumAge = 700 * time.Millisecond
 
-func inTouch(node stateRegister) bool { return node.QuorumAge() <= maxQuorumAge }
+func hasQuorum(node stateRegister) bool { return node.QuorumAge() <= maxQuorumAge }
 
 // update changes the control state by a pure decision.
-func update(ctx context.Context, node stateRegister, decide func(controlState) (controlState, error)) error {
+func updateState(ctx context.Context, node stateRegister, decide func(controlState) (controlState, error)) error {
 	_, err := node.Update(ctx, func(data []byte) ([]byte, error) {
 		state, err := decodeState(data)
 		if err != nil {
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -12,16 +12,16 @@
 	// reportSpan is how long the latest try of a router counts.
 	reportSpan = 6 * time.Second
 	// passSpan is how long a report is passed on: a few heartbeats, of which some may be lost.
-	passSpan = 3 * heartbeatInterval
+	forwardSpan = 3 * heartbeatInterval
 	// mostReports bounds what is passed on at once.
-	mostReports = 512
+	maxPendingReports = 512
 	// Of the latest reports on a worker, that part must be complaints, by more routers than may be mistaken.
-	badReports      = 0.3
-	mistakenPart    = 0.1
-	mostAvoided     = 0.4 // of a service's workers
-	routersAtMost   = 1024
-	workersAtMost   = 4096
-	reportsRepeated = 500 * time.Millisecond
+	suspectShare         = 0.3
+	faultyRouterShare    = 0.1
+	maxAvoidedShare      = 0.4 // of a service's workers
+	maxRouters           = 1024
+	maxWorkers           = 4096
+	reportRepeatInterval = 500 * time.Millisecond
 )
 
 // report is an observation with who made it.
@@ -38,14 +38,14 @@
 
 	mutex   sync.Mutex
 	books   map[bookKey]*evidence.Book
-	waiting []waitingReport // to be passed on, oldest first
+	pending []pendingReport // to be passed on, oldest first
 }
 
 type bookKey struct{ zone, service string }
 
-type waitingReport struct {
-	report report
-	at     time.Duration
+type pendingReport struct {
+	report     report
+	receivedAt time.Duration
 }
 
 func newReports(started time.Time) *reports {
@@ -56,42 +56,42 @@
 
 // heard takes the observations of one router that polls here, which the other controllers are to be told. services tells of
 // which service each worker is.
-func (v *reports) heard(from fleetwire.Member, observations []fleetwire.Observation, services map[string]string) {
+func (v *reports) recordObservations(router fleetwire.Member, observations []fleetwire.Observation, services map[string]string) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	now := v.now()
-	for _, seen := range observations {
-		told := report{Router: from.Name, Zone: from.Zone, Seen: seen}
-		if v.take(now, told, services) && len(v.waiting) < mostReports {
-			v.waiting = append(v.waiting, waitingReport{report: told, at: now})
+	for _, observation := range observations {
+		received := report{Router: router.Name, Zone: router.Zone, Seen: observation}
+		if v.record(now, received, services) && len(v.pending) < maxPendingReports {
+			v.pending = append(v.pending, pendingReport{report: received, receivedAt: now})
 		}
 	}
 }
 
 // told takes reports that another controller has heard.
-func (v *reports) told(others []report, services map[string]string) {
+func (v *reports) recordForwarded(forwarded []report, services map[string]string) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	now := v.now()
-	for _, other := range others {
-		v.take(now, other, services)
+	for _, received := range forwarded {
+		v.record(now, received, services)
 	}
 }
 
 // take needs the lock. It reports whether the report is news.
-func (v *reports) take(now time.Duration, told report, services map[string]string) bool {
-	service, listed := services[told.Seen.Worker]
+func (v *reports) record(now time.Duration, received report, services map[string]string) bool {
+	service, listed := services[received.Seen.Worker]
 	if !listed {
 		return false
 	}
-	return v.book(bookKey{told.Zone, service}).Take(now, evidence.Report{
-		From:   told.Router,
-		Zone:   told.Zone,
-		Worker: told.Seen.Worker,
-		Life:   told.Seen.Life,
-		Seq:    told.Seen.Sequence,
-		Age:    milliseconds(told.Seen.AgeMs),
-		Kind:   evidence.Kind(told.Seen.Kind),
+	return v.book(bookKey{received.Zone, service}).Take(now, evidence.Report{
+		From:   received.Router,
+		Zone:   received.Zone,
+		Worker: received.Seen.Worker,
+		Life:   received.Seen.Life,
+		Seq:    received.Seen.Sequence,
+		Age:    milliseconds(received.Seen.AgeMs),
+		Kind:   evidence.Kind(received.Seen.Kind),
 	})
 }
 
@@ -100,8 +100,8 @@
 	known := v.books[key]
 	if known == nil {
 		known, _ = evidence.NewBook(evidence.Config{
-			Members: routersAtMost, Workers: workersAtMost, Span: reportSpan, Every: reportsRepeated,
-			Latest: 10, Bad: badReports, Liars: mistakenPart, Most: mostAvoided,
+			Members: maxRouters, Workers: maxWorkers, Span: reportSpan, Every: reportRepeatInterval,
+			Latest: 10, Bad: suspectShare, Liars: faultyRouterShare, Most: maxAvoidedShare,
 		}, "", key.zone, 0)
 		v.books[key] = known
 	}
@@ -109,23 +109,23 @@
 }
 
 // passOn returns the reports to be passed on now.
-func (v *reports) passOn() []report {
+func (v *reports) toForward() []report {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	now := v.now()
-	for len(v.waiting) > 0 && now-v.waiting[0].at > passSpan {
-		v.waiting = v.waiting[1:]
+	for len(v.pending) > 0 && now-v.pending[0].receivedAt > forwardSpan {
+		v.pending = v.pending[1:]
 	}
-	if len(v.waiting) == 0 {
-		v.waiting = nil
+	if len(v.pending) == 0 {
+		v.pending = nil
 		return nil
 	}
-	passed := make([]report, len(v.waiting))
-	for i := range v.waiting {
-		passed[i] = v.waiting[i].report
-		passed[i].Seen.AgeMs += (now - v.waiting[i].at).Milliseconds()
+	forwarded := make([]report, len(v.pending))
+	for i := range v.pending {
+		forwarded[i] = v.pending[i].report
+		forwarded[i].Seen.AgeMs += (now - v.pending[i].receivedAt).Milliseconds()
 	}
-	return passed
+	return forwarded
 }
 
 // doubts returns what a router of a zone is told. services tells of which service each worker is, and routers is the number of
@@ -143,21 +143,21 @@
 		if len(complained) == 0 {
 			continue
 		}
-		avoid := map[string]bool{}
-		for _, worker := range book.Bad(now, workersOf(services(), key.service), routers) {
-			avoid[worker] = true
+		avoided := map[string]bool{}
+		for _, worker := range book.Bad(now, workerCount(services(), key.service), routers) {
+			avoided[worker] = true
 		}
 		for _, worker := range complained {
-			doubts = append(doubts, fleetwire.Doubt{Worker: worker, Avoid: avoid[worker]})
+			doubts = append(doubts, fleetwire.Doubt{Worker: worker, Avoid: avoided[worker]})
 		}
 	}
 	return doubts
 }
 
-func workersOf(services map[string]string, service string) int {
+func workerCount(services map[string]string, service string) int {
 	count := 0
-	for _, of := range services {
-		if of == service {
+	for _, name := range services {
+		if name == service {
 			count++
 		}
 	}
--- a/internal/controller/reports_test.go
+++ b/internal/controller/reports_test.go
@@ -17,7 +17,7 @@
 )
 
 // manyWorkers are the services of workers w0, w1 and so on.
-func manyWorkers(count int) map[string]string {
+func testServices(count int) map[string]string {
 	services := map[string]string{}
 	for i := range count {
 		services["w"+strconv.Itoa(i)] = "s"
@@ -25,19 +25,19 @@
 	return services
 }
 
-func known(services map[string]string) func() map[string]string {
+func constantServices(services map[string]string) func() map[string]string {
 	return func() map[string]string { return services }
 }
 
-func router(number int, zone string) fleetwire.Member {
+func testRouter(number int, zone string) fleetwire.Member {
 	return fleetwire.Member{Name: fmt.Sprintf("%s-%d", zone, number), Zone: zone, Role: fleetwire.RoleAgent}
 }
 
-func saw(worker string, kind evidence.Kind, sequence uint64) []fleetwire.Observation {
+func testObservation(worker string, kind evidence.Kind, sequence uint64) []fleetwire.Observation {
 	return []fleetwire.Observation{{Worker: worker, Kind: int(kind), Life: 1, Sequence: sequence}}
 }
 
-func avoided(doubts []fleetwire.Doubt) []string {
+func avoidedWorkers(doubts []fleetwire.Doubt) []string {
 	var names []string
 	for _, doubt := range doubts {
 		if doubt.Avoid {
@@ -47,93 +47,93 @@
 	return names
 }
 
-func TestAWorkerIsAvoidedWhenEnoughRoutersOfTheZoneComplain(t *testing.T) {
+func TestWorkerIsAvoidedWhenEnoughRoutersOfAZoneComplain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		services := manyWorkers(30)
+		services := testServices(30)
 		v := newReports(time.Now())
 		const routers = 23
 		for i := range 3 {
-			v.heard(router(i, "a"), saw("w1", evidence.Failed, 1), services)
+			v.recordObservations(testRouter(i, "a"), testObservation("w1", evidence.Failed, 1), services)
 		}
-		require.Equal(t, []fleetwire.Doubt{{Worker: "w1"}}, v.doubts("a", known(services), routers), "not enough yet")
-		v.heard(router(3, "a"), saw("w1", evidence.Late, 1), services)
-		require.Equal(t, []string{"w1"}, avoided(v.doubts("a", known(services), routers)))
-		require.Empty(t, v.doubts("b", known(services), routers), "the callers of another zone may fare well")
+		require.Equal(t, []fleetwire.Doubt{{Worker: "w1"}}, v.doubts("a", constantServices(services), routers), "not enough yet")
+		v.recordObservations(testRouter(3, "a"), testObservation("w1", evidence.Late, 1), services)
+		require.Equal(t, []string{"w1"}, avoidedWorkers(v.doubts("a", constantServices(services), routers)))
+		require.Empty(t, v.doubts("b", constantServices(services), routers), "the callers of another zone may fare well")
 		for i := 4; i < 20; i++ {
-			v.heard(router(i, "a"), saw("w1", evidence.Fine, 1), services)
+			v.recordObservations(testRouter(i, "a"), testObservation("w1", evidence.Fine, 1), services)
 		}
-		require.Empty(t, avoided(v.doubts("a", known(services), routers)), "most fare well there")
+		require.Empty(t, avoidedWorkers(v.doubts("a", constantServices(services), routers)), "most fare well there")
 		time.Sleep(reportSpan)
-		require.Empty(t, v.doubts("a", known(services), routers), "old reports don't count")
+		require.Empty(t, v.doubts("a", constantServices(services), routers), "old reports don't count")
 	})
 }
 
-func TestOneRouterEjectsNobody(t *testing.T) {
+func TestOneRouterCannotEjectAWorker(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		services := manyWorkers(rapid.IntRange(1, 20).Draw(t, "workers"))
+		services := testServices(rapid.IntRange(1, 20).Draw(t, "workers"))
 		routers := rapid.IntRange(1, 30).Draw(t, "routers")
 		v := newReports(time.Now())
 		for sequence := range uint64(rapid.IntRange(1, 60).Draw(t, "words")) {
 			worker := fmt.Sprintf("w%d", rapid.IntRange(0, 25).Draw(t, "worker"))
 			kind := evidence.Kind(rapid.IntRange(0, 3).Draw(t, "kind"))
-			v.heard(router(0, "a"), saw(worker, kind, sequence), services)
-			if avoided(v.doubts("a", known(services), routers)) != nil {
+			v.recordObservations(testRouter(0, "a"), testObservation(worker, kind, sequence), services)
+			if avoidedWorkers(v.doubts("a", constantServices(services), routers)) != nil {
 				t.Fatal("one router's word was enough")
 			}
 		}
 	})
 }
 
-func TestNeverMoreThanThePartOfAServiceIsAvoided(t *testing.T) {
+func TestAvoidedWorkersStayWithinTheirShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		workers := rapid.IntRange(1, 40).Draw(t, "workers")
-		services := manyWorkers(workers)
+		services := testServices(workers)
 		v := newReports(time.Now())
 		for i := range 12 {
 			for sequence := range uint64(workers) {
 				if rapid.Bool().Draw(t, "complains") {
-					v.heard(router(i, "a"), saw(fmt.Sprintf("w%d", sequence), evidence.Failed, sequence+1), services)
+					v.recordObservations(testRouter(i, "a"), testObservation(fmt.Sprintf("w%d", sequence), evidence.Failed, sequence+1), services)
 				}
 			}
 		}
-		if n := len(avoided(v.doubts("a", known(services), 12))); float64(n) > mostAvoided*float64(workers) {
+		if n := len(avoidedWorkers(v.doubts("a", constantServices(services), 12))); float64(n) > maxAvoidedShare*float64(workers) {
 			t.Fatalf("%d of %d are avoided", n, workers)
 		}
 	})
 }
 
-func TestReportsArePassedOnForAWhileAndNotPassedOnAgain(t *testing.T) {
+func TestReportsAreForwardedForALimitedTimeAndOnlyOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		services := manyWorkers(5)
+		services := testServices(5)
 		first, second := newReports(time.Now()), newReports(time.Now())
-		first.heard(router(0, "a"), saw("w1", evidence.Failed, 1), services)
-		first.heard(router(0, "a"), saw("gone", evidence.Failed, 2), services)
+		first.recordObservations(testRouter(0, "a"), testObservation("w1", evidence.Failed, 1), services)
+		first.recordObservations(testRouter(0, "a"), testObservation("gone", evidence.Failed, 2), services)
 		time.Sleep(heartbeatInterval)
-		passed := first.passOn()
-		require.Len(t, passed, 1, "of a worker that is not listed nothing is kept")
-		require.Equal(t, heartbeatInterval.Milliseconds(), passed[0].Seen.AgeMs)
-		second.told(passed, services)
-		require.Equal(t, []fleetwire.Doubt{{Worker: "w1"}}, second.doubts("a", known(services), 3))
-		require.Empty(t, second.passOn(), "who heard it from a router passes it on")
-		time.Sleep(passSpan)
-		require.Empty(t, first.passOn())
+		forwarded := first.toForward()
+		require.Len(t, forwarded, 1, "of a worker that is not listed nothing is kept")
+		require.Equal(t, heartbeatInterval.Milliseconds(), forwarded[0].Seen.AgeMs)
+		second.recordForwarded(forwarded, services)
+		require.Equal(t, []fleetwire.Doubt{{Worker: "w1"}}, second.doubts("a", constantServices(services), 3))
+		require.Empty(t, second.toForward(), "who heard it from a router passes it on")
+		time.Sleep(forwardSpan)
+		require.Empty(t, first.toForward())
 	})
 }
 
-func TestWhatRoutersSawReachesThoseOfOtherControllers(t *testing.T) {
+func TestRouterObservationsReachRoutersOfOtherControllers(t *testing.T) {
 	f := newFleet(t, 3)
 	f.platform.set(worker("w0", "ready"), worker("w1", "ready"), worker("w2", "ready"))
 	require.Equal(t, 200, f.replace(0, 0, configBody(1)))
 	f.eventually("the list everywhere", f.everywhere(showsWorker("w1", "ready")))
 	poll := func(at, number int, observations []fleetwire.Observation) fleetwire.WatchReply {
 		var reply fleetwire.WatchReply
-		request := fleetwire.WatchRequest{Member: router(number, "z"), Observations: observations}
+		request := fleetwire.WatchRequest{Member: testRouter(number, "z"), Observations: observations}
 		address := net.JoinHostPort(f.settings[at].IP, strconv.Itoa(f.settings[at].InternalPorts[0]))
 		require.NoError(t, f.client.Call(context.Background(), address, fleetwire.PathWatch, request, &reply))
 		return reply
 	}
-	poll(0, 0, saw("w1", evidence.Failed, 1))
-	poll(1, 1, saw("w1", evidence.Lost, 1))
+	poll(0, 0, testObservation("w1", evidence.Failed, 1))
+	poll(1, 1, testObservation("w1", evidence.Lost, 1))
 	f.eventually("the doubt at the third", func() bool {
 		doubts := poll(2, 2, nil).Doubts
 		return len(doubts) == 1 && doubts[0] == fleetwire.Doubt{Worker: "w1", Avoid: true}
--- a/internal/controller/run.go
+++ b/internal/controller/run.go
@@ -31,7 +31,7 @@
 	// operatorGrace is how long calls of the operator that are in hand may go on after the end was asked for.
 	operatorGrace = 700 * time.Millisecond
 	// answerTime is the part of it in which the last answers leave.
-	answerTime    = 100 * time.Millisecond
+	answerGrace   = 100 * time.Millisecond
 	internalGrace = 100 * time.Millisecond
 	// registerDirectory holds the register under the data directory.
 	registerDirectory = "register"
@@ -43,11 +43,11 @@
 	if err := current.CheckControl(); err != nil {
 		return eris.Wrap(err, "settings")
 	}
-	opened, err := open(ctx, current, hostOf(current), log)
+	opened, err := open(ctx, current, systemHost(current), log)
 	if err != nil {
 		return err
 	}
-	watcher := settings.NewWatcher(current, opened.controller.settingsChanged, log)
+	watcher := settings.NewWatcher(current, opened.controller.applySettings, log)
 	return opened.run(ctx, watcher.Run)
 }
 
@@ -68,7 +68,7 @@
 }
 
 // hostOf returns the machine that the process runs on.
-func hostOf(current *settings.Settings) host {
+func systemHost(current *settings.Settings) host {
 	return host{
 		listen: func(address string) (net.Listener, error) { return net.Listen("tcp", address) },
 		dial:   transport.TCP(),
@@ -78,15 +78,15 @@
 	}
 }
 
-func open(ctx context.Context, current *settings.Settings, on host, log *zap.Logger) (*process, error) {
-	opened, err := listen(current, on.listen)
+func open(ctx context.Context, current *settings.Settings, machine host, log *zap.Logger) (*process, error) {
+	opened, err := listen(current, machine.listen)
 	if err != nil {
 		return nil, err
 	}
 	var latest atomic.Pointer[settings.Settings]
 	latest.Store(current)
-	client := transport.NewClientDialing(on.dial)
-	node, err := openRegister(&latest, on, client, log)
+	client := transport.NewClientDialing(machine.dial)
+	node, err := openRegister(&latest, machine, client, log)
 	if err != nil {
 		opened.close()
 		return nil, eris.Wrap(err, "open the register")
@@ -94,7 +94,7 @@
 	// The parts outlive ctx: calls in hand are answered and roles are given up first.
 	running, stop := context.WithCancel(context.WithoutCancel(ctx))
 	return &process{
-		controller: newController(running, &latest, node, client, on.dial, log),
+		controller: newController(running, &latest, node, client, machine.dial, log),
 		node:       node,
 		client:     client,
 		listeners:  opened,
@@ -102,10 +102,10 @@
 	}, nil
 }
 
-func (p *process) run(ctx context.Context, parts ...func(context.Context)) error {
+func (p *process) run(ctx context.Context, tasks ...func(context.Context)) error {
 	defer p.client.Close()
 	defer p.stop()
-	return p.controller.serve(ctx, p.stop, p.listeners, append(parts, p.node.Run)...)
+	return p.controller.serve(ctx, p.stop, p.listeners, append(tasks, p.node.Run)...)
 }
 
 func listen(current *settings.Settings, open func(address string) (net.Listener, error)) (listeners, error) {
@@ -122,9 +122,9 @@
 }
 
 func openRegister(
-	latest *atomic.Pointer[settings.Settings], on host, client *transport.Client, log *zap.Logger,
+	latest *atomic.Pointer[settings.Settings], machine host, client *transport.Client, log *zap.Logger,
 ) (*register.Node, error) {
-	files, err := on.files()
+	files, err := machine.files()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -36,11 +36,11 @@
 
 // serve runs the controller until ctx is done, and then gives its roles up, answers what is in hand and returns.
 // Its parts end with the call of stop.
-func (c *controller) serve(ctx context.Context, stop func(), open listeners, parts ...func(context.Context)) error {
+func (c *controller) serve(ctx context.Context, stop func(), open listeners, tasks ...func(context.Context)) error {
 	serving := c.startServers(open)
-	var working sync.WaitGroup
-	for _, part := range append(parts, c.followRegister, c.sync, c.beat, c.poller.Run, c.keeper.Run) {
-		working.Go(func() { part(c.ctx) })
+	var running sync.WaitGroup
+	for _, task := range append(tasks, c.followRegister, c.initialSync, c.runHeartbeats, c.poller.Run, c.keeper.Run) {
+		running.Go(func() { task(c.ctx) })
 	}
 	c.log.Info("controller serves", zap.String("internal", c.self.Address), zap.String("life", c.self.Life))
 	var failure error
@@ -49,9 +49,9 @@
 		c.leave()
 	case failure = <-serving.failed:
 	}
-	serving.shutdown(c.operator.end)
+	serving.shutdown(c.operator.cancelCalls)
 	stop()
-	working.Wait()
+	running.Wait()
 	c.closeRegister()
 	return eris.Wrap(failure, "serve")
 }
@@ -66,7 +66,7 @@
 
 func (c *controller) startServers(open listeners) *servers {
 	operator := http.NewServeMux()
-	c.operator.register(operator)
+	c.operator.registerHandlers(operator)
 	serving := &servers{
 		internal: newServer(c.internalHandler()),
 		control:  newServer(operator),
@@ -102,27 +102,27 @@
 // leave gives up the roles, tells the other controllers, ends the polls of the watchers, and takes the replica out of the
 // register's set if enough others stay.
 func (c *controller) leave() {
-	c.leases.with(func(decider *lease.Decider, _ time.Duration) { decider.Release() })
+	c.leases.withDecider(func(decider *lease.Decider, _ time.Duration) { decider.Release() })
 	c.hub.Close()
 	ctx, cancel := context.WithTimeout(c.ctx, releaseTimeout)
 	defer cancel()
-	told := c.sendHeartbeats(ctx, true)
+	heartbeats := c.sendHeartbeats(ctx, true)
 	if err := c.node.Leave(ctx); err != nil {
 		c.log.Info("the replica stays in the register's set", zap.String("cause", err.Error()))
 	}
-	told.Wait()
+	heartbeats.Wait()
 }
 
 // shutdown answers the operator's calls in hand, for which the register must still be reached, and closes. Calls that take too
 // long are ended by endCalls, so that they get an answer as well.
-func (s *servers) shutdown(endCalls func()) {
-	ending := time.AfterFunc(operatorGrace-answerTime, endCalls)
-	defer ending.Stop()
-	end(s.control, operatorGrace)
-	end(s.internal, internalGrace)
+func (s *servers) shutdown(cancelCalls func()) {
+	timer := time.AfterFunc(operatorGrace-answerGrace, cancelCalls)
+	defer timer.Stop()
+	shutdownServer(s.control, operatorGrace)
+	shutdownServer(s.internal, internalGrace)
 }
 
-func end(server *http.Server, grace time.Duration) {
+func shutdownServer(server *http.Server, grace time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
 	if err := server.Shutdown(ctx); errors.Is(err, context.DeadlineExceeded) {
--- a/internal/controller/serve_test.go
+++ b/internal/controller/serve_test.go
@@ -33,7 +33,7 @@
 }
 
 // Guards against a call of the operator that is cut without an answer as its controller ends.
-func TestCallsInHandAreAnsweredBeforeTheProcessEnds(t *testing.T) {
+func TestCallsInFlightAreAnsweredBeforeShutdown(t *testing.T) {
 	for name, request := range map[string]*http.Request{
 		"replace": httptest.NewRequest(http.MethodPost, pathReplace, strings.NewReader(configBody(2))),
 		"read":    httptest.NewRequest(http.MethodGet, pathRead, nil),
@@ -42,7 +42,7 @@
 			node := hangingRegister{newFakeRegister(), make(chan struct{}, 1)}
 			api := newOperatorAPI(node, zap.NewNop())
 			mux := http.NewServeMux()
-			api.register(mux)
+			api.registerHandlers(mux)
 			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			serving := &servers{control: newServer(mux), internal: newServer(http.NewServeMux())}
@@ -59,7 +59,7 @@
 				statuses <- status
 			}()
 			<-node.called
-			serving.shutdown(api.end)
+			serving.shutdown(api.cancelCalls)
 			require.Equal(t, http.StatusServiceUnavailable, <-statuses)
 		})
 	}
--- a/internal/controller/simulation_scenes_test.go
+++ b/internal/controller/simulation_scenes_test.go
@@ -265,7 +265,7 @@
 		})
 		node := hit.program().node
 		for begun := time.Now(); time.Since(begun) < maxQuorumAge; time.Sleep(sampleEvery) {
-			if inTouch(node) {
+			if hasQuorum(node) {
 				s.checks.failf("in touch %v after a start behind a cut", time.Since(begun))
 				return
 			}
@@ -322,7 +322,7 @@
 
 func (s *simSite) oldestList() (oldest time.Duration) {
 	for _, m := range s.present() {
-		_, age := m.program().controller.lists.held(time.Now())
+		_, age := m.program().controller.lists.versionAndAge(time.Now())
 		oldest = max(oldest, milliseconds(age))
 	}
 	return oldest
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -60,9 +60,9 @@
 }
 
 // taken reports whether a change is among those that were taken.
-func (s controlState) taken(wanted digest) bool {
-	for known := range slices.Chunk(s.Digests, digestBytes) {
-		if bytes.Equal(known, wanted[:]) {
+func (s controlState) hasChange(requested digest) bool {
+	for stored := range slices.Chunk(s.Digests, digestBytes) {
+		if bytes.Equal(stored, requested[:]) {
 			return true
 		}
 	}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -16,7 +16,7 @@
 		return status{}, err
 	}
 	list := c.lists.message(now)
-	_, listAge := c.lists.held(now)
+	_, listAge := c.lists.versionAndAge(now)
 	return status{
 		Member:      c.member(),
 		Revision:    latest.Revision,
@@ -30,13 +30,13 @@
 		Instances:   len(list.Instances),
 		ListAgeMs:   listAge,
 		QuorumAgeMs: c.node.QuorumAge().Milliseconds(),
-		Routers:     c.census.count(now),
+		Routers:     c.agents.count(now),
 	}, nil
 }
 
 func (c *controller) heldRoles() []string {
 	var held []string
-	c.leases.with(func(decider *lease.Decider, now time.Duration) {
+	c.leases.withDecider(func(decider *lease.Decider, now time.Duration) {
 		for _, key := range roles {
 			if _, ok := decider.Holds(now, key); ok {
 				held = append(held, key)
--- a/internal/controller/steps_test.go
+++ b/internal/controller/steps_test.go
@@ -13,7 +13,7 @@
 )
 
 // workers returns a list of many workers, of which one drains.
-func workers(draining int) []fleetwire.Instance {
+func testWorkers(draining int) []fleetwire.Instance {
 	var list []fleetwire.Instance
 	for i := range 300 {
 		state := fleetwire.InstanceReady
@@ -25,64 +25,64 @@
 	return list
 }
 
-func newHeldLists() (*lists, *watch.Hub) {
+func newTestListStore() (*listStore, *watch.Hub) {
 	hub := watch.NewHub(watch.HubOptions{})
-	return newLists(hub, zap.NewNop()), hub
+	return newListStore(hub, zap.NewNop()), hub
 }
 
 // Another controller that has the list before is brought to the newest by steps, with its age.
-func TestStepsOfTheListReachAnotherController(t *testing.T) {
-	reader, _ := newHeldLists()
-	other, hub := newHeldLists()
+func TestStepsUpdateTheListOfAnotherController(t *testing.T) {
+	reader, _ := newTestListStore()
+	other, hub := newTestListStore()
 	now := time.Now()
-	reader.read(now, 1, workers(-1))
-	require.Empty(t, reader.steps(now).Steps, "the first list goes whole")
-	require.True(t, other.offer(now, reader.message(now)))
+	reader.acceptRead(now, 1, testWorkers(-1))
+	require.Empty(t, reader.latestSteps(now).Steps, "the first list goes whole")
+	require.True(t, other.acceptList(now, reader.message(now)))
 
-	reader.read(now, 1, workers(7))
+	reader.acceptRead(now, 1, testWorkers(7))
 	later := now.Add(300 * time.Millisecond)
-	message := reader.steps(later)
+	message := reader.latestSteps(later)
 	require.Len(t, message.Steps, 1)
-	require.True(t, other.offerSteps(later, message))
-	require.Equal(t, workers(7), hub.Current().Instances)
-	version, age := other.held(later)
+	require.True(t, other.acceptSteps(later, message))
+	require.Equal(t, testWorkers(7), hub.Current().Instances)
+	version, age := other.versionAndAge(later)
 	require.Equal(t, fleetwire.ListVersion{Token: 1, Sequence: 2}, version)
 	require.EqualValues(t, 300, age)
-	require.Equal(t, workers(7), other.message(later).Instances)
-	require.True(t, other.offerSteps(later, message), "once more changes nothing")
+	require.Equal(t, testWorkers(7), other.message(later).Instances)
+	require.True(t, other.acceptSteps(later, message), "once more changes nothing")
 }
 
 // A controller that lacks the list before, or holds another one under that version, asks for the whole list.
-func TestStepsThatDoNotFitAreNotHeld(t *testing.T) {
-	reader, _ := newHeldLists()
+func TestStepsFromAnotherListAreRejected(t *testing.T) {
+	reader, _ := newTestListStore()
 	now := time.Now()
-	reader.read(now, 1, workers(-1))
+	reader.acceptRead(now, 1, testWorkers(-1))
 	first := reader.message(now)
-	reader.read(now, 1, workers(7))
-	message := reader.steps(now)
+	reader.acceptRead(now, 1, testWorkers(7))
+	message := reader.latestSteps(now)
 
-	empty, _ := newHeldLists()
-	require.False(t, empty.offerSteps(now, message))
-	require.False(t, empty.offerSteps(now, stepsMessage{}))
+	empty, _ := newTestListStore()
+	require.False(t, empty.acceptSteps(now, message))
+	require.False(t, empty.acceptSteps(now, stepsMessage{}))
 
-	odd, hub := newHeldLists()
-	first.Instances = workers(9)
-	require.True(t, odd.offer(now, first))
-	require.False(t, odd.offerSteps(now, message))
-	require.Equal(t, workers(9), hub.Current().Instances)
-	require.True(t, odd.offer(now, reader.message(now)))
-	require.Equal(t, workers(7), hub.Current().Instances)
+	different, hub := newTestListStore()
+	first.Instances = testWorkers(9)
+	require.True(t, different.acceptList(now, first))
+	require.False(t, different.acceptSteps(now, message))
+	require.Equal(t, testWorkers(9), hub.Current().Instances)
+	require.True(t, different.acceptList(now, reader.message(now)))
+	require.Equal(t, testWorkers(7), hub.Current().Instances)
 }
 
 // Steps under an older token than that of the list held are passed over.
-func TestStepsOfAFormerReaderAreNotTaken(t *testing.T) {
-	former, _ := newHeldLists()
+func TestStepsOfAFormerReaderAreIgnored(t *testing.T) {
+	former, _ := newTestListStore()
 	now := time.Now()
-	former.read(now, 1, workers(-1))
-	other, hub := newHeldLists()
-	other.offer(now, former.message(now))
-	former.read(now, 1, workers(7))
-	other.read(now, 2, workers(9))
-	require.True(t, other.offerSteps(now, former.steps(now)), "a newer list is held")
-	require.Equal(t, workers(9), hub.Current().Instances)
+	former.acceptRead(now, 1, testWorkers(-1))
+	other, hub := newTestListStore()
+	other.acceptList(now, former.message(now))
+	former.acceptRead(now, 1, testWorkers(7))
+	other.acceptRead(now, 2, testWorkers(9))
+	require.True(t, other.acceptSteps(now, former.latestSteps(now)), "a newer list is held")
+	require.Equal(t, testWorkers(9), hub.Current().Instances)
 }
--- a/internal/controller/unanswered_test.go
+++ b/internal/controller/unanswered_test.go
@@ -11,20 +11,20 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-func TestAnOperatorThatSendsAgainAndAgainIsLoggedOnceASecond(t *testing.T) {
+func TestUnansweredChangesAreLoggedOncePerInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		node := newFakeRegister()
 		node.quorumAge = 2 * maxQuorumAge // cut off from the others
 		core, logged := observer.New(zap.WarnLevel)
 		api := newOperatorAPI(node, zap.New(core))
-		const each = 50 * time.Millisecond
-		for range 2*unansweredPause/each + 1 {
-			require.Equal(t, http.StatusServiceUnavailable, sendTo(api, "0", configBody(1)).Code)
-			time.Sleep(each) // of the bubble's clock
+		const retryInterval = 50 * time.Millisecond
+		for range 2*unansweredLogInterval/retryInterval + 1 {
+			require.Equal(t, http.StatusServiceUnavailable, sendChangeTo(api, "0", configBody(1)).Code)
+			time.Sleep(retryInterval) // of the bubble's clock
 		}
 		lines := logged.All()
 		require.Len(t, lines, 3)
 		require.EqualValues(t, 1, lines[0].ContextMap()["changes"])
-		require.EqualValues(t, unansweredPause/each, lines[1].ContextMap()["changes"])
+		require.EqualValues(t, unansweredLogInterval/retryInterval, lines[1].ContextMap()["changes"])
 	})
 }
