--- a/internal/controller/agents.go
+++ b/internal/controller/agents.go
@@ -7,27 +7,28 @@
 	"time"
 )
 
-// censusWindow is how long a watcher counts after it was last seen: several long polls.
+// agentTTL is how long an agent counts as live after its last poll. It spans several long polls.
 const agentTTL = 3 * time.Second
 
-// census counts the live watchers of all controllers, each once, whichever controllers it polls.
+// agentCounter counts the live agents across all controllers. An agent that polls several controllers counts once.
 type agentCounter struct {
 	mutex sync.Mutex
-	local map[uint32]time.Time // last seen here
-	all   map[uint32]time.Time // last seen here or told by another controller
+	local map[uint32]time.Time // time of the last poll of this controller, by hash of the agent's name
+	all   map[uint32]time.Time // the same, including the polls that other controllers reported
 }
 
 func newAgentCounter() *agentCounter {
 	return &agentCounter{local: make(map[uint32]time.Time), all: make(map[uint32]time.Time)}
 }
 
+// nameHash shortens an agent's name for the messages between controllers.
 func nameHash(name string) uint32 {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(name))
 	return hash.Sum32()
 }
 
-// saw notes a poll.
+// recordPoll records a poll of this controller. It ignores an empty name.
 func (c *agentCounter) recordPoll(now time.Time, name string) {
 	if name == "" {
 		return
@@ -39,7 +40,7 @@
 	c.all[hash] = now
 }
 
-// told notes what another controller has seen.
+// recordRemote records the agents that polled another controller recently, as hashes of their names.
 func (c *agentCounter) recordRemote(now time.Time, hashes []uint32) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -48,7 +49,7 @@
 	}
 }
 
-// seenHere returns the watchers that were seen here lately, in order.
+// recentLocal returns the hashes of the agents that polled this controller recently, in ascending order.
 func (c *agentCounter) recentLocal(now time.Time) []uint32 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -61,7 +62,7 @@
 	return hashes
 }
 
-// count returns the number of live watchers.
+// count returns the number of live agents.
 func (c *agentCounter) count(now time.Time) int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -69,6 +70,7 @@
 	return len(c.all)
 }
 
+// prune removes the agents whose last poll is older than agentTTL.
 func prune(seen map[uint32]time.Time, now time.Time) {
 	for hash, at := range seen {
 		if now.Sub(at) > agentTTL {
--- a/internal/controller/change.go
+++ b/internal/controller/change.go
@@ -6,15 +6,15 @@
 	"weldscale/coordination/lease"
 )
 
-// Verdicts on a change that is not taken. They hold for the state that was looked at.
+// Reasons to reject a change or a claim. Each holds for the state that was examined.
 var (
-	errAlreadyApplied      = eris.New("exactly this change was taken before")
+	errAlreadyApplied      = eris.New("the same change was already applied")
 	errBaseMismatch        = eris.New("another version is current")
 	errVersionNotIncreased = eris.New("the version is not above the current one")
-	errTokenMismatch       = eris.New("the role has another token")
+	errTokenMismatch       = eris.New("the token of the role differs from the expected one")
 )
 
-// change is a configuration that the operator wants, checked as far as it can be by itself.
+// change is a configuration sent by the operator. Its body was validated, but not yet compared with the current state.
 type change struct {
 	Base    int64
 	Version int64
@@ -26,7 +26,7 @@
 	return change{Base: base, Version: version, Body: body, Digest: digestOf(base, body)}
 }
 
-// applyChange decides what a change does to a state: it returns the state after it, or one of the verdicts.
+// applyChange returns the state after a change, or the unchanged state and the reason to reject the change.
 func applyChange(state controlState, requested change) (controlState, error) {
 	switch {
 	case state.hasChange(requested.Digest):
@@ -43,7 +43,7 @@
 	return state, nil
 }
 
-// applyClaim decides what the claim of a role does to a state. The same claim made again is taken to be done.
+// applyClaim returns the state after a member has claimed a role. A repeated claim returns errAlreadyApplied.
 func applyClaim(state controlState, claim lease.Claim, claimant lease.Member) (controlState, error) {
 	record := state.Roles[claim.Key]
 	if record.Holder == claimant && record.Token > claim.Previous {
--- a/internal/controller/change_test.go
+++ b/internal/controller/change_test.go
@@ -21,19 +21,19 @@
 		change change
 		want   error
 	}{
-		"the first of all":                         {controlState{}, first, nil},
-		"a base where there is none":               {controlState{}, second, errBaseMismatch},
-		"the next":                                 {afterFirst, second, nil},
-		"sent again":                               {afterFirst, first, errAlreadyApplied},
-		"sent again under a newer one":             {afterSecond, first, errAlreadyApplied},
-		"the same number with other bytes":         {afterFirst, newChange(0, 3, []byte("other")), errBaseMismatch},
-		"the same bytes on another base":           {afterFirst, newChange(3, 3, []byte("first")), errVersionNotIncreased},
-		"the same base after another took it":      {afterSecond, newChange(3, 9, []byte("late")), errBaseMismatch},
-		"a version that is not above":              {afterSecond, newChange(7, 7, []byte("third")), errVersionNotIncreased},
-		"a version below":                          {afterSecond, newChange(7, 2, []byte("third")), errVersionNotIncreased},
-		"a version of 0":                           {controlState{}, newChange(0, 0, []byte("zero")), errVersionNotIncreased},
-		"a base that is to come":                   {afterFirst, newChange(7, 9, []byte("early")), errBaseMismatch},
-		"an old change with one byte more is none": {afterSecond, newChange(0, 3, []byte("first ")), errBaseMismatch},
+		"first change":                    {controlState{}, first, nil},
+		"base without a configuration":    {controlState{}, second, errBaseMismatch},
+		"next change":                     {afterFirst, second, nil},
+		"resent change":                   {afterFirst, first, errAlreadyApplied},
+		"resent after a newer change":     {afterSecond, first, errAlreadyApplied},
+		"same version with another body":  {afterFirst, newChange(0, 3, []byte("other")), errBaseMismatch},
+		"same body on another base":       {afterFirst, newChange(3, 3, []byte("first")), errVersionNotIncreased},
+		"base of an earlier change":       {afterSecond, newChange(3, 9, []byte("late")), errBaseMismatch},
+		"same version as the current one": {afterSecond, newChange(7, 7, []byte("third")), errVersionNotIncreased},
+		"version below the current one":   {afterSecond, newChange(7, 2, []byte("third")), errVersionNotIncreased},
+		"version 0":                       {controlState{}, newChange(0, 0, []byte("zero")), errVersionNotIncreased},
+		"base above the current version":  {afterFirst, newChange(7, 9, []byte("early")), errBaseMismatch},
+		"resent with an extra byte":       {afterSecond, newChange(0, 3, []byte("first ")), errBaseMismatch},
 	}
 	for name, each := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -100,5 +100,5 @@
 	next, err := applyClaim(taken, lease.Claim{Key: roleReader, Previous: 1}, other)
 	require.NoError(t, err)
 	require.Equal(t, lease.Record{Holder: other, Token: 2}, next.Roles[roleReader])
-	require.Equal(t, uint64(1), taken.Roles[roleReader].Token, "the state before is unchanged")
+	require.Equal(t, uint64(1), taken.Roles[roleReader].Token, "the previous state must not change")
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,6 +1,6 @@
-// Package controller is the program of the core machines. It serves the operator's API on a replicated register, publishes
-// the configuration and the platform's list of instances to watchers, and shares the singleton roles with the other
-// controllers by leases.
+// Package controller implements the program of the core machines. It serves the operator's API on a replicated register,
+// publishes the configuration and the platform's list of instances to watchers, and competes with the other controllers for
+// the singleton roles, which are guarded by leases.
 package controller
 
 import (
@@ -22,11 +22,12 @@
 	"weldscale/internal/stages"
 )
 
-// settleTime is how long a controller that was started tells no number of routers. Routers share the connections to a worker
-// by that number: in this time, all that live have been seen polling or were told of.
+// settleTime is how long after its start a controller reports the number of routers as unknown. Routers divide the connections
+// to a worker by that number. Within this time the agent of every live router has polled this controller or was reported by
+// another one.
 const settleTime = time.Second
 
-// controller ties the parts of one process together.
+// controller connects the components of one process.
 type controller struct {
 	settings *atomic.Pointer[settings.Settings]
 	self     lease.Member
@@ -44,16 +45,16 @@
 	poller   *instances.Poller
 	keeper   *stages.Keeper
 
-	settledAt    time.Time       // when the number of routers is known
-	ctx          context.Context // of the whole run, for work that no caller waits for
+	settledAt    time.Time       // the number of routers is unknown before this time
+	ctx          context.Context // context of the whole run, for background work
 	heartbeatNow chan struct{}
 	fetchingList atomic.Bool
 	catchingUp   atomic.Bool
-	synced       atomic.Bool // the register was read since the start
+	synced       atomic.Bool // the register was read after the start
 
 	publishMutex      sync.Mutex
-	publishedRevision uint64 // of the newest state that was published
-	publishedChange   uint64 // number of the newest configuration that was published
+	publishedRevision uint64 // revision of the newest published state
+	publishedChange   uint64 // number of the newest published configuration change
 }
 
 func newController(
@@ -96,7 +97,7 @@
 	return c
 }
 
-// sawWatcher counts the agents, of which there is one beside each router.
+// recordPoll counts the polling agents, one of which runs beside each router, and records the observations of a poll.
 func (c *controller) recordPoll(request *fleetwire.WatchRequest) {
 	if request.Member.Role == fleetwire.RoleAgent {
 		c.agents.recordPoll(time.Now(), request.Member.Name)
@@ -106,8 +107,9 @@
 	}
 }
 
-// watchAge is the age of the contact with a majority that watchers are told. Before the first read of the register there is
-// none: this controller may have heard the others, but it knows nothing of what they hold.
+// quorumAge returns the time since the last contact with a majority, for the replies to watchers. Before the first read of the
+// register it returns register.NeverHeard: this controller may already exchange messages with the replicas, but it does not
+// know their state yet.
 func (c *controller) quorumAge() time.Duration {
 	if !c.synced.Load() {
 		return register.NeverHeard
@@ -115,13 +117,13 @@
 	return c.node.QuorumAge()
 }
 
-// doubts is what a watcher is told of workers that the routers of its zone complain of.
+// doubts returns the workers that routers of the watcher's zone complain about.
 func (c *controller) doubts(request *fleetwire.WatchRequest) []fleetwire.Doubt {
 	zones := max(1, len(c.settings.Load().Zones))
 	return c.reports.doubts(request.Member.Zone, c.lists.serviceByWorker, c.routerCount(time.Now())/zones)
 }
 
-// routers is the number of live routers, or 0 while it is not known.
+// routerCount returns the number of live routers, or 0 while it is unknown.
 func (c *controller) routerCount(now time.Time) int {
 	if now.Before(c.settledAt) {
 		return 0
@@ -129,9 +131,10 @@
 	return c.agents.count(now)
 }
 
-// mayRead reports whether this controller may read the platform's list now, and under which token. Its holder by the record
-// need not wait for grants while there is no list here: it alone reads under that token, and a list under it gives way to
-// any of a later holder. After a loss of power of all, grants come only when those of the former lives have run out.
+// mayReadList reports whether this controller may read the platform's list now, and under which token. Normally that requires
+// the lease. While this controller holds no list, the role's record in the register suffices: only the recorded holder reads
+// under that token, and a list of any later holder replaces a list read under it. Otherwise, after a power loss of all
+// machines, the first list would have to wait until the grants of the previous lives have expired.
 func (c *controller) mayReadList() (uint64, bool) {
 	if token, held := c.leases.holds(roleReader); held {
 		return token, held
@@ -142,13 +145,13 @@
 	return c.leases.recorded(roleReader)
 }
 
-// knownFleet is what the watchers of this controller are told.
+// publishedFleet returns the configuration and the instances that this controller publishes to its watchers.
 func (c *controller) publishedFleet() stages.Fleet {
 	current := c.hub.Current()
 	return stages.Fleet{Config: current.Config, Instances: current.Instances}
 }
 
-// settingsChanged takes a new settings file.
+// applySettings replaces the settings after the settings file has changed.
 func (c *controller) applySettings(next *settings.Settings) {
 	c.settings.Store(next)
 	c.peers.setSeeds(next.SeedInternalAddresses())
--- a/internal/controller/firstlist_test.go
+++ b/internal/controller/firstlist_test.go
@@ -13,7 +13,7 @@
 	"weldscale/internal/settings"
 )
 
-// lone returns a controller that was restarted, without the others of its group, and its register.
+// newSingleController returns a controller that was restarted and has no contact with the others of its group, and its register.
 func newSingleController(t *testing.T) (*controller, *fakeRegister) {
 	var latest atomic.Pointer[settings.Settings]
 	latest.Store(&settings.Settings{IP: "127.0.0.2", InternalPorts: [2]int{7000, 7001}})
@@ -23,6 +23,7 @@
 	return newController(t.Context(), &latest, node, client, transport.TCP(), zap.NewNop()), node
 }
 
+// setRecordedReader makes a member the recorded holder of the role that reads the list.
 func (c *controller) setRecordedReader(holder lease.Member, token uint64) {
 	c.leases.withDecider(func(decider *lease.Decider, now time.Duration) {
 		voters := []string{c.self.Address, "127.0.0.3:7000", "127.0.0.4:7000"}
@@ -30,37 +31,38 @@
 	})
 }
 
-// After a loss of power of all, the voters grant nothing for a while; nobody can be served before there is a list.
+// Guards against a late first list after a power loss of all machines: the voters grant nothing for a while after the restart,
+// and no request can be served without a list.
 func TestFirstListIsReadWithoutGrants(t *testing.T) {
 	c, _ := newSingleController(t)
 	c.setRecordedReader(c.self, 5)
 	_, held := c.leases.holds(roleReader)
-	require.False(t, held, "nobody has granted it")
+	require.False(t, held, "no voter has granted the role")
 	token, allowed := c.mayReadList()
 	require.True(t, allowed)
 	require.Equal(t, uint64(5), token)
 
 	require.True(t, c.lists.acceptRead(time.Now(), token, nil))
 	_, allowed = c.mayReadList()
-	require.False(t, allowed, "from the second reading on, it takes grants")
+	require.False(t, allowed, "from the second read on, the role requires grants")
 }
 
 func TestOnlyRecordedReaderWithQuorumReadsWithoutGrants(t *testing.T) {
 	c, node := newSingleController(t)
 	_, allowed := c.mayReadList()
-	require.False(t, allowed, "no record")
+	require.False(t, allowed, "the role has no record")
 
 	c.setRecordedReader(lease.Member{Address: c.self.Address, Life: "an earlier one"}, 4)
 	_, allowed = c.mayReadList()
-	require.False(t, allowed, "of an earlier life")
+	require.False(t, allowed, "the record names an earlier life of this controller")
 
 	c.setRecordedReader(c.self, 5)
 	node.quorumAge = 2 * maxQuorumAge
 	_, allowed = c.mayReadList()
-	require.False(t, allowed, "cut off")
+	require.False(t, allowed, "the controller is cut off from the majority")
 	node.quorumAge = 0
 
 	c.setRecordedReader(lease.Member{Address: "127.0.0.3:7000", Life: "x"}, 6)
 	_, allowed = c.mayReadList()
-	require.False(t, allowed, "superseded")
+	require.False(t, allowed, "another controller is the recorded holder")
 }
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// heartbeatInterval is the pace of the leases and of what controllers tell each other.
+	// heartbeatInterval is the time between heartbeats, which carry lease messages and gossip.
 	heartbeatInterval = 200 * time.Millisecond
-	// callTimeout bounds a call to another controller. It is below the bound of silence, so that one call that hangs
-	// doesn't make this controller look silent.
+	// callTimeout bounds a call to another controller. It is below the time after which a member counts as silent, so that
+	// one call that hangs does not make this controller appear silent.
 	callTimeout = 400 * time.Millisecond
-	// claimTimeout bounds the write that takes a role.
+	// claimTimeout bounds the register write that claims a role.
 	claimTimeout = time.Second
 )
 
-// beat sends heartbeats and takes the roles that are due until the context is done.
+// runHeartbeats sends heartbeats and claims the roles that are due until ctx is done.
 func (c *controller) runHeartbeats(ctx context.Context) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
@@ -38,7 +38,7 @@
 	}
 }
 
-// hurry has the next heartbeat sent at once.
+// triggerHeartbeat makes runHeartbeats send the next heartbeat at once.
 func (c *controller) triggerHeartbeat() {
 	select {
 	case c.heartbeatNow <- struct{}{}:
@@ -46,8 +46,8 @@
 	}
 }
 
-// sendHeartbeats sends one heartbeat to each controller that is due, or to everyone, and returns a group that is done
-// when all are answered or given up.
+// sendHeartbeats sends one heartbeat to each controller that is due, or to all if toAll is set. The returned group is done when
+// every call was answered or has failed.
 func (c *controller) sendHeartbeats(ctx context.Context, toAll bool) *sync.WaitGroup {
 	var message heartbeat
 	var sentAt time.Duration
@@ -62,11 +62,12 @@
 		calls.Go(func() { c.sendHeartbeat(ctx, address, sentAt, message) })
 	}
 	if len(message.Lease.Asks) > 0 {
-		c.poller.Wake() // alone, this controller grants itself the role
+		c.poller.Wake() // as the only voter, this controller has granted itself the role
 	}
 	return &calls
 }
 
+// sendHeartbeat sends one heartbeat and processes the reply.
 func (c *controller) sendHeartbeat(ctx context.Context, address string, sentAt time.Duration, message heartbeat) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -83,6 +84,7 @@
 	c.handleGossip(reply.Lease.From.Address, reply.Gossip)
 }
 
+// serveHeartbeat answers the heartbeat of another controller.
 func (c *controller) serveHeartbeat(_ context.Context, message heartbeat) (heartbeatReply, error) {
 	var reply heartbeatReply
 	c.leases.withDecider(func(decider *lease.Decider, now time.Duration) {
@@ -97,6 +99,7 @@
 	return reply, nil
 }
 
+// gossip returns the part of a heartbeat or its reply that does not concern leases.
 func (c *controller) gossip() gossip {
 	now := time.Now()
 	version, age := c.lists.versionAndAge(now)
@@ -109,7 +112,8 @@
 	}
 }
 
-// hear takes what another controller tells.
+// handleGossip processes the gossip of another controller. It fetches a newer list, sends a list that the other one has
+// missed, and reads the register if the other one knows a newer revision.
 func (c *controller) handleGossip(address string, received gossip) {
 	now := time.Now()
 	c.peers.recordContact(now, address)
@@ -126,7 +130,7 @@
 	}
 }
 
-// catchUp reads the register once, since another controller knows a newer state.
+// catchUp reads the register in the background to learn a newer state. It does nothing while an earlier read is in progress.
 func (c *controller) catchUp() {
 	if !c.catchingUp.CompareAndSwap(false, true) {
 		return
@@ -139,7 +143,7 @@
 	}()
 }
 
-// takeRoles writes the claims that are due to the register.
+// claimRoles starts a register write for each claim that is due.
 func (c *controller) claimRoles(ctx context.Context) {
 	var claims []lease.Claim
 	c.leases.withDecider(func(decider *lease.Decider, now time.Duration) { claims = decider.Claims(now) })
@@ -148,6 +152,7 @@
 	}
 }
 
+// claimRole writes one claim to the register.
 func (c *controller) claimRole(ctx context.Context, claim lease.Claim) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
--- a/internal/controller/hints.go
+++ b/internal/controller/hints.go
@@ -8,13 +8,15 @@
 	"weldscale/internal/fleetwire"
 )
 
-// listKey is the key of the list of instances, which is all that is handed over.
+// listKey is the handoff key of the list of instances. It is the only key in use.
 const listKey = "instances"
 
-// hintLimits bound the hints. Whoever is away for longer is brought up to date by its first heartbeat alone.
+// hintLimits bound the hints. A controller that is unreachable for longer fetches the list once a heartbeat or a reply reports a
+// newer version than its own.
 var hintLimits = handoff.Limits{Hints: 16, Age: 30 * time.Second}
 
-// hints remembers which controllers missed a list. A hint holds no list: whoever is back gets the newest.
+// hints records which controllers have missed a list. A hint carries no list, since a controller that is reachable again gets
+// the newest one. It is safe for concurrent use.
 type hints struct {
 	started time.Time
 
@@ -26,19 +28,20 @@
 	return &hints{started: time.Now(), keeper: handoff.New[fleetwire.ListVersion, struct{}](hintLimits)}
 }
 
-// missed notes that a list did not reach a controller.
+// add records that a list did not reach a controller.
 func (h *hints) add(address string, version fleetwire.ListVersion) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.keeper.Keep(time.Since(h.started), address, handoff.Hint[fleetwire.ListVersion, struct{}]{Key: listKey, Version: version})
 }
 
-// take reports whether a controller that is back, and tells which list it holds, has missed a newer one.
+// takeMissed reports whether a controller that is reachable again and holds the given list has missed a newer one. It removes
+// the hints for that controller.
 func (h *hints) takeMissed(address string, held fleetwire.ListVersion) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.keeper.Holds(address, listKey, held)
 	missed := len(h.keeper.For(time.Since(h.started), address)) > 0
-	h.keeper.Forget(address) // if it is missed again, there will be another hint
+	h.keeper.Forget(address) // another failed delivery adds a new hint
 	return missed
 }
--- a/internal/controller/hints_test.go
+++ b/internal/controller/hints_test.go
@@ -17,6 +17,6 @@
 	require.True(t, h.takeMissed("a", first))
 	require.False(t, h.takeMissed("a", first))
 	h.add("a", second)
-	require.False(t, h.takeMissed("a", second), "it has got it in another way")
+	require.False(t, h.takeMissed("a", second), "the controller already holds the list")
 	require.False(t, h.takeMissed("a", first))
 }
--- a/internal/controller/leases.go
+++ b/internal/controller/leases.go
@@ -7,16 +7,16 @@
 	"weldscale/coordination/lease"
 )
 
-// roleReader is the key of the role that reads the platform's list of instances.
+// roleReader is the key of the role whose holder reads the platform's list of instances.
 const roleReader = "instances/reader"
 
-// roleStages is the key of the role that orders workers to read prompts or to make tokens.
+// roleStages is the key of the role whose holder assigns the prefill and decode stages to workers.
 const roleStages = "workers/stages"
 
-// roles are all keys.
+// roles lists the keys of all roles.
 var roles = []string{roleReader, roleStages}
 
-// leases guards the lease decider and gives it the time.
+// leases makes a lease.Decider safe for concurrent use and passes it the time.
 type leases struct {
 	started time.Time
 
@@ -29,29 +29,34 @@
 	return &leases{started: time.Now(), decider: decider}
 }
 
-// now is the steady time since the start.
+// now returns the monotonic time since the start.
 func (l *leases) now() time.Duration { return time.Since(l.started) }
 
+// withDecider calls use with the decider while it holds the lock.
 func (l *leases) withDecider(use func(decider *lease.Decider, now time.Duration)) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	use(l.decider, l.now())
 }
 
+// holds reports whether this controller may act in a role now, and under which token.
 func (l *leases) holds(key string) (token uint64, held bool) {
 	l.withDecider(func(decider *lease.Decider, now time.Duration) { token, held = decider.Holds(now, key) })
 	return token, held
 }
 
+// recorded reports whether the register names this controller as the holder of a role, and under which token.
 func (l *leases) recorded(key string) (token uint64, ok bool) {
 	l.withDecider(func(decider *lease.Decider, _ time.Duration) { token, ok = decider.Recorded(key) })
 	return token, ok
 }
 
+// giveUp gives up a role that is held under the token.
 func (l *leases) giveUp(key string, token uint64) {
 	l.withDecider(func(decider *lease.Decider, _ time.Duration) { decider.GiveUp(key, token) })
 }
 
+// live returns the addresses of the live members, this one included.
 func (l *leases) live() (live []string) {
 	l.withDecider(func(decider *lease.Decider, now time.Duration) { live = decider.Live(now) })
 	return live
--- a/internal/controller/lists.go
+++ b/internal/controller/lists.go
@@ -14,7 +14,7 @@
 	"weldscale/internal/instances"
 )
 
-// lists keeps the newest list of instances and publishes it to the watchers.
+// listStore holds the newest list of instances and publishes it to the watchers. It is safe for concurrent use.
 type listStore struct {
 	hub *watch.Hub
 	log *zap.Logger
@@ -22,14 +22,15 @@
 	mutex          sync.Mutex
 	version        fleetwire.ListVersion
 	list           []fleetwire.Instance
-	confirmedAt    time.Time             // when the platform last gave this list
-	previous       fleetwire.ListVersion // held before the newest
-	workerServices map[string]string     // the service of each listed worker; nil until it is asked for, and never changed
+	confirmedAt    time.Time             // when the platform last returned this list
+	previous       fleetwire.ListVersion // version before the newest one
+	workerServices map[string]string     // service of each listed worker; built on first use, then never modified
 }
 
 func newListStore(hub *watch.Hub, log *zap.Logger) *listStore { return &listStore{hub: hub, log: log} }
 
-// read takes what this controller has just read under a token. It reports whether that is a new version of the list.
+// acceptRead stores a list that this controller has just read under a token. It reports whether that made a new version. A list
+// read under an older token than that of the stored list is ignored.
 func (l *listStore) acceptRead(now time.Time, token uint64, list []fleetwire.Instance) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -48,7 +49,7 @@
 	return true
 }
 
-// offer takes a list from another controller. It reports whether that is newer than the one held.
+// acceptList stores a list from another controller if it is newer than the stored one, and reports whether it is.
 func (l *listStore) acceptList(now time.Time, message listMessage) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -59,7 +60,8 @@
 	return true
 }
 
-// told takes the age of the list that another controller holds. It reports whether that list is newer than the one here.
+// observeVersion processes the version and age of the list that another controller holds. It reports whether that list is newer
+// than the stored one. For the same version it takes over the later confirmation.
 func (l *listStore) observeVersion(now time.Time, version fleetwire.ListVersion, ageMs int64) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -69,7 +71,8 @@
 	return l.version.Less(version)
 }
 
-// offerSteps takes steps from another controller. It reports whether the list that they lead to, or a newer one, is now held.
+// acceptSteps applies steps from another controller to the stored list. It reports whether the list after them, or a newer one,
+// is now stored.
 func (l *listStore) acceptSteps(now time.Time, message stepsMessage) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -89,13 +92,15 @@
 	return true
 }
 
-// steps returns what leads from the list held before the newest to that one, if that is worth sending.
+// latestSteps returns the steps from the previous list to the newest one. It returns none if the hub does not
+// know them or considers the full list as cheap to send.
 func (l *listStore) latestSteps(now time.Time) stepsMessage {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return stepsMessage{AgeMs: now.Sub(l.confirmedAt).Milliseconds(), Steps: l.hub.StepsSince(l.previous)}
 }
 
+// set replaces the list. The caller must hold the lock.
 func (l *listStore) set(version fleetwire.ListVersion, list []fleetwire.Instance, confirmedAt time.Time) {
 	l.previous = l.version
 	l.version = version
@@ -104,6 +109,7 @@
 	l.confirmedAt = confirmedAt
 }
 
+// publish replaces the list and passes it to the hub. The caller must hold the lock.
 func (l *listStore) publish(version fleetwire.ListVersion, list []fleetwire.Instance, confirmedAt time.Time) {
 	l.set(version, list, confirmedAt)
 	if err := l.hub.PublishInstances(version, list); err != nil {
@@ -112,6 +118,7 @@
 	l.hub.ConfirmInstances(confirmedAt)
 }
 
+// confirm records that the platform returned the stored list at the given time. The caller must hold the lock.
 func (l *listStore) confirm(at time.Time) {
 	if at.After(l.confirmedAt) {
 		l.confirmedAt = at
@@ -119,15 +126,15 @@
 	}
 }
 
-// message returns the list to be passed on.
+// message returns the full list as a message to another controller.
 func (l *listStore) message(now time.Time) listMessage {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return listMessage{Version: l.version, AgeMs: now.Sub(l.confirmedAt).Milliseconds(), Instances: l.list}
 }
 
-// services tells of which service each listed worker is. It is made once for a list: polls with observations or doubts ask
-// for it. It must not be changed.
+// serviceByWorker returns the service of each listed worker. The map is built once per list, because every poll with observations
+// or doubts needs it. The caller must not modify it.
 func (l *listStore) serviceByWorker() map[string]string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -140,7 +147,7 @@
 	return l.workerServices
 }
 
-// held returns the version and age of the list; the age is 0 without a list.
+// versionAndAge returns the version of the list and its age in milliseconds. The age is 0 if there is no list.
 func (l *listStore) versionAndAge(now time.Time) (fleetwire.ListVersion, int64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -152,7 +159,8 @@
 
 func milliseconds(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
 
-// pushList sends the newest list to all other controllers at once. Those that it doesn't reach get it when they are heard again.
+// pushList sends the newest list to all other controllers in parallel. A controller that cannot be reached gets it after its next
+// message.
 func (c *controller) pushList(ctx context.Context) {
 	now := time.Now()
 	steps, full := c.lists.latestSteps(now), c.lists.message(now)
@@ -161,7 +169,8 @@
 	}
 }
 
-// sendList sends steps, or the whole list where they don't do, and keeps a hint if it doesn't arrive.
+// sendList sends the steps, or the full list if there are none or the receiver cannot apply them. It adds a hint if the call
+// fails.
 func (c *controller) sendList(ctx context.Context, address string, steps stepsMessage, full listMessage) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -177,24 +186,25 @@
 	}
 }
 
-// sendSteps sends steps to another controller and reports whether that one has to be sent the whole list.
+// sendSteps sends steps to another controller and reports whether it needs the full list.
 func (c *controller) sendSteps(ctx context.Context, address string, steps stepsMessage) (bool, error) {
 	var reply stepsReply
 	err := c.client.Call(ctx, address, pathSteps, steps, &reply)
 	if errors.Is(err, transport.ErrStatus) {
-		return true, nil // it doesn't know the call
+		return true, nil // the other controller does not serve this call
 	}
 	return !reply.Held, err
 }
 
-// handOver sends the newest list to a controller that is back and has missed one.
+// sendMissedList sends the newest list to a controller that is reachable again and has missed one. held is the version that it
+// holds.
 func (c *controller) sendMissedList(now time.Time, address string, held fleetwire.ListVersion) {
 	if c.hints.takeMissed(address, held) {
 		go c.sendList(c.ctx, address, stepsMessage{}, c.lists.message(now))
 	}
 }
 
-// fetchList asks another controller for its list, one call at a time.
+// fetchList fetches the list of another controller in the background. It does nothing while an earlier call is in progress.
 func (c *controller) fetchList(ctx context.Context, address string) {
 	if !c.fetchingList.CompareAndSwap(false, true) {
 		return
@@ -210,20 +220,23 @@
 	}()
 }
 
+// serveInstances accepts a full list from another controller.
 func (c *controller) serveInstances(_ context.Context, message listMessage) (empty, error) {
 	c.lists.acceptList(time.Now(), message)
 	return empty{}, nil
 }
 
+// serveSteps accepts steps from another controller.
 func (c *controller) serveSteps(_ context.Context, message stepsMessage) (stepsReply, error) {
 	return stepsReply{Held: c.lists.acceptSteps(time.Now(), message)}, nil
 }
 
+// serveList returns the stored list to another controller.
 func (c *controller) serveList(context.Context, empty) (listMessage, error) {
 	return c.lists.message(time.Now()), nil
 }
 
-// listRead takes each reading of the poller.
+// listHandler returns the function that the poller calls with each list that it reads from the platform.
 func (c *controller) listHandler(ctx context.Context) func(token uint64, list []fleetwire.Instance) {
 	return func(token uint64, list []fleetwire.Instance) {
 		if c.lists.acceptRead(time.Now(), token, list) {
--- a/internal/controller/lists_test.go
+++ b/internal/controller/lists_test.go
@@ -23,13 +23,13 @@
 	draining := []fleetwire.Instance{instance("i", fleetwire.InstanceDraining)}
 
 	require.True(t, store.acceptRead(now, 4, ready))
-	require.False(t, store.acceptRead(now.Add(time.Second), 4, ready), "nothing new")
+	require.False(t, store.acceptRead(now.Add(time.Second), 4, ready), "the list has not changed")
 	require.True(t, store.acceptRead(now.Add(time.Second), 4, draining))
 	require.Equal(t, fleetwire.ListVersion{Token: 4, Sequence: 2}, hub.Current().Version.Instances)
 
 	outdated := listMessage{Version: fleetwire.ListVersion{Token: 3, Sequence: 90}, Instances: ready}
-	require.False(t, store.acceptList(now, outdated), "of a former reader")
-	require.False(t, store.acceptRead(now, 3, ready), "this controller was the former reader")
+	require.False(t, store.acceptList(now, outdated), "the list comes from a former reader")
+	require.False(t, store.acceptRead(now, 3, ready), "the token of this reader is outdated")
 	require.Equal(t, draining, hub.Current().Instances)
 
 	next := listMessage{Version: fleetwire.ListVersion{Token: 5, Sequence: 1}, Instances: ready}
@@ -58,7 +58,7 @@
 	require.Equal(t, int64(200), age)
 	store.observeVersion(now.Add(time.Second), version, 5000)
 	_, age = store.versionAndAge(now.Add(time.Second))
-	require.Equal(t, int64(200), age, "an older word changes nothing")
+	require.Equal(t, int64(200), age, "an older confirmation must not change the age")
 }
 
 func TestAgentCounterCountsEachAgentOnce(t *testing.T) {
@@ -78,7 +78,7 @@
 	peers.setReplicas([]string{"self", "replica"})
 	now := time.Now()
 	require.Equal(t, []string{"replica", "seed"}, peers.due(now, false))
-	require.Empty(t, peers.due(now, false), "under way")
+	require.Empty(t, peers.due(now, false), "the heartbeats are in flight")
 	for range 10 {
 		peers.recordResult(now, "replica", errTokenMismatch)
 		peers.recordResult(now, "seed", errTokenMismatch)
--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -24,34 +24,34 @@
 	headerBase = "Base-Version"
 
 	maxConfigBytes = 4 << 20
-	// changeTimeout bounds the work for one change: within AckMs, and long enough to get over a replica that hangs.
+	// changeTimeout bounds the work for one change. It is within AckMs and long enough to tolerate a replica that hangs.
 	changeTimeout = 3 * time.Second
-	// attemptTimeout bounds one try of a change or a read. It is above the time-out of a round of the register.
+	// attemptTimeout bounds one attempt of a change or a read. It is above the timeout of a round of the register.
 	attemptTimeout = 1500 * time.Millisecond
 	readTimeout    = 2 * time.Second
-	// doubtPause separates the tries of a change whose outcome is not known.
+	// retryPause is the pause between attempts of a read, or of a change whose outcome is unknown.
 	retryPause = 20 * time.Millisecond
-	// formingTimeout is how long a fresh fleet's first acknowledgement waits for the whole set of replicas, in all and per
-	// call.
+	// formingTimeout is how long after the start a change still waits for the full set of replicas, and formingCallTimeout
+	// bounds that wait for one call.
 	formingTimeout     = 5 * time.Second
 	formingCallTimeout = 700 * time.Millisecond
-	// unansweredPause separates lines of the log about changes without an answer: an operator that reaches only a controller
-	// cut off from the others sends again many times a second.
+	// unansweredLogInterval limits the log messages about changes without a definite answer. An operator that reaches only a
+	// controller that is cut off from the others resends many times a second.
 	unansweredLogInterval = time.Second
 )
 
-// operatorAPI serves the operator's calls.
+// operatorAPI serves the calls of the operator.
 type operatorAPI struct {
 	node    stateRegister
 	started time.Time
 	log     *zap.Logger
-	// ending is done once the process is about to end: calls in hand are answered as they stand.
+	// shutdown is done shortly before the process ends, so that calls in flight are answered with what is known by then.
 	shutdown    context.Context
 	cancelCalls context.CancelFunc
 
 	unansweredMutex sync.Mutex
-	unansweredCount int       // changes since the last line about them
-	loggedAt        time.Time // zero: never
+	unansweredCount int       // changes since the last log message about them
+	loggedAt        time.Time // zero if there was no such message
 }
 
 func newOperatorAPI(node stateRegister, log *zap.Logger) *operatorAPI {
@@ -59,12 +59,13 @@
 	return &operatorAPI{node: node, started: time.Now(), log: log, shutdown: shutdown, cancelCalls: cancelCalls}
 }
 
+// registerHandlers mounts the operator's calls.
 func (a *operatorAPI) registerHandlers(mux *http.ServeMux) {
 	mux.HandleFunc("POST "+pathReplace, a.replace)
 	mux.HandleFunc("GET "+pathRead, a.read)
 }
 
-// replace takes a configuration.
+// replace handles a request to replace the configuration.
 func (a *operatorAPI) replace(w http.ResponseWriter, r *http.Request) {
 	base, err := strconv.ParseInt(r.Header.Get(headerBase), 10, 64)
 	if err != nil || base < 0 {
@@ -81,13 +82,13 @@
 		writeError(w, fleetconfig.StatusOf(err), err.Error())
 		return
 	}
-	// The change goes on when the operator leaves: sent again, it is known.
+	// The change continues when the operator disconnects. If the operator resends it, it is recognized by its digest.
 	ctx, cancel := a.callContext(context.WithoutCancel(r.Context()), changeTimeout)
 	defer cancel()
 	a.writeOutcome(w, a.commitChange(ctx, newChange(base, config.Version, body)))
 }
 
-// callContext bounds the work for one call by time and by the end of the process.
+// callContext returns a context that ends after timeout or when the process shuts down.
 func (a *operatorAPI) callContext(parent context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(parent, timeout)
 	stop := context.AfterFunc(a.shutdown, cancel)
@@ -97,18 +98,20 @@
 	}
 }
 
+// bodyStatus returns the HTTP status for an error that occurred while a request's body was read.
 func bodyStatus(err error) int {
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
 		return http.StatusRequestEntityTooLarge
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return http.StatusRequestTimeout // the path may be at fault, and another controller's good
+		return http.StatusRequestTimeout // the connection may be slow, so the operator should try another controller
 	}
 	return http.StatusBadRequest
 }
 
-// take has a change taken, or returns why it was not: a verdict, or an error that leaves the outcome open.
+// commitChange commits a change. It returns nil, a reason to reject the change, or an error that leaves the outcome unknown. Once
+// an attempt has left the outcome in doubt, it retries until the outcome is known or ctx is done.
 func (a *operatorAPI) commitChange(ctx context.Context, requested change) error {
 	if err := a.waitFormed(ctx); err != nil {
 		return err
@@ -126,6 +129,7 @@
 	}
 }
 
+// attemptChange makes one attempt to commit a change.
 func (a *operatorAPI) attemptChange(ctx context.Context, requested change) error {
 	if !hasQuorum(a.node) {
 		return register.ErrNoQuorum
@@ -135,13 +139,13 @@
 	return updateState(ctx, a.node, func(state controlState) (controlState, error) { return applyChange(state, requested) })
 }
 
-// isVerdict reports whether an error was found on a state that proves it.
+// isRejection reports whether an error is a definite reason to reject a change.
 func isRejection(err error) bool {
 	return errors.Is(err, errAlreadyApplied) || errors.Is(err, errBaseMismatch) || errors.Is(err, errVersionNotIncreased)
 }
 
-// waitForming holds a change back while a fresh fleet gathers its replicas: an acknowledgement must be able to outlive
-// the loss of some. It gives up for good after a while, since a replica may be missing from the start.
+// waitFormed delays a change until a new fleet has its full set of replicas, because an acknowledged change must survive the loss
+// of some of them. From formingTimeout after the start it no longer waits, since a replica may be missing from the beginning.
 func (a *operatorAPI) waitFormed(ctx context.Context) error {
 	span := min(formingCallTimeout, formingTimeout-time.Since(a.started))
 	if span <= 0 {
@@ -156,6 +160,7 @@
 	return err
 }
 
+// writeOutcome answers a request with the outcome of its change.
 func (a *operatorAPI) writeOutcome(w http.ResponseWriter, err error) {
 	switch {
 	case err == nil || errors.Is(err, errAlreadyApplied):
@@ -170,7 +175,7 @@
 	}
 }
 
-// logUnanswered notes a change that is left without an answer.
+// logUnanswered logs a change whose outcome is unknown, at most once per unansweredLogInterval.
 func (a *operatorAPI) logUnanswered(err error) {
 	a.unansweredMutex.Lock()
 	defer a.unansweredMutex.Unlock()
@@ -183,7 +188,7 @@
 	a.loggedAt = time.Now()
 }
 
-// read returns the newest configuration as it was sent.
+// read handles a request for the current configuration and returns the body that the operator sent.
 func (a *operatorAPI) read(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := a.callContext(r.Context(), readTimeout)
 	defer cancel()
@@ -200,6 +205,7 @@
 	}
 }
 
+// readState reads the control state, with retries while a majority is in contact and ctx is not done.
 func (a *operatorAPI) readState(ctx context.Context) (controlState, error) {
 	for {
 		attempt, cancel := context.WithTimeout(ctx, attemptTimeout)
--- a/internal/controller/operator_test.go
+++ b/internal/controller/operator_test.go
@@ -19,12 +19,12 @@
 	"weldscale/coordination/register"
 )
 
-// fakeRegister is a register of one process whose outcomes a test scripts.
+// fakeRegister is an in-memory register. A test sets the outcomes of its updates.
 type fakeRegister struct {
 	mutex   sync.Mutex
 	state   register.State
 	changed chan struct{}
-	// outcomes are taken one by one by the updates; without any, updates succeed.
+	// outcomes are those of the next updates, in order. Further updates succeed.
 	outcomes  []outcome
 	updates   int
 	readError error
@@ -32,11 +32,11 @@
 	formed    bool
 }
 
-// outcome is what becomes of one update.
+// outcome is the outcome of one update.
 type outcome struct {
-	runFirst func(f *fakeRegister) // what others do first
-	chosen   bool                  // the change is chosen
-	err      error                 // what the caller is told in place of success
+	runFirst func(f *fakeRegister) // runs before the update, if set
+	chosen   bool                  // whether the change is chosen
+	err      error                 // error returned to the caller
 }
 
 func newFakeRegister() *fakeRegister {
@@ -67,6 +67,7 @@
 	return f.state, next.err
 }
 
+// setChosen stores the data as the next chosen revision.
 func (f *fakeRegister) setChosen(data []byte) {
 	f.state.Revision++
 	f.state.Data = data
@@ -110,7 +111,7 @@
 
 func (f *fakeRegister) Register(*http.ServeMux) {}
 
-// holding puts a state into the register.
+// newRegisterWith returns a register in which the changes were applied.
 func newRegisterWith(t *testing.T, changes ...change) *fakeRegister {
 	fake := newFakeRegister()
 	for _, each := range changes {
@@ -119,7 +120,7 @@
 	return fake
 }
 
-// takeElsewhere has another controller take a change.
+// applyElsewhere returns a function that applies a change as another controller would.
 func applyElsewhere(t *testing.T, taken change) func(f *fakeRegister) {
 	return func(f *fakeRegister) {
 		state, err := decodeState(f.state.Data)
@@ -132,14 +133,17 @@
 	}
 }
 
+// testChange returns a change with the configuration that configBody makes.
 func testChange(base, version int64) change {
 	return newChange(base, version, []byte(configBody(version)))
 }
 
+// sendChange sends a change to a new API on the register.
 func sendChange(node stateRegister, base, body string) *httptest.ResponseRecorder {
 	return sendChangeTo(newOperatorAPI(node, zap.NewNop()), base, body)
 }
 
+// sendChangeTo sends a change to the API. An empty base omits the header.
 func sendChangeTo(api *operatorAPI, base, body string) *httptest.ResponseRecorder {
 	mux := http.NewServeMux()
 	api.registerHandlers(mux)
@@ -152,12 +156,13 @@
 	return recorder
 }
 
-// lateBody is the body of an order whose rest did not come in time.
+// timeoutBody is a request body whose read fails by timeout.
 type timeoutBody struct{}
 
 func (timeoutBody) Read([]byte) (int, error) { return 0, os.ErrDeadlineExceeded }
 
-// An order that came too slowly, over a path in trouble, is not a wrong one: its operator has to go to another controller with it.
+// Guards against rejecting a change for good when its body arrives too slowly over a bad connection: the operator has to retry it
+// with another controller.
 func TestReplaceAnswersSlowBodyWithRequestTimeout(t *testing.T) {
 	mux := http.NewServeMux()
 	newOperatorAPI(newFakeRegister(), zap.NewNop()).registerHandlers(mux)
@@ -168,6 +173,7 @@
 	require.Equal(t, http.StatusRequestTimeout, recorder.Code)
 }
 
+// readConfig reads the configuration from a new API on the register.
 func readConfig(node stateRegister) *httptest.ResponseRecorder {
 	mux := http.NewServeMux()
 	newOperatorAPI(node, zap.NewNop()).registerHandlers(mux)
@@ -187,25 +193,25 @@
 		base     string
 		body     string
 		status   int
-		version  int64 // in place afterwards
+		version  int64 // current version afterwards
 	}{
-		"the first":                     {nil, nil, "0", configBody(3), 200, 3},
-		"the next":                      {[]change{testChange(0, 3)}, nil, "3", configBody(7), 200, 7},
-		"again":                         {[]change{testChange(0, 3)}, nil, "0", configBody(3), 200, 3},
-		"again under newer ones":        {[]change{testChange(0, 3), testChange(3, 7)}, nil, "0", configBody(3), 200, 7},
-		"another base":                  {[]change{testChange(0, 3)}, nil, "0", configBody(7), 412, 3},
-		"not above":                     {[]change{testChange(0, 3)}, nil, "3", configBody(3), 400, 3},
-		"no base":                       {nil, nil, "", configBody(3), 400, 0},
-		"a base that is no number":      {nil, nil, "x", configBody(3), 400, 0},
-		"cut off":                       {nil, nil, "0", configBody(3)[:40], 400, 0},
-		"no majority":                   {nil, []outcome{noQuorum}, "0", configBody(3), 503, 0},
-		"in doubt, then known":          {nil, []outcome{inDoubtButChosen}, "0", configBody(3), 200, 3},
-		"in doubt, then made":           {nil, []outcome{inDoubt, inDoubt}, "0", configBody(3), 200, 3},
-		"in doubt, cut off, then known": {nil, []outcome{inDoubtButChosen, noQuorum}, "0", configBody(3), 200, 3},
-		"in doubt, then another won": {
+		"first change":                              {nil, nil, "0", configBody(3), 200, 3},
+		"next change":                               {[]change{testChange(0, 3)}, nil, "3", configBody(7), 200, 7},
+		"resent change":                             {[]change{testChange(0, 3)}, nil, "0", configBody(3), 200, 3},
+		"resent after newer changes":                {[]change{testChange(0, 3), testChange(3, 7)}, nil, "0", configBody(3), 200, 7},
+		"outdated base":                             {[]change{testChange(0, 3)}, nil, "0", configBody(7), 412, 3},
+		"same version as the current one":           {[]change{testChange(0, 3)}, nil, "3", configBody(3), 400, 3},
+		"missing base":                              {nil, nil, "", configBody(3), 400, 0},
+		"base is not a number":                      {nil, nil, "x", configBody(3), 400, 0},
+		"truncated body":                            {nil, nil, "0", configBody(3)[:40], 400, 0},
+		"no quorum":                                 {nil, []outcome{noQuorum}, "0", configBody(3), 503, 0},
+		"in doubt, then already applied":            {nil, []outcome{inDoubtButChosen}, "0", configBody(3), 200, 3},
+		"in doubt twice, then applied":              {nil, []outcome{inDoubt, inDoubt}, "0", configBody(3), 200, 3},
+		"in doubt, no quorum, then already applied": {nil, []outcome{inDoubtButChosen, noQuorum}, "0", configBody(3), 200, 3},
+		"in doubt, then base taken by another change": {
 			[]change{testChange(0, 3)}, []outcome{inDoubt, {runFirst: applyElsewhere(t, other), chosen: true}}, "3", configBody(7), 412, 9,
 		},
-		"chosen in doubt, and another on top": {
+		"in doubt but chosen, then another change on top": {
 			[]change{testChange(0, 3)},
 			[]outcome{inDoubtButChosen, {runFirst: applyElsewhere(t, newChange(7, 11, []byte(configBody(11))))}},
 			"3", configBody(7), 200, 11,
@@ -258,7 +264,7 @@
 			require.Equal(t, http.StatusServiceUnavailable, sendChangeTo(api, "0", configBody(3)).Code)
 			require.LessOrEqual(t, time.Since(called), formingCallTimeout)
 		}
-		time.Sleep(formingCallTimeout) // of the bubble's clock: takes no time
+		time.Sleep(formingCallTimeout) // virtual time
 		require.Equal(t, http.StatusOK, sendChangeTo(api, "0", configBody(3)).Code)
 	})
 }
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -7,27 +7,29 @@
 )
 
 const (
-	// maxSlowdown bounds the pace of heartbeats to silent addresses that are no replicas.
+	// maxBackoff bounds the backoff of heartbeats to addresses that do not answer and are not replicas.
 	maxBackoff = 2 * time.Second
-	// replicaSlowdown keeps the pace of heartbeats to silent replicas up: they may be back at any moment.
+	// maxReplicaBackoff bounds the backoff of heartbeats to replicas that do not answer. It is short because a replica may return
+	// at any time.
 	maxReplicaBackoff = 400 * time.Millisecond
-	// rumourSpan is how long an address that another controller told of is kept.
+	// contactTTL is how long an address is kept after its last message.
 	contactTTL = 10 * time.Second
 )
 
-// roster knows the addresses of the other controllers and when each is due for a heartbeat.
+// peers holds the addresses of the other controllers and schedules the heartbeats to them. It is safe for concurrent use.
 type peers struct {
 	self string
 
 	mutex       sync.Mutex
 	replicas    []string
 	seeds       []string
-	lastContact map[string]time.Time // told by others, last time
+	lastContact map[string]time.Time // time of the last message, by the sender's address
 	heartbeats  map[string]*heartbeatState
 }
 
+// heartbeatState is the state of the heartbeats to one address.
 type heartbeatState struct {
-	inFlight bool // a heartbeat is under way
+	inFlight bool // a heartbeat was sent and its call has not ended
 	failures int
 	nextAt   time.Time
 }
@@ -41,26 +43,28 @@
 	}
 }
 
+// setReplicas sets the addresses of the register's replicas.
 func (r *peers) setReplicas(addresses []string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.replicas = addresses
 }
 
+// setSeeds sets the addresses of the seeds.
 func (r *peers) setSeeds(addresses []string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.seeds = addresses
 }
 
-// heard notes a message from an address, which is therefore alive.
+// recordContact records a message from an address, which proves that the controller there is alive.
 func (r *peers) recordContact(now time.Time, address string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.lastContact[address] = now
 }
 
-// known returns the addresses of controllers to tell others of: the replicas, this one, and those heard lately.
+// addresses returns the known controllers: the replicas, this controller, and the senders of recent messages.
 func (r *peers) addresses(now time.Time) []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -72,12 +76,13 @@
 	return sortedUnique(addresses)
 }
 
-// others returns the addresses of the other controllers that are known, apart from mere seeds.
+// others returns the known controllers except this one. A seed is included only if it is also a replica or sent a recent message.
 func (r *peers) others(now time.Time) []string {
 	return slices.DeleteFunc(r.addresses(now), func(address string) bool { return address == r.self })
 }
 
-// due returns the addresses that are to be sent a heartbeat now and marks them busy. With everyone, the pace doesn't count.
+// due returns the addresses to send a heartbeat to now and marks them as in flight. With toAll it returns every address, even if
+// a heartbeat is in flight or the backoff has not ended.
 func (r *peers) due(now time.Time, toAll bool) []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -94,7 +99,7 @@
 	return due
 }
 
-// done notes the outcome of a heartbeat.
+// recordResult records the outcome of a heartbeat and schedules the next one. The backoff doubles with each failure in a row.
 func (r *peers) recordResult(now time.Time, address string, err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -113,6 +118,7 @@
 	state.nextAt = now.Add(min(heartbeatInterval<<min(state.failures-1, 10), longest))
 }
 
+// stateOf returns the heartbeat state of an address. The caller must hold the lock.
 func (r *peers) stateOf(address string) *heartbeatState {
 	state := r.heartbeats[address]
 	if state == nil {
@@ -122,6 +128,7 @@
 	return state
 }
 
+// targets returns the addresses that get heartbeats. The caller must hold the lock.
 func (r *peers) targets() []string {
 	targets := slices.Concat(r.replicas, r.seeds)
 	for address := range r.lastContact {
@@ -131,6 +138,7 @@
 	return sortedUnique(targets)
 }
 
+// expire removes the addresses without a recent message. The caller must hold the lock.
 func (r *peers) expire(now time.Time) {
 	for address, at := range r.lastContact {
 		if now.Sub(at) > contactTTL {
@@ -140,6 +148,7 @@
 	}
 }
 
+// sortedUnique sorts the addresses in place and removes duplicates.
 func sortedUnique(addresses []string) []string {
 	slices.Sort(addresses)
 	return slices.Compact(addresses)
--- a/internal/controller/publish.go
+++ b/internal/controller/publish.go
@@ -12,10 +12,10 @@
 	"weldscale/internal/pause"
 )
 
-// syncPause separates the tries of the first read.
+// syncRetryPause is the pause between attempts of the initial read.
 const syncRetryPause = 50 * time.Millisecond
 
-// followRegister passes each newly chosen state on to the watchers and the leases until the context is done.
+// followRegister publishes each newly chosen state to the watchers and the leases until ctx is done.
 func (c *controller) followRegister(ctx context.Context) {
 	for {
 		changed := c.node.Changed()
@@ -30,7 +30,7 @@
 	}
 }
 
-// sync reads the register once after the start. From then on this controller votes on roles.
+// initialSync reads the register after the start, with retries until it succeeds. From then on this controller grants leases.
 func (c *controller) initialSync(ctx context.Context) {
 	for {
 		attempt, cancel := context.WithTimeout(ctx, attemptTimeout)
@@ -48,7 +48,8 @@
 	}
 }
 
-// publish takes a chosen state, if it is not older than the last one.
+// publish updates the peers, the leases and the published configuration from a chosen state. It ignores a state that is older
+// than the last one.
 func (c *controller) publish(chosen register.State) {
 	c.publishMutex.Lock()
 	defer c.publishMutex.Unlock()
@@ -68,6 +69,7 @@
 	c.triggerHeartbeat()
 }
 
+// publishConfig publishes the configuration of a state if it is newer than the last one published.
 func (c *controller) publishConfig(state controlState) {
 	if state.Changes <= c.publishedChange {
 		return
--- a/internal/controller/register.go
+++ b/internal/controller/register.go
@@ -8,7 +8,7 @@
 	"weldscale/coordination/register"
 )
 
-// stateRegister is what the controller needs of the replicated register.
+// stateRegister is the part of the replicated register that the controller uses.
 type stateRegister interface {
 	Update(ctx context.Context, change func(data []byte) ([]byte, error)) (register.State, error)
 	Read(ctx context.Context) (register.State, error)
@@ -22,13 +22,14 @@
 	Register(mux *http.ServeMux)
 }
 
-// maxQuorumAge is the age beyond which a controller counts itself as cut off: it turns operators and watchers away and
-// takes no roles.
+// maxQuorumAge is the age of the last contact with a majority beyond which a controller considers itself cut off. It then
+// rejects operators and watchers and claims no roles.
 const maxQuorumAge = 700 * time.Millisecond
 
+// hasQuorum reports whether a majority of the replicas answered recently enough.
 func hasQuorum(node stateRegister) bool { return node.QuorumAge() <= maxQuorumAge }
 
-// update changes the control state by a pure decision.
+// updateState replaces the control state with the result of decide, which must be a pure function.
 func updateState(ctx context.Context, node stateRegister, decide func(controlState) (controlState, error)) error {
 	_, err := node.Update(ctx, func(data []byte) ([]byte, error) {
 		state, err := decodeState(data)
@@ -44,6 +45,7 @@
 	return err
 }
 
+// replicaAddresses returns the addresses of the replicas of a state, in their order.
 func replicaAddresses(state register.State) []string {
 	addresses := make([]string, 0, len(state.Replicas))
 	for _, replica := range state.Replicas {
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -9,40 +9,44 @@
 )
 
 const (
-	// reportSpan is how long the latest try of a router counts.
+	// reportSpan is how long a router's latest report on a worker counts.
 	reportSpan = 6 * time.Second
-	// passSpan is how long a report is passed on: a few heartbeats, of which some may be lost.
+	// forwardSpan is how long a report is forwarded to the other controllers. It covers several heartbeats, since some may be
+	// lost.
 	forwardSpan = 3 * heartbeatInterval
-	// mostReports bounds what is passed on at once.
+	// maxPendingReports bounds the reports that are forwarded at once.
 	maxPendingReports = 512
-	// Of the latest reports on a worker, that part must be complaints, by more routers than may be mistaken.
-	suspectShare         = 0.3
+	// A worker is avoided if at least minComplaintShare of the latest reports on it are complaints, and if more routers complain
+	// than faultyRouterShare of those in the zone, since that many may report wrongly.
+	minComplaintShare    = 0.3
 	faultyRouterShare    = 0.1
-	maxAvoidedShare      = 0.4 // of a service's workers
+	maxAvoidedShare      = 0.4 // share of a service's workers that may be avoided
 	maxRouters           = 1024
 	maxWorkers           = 4096
 	reportRepeatInterval = 500 * time.Millisecond
 )
 
-// report is an observation with who made it.
+// report is an observation of a worker with the router that made it.
 type report struct {
 	Router string
 	Zone   string
 	Seen   fleetwire.Observation
 }
 
-// reports weighs what routers saw of workers, for each zone of routers and each service: a worker may fail the callers of one
-// zone only, and the bound on avoided workers holds for each service.
+// reports evaluates the routers' reports on workers, separately for each zone of routers and each service: a worker may fail
+// requests from one zone only, and the bound on avoided workers applies per service. It is safe for concurrent use.
 type reports struct {
 	started time.Time
 
 	mutex   sync.Mutex
 	books   map[bookKey]*evidence.Book
-	pending []pendingReport // to be passed on, oldest first
+	pending []pendingReport // reports to forward, oldest first
 }
 
+// bookKey identifies the routers of a zone and the workers of a service.
 type bookKey struct{ zone, service string }
 
+// pendingReport is a report to forward with the time at which it arrived.
 type pendingReport struct {
 	report     report
 	receivedAt time.Duration
@@ -52,10 +56,11 @@
 	return &reports{started: started, books: map[bookKey]*evidence.Book{}}
 }
 
+// now returns the monotonic time since the start.
 func (v *reports) now() time.Duration { return time.Since(v.started) }
 
-// heard takes the observations of one router that polls here, which the other controllers are to be told. services tells of
-// which service each worker is.
+// recordObservations records the observations of a router that polls this controller, and keeps them for forwarding to the other
+// controllers. services maps each worker to its service.
 func (v *reports) recordObservations(router fleetwire.Member, observations []fleetwire.Observation, services map[string]string) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -68,7 +73,7 @@
 	}
 }
 
-// told takes reports that another controller has heard.
+// recordForwarded records reports that another controller has forwarded. They are not forwarded again.
 func (v *reports) recordForwarded(forwarded []report, services map[string]string) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -78,7 +83,8 @@
 	}
 }
 
-// take needs the lock. It reports whether the report is news.
+// record adds a report to its book and reports whether it is new. It ignores workers that are not listed. The caller must hold the
+// lock.
 func (v *reports) record(now time.Duration, received report, services map[string]string) bool {
 	service, listed := services[received.Seen.Worker]
 	if !listed {
@@ -95,20 +101,20 @@
 	})
 }
 
-// book needs the lock.
+// book returns the evidence for a zone and service, and creates it if needed. The caller must hold the lock.
 func (v *reports) book(key bookKey) *evidence.Book {
 	known := v.books[key]
 	if known == nil {
 		known, _ = evidence.NewBook(evidence.Config{
 			Members: maxRouters, Workers: maxWorkers, Span: reportSpan, Every: reportRepeatInterval,
-			Latest: 10, Bad: suspectShare, Liars: faultyRouterShare, Most: maxAvoidedShare,
+			Latest: 10, Bad: minComplaintShare, Liars: faultyRouterShare, Most: maxAvoidedShare,
 		}, "", key.zone, 0)
 		v.books[key] = known
 	}
 	return known
 }
 
-// passOn returns the reports to be passed on now.
+// toForward returns the reports to forward now, with their ages brought up to date.
 func (v *reports) toForward() []report {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -128,8 +134,8 @@
 	return forwarded
 }
 
-// doubts returns what a router of a zone is told. services tells of which service each worker is, and routers is the number of
-// those in the zone.
+// doubts returns the workers that routers of a zone complain about, and which of them to avoid. services maps each worker to its
+// service, and routers is the number of routers in the zone.
 func (v *reports) doubts(zone string, services func() map[string]string, routers int) []fleetwire.Doubt {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -154,6 +160,7 @@
 	return doubts
 }
 
+// workerCount returns the number of workers of a service.
 func workerCount(services map[string]string, service string) int {
 	count := 0
 	for _, name := range services {
--- a/internal/controller/reports_test.go
+++ b/internal/controller/reports_test.go
@@ -16,7 +16,7 @@
 	"weldscale/internal/fleetwire"
 )
 
-// manyWorkers are the services of workers w0, w1 and so on.
+// testServices maps the workers w0, w1 and so on to one service.
 func testServices(count int) map[string]string {
 	services := map[string]string{}
 	for i := range count {
@@ -25,18 +25,22 @@
 	return services
 }
 
+// constantServices returns a function that always returns the same services.
 func constantServices(services map[string]string) func() map[string]string {
 	return func() map[string]string { return services }
 }
 
+// testRouter returns the member that polls for a router of a zone.
 func testRouter(number int, zone string) fleetwire.Member {
 	return fleetwire.Member{Name: fmt.Sprintf("%s-%d", zone, number), Zone: zone, Role: fleetwire.RoleAgent}
 }
 
+// testObservation returns one observation of a worker as sent by a router.
 func testObservation(worker string, kind evidence.Kind, sequence uint64) []fleetwire.Observation {
 	return []fleetwire.Observation{{Worker: worker, Kind: int(kind), Life: 1, Sequence: sequence}}
 }
 
+// avoidedWorkers returns the workers to avoid.
 func avoidedWorkers(doubts []fleetwire.Doubt) []string {
 	var names []string
 	for _, doubt := range doubts {
@@ -55,16 +59,16 @@
 		for i := range 3 {
 			v.recordObservations(testRouter(i, "a"), testObservation("w1", evidence.Failed, 1), services)
 		}
-		require.Equal(t, []fleetwire.Doubt{{Worker: "w1"}}, v.doubts("a", constantServices(services), routers), "not enough yet")
+		require.Equal(t, []fleetwire.Doubt{{Worker: "w1"}}, v.doubts("a", constantServices(services), routers), "three complaints are too few")
 		v.recordObservations(testRouter(3, "a"), testObservation("w1", evidence.Late, 1), services)
 		require.Equal(t, []string{"w1"}, avoidedWorkers(v.doubts("a", constantServices(services), routers)))
-		require.Empty(t, v.doubts("b", constantServices(services), routers), "the callers of another zone may fare well")
+		require.Empty(t, v.doubts("b", constantServices(services), routers), "the worker may serve another zone well")
 		for i := 4; i < 20; i++ {
 			v.recordObservations(testRouter(i, "a"), testObservation("w1", evidence.Fine, 1), services)
 		}
-		require.Empty(t, avoidedWorkers(v.doubts("a", constantServices(services), routers)), "most fare well there")
+		require.Empty(t, avoidedWorkers(v.doubts("a", constantServices(services), routers)), "most routers report success")
 		time.Sleep(reportSpan)
-		require.Empty(t, v.doubts("a", constantServices(services), routers), "old reports don't count")
+		require.Empty(t, v.doubts("a", constantServices(services), routers), "expired reports must not count")
 	})
 }
 
@@ -78,7 +82,7 @@
 			kind := evidence.Kind(rapid.IntRange(0, 3).Draw(t, "kind"))
 			v.recordObservations(testRouter(0, "a"), testObservation(worker, kind, sequence), services)
 			if avoidedWorkers(v.doubts("a", constantServices(services), routers)) != nil {
-				t.Fatal("one router's word was enough")
+				t.Fatal("the reports of one router were enough to avoid a worker")
 			}
 		}
 	})
@@ -97,7 +101,7 @@
 			}
 		}
 		if n := len(avoidedWorkers(v.doubts("a", constantServices(services), 12))); float64(n) > maxAvoidedShare*float64(workers) {
-			t.Fatalf("%d of %d are avoided", n, workers)
+			t.Fatalf("%d of %d workers are avoided", n, workers)
 		}
 	})
 }
@@ -110,11 +114,11 @@
 		first.recordObservations(testRouter(0, "a"), testObservation("gone", evidence.Failed, 2), services)
 		time.Sleep(heartbeatInterval)
 		forwarded := first.toForward()
-		require.Len(t, forwarded, 1, "of a worker that is not listed nothing is kept")
+		require.Len(t, forwarded, 1, "reports on a worker that is not listed must be dropped")
 		require.Equal(t, heartbeatInterval.Milliseconds(), forwarded[0].Seen.AgeMs)
 		second.recordForwarded(forwarded, services)
 		require.Equal(t, []fleetwire.Doubt{{Worker: "w1"}}, second.doubts("a", constantServices(services), 3))
-		require.Empty(t, second.toForward(), "who heard it from a router passes it on")
+		require.Empty(t, second.toForward(), "only the controller that a router polls forwards its reports")
 		time.Sleep(forwardSpan)
 		require.Empty(t, first.toForward())
 	})
@@ -124,7 +128,7 @@
 	f := newFleet(t, 3)
 	f.platform.set(worker("w0", "ready"), worker("w1", "ready"), worker("w2", "ready"))
 	require.Equal(t, 200, f.replace(0, 0, configBody(1)))
-	f.eventually("the list everywhere", f.everywhere(showsWorker("w1", "ready")))
+	f.eventually("the list at every controller", f.everywhere(showsWorker("w1", "ready")))
 	poll := func(at, number int, observations []fleetwire.Observation) fleetwire.WatchReply {
 		var reply fleetwire.WatchReply
 		request := fleetwire.WatchRequest{Member: testRouter(number, "z"), Observations: observations}
@@ -134,7 +138,7 @@
 	}
 	poll(0, 0, testObservation("w1", evidence.Failed, 1))
 	poll(1, 1, testObservation("w1", evidence.Lost, 1))
-	f.eventually("the doubt at the third", func() bool {
+	f.eventually("the third controller to report the worker", func() bool {
 		doubts := poll(2, 2, nil).Doubts
 		return len(doubts) == 1 && doubts[0] == fleetwire.Doubt{Worker: "w1", Avoid: true}
 	})
--- a/internal/controller/run.go
+++ b/internal/controller/run.go
@@ -18,26 +18,26 @@
 )
 
 const (
-	// gcPercent keeps the heap small on a small machine.
+	// gcPercent is below Go's default to keep the heap small on small machines.
 	gcPercent      = 50
 	headerTimeout  = 5 * time.Second
-	bodyTimeout    = 15 * time.Second // a large configuration over a narrow link
+	bodyTimeout    = 15 * time.Second // long enough for a large configuration over a slow link
 	idleTimeout    = 60 * time.Second
 	maxHeaderBytes = 16 << 10
-	// releaseTimeout bounds the last heartbeats, which tell the others that this controller's roles are free.
+	// releaseTimeout bounds the last heartbeats, which tell the other controllers that this controller's roles are vacant.
 	releaseTimeout = 300 * time.Millisecond
-	// lastWriteTimeout bounds the wait for a disk as the process ends.
+	// lastWriteTimeout bounds the wait for a disk write at shutdown.
 	lastWriteTimeout = 300 * time.Millisecond
-	// operatorGrace is how long calls of the operator that are in hand may go on after the end was asked for.
+	// operatorGrace is how long the operator's calls in flight may take after shutdown was requested.
 	operatorGrace = 700 * time.Millisecond
-	// answerTime is the part of it in which the last answers leave.
+	// answerGrace is the part of operatorGrace that is reserved for sending the last answers.
 	answerGrace   = 100 * time.Millisecond
 	internalGrace = 100 * time.Millisecond
-	// registerDirectory holds the register under the data directory.
+	// registerDirectory is the directory of the register within the data directory.
 	registerDirectory = "register"
 )
 
-// Run runs a controller until ctx is done.
+// Run runs a controller until ctx is done. It then releases the roles, answers the calls in flight and returns.
 func Run(ctx context.Context, current *settings.Settings, log *zap.Logger) error {
 	debug.SetGCPercent(gcPercent)
 	if err := current.CheckControl(); err != nil {
@@ -51,23 +51,23 @@
 	return opened.run(ctx, watcher.Run)
 }
 
-// process is a controller with what it has opened.
+// process is a controller together with the resources that it has opened.
 type process struct {
 	controller *controller
 	node       *register.Node
 	client     *transport.Client
 	listeners  listeners
-	stop       context.CancelFunc // ends all parts at once
+	stop       context.CancelFunc // stops all background tasks at once
 }
 
-// host is what a controller uses of its machine.
+// host gives access to the resources of the machine that a controller runs on. Simulations provide their own.
 type host struct {
 	listen func(address string) (net.Listener, error)
 	dial   transport.Dial
-	files  func() (store.Files, error) // of the register
+	files  func() (store.Files, error) // opens the files of the register
 }
 
-// hostOf returns the machine that the process runs on.
+// systemHost returns the host that uses the operating system.
 func systemHost(current *settings.Settings) host {
 	return host{
 		listen: func(address string) (net.Listener, error) { return net.Listen("tcp", address) },
@@ -78,6 +78,7 @@
 	}
 }
 
+// open opens the listeners and the register and creates the controller. Nothing runs yet.
 func open(ctx context.Context, current *settings.Settings, machine host, log *zap.Logger) (*process, error) {
 	opened, err := listen(current, machine.listen)
 	if err != nil {
@@ -91,7 +92,7 @@
 		opened.close()
 		return nil, eris.Wrap(err, "open the register")
 	}
-	// The parts outlive ctx: calls in hand are answered and roles are given up first.
+	// The background tasks outlive ctx, because calls in flight are answered and roles are released before they stop.
 	running, stop := context.WithCancel(context.WithoutCancel(ctx))
 	return &process{
 		controller: newController(running, &latest, node, client, machine.dial, log),
@@ -102,25 +103,28 @@
 	}, nil
 }
 
+// run serves until ctx is done and runs the given tasks alongside.
 func (p *process) run(ctx context.Context, tasks ...func(context.Context)) error {
 	defer p.client.Close()
 	defer p.stop()
 	return p.controller.serve(ctx, p.stop, p.listeners, append(tasks, p.node.Run)...)
 }
 
+// listen opens the listeners of both servers.
 func listen(current *settings.Settings, open func(address string) (net.Listener, error)) (listeners, error) {
 	internal, err := open(current.InternalAddress())
 	if err != nil {
-		return listeners{}, eris.Wrap(err, "listen for the fleet")
+		return listeners{}, eris.Wrap(err, "listen on the internal address")
 	}
 	control, err := open(current.Listen.Control)
 	if err != nil {
 		_ = internal.Close()
-		return listeners{}, eris.Wrap(err, "listen for the operator")
+		return listeners{}, eris.Wrap(err, "listen on the control address")
 	}
 	return listeners{internal: internal, control: control}, nil
 }
 
+// openRegister opens this machine's replica of the register.
 func openRegister(
 	latest *atomic.Pointer[settings.Settings], machine host, client *transport.Client, log *zap.Logger,
 ) (*register.Node, error) {
@@ -147,5 +151,6 @@
 	}
 }
 
-// targetReplicas is the number of replicas of which a majority is left when as many as may be lost at once are.
+// targetReplicas returns the number of replicas of which a majority remains when the tolerated number of machines is lost at
+// once.
 func targetReplicas(tolerance settings.FaultTolerance) int { return 2*max(tolerance.Machines, 1) + 1 }
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -18,12 +18,12 @@
 
 // servers are the two HTTP servers of a controller.
 type servers struct {
-	internal *http.Server // register, leases, watchers
-	control  *http.Server // the operator
+	internal *http.Server // serves the register, heartbeats, lists and watchers
+	control  *http.Server // serves the operator
 	failed   chan error
 }
 
-// listeners are the sockets of the two servers.
+// listeners are the listening sockets of the two servers.
 type listeners struct {
 	internal net.Listener
 	control  net.Listener
@@ -34,8 +34,8 @@
 	_ = l.control.Close()
 }
 
-// serve runs the controller until ctx is done, and then gives its roles up, answers what is in hand and returns.
-// Its parts end with the call of stop.
+// serve runs the controller until ctx is done or a server fails. Only in the first case does it release the roles. In both cases
+// it then answers the calls in flight, ends the background tasks by calling stop, and returns.
 func (c *controller) serve(ctx context.Context, stop func(), open listeners, tasks ...func(context.Context)) error {
 	serving := c.startServers(open)
 	var running sync.WaitGroup
@@ -56,14 +56,15 @@
 	return eris.Wrap(failure, "serve")
 }
 
-// closeRegister waits for the register's write in hand: calls of other controllers may have begun one that their proposer no
-// longer waits for.
+// closeRegister waits for a disk write of the register that is in progress. Calls of other controllers may have begun one whose
+// proposer no longer waits for it.
 func (c *controller) closeRegister() {
 	ctx, cancel := context.WithTimeout(context.Background(), lastWriteTimeout)
 	defer cancel()
 	c.node.Close(ctx)
 }
 
+// startServers starts both servers on their listeners.
 func (c *controller) startServers(open listeners) *servers {
 	operator := http.NewServeMux()
 	c.operator.registerHandlers(operator)
@@ -87,6 +88,7 @@
 	}
 }
 
+// internalHandler serves the calls of other processes of the fleet.
 func (c *controller) internalHandler() http.Handler {
 	mux := http.NewServeMux()
 	c.node.Register(mux)
@@ -99,8 +101,8 @@
 	return mux
 }
 
-// leave gives up the roles, tells the other controllers, ends the polls of the watchers, and takes the replica out of the
-// register's set if enough others stay.
+// leave releases the roles, informs the other controllers by a heartbeat, ends the polls of the watchers, and removes this
+// replica from the register's set if enough others remain.
 func (c *controller) leave() {
 	c.leases.withDecider(func(decider *lease.Decider, _ time.Duration) { decider.Release() })
 	c.hub.Close()
@@ -113,8 +115,8 @@
 	heartbeats.Wait()
 }
 
-// shutdown answers the operator's calls in hand, for which the register must still be reached, and closes. Calls that take too
-// long are ended by endCalls, so that they get an answer as well.
+// shutdown stops both servers. It first waits for the operator's calls in flight, which still need the register and therefore the
+// internal server. Calls that take too long are ended by cancelCalls, so that they are answered too.
 func (s *servers) shutdown(cancelCalls func()) {
 	timer := time.AfterFunc(operatorGrace-answerGrace, cancelCalls)
 	defer timer.Stop()
@@ -122,6 +124,7 @@
 	shutdownServer(s.internal, internalGrace)
 }
 
+// shutdownServer stops a server and closes its connections after the grace period.
 func shutdownServer(server *http.Server, grace time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
--- a/internal/controller/serve_test.go
+++ b/internal/controller/serve_test.go
@@ -14,7 +14,7 @@
 	"weldscale/coordination/register"
 )
 
-// hangingRegister is a register whose calls end with their contexts.
+// hangingRegister is a register whose calls return only when their contexts end.
 type hangingRegister struct {
 	*fakeRegister
 	called chan struct{}
@@ -32,7 +32,7 @@
 	return register.State{}, register.ErrInDoubt
 }
 
-// Guards against a call of the operator that is cut without an answer as its controller ends.
+// Guards against dropping an operator's call without an answer when its controller shuts down.
 func TestCallsInFlightAreAnsweredBeforeShutdown(t *testing.T) {
 	for name, request := range map[string]*http.Request{
 		"replace": httptest.NewRequest(http.MethodPost, pathReplace, strings.NewReader(configBody(2))),
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -14,22 +14,23 @@
 )
 
 const (
-	// digestBytes is the length of a stored digest: enough that two changes of a day never share one.
+	// digestBytes is the length of a stored digest. It is long enough that no two changes of a day share one.
 	digestBytes = 16
-	// maxDigests bounds the state. A day has hundreds of changes, and a change is sent again within seconds.
+	// maxDigests bounds the size of the state. There are hundreds of changes per day, and operators resend a change within
+	// seconds.
 	maxDigests = 1024
 )
 
-// controlState is what the controllers agree on; the register holds it encoded.
+// controlState is the replicated state of the controllers. The register holds it encoded.
 type controlState struct {
-	Changes uint64 // configurations taken so far
-	Version int64  // of the current configuration, 0 before the first
+	Changes uint64 // number of configurations applied so far
+	Version int64  // version of the current configuration; 0 if there is none
 	Config  []byte // the current configuration as the operator sent it
-	Digests []byte // of the changes taken, digestBytes each, oldest first
+	Digests []byte // digests of the newest applied changes, digestBytes each, oldest first
 	Roles   map[string]lease.Record
 }
 
-// decodeState decodes the register's data; no data is the state before the first write.
+// decodeState decodes the register's data. Empty data is the state before the first write.
 func decodeState(data []byte) (controlState, error) {
 	var state controlState
 	if len(data) == 0 {
@@ -39,6 +40,7 @@
 	return state, eris.Wrap(err, "decode control state")
 }
 
+// encode returns the register's data for the state. Equal states have equal encodings.
 func (s controlState) encode() ([]byte, error) {
 	var buffer bytes.Buffer
 	encoder := msgpack.NewEncoder(&buffer)
@@ -48,7 +50,7 @@
 	return buffer.Bytes(), eris.Wrap(err, "encode control state")
 }
 
-// digest names a change: its base and its bytes.
+// digest identifies a change by its base version and body.
 type digest [digestBytes]byte
 
 func digestOf(base int64, body []byte) digest {
@@ -59,7 +61,7 @@
 	return digest(hash.Sum(nil)[:digestBytes])
 }
 
-// taken reports whether a change is among those that were taken.
+// hasChange reports whether the digest is among those of the applied changes.
 func (s controlState) hasChange(requested digest) bool {
 	for stored := range slices.Chunk(s.Digests, digestBytes) {
 		if bytes.Equal(stored, requested[:]) {
@@ -69,7 +71,7 @@
 	return false
 }
 
-// withDigest returns the stored digests with one more, without the oldest if there are too many.
+// withDigest returns the stored digests with one added. It drops the oldest ones beyond maxDigests.
 func (s controlState) withDigest(added digest) []byte {
 	kept := s.Digests
 	if len(kept) >= maxDigests*digestBytes {
@@ -78,7 +80,7 @@
 	return slices.Concat(kept, added[:])
 }
 
-// withRole returns the state with another record of a role.
+// withRole returns a copy of the state with a new record of a role.
 func (s controlState) withRole(key string, record lease.Record) controlState {
 	roles := maps.Clone(s.Roles)
 	if roles == nil {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -8,6 +8,7 @@
 	"weldscale/internal/fleetwire"
 )
 
+// serveStatus returns the status of this controller.
 func (c *controller) serveStatus(context.Context, empty) (status, error) {
 	now := time.Now()
 	latest := c.node.Latest()
@@ -34,6 +35,7 @@
 	}, nil
 }
 
+// heldRoles returns the keys of the roles in which this controller may act now.
 func (c *controller) heldRoles() []string {
 	var held []string
 	c.leases.withDecider(func(decider *lease.Decider, now time.Duration) {
@@ -46,6 +48,7 @@
 	return held
 }
 
+// member describes this controller to other processes.
 func (c *controller) member() fleetwire.Member {
 	current := c.settings.Load()
 	return fleetwire.Member{
--- a/internal/controller/steps_test.go
+++ b/internal/controller/steps_test.go
@@ -12,7 +12,7 @@
 	"weldscale/internal/fleetwire"
 )
 
-// workers returns a list of many workers, of which one drains.
+// testWorkers returns a list of many workers. The worker with the given index drains; -1 is none.
 func testWorkers(draining int) []fleetwire.Instance {
 	var list []fleetwire.Instance
 	for i := range 300 {
@@ -30,13 +30,13 @@
 	return newListStore(hub, zap.NewNop()), hub
 }
 
-// Another controller that has the list before is brought to the newest by steps, with its age.
+// A controller that holds the previous list reaches the newest one, and its age, by steps.
 func TestStepsUpdateTheListOfAnotherController(t *testing.T) {
 	reader, _ := newTestListStore()
 	other, hub := newTestListStore()
 	now := time.Now()
 	reader.acceptRead(now, 1, testWorkers(-1))
-	require.Empty(t, reader.latestSteps(now).Steps, "the first list goes whole")
+	require.Empty(t, reader.latestSteps(now).Steps, "the first list must be sent in full")
 	require.True(t, other.acceptList(now, reader.message(now)))
 
 	reader.acceptRead(now, 1, testWorkers(7))
@@ -49,10 +49,10 @@
 	require.Equal(t, fleetwire.ListVersion{Token: 1, Sequence: 2}, version)
 	require.EqualValues(t, 300, age)
 	require.Equal(t, testWorkers(7), other.message(later).Instances)
-	require.True(t, other.acceptSteps(later, message), "once more changes nothing")
+	require.True(t, other.acceptSteps(later, message), "repeated steps must have no effect")
 }
 
-// A controller that lacks the list before, or holds another one under that version, asks for the whole list.
+// A controller that lacks the previous list, or holds a different list under its version, needs the full list.
 func TestStepsFromAnotherListAreRejected(t *testing.T) {
 	reader, _ := newTestListStore()
 	now := time.Now()
@@ -74,7 +74,7 @@
 	require.Equal(t, testWorkers(7), hub.Current().Instances)
 }
 
-// Steps under an older token than that of the list held are passed over.
+// Steps under an older token than that of the stored list are ignored.
 func TestStepsOfAFormerReaderAreIgnored(t *testing.T) {
 	former, _ := newTestListStore()
 	now := time.Now()
@@ -83,6 +83,6 @@
 	other.acceptList(now, former.message(now))
 	former.acceptRead(now, 1, testWorkers(7))
 	other.acceptRead(now, 2, testWorkers(9))
-	require.True(t, other.acceptSteps(now, former.latestSteps(now)), "a newer list is held")
+	require.True(t, other.acceptSteps(now, former.latestSteps(now)), "a newer list is stored")
 	require.Equal(t, testWorkers(9), hub.Current().Instances)
 }
--- a/internal/controller/unanswered_test.go
+++ b/internal/controller/unanswered_test.go
@@ -11,6 +11,7 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
+// Guards against flooding the log when an operator resends many times a second to a controller that is cut off.
 func TestUnansweredChangesAreLoggedOncePerInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		node := newFakeRegister()
@@ -20,7 +21,7 @@
 		const retryInterval = 50 * time.Millisecond
 		for range 2*unansweredLogInterval/retryInterval + 1 {
 			require.Equal(t, http.StatusServiceUnavailable, sendChangeTo(api, "0", configBody(1)).Code)
-			time.Sleep(retryInterval) // of the bubble's clock
+			time.Sleep(retryInterval) // virtual time
 		}
 		lines := logged.All()
 		require.Len(t, lines, 3)
