--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// record adds a report to its book and reports whether it is new. It ignores workers that are not listed. The caller must hold the
-// lock.
+// record adds a report to its book and reports whether it is new. It ignores workers that are not listed. The caller must hold
+// the lock.
 func (v *reports) record(now time.Duration, received report, services map[string]string) bool {
 	service, listed := services[received.Seen.Worker]
 	if !listed {
