--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -62,7 +62,7 @@
 		calls.Go(func() { c.sendHeartbeat(ctx, address, sentAt, message) })
 	}
 	if len(message.Lease.Asks) > 0 {
-		c.poller.Wake() // as the only voter, this controller has granted itself the role
+		c.poller.Wake() // if it is the only voter, this controller has just granted itself the roles
 	}
 	return &calls
 }
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -20,9 +20,9 @@
 	// than faultyRouterShare of those in the zone, since that many may report wrongly.
 	minComplaintShare    = 0.3
 	faultyRouterShare    = 0.1
-	maxAvoidedShare      = 0.4 // share of a service's workers that may be avoided
-	maxRouters           = 1024
-	maxWorkers           = 4096
+	maxAvoidedShare      = 0.4  // share of a service's workers that may be avoided
+	maxRouters           = 1024 // routers whose reports are kept, in each book
+	maxWorkers           = 4096 // workers on which reports are kept, in each book
 	reportRepeatInterval = 500 * time.Millisecond
 )
 
