--- a/cmd/weldscale/config.go
+++ b/cmd/weldscale/config.go
@@ -41,7 +41,7 @@
 	passed         int           // descriptor of the clients' listening socket; -1: we open our own
 	engine         engine.Config
 	classes        []string
-	reports        *jobs.Reports
+	reports        *jobs.LoadReportParser
 	connectTimeout time.Duration
 	idleLimit      time.Duration
 }
@@ -148,7 +148,7 @@
 		}
 		*to = time.Duration(us) * time.Microsecond
 	}
-	c.reports = &jobs.Reports{Fields: names(named.Report.Fields), Make: layout.Report}
+	c.reports = &jobs.LoadReportParser{Fields: names(named.Report.Fields), Make: layout.Report}
 	return nil
 }
 
@@ -209,7 +209,7 @@
 
 // nobody is a class that no request can name: where the operator's file stands alone, the platform's service is there
 // and has no workers, no route and no jobs.
-var nobody = decide.Settings{Nodes: 1, Zones: 1, MaxAttempts: 1, ColdFrom: 1, FallMultiple: 1, FallSpan: 1,
+var nobody = decide.Settings{Nodes: 1, Zones: 1, MaxAttempts: 1, ColdFrom: 1, OverloadMultiple: 1, OverloadSpan: 1,
 	Classes: []decide.Class{{Aim: 1e6, Deadline: 1e6, Kind: -1}}}
 
 // fromFile makes a configuration of an operator's file alone, by its scheduler block.
--- a/cmd/weldscale/moments_clients_test.go
+++ b/cmd/weldscale/moments_clients_test.go
@@ -75,7 +75,7 @@
 		away(c)
 		b.settled()
 		b.onLoop(func() {
-			assert.Equal(t, 1, b.s.e.Counts.Outcomes[decide.Moot]+b.s.e.Counts.Outcomes[decide.Cancelled], "the attempt is over while the dial is under way")
+			assert.Equal(t, 1, b.s.e.Counts.Outcomes[decide.NotSent]+b.s.e.Counts.Outcomes[decide.Cancelled], "the attempt is over while the dial is under way")
 		})
 		stops.Free("dial")
 		status, _ := b.ask("next", "view", patience)
@@ -123,7 +123,7 @@
 		b.onLoop(func() {})
 		free := b.held()
 		require.NoError(t, c.Send(standin.Job("gone", "view", 8*time.Second, "x")))
-		require.Eventually(t, func() bool { return b.s.loop.Waits() > 0 }, patience, time.Millisecond)
+		require.Eventually(t, func() bool { return b.s.loop.QueueLen() > 0 }, patience, time.Millisecond)
 		away(c) // on the loopback its end is there by the time that the call returns
 		free()
 		b.arrived(2)
@@ -150,7 +150,7 @@
 			shop := func() (open, engine, begun int) {
 				b.onLoop(func() {
 					v := b.s.services["shop"]
-					open, engine, begun = v.jobs.Pool.Open(), v.e.Open(), v.jobs.Pool.Counts.Begun
+					open, engine, begun = v.jobs.Pool.Open(), v.e.OpenRequests(), v.jobs.Pool.Counts.Begun
 				})
 				return
 			}
@@ -231,7 +231,7 @@
 			b.onLoop(func() {})
 			free := b.held()
 			comes := func(n int) {
-				require.Eventually(t, func() bool { return b.s.loop.Waits() >= n }, patience, time.Millisecond)
+				require.Eventually(t, func() bool { return b.s.loop.QueueLen() >= n }, patience, time.Millisecond)
 			}
 			if answerFirst {
 				close(finish)
@@ -250,7 +250,7 @@
 			assert.Equal(t, []string{"both", "next"}, w.IDs())
 			b.onLoop(func() {
 				n := b.s.e.Counts
-				assert.Equal(t, n.Taken, n.Served+n.Hangups+n.Refused+n.Failed)
+				assert.Equal(t, n.Accepted, n.Served+n.Hangups+n.Refused+n.Failed)
 				assert.Zero(t, n.Refused+n.Failed)
 			})
 		})
@@ -416,7 +416,7 @@
 			require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.e.Counts.Pushes == 2 }); return is }, patience, time.Millisecond)
 			away(gone)
 			require.Eventually(t, func() bool { return b.open() == 1 }, patience, time.Millisecond)
-			b.onLoop(func() { assert.Equal(t, 1, b.s.e.Counts.Outcomes[decide.Moot]) })
+			b.onLoop(func() { assert.Equal(t, 1, b.s.e.Counts.Outcomes[decide.NotSent]) })
 			close(release)
 			status, _, err := holds.Answer(patience)
 			require.NoError(t, err)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -43,7 +43,7 @@
 	agents   *agentCounter
 	reports  *reports
 	poller   *instances.Poller
-	keeper   *stages.Keeper
+	keeper   *stages.Rebalancer
 
 	settledAt    time.Time       // the number of routers is unknown before this time
 	ctx          context.Context // context of the whole run, for background work
@@ -58,7 +58,7 @@
 }
 
 func newController(
-	ctx context.Context, latest *atomic.Pointer[settings.Settings], node stateRegister, client *transport.Client, dial transport.Dial,
+	ctx context.Context, latest *atomic.Pointer[settings.Settings], node stateRegister, client *transport.Client, dial transport.DialFunc,
 	log *zap.Logger,
 ) *controller {
 	current := latest.Load()
@@ -76,7 +76,7 @@
 	}
 	c.peers = newPeers(c.self.Address, current.SeedInternalAddresses())
 	c.hub = watch.NewHub(watch.HubOptions{
-		QuorumAge: c.quorumAge, MaxQuorumAge: maxQuorumAge, Seen: c.recordPoll, Doubts: c.doubts,
+		QuorumAge: c.quorumAge, MaxQuorumAge: maxQuorumAge, OnPoll: c.recordPoll, Doubts: c.doubts,
 	})
 	c.leases = newLeases(c.self, current.Bootstrap)
 	c.reports = newReports(c.leases.started)
@@ -84,15 +84,15 @@
 	c.lists = newListStore(c.hub, log)
 	reader := instances.NewReaderDialing(func() string { return latest.Load().Cloud.Address }, dial)
 	c.poller = instances.NewPoller(reader, c.mayReadList, c.listHandler(ctx), log)
-	c.keeper = stages.NewKeeper(stages.Options{
-		Holder: current.NodeName,
-		Lease:  func() (uint64, bool) { return c.leases.holds(roleStages) },
-		Fenced: func(token uint64) { c.leases.giveUp(roleStages, token) },
-		Fleet:  c.publishedFleet,
-		Quiet:  current.Bounds.Lease() + current.Bounds.Thaw(),
-		Fresh:  current.Bootstrap,
-		Dial:   dial,
-		Log:    log,
+	c.keeper = stages.NewRebalancer(stages.Options{
+		Holder:        current.NodeName,
+		Lease:         func() (uint64, bool) { return c.leases.holds(roleStages) },
+		OnFenced:      func(token uint64) { c.leases.giveUp(roleStages, token) },
+		Fleet:         c.publishedFleet,
+		TakeoverDelay: current.Bounds.Lease() + current.Bounds.Thaw(),
+		Bootstrap:     current.Bootstrap,
+		Dial:          dial,
+		Log:           log,
 	})
 	return c
 }
@@ -112,7 +112,7 @@
 // know their state yet.
 func (c *controller) quorumAge() time.Duration {
 	if !c.synced.Load() {
-		return register.NeverHeard
+		return register.NoContact
 	}
 	return c.node.QuorumAge()
 }
--- a/internal/controller/firstlist_test.go
+++ b/internal/controller/firstlist_test.go
@@ -20,7 +20,7 @@
 	client := transport.NewClient()
 	t.Cleanup(client.Close)
 	node := newFakeRegister()
-	return newController(t.Context(), &latest, node, client, transport.TCP(), zap.NewNop()), node
+	return newController(t.Context(), &latest, node, client, transport.TCPDial(), zap.NewNop()), node
 }
 
 // setRecordedReader makes a member the recorded holder of the role that reads the list.
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -53,7 +53,7 @@
 	var sentAt time.Duration
 	c.leases.withDecider(func(decider *lease.Decider, now time.Duration) {
 		sentAt = now
-		decider.SetDoubt(c.node.SetInDoubt())
+		decider.SetDoubt(c.node.ReplicaSetInDoubt())
 		message.Lease = decider.Heartbeat(now, hasQuorum(c.node))
 	})
 	message.Gossip = c.gossip()
@@ -88,7 +88,7 @@
 func (c *controller) serveHeartbeat(_ context.Context, message heartbeat) (heartbeatReply, error) {
 	var reply heartbeatReply
 	c.leases.withDecider(func(decider *lease.Decider, now time.Duration) {
-		decider.SetDoubt(c.node.SetInDoubt())
+		decider.SetDoubt(c.node.ReplicaSetInDoubt())
 		reply.Lease = decider.Receive(now, message.Lease)
 	})
 	c.handleGossip(message.Lease.From.Address, message.Gossip)
--- a/internal/controller/run.go
+++ b/internal/controller/run.go
@@ -63,7 +63,7 @@
 // host gives access to the resources of the machine that a controller runs on. Simulations provide their own.
 type host struct {
 	listen func(address string) (net.Listener, error)
-	dial   transport.Dial
+	dial   transport.DialFunc
 	files  func() (store.Files, error) // opens the files of the register
 }
 
@@ -71,7 +71,7 @@
 func systemHost(current *settings.Settings) host {
 	return host{
 		listen: func(address string) (net.Listener, error) { return net.Listen("tcp", address) },
-		dial:   transport.TCP(),
+		dial:   transport.TCPDial(),
 		files: func() (store.Files, error) {
 			return store.OpenFolder(filepath.Join(current.DataDir, registerDirectory))
 		},
@@ -86,7 +86,7 @@
 	}
 	var latest atomic.Pointer[settings.Settings]
 	latest.Store(current)
-	client := transport.NewClientDialing(machine.dial)
+	client := transport.NewClientWithDial(machine.dial)
 	node, err := openRegister(&latest, machine, client, log)
 	if err != nil {
 		opened.close()
--- a/internal/router/forward_test.go
+++ b/internal/router/forward_test.go
@@ -87,7 +87,7 @@
 			response, _ = f.get(method, "/unsafe/x", "second")
 			require.Equal(t, http.StatusBadGateway, response.StatusCode)
 			require.Equal(t, 1, seen.of("second"))
-			require.Equal(t, []placement.Result{placement.ResultServed, placement.ResultBroken}, f.placer.seen())
+			require.Equal(t, []placement.Result{placement.ResultServed, placement.ResultConnectionBroken}, f.placer.seen())
 		})
 	}
 }
@@ -110,7 +110,7 @@
 	<-closed
 	pool := f.router.options.Pool
 	require.Eventually(t, func() bool { // the close has been seen by this side
-		conn, err := pool.Acquire(context.Background(), f.placer.targets[""][0].Address, 1, upstream.Any)
+		conn, err := pool.Acquire(context.Background(), f.placer.targets[""][0].Address, 1, upstream.AnyIdleTime)
 		if err != nil {
 			return false
 		}
@@ -137,7 +137,7 @@
 	require.Equal(t, http.StatusBadGateway, response.StatusCode)
 	require.Empty(t, body)
 	require.Empty(t, response.Header.Get("Response-Signature"))
-	require.Equal(t, []placement.Result{placement.ResultBroken}, f.placer.seen())
+	require.Equal(t, []placement.Result{placement.ResultConnectionBroken}, f.placer.seen())
 }
 
 // A worker's statement of its load is passed on, whatever became of the request; what is no statement is not, nor one that came
@@ -149,8 +149,8 @@
 		stranger    bool
 		told        []placement.Load
 	}{
-		{stated: "3,1,8", told: []placement.Load{{Running: 3, Waiting: 1}}},
-		{stated: "8, 24, 8", notExecuted: true, told: []placement.Load{{Running: 8, Waiting: 24}}},
+		{stated: "3,1,8", told: []placement.Load{{Running: 3, Queued: 1}}},
+		{stated: "8, 24, 8", notExecuted: true, told: []placement.Load{{Running: 8, Queued: 24}}},
 		{stated: "3,1,8", stranger: true},
 		{stated: ""},
 		{stated: "3"},
@@ -159,7 +159,7 @@
 	} {
 		f := newFixture(t)
 		var told []placement.Load
-		f.router.options.Answered = func(target *fleetwire.Instance, load placement.Load) {
+		f.router.options.OnLoadReport = func(target *fleetwire.Instance, load placement.Load) {
 			require.Equal(t, "plain", target.Service)
 			told = append(told, load)
 		}
@@ -300,7 +300,7 @@
 
 func TestAConnectionOverTheWorkersCapLosesNoRequest(t *testing.T) {
 	f := newFixture(t)
-	f.router.options.Pool = upstream.New(upstream.Options{ProvingMargin: 100 * time.Millisecond}) // also on a busy machine
+	f.router.options.Pool = upstream.New(upstream.Options{VerifyMargin: 100 * time.Millisecond}) // also on a busy machine
 	var seen sights
 	full, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
