--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -29,21 +29,21 @@
 
 // controller connects the components of one process.
 type controller struct {
-	settings *atomic.Pointer[settings.Settings]
-	self     lease.Member
-	log      *zap.Logger
-	client   *transport.Client
-	node     stateRegister
-	operator *operatorAPI
-	hub      *watch.Hub
-	leases   *leases
-	lists    *listStore
-	hints    *hints
-	peers    *peers
-	agents   *agentCounter
-	reports  *reports
-	poller   *instances.Poller
-	keeper   *stages.Rebalancer
+	settings   *atomic.Pointer[settings.Settings]
+	self       lease.Member
+	log        *zap.Logger
+	client     *transport.Client
+	node       stateRegister
+	operator   *operatorAPI
+	hub        *watch.Hub
+	leases     *leases
+	lists      *listStore
+	hints      *hints
+	peers      *peers
+	agents     *agentCounter
+	reports    *reports
+	poller     *instances.Poller
+	rebalancer *stages.Rebalancer
 
 	settledAt    time.Time       // the number of routers is unknown before this time
 	ctx          context.Context // context of the whole run, for background work
@@ -84,7 +84,7 @@
 	c.lists = newListStore(c.hub, log)
 	reader := instances.NewReaderDialing(func() string { return latest.Load().Cloud.Address }, dial)
 	c.poller = instances.NewPoller(reader, c.mayReadList, c.listHandler(ctx), log)
-	c.keeper = stages.NewRebalancer(stages.Options{
+	c.rebalancer = stages.NewRebalancer(stages.Options{
 		Holder:        current.NodeName,
 		Lease:         func() (uint64, bool) { return c.leases.holds(roleStages) },
 		OnFenced:      func(token uint64) { c.leases.giveUp(roleStages, token) },
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -39,7 +39,7 @@
 func (c *controller) serve(ctx context.Context, stop func(), open listeners, tasks ...func(context.Context)) error {
 	serving := c.startServers(open)
 	var running sync.WaitGroup
-	for _, task := range append(tasks, c.followRegister, c.initialSync, c.runHeartbeats, c.poller.Run, c.keeper.Run) {
+	for _, task := range append(tasks, c.followRegister, c.initialSync, c.runHeartbeats, c.poller.Run, c.rebalancer.Run) {
 		running.Go(func() { task(c.ctx) })
 	}
 	c.log.Info("controller serves", zap.String("internal", c.self.Address), zap.String("life", c.self.Life))
