--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -108,7 +108,7 @@
 }
 
 // quorumAge returns the time since the last contact with a majority, for the replies to watchers. Before the first read of the
-// register it returns register.NeverHeard: this controller may already exchange messages with the replicas, but it does not
+// register it returns register.NoContact: this controller may already exchange messages with the replicas, but it does not
 // know their state yet.
 func (c *controller) quorumAge() time.Duration {
 	if !c.synced.Load() {
