--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -55,7 +55,7 @@
 	From    Member
 	Healthy bool
 	Granted []RoleToken
-	// Silent lists the roles whose recorded holder has not been heard from for the silence timeout.
+	// Silent lists the roles whose recorded holder has been silent for the silence timeout.
 	Silent []RoleToken
 }
 
--- a/coordination/membership/detector.go
+++ b/coordination/membership/detector.go
@@ -251,13 +251,13 @@
 // observeSender records that the sender is alive. It reports whether the message is outdated: the sender is recorded as dead in
 // this incarnation, or another run of it has reached a higher one. The sender must then refute the notice first.
 func (d *Detector) observeSender(now time.Time, message Message) bool {
-	heard := Notice{Member: message.From, Incarnation: message.Incarnation}
+	received := Notice{Member: message.From, Incarnation: message.Incarnation}
 	known := d.records[message.From.Name]
 	switch {
-	case known == nil || heard.overrides(known.Notice):
-		d.update(now, heard)
+	case known == nil || received.overrides(known.Notice):
+		d.update(now, received)
 		known = d.records[message.From.Name]
-	case known.State == StateDead || heard.Incarnation < known.Incarnation:
+	case known.State == StateDead || received.Incarnation < known.Incarnation:
 		known.lastMessageAt = now
 		return true
 	}
--- a/internal/controller/leases.go
+++ b/internal/controller/leases.go
@@ -16,7 +16,7 @@
 // roles lists the keys of all roles.
 var roles = []string{roleReader, roleStages}
 
-// leases makes a lease.Decider safe for concurrent use and passes it the time.
+// leases makes a lease.Participant safe for concurrent use and passes it the time.
 type leases struct {
 	started time.Time
 
