--- a/coordination/register/acceptor.go
+++ b/coordination/register/acceptor.go
@@ -19,11 +19,11 @@
 // A value whose write failed may come to light at the next start. It is written again before the next promise, so that no
 // proposer who was promised something misses it.
 type Acceptor struct {
-	self     Replica
-	promised Ballot
-	accepted Accepted
-	doubtful *Accepted // its write failed, and may have reached the disk all the same
-	open     bool      // a step with a write has begun
+	self         Replica
+	promised     Ballot
+	accepted     Accepted
+	unconfirmed  *Accepted // its write failed, and may have reached the disk all the same
+	writePending bool      // a step with a write has begun
 }
 
 // NewAcceptor returns an acceptor with what was found on its disk. Without an accepted value it is that of a newcomer.
@@ -44,41 +44,41 @@
 func (a *Acceptor) Begin(request Request) Step {
 	switch {
 	case request.Kind == Query && (request.To == "" || request.To == a.self.ID):
-		return Step{Reply: a.answer(request)}
+		return Step{Reply: a.newReply(request)}
 	case request.To != a.self.ID:
 		return Step{Reply: a.refuse(request, IdentityMismatch)}
 	case request.Ballot.Less(a.promised):
 		return Step{Reply: a.refuse(request, Superseded)}
-	case a.open:
+	case a.writePending:
 		return Step{Reply: a.refuse(request, Busy)}
 	case request.Kind == Prepare && request.Ballot != a.promised:
-		a.open = true
-		return Step{Write: &Write{Accepted: a.doubtful, Promised: &request.Ballot}, request: request}
+		a.writePending = true
+		return Step{Write: &Write{Accepted: a.unconfirmed, Promised: &request.Ballot}, request: request}
 	case request.Kind == Accept && request.Ballot != a.accepted.Ballot:
-		a.open = true
+		a.writePending = true
 		accepted := &Accepted{Ballot: request.Ballot, Value: *request.Value}
 		return Step{Write: &Write{Accepted: accepted}, request: request}
 	}
-	return Step{Reply: a.answer(request)} // asked before: the promise or value is on the disk
+	return Step{Reply: a.newReply(request)} // asked before: the promise or value is on the disk
 }
 
 // Learn begins to take over a chosen value that was accepted without this replica. No promise stands against it: whoever was
 // promised something has found the value, or one above it, since it is chosen. It returns no write if the replica holds that value
 // or one above it, or while another step is open.
 func (a *Acceptor) Learn(chosen Accepted) Step {
-	if a.open || !a.accepted.Ballot.Less(chosen.Ballot) {
+	if a.writePending || !a.accepted.Ballot.Less(chosen.Ballot) {
 		return Step{}
 	}
-	a.open = true
+	a.writePending = true
 	return Step{Write: &Write{Accepted: &chosen}}
 }
 
 // Finish takes a step whose write is durable and returns its answer.
 func (a *Acceptor) Finish(step Step) Reply {
-	a.open = false
+	a.writePending = false
 	if step.Write.Accepted != nil {
 		a.accepted = *step.Write.Accepted
-		a.doubtful = nil
+		a.unconfirmed = nil
 		if a.promised.Less(a.accepted.Ballot) {
 			a.promised = a.accepted.Ballot
 		}
@@ -86,19 +86,19 @@
 	if step.Write.Promised != nil {
 		a.promised = *step.Write.Promised
 	}
-	return a.answer(step.request)
+	return a.newReply(step.request)
 }
 
 // Abandon takes a step whose write failed and returns its answer.
 func (a *Acceptor) Abandon(step Step, refusal Refusal) Reply {
-	a.open = false
-	if lost := step.Write.Accepted; lost != nil && (a.doubtful == nil || a.doubtful.Ballot.Less(lost.Ballot)) {
-		a.doubtful = lost
+	a.writePending = false
+	if lost := step.Write.Accepted; lost != nil && (a.unconfirmed == nil || a.unconfirmed.Ballot.Less(lost.Ballot)) {
+		a.unconfirmed = lost
 	}
 	return a.refuse(step.request, refusal)
 }
 
-func (a *Acceptor) answer(request Request) Reply {
+func (a *Acceptor) newReply(request Request) Reply {
 	reply := Reply{
 		Kind:     request.Kind,
 		Ballot:   request.Ballot,
@@ -116,7 +116,7 @@
 }
 
 func (a *Acceptor) refuse(request Request, refusal Refusal) Reply {
-	reply := a.answer(Request{Kind: request.Kind, Ballot: request.Ballot, Known: a.accepted.Ballot})
+	reply := a.newReply(Request{Kind: request.Kind, Ballot: request.Ballot, Known: a.accepted.Ballot})
 	reply.Refusal = refusal
 	return reply
 }
--- a/coordination/register/background.go
+++ b/coordination/register/background.go
@@ -1,12 +1,12 @@
 package register
 
-// background runs one step at a time beside the goroutine that uses it, which asks now and then whether the step has ended.
-type background struct {
+// backgroundTask runs one step at a time beside the goroutine that uses it, which asks now and then whether the step has ended.
+type backgroundTask struct {
 	running chan struct{} // closed when the step ends; nil: none runs
 }
 
 // busy reports whether a step still runs.
-func (b *background) busy() bool {
+func (b *backgroundTask) busy() bool {
 	if b.running == nil {
 		return false
 	}
@@ -20,7 +20,7 @@
 }
 
 // start runs a step. None may run.
-func (b *background) start(step func()) {
+func (b *backgroundTask) start(step func()) {
 	running := make(chan struct{})
 	b.running = running
 	go func() {
--- a/coordination/register/background_test.go
+++ b/coordination/register/background_test.go
@@ -9,7 +9,7 @@
 
 func TestABackgroundIsBusyUntilItsStepEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var steps background
+		var steps backgroundTask
 		require.False(t, steps.busy())
 		for range 2 {
 			end := make(chan struct{})
--- a/coordination/register/durable.go
+++ b/coordination/register/durable.go
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	if !found {
-		accepted = mark.first()
+		accepted = mark.initialState()
 	}
 	return NewAcceptor(Replica{ID: mark.ID, Address: address}, promised, accepted), nil
 }
@@ -68,10 +68,10 @@
 	if err := saveRecord(d.identity, &mark); err != nil {
 		return nil, err
 	}
-	return NewAcceptor(Replica{ID: mark.ID, Address: address}, Ballot{}, mark.first()), nil
+	return NewAcceptor(Replica{ID: mark.ID, Address: address}, Ballot{}, mark.initialState()), nil
 }
 
-func (i identity) first() Accepted {
+func (i identity) initialState() Accepted {
 	if len(i.Founders) == 0 {
 		return Accepted{}
 	}
--- a/coordination/register/exchange.go
+++ b/coordination/register/exchange.go
@@ -9,13 +9,13 @@
 // calls go on until their own time-out, so that slow replicas get what the others have decided.
 type exchange struct {
 	node        *Node
-	arrived     chan Reply
+	replies     chan Reply
 	closed      chan struct{}
 	outstanding int // calls without a reply; kept by the driver
 }
 
 func newExchange(node *Node) *exchange {
-	return &exchange{node: node, arrived: make(chan Reply), closed: make(chan struct{})}
+	return &exchange{node: node, replies: make(chan Reply), closed: make(chan struct{})}
 }
 
 func (e *exchange) close() { close(e.closed) }
@@ -35,7 +35,7 @@
 	defer cancel()
 	reply := e.node.call(ctx, message)
 	select {
-	case e.arrived <- reply:
+	case e.replies <- reply:
 	case <-e.closed:
 	}
 }
@@ -44,7 +44,7 @@
 func (n *Node) call(ctx context.Context, message Message) Reply {
 	request := message.Request
 	if message.To.Address == n.options.Address {
-		reply := n.answer(ctx, request)
+		reply := n.handle(ctx, request)
 		if reply.Refusal == IdentityMismatch {
 			reply.From = message.To // an identity that this disk has lost
 		}
@@ -53,10 +53,10 @@
 	sent := time.Now()
 	var reply Reply
 	if err := n.options.Client.Call(ctx, message.To.Address, PathMessage, &request, &reply); err != nil {
-		n.missed(message.To.Address)
+		n.recordFailedCall(message.To.Address)
 		return Reply{Kind: request.Kind, Ballot: request.Ballot, From: message.To, Refusal: Unreachable}
 	}
-	n.heard(message.To.Address, sent, &reply)
+	n.recordReply(message.To.Address, sent, &reply)
 	if reply.Refusal == IdentityMismatch {
 		reply.From = message.To // the one that was meant does not live there any more
 	}
--- a/coordination/register/exhaustive_test.go
+++ b/coordination/register/exhaustive_test.go
@@ -216,9 +216,9 @@
 		p := &next.proposers[i]
 		p.ballots = &BallotGenerator{round: p.ballots.round, proposer: p.ballots.proposer}
 		p.current.ballots = p.ballots
-		p.current.asked = maps.Clone(p.current.asked)
-		p.current.answers = maps.Clone(p.current.answers)
-		p.current.doubt.origins = slices.Clone(p.current.doubt.origins)
+		p.current.requested = maps.Clone(p.current.requested)
+		p.current.replies = maps.Clone(p.current.replies)
+		p.current.doubtful.origins = slices.Clone(p.current.doubtful.origins)
 	}
 	next.flying = slices.Clone(state.flying)
 	next.accepts = slices.Clone(state.accepts)
@@ -390,11 +390,11 @@
 	into = append(into, byte(len(p.plan)), byte(p.retries), byte(c.phase), lo.Ternary[byte](p.done, 1, 0))
 	into = binary.AppendUvarint(into, p.ballots.round)
 	into = append(into, p.at.ID...)
-	into = appendBallot(into, c.base.Ballot, c.chosen, c.ballot, c.proposal.Origin, c.doubt.highest)
-	into = appendBallot(into, c.doubt.origins...)
+	into = appendBallot(into, c.base.Ballot, c.chosen, c.ballot, c.proposal.Origin, c.doubtful.highest)
+	into = appendBallot(into, c.doubtful.origins...)
 	into = binary.AppendUvarint(into, c.proposal.Revision)
-	for _, id := range slices.Sorted(maps.Keys(c.asked)) {
-		answer, answered := c.answers[id]
+	for _, id := range slices.Sorted(maps.Keys(c.requested)) {
+		answer, answered := c.replies[id]
 		into = append(into, id...)
 		into = append(into, lo.Ternary[byte](answered, 1, 0), byte(answer.Refusal))
 		into = appendBallot(into, answer.Accepted)
--- a/coordination/register/node.go
+++ b/coordination/register/node.go
@@ -22,20 +22,20 @@
 
 // Node is a process's share in the register: a replica, or a newcomer on its way to be one, and a proposer.
 type Node struct {
-	options Options
-	disk    Disk
-	writing chan struct{} // holds a token while the disk is in use
-	turn    chan struct{} // holds a token while an own operation runs: a node does not compete with itself
-	ballots *BallotGenerator
-	nudge   chan struct{} // wakes the upkeep before its next tick
-
-	mu       sync.Mutex
-	acceptor *Acceptor // nil until the disk has an identity
-	waiting  int       // requests that wait for the disk
-	chosen   Accepted  // newest value known to be chosen; ballot zero if none
-	changed  chan struct{}
-	peers    map[string]*peer // by address
-	leaving  bool
+	options       Options
+	disk          Disk
+	diskSlot      chan struct{} // holds a token while the disk is in use
+	operationSlot chan struct{} // holds a token while an own operation runs: a node does not compete with itself
+	ballots       *BallotGenerator
+	wakeUp        chan struct{} // wakes the upkeep before its next tick
+
+	mu              sync.Mutex
+	acceptor        *Acceptor // nil until the disk has an identity
+	diskQueueLength int       // requests that wait for the disk
+	chosen          Accepted  // newest value known to be chosen; ballot zero if none
+	changed         chan struct{}
+	peers           map[string]*peer // by address
+	leaving         bool
 }
 
 // Open reads the disk. The node answers once it is mounted by Register, and takes part in the set while Run runs.
@@ -51,31 +51,31 @@
 		return nil, eris.Wrap(err, "read the disk")
 	}
 	n := &Node{
-		options:  options,
-		disk:     disk,
-		writing:  make(chan struct{}, 1),
-		turn:     make(chan struct{}, 1),
-		ballots:  NewBallotGenerator(randomNumber()),
-		nudge:    make(chan struct{}, 1),
-		acceptor: acceptor,
-		changed:  make(chan struct{}),
-		peers:    map[string]*peer{},
+		options:       options,
+		disk:          disk,
+		diskSlot:      make(chan struct{}, 1),
+		operationSlot: make(chan struct{}, 1),
+		ballots:       NewBallotGenerator(randomProposerNumber()),
+		wakeUp:        make(chan struct{}, 1),
+		acceptor:      acceptor,
+		changed:       make(chan struct{}),
+		peers:         map[string]*peer{},
 	}
 	if acceptor == nil {
-		n.markDisk() // if it fails, Run tries again
+		n.initializeDisk() // if it fails, Run tries again
 	}
 	n.learnGenesis()
 	return n, nil
 }
 
-func randomNumber() uint64 {
+func randomProposerNumber() uint64 {
 	var bytes [8]byte
 	_, _ = rand.Read(bytes[:]) // never fails
 	return binary.BigEndian.Uint64(bytes[:])
 }
 
-// markDisk gives an empty disk its identity and reports whether the disk has one now.
-func (n *Node) markDisk() bool {
+// initializeDisk gives an empty disk its identity and reports whether the disk has one now.
+func (n *Node) initializeDisk() bool {
 	if n.ID() != "" {
 		return true
 	}
@@ -85,9 +85,9 @@
 		id = FounderID(n.options.Address)
 		founders = FoundingSet(n.options.Founders)
 	}
-	n.writing <- struct{}{}
+	n.diskSlot <- struct{}{}
 	acceptor, err := n.disk.Initialize(id, n.options.Address, founders)
-	<-n.writing
+	<-n.diskSlot
 	if err != nil {
 		return false
 	}
@@ -177,7 +177,7 @@
 	if known.Ballot == chosen {
 		return false
 	}
-	return !slices.Equal(known.Value.Replicas, n.latest().Value.Replicas)
+	return !slices.Equal(known.Value.Replicas, n.latestChosen().Value.Replicas)
 }
 
 // Formed reports whether the set has reached its wanted size.
--- a/coordination/register/node_test.go
+++ b/coordination/register/node_test.go
@@ -372,9 +372,9 @@
 func (m *machine) faulty() (promise, value *faultyStore) {
 	promise = &faultyStore{Store: m.node.disk.promise}
 	value = &faultyStore{Store: m.node.disk.value}
-	m.node.writing <- struct{}{}
+	m.node.diskSlot <- struct{}{}
 	m.node.disk.promise, m.node.disk.value = promise, value
-	<-m.node.writing
+	<-m.node.diskSlot
 	return promise, value
 }
 
@@ -402,7 +402,7 @@
 	_, err = machines[1].node.Update(ctx, set("after the end"))
 	require.NoError(t, err)
 	require.Equal(t, before, value.saves())
-	<-closing.writing // the machine's own end takes it again
+	<-closing.diskSlot // the machine's own end takes it again
 }
 
 func TestHungDiskHoldsNobodyUp(t *testing.T) {
--- a/coordination/register/operate.go
+++ b/coordination/register/operate.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// leastBackoff is what a replica usually takes to write and answer.
-	leastBackoff = 15 * time.Millisecond
-	firstBackoff = 20 * time.Millisecond
-	maxBackoff   = 400 * time.Millisecond
+	// minBackoff is what a replica usually takes to write and answer.
+	minBackoff    = 15 * time.Millisecond
+	initialJitter = 20 * time.Millisecond
+	maxJitter     = 400 * time.Millisecond
 	// callTimeout is above the time-out of a round: a slow replica may still take what the others have decided.
 	callTimeout = 2 * time.Second
 	queryRounds = 2
-	// queryPause lets a write in flight arrive before a read completes it.
-	queryPause = 20 * time.Millisecond
+	// queryRetryDelay lets a write in flight arrive before a read completes it.
+	queryRetryDelay = 20 * time.Millisecond
 	// queryTimeout bounds a round of questions, which never waits for a disk.
 	queryTimeout = 300 * time.Millisecond
 )
@@ -46,7 +46,7 @@
 		if chosen, done := n.queryRound(ctx); done {
 			return stateOf(&chosen.Value), nil
 		}
-		if !pause(ctx, queryPause/2+rand.N(queryPause)) {
+		if !sleep(ctx, queryRetryDelay/2+rand.N(queryRetryDelay)) {
 			return State{}, eris.Wrap(ErrNoQuorum, "read")
 		}
 	}
@@ -72,7 +72,7 @@
 			return Accepted{}, false
 		}
 		select {
-		case reply := <-replies.arrived:
+		case reply := <-replies.replies:
 			replies.outstanding--
 			output = reader.Deliver(reply)
 		case <-timeout.C:
@@ -86,12 +86,12 @@
 // propose drives a Proposer until it ends or ctx is done.
 func (n *Node) propose(ctx context.Context, change Change) (Accepted, error) {
 	select {
-	case n.turn <- struct{}{}:
-		defer func() { <-n.turn }()
+	case n.operationSlot <- struct{}{}:
+		defer func() { <-n.operationSlot }()
 	case <-ctx.Done():
 		return Accepted{}, eris.Wrap(ErrNoQuorum, "wait for an operation")
 	}
-	if err := n.awaitSet(ctx); err != nil {
+	if err := n.awaitReplicaSet(ctx); err != nil {
 		return Accepted{}, err
 	}
 	known, chosen := n.known()
@@ -111,11 +111,11 @@
 	defer replies.close()
 	timer := time.NewTimer(n.options.RoundTimeout)
 	defer timer.Stop()
-	backoff := firstBackoff
+	backoff := initialJitter
 	output := proposer.Start()
 	for {
 		changed := n.Changed()
-		if proposer.Learn(n.latest()) {
+		if proposer.Learn(n.latestChosen()) {
 			output.Retry = true // others may have learnt it, too: not all at once
 		}
 		replies.send(output.Messages, callTimeout)
@@ -123,14 +123,14 @@
 			return true
 		}
 		if output.Retry {
-			timer.Reset(leastBackoff + rand.N(backoff))
-			backoff = min(2*backoff, maxBackoff)
+			timer.Reset(minBackoff + rand.N(backoff))
+			backoff = min(2*backoff, maxJitter)
 		}
 		select {
-		case reply := <-replies.arrived:
+		case reply := <-replies.replies:
 			output = proposer.Deliver(reply)
-			n.learnEnd(proposer, output)
-			if started(output, Prepare) || started(output, Accept) {
+			n.learnResult(proposer, output)
+			if sends(output, Prepare) || sends(output, Accept) {
 				timer.Reset(n.options.RoundTimeout)
 			}
 		case <-timer.C:
@@ -144,16 +144,16 @@
 	}
 }
 
-// learnEnd learns the result before the commits are sent, so that whoever asks after them is answered.
-func (n *Node) learnEnd(proposer *Proposer, output Output) {
+// learnResult learns the result before the commits are sent, so that whoever asks after them is answered.
+func (n *Node) learnResult(proposer *Proposer, output Output) {
 	if output.Done {
 		result, _ := proposer.Result()
 		n.learnChosen(result)
 	}
 }
 
-// started reports whether a new phase sends out its requests.
-func started(output Output, kind Kind) bool {
+// sends reports whether a new phase sends out its requests.
+func sends(output Output, kind Kind) bool {
 	for _, message := range output.Messages {
 		if message.Request.Kind == kind {
 			return true
@@ -162,8 +162,8 @@
 	return false
 }
 
-// pause reports whether it came to its end before ctx did.
-func pause(ctx context.Context, duration time.Duration) bool {
+// sleep reports whether it came to its end before ctx did.
+func sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
--- a/coordination/register/peers.go
+++ b/coordination/register/peers.go
@@ -12,24 +12,24 @@
 
 const (
 	heartbeatTimeout = 600 * time.Millisecond
-	learnTimeout     = 1500 * time.Millisecond
-	// lostAfter is how long a majority may be out of reach before others are asked, too: the set may have moved on without
+	fetchTimeout     = 1500 * time.Millisecond
+	// quorumLostAfter is how long a majority may be out of reach before others are asked, too: the set may have moved on without
 	// this node, to machines that it has never heard of.
-	lostAfter = 600 * time.Millisecond
-	// missesForSilence is the number of calls in a row without an answer that make a replica silent, however long they
+	quorumLostAfter = 600 * time.Millisecond
+	// failedCallsForSilence is the number of calls in a row without an answer that make a replica silent, however long they
 	// took: a process that was frozen finds all its calls timed out once.
-	missesForSilence = 3
+	failedCallsForSilence = 3
 )
 
 // peer is what a node knows of the process at an address.
 type peer struct {
-	id          string    // the identity that last answered there
-	answered    time.Time // when the last question that it answered was sent
-	accepted    Ballot
-	missed      int       // calls in a row without an answer
-	missedSince time.Time // when the first of them ended
-	asking      bool      // a heartbeat is under way
-	fetching    bool      // a fetch of the chosen value is under way
+	id               string    // the identity that last answered there
+	lastAnswered     time.Time // when the last question that it answered was sent
+	accepted         Ballot
+	failedCalls      int       // calls in a row without an answer
+	failingSince     time.Time // when the first of them ended
+	heartbeatPending bool      // a heartbeat is under way
+	fetchPending     bool      // a fetch of the chosen value is under way
 }
 
 // peerAt needs the lock.
@@ -42,38 +42,38 @@
 	return p
 }
 
-// heard takes note of an answer.
-func (n *Node) heard(address string, sent time.Time, reply *Reply) {
+// recordReply takes note of an answer.
+func (n *Node) recordReply(address string, sent time.Time, reply *Reply) {
 	n.ballots.Observe(reply.Promised)
 	n.mu.Lock()
 	p := n.peerAt(address)
 	p.id = reply.From.ID
-	p.missed = 0
-	if p.answered.Before(sent) {
-		p.answered = sent
+	p.failedCalls = 0
+	if p.lastAnswered.Before(sent) {
+		p.lastAnswered = sent
 	}
 	if reply.Refusal == NoRefusal && reply.Kind != FetchChosen && reply.Kind != Commit {
 		p.accepted = reply.Accepted
 	}
 	n.mu.Unlock()
-	if !n.confirm(reply.Chosen) && reply.Kind != FetchChosen {
+	if !n.confirmChosen(reply.Chosen) && reply.Kind != FetchChosen {
 		n.fetchChosen(reply.Chosen, address)
 	}
 }
 
-// missed takes note of a call without an answer.
-func (n *Node) missed(address string) {
+// recordFailedCall takes note of a call without an answer.
+func (n *Node) recordFailedCall(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	p := n.peerAt(address)
-	if p.missed == 0 {
-		p.missedSince = time.Now()
+	if p.failedCalls == 0 {
+		p.failingSince = time.Now()
 	}
-	p.missed++
+	p.failedCalls++
 }
 
-// heardOf takes note of who asks.
-func (n *Node) heardOf(from Replica) {
+// recordRequester takes note of who asks.
+func (n *Node) recordRequester(from Replica) {
 	if from.Address == "" || from.Address == n.options.Address {
 		return
 	}
@@ -82,17 +82,17 @@
 	n.peerAt(from.Address)
 }
 
-// silence returns how long a replica has been silent, and zero if it isn't. One that this process has never heard is
+// silentFor returns how long a replica has been silent, and zero if it isn't. One that this process has never heard is
 // silent from the first call that failed. It needs the lock.
-func (n *Node) silence(replica Replica, now time.Time) time.Duration {
+func (n *Node) silentFor(replica Replica, now time.Time) time.Duration {
 	if replica.Address == n.options.Address {
 		return 0
 	}
 	p := n.peers[replica.Address]
-	if p == nil || p.missed == 0 || p.missed < missesForSilence && !p.answered.IsZero() {
+	if p == nil || p.failedCalls == 0 || p.failedCalls < failedCallsForSilence && !p.lastAnswered.IsZero() {
 		return 0
 	}
-	return max(1, now.Sub(p.missedSince))
+	return max(1, now.Sub(p.failingSince))
 }
 
 // NoContact is the age of a contact that there never was in the life of this process.
@@ -119,61 +119,61 @@
 	if len(replicas) == 0 {
 		return NoContact
 	}
-	ages := lo.Map(replicas, func(replica Replica, _ int) time.Duration { return n.age(replica, now) })
+	ages := lo.Map(replicas, func(replica Replica, _ int) time.Duration { return n.contactAge(replica, now) })
 	slices.SortFunc(ages, cmp.Compare[time.Duration])
 	return ages[len(ages)/2] // the last one of the smallest majority
 }
 
-func (n *Node) age(replica Replica, now time.Time) time.Duration {
+func (n *Node) contactAge(replica Replica, now time.Time) time.Duration {
 	if n.acceptor != nil && replica.ID == n.acceptor.Self().ID {
 		return 0
 	}
 	p := n.peers[replica.Address]
-	if p == nil || p.id != replica.ID || p.answered.IsZero() {
+	if p == nil || p.id != replica.ID || p.lastAnswered.IsZero() {
 		return NoContact
 	}
-	return now.Sub(p.answered)
+	return now.Sub(p.lastAnswered)
 }
 
 // heartbeat asks everyone who matters for ballots, without waiting for the answers.
 func (n *Node) heartbeat() {
 	known, _ := n.known()
 	addresses := lo.Map(known.Value.Members(), func(r Replica, _ int) string { return r.Address })
-	if !known.Value.HasReplica(n.ID()) || n.QuorumAge() > lostAfter {
+	if !known.Value.HasReplica(n.ID()) || n.QuorumAge() > quorumLostAfter {
 		addresses = append(addresses, n.options.Seeds()...)
-		addresses = append(addresses, n.strangers()...)
+		addresses = append(addresses, n.peerAddresses()...)
 	}
 	for _, address := range lo.Uniq(addresses) {
-		if address != n.options.Address && n.beginAsking(address) {
-			go n.ask(address)
+		if address != n.options.Address && n.beginHeartbeat(address) {
+			go n.sendHeartbeat(address)
 		}
 	}
 }
 
-// strangers returns who asked this node. They may know a set, or a newer one.
-func (n *Node) strangers() []string {
+// peerAddresses returns who asked this node. They may know a set, or a newer one.
+func (n *Node) peerAddresses() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return lo.Keys(n.peers)
 }
 
-func (n *Node) beginAsking(address string) bool {
+func (n *Node) beginHeartbeat(address string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	p := n.peerAt(address)
-	if p.asking {
+	if p.heartbeatPending {
 		return false
 	}
-	p.asking = true
+	p.heartbeatPending = true
 	return true
 }
 
-func (n *Node) ask(address string) {
+func (n *Node) sendHeartbeat(address string) {
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
 	n.call(ctx, Message{To: Replica{Address: address}, Request: Request{Kind: Query, From: n.self()}})
 	n.mu.Lock()
-	n.peerAt(address).asking = false
+	n.peerAt(address).heartbeatPending = false
 	n.mu.Unlock()
 	n.confirmByMajority()
 }
@@ -186,7 +186,7 @@
 		accepted = n.acceptor.Accepted()
 	}
 	agreed := n.chosen.Ballot.Less(accepted.Ballot) && accepted.Value.Quorum(func(id string) bool {
-		return id == n.acceptor.Self().ID || n.holds(id, accepted)
+		return id == n.acceptor.Self().ID || n.hasAccepted(id, accepted)
 	})
 	n.mu.Unlock()
 	if agreed {
@@ -194,8 +194,8 @@
 	}
 }
 
-// holds needs the lock.
-func (n *Node) holds(id string, accepted Accepted) bool {
+// hasAccepted needs the lock.
+func (n *Node) hasAccepted(id string, accepted Accepted) bool {
 	for _, replica := range accepted.Value.Members() {
 		p := n.peers[replica.Address]
 		if replica.ID == id && p != nil && p.id == id && p.accepted == accepted.Ballot {
@@ -209,9 +209,9 @@
 func (n *Node) fetchChosen(ballot Ballot, address string) {
 	n.mu.Lock()
 	p := n.peerAt(address)
-	needed := n.chosen.Ballot.Less(ballot) && !p.fetching && address != "" && address != n.options.Address
+	needed := n.chosen.Ballot.Less(ballot) && !p.fetchPending && address != "" && address != n.options.Address
 	if needed {
-		p.fetching = true
+		p.fetchPending = true
 	}
 	n.mu.Unlock()
 	if needed {
@@ -220,13 +220,13 @@
 }
 
 func (n *Node) fetch(address string) {
-	ctx, cancel := context.WithTimeout(context.Background(), learnTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
 	_, chosen := n.known()
 	request := Request{Kind: FetchChosen, From: n.self(), Known: chosen}
 	reply := n.call(ctx, Message{To: Replica{Address: address}, Request: request})
 	n.mu.Lock()
-	n.peerAt(address).fetching = false
+	n.peerAt(address).fetchPending = false
 	n.mu.Unlock()
 	if reply.Refusal == NoRefusal && reply.Value != nil {
 		n.learnChosen(Accepted{Ballot: reply.Accepted, Value: *reply.Value})
@@ -236,7 +236,7 @@
 
 func (n *Node) wake() {
 	select {
-	case n.nudge <- struct{}{}:
+	case n.wakeUp <- struct{}{}:
 	default:
 	}
 }
--- a/coordination/register/proposer.go
+++ b/coordination/register/proposer.go
@@ -36,46 +36,46 @@
 	ballots *BallotGenerator
 	change  Change
 
-	base   Accepted // highest value known
-	chosen Ballot   // highest ballot known to be chosen
-	news   Accepted // a chosen value that came from elsewhere, for the next ballot
-
-	phase    phase
-	ballot   Ballot
-	proposal Value
-	asked    map[string]bool
-	answers  map[string]Reply
-
-	doubt  doubt
-	result Accepted
-	err    error
+	base    Accepted // highest value known
+	chosen  Ballot   // highest ballot known to be chosen
+	learned Accepted // a chosen value that came from elsewhere, for the next ballot
+
+	phase     phase
+	ballot    Ballot
+	proposal  Value
+	requested map[string]bool
+	replies   map[string]Reply
+
+	doubtful doubtfulProposals
+	result   Accepted
+	err      error
 }
 
-// doubt is what became of own proposals that were sent out and given up. A proposal that no majority has accepted under
+// doubtfulProposals is what became of own proposals that were sent out and given up. A proposal that no majority has accepted under
 // its ballot may still be completed by anyone under a later one. Only a value chosen above it puts an end to that.
-type doubt struct {
-	origins  []Ballot // of the proposals; none: nothing is in doubt
-	highest  Ballot
-	revision uint64 // the lowest of theirs
+type doubtfulProposals struct {
+	origins        []Ballot // of the proposals; none: nothing is in doubt
+	highest        Ballot
+	lowestRevision uint64 // the lowest of theirs
 }
 
-func (d *doubt) add(proposal *Value) {
+func (d *doubtfulProposals) add(proposal *Value) {
 	if len(d.origins) == 0 {
-		d.revision = proposal.Revision
+		d.lowestRevision = proposal.Revision
 	}
 	d.origins = append(d.origins, proposal.Origin)
 	d.highest = proposal.Origin
-	d.revision = min(d.revision, proposal.Revision)
+	d.lowestRevision = min(d.lowestRevision, proposal.Revision)
 }
 
 // pending reports whether one of the proposals may be chosen after the chosen value.
-func (d *doubt) pending(chosen *Accepted) bool {
+func (d *doubtfulProposals) pending(chosen *Accepted) bool {
 	return len(d.origins) > 0 && chosen.Ballot.Less(d.highest)
 }
 
-// refuted reports whether none of the proposals was or will be chosen. Above their revision, only the change can tell.
-func (d *doubt) refuted(chosen *Accepted) bool {
-	return !d.pending(chosen) && chosen.Value.Revision <= d.revision
+// ruledOut reports whether none of the proposals was or will be chosen. Above their revision, only the change can tell.
+func (d *doubtfulProposals) ruledOut(chosen *Accepted) bool {
+	return !d.pending(chosen) && chosen.Value.Revision <= d.lowestRevision
 }
 
 // NewProposer returns an operation. Known is the highest value that the driver has, with the set to begin with; chosen is
@@ -93,23 +93,23 @@
 	if p.phase == ended {
 		return Output{Done: true}
 	}
-	p.noteDoubt()
+	p.recordDoubt()
 	return p.prepare()
 }
 
 // Learn takes a chosen value that came from elsewhere. It reports whether the current ballot is in vain, so that the driver
 // had better call Retry: a higher one was chosen, or the set has moved on.
 func (p *Proposer) Learn(chosen Accepted) bool {
-	if p.phase == ended || !p.base.Ballot.Less(chosen.Ballot) || !p.news.Ballot.Less(chosen.Ballot) {
+	if p.phase == ended || !p.base.Ballot.Less(chosen.Ballot) || !p.learned.Ballot.Less(chosen.Ballot) {
 		return false
 	}
 	p.ballots.Observe(chosen.Ballot)
-	p.news = chosen // not the base of a ballot that may be below it
+	p.learned = chosen // not the base of a ballot that may be below it
 	return p.ballot.Less(chosen.Ballot) || !slices.Equal(p.base.Value.Members(), chosen.Value.Members())
 }
 
 // InDoubt reports whether an own proposal may yet be chosen without this operation knowing.
-func (p *Proposer) InDoubt() bool { return len(p.doubt.origins) > 0 || p.phase == accepting }
+func (p *Proposer) InDoubt() bool { return len(p.doubtful.origins) > 0 || p.phase == accepting }
 
 // Result returns the end of an operation that is done: the chosen value, and the error of the change if it gave one.
 func (p *Proposer) Result() (Accepted, error) { return p.result, p.err }
@@ -117,23 +117,23 @@
 // Deliver takes a reply. Replies to earlier ballots and doubles are ignored.
 func (p *Proposer) Deliver(reply Reply) Output {
 	p.ballots.Observe(reply.Promised)
-	if reply.Ballot != p.ballot || !p.awaits(reply.Kind) || !p.asked[reply.From.ID] {
+	if reply.Ballot != p.ballot || !p.expects(reply.Kind) || !p.requested[reply.From.ID] {
 		return Output{Done: p.phase == ended}
 	}
-	if old, answered := p.answers[reply.From.ID]; answered && old.Refusal == NoRefusal {
+	if old, answered := p.replies[reply.From.ID]; answered && old.Refusal == NoRefusal {
 		return Output{}
 	}
-	p.answers[reply.From.ID] = reply
+	p.replies[reply.From.ID] = reply
 	if p.phase == preparing {
-		return p.promised(reply)
+		return p.onPromise(reply)
 	}
 	if reply.Refusal != NoRefusal {
-		return p.refused(reply, &p.proposal)
+		return p.onRefusal(reply, &p.proposal)
 	}
-	return p.accepted()
+	return p.onAccept()
 }
 
-func (p *Proposer) awaits(kind Kind) bool {
+func (p *Proposer) expects(kind Kind) bool {
 	switch p.phase {
 	case preparing:
 		return kind == Prepare
@@ -145,42 +145,42 @@
 
 func (p *Proposer) prepare() Output {
 	p.phase = preparing
-	if p.base.Ballot.Less(p.news.Ballot) {
-		p.base, p.chosen = p.news, p.news.Ballot
+	if p.base.Ballot.Less(p.learned.Ballot) {
+		p.base, p.chosen = p.learned, p.learned.Ballot
 	}
 	p.ballot = p.ballots.Next()
-	p.asked = map[string]bool{}
-	p.answers = map[string]Reply{}
-	return Output{Messages: p.ask(Request{Kind: Prepare, Known: p.base.Ballot}, p.base.Value.Members())}
+	p.requested = map[string]bool{}
+	p.replies = map[string]Reply{}
+	return Output{Messages: p.messagesTo(Request{Kind: Prepare, Known: p.base.Ballot}, p.base.Value.Members())}
 }
 
-// ask addresses a request to those who have not had it in this phase.
-func (p *Proposer) ask(request Request, replicas []Replica) []Message {
+// messagesTo addresses a request to those who have not had it in this phase.
+func (p *Proposer) messagesTo(request Request, replicas []Replica) []Message {
 	var messages []Message
 	for _, replica := range replicas {
-		if p.asked[replica.ID] {
+		if p.requested[replica.ID] {
 			continue
 		}
-		p.asked[replica.ID] = true
+		p.requested[replica.ID] = true
 		request.To, request.From, request.Ballot = replica.ID, p.self, p.ballot
 		messages = append(messages, Message{To: replica, Request: request})
 	}
 	return messages
 }
 
-func (p *Proposer) promised(reply Reply) Output {
+func (p *Proposer) onPromise(reply Reply) Output {
 	if p.chosen.Less(reply.Chosen) {
 		p.chosen = reply.Chosen
 	}
 	if reply.Refusal != NoRefusal {
-		return p.refused(reply, &p.base.Value)
+		return p.onRefusal(reply, &p.base.Value)
 	}
 	if reply.Value != nil && p.base.Ballot.Less(reply.Accepted) {
 		p.base = Accepted{Ballot: reply.Accepted, Value: *reply.Value}
 	}
 	// A newer value may have another set: its members have to promise, too.
-	messages := p.ask(Request{Kind: Prepare, Known: p.base.Ballot}, p.base.Value.Members())
-	if !p.base.Value.Quorum(p.agreed) {
+	messages := p.messagesTo(Request{Kind: Prepare, Known: p.base.Ballot}, p.base.Value.Members())
+	if !p.base.Value.Quorum(p.hasAgreed) {
 		return Output{Messages: messages}
 	}
 	output := p.propose()
@@ -188,21 +188,21 @@
 	return output
 }
 
-func (p *Proposer) agreed(id string) bool {
-	answer, answered := p.answers[id]
+func (p *Proposer) hasAgreed(id string) bool {
+	answer, answered := p.replies[id]
 	return answered && answer.Refusal == NoRefusal
 }
 
-// refused asks for another ballot if a higher one was met, or if no majority is left. The back-off before it leaves those
+// onRefusal asks for another ballot if a higher one was met, or if no majority is left. The back-off before it leaves those
 // who have not answered some time: if they make a majority, this ballot goes on.
-func (p *Proposer) refused(reply Reply, value *Value) Output {
-	return Output{Retry: reply.Refusal == Superseded || p.hopeless(value)}
+func (p *Proposer) onRefusal(reply Reply, value *Value) Output {
+	return Output{Retry: reply.Refusal == Superseded || p.quorumImpossible(value)}
 }
 
-// hopeless reports whether the refusals leave no majority.
-func (p *Proposer) hopeless(value *Value) bool {
+// quorumImpossible reports whether the refusals leave no majority.
+func (p *Proposer) quorumImpossible(value *Value) bool {
 	return !value.Quorum(func(id string) bool {
-		answer, answered := p.answers[id]
+		answer, answered := p.replies[id]
 		return !answered || answer.Refusal == NoRefusal
 	})
 }
@@ -221,24 +221,24 @@
 		return true
 	}
 	return p.base.Value.Quorum(func(id string) bool {
-		answer, answered := p.answers[id]
+		answer, answered := p.replies[id]
 		return answered && answer.Refusal == NoRefusal && answer.Accepted == p.base.Ballot
 	})
 }
 
 // onChosen goes on from a base that is chosen: with the change, if there is a promise to use for it, else with a ballot.
 func (p *Proposer) onChosen(promised bool) Output {
-	if slices.Contains(p.doubt.origins, p.base.Value.Origin) {
-		return p.end(p.base, nil) // the own proposal was chosen after all
+	if slices.Contains(p.doubtful.origins, p.base.Value.Origin) {
+		return p.finish(p.base, nil) // the own proposal was chosen after all
 	}
-	if p.doubt.refuted(&p.base) {
-		p.doubt = doubt{}
+	if p.doubtful.ruledOut(&p.base) {
+		p.doubtful = doubtfulProposals{}
 	}
 	next, err := p.change(p.base.Value)
 	nothing := err != nil || sameContent(&next, &p.base.Value)
 	switch {
-	case nothing && !p.doubt.pending(&p.base):
-		return p.end(p.base, err)
+	case nothing && !p.doubtful.pending(&p.base):
+		return p.finish(p.base, err)
 	case !promised:
 		return p.prepare()
 	case nothing:
@@ -266,14 +266,14 @@
 
 func (p *Proposer) accept(as phase) Output {
 	p.phase = as
-	p.asked = map[string]bool{}
-	p.answers = map[string]Reply{}
+	p.requested = map[string]bool{}
+	p.replies = map[string]Reply{}
 	value := p.proposal
-	return Output{Messages: p.ask(Request{Kind: Accept, Known: p.ballot, Value: &value}, value.Members())}
+	return Output{Messages: p.messagesTo(Request{Kind: Accept, Known: p.ballot, Value: &value}, value.Members())}
 }
 
-func (p *Proposer) accepted() Output {
-	if !p.proposal.Quorum(p.agreed) {
+func (p *Proposer) onAccept() Output {
+	if !p.proposal.Quorum(p.hasAgreed) {
 		return Output{}
 	}
 	former := p.base.Value.Members()
@@ -282,7 +282,7 @@
 	var output Output
 	commits := p.commit(former)
 	if p.phase == accepting {
-		output = p.end(p.base, nil)
+		output = p.finish(p.base, nil)
 	} else {
 		output = p.onChosen(false)
 	}
@@ -292,22 +292,22 @@
 
 // commit tells the members of the chosen value, and those that are no longer among them.
 func (p *Proposer) commit(former []Replica) []Message {
-	p.asked = map[string]bool{}
+	p.requested = map[string]bool{}
 	request := Request{Kind: Commit}
-	messages := p.ask(request, p.base.Value.Members())
-	return append(messages, p.ask(request, former)...)
+	messages := p.messagesTo(request, p.base.Value.Members())
+	return append(messages, p.messagesTo(request, former)...)
 }
 
-func (p *Proposer) end(result Accepted, err error) Output {
+func (p *Proposer) finish(result Accepted, err error) Output {
 	p.phase = ended
-	p.doubt = doubt{}
+	p.doubtful = doubtfulProposals{}
 	p.result, p.err = result, err
 	return Output{Done: true}
 }
 
-// noteDoubt remembers an own proposal that is given up while it may yet be chosen.
-func (p *Proposer) noteDoubt() {
+// recordDoubt remembers an own proposal that is given up while it may yet be chosen.
+func (p *Proposer) recordDoubt() {
 	if p.phase == accepting {
-		p.doubt.add(&p.proposal)
+		p.doubtful.add(&p.proposal)
 	}
 }
--- a/coordination/register/contact_test.go
+++ b/coordination/register/quorum_age_test.go
@@ -17,7 +17,7 @@
 		peers:    map[string]*peer{},
 	}
 	for id, age := range ages {
-		n.peers[id[:1]] = &peer{id: id, answered: now.Add(-age)}
+		n.peers[id[:1]] = &peer{id: id, lastAnswered: now.Add(-age)}
 	}
 	return n
 }
--- a/coordination/register/serve.go
+++ b/coordination/register/serve.go
@@ -10,8 +10,8 @@
 // PathMessage is the path of all calls between nodes.
 const PathMessage = "/internal/register/message"
 
-// maxWaiting bounds the requests that wait for the disk, so that a hung one costs no memory.
-const maxWaiting = 16
+// maxDiskQueue bounds the requests that wait for the disk, so that a hung one costs no memory.
+const maxDiskQueue = 16
 
 // Register mounts the calls of other nodes.
 func (n *Node) Register(mux *http.ServeMux) {
@@ -19,37 +19,37 @@
 }
 
 func (n *Node) serve(ctx context.Context, request Request) (*Reply, error) {
-	reply := n.answer(ctx, request)
+	reply := n.handle(ctx, request)
 	return &reply, nil
 }
 
-// answer takes a request of another node or of an own operation. It never waits for the disk on a Query or Learn.
-func (n *Node) answer(ctx context.Context, request Request) Reply {
-	n.heardOf(request.From)
+// handle takes a request of another node or of an own operation. It never waits for the disk on a Query or Learn.
+func (n *Node) handle(ctx context.Context, request Request) Reply {
+	n.recordRequester(request.From)
 	switch request.Kind {
 	case Query:
-		return n.query(request)
+		return n.handleQuery(request)
 	case Prepare, Accept:
-		return n.write(ctx, request)
+		return n.handleWrite(ctx, request)
 	case Commit:
-		return n.commit(request)
+		return n.handleCommit(request)
 	}
-	return n.teach(request)
+	return n.handleFetch(request)
 }
 
-func (n *Node) query(request Request) Reply {
+func (n *Node) handleQuery(request Request) Reply {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.acceptor == nil {
-		return n.refusal(request, IdentityMismatch)
+		return n.newReply(request, IdentityMismatch)
 	}
 	reply := n.acceptor.Begin(request).Reply
 	reply.Chosen = n.chosen.Ballot
 	return reply
 }
 
-// refusal needs the lock.
-func (n *Node) refusal(request Request, refusal Refusal) Reply {
+// newReply needs the lock.
+func (n *Node) newReply(request Request, refusal Refusal) Reply {
 	reply := Reply{Kind: request.Kind, Ballot: request.Ballot, Refusal: refusal, Chosen: n.chosen.Ballot}
 	reply.From.Address = n.options.Address
 	if n.acceptor != nil {
@@ -58,23 +58,23 @@
 	return reply
 }
 
-// write takes a request that may need the disk. The disk has one user at a time.
-func (n *Node) write(ctx context.Context, request Request) Reply {
-	if refusal := n.awaitDisk(ctx); refusal != NoRefusal {
+// handleWrite takes a request that may need the disk. The disk has one user at a time.
+func (n *Node) handleWrite(ctx context.Context, request Request) Reply {
+	if refusal := n.acquireDisk(ctx); refusal != NoRefusal {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		return n.refusal(request, refusal)
+		return n.newReply(request, refusal)
 	}
-	defer func() { <-n.writing }()
-	step := n.begin(request)
+	defer func() { <-n.diskSlot }()
+	step := n.beginStep(request)
 	if step.Write == nil {
 		return step.Reply
 	}
-	return n.finish(step)
+	return n.persist(step)
 }
 
-// finish makes the write of a step durable. The caller has the disk.
-func (n *Node) finish(step Step) Reply {
+// persist makes the write of a step durable. The caller has the disk.
+func (n *Node) persist(step Step) Reply {
 	refusal := n.disk.Write(step.Write)
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -88,24 +88,24 @@
 	return reply
 }
 
-func (n *Node) begin(request Request) Step {
+func (n *Node) beginStep(request Request) Step {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.acceptor == nil {
-		return Step{Reply: n.refusal(request, IdentityMismatch)}
+		return Step{Reply: n.newReply(request, IdentityMismatch)}
 	}
 	step := n.acceptor.Begin(request)
 	step.Reply.Chosen = n.chosen.Ballot
 	return step
 }
 
-func (n *Node) awaitDisk(ctx context.Context) Refusal {
-	if !n.queueForDisk() {
+func (n *Node) acquireDisk(ctx context.Context) Refusal {
+	if !n.enterDiskQueue() {
 		return Busy
 	}
-	defer n.leaveQueue()
+	defer n.leaveDiskQueue()
 	select {
-	case n.writing <- struct{}{}:
+	case n.diskSlot <- struct{}{}:
 		return NoRefusal
 	case <-ctx.Done():
 		return Busy
@@ -116,39 +116,39 @@
 // this node. It waits until ctx is done at most, since a disk may hang.
 func (n *Node) Close(ctx context.Context) {
 	select {
-	case n.writing <- struct{}{}:
+	case n.diskSlot <- struct{}{}:
 	case <-ctx.Done():
 	}
 }
 
-func (n *Node) queueForDisk() bool {
+func (n *Node) enterDiskQueue() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.waiting == maxWaiting {
+	if n.diskQueueLength == maxDiskQueue {
 		return false
 	}
-	n.waiting++
+	n.diskQueueLength++
 	return true
 }
 
-func (n *Node) leaveQueue() {
+func (n *Node) leaveDiskQueue() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.waiting--
+	n.diskQueueLength--
 }
 
-// commit learns what is chosen: from the own acceptor if it holds that ballot, else from the proposer.
-func (n *Node) commit(request Request) Reply {
-	if !n.confirm(request.Ballot) {
+// handleCommit learns what is chosen: from the own acceptor if it holds that ballot, else from the proposer.
+func (n *Node) handleCommit(request Request) Reply {
+	if !n.confirmChosen(request.Ballot) {
 		n.fetchChosen(request.Ballot, request.From.Address)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.refusal(request, NoRefusal)
+	return n.newReply(request, NoRefusal)
 }
 
-// confirm learns that a ballot is chosen, if the own acceptor holds its value. It reports whether there is nothing to fetch.
-func (n *Node) confirm(ballot Ballot) bool {
+// confirmChosen learns that a ballot is chosen, if the own acceptor holds its value. It reports whether there is nothing to fetch.
+func (n *Node) confirmChosen(ballot Ballot) bool {
 	n.mu.Lock()
 	known := !n.chosen.Ballot.Less(ballot)
 	var accepted Accepted
@@ -166,11 +166,11 @@
 	return true
 }
 
-// teach answers a Learn.
-func (n *Node) teach(request Request) Reply {
+// handleFetch answers a Learn.
+func (n *Node) handleFetch(request Request) Reply {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	reply := n.refusal(request, NoRefusal)
+	reply := n.newReply(request, NoRefusal)
 	reply.Accepted = n.chosen.Ballot
 	reply.Revision = n.chosen.Value.Revision
 	if request.Known.Less(n.chosen.Ballot) {
--- a/coordination/register/upkeep.go
+++ b/coordination/register/upkeep.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// upkeepTick is the pace of what is urgent: a disk without an identity, a newcomer, a change of the set.
-	upkeepTick = 50 * time.Millisecond
-	// joinProbe is how long a newcomer waits to hear of every member, to know which of them can give way.
-	joinProbe = 500 * time.Millisecond
+	// upkeepInterval is the pace of what is urgent: a disk without an identity, a newcomer, a change of the set.
+	upkeepInterval = 50 * time.Millisecond
+	// joinProbeTimeout is how long a newcomer waits to hear of every member, to know which of them can give way.
+	joinProbeTimeout = 500 * time.Millisecond
 	// rankDelay spreads what any member may do, so that usually the first one alone does it.
 	rankDelay = 400 * time.Millisecond
-	// doubtAfter is how long a value may stay in doubt before it is completed unasked.
-	doubtAfter   = time.Second
-	upkeepBudget = 3 * time.Second
+	// doubtTimeout is how long a value may stay in doubt before it is completed unasked.
+	doubtTimeout  = time.Second
+	upkeepTimeout = 3 * time.Second
 )
 
 // Run keeps the node in touch and in the set until ctx is done.
@@ -26,11 +26,11 @@
 	defer timer.Stop()
 	var lastBeat time.Time
 	var upkeep upkeep
-	var keeping keeping
+	var keeping diskCatchUp
 	for {
 		select {
 		case <-timer.C:
-		case <-n.nudge:
+		case <-n.wakeUp:
 		case <-ctx.Done():
 			return
 		}
@@ -38,34 +38,34 @@
 			lastBeat = time.Now()
 			n.heartbeat()
 		}
-		if n.markDisk() {
+		if n.initializeDisk() {
 			n.learnGenesis()
-			upkeep.step(ctx, n)
-			keeping.step(ctx, n, time.Now())
+			upkeep.tick(ctx, n)
+			keeping.tick(ctx, n, time.Now())
 		}
-		timer.Reset(n.pace())
+		timer.Reset(n.nextDelay())
 	}
 }
 
-// pace is slow while all is settled: each wake-up costs.
-func (n *Node) pace() time.Duration {
+// nextDelay is slow while all is settled: each wake-up costs.
+func (n *Node) nextDelay() time.Duration {
 	known, chosen := n.known()
-	if known.Ballot == chosen && n.placed(&known.Value) && !known.Value.Joint() {
+	if known.Ballot == chosen && n.inSetOrStandby(&known.Value) && !known.Value.Joint() {
 		return n.options.Heartbeat
 	}
-	return upkeepTick
+	return upkeepInterval
 }
 
 // heartbeatInterval is short while the node is on its way into the set.
 func (n *Node) heartbeatInterval() time.Duration {
-	if known, _ := n.known(); n.placed(&known.Value) {
+	if known, _ := n.known(); n.inSetOrStandby(&known.Value) {
 		return n.options.Heartbeat
 	}
-	return 2 * upkeepTick
+	return 2 * upkeepInterval
 }
 
-// placed reports whether the node is in the set, or on standby for one that has no room.
-func (n *Node) placed(value *Value) bool {
+// inSetOrStandby reports whether the node is in the set, or on standby for one that has no room.
+func (n *Node) inSetOrStandby(value *Value) bool {
 	return value.HasReplica(n.ID()) || len(value.Replicas) >= n.options.MaxReplicas
 }
 
@@ -76,7 +76,7 @@
 	n.leaving = true
 	n.mu.Unlock()
 	for {
-		chosen := n.latest().Value
+		chosen := n.latestChosen().Value
 		if !chosen.Joint() && !chosen.HasReplica(n.ID()) {
 			return nil
 		}
@@ -90,7 +90,7 @@
 	}
 }
 
-func (n *Node) latest() Accepted {
+func (n *Node) latestChosen() Accepted {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.chosen
@@ -112,7 +112,7 @@
 		SilentFor: func(replica Replica) time.Duration {
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			return n.silence(replica, now)
+			return n.silentFor(replica, now)
 		},
 		RemoveAfter: n.options.RemoveAfter + delay,
 	}
@@ -120,31 +120,31 @@
 
 // upkeep is the state of the steps that Run takes beside the heartbeat.
 type upkeep struct {
-	changing   background
-	memberOf   Ballot // joint value that was seen last
-	jointSince time.Time
-	doubtSince time.Time
-	probeSince time.Time // when the node, not in the set, first knew it
+	proposal    backgroundTask
+	jointOrigin Ballot // joint value that was seen last
+	jointSince  time.Time
+	doubtSince  time.Time
+	probeSince  time.Time // when the node, not in the set, first knew it
 }
 
-// step starts what is due, in the background: the heartbeat must not wait for it.
-func (u *upkeep) step(ctx context.Context, n *Node) {
-	if u.changing.busy() {
+// tick starts what is due, in the background: the heartbeat must not wait for it.
+func (u *upkeep) tick(ctx context.Context, n *Node) {
+	if u.proposal.busy() {
 		return
 	}
-	change := u.due(n, time.Now())
+	change := u.dueChange(n, time.Now())
 	if change == nil {
 		return
 	}
-	u.changing.start(func() {
+	u.proposal.start(func() {
 		defer n.wake()
-		n.upkeep(ctx, change)
+		n.proposeUpkeep(ctx, change)
 	})
 }
 
-// upkeep proposes a change of the set, or completes one that is in doubt.
-func (n *Node) upkeep(ctx context.Context, change Change) {
-	ctx, cancel := context.WithTimeout(ctx, upkeepBudget)
+// proposeUpkeep proposes a change of the set, or completes one that is in doubt.
+func (n *Node) proposeUpkeep(ctx context.Context, change Change) {
+	ctx, cancel := context.WithTimeout(ctx, upkeepTimeout)
 	defer cancel()
 	chosen, err := n.propose(ctx, change)
 	if err != nil {
@@ -154,15 +154,15 @@
 		zap.Int("replicas", len(chosen.Value.Replicas)), zap.Bool("joint", chosen.Value.Joint()))
 }
 
-// due returns the change to make now, nil if there is none.
-func (u *upkeep) due(n *Node, now time.Time) Change {
-	chosen := n.latest().Value
+// dueChange returns the change to make now, nil if there is none.
+func (u *upkeep) dueChange(n *Node, now time.Time) Change {
+	chosen := n.latestChosen().Value
 	if len(chosen.Replicas) == 0 {
-		return u.settle(n, now)
+		return u.dueCompletion(n, now)
 	}
 	plan := n.planner(rankDelay * time.Duration(rank(&chosen, n)))
 	if sameContent(&chosen, new(plan.Next(chosen))) {
-		return u.settle(n, now)
+		return u.dueCompletion(n, now)
 	}
 	if !u.mayChange(n, &chosen, now) {
 		return nil
@@ -174,8 +174,8 @@
 // every member first.
 func (u *upkeep) mayChange(n *Node, chosen *Value, now time.Time) bool {
 	if chosen.Joint() {
-		if u.memberOf != chosen.Origin {
-			u.memberOf, u.jointSince = chosen.Origin, now
+		if u.jointOrigin != chosen.Origin {
+			u.jointOrigin, u.jointSince = chosen.Origin, now
 		}
 		mine := chosen.Origin.Proposer == n.ballots.proposer
 		return mine || now.Sub(u.jointSince) >= rankDelay*time.Duration(1+rank(chosen, n))
@@ -187,12 +187,12 @@
 	if u.probeSince.IsZero() {
 		u.probeSince = now
 	}
-	return now.Sub(u.probeSince) >= joinProbe || n.heardAll(chosen, u.probeSince)
+	return now.Sub(u.probeSince) >= joinProbeTimeout || n.contactedAll(chosen, u.probeSince)
 }
 
-// settle completes what stays in doubt, or learns the set's state after a start. It returns nil if nothing does.
-func (u *upkeep) settle(n *Node, now time.Time) Change {
-	if known, chosen := n.known(); len(known.Value.Replicas) == 0 || known.Ballot == chosen && !n.behind(chosen) {
+// dueCompletion completes what stays in doubt, or learns the set's state after a start. It returns nil if nothing does.
+func (u *upkeep) dueCompletion(n *Node, now time.Time) Change {
+	if known, chosen := n.known(); len(known.Value.Replicas) == 0 || known.Ballot == chosen && !n.peerAhead(chosen) {
 		u.doubtSince = time.Time{}
 		return nil
 	}
@@ -200,15 +200,15 @@
 		u.doubtSince = now
 	}
 	known, _ := n.known()
-	if now.Sub(u.doubtSince) < doubtAfter+rankDelay*time.Duration(rank(&known.Value, n)) {
+	if now.Sub(u.doubtSince) < doubtTimeout+rankDelay*time.Duration(rank(&known.Value, n)) {
 		return nil
 	}
 	u.doubtSince = time.Time{}
 	return Unchanged
 }
 
-// behind reports whether a replica told of an accepted ballot above the chosen one.
-func (n *Node) behind(chosen Ballot) bool {
+// peerAhead reports whether a replica told of an accepted ballot above the chosen one.
+func (n *Node) peerAhead(chosen Ballot) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, p := range n.peers {
@@ -219,15 +219,15 @@
 	return false
 }
 
-// heardAll reports whether every member at another address has answered since a moment.
-func (n *Node) heardAll(value *Value, since time.Time) bool {
+// contactedAll reports whether every member at another address has answered since a moment.
+func (n *Node) contactedAll(value *Value, since time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, replica := range value.Replicas {
 		if replica.Address == n.options.Address {
 			continue
 		}
-		if p := n.peers[replica.Address]; p == nil || p.answered.Before(since) {
+		if p := n.peers[replica.Address]; p == nil || p.lastAnswered.Before(since) {
 			return false
 		}
 	}
@@ -245,15 +245,15 @@
 		if replica.ID == self {
 			break
 		}
-		if n.silence(replica, now) == 0 {
+		if n.silentFor(replica, now) == 0 {
 			place++
 		}
 	}
 	return place
 }
 
-// awaitSet waits until the node knows whom to ask.
-func (n *Node) awaitSet(ctx context.Context) error {
+// awaitReplicaSet waits until the node knows whom to ask.
+func (n *Node) awaitReplicaSet(ctx context.Context) error {
 	for {
 		changed := n.Changed()
 		if known, _ := n.known(); len(known.Value.Replicas) > 0 {
--- a/coordination/register/value.go
+++ b/coordination/register/value.go
@@ -74,10 +74,10 @@
 
 // Quorum reports whether those that agree are a majority of the set, or of both sets.
 func (v *Value) Quorum(agrees func(id string) bool) bool {
-	return majority(v.Replicas, agrees) && (!v.Joint() || majority(v.Previous, agrees))
+	return hasMajority(v.Replicas, agrees) && (!v.Joint() || hasMajority(v.Previous, agrees))
 }
 
-func majority(replicas []Replica, agrees func(id string) bool) bool {
+func hasMajority(replicas []Replica, agrees func(id string) bool) bool {
 	return 2*lo.CountBy(replicas, func(r Replica) bool { return agrees(r.ID) }) > len(replicas)
 }
 
