--- a/coordination/register/acceptor.go
+++ b/coordination/register/acceptor.go
@@ -1,13 +1,14 @@
 package register
 
-// Write is what an acceptor needs to have on its disk before it answers. At least one of its fields is set; a value is
-// written before a promise. Each is a record of its own: a later promise does not write the value again.
+// Write is the state that an acceptor must make durable before it replies. At least one field is set. The accepted value is
+// written before the promise. They are separate records, so that a later promise does not write the value again.
 type Write struct {
 	Promised *Ballot
 	Accepted *Accepted
 }
 
-// Step is a request that an acceptor has begun. If Write is nil, Reply is the answer; otherwise Finish or Abandon gives it.
+// Step is a request that an acceptor has begun to handle. If Write is nil, Reply is the reply. Otherwise Finish or Abandon
+// returns the reply.
 type Step struct {
 	Write *Write
 	Reply Reply
@@ -15,18 +16,19 @@
 	request Request
 }
 
-// Acceptor holds the promises and the accepted value of one identity. It is pure, and it answers only by what is durable.
-// A value whose write failed may come to light at the next start. It is written again before the next promise, so that no
-// proposer who was promised something misses it.
+// Acceptor holds the promise and the accepted value of one replica identity. It is a pure state machine, and its replies
+// report only durable state. A value whose write failed may still be found on the disk at the next start. The acceptor
+// therefore writes that value again before its next promise, so that no proposer that gets the promise misses the value.
 type Acceptor struct {
 	self         Replica
 	promised     Ballot
 	accepted     Accepted
-	unconfirmed  *Accepted // its write failed, and may have reached the disk all the same
-	writePending bool      // a step with a write has begun
+	unconfirmed  *Accepted // value whose write failed but may have reached the disk
+	writePending bool      // a step with a write has begun and not ended
 }
 
-// NewAcceptor returns an acceptor with what was found on its disk. Without an accepted value it is that of a newcomer.
+// NewAcceptor returns an acceptor with the state that was loaded from its disk. The accepted value of a joining replica is
+// empty.
 func NewAcceptor(self Replica, promised Ballot, accepted Accepted) *Acceptor {
 	if promised.Less(accepted.Ballot) {
 		promised = accepted.Ballot // accepting implies the promise
@@ -34,13 +36,14 @@
 	return &Acceptor{self: self, promised: promised, accepted: accepted}
 }
 
-// Self returns the identity and address.
+// Self returns the identity and address of the replica.
 func (a *Acceptor) Self() Replica { return a.self }
 
-// Accepted returns what is accepted and durable. Its value must not be changed.
+// Accepted returns the durable accepted value. The caller must not modify it.
 func (a *Acceptor) Accepted() Accepted { return a.accepted }
 
-// Begin takes a query, a prepare or an accept. Only one step with a write can be open at a time; others are refused as busy.
+// Begin handles a Query, Prepare or Accept request. Only one step with a write can be open at a time: until it ends, Prepare
+// and Accept requests are refused as Busy.
 func (a *Acceptor) Begin(request Request) Step {
 	switch {
 	case request.Kind == Query && (request.To == "" || request.To == a.self.ID):
@@ -59,12 +62,12 @@
 		accepted := &Accepted{Ballot: request.Ballot, Value: *request.Value}
 		return Step{Write: &Write{Accepted: accepted}, request: request}
 	}
-	return Step{Reply: a.newReply(request)} // asked before: the promise or value is on the disk
+	return Step{Reply: a.newReply(request)} // repeated request: the promise or value is already durable
 }
 
-// Learn begins to take over a chosen value that was accepted without this replica. No promise stands against it: whoever was
-// promised something has found the value, or one above it, since it is chosen. It returns no write if the replica holds that value
-// or one above it, or while another step is open.
+// Learn begins to store a chosen value that this replica did not accept. A promise to a higher ballot does not forbid it:
+// because the value is chosen, a proposer with a quorum of promises has found this value or a later one. The step has no
+// write if the replica already holds the value or a later one, or while another step is open.
 func (a *Acceptor) Learn(chosen Accepted) Step {
 	if a.writePending || !a.accepted.Ballot.Less(chosen.Ballot) {
 		return Step{}
@@ -73,7 +76,7 @@
 	return Step{Write: &Write{Accepted: &chosen}}
 }
 
-// Finish takes a step whose write is durable and returns its answer.
+// Finish ends a step whose write is durable and returns its reply.
 func (a *Acceptor) Finish(step Step) Reply {
 	a.writePending = false
 	if step.Write.Accepted != nil {
@@ -89,11 +92,11 @@
 	return a.newReply(step.request)
 }
 
-// Abandon takes a step whose write failed and returns its answer.
+// Abandon ends a step whose write failed and returns a reply with the refusal.
 func (a *Acceptor) Abandon(step Step, refusal Refusal) Reply {
 	a.writePending = false
-	if lost := step.Write.Accepted; lost != nil && (a.unconfirmed == nil || a.unconfirmed.Ballot.Less(lost.Ballot)) {
-		a.unconfirmed = lost
+	if failed := step.Write.Accepted; failed != nil && (a.unconfirmed == nil || a.unconfirmed.Ballot.Less(failed.Ballot)) {
+		a.unconfirmed = failed
 	}
 	return a.refuse(step.request, refusal)
 }
--- a/coordination/register/background.go
+++ b/coordination/register/background.go
@@ -1,11 +1,11 @@
 package register
 
-// backgroundTask runs one step at a time beside the goroutine that uses it, which asks now and then whether the step has ended.
+// backgroundTask runs one function at a time in a goroutine of its own. Its user polls busy. It is not safe for concurrent use.
 type backgroundTask struct {
-	running chan struct{} // closed when the step ends; nil: none runs
+	running chan struct{} // closed when the function returns; nil if none runs
 }
 
-// busy reports whether a step still runs.
+// busy reports whether the function is still running.
 func (b *backgroundTask) busy() bool {
 	if b.running == nil {
 		return false
@@ -19,12 +19,12 @@
 	}
 }
 
-// start runs a step. None may run.
-func (b *backgroundTask) start(step func()) {
+// start runs the function in a goroutine. It must not be called while busy.
+func (b *backgroundTask) start(task func()) {
 	running := make(chan struct{})
 	b.running = running
 	go func() {
 		defer close(running)
-		step()
+		task()
 	}()
 }
--- a/coordination/register/ballots.go
+++ b/coordination/register/ballots.go
@@ -2,20 +2,20 @@
 
 import "sync"
 
-// BallotGenerator hands out the ballots of one proposer, each once. It is safe for use by several goroutines.
+// BallotGenerator generates the ballots of one proposer, each of them once. It is safe for concurrent use.
 type BallotGenerator struct {
 	mu       sync.Mutex
 	round    uint64
 	proposer uint64
 }
 
-// NewBallotGenerator returns the ballots of a proposer, whose number must never have been used before: drivers draw it at random
-// at each start.
+// NewBallotGenerator returns the generator of a proposer. The proposer's number must never have been used before: drivers
+// draw it at random at each start.
 func NewBallotGenerator(proposer uint64) *BallotGenerator {
 	return &BallotGenerator{round: genesisBallot.Round, proposer: proposer}
 }
 
-// Next returns a ballot above all that were returned or seen.
+// Next returns a ballot above all ballots that were returned or observed.
 func (b *BallotGenerator) Next() Ballot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -23,7 +23,7 @@
 	return Ballot{Round: b.round, Proposer: b.proposer}
 }
 
-// Observe takes note of a ballot of anyone.
+// Observe raises later ballots above the given ballot of any proposer.
 func (b *BallotGenerator) Observe(ballot Ballot) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/coordination/register/catchup.go
+++ b/coordination/register/catchup.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// catchUpAfter is how long the own disk may lack a value that is known to be chosen before it is written there unasked. An accept that
-// is late by the disk or the path comes before, and costs no second write.
+// catchUpAfter is how long the local disk may lack a value that is known to be chosen before the node writes it there without
+// a request. An accept that is delayed by the disk or the network usually arrives earlier, which saves a second write.
 const catchUpAfter = 300 * time.Millisecond
 
-// diskCatchUp brings what is chosen to the disk of a replica that was not asked to accept it: behind a cut, without power, or with a
-// disk that was full. A majority holds it without this replica, but each copy that is missing is a loss that the register does not
-// bear. It is used by the goroutine of Run.
+// diskCatchUp writes the chosen value to the local disk if the replica did not accept it, because of a partition, a power loss
+// or a full disk. A majority holds the value without this replica, but each missing copy reduces the number of disk losses
+// that the register survives. Only the goroutine of Run uses it.
 type diskCatchUp struct {
-	behindSince time.Time // zero: the disk holds what is chosen
-	writing     backgroundTask
+	behindSince time.Time // zero if the disk holds the chosen value
+	write       backgroundTask
 }
 
-// tick writes the newest chosen value if it is due, in the background: a disk may hang.
+// tick starts to write the newest chosen value if that is due. The write runs in the background because a disk may hang.
 func (k *diskCatchUp) tick(ctx context.Context, n *Node, now time.Time) {
-	if k.writing.busy() {
+	if k.write.busy() {
 		return
 	}
 	if !n.diskLacksChosen() {
@@ -32,17 +32,17 @@
 	if now.Sub(k.behindSince) < catchUpAfter {
 		return
 	}
-	k.writing.start(func() { n.catchUpDisk(ctx) })
+	k.write.start(func() { n.catchUpDisk(ctx) })
 }
 
-// diskLacksChosen reports whether the own replica is in the set and does not hold what is chosen.
+// diskLacksChosen reports whether the local replica is a member and does not hold the chosen value.
 func (n *Node) diskLacksChosen() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.acceptor != nil && n.acceptor.Accepted().Ballot.Less(n.chosen.Ballot) && n.chosen.Value.HasMember(n.acceptor.Self().ID)
 }
 
-// catchUpDisk writes the newest chosen value to the own disk.
+// catchUpDisk writes the newest chosen value to the local disk.
 func (n *Node) catchUpDisk(ctx context.Context) {
 	select {
 	case n.diskSlot <- struct{}{}:
--- a/coordination/register/durable.go
+++ b/coordination/register/durable.go
@@ -11,27 +11,27 @@
 	"weldscale/coordination/store"
 )
 
-// Records of a replica's disk.
+// Names of the records on a replica's disk.
 const (
 	identityRecord = "identity"
 	promiseRecord  = "promise"
 	valueRecord    = "value"
 )
 
-// identity is what a disk is marked with when it is first used.
+// identity is the record that is written to a disk when it is first used.
 type identity struct {
 	ID       string
-	Founders []Replica // the first set, if this disk belongs to it
+	Founders []Replica // initial replica set if this disk belongs to it, else nil
 }
 
-// Disk keeps an acceptor's state on its disk. It is not safe for use by several goroutines.
+// Disk stores the state of an acceptor. It is not safe for concurrent use.
 type Disk struct {
 	identity store.Store
 	promise  store.Store
 	value    store.Store
 }
 
-// NewDisk returns a disk in a folder.
+// NewDisk returns a Disk that keeps its records in files.
 func NewDisk(files store.Files) Disk {
 	return Disk{
 		identity: store.Open(files, identityRecord),
@@ -40,10 +40,10 @@
 	}
 }
 
-// Load returns the acceptor that the disk holds, or nil if the disk was never used.
+// Load returns the stored acceptor, or nil if the disk was never used.
 func (d Disk) Load(address string) (*Acceptor, error) {
-	var mark identity
-	found, err := loadRecord(d.identity, &mark)
+	var stored identity
+	found, err := loadRecord(d.identity, &stored)
 	if err != nil || !found {
 		return nil, err
 	}
@@ -51,24 +51,25 @@
 	if _, err := loadRecord(d.promise, &promised); err != nil {
 		return nil, err
 	}
-	var accepted Accepted // fresh: decoding would write into the founders' slice
+	var accepted Accepted // not the initial state: decoding would overwrite the founders' slice
 	found, err = loadRecord(d.value, &accepted)
 	if err != nil {
 		return nil, err
 	}
 	if !found {
-		accepted = mark.initialState()
+		accepted = stored.initialState()
 	}
-	return NewAcceptor(Replica{ID: mark.ID, Address: address}, promised, accepted), nil
+	return NewAcceptor(Replica{ID: stored.ID, Address: address}, promised, accepted), nil
 }
 
-// Initialize gives an empty disk its identity. Founders is the first set if the disk belongs to it, else nil.
+// Initialize writes the identity to an empty disk. The founders are the initial replica set if the disk belongs to it, else
+// nil.
 func (d Disk) Initialize(id, address string, founders []Replica) (*Acceptor, error) {
-	mark := identity{ID: id, Founders: founders}
-	if err := saveRecord(d.identity, &mark); err != nil {
+	stored := identity{ID: id, Founders: founders}
+	if err := saveRecord(d.identity, &stored); err != nil {
 		return nil, err
 	}
-	return NewAcceptor(Replica{ID: mark.ID, Address: address}, Ballot{}, mark.initialState()), nil
+	return NewAcceptor(Replica{ID: stored.ID, Address: address}, Ballot{}, stored.initialState()), nil
 }
 
 func (i identity) initialState() Accepted {
@@ -78,7 +79,7 @@
 	return Genesis(i.Founders)
 }
 
-// Write makes a step's write durable.
+// Write makes the write of a step durable. It returns NoRefusal, DiskFull or DiskFailed.
 func (d Disk) Write(write *Write) Refusal {
 	err := d.save(write)
 	switch {
--- a/coordination/register/errors.go
+++ b/coordination/register/errors.go
@@ -2,12 +2,12 @@
 
 import "github.com/rotisserie/eris"
 
-// Errors of Node.
+// Errors returned by Node.
 var (
-	// ErrNoQuorum says that no majority was reached and that nothing was sent that could yet be chosen.
+	// ErrNoQuorum reports that no majority was reached. No proposal of the operation can be chosen later.
 	ErrNoQuorum = eris.New("register: no quorum")
-	// ErrInDoubt says that a change was sent out and may yet be chosen, or may have been.
-	ErrInDoubt = eris.New("register: in doubt")
-	// ErrNotFormed says that the set has not reached its size in time.
-	ErrNotFormed = eris.New("register: set not formed")
+	// ErrInDoubt reports that the outcome of a change is unknown: its proposal may have been chosen or may be chosen later.
+	ErrInDoubt = eris.New("register: outcome in doubt")
+	// ErrNotFormed reports that the replica set did not reach its target size in time.
+	ErrNotFormed = eris.New("register: replica set not formed")
 )
--- a/coordination/register/exchange.go
+++ b/coordination/register/exchange.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// exchange sends the messages of one operation and gathers the replies. It does not hold up whoever answers after its end:
-// calls go on until their own time-out, so that slow replicas get what the others have decided.
+// exchange sends the messages of one operation and collects the replies. Calls that are open when it is closed continue
+// until their own timeout, so that slow replicas still get the messages, and their late replies are dropped.
 type exchange struct {
 	node        *Node
 	replies     chan Reply
 	closed      chan struct{}
-	outstanding int // calls without a reply; kept by the driver
+	outstanding int // calls without a reply; the driver decrements it for each reply
 }
 
 func newExchange(node *Node) *exchange {
@@ -23,7 +23,7 @@
 func (e *exchange) send(messages []Message, timeout time.Duration) {
 	for _, message := range messages {
 		if message.Request.Kind == Commit && message.To.ID == e.node.ID() {
-			continue // the driver has learnt it
+			continue // the driver has already learned the value
 		}
 		e.outstanding++
 		go e.call(message, timeout)
@@ -40,13 +40,14 @@
 	}
 }
 
-// call carries a message to a replica, which may be this process itself. A call that fails is a refusal as Unreachable.
+// call sends a message to a replica, which may be this process, and returns its reply. A failed call returns the refusal
+// Unreachable.
 func (n *Node) call(ctx context.Context, message Message) Reply {
 	request := message.Request
 	if message.To.Address == n.options.Address {
 		reply := n.handle(ctx, request)
 		if reply.Refusal == IdentityMismatch {
-			reply.From = message.To // an identity that this disk has lost
+			reply.From = message.To // a former identity of this process, whose disk was lost
 		}
 		return reply
 	}
@@ -58,7 +59,7 @@
 	}
 	n.recordReply(message.To.Address, sent, &reply)
 	if reply.Refusal == IdentityMismatch {
-		reply.From = message.To // the one that was meant does not live there any more
+		reply.From = message.To // the replica with this identity is no longer at the address
 	}
 	return reply
 }
--- a/coordination/register/message.go
+++ b/coordination/register/message.go
@@ -1,74 +1,75 @@
 package register
 
-// Kind tells requests apart.
+// Kind is the kind of a request.
 type Kind uint8
 
 // Kinds of requests.
 const (
-	// Query asks for ballots, and for the accepted value if WantValue is set and it is newer than Known.
+	// Query asks for the ballots of a replica, and for its accepted value if WantValue is set and the value is newer than Known.
 	Query Kind = iota + 1
-	// Prepare asks for the promise to accept nothing below Ballot.
+	// Prepare asks for a promise to accept no ballot below Ballot.
 	Prepare
 	// Accept asks to accept Value under Ballot.
 	Accept
-	// Commit tells that the value accepted under Ballot is chosen.
+	// Commit announces that the value accepted under Ballot is chosen.
 	Commit
-	// FetchChosen asks for the newest value known to be chosen, if it is newer than Known. Whoever knows one answers, replica or not.
+	// FetchChosen asks for the newest value known to be chosen, if it is newer than Known. Any process that knows one returns
+	// it, whether it is a replica or not.
 	FetchChosen
 )
 
-// Refusal is the reason for a refusal.
+// Refusal is the reason why a request was refused.
 type Refusal uint8
 
-// Reasons.
+// Reasons for a refusal.
 const (
-	// NoRefusal is no refusal.
+	// NoRefusal means that the request was granted.
 	NoRefusal Refusal = iota
-	// Superseded says that a higher ballot was promised.
+	// Superseded means that a higher ballot was promised.
 	Superseded
-	// IdentityMismatch says that the message is meant for an identity that this process does not have.
+	// IdentityMismatch means that the request names an identity that the process does not have.
 	IdentityMismatch
-	// Busy says that too many requests wait for the disk.
+	// Busy means that another write is open, that too many requests wait for the disk, or that the wait was too long.
 	Busy
-	// DiskFull says that the disk has no room.
+	// DiskFull means that the disk has no space left.
 	DiskFull
-	// DiskFailed says that the disk failed.
+	// DiskFailed means that the disk returned another error.
 	DiskFailed
-	// Unreachable stands for an answer that did not come. It is made by drivers.
+	// Unreachable means that no reply arrived. Drivers create it.
 	Unreachable
 )
 
-// Request is what one process asks of another.
+// Request is a request from one process to another.
 type Request struct {
 	//lint:ignore U1000 msgpack reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Kind      Kind
-	To        string // identity that is meant; empty for Query and Learn means whoever is there
+	To        string // identity of the recipient; may be empty for Query and FetchChosen, which then address any process
 	From      Replica
 	Ballot    Ballot
-	Known     Ballot // the reply carries no value up to this ballot
+	Known     Ballot // the reply carries a value only if its ballot is above this one
 	WantValue bool
 	Value     *Value
 }
 
-// Reply answers a request.
+// Reply is the reply to a request.
 type Reply struct {
 	//lint:ignore U1000 msgpack reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Kind     Kind   // of the request
-	Ballot   Ballot // of the request
+	Kind     Kind   // kind of the request
+	Ballot   Ballot // ballot of the request
 	From     Replica
 	Refusal  Refusal
 	Promised Ballot
-	Accepted Ballot // ballot of the accepted value; for Learn, of the chosen one
+	Accepted Ballot // ballot of the accepted value; for FetchChosen, of the chosen value
 	Chosen   Ballot // highest ballot known to be chosen; zero if none
-	Revision uint64 // of the accepted value
-	Value    *Value // under Accepted
+	Revision uint64 // revision of the accepted value; for FetchChosen, of the chosen value
+	Value    *Value // value under the ballot Accepted; may be nil
 }
 
-// Message is a request on its way to a replica.
+// Message is a request with the replica that it is sent to.
 type Message struct {
 	To      Replica
 	Request Request
--- a/coordination/register/node.go
+++ b/coordination/register/node.go
@@ -11,34 +11,36 @@
 	"github.com/samber/lo"
 )
 
-// State is a chosen value, as the users of the register see it. It must not be changed.
+// State is a chosen value as users of the register see it. It must not be modified.
 type State struct {
-	Revision uint64 // grows by one with each write, also of the set; 0 is the state before the first
-	// DataRevision is the revision of the write that last changed Data; 0 if none did.
+	Revision uint64 // grows by one with each write, reconfigurations included; 0 before the first write
+	// DataRevision is the revision of the write that last changed Data, or 0 if there was none.
 	DataRevision uint64
 	Replicas     []Replica
 	Data         []byte
 }
 
-// Node is a process's share in the register: a replica, or a newcomer on its way to be one, and a proposer.
+// Node runs the register in one process. It is a proposer, and a replica or a process that tries to join as one. Its methods
+// are safe for concurrent use.
 type Node struct {
 	options       Options
 	disk          Disk
-	diskSlot      chan struct{} // holds a token while the disk is in use
-	operationSlot chan struct{} // holds a token while an own operation runs: a node does not compete with itself
+	diskSlot      chan struct{} // semaphore: holds a token while the disk is in use
+	operationSlot chan struct{} // semaphore: holds a token while a proposer runs, so that a node does not compete with itself
 	ballots       *BallotGenerator
-	wakeUp        chan struct{} // wakes the upkeep before its next tick
+	wakeUp        chan struct{} // wakes Run before its next tick
 
 	mu              sync.Mutex
-	acceptor        *Acceptor // nil until the disk has an identity
-	diskQueueLength int       // requests that wait for the disk
-	chosen          Accepted  // newest value known to be chosen; ballot zero if none
-	changed         chan struct{}
+	acceptor        *Acceptor        // nil while the disk has no identity
+	diskQueueLength int              // number of requests that wait for the disk
+	chosen          Accepted         // newest value known to be chosen; its ballot is zero if there is none
+	changed         chan struct{}    // closed and replaced when the known chosen revision grows
 	peers           map[string]*peer // by address
 	leaving         bool
 }
 
-// Open reads the disk. The node answers once it is mounted by Register, and takes part in the set while Run runs.
+// Open loads the state from the disk. The node replies to requests once Register has mounted it, and sends heartbeats and
+// reconfigures the set while Run runs.
 func Open(options Options) (*Node, error) {
 	options = options.withDefaults()
 	files, err := options.files()
@@ -48,7 +50,7 @@
 	disk := NewDisk(files)
 	acceptor, err := disk.Load(options.Address)
 	if err != nil {
-		return nil, eris.Wrap(err, "read the disk")
+		return nil, eris.Wrap(err, "load the replica from its disk")
 	}
 	n := &Node{
 		options:       options,
@@ -62,7 +64,7 @@
 		peers:         map[string]*peer{},
 	}
 	if acceptor == nil {
-		n.initializeDisk() // if it fails, Run tries again
+		n.initializeDisk() // Run retries if this fails
 	}
 	n.learnGenesis()
 	return n, nil
@@ -74,7 +76,7 @@
 	return binary.BigEndian.Uint64(bytes[:])
 }
 
-// initializeDisk gives an empty disk its identity and reports whether the disk has one now.
+// initializeDisk writes an identity to an empty disk. It reports whether the disk has an identity.
 func (n *Node) initializeDisk() bool {
 	if n.ID() != "" {
 		return true
@@ -97,7 +99,8 @@
 	return true
 }
 
-// FoundingSet is the same on all founders, whatever the order in which they were told of each other.
+// FoundingSet returns the initial replica set. It does not depend on the order of the addresses, so that all founders compute
+// the same set.
 func FoundingSet(addresses []string) []Replica {
 	ordered := slices.Sorted(slices.Values(lo.Uniq(addresses)))
 	return lo.Map(ordered, func(address string, _ int) Replica {
@@ -105,14 +108,14 @@
 	})
 }
 
-// learnGenesis learns the founders' first state, which is chosen by definition.
+// learnGenesis learns the initial value if this replica is a founder that still holds it. That value is chosen by definition.
 func (n *Node) learnGenesis() {
 	if known, _ := n.known(); known.Ballot == genesisBallot {
 		n.learnChosen(known)
 	}
 }
 
-// ID returns the identity of the disk, empty while it has none.
+// ID returns the identity of the disk, or an empty string while it has none.
 func (n *Node) ID() string { return n.self().ID }
 
 func (n *Node) self() Replica {
@@ -124,7 +127,7 @@
 	return n.acceptor.Self()
 }
 
-// Latest returns the newest state known to be chosen. It never goes back.
+// Latest returns the newest state known to be chosen. Its revision never decreases.
 func (n *Node) Latest() State {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -135,31 +138,32 @@
 	return State{Revision: value.Revision, DataRevision: value.DataRevision, Replicas: value.Replicas, Data: value.Data}
 }
 
-// Changed returns a channel that is closed when Latest moves on.
+// Changed returns a channel that is closed when Latest next returns a newer state.
 func (n *Node) Changed() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.changed
 }
 
-// learnChosen takes a value that is chosen.
+// learnChosen records a chosen value if it is newer than the known one, and notifies the users of Changed.
 func (n *Node) learnChosen(chosen Accepted) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.chosen.Ballot.Less(chosen.Ballot) {
 		return
 	}
-	moved := n.chosen.Value.Revision < chosen.Value.Revision || n.chosen.Ballot == (Ballot{})
+	advanced := n.chosen.Value.Revision < chosen.Value.Revision || n.chosen.Ballot == (Ballot{})
 	n.chosen = chosen
 	n.ballots.Observe(chosen.Ballot)
-	if moved {
+	if advanced {
 		n.wake()
 		close(n.changed)
 		n.changed = make(chan struct{})
 	}
 }
 
-// known returns the highest value that this process has, and the highest ballot that it knows to be chosen.
+// known returns the value with the highest ballot that this process has, accepted or chosen, and the highest ballot that it
+// knows to be chosen.
 func (n *Node) known() (Accepted, Ballot) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -170,8 +174,8 @@
 	return known, n.chosen.Ballot
 }
 
-// ReplicaSetInDoubt reports whether the own replica has accepted a value with other replicas than Latest has. The set may have changed
-// without this process knowing.
+// ReplicaSetInDoubt reports whether the local replica has accepted a value with another replica set than that of Latest. The
+// set may have changed without the knowledge of this process.
 func (n *Node) ReplicaSetInDoubt() bool {
 	known, chosen := n.known()
 	if known.Ballot == chosen {
@@ -180,7 +184,7 @@
 	return !slices.Equal(known.Value.Replicas, n.latestChosen().Value.Replicas)
 }
 
-// Formed reports whether the set has reached its wanted size.
+// Formed reports whether the replica set has reached its target size and no reconfiguration is in progress.
 func (n *Node) Formed() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -188,7 +192,7 @@
 	return len(value.Replicas) >= n.options.TargetReplicas && !value.Joint()
 }
 
-// WaitFormed waits until the set has reached its wanted size. If ctx is done before, it returns ErrNotFormed.
+// WaitFormed waits until Formed is true. If ctx is done first, it returns ErrNotFormed.
 func (n *Node) WaitFormed(ctx context.Context) error {
 	for {
 		changed := n.Changed()
--- a/coordination/register/operate.go
+++ b/coordination/register/operate.go
@@ -10,23 +10,24 @@
 )
 
 const (
-	// minBackoff is what a replica usually takes to write and answer.
+	// minBackoff is the time that a replica usually takes to write and reply.
 	minBackoff    = 15 * time.Millisecond
 	initialJitter = 20 * time.Millisecond
 	maxJitter     = 400 * time.Millisecond
-	// callTimeout is above the time-out of a round: a slow replica may still take what the others have decided.
+	// callTimeout is longer than the timeout of a round, so that a slow replica can still accept what the others have chosen.
 	callTimeout = 2 * time.Second
 	queryRounds = 2
-	// queryRetryDelay lets a write in flight arrive before a read completes it.
+	// queryRetryDelay is the mean delay between query rounds. A write in flight can finish meanwhile, so that the read need not
+	// complete it.
 	queryRetryDelay = 20 * time.Millisecond
-	// queryTimeout bounds a round of questions, which never waits for a disk.
+	// queryTimeout bounds a query round, which never waits for a disk.
 	queryTimeout = 300 * time.Millisecond
 )
 
-// Update changes the data by two quorum rounds. Change may be called again, also on data that holds its own earlier work,
-// and it must then recognise that; it must not write into the data. If it returns equal data, nothing is written. An error
-// of change is returned only after a linearizable read of the data that it was given. Other errors have ErrNoQuorum or
-// ErrInDoubt as root.
+// Update changes the data with two quorum rounds. It may call change more than once, also on data to which an earlier call was
+// already applied; change must detect that. It must not modify its argument. If it returns equal data, nothing is written.
+// Update returns an error of change only after a linearizable read of the data that change was given. The root of any other
+// error is ErrNoQuorum or ErrInDoubt.
 func (n *Node) Update(ctx context.Context, change func(data []byte) ([]byte, error)) (State, error) {
 	chosen, err := n.propose(ctx, func(value Value) (Value, error) {
 		data, err := change(value.Data)
@@ -34,13 +35,14 @@
 			return value, err
 		}
 		value.Data = data
-		value.Previous = nil // on a chosen value, any write may finish a change of the set
+		value.Previous = nil // any write on top of a chosen joint value may finish the reconfiguration
 		return value, nil
 	})
 	return stateOf(&chosen.Value), err
 }
 
-// Read returns the newest state by a quorum read. It completes what is in doubt.
+// Read returns the newest state by a quorum read. If the query rounds find no majority for one ballot, it proposes an unchanged
+// value, which completes a value in doubt.
 func (n *Node) Read(ctx context.Context) (State, error) {
 	for range queryRounds {
 		if chosen, done := n.queryRound(ctx); done {
@@ -83,13 +85,13 @@
 	}
 }
 
-// propose drives a Proposer until it ends or ctx is done.
+// propose drives a Proposer until it is done or ctx is done. Only one proposer of a node runs at a time.
 func (n *Node) propose(ctx context.Context, change Change) (Accepted, error) {
 	select {
 	case n.operationSlot <- struct{}{}:
 		defer func() { <-n.operationSlot }()
 	case <-ctx.Done():
-		return Accepted{}, eris.Wrap(ErrNoQuorum, "wait for an operation")
+		return Accepted{}, eris.Wrap(ErrNoQuorum, "wait for another operation of this node")
 	}
 	if err := n.awaitReplicaSet(ctx); err != nil {
 		return Accepted{}, err
@@ -105,26 +107,26 @@
 	return proposer.Result()
 }
 
-// drive reports whether the proposer came to its end.
+// drive runs the proposer and reports whether it finished before ctx was done.
 func (n *Node) drive(ctx context.Context, proposer *Proposer) bool {
 	replies := newExchange(n)
 	defer replies.close()
 	timer := time.NewTimer(n.options.RoundTimeout)
 	defer timer.Stop()
-	backoff := initialJitter
+	jitter := initialJitter
 	output := proposer.Start()
 	for {
 		changed := n.Changed()
 		if proposer.Learn(n.latestChosen()) {
-			output.Retry = true // others may have learnt it, too: not all at once
+			output.Retry = true // retry after a random backoff: other proposers may have learned it at the same time
 		}
 		replies.send(output.Messages, callTimeout)
 		if output.Done {
 			return true
 		}
 		if output.Retry {
-			timer.Reset(minBackoff + rand.N(backoff))
-			backoff = min(2*backoff, maxJitter)
+			timer.Reset(minBackoff + rand.N(jitter))
+			jitter = min(2*jitter, maxJitter)
 		}
 		select {
 		case reply := <-replies.replies:
@@ -144,7 +146,8 @@
 	}
 }
 
-// learnResult learns the result before the commits are sent, so that whoever asks after them is answered.
+// learnResult records the result before the commits are sent, so that the node can serve the value to replicas that fetch it
+// after their commit.
 func (n *Node) learnResult(proposer *Proposer, output Output) {
 	if output.Done {
 		result, _ := proposer.Result()
@@ -152,7 +155,7 @@
 	}
 }
 
-// sends reports whether a new phase sends out its requests.
+// sends reports whether the output has requests of a kind.
 func sends(output Output, kind Kind) bool {
 	for _, message := range output.Messages {
 		if message.Request.Kind == kind {
@@ -162,7 +165,7 @@
 	return false
 }
 
-// sleep reports whether it came to its end before ctx did.
+// sleep waits for a duration. It returns false if ctx was done first.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/coordination/register/options.go
+++ b/coordination/register/options.go
@@ -9,30 +9,32 @@
 	"weldscale/coordination/transport"
 )
 
-// Default time-outs.
+// Default intervals and timeouts.
 const (
-	// DefaultRoundTimeout is several times what two syncs of a slow disk take.
+	// DefaultRoundTimeout is several times the duration of two syncs of a slow disk.
 	DefaultRoundTimeout = 1200 * time.Millisecond
 	// DefaultHeartbeat keeps QuorumAge well below a second.
 	DefaultHeartbeat = 250 * time.Millisecond
-	// DefaultRemoveAfter is the silence after which a replica above the wanted number is removed.
+	// DefaultRemoveAfter is the time without a reply after which a replica is removed from a set above its target size.
 	DefaultRemoveAfter = 1200 * time.Millisecond
 )
 
-// Options configure a Node.
+// Options configures a Node. Zero values of all fields but the directory or files and the address select the defaults.
 type Options struct {
-	Directory string // of the disk
-	// Files are those of the disk, in place of a Directory; nil: the Directory is opened.
+	Directory string // directory of the disk
+	// Files are the files of the disk. If nil, Directory is opened.
 	Files   store.Files
-	Address string // own internal address, IP:PORT
-	// Founders are the internal addresses of the first replicas. They count only if Bootstrap is true and the disk is empty.
+	Address string // internal address of this process, IP:PORT
+	// Founders are the internal addresses of the initial replicas. They are used only if Bootstrap is true and the disk is
+	// empty; their number is also the default of TargetReplicas.
 	Founders  []string
 	Bootstrap bool
-	// TargetReplicas is the number of replicas wanted, 2f+1. Once reached, the set is never smaller.
+	// TargetReplicas is the target size of the replica set, 2f+1 to tolerate f failures. Once the set has reached it, it never
+	// shrinks below it.
 	TargetReplicas int
-	// MaxReplicas bounds the set while replacements join. The default is twice TargetReplicas.
+	// MaxReplicas limits the size of the set while replacements join. The default is twice TargetReplicas.
 	MaxReplicas int
-	Seeds       func() []string // internal addresses to look for others
+	Seeds       func() []string // internal addresses where other nodes may be found
 	Client      *transport.Client
 	Log         *zap.Logger
 
--- a/coordination/register/peers.go
+++ b/coordination/register/peers.go
@@ -13,26 +13,26 @@
 const (
 	heartbeatTimeout = 600 * time.Millisecond
 	fetchTimeout     = 1500 * time.Millisecond
-	// quorumLostAfter is how long a majority may be out of reach before others are asked, too: the set may have moved on without
-	// this node, to machines that it has never heard of.
+	// quorumLostAfter is the QuorumAge above which the node also sends heartbeats to seeds and to all known peers. The set may
+	// have been reconfigured without this node, to machines that it does not know.
 	quorumLostAfter = 600 * time.Millisecond
-	// failedCallsForSilence is the number of calls in a row without an answer that make a replica silent, however long they
-	// took: a process that was frozen finds all its calls timed out once.
+	// failedCallsForSilence is the number of consecutive failed calls after which a replica counts as silent. It does not
+	// depend on their duration, because a process that was frozen finds all its calls timed out once.
 	failedCallsForSilence = 3
 )
 
-// peer is what a node knows of the process at an address.
+// peer is the state that a node keeps about the process at an address.
 type peer struct {
-	id               string    // the identity that last answered there
-	lastAnswered     time.Time // when the last question that it answered was sent
-	accepted         Ballot
-	failedCalls      int       // calls in a row without an answer
-	failingSince     time.Time // when the first of them ended
-	heartbeatPending bool      // a heartbeat is under way
-	fetchPending     bool      // a fetch of the chosen value is under way
+	id               string    // identity in the last reply
+	lastAnswered     time.Time // when the latest request with a reply was sent
+	accepted         Ballot    // accepted ballot in the last reply that reported one
+	failedCalls      int       // consecutive calls without a reply
+	failingSince     time.Time // when the first of these calls ended
+	heartbeatPending bool      // a heartbeat is in flight
+	fetchPending     bool      // a fetch of the chosen value is in flight
 }
 
-// peerAt needs the lock.
+// peerAt returns the peer at an address and adds it if needed. The caller holds n.mu.
 func (n *Node) peerAt(address string) *peer {
 	p := n.peers[address]
 	if p == nil {
@@ -42,7 +42,7 @@
 	return p
 }
 
-// recordReply takes note of an answer.
+// recordReply records a reply, and fetches the chosen value if the peer knows a newer one.
 func (n *Node) recordReply(address string, sent time.Time, reply *Reply) {
 	n.ballots.Observe(reply.Promised)
 	n.mu.Lock()
@@ -61,7 +61,7 @@
 	}
 }
 
-// recordFailedCall takes note of a call without an answer.
+// recordFailedCall records a call without a reply.
 func (n *Node) recordFailedCall(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -72,7 +72,7 @@
 	p.failedCalls++
 }
 
-// recordRequester takes note of who asks.
+// recordRequester adds the sender of a request to the known peers.
 func (n *Node) recordRequester(from Replica) {
 	if from.Address == "" || from.Address == n.options.Address {
 		return
@@ -82,8 +82,8 @@
 	n.peerAt(from.Address)
 }
 
-// silentFor returns how long a replica has been silent, and zero if it isn't. One that this process has never heard is
-// silent from the first call that failed. It needs the lock.
+// silentFor returns how long a replica has been silent, or zero if it is not. A replica that never replied to this process
+// counts as silent from the first failed call. The caller holds n.mu.
 func (n *Node) silentFor(replica Replica, now time.Time) time.Duration {
 	if replica.Address == n.options.Address {
 		return 0
@@ -95,11 +95,11 @@
 	return max(1, now.Sub(p.failingSince))
 }
 
-// NoContact is the age of a contact that there never was in the life of this process.
+// NoContact is the age of a contact that this process never had.
 const NoContact = time.Duration(math.MaxInt64)
 
-// QuorumAge returns how long ago a majority of the set was last heard: the age of the question that its answers answered. It is
-// NeverHeard until a majority has answered this process.
+// QuorumAge returns the time since the last contact with a majority of the replica set, or of both sets of a joint value. A
+// contact counts from the time when its request was sent. QuorumAge returns NoContact until a majority has replied.
 func (n *Node) QuorumAge() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -121,7 +121,7 @@
 	}
 	ages := lo.Map(replicas, func(replica Replica, _ int) time.Duration { return n.contactAge(replica, now) })
 	slices.SortFunc(ages, cmp.Compare[time.Duration])
-	return ages[len(ages)/2] // the last one of the smallest majority
+	return ages[len(ages)/2] // the highest age in the most recent majority
 }
 
 func (n *Node) contactAge(replica Replica, now time.Time) time.Duration {
@@ -135,7 +135,8 @@
 	return now.Sub(p.lastAnswered)
 }
 
-// heartbeat asks everyone who matters for ballots, without waiting for the answers.
+// heartbeat sends a Query to the members, without waiting for the replies. If the node is not in the set or has lost its
+// quorum, heartbeat also queries the seeds and all known peers.
 func (n *Node) heartbeat() {
 	known, _ := n.known()
 	addresses := lo.Map(known.Value.Members(), func(r Replica, _ int) string { return r.Address })
@@ -150,7 +151,7 @@
 	}
 }
 
-// peerAddresses returns who asked this node. They may know a set, or a newer one.
+// peerAddresses returns the addresses of all known peers, which include the senders of requests. They may know a newer set.
 func (n *Node) peerAddresses() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -178,7 +179,7 @@
 	n.confirmByMajority()
 }
 
-// confirmByMajority learns that the own accepted value is chosen, if a majority has last told the same ballot.
+// confirmByMajority learns that the accepted value of the local replica is chosen, if a majority last reported the same ballot.
 func (n *Node) confirmByMajority() {
 	n.mu.Lock()
 	var accepted Accepted
@@ -194,7 +195,8 @@
 	}
 }
 
-// hasAccepted needs the lock.
+// hasAccepted reports whether the member with this identity last reported the ballot of the accepted value. The caller holds
+// n.mu.
 func (n *Node) hasAccepted(id string, accepted Accepted) bool {
 	for _, replica := range accepted.Value.Members() {
 		p := n.peers[replica.Address]
@@ -205,7 +207,8 @@
 	return false
 }
 
-// fetchChosen asks the process at an address for the value chosen under a ballot, unless it is being asked.
+// fetchChosen fetches the chosen value from the process at an address if this node lacks the value of the ballot and no fetch
+// from that address is in flight.
 func (n *Node) fetchChosen(ballot Ballot, address string) {
 	n.mu.Lock()
 	p := n.peerAt(address)
--- a/coordination/register/plan.go
+++ b/coordination/register/plan.go
@@ -8,18 +8,19 @@
 	"github.com/samber/lo"
 )
 
-// Planner plans changes of the set by what a process knows. It is pure.
+// Planner plans the reconfiguration of the replica set from what one process knows. It has no side effects.
 type Planner struct {
 	Self           Replica
-	TargetReplicas int // replicas wanted; once reached, the set is never smaller
-	MaxReplicas    int // bounds the set while replacements join
+	TargetReplicas int // target size; once the set has reached it, it never shrinks below it
+	MaxReplicas    int // limits the size of the set while replacements join
 	Leaving        bool
-	// SilentFor tells how long a replica has been silent, zero if it isn't.
+	// SilentFor returns how long a replica has been silent, or zero if it is not.
 	SilentFor   func(Replica) time.Duration
-	RemoveAfter time.Duration // the silence after which a replica above Target goes
+	RemoveAfter time.Duration // silence after which a replica is removed from a set above TargetReplicas
 }
 
-// Next returns the next step of the set from a chosen value. It returns the value as it is if there is nothing to do.
+// Next returns the value that takes the next step of the reconfiguration from a chosen value. It returns an equal value if no
+// step is needed.
 func (p Planner) Next(value Value) Value {
 	switch {
 	case value.Joint():
@@ -33,7 +34,7 @@
 	return p.change(value, p.join(value.Replicas))
 }
 
-// change makes the joint value that leads to another set.
+// change returns the joint value of the step to another set, or the value itself if the set stays.
 func (p Planner) change(value Value, next []Replica) Value {
 	if len(next) == 0 || slices.Equal(next, value.Replicas) {
 		return value
@@ -42,7 +43,7 @@
 	return value
 }
 
-// leave takes the own replica out if enough others stay.
+// leave removes the local replica if at least TargetReplicas others remain.
 func (p Planner) leave(replicas []Replica) []Replica {
 	next := lo.Reject(replicas, func(r Replica, _ int) bool { return r.ID == p.Self.ID })
 	if len(next) < p.TargetReplicas {
@@ -51,32 +52,32 @@
 	return next
 }
 
-// join adds the own replica. Another identity at its address is a disk that was lost, and goes. In a set that is large
-// enough, silent ones give way, the one silent for longest first.
+// join adds the local replica. It removes another identity at the same address, whose disk was lost. From a set above its
+// target size it also removes the replica that has been silent for longest.
 func (p Planner) join(replicas []Replica) []Replica {
 	next := lo.Reject(replicas, func(r Replica, _ int) bool { return r.Address == p.Self.Address })
 	next = append(next, p.Self)
 	next = p.dropSilent(next, 1)
 	if len(next) > p.MaxReplicas {
-		return replicas // there is no room until someone leaves
+		return replicas // no room until a replica leaves
 	}
 	return next
 }
 
-// removeSilent takes one out that has been silent for long, if enough others stay.
+// removeSilent removes one replica that has been silent for RemoveAfter, if the set is above its target size.
 func (p Planner) removeSilent(replicas []Replica) []Replica {
 	return p.dropSilent(replicas, p.RemoveAfter)
 }
 
-// dropSilent removes one replica that has been silent for a time, if the set is larger than wanted. One at a time is enough:
-// the next change removes the next.
-func (p Planner) dropSilent(replicas []Replica, least time.Duration) []Replica {
+// dropSilent removes the replica that has been silent for longest, if that is at least minSilence and the set is above its
+// target size. It removes one replica at a time: the next step removes the next one.
+func (p Planner) dropSilent(replicas []Replica, minSilence time.Duration) []Replica {
 	if len(replicas) <= p.TargetReplicas {
 		return replicas
 	}
-	longest := slices.MaxFunc(replicas, func(a, b Replica) int { return cmp.Compare(p.SilentFor(a), p.SilentFor(b)) })
-	if p.SilentFor(longest) < least {
+	longestSilent := slices.MaxFunc(replicas, func(a, b Replica) int { return cmp.Compare(p.SilentFor(a), p.SilentFor(b)) })
+	if p.SilentFor(longestSilent) < minSilence {
 		return replicas
 	}
-	return lo.Reject(replicas, func(r Replica, _ int) bool { return r.ID == longest.ID })
+	return lo.Reject(replicas, func(r Replica, _ int) bool { return r.ID == longestSilent.ID })
 }
--- a/coordination/register/proposer.go
+++ b/coordination/register/proposer.go
@@ -5,40 +5,41 @@
 	"slices"
 )
 
-// Change makes the next value from a chosen one. It may be called more than once in an operation, also on a value that
-// holds its own earlier work, if that was in doubt. Of its result Replicas, Previous and Data count. A result that is equal
-// in all three ends the operation with the value as it is, and so does an error, which the operation returns.
+// Change computes the next value from a chosen one. An operation may call it more than once, also on a value to which an earlier
+// call was already applied, if that proposal was in doubt. Only Replicas, Previous and Data of the result are used. If all
+// three are equal to those of the chosen value, the operation ends without a write. An error also ends the operation, which
+// returns it.
 type Change func(chosen Value) (Value, error)
 
-// Unchanged is the change of a read.
+// Unchanged is the Change of a read: it returns the chosen value.
 func Unchanged(chosen Value) (Value, error) { return chosen, nil }
 
-// Output is what a Proposer or Reader asks of its driver.
+// Output tells the driver of a Proposer or Reader what to do next.
 type Output struct {
 	Messages []Message
-	Retry    bool // call Proposer.Retry after a random back-off
-	Done     bool
+	Retry    bool // the driver calls Proposer.Retry after a random backoff
+	Done     bool // the operation has ended
 }
 
 type phase uint8
 
 const (
 	idle       phase = iota
-	preparing        // asking for promises
-	completing       // sending out again what others have left in doubt
-	accepting        // sending out the own proposal
+	preparing        // collecting promises
+	completing       // proposing the base again, because it is in doubt
+	accepting        // proposing the result of the change
 	ended
 )
 
-// Proposer brings one change to a chosen value, over as many ballots as it takes. It is pure.
+// Proposer applies one change to the chosen value, with as many ballots as needed. It is a pure state machine.
 type Proposer struct {
 	self    Replica
 	ballots *BallotGenerator
 	change  Change
 
-	base    Accepted // highest value known
+	base    Accepted // known value with the highest ballot
 	chosen  Ballot   // highest ballot known to be chosen
-	learned Accepted // a chosen value that came from elsewhere, for the next ballot
+	learned Accepted // chosen value from another source, to be used by the next ballot
 
 	phase     phase
 	ballot    Ballot
@@ -51,12 +52,12 @@
 	err      error
 }
 
-// doubtfulProposals is what became of own proposals that were sent out and given up. A proposal that no majority has accepted under
-// its ballot may still be completed by anyone under a later one. Only a value chosen above it puts an end to that.
+// doubtfulProposals records the proposals that this proposer sent and gave up. Another proposer may still complete such a proposal
+// under a later ballot, even if no majority accepted it under its own. Only a value chosen under a higher ballot rules that out.
 type doubtfulProposals struct {
-	origins        []Ballot // of the proposals; none: nothing is in doubt
-	highest        Ballot
-	lowestRevision uint64 // the lowest of theirs
+	origins        []Ballot // origins of the proposals; empty if none is in doubt
+	highest        Ballot   // highest ballot of the proposals
+	lowestRevision uint64   // lowest revision of the proposals
 }
 
 func (d *doubtfulProposals) add(proposal *Value) {
@@ -68,18 +69,19 @@
 	d.lowestRevision = min(d.lowestRevision, proposal.Revision)
 }
 
-// pending reports whether one of the proposals may be chosen after the chosen value.
+// pending reports whether one of the proposals may still be chosen on top of the chosen value.
 func (d *doubtfulProposals) pending(chosen *Accepted) bool {
 	return len(d.origins) > 0 && chosen.Ballot.Less(d.highest)
 }
 
-// ruledOut reports whether none of the proposals was or will be chosen. Above their revision, only the change can tell.
+// ruledOut reports whether none of the proposals was or can be chosen. If the chosen revision is above the lowest of theirs, one
+// of them may be part of the chosen value, which only the change can detect.
 func (d *doubtfulProposals) ruledOut(chosen *Accepted) bool {
 	return !d.pending(chosen) && chosen.Value.Revision <= d.lowestRevision
 }
 
-// NewProposer returns an operation. Known is the highest value that the driver has, with the set to begin with; chosen is
-// the highest ballot that the driver knows to be chosen.
+// NewProposer returns the proposer of one operation. Known is the value with the highest ballot that the driver has; its replica
+// set is asked first. Chosen is the highest ballot that the driver knows to be chosen.
 func NewProposer(self Replica, ballots *BallotGenerator, known Accepted, chosen Ballot, change Change) *Proposer {
 	ballots.Observe(known.Ballot)
 	return &Proposer{self: self, ballots: ballots, base: known, chosen: chosen, change: change}
@@ -88,7 +90,7 @@
 // Start begins the first ballot.
 func (p *Proposer) Start() Output { return p.prepare() }
 
-// Retry gives the current ballot up and begins another.
+// Retry abandons the current ballot and begins another.
 func (p *Proposer) Retry() Output {
 	if p.phase == ended {
 		return Output{Done: true}
@@ -97,24 +99,24 @@
 	return p.prepare()
 }
 
-// Learn takes a chosen value that came from elsewhere. It reports whether the current ballot is in vain, so that the driver
-// had better call Retry: a higher one was chosen, or the set has moved on.
+// Learn takes a chosen value from another source. It reports whether the driver should call Retry because the current ballot is
+// obsolete: the chosen value has a higher ballot or other members.
 func (p *Proposer) Learn(chosen Accepted) bool {
 	if p.phase == ended || !p.base.Ballot.Less(chosen.Ballot) || !p.learned.Ballot.Less(chosen.Ballot) {
 		return false
 	}
 	p.ballots.Observe(chosen.Ballot)
-	p.learned = chosen // not the base of a ballot that may be below it
+	p.learned = chosen // not yet the base: the current ballot may be below it
 	return p.ballot.Less(chosen.Ballot) || !slices.Equal(p.base.Value.Members(), chosen.Value.Members())
 }
 
-// InDoubt reports whether an own proposal may yet be chosen without this operation knowing.
+// InDoubt reports whether a proposal of this operation may be chosen without the operation knowing it.
 func (p *Proposer) InDoubt() bool { return len(p.doubtful.origins) > 0 || p.phase == accepting }
 
-// Result returns the end of an operation that is done: the chosen value, and the error of the change if it gave one.
+// Result returns the outcome of a finished operation: the chosen value, and the error of the change if there was one.
 func (p *Proposer) Result() (Accepted, error) { return p.result, p.err }
 
-// Deliver takes a reply. Replies to earlier ballots and doubles are ignored.
+// Deliver handles a reply. It ignores duplicates and replies to earlier ballots or phases.
 func (p *Proposer) Deliver(reply Reply) Output {
 	p.ballots.Observe(reply.Promised)
 	if reply.Ballot != p.ballot || !p.expects(reply.Kind) || !p.requested[reply.From.ID] {
@@ -154,7 +156,7 @@
 	return Output{Messages: p.messagesTo(Request{Kind: Prepare, Known: p.base.Ballot}, p.base.Value.Members())}
 }
 
-// messagesTo addresses a request to those who have not had it in this phase.
+// messagesTo returns a request for each of the replicas that has not had one in this phase.
 func (p *Proposer) messagesTo(request Request, replicas []Replica) []Message {
 	var messages []Message
 	for _, replica := range replicas {
@@ -178,7 +180,7 @@
 	if reply.Value != nil && p.base.Ballot.Less(reply.Accepted) {
 		p.base = Accepted{Ballot: reply.Accepted, Value: *reply.Value}
 	}
-	// A newer value may have another set: its members have to promise, too.
+	// A newer value may have another set, whose members have to promise as well.
 	messages := p.messagesTo(Request{Kind: Prepare, Known: p.base.Ballot}, p.base.Value.Members())
 	if !p.base.Value.Quorum(p.hasAgreed) {
 		return Output{Messages: messages}
@@ -193,13 +195,13 @@
 	return answered && answer.Refusal == NoRefusal
 }
 
-// onRefusal asks for another ballot if a higher one was met, or if no majority is left. The back-off before it leaves those
-// who have not answered some time: if they make a majority, this ballot goes on.
+// onRefusal requests a retry if a higher ballot was promised or if the refusals leave no majority. During the backoff before the
+// retry, more replies may arrive and complete a majority, and the ballot then continues.
 func (p *Proposer) onRefusal(reply Reply, value *Value) Output {
 	return Output{Retry: reply.Refusal == Superseded || p.quorumImpossible(value)}
 }
 
-// quorumImpossible reports whether the refusals leave no majority.
+// quorumImpossible reports whether the replicas that have not refused are no majority.
 func (p *Proposer) quorumImpossible(value *Value) bool {
 	return !value.Quorum(func(id string) bool {
 		answer, answered := p.replies[id]
@@ -207,7 +209,7 @@
 	})
 }
 
-// propose decides what to send out, now that a majority of the set of the base has promised.
+// propose continues after a majority of the set of the base has promised: it completes a base in doubt or applies the change.
 func (p *Proposer) propose() Output {
 	if !p.baseIsChosen() {
 		return p.complete()
@@ -215,9 +217,9 @@
 	return p.onChosen(true)
 }
 
-// baseIsChosen reports whether a majority holds the base under its ballot, or whether someone knows it to be chosen.
+// baseIsChosen reports whether a majority has accepted the base under its ballot, or whether it is already known to be chosen.
 func (p *Proposer) baseIsChosen() bool {
-	if p.chosen == p.base.Ballot { // a higher one would say nothing of the base
+	if p.chosen == p.base.Ballot { // a higher chosen ballot does not imply that the base is chosen
 		return true
 	}
 	return p.base.Value.Quorum(func(id string) bool {
@@ -226,23 +228,24 @@
 	})
 }
 
-// onChosen goes on from a base that is chosen: with the change, if there is a promise to use for it, else with a ballot.
+// onChosen continues from a base that is chosen. If there are promises that the change can use, it proposes the changed value,
+// else it begins a new ballot.
 func (p *Proposer) onChosen(promised bool) Output {
 	if slices.Contains(p.doubtful.origins, p.base.Value.Origin) {
-		return p.finish(p.base, nil) // the own proposal was chosen after all
+		return p.finish(p.base, nil) // a proposal of this operation that was in doubt has been chosen
 	}
 	if p.doubtful.ruledOut(&p.base) {
 		p.doubtful = doubtfulProposals{}
 	}
 	next, err := p.change(p.base.Value)
-	nothing := err != nil || sameContent(&next, &p.base.Value)
+	unchanged := err != nil || sameContent(&next, &p.base.Value)
 	switch {
-	case nothing && !p.doubtful.pending(&p.base):
+	case unchanged && !p.doubtful.pending(&p.base):
 		return p.finish(p.base, err)
 	case !promised:
 		return p.prepare()
-	case nothing:
-		return p.complete() // chosen anew above the proposals in doubt, the base puts an end to them
+	case unchanged:
+		return p.complete() // choosing the base again, under a higher ballot, rules out the proposals in doubt
 	}
 	next.Revision = p.base.Value.Revision + 1
 	next.DataRevision = p.base.Value.DataRevision
@@ -258,7 +261,7 @@
 	return bytes.Equal(a.Data, b.Data) && slices.Equal(a.Replicas, b.Replicas) && slices.Equal(a.Previous, b.Previous)
 }
 
-// complete sends the base out again under the own ballot.
+// complete proposes the base again under the current ballot.
 func (p *Proposer) complete() Output {
 	p.proposal = p.base.Value
 	return p.accept(completing)
@@ -276,11 +279,11 @@
 	if !p.proposal.Quorum(p.hasAgreed) {
 		return Output{}
 	}
-	former := p.base.Value.Members()
+	previousMembers := p.base.Value.Members()
 	p.base = Accepted{Ballot: p.ballot, Value: p.proposal}
 	p.chosen = p.ballot
 	var output Output
-	commits := p.commit(former)
+	commits := p.commit(previousMembers)
 	if p.phase == accepting {
 		output = p.finish(p.base, nil)
 	} else {
@@ -290,12 +293,12 @@
 	return output
 }
 
-// commit tells the members of the chosen value, and those that are no longer among them.
-func (p *Proposer) commit(former []Replica) []Message {
+// commit returns the commits to the members of the chosen value and to the members of the previous one.
+func (p *Proposer) commit(previousMembers []Replica) []Message {
 	p.requested = map[string]bool{}
 	request := Request{Kind: Commit}
 	messages := p.messagesTo(request, p.base.Value.Members())
-	return append(messages, p.messagesTo(request, former)...)
+	return append(messages, p.messagesTo(request, previousMembers)...)
 }
 
 func (p *Proposer) finish(result Accepted, err error) Output {
@@ -305,7 +308,7 @@
 	return Output{Done: true}
 }
 
-// recordDoubt remembers an own proposal that is given up while it may yet be chosen.
+// recordDoubt records the current proposal if it is abandoned while it may still be chosen.
 func (p *Proposer) recordDoubt() {
 	if p.phase == accepting {
 		p.doubtful.add(&p.proposal)
--- a/coordination/register/reader.go
+++ b/coordination/register/reader.go
@@ -1,8 +1,8 @@
 package register
 
-// Reader asks a majority which ballot it has accepted. If it is the same one, its value is chosen, and no write is needed.
-// It is pure. Its driver hands it replies to the messages of this read only: a reply to an earlier read may be older than a
-// write that has ended since.
+// Reader queries the accepted ballots of the members. If a majority has accepted the same ballot, its value is chosen and the read
+// needs no write. Reader is a pure state machine. Its driver must deliver replies to the messages of this read only: a reply
+// to an earlier read may predate a write that has finished meanwhile, and would make the read stale.
 type Reader struct {
 	self           Replica
 	known          Accepted
@@ -11,15 +11,15 @@
 	replies        map[string]Reply
 }
 
-// NewReader returns a read. Known is the highest value that the driver has.
+// NewReader returns the reader of one read. Known is the value with the highest ballot that the driver has.
 func NewReader(self Replica, known Accepted) *Reader {
 	return &Reader{self: self, known: known, requested: map[string]bool{}, valueRequested: map[string]bool{}, replies: map[string]Reply{}}
 }
 
-// Start asks the known set.
+// Start queries the members of the known value.
 func (r *Reader) Start() Output { return Output{Messages: r.queries()} }
 
-// Deliver takes a reply to a message of this read.
+// Deliver handles a reply to a message of this read.
 func (r *Reader) Deliver(reply Reply) Output {
 	if reply.Kind != Query || reply.Refusal != NoRefusal || !r.requested[reply.From.ID] {
 		return Output{}
@@ -38,7 +38,7 @@
 	return Output{Messages: messages, Done: r.Done()}
 }
 
-// Done reports whether a majority holds the known value, which is then chosen.
+// Done reports whether a majority has accepted the known value, which is then chosen.
 func (r *Reader) Done() bool {
 	return r.known.Value.Quorum(func(id string) bool {
 		answer, answered := r.replies[id]
@@ -46,7 +46,7 @@
 	})
 }
 
-// Known returns the highest value seen. It is chosen if Done.
+// Known returns the value with the highest ballot so far. It is chosen if Done returns true.
 func (r *Reader) Known() Accepted { return r.known }
 
 func (r *Reader) queries() []Message {
--- a/coordination/register/serve.go
+++ b/coordination/register/serve.go
@@ -7,13 +7,13 @@
 	"weldscale/coordination/transport"
 )
 
-// PathMessage is the path of all calls between nodes.
+// PathMessage is the HTTP path of all calls between nodes.
 const PathMessage = "/internal/register/message"
 
-// maxDiskQueue bounds the requests that wait for the disk, so that a hung one costs no memory.
+// maxDiskQueue limits the number of requests that wait for the disk, so that a hung disk does not exhaust memory.
 const maxDiskQueue = 16
 
-// Register mounts the calls of other nodes.
+// Register mounts the handler for the calls of other nodes.
 func (n *Node) Register(mux *http.ServeMux) {
 	mux.Handle(PathMessage, transport.Handle(n.serve))
 }
@@ -23,7 +23,7 @@
 	return &reply, nil
 }
 
-// handle takes a request of another node or of an own operation. It never waits for the disk on a Query or Learn.
+// handle serves a request from another node or from an operation of this node. Only Prepare and Accept wait for the disk.
 func (n *Node) handle(ctx context.Context, request Request) Reply {
 	n.recordRequester(request.From)
 	switch request.Kind {
@@ -48,7 +48,7 @@
 	return reply
 }
 
-// newReply needs the lock.
+// newReply returns a reply without ballots of the acceptor. The caller holds n.mu.
 func (n *Node) newReply(request Request, refusal Refusal) Reply {
 	reply := Reply{Kind: request.Kind, Ballot: request.Ballot, Refusal: refusal, Chosen: n.chosen.Ballot}
 	reply.From.Address = n.options.Address
@@ -58,7 +58,7 @@
 	return reply
 }
 
-// handleWrite takes a request that may need the disk. The disk has one user at a time.
+// handleWrite serves a Prepare or Accept, which may need the disk. It holds the disk slot meanwhile.
 func (n *Node) handleWrite(ctx context.Context, request Request) Reply {
 	if refusal := n.acquireDisk(ctx); refusal != NoRefusal {
 		n.mu.Lock()
@@ -73,7 +73,7 @@
 	return n.persist(step)
 }
 
-// persist makes the write of a step durable. The caller has the disk.
+// persist makes the write of a step durable and returns the reply. The caller holds the disk slot.
 func (n *Node) persist(step Step) Reply {
 	refusal := n.disk.Write(step.Write)
 	n.mu.Lock()
@@ -112,8 +112,9 @@
 	}
 }
 
-// Close lets the write that is under way end, and no other begins: the process, or a successor on the same disk, may go on without
-// this node. It waits until ctx is done at most, since a disk may hang.
+// Close waits for the write in progress and prevents later ones, so that the disk can be used without this node, for example by a
+// successor. It stops waiting when ctx is done,
+// because a disk may hang; later writes are then not prevented.
 func (n *Node) Close(ctx context.Context) {
 	select {
 	case n.diskSlot <- struct{}{}:
@@ -137,7 +138,7 @@
 	n.diskQueueLength--
 }
 
-// handleCommit learns what is chosen: from the own acceptor if it holds that ballot, else from the proposer.
+// handleCommit learns the chosen value, from the local acceptor if it holds the ballot, else by a fetch from the proposer.
 func (n *Node) handleCommit(request Request) Reply {
 	if !n.confirmChosen(request.Ballot) {
 		n.fetchChosen(request.Ballot, request.From.Address)
@@ -147,7 +148,8 @@
 	return n.newReply(request, NoRefusal)
 }
 
-// confirmChosen learns that a ballot is chosen, if the own acceptor holds its value. It reports whether there is nothing to fetch.
+// confirmChosen learns that a ballot is chosen if the local acceptor holds its value. It returns false if the value has to be
+// fetched.
 func (n *Node) confirmChosen(ballot Ballot) bool {
 	n.mu.Lock()
 	known := !n.chosen.Ballot.Less(ballot)
@@ -166,7 +168,7 @@
 	return true
 }
 
-// handleFetch answers a Learn.
+// handleFetch serves a FetchChosen.
 func (n *Node) handleFetch(request Request) Reply {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/coordination/register/upkeep.go
+++ b/coordination/register/upkeep.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// upkeepInterval is the pace of what is urgent: a disk without an identity, a newcomer, a change of the set.
+	// upkeepInterval is the tick of Run while the disk has no identity, the node joins or the set is reconfigured.
 	upkeepInterval = 50 * time.Millisecond
-	// joinProbeTimeout is how long a newcomer waits to hear of every member, to know which of them can give way.
+	// joinProbeTimeout is how long a joining node waits for replies of all members, to know which of them can be replaced.
 	joinProbeTimeout = 500 * time.Millisecond
-	// rankDelay spreads what any member may do, so that usually the first one alone does it.
+	// rankDelay staggers actions that any member may take by the rank of the member, so that usually only the first one acts.
 	rankDelay = 400 * time.Millisecond
-	// doubtTimeout is how long a value may stay in doubt before it is completed unasked.
+	// doubtTimeout is how long a value may stay in doubt before a node completes it without a client request.
 	doubtTimeout  = time.Second
 	upkeepTimeout = 3 * time.Second
 )
 
-// Run keeps the node in touch and in the set until ctx is done.
+// Run sends heartbeats, keeps the node in the replica set and writes missed values to its disk until ctx is done.
 func (n *Node) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	var lastBeat time.Time
+	var lastHeartbeat time.Time
 	var upkeep upkeep
-	var keeping diskCatchUp
+	var catchUp diskCatchUp
 	for {
 		select {
 		case <-timer.C:
@@ -34,20 +34,20 @@
 		case <-ctx.Done():
 			return
 		}
-		if time.Since(lastBeat) >= n.heartbeatInterval() {
-			lastBeat = time.Now()
+		if time.Since(lastHeartbeat) >= n.heartbeatInterval() {
+			lastHeartbeat = time.Now()
 			n.heartbeat()
 		}
 		if n.initializeDisk() {
 			n.learnGenesis()
 			upkeep.tick(ctx, n)
-			keeping.tick(ctx, n, time.Now())
+			catchUp.tick(ctx, n, time.Now())
 		}
 		timer.Reset(n.nextDelay())
 	}
 }
 
-// nextDelay is slow while all is settled: each wake-up costs.
+// nextDelay returns the time until the next tick. It is long while there is nothing to do, because wake-ups cost CPU time.
 func (n *Node) nextDelay() time.Duration {
 	known, chosen := n.known()
 	if known.Ballot == chosen && n.inSetOrStandby(&known.Value) && !known.Value.Joint() {
@@ -56,7 +56,7 @@
 	return upkeepInterval
 }
 
-// heartbeatInterval is short while the node is on its way into the set.
+// heartbeatInterval returns the time between heartbeats. It is short while the node joins the set.
 func (n *Node) heartbeatInterval() time.Duration {
 	if known, _ := n.known(); n.inSetOrStandby(&known.Value) {
 		return n.options.Heartbeat
@@ -64,13 +64,13 @@
 	return 2 * upkeepInterval
 }
 
-// inSetOrStandby reports whether the node is in the set, or on standby for one that has no room.
+// inSetOrStandby reports whether the node is in the set, or on standby because the set has no room.
 func (n *Node) inSetOrStandby(value *Value) bool {
 	return value.HasReplica(n.ID()) || len(value.Replicas) >= n.options.MaxReplicas
 }
 
-// Leave takes the own replica out of the set, if enough others stay: for a process that is stopped for good while its
-// successor is already there. It does nothing otherwise.
+// Leave removes the local replica from the set if at least TargetReplicas others remain, and does nothing otherwise. It is meant
+// for a process that stops for good after its successor has joined.
 func (n *Node) Leave(ctx context.Context) error {
 	n.mu.Lock()
 	n.leaving = true
@@ -118,16 +118,16 @@
 	}
 }
 
-// upkeep is the state of the steps that Run takes beside the heartbeat.
+// upkeep is the state of the reconfigurations and completions that Run starts. Only the goroutine of Run uses it.
 type upkeep struct {
 	proposal    backgroundTask
-	jointOrigin Ballot // joint value that was seen last
+	jointOrigin Ballot // origin of the last observed joint value
 	jointSince  time.Time
 	doubtSince  time.Time
-	probeSince  time.Time // when the node, not in the set, first knew it
+	probeSince  time.Time // when the node, outside of the set, first knew the set
 }
 
-// tick starts what is due, in the background: the heartbeat must not wait for it.
+// tick starts the proposal that is due. It runs in the background because the heartbeat must not wait for it.
 func (u *upkeep) tick(ctx context.Context, n *Node) {
 	if u.proposal.busy() {
 		return
@@ -142,7 +142,7 @@
 	})
 }
 
-// proposeUpkeep proposes a change of the set, or completes one that is in doubt.
+// proposeUpkeep proposes a reconfiguration, or completes a value in doubt.
 func (n *Node) proposeUpkeep(ctx context.Context, change Change) {
 	ctx, cancel := context.WithTimeout(ctx, upkeepTimeout)
 	defer cancel()
@@ -154,7 +154,7 @@
 		zap.Int("replicas", len(chosen.Value.Replicas)), zap.Bool("joint", chosen.Value.Joint()))
 }
 
-// dueChange returns the change to make now, nil if there is none.
+// dueChange returns the change to propose now, or nil if there is none.
 func (u *upkeep) dueChange(n *Node, now time.Time) Change {
 	chosen := n.latestChosen().Value
 	if len(chosen.Replicas) == 0 {
@@ -170,15 +170,15 @@
 	return func(value Value) (Value, error) { return plan.Next(value), nil }
 }
 
-// mayChange holds a change back: a joint set is finished by whoever made it, unless it takes too long; a newcomer hears of
-// every member first.
+// mayChange reports whether a reconfiguration may be proposed now. A joint set is finished by its proposer unless that takes too
+// long, and a joining node first waits for replies of all members.
 func (u *upkeep) mayChange(n *Node, chosen *Value, now time.Time) bool {
 	if chosen.Joint() {
 		if u.jointOrigin != chosen.Origin {
 			u.jointOrigin, u.jointSince = chosen.Origin, now
 		}
-		mine := chosen.Origin.Proposer == n.ballots.proposer
-		return mine || now.Sub(u.jointSince) >= rankDelay*time.Duration(1+rank(chosen, n))
+		ownProposal := chosen.Origin.Proposer == n.ballots.proposer
+		return ownProposal || now.Sub(u.jointSince) >= rankDelay*time.Duration(1+rank(chosen, n))
 	}
 	if chosen.HasReplica(n.ID()) {
 		u.probeSince = time.Time{}
@@ -190,7 +190,8 @@
 	return now.Sub(u.probeSince) >= joinProbeTimeout || n.contactedAll(chosen, u.probeSince)
 }
 
-// dueCompletion completes what stays in doubt, or learns the set's state after a start. It returns nil if nothing does.
+// dueCompletion returns the change that completes a value that stays in doubt, or that learns the chosen value after a start. It
+// returns nil if none is due.
 func (u *upkeep) dueCompletion(n *Node, now time.Time) Change {
 	if known, chosen := n.known(); len(known.Value.Replicas) == 0 || known.Ballot == chosen && !n.peerAhead(chosen) {
 		u.doubtSince = time.Time{}
@@ -207,7 +208,7 @@
 	return Unchanged
 }
 
-// peerAhead reports whether a replica told of an accepted ballot above the chosen one.
+// peerAhead reports whether a peer has reported an accepted ballot above the chosen one.
 func (n *Node) peerAhead(chosen Ballot) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -219,7 +220,7 @@
 	return false
 }
 
-// contactedAll reports whether every member at another address has answered since a moment.
+// contactedAll reports whether every member at another address has replied to a request sent since the given time.
 func (n *Node) contactedAll(value *Value, since time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -234,25 +235,25 @@
 	return true
 }
 
-// rank is the node's place among the members that are not silent.
+// rank returns the position of the node among the members that are not silent.
 func rank(value *Value, n *Node) int {
 	self := n.ID()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	place := 0
+	position := 0
 	for _, replica := range value.Replicas {
 		if replica.ID == self {
 			break
 		}
 		if n.silentFor(replica, now) == 0 {
-			place++
+			position++
 		}
 	}
-	return place
+	return position
 }
 
-// awaitReplicaSet waits until the node knows whom to ask.
+// awaitReplicaSet waits until the node knows a replica set. If ctx is done first, it returns ErrNoQuorum.
 func (n *Node) awaitReplicaSet(ctx context.Context) error {
 	for {
 		changed := n.Changed()
@@ -262,7 +263,7 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return eris.Wrap(ErrNoQuorum, "no set known")
+			return eris.Wrap(ErrNoQuorum, "no replica set known")
 		}
 	}
 }
