--- a/coordination/register/acceptor_test.go
+++ b/coordination/register/acceptor_test.go
@@ -17,15 +17,15 @@
 	return Request{Kind: Accept, To: self.ID, Ballot: ballot(round), Value: value}
 }
 
-// finish begins a request that needs a write and says that the write is durable.
-func finish(t *testing.T, a *Acceptor, request Request) Reply {
+// beginAndFinish begins a request that needs a write and says that the write is durable.
+func beginAndFinish(t *testing.T, a *Acceptor, request Request) Reply {
 	t.Helper()
 	step := a.Begin(request)
 	require.NotNil(t, step.Write)
 	return a.Finish(step)
 }
 
-func TestAcceptorAnswersAfterItsWrite(t *testing.T) {
+func TestAcceptorRepliesOnlyAfterItsWrite(t *testing.T) {
 	a := NewAcceptor(self, Ballot{}, Accepted{})
 	step := a.Begin(prepare(5))
 	require.Equal(t, ballot(5), *step.Write.Promised)
@@ -47,38 +47,38 @@
 
 func TestAcceptorKeepsItsPromise(t *testing.T) {
 	a := NewAcceptor(self, Ballot{}, Accepted{})
-	finish(t, a, prepare(5))
+	beginAndFinish(t, a, prepare(5))
 	for _, request := range []Request{prepare(4), accept(4, "x")} {
 		step := a.Begin(request)
 		require.Nil(t, step.Write)
 		require.Equal(t, Superseded, step.Reply.Refusal)
 		require.Equal(t, ballot(5), step.Reply.Promised)
 	}
-	finish(t, a, accept(6, "six"))
+	beginAndFinish(t, a, accept(6, "six"))
 	require.Equal(t, Superseded, a.Begin(prepare(5)).Reply.Refusal, "accepting implies the promise")
 }
 
-func TestAcceptorRepeatsAnAnswerWithoutAWrite(t *testing.T) {
+func TestAcceptorRepeatsAReplyWithoutAWrite(t *testing.T) {
 	a := NewAcceptor(self, Ballot{}, Accepted{})
-	first := finish(t, a, prepare(5))
+	first := beginAndFinish(t, a, prepare(5))
 	again := a.Begin(prepare(5))
 	require.Nil(t, again.Write)
 	require.Equal(t, first, again.Reply)
-	first = finish(t, a, accept(5, "five"))
+	first = beginAndFinish(t, a, accept(5, "five"))
 	again = a.Begin(accept(5, "five"))
 	require.Nil(t, again.Write)
 	require.Equal(t, first, again.Reply)
 }
 
-func TestAcceptorThatCannotWriteHasChangedNothing(t *testing.T) {
+func TestAcceptorKeepsItsStateWhenAWriteFails(t *testing.T) {
 	a := NewAcceptor(self, Ballot{}, Accepted{})
 	reply := a.Abandon(a.Begin(prepare(5)), DiskFull)
 	require.Equal(t, DiskFull, reply.Refusal)
 	require.Equal(t, Ballot{}, reply.Promised)
-	finish(t, a, prepare(3))
+	beginAndFinish(t, a, prepare(3))
 }
 
-func TestAcceptorWritesAValueInDoubtBeforeItPromises(t *testing.T) {
+func TestAcceptorRewritesAnUnconfirmedValueBeforeAPromise(t *testing.T) {
 	a := NewAcceptor(self, Ballot{}, Accepted{})
 	reply := a.Abandon(a.Begin(accept(5, "five")), DiskFailed)
 	require.Equal(t, Ballot{}, reply.Accepted, "it may not be on the disk")
@@ -86,20 +86,20 @@
 	require.Equal(t, ballot(5), step.Write.Accepted.Ballot, "it may be on the disk")
 	require.Equal(t, ballot(6), *step.Write.Promised)
 	require.Equal(t, Ballot{}, a.Abandon(step, DiskFailed).Accepted)
-	reply = finish(t, a, prepare(7))
+	reply = beginAndFinish(t, a, prepare(7))
 	require.Equal(t, "five", string(reply.Value.Data))
 	require.Equal(t, ballot(7), reply.Promised)
 	require.Nil(t, a.Begin(prepare(8)).Write.Accepted, "it is in doubt no longer")
 }
 
-func TestAcceptorForgetsAValueInDoubtWithANewerOne(t *testing.T) {
+func TestAcceptorDropsAnUnconfirmedValueAfterANewerAccept(t *testing.T) {
 	a := NewAcceptor(self, Ballot{}, Accepted{})
 	a.Abandon(a.Begin(accept(5, "five")), DiskFailed)
-	finish(t, a, accept(6, "six"))
+	beginAndFinish(t, a, accept(6, "six"))
 	require.Nil(t, a.Begin(prepare(7)).Write.Accepted)
 }
 
-func TestAcceptorAnswersForItsIdentityOnly(t *testing.T) {
+func TestAcceptorRefusesRequestsForOtherIdentities(t *testing.T) {
 	a := NewAcceptor(self, Ballot{}, Accepted{})
 	for _, request := range []Request{prepare(5), accept(5, "x"), {Kind: Query}} {
 		request.To = "someone else"
@@ -111,7 +111,7 @@
 	require.Equal(t, NoRefusal, a.Begin(Request{Kind: Query}).Reply.Refusal)
 }
 
-func TestAcceptorSendsItsValueOnlyToWhoLacksIt(t *testing.T) {
+func TestAcceptorSendsItsValueOnlyAboveTheKnownBallot(t *testing.T) {
 	a := NewAcceptor(self, ballot(2), Accepted{Ballot: ballot(4), Value: Value{Data: []byte("four")}})
 	require.Equal(t, ballot(4), a.Begin(Request{Kind: Query}).Reply.Promised)
 	require.Nil(t, a.Begin(Request{Kind: Query}).Reply.Value)
@@ -119,13 +119,13 @@
 	require.Nil(t, a.Begin(Request{Kind: Query, WantValue: true, Known: ballot(4)}).Reply.Value)
 	knows := prepare(5)
 	knows.Known = ballot(4)
-	require.Nil(t, finish(t, a, knows).Value)
-	require.Equal(t, "four", string(finish(t, a, prepare(6)).Value.Data))
+	require.Nil(t, beginAndFinish(t, a, knows).Value)
+	require.Equal(t, "four", string(beginAndFinish(t, a, prepare(6)).Value.Data))
 }
 
-func TestAcceptorLearnsWhatIsChosenAndKeepsItsPromise(t *testing.T) {
+func TestAcceptorLearnsAChosenValueAndKeepsItsPromise(t *testing.T) {
 	a := NewAcceptor(self, Ballot{}, Accepted{})
-	finish(t, a, prepare(9))
+	beginAndFinish(t, a, prepare(9))
 	chosen := Accepted{Ballot: ballot(5), Value: Value{Revision: 5, Data: []byte("five")}}
 	step := a.Learn(chosen)
 	require.Equal(t, chosen, *step.Write.Accepted)
@@ -134,14 +134,14 @@
 	require.Equal(t, chosen, a.Accepted())
 	require.Equal(t, Superseded, a.Begin(accept(8, "x")).Reply.Refusal, "the promise stands")
 	require.Nil(t, a.Learn(chosen).Write)
-	require.Equal(t, ballot(5), finish(t, a, prepare(10)).Accepted, "a proposer is told of it")
+	require.Equal(t, ballot(5), beginAndFinish(t, a, prepare(10)).Accepted, "a proposer is told of it")
 
 	behind := NewAcceptor(self, Ballot{}, Accepted{})
 	behind.Finish(behind.Learn(chosen))
 	require.Equal(t, Superseded, behind.Begin(prepare(4)).Reply.Refusal, "what is held implies the promise")
 }
 
-func TestAValueThatCouldNotBeLearntIsWrittenBeforeAPromise(t *testing.T) {
+func TestAcceptorRewritesAnUnconfirmedLearnedValueBeforeAPromise(t *testing.T) {
 	a := NewAcceptor(self, Ballot{}, Accepted{})
 	chosen := Accepted{Ballot: ballot(5), Value: Value{Revision: 5, Data: []byte("five")}}
 	a.Abandon(a.Learn(chosen), DiskFailed)
--- a/coordination/register/background_test.go
+++ b/coordination/register/background_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestABackgroundIsBusyUntilItsStepEnds(t *testing.T) {
+func TestBackgroundTaskIsBusyUntilItReturns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var steps backgroundTask
 		require.False(t, steps.busy())
--- a/coordination/register/exhaustive_test.go
+++ b/coordination/register/exhaustive_test.go
@@ -25,65 +25,65 @@
 // each story is checked at each step. What is left out: answers that come after others have (they count as lost), doubled requests,
 // which acceptors answer alike, and commits, which only tell early what answers tell later.
 
-// exState is one state of the model.
-type exState struct {
-	replicas  []exReplica
-	proposers []exProposer
-	flying    []exMessage
-	wipes     int // disks that may yet be lost
-	learns    int // values that replicas may yet write unasked
-	accepts   []exAccepts
-}
-
-// exReplica is an acceptor at an address. A lost disk gives it another identity.
-type exReplica struct {
+// searchState is one state of the model.
+type searchState struct {
+	replicas    []searchReplica
+	proposers   []searchProposer
+	inFlight    []searchMessage
+	wipesLeft   int // disks that may yet be lost
+	learnsLeft  int // values that replicas may yet write unasked
+	acceptances []acceptance
+}
+
+// searchReplica is an acceptor at an address. A lost disk gives it another identity.
+type searchReplica struct {
 	acceptor Acceptor
 	wiped    bool
 }
 
-// exProposer drives operations one after the other.
-type exProposer struct {
-	plan    []Change // operations that are left, the present one first
-	current Proposer
-	ballots *BallotGenerator
-	at      Replica
-	retries int // that it may yet make
-	done    bool
+// searchProposer drives operations one after the other.
+type searchProposer struct {
+	operations  []Change // operations that are left, the present one first
+	current     Proposer
+	ballots     *BallotGenerator
+	replica     Replica
+	retriesLeft int // that it may yet make
+	done        bool
 }
 
-// exMessage is a request on its way to a replica.
-type exMessage struct {
+// searchMessage is a request on its way to a replica.
+type searchMessage struct {
 	to       int // of replicas
 	from     int // the proposer that asked
 	request  *Request
 	encoding string
 }
 
-// exAccepts are the identities that have ever held a value under a ballot.
-type exAccepts struct {
+// acceptance are the identities that have ever held a value under a ballot.
+type acceptance struct {
 	accepted Accepted
 	ids      []string
 }
 
-// exStory is what a search begins with.
-type exStory struct {
+// searchScenario is what a search begins with.
+type searchScenario struct {
 	name      string
 	proposers [][]Change
-	// joins is the proposer that begins once a disk is lost, at that replica; -1: none.
-	joins   int
-	wipes   int
-	learns  int
-	retries int // of each proposer
+	// joiningProposer is the proposer that begins once a disk is lost, at that replica; -1: none.
+	joiningProposer int
+	wipes           int
+	learns          int
+	retries         int // of each proposer
 	// broken variants, which the search has to catch
 	keepsIdentity bool
 }
 
-var exReplicas = []Replica{{ID: "A", Address: "a"}, {ID: "B", Address: "b"}, {ID: "C", Address: "c"}}
+var searchFounders = []Replica{{ID: "A", Address: "a"}, {ID: "B", Address: "b"}, {ID: "C", Address: "c"}}
 
-// exNewcomer is a fourth machine that joins.
-var exNewcomer = Replica{ID: "D", Address: "d"}
+// searchJoiner is a fourth machine that joins.
+var searchJoiner = Replica{ID: "D", Address: "d"}
 
-func exAppend(text string) Change {
+func searchAppend(text string) Change {
 	return func(chosen Value) (Value, error) {
 		if !bytes.Contains(chosen.Data, []byte(text)) {
 			chosen.Data = append(slices.Clone(chosen.Data), text...)
@@ -92,32 +92,32 @@
 	}
 }
 
-func exPlan(self Replica) Change {
+func searchPlan(self Replica) Change {
 	planner := Planner{Self: self, TargetReplicas: 3, MaxReplicas: 6, SilentFor: func(Replica) time.Duration { return 0 }}
 	return func(chosen Value) (Value, error) { return planner.Next(chosen), nil }
 }
 
-// exSearch goes through the states.
-type exSearch struct {
-	story    exStory
-	seed     maphash.Seed
-	seen     map[[2]uint64]bool
-	next     []exState // states of one more event than those that are looked at
-	violated string
-	buffer   []byte
+// stateSearch goes through the states.
+type stateSearch struct {
+	scenario  searchScenario
+	seed      maphash.Seed
+	seen      map[[2]uint64]bool
+	frontier  []searchState // states of one more event than those that are looked at
+	violation string
+	buffer    []byte
 }
 
 // run looks at all states of one event after the other, and returns the number of events of which it has seen all stories.
-func (s *exSearch) run(story exStory, mostStates int) (events int, whole bool) {
-	s.story = story
+func (s *stateSearch) run(story searchScenario, mostStates int) (events int, whole bool) {
+	s.scenario = story
 	s.seed = maphash.MakeSeed()
 	s.seen = map[[2]uint64]bool{}
-	s.add(s.first())
-	for ; len(s.next) > 0 && s.violated == ""; events++ {
-		present := s.next
-		s.next = nil
+	s.enqueue(s.initialState())
+	for ; len(s.frontier) > 0 && s.violation == ""; events++ {
+		present := s.frontier
+		s.frontier = nil
 		for i := range present {
-			s.visit(&present[i])
+			s.expand(&present[i])
 			if len(s.seen) > mostStates {
 				return events, false
 			}
@@ -126,31 +126,31 @@
 	return events, true
 }
 
-// add keeps a state to be looked at, if it was not met before.
-func (s *exSearch) add(state exState) {
-	if s.violated == "" && !s.met(&state) {
-		s.next = append(s.next, state)
+// enqueue keeps a state to be looked at, if it was not met before.
+func (s *stateSearch) enqueue(state searchState) {
+	if s.violation == "" && !s.visited(&state) {
+		s.frontier = append(s.frontier, state)
 	}
 }
 
-func (s *exSearch) first() exState {
-	genesis := Genesis(exReplicas)
-	state := exState{wipes: s.story.wipes, learns: s.story.learns}
-	for _, replica := range append(slices.Clone(exReplicas), exNewcomer) {
+func (s *stateSearch) initialState() searchState {
+	genesis := Genesis(searchFounders)
+	state := searchState{wipesLeft: s.scenario.wipes, learnsLeft: s.scenario.learns}
+	for _, replica := range append(slices.Clone(searchFounders), searchJoiner) {
 		accepted := genesis
-		if replica == exNewcomer {
+		if replica == searchJoiner {
 			accepted = Accepted{}
 		}
-		state.replicas = append(state.replicas, exReplica{acceptor: *NewAcceptor(replica, Ballot{}, accepted)})
+		state.replicas = append(state.replicas, searchReplica{acceptor: *NewAcceptor(replica, Ballot{}, accepted)})
 	}
-	for number, plan := range s.story.proposers {
-		p := exProposer{plan: plan, retries: s.story.retries, at: state.replicas[number].acceptor.self}
+	for number, plan := range s.scenario.proposers {
+		p := searchProposer{operations: plan, retriesLeft: s.scenario.retries, replica: state.replicas[number].acceptor.self}
 		p.ballots = NewBallotGenerator(uint64(number + 1))
 		state.proposers = append(state.proposers, p)
 	}
-	state.accepts = []exAccepts{{accepted: genesis, ids: []string{"A", "B", "C"}}}
+	state.acceptances = []acceptance{{accepted: genesis, ids: []string{"A", "B", "C"}}}
 	for number := range state.proposers {
-		if number != s.story.joins {
+		if number != s.scenario.joiningProposer {
 			s.begin(&state, number, genesis)
 		}
 	}
@@ -158,26 +158,26 @@
 }
 
 // begin starts the next operation of a proposer.
-func (s *exSearch) begin(state *exState, number int, known Accepted) {
+func (s *stateSearch) begin(state *searchState, number int, known Accepted) {
 	p := &state.proposers[number]
-	if len(p.plan) == 0 {
+	if len(p.operations) == 0 {
 		p.done = true
 		return
 	}
-	p.current = *NewProposer(p.at, p.ballots, known, known.Ballot, p.plan[0])
-	p.plan = p.plan[1:]
-	s.output(state, number, p.current.Start())
+	p.current = *NewProposer(p.replica, p.ballots, known, known.Ballot, p.operations[0])
+	p.operations = p.operations[1:]
+	s.handleOutput(state, number, p.current.Start())
 }
 
-func (s *exSearch) output(state *exState, number int, output Output) {
+func (s *stateSearch) handleOutput(state *searchState, number int, output Output) {
 	p := &state.proposers[number]
 	for _, message := range output.Messages {
 		if message.Request.Kind == Commit {
 			continue
 		}
-		to := slices.IndexFunc(state.replicas, func(r exReplica) bool { return r.acceptor.self.Address == message.To.Address })
+		to := slices.IndexFunc(state.replicas, func(r searchReplica) bool { return r.acceptor.self.Address == message.To.Address })
 		request := message.Request
-		state.fly(exMessage{to: to, from: number, request: &request})
+		state.send(searchMessage{to: to, from: number, request: &request})
 	}
 	if output.Done {
 		result, _ := p.current.Result()
@@ -186,14 +186,14 @@
 	}
 }
 
-func (state *exState) fly(message exMessage) {
+func (state *searchState) send(message searchMessage) {
 	message.encoding = message.encode()
-	state.flying = append(state.flying, message)
+	state.inFlight = append(state.inFlight, message)
 }
 
 // chosenIn reports whether a majority holds, or held, a value under its ballot.
-func chosenIn(state *exState, accepted Accepted) bool {
-	for _, known := range state.accepts {
+func chosenIn(state *searchState, accepted Accepted) bool {
+	for _, known := range state.acceptances {
 		if known.accepted.Ballot == accepted.Ballot {
 			return known.accepted.Value.Quorum(func(id string) bool { return slices.Contains(known.ids, id) })
 		}
@@ -201,14 +201,14 @@
 	return false
 }
 
-func (s *exSearch) check(holds bool, format string, arguments ...any) {
-	if !holds && s.violated == "" {
-		s.violated = fmt.Sprintf(format, arguments...)
+func (s *stateSearch) check(holds bool, format string, arguments ...any) {
+	if !holds && s.violation == "" {
+		s.violation = fmt.Sprintf(format, arguments...)
 	}
 }
 
 // clone copies what events change. Values are never changed, and are shared.
-func (state *exState) clone() exState {
+func (state *searchState) clone() searchState {
 	next := *state
 	next.replicas = slices.Clone(state.replicas)
 	next.proposers = slices.Clone(state.proposers)
@@ -220,119 +220,119 @@
 		p.current.replies = maps.Clone(p.current.replies)
 		p.current.doubtful.origins = slices.Clone(p.current.doubtful.origins)
 	}
-	next.flying = slices.Clone(state.flying)
-	next.accepts = slices.Clone(state.accepts)
+	next.inFlight = slices.Clone(state.inFlight)
+	next.acceptances = slices.Clone(state.acceptances)
 	return next
 }
 
-// visit goes on from a state by each event that is possible.
-func (s *exSearch) visit(state *exState) {
-	for at := range state.flying {
+// expand goes on from a state by each event that is possible.
+func (s *stateSearch) expand(state *searchState) {
+	for at := range state.inFlight {
 		for _, answered := range []bool{true, false} {
 			next := state.clone()
-			message := next.flying[at]
-			next.flying = slices.Delete(next.flying, at, at+1)
+			message := next.inFlight[at]
+			next.inFlight = slices.Delete(next.inFlight, at, at+1)
 			s.deliver(&next, message, answered)
-			s.add(next)
+			s.enqueue(next)
 		}
 	}
 	for number := range state.proposers {
-		if p := &state.proposers[number]; p.retries > 0 && !p.done && p.current.phase != idle && p.current.phase != ended {
+		if p := &state.proposers[number]; p.retriesLeft > 0 && !p.done && p.current.phase != idle && p.current.phase != ended {
 			next := state.clone()
-			next.proposers[number].retries--
-			s.output(&next, number, next.proposers[number].current.Retry())
-			s.add(next)
+			next.proposers[number].retriesLeft--
+			s.handleOutput(&next, number, next.proposers[number].current.Retry())
+			s.enqueue(next)
 		}
 	}
-	for at := range exReplicas {
-		s.visitDisk(state, at)
+	for at := range searchFounders {
+		s.expandDisk(state, at)
 	}
 }
 
-// visitDisk goes on by what befalls the disk of a replica.
-func (s *exSearch) visitDisk(state *exState, at int) {
-	if state.wipes > 0 && !state.replicas[at].wiped {
+// expandDisk goes on by what befalls the disk of a replica.
+func (s *stateSearch) expandDisk(state *searchState, at int) {
+	if state.wipesLeft > 0 && !state.replicas[at].wiped {
 		next := state.clone()
 		s.wipe(&next, at)
-		s.add(next)
+		s.enqueue(next)
 	}
-	if state.learns == 0 {
+	if state.learnsLeft == 0 {
 		return
 	}
-	for _, known := range state.accepts {
+	for _, known := range state.acceptances {
 		if chosenIn(state, known.accepted) && state.replicas[at].acceptor.accepted.Ballot.Less(known.accepted.Ballot) {
 			next := state.clone()
-			next.learns--
+			next.learnsLeft--
 			s.learn(&next, at, known.accepted)
-			s.add(next)
+			s.enqueue(next)
 		}
 	}
 }
 
-func (s *exSearch) wipe(state *exState, at int) {
-	state.wipes--
+func (s *stateSearch) wipe(state *searchState, at int) {
+	state.wipesLeft--
 	replica := &state.replicas[at]
 	replica.wiped = true
 	self := replica.acceptor.self
-	if !s.story.keepsIdentity {
+	if !s.scenario.keepsIdentity {
 		self.ID += "'"
 	}
 	accepted := Accepted{}
-	if s.story.keepsIdentity {
-		accepted = Genesis(exReplicas)
+	if s.scenario.keepsIdentity {
+		accepted = Genesis(searchFounders)
 	}
 	replica.acceptor = *NewAcceptor(self, Ballot{}, accepted)
-	if s.story.joins >= 0 {
-		p := &state.proposers[s.story.joins]
-		p.at = self
-		p.plan = []Change{exPlan(self), exPlan(self)}
-		s.begin(state, s.story.joins, Genesis(exReplicas))
+	if s.scenario.joiningProposer >= 0 {
+		p := &state.proposers[s.scenario.joiningProposer]
+		p.replica = self
+		p.operations = []Change{searchPlan(self), searchPlan(self)}
+		s.begin(state, s.scenario.joiningProposer, Genesis(searchFounders))
 	}
 }
 
-func (s *exSearch) learn(state *exState, at int, chosen Accepted) {
+func (s *stateSearch) learn(state *searchState, at int, chosen Accepted) {
 	acceptor := &state.replicas[at].acceptor
 	if !chosen.Value.HasMember(acceptor.self.ID) {
 		return
 	}
 	step := acceptor.Learn(chosen)
 	acceptor.Finish(step)
-	s.accepted(state, acceptor.self.ID, chosen)
+	s.recordAccept(state, acceptor.self.ID, chosen)
 }
 
-func (s *exSearch) deliver(state *exState, message exMessage, answered bool) {
+func (s *stateSearch) deliver(state *searchState, message searchMessage, answered bool) {
 	replica := &state.replicas[message.to]
 	step := replica.acceptor.Begin(*message.request)
 	reply := step.Reply
 	if step.Write != nil {
 		reply = replica.acceptor.Finish(step)
 		if step.Write.Accepted != nil {
-			s.accepted(state, replica.acceptor.self.ID, *step.Write.Accepted)
+			s.recordAccept(state, replica.acceptor.self.ID, *step.Write.Accepted)
 		}
 	}
 	if reply.Refusal == IdentityMismatch {
 		reply.From.ID = message.request.To
 	}
 	if p := &state.proposers[message.from]; answered && !p.done {
-		s.output(state, message.from, p.current.Deliver(reply))
+		s.handleOutput(state, message.from, p.current.Deliver(reply))
 	}
 }
 
-// accepted notes that an identity holds a value, and checks that chosen values follow one another.
-func (s *exSearch) accepted(state *exState, id string, accepted Accepted) {
-	at := slices.IndexFunc(state.accepts, func(a exAccepts) bool { return a.accepted.Ballot == accepted.Ballot })
+// recordAccept notes that an identity holds a value, and checks that chosen values follow one another.
+func (s *stateSearch) recordAccept(state *searchState, id string, accepted Accepted) {
+	at := slices.IndexFunc(state.acceptances, func(a acceptance) bool { return a.accepted.Ballot == accepted.Ballot })
 	if at < 0 {
-		state.accepts = append(state.accepts, exAccepts{accepted: accepted})
-		at = len(state.accepts) - 1
+		state.acceptances = append(state.acceptances, acceptance{accepted: accepted})
+		at = len(state.acceptances) - 1
 	}
-	if slices.Contains(state.accepts[at].ids, id) {
+	if slices.Contains(state.acceptances[at].ids, id) {
 		return
 	}
-	state.accepts[at].ids = append(slices.Clone(state.accepts[at].ids), id)
+	state.acceptances[at].ids = append(slices.Clone(state.acceptances[at].ids), id)
 	if !chosenIn(state, accepted) {
 		return
 	}
-	for _, other := range state.accepts {
+	for _, other := range state.acceptances {
 		if !chosenIn(state, other.accepted) {
 			continue
 		}
@@ -345,8 +345,8 @@
 	}
 }
 
-// met reports whether a state was met before.
-func (s *exSearch) met(state *exState) bool {
+// visited reports whether a state was visited before.
+func (s *stateSearch) visited(state *searchState) bool {
 	s.buffer = state.encode(s.buffer[:0])
 	var hash maphash.Hash
 	hash.SetSeed(s.seed)
@@ -359,7 +359,7 @@
 	return known
 }
 
-func (state *exState) encode(into []byte) []byte {
+func (state *searchState) encode(into []byte) []byte {
 	for i := range state.replicas {
 		a := &state.replicas[i].acceptor
 		into = append(into, a.self.ID...)
@@ -368,14 +368,14 @@
 	for i := range state.proposers {
 		into = state.proposers[i].encode(into)
 	}
-	encodings := lo.Map(state.flying, func(m exMessage, _ int) string { return m.encoding })
+	encodings := lo.Map(state.inFlight, func(m searchMessage, _ int) string { return m.encoding })
 	slices.Sort(encodings)
 	for _, encoding := range encodings {
 		into = append(into, encoding...)
 	}
-	into = append(into, byte(state.wipes), byte(state.learns))
-	accepts := slices.Clone(state.accepts)
-	slices.SortFunc(accepts, func(a, b exAccepts) int { return lo.Ternary(a.accepted.Ballot.Less(b.accepted.Ballot), -1, 1) })
+	into = append(into, byte(state.wipesLeft), byte(state.learnsLeft))
+	accepts := slices.Clone(state.acceptances)
+	slices.SortFunc(accepts, func(a, b acceptance) int { return lo.Ternary(a.accepted.Ballot.Less(b.accepted.Ballot), -1, 1) })
 	for _, known := range accepts {
 		into = appendBallot(into, known.accepted.Ballot)
 		for _, id := range slices.Sorted(slices.Values(known.ids)) {
@@ -385,11 +385,11 @@
 	return into
 }
 
-func (p *exProposer) encode(into []byte) []byte {
+func (p *searchProposer) encode(into []byte) []byte {
 	c := &p.current
-	into = append(into, byte(len(p.plan)), byte(p.retries), byte(c.phase), lo.Ternary[byte](p.done, 1, 0))
+	into = append(into, byte(len(p.operations)), byte(p.retriesLeft), byte(c.phase), lo.Ternary[byte](p.done, 1, 0))
 	into = binary.AppendUvarint(into, p.ballots.round)
-	into = append(into, p.at.ID...)
+	into = append(into, p.replica.ID...)
 	into = appendBallot(into, c.base.Ballot, c.chosen, c.ballot, c.proposal.Origin, c.doubtful.highest)
 	into = appendBallot(into, c.doubtful.origins...)
 	into = binary.AppendUvarint(into, c.proposal.Revision)
@@ -402,7 +402,7 @@
 	return into
 }
 
-func (m *exMessage) encode() string {
+func (m *searchMessage) encode() string {
 	into := []byte{byte(m.to), byte(m.from), byte(m.request.Kind)}
 	into = append(into, m.request.To...)
 	return string(appendBallot(into, m.request.Ballot, m.request.Known))
@@ -416,40 +416,40 @@
 	return append(into, '|')
 }
 
-var exStories = []exStory{
-	{name: "two change", proposers: [][]Change{{exAppend("x")}, {exAppend("y")}}, joins: -1},
-	{name: "two change, and may try again", proposers: [][]Change{{exAppend("x")}, {exAppend("y")}}, joins: -1, retries: 1},
-	{name: "two change, a value is learnt unasked", proposers: [][]Change{{exAppend("x")}, {exAppend("y")}}, joins: -1, learns: 1},
-	{name: "one changes, a newcomer joins", joins: -1,
-		proposers: [][]Change{{exAppend("x")}, {exPlan(exNewcomer), exPlan(exNewcomer)}}},
-	{name: "one changes, a disk is lost and joins anew", proposers: [][]Change{{exAppend("x"), exAppend("y")}, nil}, joins: 1, wipes: 1},
+var searchScenarios = []searchScenario{
+	{name: "two change", proposers: [][]Change{{searchAppend("x")}, {searchAppend("y")}}, joiningProposer: -1},
+	{name: "two change, and may try again", proposers: [][]Change{{searchAppend("x")}, {searchAppend("y")}}, joiningProposer: -1, retries: 1},
+	{name: "two change, a value is learnt unasked", proposers: [][]Change{{searchAppend("x")}, {searchAppend("y")}}, joiningProposer: -1, learns: 1},
+	{name: "one changes, a newcomer joins", joiningProposer: -1,
+		proposers: [][]Change{{searchAppend("x")}, {searchPlan(searchJoiner), searchPlan(searchJoiner)}}},
+	{name: "one changes, a disk is lost and joins anew", proposers: [][]Change{{searchAppend("x"), searchAppend("y")}, nil}, joiningProposer: 1, wipes: 1},
 }
 
-func TestAllStoriesOfAFewEvents(t *testing.T) {
-	for _, story := range exStories {
+func TestExhaustiveSearchFindsNoViolation(t *testing.T) {
+	for _, story := range searchScenarios {
 		t.Run(story.name, func(t *testing.T) {
 			t.Parallel()
-			var search exSearch
+			var search stateSearch
 			begun := time.Now()
 			events, whole := search.run(story, *exhaustiveStates)
-			require.Empty(t, search.violated)
+			require.Empty(t, search.violation)
 			t.Logf("%d states, all stories of %d events (to their end: %v), %v", len(search.seen), events, whole,
 				time.Since(begun).Round(time.Millisecond))
 		})
 	}
 }
 
-func TestAllStoriesFindBrokenReplicas(t *testing.T) {
+func TestExhaustiveSearchDetectsDefectiveReplicas(t *testing.T) {
 	const mostStates = 400_000
-	for name, story := range map[string]exStory{
-		"keeps its identity when its disk is lost": {proposers: [][]Change{{exAppend("x")}, {exAppend("y")}}, joins: -1, wipes: 1, keepsIdentity: true},
+	for name, story := range map[string]searchScenario{
+		"keeps its identity when its disk is lost": {proposers: [][]Change{{searchAppend("x")}, {searchAppend("y")}}, joiningProposer: -1, wipes: 1, keepsIdentity: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var search exSearch
+			var search stateSearch
 			events, _ := search.run(story, mostStates)
-			require.NotEmpty(t, search.violated, "%d events", events)
-			t.Logf("%d states, %d events: %s", len(search.seen), events, search.violated)
+			require.NotEmpty(t, search.violation, "%d events", events)
+			t.Logf("%d states, %d events: %s", len(search.seen), events, search.violation)
 		})
 	}
 }
--- a/coordination/register/model_test.go
+++ b/coordination/register/model_test.go
@@ -19,101 +19,101 @@
 	"weldscale/coordination/sim"
 )
 
-// faultsOfReplicas are mistakes that the checks have to catch.
-type faultsOfReplicas struct {
+// replicaDefects are mistakes that the checks have to catch.
+type replicaDefects struct {
 	answersBeforeSync bool
 	keepsIdentity     bool // a wiped replica comes back under its old identity
 	skipsJoint        bool // a set changes in one step, with the majority of the old one or the new one alone
 }
 
 const (
-	modelFounders = 3
-	modelMost     = 5 // processes
-	modelTarget   = 3
-	retryOdds     = 4 // one in so many tries again at once
-	mostHostile   = 20
-	modelSteps    = 2500
-	calmTurn      = 500 // steps
-	calmTurns     = 8   // of each node
-	maxInFlight   = 40
-	checkTimeout  = 20 * time.Second
+	modelFounders       = 3
+	modelMaxNodes       = 5 // processes
+	modelTarget         = 3
+	immediateRetryOneIn = 4 // one in so many tries again at once
+	maxFaultRate        = 20
+	modelSteps          = 2500
+	recoveryTurnSteps   = 500 // steps
+	recoveryTurns       = 8   // of each node
+	maxInFlight         = 40
+	checkTimeout        = 20 * time.Second
 )
 
 // envelope is a request or a reply on its way.
 type envelope struct {
-	to      int // node
-	life    int // of the node that a reply goes to
-	request *Request
-	from    int // node that a reply to the request goes to
-	reply   *Reply
-	asked   *operation // that sent the request
+	to          int // node
+	incarnation int // of the node that a reply goes to
+	request     *Request
+	from        int // node that a reply to the request goes to
+	reply       *Reply
+	operation   *operation // that sent the request
 }
 
 // modelNode is a process with a disk.
 type modelNode struct {
-	at      int
-	address string
-	id      string
-	lives   int
+	at          int
+	address     string
+	id          string
+	incarnation int
 
 	machine *sim.Machine // for its disk
 	disk    Disk         // of the present life
 
-	up       bool
-	acceptor *Acceptor
-	chosen   Accepted
-	ballots  *BallotGenerator
-	step     *Step // waits for the disk
-	stepOf   envelope
+	up           bool
+	acceptor     *Acceptor
+	chosen       Accepted
+	ballots      *BallotGenerator
+	step         *Step // waits for the disk
+	stepEnvelope envelope
 
 	operation *operation
 }
 
 // operation is an append, a read or a step of the set under way.
 type operation struct {
-	proposer *Proposer
-	reader   *Reader
-	record   int // index into the history; -1 for a step of the set
-}
-
-// record is an operation as its client saw it.
-type record struct {
-	client         int
-	called, ended  int64
-	id             string // empty for a read
-	seen           string
-	finished, void bool // void: it failed for certain, or it is a read without an answer
-}
-
-type world struct {
-	draw      func(n int) int
-	disks     *sim.World
-	founders  []Replica
-	hostility int  // of a thousand steps, those that are faults
-	keeps     bool // nodes write chosen values that they were not asked to accept
-	faults    faultsOfReplicas
-	nodes     []*modelNode
-	flying    []envelope
-	history   []record
-	clock     int64
-	proposers uint64
-	names     int
-	wipes     int
-	calm      bool // no more faults, and one proposer at a time
-	turn      int  // whose turn it is then
-
-	accepts map[Ballot]map[string]bool
-	values  map[Ballot]Value
-	chosen  []Accepted // all ballots that were chosen, in the order of the moments
-	newest  Accepted
-	broken  string
-}
-
-func newWorld(draw func(n int) int, faults faultsOfReplicas) *world {
-	w := &world{draw: draw, faults: faults, accepts: map[Ballot]map[string]bool{}, values: map[Ballot]Value{}}
+	proposer     *Proposer
+	reader       *Reader
+	historyIndex int // index into the history; -1 for a step of the set
+}
+
+// historyEntry is an operation as its client saw it.
+type historyEntry struct {
+	client             int
+	called, ended      int64
+	id                 string // empty for a read
+	result             string
+	finished, excluded bool // void: it failed for certain, or it is a read without an answer
+}
+
+type modelWorld struct {
+	draw          func(n int) int
+	disks         *sim.World
+	founders      []Replica
+	faultRate     int  // of a thousand steps, those that are faults
+	catchesUp     bool // nodes write chosen values that they were not asked to accept
+	defects       replicaDefects
+	nodes         []*modelNode
+	inFlight      []envelope
+	history       []historyEntry
+	clock         int64
+	proposerCount uint64
+	diskCount     int
+	wipeCount     int
+	recovering    bool // no more faults, and one proposer at a time
+	turn          int  // whose turn it is then
+
+	acceptedBy map[Ballot]map[string]bool
+	values     map[Ballot]Value
+	chosen     []Accepted // all ballots that were chosen, in the order of the moments
+	newest     Accepted
+	violation  string
+}
+
+func newModelWorld(draw func(n int) int, faults replicaDefects) *modelWorld {
+	w := &modelWorld{draw: draw, defects: faults, acceptedBy: map[Ballot]map[string]bool{}, values: map[Ballot]Value{}}
 	w.disks = sim.New(uint64(draw(math.MaxInt)))
-	w.hostility = 1 + draw(mostHostile)
-	for at := range modelFounders + draw(modelMost-modelFounders+1) {
+	w.faultRate = 1 + draw(maxFaultRate)
+	for at := range modelFounders + draw(modelMaxNodes-modelFounders+1) {
 		address := fmt.Sprintf("node%d", at)
 		n := &modelNode{at: at, address: address, machine: w.disks.AddMachine(address)}
 		n.id = w.newID()
@@ -130,24 +130,24 @@
 	return w
 }
 
-func (w *world) newID() string {
-	w.names++
-	return fmt.Sprintf("disk%d", w.names)
+func (w *modelWorld) newID() string {
+	w.diskCount++
+	return fmt.Sprintf("disk%d", w.diskCount)
 }
 
-func (w *world) start(n *modelNode) {
+func (w *modelWorld) start(n *modelNode) {
 	n.disk = NewDisk(n.files())
 	acceptor, err := n.disk.Load(n.address)
 	if acceptor == nil && err == nil {
-		acceptor, err = n.disk.Initialize(n.id, n.address, w.firstSet(n))
+		acceptor, err = n.disk.Initialize(n.id, n.address, w.founderSet(n))
 	}
 	if err != nil {
 		return // the disk is full or fails
 	}
 	n.up = true
-	n.lives++
-	w.proposers++
-	n.ballots = NewBallotGenerator(w.proposers)
+	n.incarnation++
+	w.proposerCount++
+	n.ballots = NewBallotGenerator(w.proposerCount)
 	n.chosen = Accepted{}
 	n.step, n.operation = nil, nil
 	n.acceptor = acceptor
@@ -155,12 +155,12 @@
 	if accepted.Ballot == genesisBallot {
 		n.chosen = accepted
 	} else if genesisBallot.Less(accepted.Ballot) {
-		w.noteAccept(n.id, accepted) // a write that was reported as failed may have reached the disk
+		w.recordAccept(n.id, accepted) // a write that was reported as failed may have reached the disk
 	}
 }
 
-// firstSet is what an empty disk is marked with.
-func (w *world) firstSet(n *modelNode) []Replica {
+// founderSet is what an empty disk is marked with.
+func (w *modelWorld) founderSet(n *modelNode) []Replica {
 	if n.id != FounderID(n.address) {
 		return nil
 	}
@@ -190,53 +190,53 @@
 }
 
 // wipe takes a disk away.
-func (w *world) wipe(n *modelNode) {
+func (w *modelWorld) wipe(n *modelNode) {
 	n.up = false
-	w.wipes++
+	w.wipeCount++
 	n.machine.Wipe()
-	if !w.faults.keepsIdentity {
+	if !w.defects.keepsIdentity {
 		n.id = w.newID()
 	}
 }
 
-// mayWipe reports whether nothing else is lost: every disk is in the set that is chosen.
-func (w *world) mayWipe() bool {
+// allDisksInSet reports whether nothing else is lost: every disk is in the set that is chosen.
+func (w *modelWorld) allDisksInSet() bool {
 	set := w.newest.Value
 	return !set.Joint() && len(set.Replicas) == len(w.nodes) &&
 		lo.EveryBy(w.nodes, func(n *modelNode) bool { return set.HasReplica(n.id) })
 }
 
-func (w *world) node(address string) int {
+func (w *modelWorld) indexOf(address string) int {
 	return slices.IndexFunc(w.nodes, func(n *modelNode) bool { return n.address == address })
 }
 
-func (w *world) send(n *modelNode, messages []Message) {
+func (w *modelWorld) send(n *modelNode, messages []Message) {
 	for _, message := range messages {
 		request := message.Request
-		w.fly(envelope{to: w.node(message.To.Address), from: n.at, life: n.lives, request: &request, asked: n.operation})
+		w.enqueue(envelope{to: w.indexOf(message.To.Address), from: n.at, incarnation: n.incarnation, request: &request, operation: n.operation})
 	}
 }
 
-func (w *world) fly(e envelope) {
-	if len(w.flying) >= maxInFlight {
-		w.flying = slices.Delete(w.flying, 0, 1)
+func (w *modelWorld) enqueue(e envelope) {
+	if len(w.inFlight) >= maxInFlight {
+		w.inFlight = slices.Delete(w.inFlight, 0, 1)
 	}
-	w.flying = append(w.flying, e)
+	w.inFlight = append(w.inFlight, e)
 }
 
-func (w *world) deliver(e envelope) {
+func (w *modelWorld) deliver(e envelope) {
 	n := w.nodes[e.to]
 	switch {
 	case !n.up:
-	case e.reply != nil && e.reply.Kind == Query && e.asked != n.operation: // a read is given replies to its own questions only
-	case e.reply != nil && e.life == n.lives:
-		w.takeReply(n, *e.reply)
+	case e.reply != nil && e.reply.Kind == Query && e.operation != n.operation: // a read is given replies to its own questions only
+	case e.reply != nil && e.incarnation == n.incarnation:
+		w.handleReply(n, *e.reply)
 	case e.request != nil:
-		w.takeRequest(n, e)
+		w.handleRequest(n, e)
 	}
 }
 
-func (w *world) takeRequest(n *modelNode, e envelope) {
+func (w *modelWorld) handleRequest(n *modelNode, e envelope) {
 	request := *e.request
 	switch request.Kind {
 	case Commit:
@@ -246,10 +246,10 @@
 	case FetchChosen:
 		value := n.chosen.Value
 		reply := Reply{Kind: FetchChosen, From: n.self(), Accepted: n.chosen.Ballot, Value: &value}
-		w.fly(envelope{to: e.from, life: e.life, reply: &reply})
+		w.enqueue(envelope{to: e.from, incarnation: e.incarnation, reply: &reply})
 	default:
 		if n.step != nil {
-			w.fly(e) // it waits for the disk
+			w.enqueue(e) // it waits for the disk
 			return
 		}
 		step := n.acceptor.Begin(request)
@@ -257,60 +257,60 @@
 			w.reply(n, e, step.Reply)
 			return
 		}
-		n.step, n.stepOf = &step, e
-		if w.faults.answersBeforeSync {
+		n.step, n.stepEnvelope = &step, e
+		if w.defects.answersBeforeSync {
 			n.files().LosesSyncs = true
 			w.write(n)
 		}
 	}
 }
 
-func (w *world) reply(n *modelNode, to envelope, reply Reply) {
+func (w *modelWorld) reply(n *modelNode, to envelope, reply Reply) {
 	reply.Chosen = n.chosen.Ballot
-	w.fly(envelope{to: to.from, life: to.life, reply: &reply, asked: to.asked})
+	w.enqueue(envelope{to: to.from, incarnation: to.incarnation, reply: &reply, operation: to.operation})
 }
 
 // write lets the disk of a node take the write that waits.
-func (w *world) write(n *modelNode) {
+func (w *modelWorld) write(n *modelNode) {
 	step := *n.step
 	n.step = nil
 	if refusal := n.disk.Write(step.Write); refusal != NoRefusal {
-		w.reply(n, n.stepOf, n.acceptor.Abandon(step, refusal))
+		w.reply(n, n.stepEnvelope, n.acceptor.Abandon(step, refusal))
 		return
 	}
 	reply := n.acceptor.Finish(step)
 	if step.Write.Accepted != nil {
-		w.noteAccept(n.id, *step.Write.Accepted)
+		w.recordAccept(n.id, *step.Write.Accepted)
 	}
-	w.reply(n, n.stepOf, reply)
+	w.reply(n, n.stepEnvelope, reply)
 }
 
-// keep has a node write the chosen value that it knows, whatever it has promised.
-func (w *world) keep(n *modelNode) {
+// catchUp has a node write the chosen value that it knows, whatever it has promised.
+func (w *modelWorld) catchUp(n *modelNode) {
 	if step := n.acceptor.Learn(n.chosen); step.Write != nil {
-		n.step, n.stepOf = &step, envelope{to: n.at, from: n.at, life: n.lives}
+		n.step, n.stepEnvelope = &step, envelope{to: n.at, from: n.at, incarnation: n.incarnation}
 	}
 }
 
-// noteAccept keeps what is chosen and checks that one value follows another.
-func (w *world) noteAccept(id string, accepted Accepted) {
-	if w.accepts[accepted.Ballot] == nil {
-		w.accepts[accepted.Ballot] = map[string]bool{}
+// recordAccept keeps what is chosen and checks that one value follows another.
+func (w *modelWorld) recordAccept(id string, accepted Accepted) {
+	if w.acceptedBy[accepted.Ballot] == nil {
+		w.acceptedBy[accepted.Ballot] = map[string]bool{}
 	}
-	w.accepts[accepted.Ballot][id] = true
-	if !accepted.Value.Quorum(func(id string) bool { return w.accepts[accepted.Ballot][id] }) {
+	w.acceptedBy[accepted.Ballot][id] = true
+	if !accepted.Value.Quorum(func(id string) bool { return w.acceptedBy[accepted.Ballot][id] }) {
 		return
 	}
 	for _, other := range w.chosen {
 		if other.Value.Revision == accepted.Value.Revision && other.Value.Origin != accepted.Value.Origin {
-			w.broken = fmt.Sprintf("two values chosen as revision %d", other.Value.Revision)
+			w.violation = fmt.Sprintf("two values chosen as revision %d", other.Value.Revision)
 		}
 		older, newer := other.Value, accepted.Value
 		if newer.Revision < older.Revision {
 			older, newer = newer, older
 		}
 		if !bytes.HasPrefix(newer.Data, older.Data) {
-			w.broken = fmt.Sprintf("%q was chosen as well as %q", newer.Data, older.Data)
+			w.violation = fmt.Sprintf("%q was chosen as well as %q", newer.Data, older.Data)
 		}
 	}
 	w.chosen = append(w.chosen, accepted)
@@ -319,7 +319,7 @@
 	}
 }
 
-func (w *world) takeReply(n *modelNode, reply Reply) {
+func (w *modelWorld) handleReply(n *modelNode, reply Reply) {
 	n.ballots.Observe(reply.Promised)
 	if reply.Kind == FetchChosen && reply.Value != nil {
 		n.learn(Accepted{Ballot: reply.Accepted, Value: *reply.Value})
@@ -334,7 +334,7 @@
 	}
 }
 
-func (w *world) onReader(n *modelNode, output Output) {
+func (w *modelWorld) onReader(n *modelNode, output Output) {
 	w.send(n, output.Messages)
 	if output.Done {
 		n.learn(n.operation.reader.Known())
@@ -342,7 +342,7 @@
 	}
 }
 
-func (w *world) onProposer(n *modelNode, output Output) {
+func (w *modelWorld) onProposer(n *modelNode, output Output) {
 	if !output.Done && n.operation.proposer.Learn(n.chosen) && w.draw(2) == 0 {
 		output = n.operation.proposer.Retry()
 	}
@@ -352,35 +352,35 @@
 		n.learn(result)
 		w.finish(n, result.Value)
 	}
-	if output.Retry && (w.calm || w.draw(retryOdds) == 0) {
+	if output.Retry && (w.recovering || w.draw(immediateRetryOneIn) == 0) {
 		w.onProposer(n, n.operation.proposer.Retry())
 	}
 }
 
-func (w *world) finish(n *modelNode, value Value) {
-	if at := n.operation.record; at >= 0 {
+func (w *modelWorld) finish(n *modelNode, value Value) {
+	if at := n.operation.historyIndex; at >= 0 {
 		r := &w.history[at]
-		r.finished, r.ended, r.seen = true, w.tick(), string(value.Data)
-		if r.id != "" && !strings.Contains(r.seen, r.id) {
-			w.broken = fmt.Sprintf("%s acknowledged without it: %s", r.id, r.seen)
+		r.finished, r.ended, r.result = true, w.tick(), string(value.Data)
+		if r.id != "" && !strings.Contains(r.result, r.id) {
+			w.violation = fmt.Sprintf("%s acknowledged without it: %s", r.id, r.result)
 		}
 	}
 	n.operation = nil
 }
 
-func (w *world) tick() int64 {
+func (w *modelWorld) tick() int64 {
 	w.clock++
 	return w.clock
 }
 
 // abandon ends an operation without an answer.
-func (w *world) abandon(n *modelNode) {
+func (w *modelWorld) abandon(n *modelNode) {
 	if n.operation == nil {
 		return
 	}
-	if at := n.operation.record; at >= 0 {
+	if at := n.operation.historyIndex; at >= 0 {
 		p := n.operation.proposer
-		w.history[at].void = w.history[at].id == "" || p != nil && !p.InDoubt()
+		w.history[at].excluded = w.history[at].id == "" || p != nil && !p.InDoubt()
 	}
 	n.operation = nil
 }
@@ -394,28 +394,28 @@
 	}
 }
 
-func (w *world) startAppend(n *modelNode) {
+func (w *modelWorld) startAppend(n *modelNode) {
 	id := fmt.Sprintf("<%d>", len(w.history))
-	w.history = append(w.history, record{client: n.at, called: w.tick(), id: id})
+	w.history = append(w.history, historyEntry{client: n.at, called: w.tick(), id: id})
 	w.propose(n, appendOnce(id), len(w.history)-1)
 }
 
-func (w *world) propose(n *modelNode, change Change, record int) {
+func (w *modelWorld) propose(n *modelNode, change Change, record int) {
 	p := NewProposer(n.self(), n.ballots, n.known(), n.chosen.Ballot, change)
-	n.operation = &operation{proposer: p, record: record}
+	n.operation = &operation{proposer: p, historyIndex: record}
 	w.onProposer(n, p.Start())
 }
 
-func (w *world) startRead(n *modelNode) {
-	w.history = append(w.history, record{client: n.at, called: w.tick()})
-	n.operation = &operation{reader: NewReader(n.self(), n.known()), record: len(w.history) - 1}
+func (w *modelWorld) startRead(n *modelNode) {
+	w.history = append(w.history, historyEntry{client: n.at, called: w.tick()})
+	n.operation = &operation{reader: NewReader(n.self(), n.known()), historyIndex: len(w.history) - 1}
 	w.onReader(n, n.operation.reader.Start())
 }
 
-func (w *world) startUpkeep(n *modelNode) {
+func (w *modelWorld) startUpkeep(n *modelNode) {
 	if len(n.chosen.Value.Replicas) == 0 {
 		other := w.draw(len(w.nodes))
-		w.fly(envelope{to: other, from: n.at, life: n.lives, request: &Request{Kind: FetchChosen, From: n.self()}})
+		w.enqueue(envelope{to: other, from: n.at, incarnation: n.incarnation, request: &Request{Kind: FetchChosen, From: n.self()}})
 		if len(n.known().Value.Replicas) > 0 {
 			w.propose(n, Unchanged, -1)
 		}
@@ -425,40 +425,40 @@
 		SilentFor: w.silence, RemoveAfter: time.Second}
 	w.propose(n, func(value Value) (Value, error) {
 		next := plan.Next(value)
-		if w.faults.skipsJoint {
+		if w.defects.skipsJoint {
 			next.Previous = nil
 		}
 		return next, nil
 	}, -1)
 }
 
-func (w *world) silence(replica Replica) time.Duration {
-	if w.nodes[w.node(replica.Address)].up {
+func (w *modelWorld) silence(replica Replica) time.Duration {
+	if w.nodes[w.indexOf(replica.Address)].up {
 		return 0
 	}
 	return time.Minute
 }
 
-// act takes one step at random.
-func (w *world) act() {
+// step takes one step at random.
+func (w *modelWorld) step() {
 	n := w.nodes[w.draw(len(w.nodes))]
 	choice := w.draw(1000)
-	if choice < w.hostility {
-		w.fault(n)
+	if choice < w.faultRate {
+		w.injectFault(n)
 		return
 	}
-	if w.calm && n.at != w.turn && choice >= 850 && n.up {
+	if w.recovering && n.at != w.turn && choice >= 850 && n.up {
 		w.abandon(n)
 		return
 	}
 	switch {
 	case choice < 600:
-		w.network()
+		w.deliverRandom()
 	case choice < 850:
 		if n.up && n.step != nil {
 			w.write(n)
-		} else if n.up && w.keeps {
-			w.keep(n)
+		} else if n.up && w.catchesUp {
+			w.catchUp(n)
 		}
 	case choice < 870:
 		if n.operation != nil && n.operation.proposer != nil {
@@ -481,8 +481,8 @@
 	}
 }
 
-func (w *world) startClient(n *modelNode) {
-	if len(w.history) >= 40 || w.calm {
+func (w *modelWorld) startClient(n *modelNode) {
+	if len(w.history) >= 40 || w.recovering {
 		return
 	}
 	if w.draw(2) == 0 {
@@ -492,24 +492,24 @@
 	}
 }
 
-// network delivers a message, any of those in flight; at times it loses it or delivers it again.
-func (w *world) network() {
-	if len(w.flying) == 0 {
+// deliverRandom delivers a message, any of those in flight; at times it loses it or delivers it again.
+func (w *modelWorld) deliverRandom() {
+	if len(w.inFlight) == 0 {
 		return
 	}
-	at := w.draw(len(w.flying))
-	e := w.flying[at]
+	at := w.draw(len(w.inFlight))
+	e := w.inFlight[at]
 	fate := w.draw(20)
-	if fate != 0 || w.calm {
-		w.flying = slices.Delete(w.flying, at, at+1)
+	if fate != 0 || w.recovering {
+		w.inFlight = slices.Delete(w.inFlight, at, at+1)
 	}
-	if fate != 1 || w.calm {
+	if fate != 1 || w.recovering {
 		w.deliver(e)
 	}
 }
 
-func (w *world) fault(n *modelNode) {
-	if w.calm {
+func (w *modelWorld) injectFault(n *modelNode) {
+	if w.recovering {
 		return
 	}
 	switch w.draw(6) {
@@ -517,7 +517,7 @@
 		w.abandon(n)
 		n.crash()
 	case 2:
-		if w.mayWipe() {
+		if w.allDisksInSet() {
 			w.abandon(n)
 			w.wipe(n)
 		}
@@ -531,27 +531,27 @@
 }
 
 // run plays faults, then a calm time in which the register has to work.
-func (w *world) run() error {
+func (w *modelWorld) run() error {
 	for range modelSteps {
-		if w.act(); w.broken != "" {
-			return eris.New(w.broken)
+		if w.step(); w.violation != "" {
+			return eris.New(w.violation)
 		}
 	}
-	w.calm = true
+	w.recovering = true
 	for _, n := range w.nodes {
 		n.machine.Disk().Heal()
 	}
 	return w.check()
 }
 
-// recover plays a calm time and checks that all disks come back into the set.
-func (w *world) recover() error {
-	for step := range calmTurn * calmTurns * len(w.nodes) {
-		w.turn = step / calmTurn % len(w.nodes)
-		if w.act(); w.broken != "" {
-			return eris.New(w.broken)
+// runRecovery plays a calm time and checks that all disks come back into the set.
+func (w *modelWorld) runRecovery() error {
+	for step := range recoveryTurnSteps * recoveryTurns * len(w.nodes) {
+		w.turn = step / recoveryTurnSteps % len(w.nodes)
+		if w.step(); w.violation != "" {
+			return eris.New(w.violation)
 		}
-		if w.mayWipe() && lo.EveryBy(w.nodes, func(n *modelNode) bool { return n.chosen.Value.Revision == w.newest.Value.Revision }) {
+		if w.allDisksInSet() && lo.EveryBy(w.nodes, func(n *modelNode) bool { return n.chosen.Value.Revision == w.newest.Value.Revision }) {
 			return nil
 		}
 	}
@@ -559,13 +559,13 @@
 }
 
 // check looks for an order of the history in which each operation takes effect at once.
-func (w *world) check() error {
+func (w *modelWorld) check() error {
 	var operations []porcupine.Operation
 	for client, r := range w.history {
-		if r.void || r.id == "" && !r.finished {
+		if r.excluded || r.id == "" && !r.finished {
 			continue
 		}
-		operation := porcupine.Operation{ClientId: client, Input: r.id, Output: r.seen, Call: r.called, Return: r.ended}
+		operation := porcupine.Operation{ClientId: client, Input: r.id, Output: r.result, Call: r.called, Return: r.ended}
 		if !r.finished {
 			operation.Return = math.MaxInt64
 		}
@@ -591,12 +591,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		// One seed in place of each draw: plays are long, and a seed reproduces them.
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		w := newWorld(random.IntN, faultsOfReplicas{})
-		w.keeps = true
+		w := newModelWorld(random.IntN, replicaDefects{})
+		w.catchesUp = true
 		require.NoError(t, w.run())
-		require.NoError(t, w.recover())
-		finished += lo.CountBy(w.history, func(r record) bool { return r.finished })
-		lost += w.wipes
+		require.NoError(t, w.runRecovery())
+		finished += lo.CountBy(w.history, func(r historyEntry) bool { return r.finished })
+		lost += w.wipeCount
 		plays++
 	})
 	t.Logf("%d plays: %d operations answered, %d disks lost", plays, finished, lost)
@@ -604,24 +604,24 @@
 	require.Greater(t, finished, plays)
 }
 
-// TestModelOnSeedsThatFailed plays seeds in which replicas come back with writes that their disks had reported as failed.
-func TestModelOnSeedsThatFailed(t *testing.T) {
+// TestModelOnRegressionSeeds plays seeds in which replicas come back with writes that their disks had reported as failed.
+func TestModelOnRegressionSeeds(t *testing.T) {
 	for name, seed := range map[string]uint64{
 		"a majority holds a value only since such a start": 0x11b9,
 		"a promise was made while such a write was hidden": 0x70c,
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(rand.New(rand.NewPCG(seed, 0)).IntN, faultsOfReplicas{})
+			w := newModelWorld(rand.New(rand.NewPCG(seed, 0)).IntN, replicaDefects{})
 			require.NoError(t, w.run())
-			require.NoError(t, w.recover())
+			require.NoError(t, w.runRecovery())
 		})
 	}
 }
 
-// caught reports after how many plays the checks find a mistake.
-func caught(faults faultsOfReplicas, first, most uint64) (uint64, error) {
+// firstDetectingSeed reports after how many plays the checks find a mistake.
+func firstDetectingSeed(faults replicaDefects, first, most uint64) (uint64, error) {
 	for seed := first; seed < most; seed++ {
-		w := newWorld(rand.New(rand.NewPCG(seed, 1)).IntN, faults)
+		w := newModelWorld(rand.New(rand.NewPCG(seed, 1)).IntN, faults)
 		if err := w.run(); err != nil {
 			return seed, err
 		}
@@ -629,18 +629,18 @@
 	return most, nil
 }
 
-func TestModelCatchesBrokenReplicas(t *testing.T) {
+func TestModelDetectsDefectiveReplicas(t *testing.T) {
 	const most = 2000
 	for name, broken := range map[string]struct {
-		faults faultsOfReplicas
+		faults replicaDefects
 		first  uint64 // where a longer search found one, to save time
 	}{
-		"answers before its sync":       {faults: faultsOfReplicas{answersBeforeSync: true}},
-		"keeps its identity when wiped": {faults: faultsOfReplicas{keepsIdentity: true}},
-		"changes its set in one step":   {faults: faultsOfReplicas{skipsJoint: true}, first: 700},
+		"answers before its sync":       {faults: replicaDefects{answersBeforeSync: true}},
+		"keeps its identity when wiped": {faults: replicaDefects{keepsIdentity: true}},
+		"changes its set in one step":   {faults: replicaDefects{skipsJoint: true}, first: 700},
 	} {
 		t.Run(name, func(t *testing.T) {
-			seed, err := caught(broken.faults, broken.first, most)
+			seed, err := firstDetectingSeed(broken.faults, broken.first, most)
 			require.Error(t, err)
 			t.Logf("caught by play %d: %.200s", seed, err.Error())
 		})
--- a/coordination/register/node_test.go
+++ b/coordination/register/node_test.go
@@ -109,7 +109,7 @@
 	require.NoError(m.t, os.Mkdir(m.folder, 0o700))
 }
 
-func deadline(t *testing.T) context.Context {
+func testContext(t *testing.T) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testDeadline)
 	t.Cleanup(cancel)
@@ -119,7 +119,7 @@
 // await waits until what a node knows fulfils a condition.
 func await(t *testing.T, n *Node, condition func(State) bool) State {
 	t.Helper()
-	ctx := deadline(t)
+	ctx := testContext(t)
 	for {
 		changed := n.Changed()
 		if state := n.Latest(); condition(state) {
@@ -133,7 +133,7 @@
 	}
 }
 
-func set(text string) func([]byte) ([]byte, error) {
+func setData(text string) func([]byte) ([]byte, error) {
 	return func([]byte) ([]byte, error) { return []byte(text), nil }
 }
 
@@ -168,9 +168,9 @@
 func TestUpdateReadAndLearn(t *testing.T) {
 	machines := newMachines(t, 3, 3, 3)
 	startAll(machines)
-	ctx := deadline(t)
+	ctx := testContext(t)
 	require.NoError(t, machines[0].node.WaitFormed(ctx))
-	state, err := machines[0].node.Update(ctx, set("one"))
+	state, err := machines[0].node.Update(ctx, setData("one"))
 	require.NoError(t, err)
 	require.Equal(t, "one", string(state.Data))
 	require.EqualValues(t, 1, state.Revision)
@@ -189,10 +189,10 @@
 	require.EqualValues(t, 1, same.Revision)
 }
 
-func TestConcurrentUpdatesAllCount(t *testing.T) {
+func TestConcurrentUpdatesAreAllApplied(t *testing.T) {
 	machines := newMachines(t, 3, 3, 3)
 	startAll(machines)
-	ctx := deadline(t)
+	ctx := testContext(t)
 	const each = 5
 	var group sync.WaitGroup
 	for _, m := range machines {
@@ -213,16 +213,16 @@
 func TestMinorityNeitherWritesNorReads(t *testing.T) {
 	machines := newMachines(t, 3, 3, 3)
 	startAll(machines)
-	ctx := deadline(t)
-	_, err := machines[0].node.Update(ctx, set("one"))
+	ctx := testContext(t)
+	_, err := machines[0].node.Update(ctx, setData("one"))
 	require.NoError(t, err)
 	machines[1].stop()
-	_, err = machines[0].node.Update(ctx, set("two"))
+	_, err = machines[0].node.Update(ctx, setData("two"))
 	require.NoError(t, err)
 	machines[2].stop()
 	short, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer cancel()
-	_, err = machines[0].node.Update(short, set("three"))
+	_, err = machines[0].node.Update(short, setData("three"))
 	require.ErrorIs(t, err, ErrNoQuorum)
 	_, err = machines[0].node.Read(short)
 	require.ErrorIs(t, err, ErrNoQuorum)
@@ -232,11 +232,11 @@
 	require.Equal(t, "two", string(state.Data))
 }
 
-func TestAllRestartFromDisk(t *testing.T) {
+func TestAllReplicasRestartFromDisk(t *testing.T) {
 	machines := newMachines(t, 3, 3, 3)
 	startAll(machines)
-	ctx := deadline(t)
-	_, err := machines[0].node.Update(ctx, set("one"))
+	ctx := testContext(t)
+	_, err := machines[0].node.Update(ctx, setData("one"))
 	require.NoError(t, err)
 	for _, m := range machines {
 		m.stop()
@@ -248,13 +248,13 @@
 	}
 }
 
-func TestWipedReplicaJoinsAnewAndCarriesTheNextLoss(t *testing.T) {
+func TestWipedReplicaRejoinsAndToleratesTheNextWipe(t *testing.T) {
 	machines := newMachines(t, 3, 3, 3)
 	startAll(machines)
-	ctx := deadline(t)
+	ctx := testContext(t)
 	for round := range 3 {
 		text := fmt.Sprintf("round %d", round)
-		_, err := machines[round].node.Update(ctx, set(text))
+		_, err := machines[round].node.Update(ctx, setData(text))
 		require.NoError(t, err)
 		lost := machines[round]
 		former := lost.node.ID()
@@ -274,8 +274,8 @@
 func TestReplacementAtANewAddress(t *testing.T) {
 	machines := newMachines(t, 4, 3, 3)
 	startAll(machines[:3])
-	ctx := deadline(t)
-	_, err := machines[0].node.Update(ctx, set("one"))
+	ctx := testContext(t)
+	_, err := machines[0].node.Update(ctx, setData("one"))
 	require.NoError(t, err)
 	machines[2].stop()
 	machines[3].options.Bootstrap = false
@@ -292,7 +292,7 @@
 func TestPlannedReplacement(t *testing.T) {
 	machines := newMachines(t, 4, 3, 3)
 	startAll(machines)
-	ctx := deadline(t)
+	ctx := testContext(t)
 	all := hasIDs(machines[0].node.ID(), machines[1].node.ID(), machines[2].node.ID(), machines[3].node.ID())
 	await(t, machines[0].node, all)
 	require.NoError(t, machines[0].node.WaitFormed(ctx))
@@ -305,7 +305,7 @@
 	require.True(t, three(machines[3].node.Latest()))
 }
 
-func TestSilentReplicaIsRemovedFromALargeSetAndComesBack(t *testing.T) {
+func TestSilentReplicaIsRemovedFromALargeSetAndRejoins(t *testing.T) {
 	machines := newMachines(t, 4, 3, 3)
 	startAll(machines)
 	all := hasIDs(machines[0].node.ID(), machines[1].node.ID(), machines[2].node.ID(), machines[3].node.ID())
@@ -316,14 +316,14 @@
 	await(t, machines[0].node, all)
 }
 
-func TestFoundersGrowToTheTarget(t *testing.T) {
+func TestReplicaSetGrowsFromFoundersToTarget(t *testing.T) {
 	machines := newMachines(t, 5, 3, 5)
 	startAll(machines)
-	ctx := deadline(t)
+	ctx := testContext(t)
 	for _, m := range machines {
 		require.NoError(t, m.node.WaitFormed(ctx))
 	}
-	_, err := machines[4].node.Update(ctx, set("one"))
+	_, err := machines[4].node.Update(ctx, setData("one"))
 	require.NoError(t, err)
 	for _, lost := range machines[:2] {
 		lost.stop()
@@ -368,8 +368,8 @@
 	return s.Store.Save(data)
 }
 
-// faulty puts stores with faults in front of the disk of a running machine.
-func (m *machine) faulty() (promise, value *faultyStore) {
+// installFaultyStores puts stores with faults in front of the disk of a running machine.
+func (m *machine) installFaultyStores() (promise, value *faultyStore) {
 	promise = &faultyStore{Store: m.node.disk.promise}
 	value = &faultyStore{Store: m.node.disk.value}
 	m.node.diskSlot <- struct{}{}
@@ -379,16 +379,16 @@
 }
 
 // Close waits for the write in hand, and nothing is written after it: the disk may be another's by then.
-func TestAClosedNodeWritesNothingMore(t *testing.T) {
+func TestClosedNodeWritesNothing(t *testing.T) {
 	machines := newMachines(t, 3, 3, 3)
 	startAll(machines)
-	ctx := deadline(t)
+	ctx := testContext(t)
 	closing := machines[0].node
 	require.NoError(t, closing.WaitFormed(ctx))
-	_, value := machines[0].faulty()
+	_, value := machines[0].installFaultyStores()
 	hang := make(chan struct{})
 	value.set(false, hang)
-	_, err := machines[1].node.Update(ctx, set("its write hangs at one replica"))
+	_, err := machines[1].node.Update(ctx, setData("its write hangs at one replica"))
 	require.NoError(t, err)
 
 	brief, cancel := context.WithCancel(ctx)
@@ -399,25 +399,25 @@
 	value.set(false, nil)
 	closing.Close(ctx)
 	before := value.saves()
-	_, err = machines[1].node.Update(ctx, set("after the end"))
+	_, err = machines[1].node.Update(ctx, setData("after the end"))
 	require.NoError(t, err)
 	require.Equal(t, before, value.saves())
 	<-closing.diskSlot // the machine's own end takes it again
 }
 
-func TestHungDiskHoldsNobodyUp(t *testing.T) {
+func TestHungDiskBlocksNoOperation(t *testing.T) {
 	machines := newMachines(t, 3, 3, 3)
 	startAll(machines)
-	ctx := deadline(t)
+	ctx := testContext(t)
 	require.NoError(t, machines[0].node.WaitFormed(ctx))
-	promise, value := machines[0].faulty()
+	promise, value := machines[0].installFaultyStores()
 	hang := make(chan struct{})
 	promise.set(false, hang)
 	value.set(false, hang)
 	for at, m := range machines {
 		text := fmt.Sprintf("update %d", at)
 		began := time.Now()
-		_, err := m.node.Update(ctx, set(text))
+		_, err := m.node.Update(ctx, setData(text))
 		require.NoError(t, err)
 		state, err := machines[0].node.Read(ctx)
 		require.NoError(t, err)
@@ -431,7 +431,7 @@
 func TestQuorumAgeGrowsWithoutAMajority(t *testing.T) {
 	machines := newMachines(t, 3, 3, 3)
 	startAll(machines)
-	_, err := machines[0].node.Update(deadline(t), set("one"))
+	_, err := machines[0].node.Update(testContext(t), setData("one"))
 	require.NoError(t, err)
 	old := 300 * time.Millisecond
 	fresh := func() bool { return machines[0].node.QuorumAge() < old }
@@ -444,11 +444,11 @@
 	require.Eventually(t, fresh, testDeadline, time.Millisecond)
 }
 
-func TestSetThatMovedOnIsFoundThroughSeeds(t *testing.T) {
+func TestReconfiguredSetIsFoundThroughSeeds(t *testing.T) {
 	machines := newMachines(t, 6, 3, 3)
 	startAll(machines[:3])
-	ctx := deadline(t)
-	_, err := machines[0].node.Update(ctx, set("one"))
+	ctx := testContext(t)
+	_, err := machines[0].node.Update(ctx, setData("one"))
 	require.NoError(t, err)
 	asleep := machines[0]
 	asleep.stop()
@@ -478,19 +478,19 @@
 func TestFullDiskRefusesAndRecovers(t *testing.T) {
 	machines := newMachines(t, 3, 3, 3)
 	startAll(machines)
-	ctx := deadline(t)
+	ctx := testContext(t)
 	require.NoError(t, machines[0].node.WaitFormed(ctx))
-	promise, value := machines[0].faulty()
+	promise, value := machines[0].installFaultyStores()
 	promise.set(true, nil)
 	value.set(true, nil)
-	_, err := machines[0].node.Update(ctx, set("one full"))
+	_, err := machines[0].node.Update(ctx, setData("one full"))
 	require.NoError(t, err)
-	otherPromise, otherValue := machines[1].faulty()
+	otherPromise, otherValue := machines[1].installFaultyStores()
 	otherPromise.set(true, nil)
 	otherValue.set(true, nil)
 	short, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer cancel()
-	_, err = machines[0].node.Update(short, set("two full"))
+	_, err = machines[0].node.Update(short, setData("two full"))
 	require.ErrorIs(t, err, ErrNoQuorum)
 	state, err := machines[0].node.Read(ctx) // reads need no disk
 	require.NoError(t, err)
@@ -498,11 +498,11 @@
 	for _, disk := range []*faultyStore{promise, value, otherPromise, otherValue} {
 		disk.set(false, nil)
 	}
-	_, err = machines[0].node.Update(ctx, set("room again"))
+	_, err = machines[0].node.Update(ctx, setData("room again"))
 	require.NoError(t, err)
 }
 
-func TestEmptyDiskWithoutBootstrapIsANewcomer(t *testing.T) {
+func TestEmptyDiskWithoutBootstrapIsNoFounder(t *testing.T) {
 	folder := t.TempDir()
 	options := Options{Directory: folder, Address: "127.0.0.1:1", Founders: []string{"127.0.0.1:1"}}
 	node, err := Open(options)
--- a/coordination/register/operate.go
+++ b/coordination/register/operate.go
@@ -59,23 +59,23 @@
 func (n *Node) queryRound(ctx context.Context) (Accepted, bool) {
 	known, _ := n.known()
 	reader := NewReader(n.self(), known)
-	replies := newExchange(n)
-	defer replies.close()
+	calls := newExchange(n)
+	defer calls.close()
 	timeout := time.NewTimer(queryTimeout)
 	defer timeout.Stop()
 	output := reader.Start()
 	for {
-		replies.send(output.Messages, queryTimeout)
+		calls.send(output.Messages, queryTimeout)
 		if output.Done {
 			n.learnChosen(reader.Known())
 			return reader.Known(), true
 		}
-		if replies.outstanding == 0 {
+		if calls.outstanding == 0 {
 			return Accepted{}, false
 		}
 		select {
-		case reply := <-replies.replies:
-			replies.outstanding--
+		case reply := <-calls.replies:
+			calls.outstanding--
 			output = reader.Deliver(reply)
 		case <-timeout.C:
 			return Accepted{}, false
@@ -109,8 +109,8 @@
 
 // drive runs the proposer and reports whether it finished before ctx was done.
 func (n *Node) drive(ctx context.Context, proposer *Proposer) bool {
-	replies := newExchange(n)
-	defer replies.close()
+	calls := newExchange(n)
+	defer calls.close()
 	timer := time.NewTimer(n.options.RoundTimeout)
 	defer timer.Stop()
 	jitter := initialJitter
@@ -120,7 +120,7 @@
 		if proposer.Learn(n.latestChosen()) {
 			output.Retry = true // retry after a random backoff: other proposers may have learned it at the same time
 		}
-		replies.send(output.Messages, callTimeout)
+		calls.send(output.Messages, callTimeout)
 		if output.Done {
 			return true
 		}
@@ -129,7 +129,7 @@
 			jitter = min(2*jitter, maxJitter)
 		}
 		select {
-		case reply := <-replies.replies:
+		case reply := <-calls.replies:
 			output = proposer.Deliver(reply)
 			n.learnResult(proposer, output)
 			if sends(output, Prepare) || sends(output, Accept) {
--- a/coordination/register/plan.go
+++ b/coordination/register/plan.go
@@ -52,8 +52,8 @@
 	return next
 }
 
-// join adds the local replica. It removes another identity at the same address, whose disk was lost. From a set above its
-// target size it also removes the replica that has been silent for longest.
+// join adds the local replica. It removes another identity at the same address, whose disk was lost. If the set is
+// then above its target size, join also removes the replica that has been silent for longest, if any is silent.
 func (p Planner) join(replicas []Replica) []Replica {
 	next := lo.Reject(replicas, func(r Replica, _ int) bool { return r.Address == p.Self.Address })
 	next = append(next, p.Self)
--- a/coordination/register/plan_test.go
+++ b/coordination/register/plan_test.go
@@ -15,7 +15,7 @@
 	}
 }
 
-func TestPlans(t *testing.T) {
+func TestPlannerNext(t *testing.T) {
 	cases := map[string]struct {
 		planner Planner
 		set     []Replica
@@ -51,14 +51,14 @@
 	}
 }
 
-func TestWipedDiskTakesThePlaceOfItsFormerIdentity(t *testing.T) {
+func TestPlannerReplacesTheFormerIdentityOfAWipedDisk(t *testing.T) {
 	p := planner("b", nil)
 	p.Self = Replica{ID: "new", Address: "at b"}
 	next := p.Next(Value{Replicas: replicas("a", "b", "c")})
 	require.ElementsMatch(t, append(replicas("a", "c"), p.Self), next.Replicas)
 }
 
-func TestLeaves(t *testing.T) {
+func TestPlannerLeaves(t *testing.T) {
 	p := planner("a", nil)
 	p.Leaving = true
 	next := p.Next(Value{Replicas: replicas("a", "b", "c", "d")})
@@ -68,7 +68,7 @@
 }
 
 // Whatever is silent, a set that has reached its size stays at it, and one step changes few members.
-func TestPlansNeverShrinkASetBelowItsTarget(t *testing.T) {
+func TestPlannerNeverShrinksASetBelowItsTarget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c", "d", "e", "f", "g"}
 		set := replicas(names[:rapid.IntRange(1, 6).Draw(t, "size")]...)
--- a/coordination/register/proposer_test.go
+++ b/coordination/register/proposer_test.go
@@ -13,29 +13,29 @@
 	return lo.Map(names, func(name string, _ int) Replica { return Replica{ID: name, Address: "at " + name} })
 }
 
-// bench holds acceptors that write at once, for a proposer under test.
-type bench struct {
-	t         *testing.T
-	acceptors map[string]*Acceptor
-	deaf      map[string]bool // replicas that get nothing
+// cluster holds acceptors that write at once, for a proposer under test.
+type cluster struct {
+	t           *testing.T
+	acceptors   map[string]*Acceptor
+	unreachable map[string]bool // replicas that get nothing
 }
 
-func newBench(t *testing.T, first Accepted, names ...string) *bench {
-	b := &bench{t: t, acceptors: map[string]*Acceptor{}, deaf: map[string]bool{}}
+func newCluster(t *testing.T, first Accepted, names ...string) *cluster {
+	c := &cluster{t: t, acceptors: map[string]*Acceptor{}, unreachable: map[string]bool{}}
 	for _, replica := range replicas(names...) {
 		accepted := first
 		if !first.Value.HasReplica(replica.ID) {
 			accepted = Accepted{}
 		}
-		b.acceptors[replica.ID] = NewAcceptor(replica, Ballot{}, accepted)
+		c.acceptors[replica.ID] = NewAcceptor(replica, Ballot{}, accepted)
 	}
-	return b
+	return c
 }
 
-// answer lets a replica take a message and returns its reply.
-func (b *bench) answer(message Message) (Reply, bool) {
-	a := b.acceptors[message.To.ID]
-	if b.deaf[message.To.ID] || a == nil || message.Request.Kind == Commit {
+// deliver lets a replica take a message and returns its reply.
+func (c *cluster) deliver(message Message) (Reply, bool) {
+	a := c.acceptors[message.To.ID]
+	if c.unreachable[message.To.ID] || a == nil || message.Request.Kind == Commit {
 		return Reply{}, false
 	}
 	step := a.Begin(message.Request)
@@ -45,13 +45,13 @@
 	return a.Finish(step), true
 }
 
-// play delivers messages until none is left or the proposer wants to try again.
-func (b *bench) play(p *Proposer, output Output) Output {
+// run delivers messages until none is left or the proposer wants to try again.
+func (c *cluster) run(p *Proposer, output Output) Output {
 	queue := output.Messages
 	for len(queue) > 0 && !output.Done && !output.Retry {
 		message := queue[0]
 		queue = queue[1:]
-		if reply, answered := b.answer(message); answered {
+		if reply, answered := c.deliver(message); answered {
 			output = p.Deliver(reply)
 			queue = append(queue, output.Messages...)
 		}
@@ -68,24 +68,24 @@
 
 func TestProposerWritesInTwoRounds(t *testing.T) {
 	first := Genesis(replicas("a", "b", "c"))
-	b := newBench(t, first, "a", "b", "c")
-	b.deaf["c"] = true
+	c := newCluster(t, first, "a", "b", "c")
+	c.unreachable["c"] = true
 	p := NewProposer(Replica{ID: "a"}, NewBallotGenerator(1), first, first.Ballot, setTo("x"))
-	require.True(t, b.play(p, p.Start()).Done)
+	require.True(t, c.run(p, p.Start()).Done)
 	result, err := p.Result()
 	require.NoError(t, err)
 	require.Equal(t, "x", string(result.Value.Data))
 	require.EqualValues(t, 1, result.Value.Revision)
 	require.EqualValues(t, 1, result.Value.DataRevision)
 	require.False(t, p.InDoubt())
-	require.Equal(t, result.Ballot, b.acceptors["b"].Accepted().Ballot)
+	require.Equal(t, result.Ballot, c.acceptors["b"].Accepted().Ballot)
 }
 
-func TestProposerTellsEveryoneWhatIsChosen(t *testing.T) {
+func TestProposerSendsCommitsToAllMembers(t *testing.T) {
 	first := Genesis(replicas("a", "b", "c"))
-	b := newBench(t, first, "a", "b", "c")
+	c := newCluster(t, first, "a", "b", "c")
 	p := NewProposer(Replica{ID: "a"}, NewBallotGenerator(1), first, first.Ballot, setTo("x"))
-	output := b.play(p, p.Start())
+	output := c.run(p, p.Start())
 	require.True(t, output.Done)
 	require.Len(t, output.Messages, 3)
 	for _, message := range output.Messages {
@@ -94,22 +94,22 @@
 	}
 }
 
-func TestProposerCompletesWhatIsInDoubtBeforeItsChange(t *testing.T) {
+func TestProposerCompletesAValueInDoubtBeforeItsChange(t *testing.T) {
 	first := Genesis(replicas("a", "b", "c"))
-	b := newBench(t, first, "a", "b", "c")
+	c := newCluster(t, first, "a", "b", "c")
 	old := Value{Revision: 1, Origin: ballot(3), Replicas: first.Value.Replicas, Data: []byte("old")}
 	doubtful := Accepted{Ballot: ballot(3), Value: old}
-	b.acceptors["a"] = NewAcceptor(replicas("a")[0], Ballot{}, doubtful)
-	b.deaf["c"] = true
+	c.acceptors["a"] = NewAcceptor(replicas("a")[0], Ballot{}, doubtful)
+	c.unreachable["c"] = true
 	var seen []string
 	p := NewProposer(Replica{ID: "b"}, NewBallotGenerator(1), first, first.Ballot, func(value Value) (Value, error) {
 		seen = append(seen, string(value.Data))
 		value.Data = []byte("new")
 		return value, nil
 	})
-	output := b.play(p, p.Start())
+	output := c.run(p, p.Start())
 	for !output.Done {
-		output = b.play(p, p.Retry())
+		output = c.run(p, p.Retry())
 	}
 	require.True(t, output.Done)
 	result, _ := p.Result()
@@ -119,46 +119,46 @@
 
 func TestProposerReturnsTheErrorOfTheChange(t *testing.T) {
 	first := Genesis(replicas("a", "b", "c"))
-	b := newBench(t, first, "a", "b", "c")
+	c := newCluster(t, first, "a", "b", "c")
 	refused := eris.New("refused")
 	refuse := func(value Value) (Value, error) { return value, refused }
 	p := NewProposer(Replica{ID: "a"}, NewBallotGenerator(1), first, first.Ballot, refuse)
-	require.True(t, b.play(p, p.Start()).Done)
+	require.True(t, c.run(p, p.Start()).Done)
 	_, err := p.Result()
 	require.ErrorIs(t, err, refused)
-	require.Equal(t, genesisBallot, b.acceptors["a"].Accepted().Ballot)
+	require.Equal(t, genesisBallot, c.acceptors["a"].Accepted().Ballot)
 }
 
-func TestProposerTriesAgainAboveABallotThatItMet(t *testing.T) {
+func TestProposerRetriesAboveAnObservedBallot(t *testing.T) {
 	first := Genesis(replicas("a", "b", "c"))
-	b := newBench(t, first, "a", "b", "c")
+	c := newCluster(t, first, "a", "b", "c")
 	for _, id := range []string{"a", "b"} {
-		b.answer(Message{To: Replica{ID: id}, Request: Request{Kind: Prepare, To: id, Ballot: ballot(50)}})
+		c.deliver(Message{To: Replica{ID: id}, Request: Request{Kind: Prepare, To: id, Ballot: ballot(50)}})
 	}
 	p := NewProposer(Replica{ID: "a"}, NewBallotGenerator(1), first, first.Ballot, setTo("x"))
-	require.True(t, b.play(p, p.Start()).Retry)
-	require.True(t, b.play(p, p.Retry()).Done)
+	require.True(t, c.run(p, p.Start()).Retry)
+	require.True(t, c.run(p, p.Retry()).Done)
 	result, _ := p.Result()
 	require.Greater(t, result.Ballot.Round, uint64(50))
 }
 
-// inDoubt returns a proposer whose proposal only a has accepted.
-func inDoubt(b *bench, first Accepted, change Change) *Proposer {
+// proposerInDoubt returns a proposer whose proposal only a has accepted.
+func proposerInDoubt(c *cluster, first Accepted, change Change) *Proposer {
 	p := NewProposer(Replica{ID: "a"}, NewBallotGenerator(1), first, first.Ballot, change)
 	var accepts []Message
 	for _, message := range p.Start().Messages {
-		reply, _ := b.answer(message)
+		reply, _ := c.deliver(message)
 		accepts = append(accepts, p.Deliver(reply).Messages...)
 	}
-	b.answer(accepts[0]) // its reply is lost
+	c.deliver(accepts[0]) // its reply is lost
 	return p
 }
 
 func TestProposalInDoubtIsFoundChosen(t *testing.T) {
 	first := Genesis(replicas("a", "b", "c"))
-	b := newBench(t, first, "a", "b", "c")
+	c := newCluster(t, first, "a", "b", "c")
 	calls := 0
-	p := inDoubt(b, first, func(value Value) (Value, error) {
+	p := proposerInDoubt(c, first, func(value Value) (Value, error) {
 		calls++
 		value.Data = fmt.Appendf(nil, "%sx", value.Data)
 		return value, nil
@@ -166,35 +166,35 @@
 	require.True(t, p.InDoubt())
 	output := p.Retry()
 	require.True(t, p.InDoubt())
-	require.True(t, b.play(p, output).Done)
+	require.True(t, c.run(p, output).Done)
 	result, _ := p.Result()
 	require.Equal(t, "x", string(result.Value.Data))
 	require.Equal(t, 1, calls)
 	require.False(t, p.InDoubt())
 }
 
-func TestProposalInDoubtIsNotRefutedByPromises(t *testing.T) {
+func TestProposalInDoubtIsNotRuledOutByPromises(t *testing.T) {
 	first := Genesis(replicas("a", "b", "c"))
-	b := newBench(t, first, "a", "b", "c")
+	c := newCluster(t, first, "a", "b", "c")
 	refused := eris.New("refused")
 	calls := 0
-	p := inDoubt(b, first, func(value Value) (Value, error) {
+	p := proposerInDoubt(c, first, func(value Value) (Value, error) {
 		if calls++; calls > 1 {
 			return value, refused
 		}
 		return setTo("x")(value)
 	})
-	b.deaf["a"] = true
+	c.unreachable["a"] = true
 	output := p.Retry()
 	var accepts []Message
 	for _, message := range output.Messages[1:] {
-		reply, _ := b.answer(message)
+		reply, _ := c.deliver(message)
 		accepts = append(accepts, p.Deliver(reply).Messages...)
 	}
 	require.True(t, p.InDoubt(), "someone may still complete what a has accepted")
 	require.NotEmpty(t, accepts)
 	require.Equal(t, Accept, accepts[0].Request.Kind, "the state without it is chosen anew, above it")
-	require.True(t, b.play(p, Output{Messages: accepts}).Done)
+	require.True(t, c.run(p, Output{Messages: accepts}).Done)
 	_, err := p.Result()
 	require.ErrorIs(t, err, refused)
 	require.False(t, p.InDoubt())
@@ -202,33 +202,33 @@
 
 func TestJointSetNeedsBothMajorities(t *testing.T) {
 	first := Genesis(replicas("a", "b", "c"))
-	b := newBench(t, first, "a", "b", "c", "d", "e")
-	b.deaf["d"] = true
+	c := newCluster(t, first, "a", "b", "c", "d", "e")
+	c.unreachable["d"] = true
 	toNew := func(value Value) (Value, error) {
 		value.Previous, value.Replicas = value.Replicas, replicas("c", "d", "e")
 		return value, nil
 	}
 	p := NewProposer(Replica{ID: "a"}, NewBallotGenerator(1), first, first.Ballot, toNew)
-	b.deaf["e"] = true
-	require.False(t, b.play(p, p.Start()).Done, "a majority of the new set is missing")
-	b.deaf["e"] = false
-	require.True(t, b.play(p, p.Retry()).Done)
+	c.unreachable["e"] = true
+	require.False(t, c.run(p, p.Start()).Done, "a majority of the new set is missing")
+	c.unreachable["e"] = false
+	require.True(t, c.run(p, p.Retry()).Done)
 	joint, _ := p.Result()
 	require.True(t, joint.Value.Joint())
 
 	finish := func(value Value) (Value, error) { value.Previous = nil; return value, nil }
-	b.deaf["a"], b.deaf["b"] = true, true
+	c.unreachable["a"], c.unreachable["b"] = true, true
 	p = NewProposer(Replica{ID: "e"}, NewBallotGenerator(2), joint, joint.Ballot, finish)
-	require.False(t, b.play(p, p.Start()).Done, "a majority of the old set is missing")
-	b.deaf["b"] = false
-	require.True(t, b.play(p, p.Retry()).Done)
+	require.False(t, c.run(p, p.Start()).Done, "a majority of the old set is missing")
+	c.unreachable["b"] = false
+	require.True(t, c.run(p, p.Retry()).Done)
 	simple, _ := p.Result()
 	require.Equal(t, replicas("c", "d", "e"), simple.Value.Members())
 }
 
-func TestProposerFollowsASetThatMovedOn(t *testing.T) {
+func TestProposerFollowsAReconfiguredSet(t *testing.T) {
 	first := Genesis(replicas("a", "b", "c"))
-	b := newBench(t, first, "a", "b", "c", "d")
+	c := newCluster(t, first, "a", "b", "c", "d")
 	move := func(value Value) (Value, error) {
 		if value.Joint() {
 			value.Previous = nil
@@ -240,13 +240,13 @@
 	known := first
 	for range 2 {
 		p := NewProposer(Replica{ID: "b"}, NewBallotGenerator(1), known, known.Ballot, move)
-		require.True(t, b.play(p, p.Start()).Done)
+		require.True(t, c.run(p, p.Start()).Done)
 		known, _ = p.Result()
 	}
 	stale := NewProposer(Replica{ID: "a"}, NewBallotGenerator(9), first, first.Ballot, setTo("x"))
-	output := b.play(stale, stale.Start())
+	output := c.run(stale, stale.Start())
 	for !output.Done {
-		output = b.play(stale, stale.Retry())
+		output = c.run(stale, stale.Retry())
 	}
 	require.True(t, output.Done)
 	result, _ := stale.Result()
@@ -258,15 +258,15 @@
 func TestReaderNeedsOneBallotOnAMajority(t *testing.T) {
 	first := Genesis(replicas("a", "b", "c"))
 	newer := Accepted{Ballot: ballot(4), Value: Value{Revision: 1, Replicas: first.Value.Replicas, Data: []byte("x")}}
-	b := newBench(t, first, "a", "b", "c")
-	b.acceptors["b"] = NewAcceptor(replicas("b")[0], Ballot{}, newer)
+	c := newCluster(t, first, "a", "b", "c")
+	c.acceptors["b"] = NewAcceptor(replicas("b")[0], Ballot{}, newer)
 	r := NewReader(Replica{ID: "z"}, first)
 	queue := r.Start().Messages
 	require.Len(t, queue, 3)
 	values := 0
 	deliver := func() (output Output) {
 		for len(queue) > 0 {
-			reply, _ := b.answer(queue[0])
+			reply, _ := c.deliver(queue[0])
 			values += lo.Ternary(reply.Value != nil, 1, 0)
 			output = r.Deliver(reply)
 			queue = append(queue[1:], output.Messages...)
@@ -275,7 +275,7 @@
 	}
 	require.True(t, deliver().Done == r.Done())
 	require.False(t, r.Known().Ballot == newer.Ballot && r.Done(), "one replica alone holds it")
-	b.acceptors["c"] = NewAcceptor(replicas("c")[0], Ballot{}, newer)
+	c.acceptors["c"] = NewAcceptor(replicas("c")[0], Ballot{}, newer)
 	r = NewReader(Replica{ID: "z"}, first)
 	queue = r.Start().Messages
 	values = 0
--- a/coordination/register/quorum_age_test.go
+++ b/coordination/register/quorum_age_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// heardFrom is a node in a set that heard some of its members a while ago.
-func heardFrom(value Value, ages map[string]time.Duration) *Node {
+// nodeWithContacts is a node in a set that heard some of its members a while ago.
+func nodeWithContacts(value Value, ages map[string]time.Duration) *Node {
 	now := time.Now()
 	n := &Node{
 		options:  Options{Address: "a"},
@@ -31,7 +31,7 @@
 	return replicas
 }
 
-func TestContactIsWithAMajorityOfTheDisksOfTheSet(t *testing.T) {
+func TestQuorumAgeCountsAMajorityOfTheIdentities(t *testing.T) {
 	const near, far = time.Second, time.Minute
 	for name, test := range map[string]struct {
 		value Value
@@ -50,7 +50,7 @@
 		"both sets":                     {Value{Replicas: members("a1", "d1", "e1"), Previous: members("a1", "b1", "c1")}, map[string]time.Duration{"d1": near, "c1": far}, far},
 	} {
 		t.Run(name, func(t *testing.T) {
-			age := heardFrom(test.value, test.ages).QuorumAge()
+			age := nodeWithContacts(test.value, test.ages).QuorumAge()
 			if test.want == NoContact {
 				require.Equal(t, NoContact, age)
 				return
@@ -61,7 +61,7 @@
 }
 
 // A replica that has accepted another set than the newest chosen one can't tell which of both is in force.
-func TestASetIsInDoubtOnceAnotherWasAccepted(t *testing.T) {
+func TestReplicaSetIsInDoubtAfterAnotherWasAccepted(t *testing.T) {
 	chosen := Value{Revision: 2, Replicas: members("a1", "b1", "c1")}
 	other := Value{Revision: 3, Replicas: members("a1", "b1", "d1"), Previous: chosen.Replicas}
 	sameSet := Value{Revision: 3, Replicas: chosen.Replicas, Data: []byte("x")}
@@ -74,7 +74,7 @@
 		{Accepted{Ballot: ballot(3), Value: other}, true},
 		{Accepted{Ballot: ballot(1), Value: other}, false}, // older than what is chosen
 	} {
-		n := heardFrom(chosen, nil)
+		n := nodeWithContacts(chosen, nil)
 		n.acceptor = NewAcceptor(Replica{ID: "a1", Address: "a"}, Ballot{}, test.accepted)
 		require.Equal(t, test.want, n.ReplicaSetInDoubt(), "%+v", test.accepted)
 	}
--- a/coordination/register/serve.go
+++ b/coordination/register/serve.go
@@ -113,8 +113,7 @@
 }
 
 // Close waits for the write in progress and prevents later ones, so that the disk can be used without this node, for example by a
-// successor. It stops waiting when ctx is done,
-// because a disk may hang; later writes are then not prevented.
+// successor. It stops waiting when ctx is done, because a disk may hang; later writes are then not prevented.
 func (n *Node) Close(ctx context.Context) {
 	select {
 	case n.diskSlot <- struct{}{}:
