--- a/coordination/register/acceptor_test.go
+++ b/coordination/register/acceptor_test.go
@@ -17,7 +17,7 @@
 	return Request{Kind: Accept, To: self.ID, Ballot: ballot(round), Value: value}
 }
 
-// beginAndFinish begins a request that needs a write and says that the write is durable.
+// beginAndFinish begins a request that needs a write and finishes it as if the write were durable.
 func beginAndFinish(t *testing.T, a *Acceptor, request Request) Reply {
 	t.Helper()
 	step := a.Begin(request)
@@ -30,7 +30,7 @@
 	step := a.Begin(prepare(5))
 	require.Equal(t, ballot(5), *step.Write.Promised)
 	query := a.Begin(Request{Kind: Query}).Reply
-	require.Equal(t, Ballot{}, query.Promised, "a promise that is not durable is not told")
+	require.Equal(t, Ballot{}, query.Promised, "a promise must not be reported before it is durable")
 	require.Equal(t, Busy, a.Begin(accept(6, "x")).Reply.Refusal)
 	reply := a.Finish(step)
 	require.Equal(t, NoRefusal, reply.Refusal)
@@ -81,15 +81,15 @@
 func TestAcceptorRewritesAnUnconfirmedValueBeforeAPromise(t *testing.T) {
 	a := NewAcceptor(self, Ballot{}, Accepted{})
 	reply := a.Abandon(a.Begin(accept(5, "five")), DiskFailed)
-	require.Equal(t, Ballot{}, reply.Accepted, "it may not be on the disk")
+	require.Equal(t, Ballot{}, reply.Accepted, "the value may not be on the disk")
 	step := a.Begin(prepare(6))
-	require.Equal(t, ballot(5), step.Write.Accepted.Ballot, "it may be on the disk")
+	require.Equal(t, ballot(5), step.Write.Accepted.Ballot, "the value may be on the disk")
 	require.Equal(t, ballot(6), *step.Write.Promised)
 	require.Equal(t, Ballot{}, a.Abandon(step, DiskFailed).Accepted)
 	reply = beginAndFinish(t, a, prepare(7))
 	require.Equal(t, "five", string(reply.Value.Data))
 	require.Equal(t, ballot(7), reply.Promised)
-	require.Nil(t, a.Begin(prepare(8)).Write.Accepted, "it is in doubt no longer")
+	require.Nil(t, a.Begin(prepare(8)).Write.Accepted, "the value is durable now")
 }
 
 func TestAcceptorDropsAnUnconfirmedValueAfterANewerAccept(t *testing.T) {
@@ -102,7 +102,7 @@
 func TestAcceptorRefusesRequestsForOtherIdentities(t *testing.T) {
 	a := NewAcceptor(self, Ballot{}, Accepted{})
 	for _, request := range []Request{prepare(5), accept(5, "x"), {Kind: Query}} {
-		request.To = "someone else"
+		request.To = "another replica"
 		step := a.Begin(request)
 		require.Nil(t, step.Write)
 		require.Equal(t, IdentityMismatch, step.Reply.Refusal)
@@ -129,16 +129,16 @@
 	chosen := Accepted{Ballot: ballot(5), Value: Value{Revision: 5, Data: []byte("five")}}
 	step := a.Learn(chosen)
 	require.Equal(t, chosen, *step.Write.Accepted)
-	require.Nil(t, a.Learn(chosen).Write, "one step at a time")
+	require.Nil(t, a.Learn(chosen).Write, "only one step with a write may be open")
 	a.Finish(step)
 	require.Equal(t, chosen, a.Accepted())
-	require.Equal(t, Superseded, a.Begin(accept(8, "x")).Reply.Refusal, "the promise stands")
+	require.Equal(t, Superseded, a.Begin(accept(8, "x")).Reply.Refusal, "the promise must hold")
 	require.Nil(t, a.Learn(chosen).Write)
-	require.Equal(t, ballot(5), beginAndFinish(t, a, prepare(10)).Accepted, "a proposer is told of it")
+	require.Equal(t, ballot(5), beginAndFinish(t, a, prepare(10)).Accepted, "a proposer must see the learned value")
 
 	behind := NewAcceptor(self, Ballot{}, Accepted{})
 	behind.Finish(behind.Learn(chosen))
-	require.Equal(t, Superseded, behind.Begin(prepare(4)).Reply.Refusal, "what is held implies the promise")
+	require.Equal(t, Superseded, behind.Begin(prepare(4)).Reply.Refusal, "a learned value implies the promise")
 }
 
 func TestAcceptorRewritesAnUnconfirmedLearnedValueBeforeAPromise(t *testing.T) {
@@ -147,6 +147,6 @@
 	a.Abandon(a.Learn(chosen), DiskFailed)
 	require.Equal(t, Ballot{}, a.Accepted().Ballot)
 	step := a.Begin(prepare(6))
-	require.Equal(t, chosen, *step.Write.Accepted, "it may be on the disk")
+	require.Equal(t, chosen, *step.Write.Accepted, "the value may be on the disk")
 	require.Equal(t, ballot(5), a.Finish(step).Accepted)
 }
--- a/coordination/register/background_test.go
+++ b/coordination/register/background_test.go
@@ -9,16 +9,16 @@
 
 func TestBackgroundTaskIsBusyUntilItReturns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var steps backgroundTask
-		require.False(t, steps.busy())
+		var task backgroundTask
+		require.False(t, task.busy())
 		for range 2 {
-			end := make(chan struct{})
-			steps.start(func() { <-end })
+			finish := make(chan struct{})
+			task.start(func() { <-finish })
 			synctest.Wait()
-			require.True(t, steps.busy())
-			close(end)
+			require.True(t, task.busy())
+			close(finish)
 			synctest.Wait()
-			require.False(t, steps.busy())
+			require.False(t, task.busy())
 		}
 	})
 }
--- a/coordination/register/exhaustive_test.go
+++ b/coordination/register/exhaustive_test.go
@@ -15,23 +15,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// exhaustiveStates bounds the search: it ends with the number of events at which it has met as many states. In CI that takes
-// some seconds.
-var exhaustiveStates = flag.Int("register.states", 30_000, "states of each story of the exhaustive model")
+// exhaustiveStates limits the search: it stops once it has visited this many states. The default takes some seconds in CI.
+var exhaustiveStates = flag.Int("register.states", 30_000, "maximum number of states for each scenario of the exhaustive search")
 
-// The exhaustive model goes through all stories of a few events: all orders in which requests arrive, if they do, with answers that
-// are lost, proposers that give up and try again, a disk that is lost, and a replica that writes a chosen value it was not asked
-// for, at any moment. An event is a request that arrives, with its answer or without; requests that never arrive need none, since
-// each story is checked at each step. What is left out: answers that come after others have (they count as lost), doubled requests,
-// which acceptors answer alike, and commits, which only tell early what answers tell later.
+// The exhaustive search explores all runs of a few events, breadth first: all orders in which requests arrive or get lost, lost
+// replies, proposers that give up and retry, a lost disk, and a replica that writes a chosen value that it was not asked to
+// accept, at any moment. An event is the arrival of a request, with its reply delivered at once or lost. A request that never
+// arrives needs no event, because each run is checked after each event. The search leaves out replies that are delivered later
+// than at once (they count as lost), duplicated requests (acceptors reply to them in the same way) and commits (they only tell
+// earlier what replies tell later).
 
-// searchState is one state of the model.
+// searchState is one state of the search.
 type searchState struct {
 	replicas    []searchReplica
 	proposers   []searchProposer
 	inFlight    []searchMessage
-	wipesLeft   int // disks that may yet be lost
-	learnsLeft  int // values that replicas may yet write unasked
+	wipesLeft   int // number of disks that may still be lost
+	learnsLeft  int // number of chosen values that replicas may still learn without a request
 	acceptances []acceptance
 }
 
@@ -41,46 +41,46 @@
 	wiped    bool
 }
 
-// searchProposer drives operations one after the other.
+// searchProposer runs operations one after the other.
 type searchProposer struct {
-	operations  []Change // operations that are left, the present one first
+	operations  []Change // operations that have not started
 	current     Proposer
 	ballots     *BallotGenerator
 	replica     Replica
-	retriesLeft int // that it may yet make
+	retriesLeft int // number of retries that it may still make
 	done        bool
 }
 
-// searchMessage is a request on its way to a replica.
+// searchMessage is a request in flight.
 type searchMessage struct {
-	to       int // of replicas
-	from     int // the proposer that asked
+	to       int // index of the receiving replica
+	from     int // index of the sending proposer
 	request  *Request
 	encoding string
 }
 
-// acceptance are the identities that have ever held a value under a ballot.
+// acceptance holds the identities that have ever accepted a value under its ballot.
 type acceptance struct {
 	accepted Accepted
 	ids      []string
 }
 
-// searchScenario is what a search begins with.
+// searchScenario configures a search.
 type searchScenario struct {
 	name      string
 	proposers [][]Change
-	// joiningProposer is the proposer that begins once a disk is lost, at that replica; -1: none.
+	// joiningProposer is the index of the proposer that begins at the replica whose disk is lost, or -1 for none.
 	joiningProposer int
 	wipes           int
 	learns          int
-	retries         int // of each proposer
-	// broken variants, which the search has to catch
+	retries         int // number of retries of each proposer
+	// defect that the search must detect
 	keepsIdentity bool
 }
 
 var searchFounders = []Replica{{ID: "A", Address: "a"}, {ID: "B", Address: "b"}, {ID: "C", Address: "c"}}
 
-// searchJoiner is a fourth machine that joins.
+// searchJoiner is a fourth replica, which joins.
 var searchJoiner = Replica{ID: "D", Address: "d"}
 
 func searchAppend(text string) Change {
@@ -97,28 +97,29 @@
 	return func(chosen Value) (Value, error) { return planner.Next(chosen), nil }
 }
 
-// stateSearch goes through the states.
+// stateSearch is a breadth-first search through the states of a scenario.
 type stateSearch struct {
 	scenario  searchScenario
 	seed      maphash.Seed
 	seen      map[[2]uint64]bool
-	frontier  []searchState // states of one more event than those that are looked at
+	frontier  []searchState // states that are one event further than those being expanded
 	violation string
 	buffer    []byte
 }
 
-// run looks at all states of one event after the other, and returns the number of events of which it has seen all stories.
-func (s *stateSearch) run(story searchScenario, mostStates int) (events int, whole bool) {
-	s.scenario = story
+// run expands the states level by level. It returns the number of events up to which it has explored all runs, and whether it
+// has explored the scenario completely.
+func (s *stateSearch) run(scenario searchScenario, maxStates int) (events int, complete bool) {
+	s.scenario = scenario
 	s.seed = maphash.MakeSeed()
 	s.seen = map[[2]uint64]bool{}
 	s.enqueue(s.initialState())
 	for ; len(s.frontier) > 0 && s.violation == ""; events++ {
-		present := s.frontier
+		current := s.frontier
 		s.frontier = nil
-		for i := range present {
-			s.expand(&present[i])
-			if len(s.seen) > mostStates {
+		for i := range current {
+			s.expand(&current[i])
+			if len(s.seen) > maxStates {
 				return events, false
 			}
 		}
@@ -126,7 +127,7 @@
 	return events, true
 }
 
-// enqueue keeps a state to be looked at, if it was not met before.
+// enqueue adds a state to the frontier if it was not visited before.
 func (s *stateSearch) enqueue(state searchState) {
 	if s.violation == "" && !s.visited(&state) {
 		s.frontier = append(s.frontier, state)
@@ -143,46 +144,46 @@
 		}
 		state.replicas = append(state.replicas, searchReplica{acceptor: *NewAcceptor(replica, Ballot{}, accepted)})
 	}
-	for number, plan := range s.scenario.proposers {
-		p := searchProposer{operations: plan, retriesLeft: s.scenario.retries, replica: state.replicas[number].acceptor.self}
-		p.ballots = NewBallotGenerator(uint64(number + 1))
+	for index, plan := range s.scenario.proposers {
+		p := searchProposer{operations: plan, retriesLeft: s.scenario.retries, replica: state.replicas[index].acceptor.self}
+		p.ballots = NewBallotGenerator(uint64(index + 1))
 		state.proposers = append(state.proposers, p)
 	}
 	state.acceptances = []acceptance{{accepted: genesis, ids: []string{"A", "B", "C"}}}
-	for number := range state.proposers {
-		if number != s.scenario.joiningProposer {
-			s.begin(&state, number, genesis)
+	for index := range state.proposers {
+		if index != s.scenario.joiningProposer {
+			s.begin(&state, index, genesis)
 		}
 	}
 	return state
 }
 
 // begin starts the next operation of a proposer.
-func (s *stateSearch) begin(state *searchState, number int, known Accepted) {
-	p := &state.proposers[number]
+func (s *stateSearch) begin(state *searchState, index int, known Accepted) {
+	p := &state.proposers[index]
 	if len(p.operations) == 0 {
 		p.done = true
 		return
 	}
 	p.current = *NewProposer(p.replica, p.ballots, known, known.Ballot, p.operations[0])
 	p.operations = p.operations[1:]
-	s.handleOutput(state, number, p.current.Start())
+	s.handleOutput(state, index, p.current.Start())
 }
 
-func (s *stateSearch) handleOutput(state *searchState, number int, output Output) {
-	p := &state.proposers[number]
+func (s *stateSearch) handleOutput(state *searchState, index int, output Output) {
+	p := &state.proposers[index]
 	for _, message := range output.Messages {
 		if message.Request.Kind == Commit {
 			continue
 		}
 		to := slices.IndexFunc(state.replicas, func(r searchReplica) bool { return r.acceptor.self.Address == message.To.Address })
 		request := message.Request
-		state.send(searchMessage{to: to, from: number, request: &request})
+		state.send(searchMessage{to: to, from: index, request: &request})
 	}
 	if output.Done {
 		result, _ := p.current.Result()
-		s.check(chosenIn(state, result), "a proposer took revision %d for chosen", result.Value.Revision)
-		s.begin(state, number, result)
+		s.check(chosenIn(state, result), "a proposer reported revision %d as chosen without a majority", result.Value.Revision)
+		s.begin(state, index, result)
 	}
 }
 
@@ -191,7 +192,7 @@
 	state.inFlight = append(state.inFlight, message)
 }
 
-// chosenIn reports whether a majority holds, or held, a value under its ballot.
+// chosenIn reports whether a majority has ever accepted a value under its ballot.
 func chosenIn(state *searchState, accepted Accepted) bool {
 	for _, known := range state.acceptances {
 		if known.accepted.Ballot == accepted.Ballot {
@@ -207,7 +208,7 @@
 	}
 }
 
-// clone copies what events change. Values are never changed, and are shared.
+// clone copies the parts of a state that events modify. Values are never modified and are shared.
 func (state *searchState) clone() searchState {
 	next := *state
 	next.replicas = slices.Clone(state.replicas)
@@ -225,7 +226,7 @@
 	return next
 }
 
-// expand goes on from a state by each event that is possible.
+// expand enqueues the states that follow by each possible event.
 func (s *stateSearch) expand(state *searchState) {
 	for at := range state.inFlight {
 		for _, answered := range []bool{true, false} {
@@ -236,11 +237,11 @@
 			s.enqueue(next)
 		}
 	}
-	for number := range state.proposers {
-		if p := &state.proposers[number]; p.retriesLeft > 0 && !p.done && p.current.phase != idle && p.current.phase != ended {
+	for index := range state.proposers {
+		if p := &state.proposers[index]; p.retriesLeft > 0 && !p.done && p.current.phase != idle && p.current.phase != ended {
 			next := state.clone()
-			next.proposers[number].retriesLeft--
-			s.handleOutput(&next, number, next.proposers[number].current.Retry())
+			next.proposers[index].retriesLeft--
+			s.handleOutput(&next, index, next.proposers[index].current.Retry())
 			s.enqueue(next)
 		}
 	}
@@ -249,7 +250,7 @@
 	}
 }
 
-// expandDisk goes on by what befalls the disk of a replica.
+// expandDisk enqueues the states that follow by a lost disk or a learned value at a replica.
 func (s *stateSearch) expandDisk(state *searchState, at int) {
 	if state.wipesLeft > 0 && !state.replicas[at].wiped {
 		next := state.clone()
@@ -318,7 +319,8 @@
 	}
 }
 
-// recordAccept notes that an identity holds a value, and checks that chosen values follow one another.
+// recordAccept records that an identity has accepted a value. If the value is now chosen, recordAccept checks that there is one value
+// for each revision and that each extends the earlier ones.
 func (s *stateSearch) recordAccept(state *searchState, id string, accepted Accepted) {
 	at := slices.IndexFunc(state.acceptances, func(a acceptance) bool { return a.accepted.Ballot == accepted.Ballot })
 	if at < 0 {
@@ -341,7 +343,7 @@
 			older, newer = newer, older
 		}
 		s.check(older.Revision != newer.Revision || older.Origin == newer.Origin, "two values chosen as revision %d", older.Revision)
-		s.check(bytes.HasPrefix(newer.Data, older.Data), "revision %d has %q, %d had %q", newer.Revision, newer.Data, older.Revision, older.Data)
+		s.check(bytes.HasPrefix(newer.Data, older.Data), "revision %d has data %q, but revision %d had %q", newer.Revision, newer.Data, older.Revision, older.Data)
 	}
 }
 
@@ -417,37 +419,37 @@
 }
 
 var searchScenarios = []searchScenario{
-	{name: "two change", proposers: [][]Change{{searchAppend("x")}, {searchAppend("y")}}, joiningProposer: -1},
-	{name: "two change, and may try again", proposers: [][]Change{{searchAppend("x")}, {searchAppend("y")}}, joiningProposer: -1, retries: 1},
-	{name: "two change, a value is learnt unasked", proposers: [][]Change{{searchAppend("x")}, {searchAppend("y")}}, joiningProposer: -1, learns: 1},
-	{name: "one changes, a newcomer joins", joiningProposer: -1,
+	{name: "two writers", proposers: [][]Change{{searchAppend("x")}, {searchAppend("y")}}, joiningProposer: -1},
+	{name: "two writers with retries", proposers: [][]Change{{searchAppend("x")}, {searchAppend("y")}}, joiningProposer: -1, retries: 1},
+	{name: "two writers, a replica learns a chosen value", proposers: [][]Change{{searchAppend("x")}, {searchAppend("y")}}, joiningProposer: -1, learns: 1},
+	{name: "one writer, a replica joins", joiningProposer: -1,
 		proposers: [][]Change{{searchAppend("x")}, {searchPlan(searchJoiner), searchPlan(searchJoiner)}}},
-	{name: "one changes, a disk is lost and joins anew", proposers: [][]Change{{searchAppend("x"), searchAppend("y")}, nil}, joiningProposer: 1, wipes: 1},
+	{name: "one writer, a replica loses its disk and rejoins", proposers: [][]Change{{searchAppend("x"), searchAppend("y")}, nil}, joiningProposer: 1, wipes: 1},
 }
 
 func TestExhaustiveSearchFindsNoViolation(t *testing.T) {
-	for _, story := range searchScenarios {
-		t.Run(story.name, func(t *testing.T) {
+	for _, scenario := range searchScenarios {
+		t.Run(scenario.name, func(t *testing.T) {
 			t.Parallel()
 			var search stateSearch
-			begun := time.Now()
-			events, whole := search.run(story, *exhaustiveStates)
+			started := time.Now()
+			events, complete := search.run(scenario, *exhaustiveStates)
 			require.Empty(t, search.violation)
-			t.Logf("%d states, all stories of %d events (to their end: %v), %v", len(search.seen), events, whole,
-				time.Since(begun).Round(time.Millisecond))
+			t.Logf("%d states, all runs of %d events (complete: %v), %v", len(search.seen), events, complete,
+				time.Since(started).Round(time.Millisecond))
 		})
 	}
 }
 
 func TestExhaustiveSearchDetectsDefectiveReplicas(t *testing.T) {
-	const mostStates = 400_000
-	for name, story := range map[string]searchScenario{
+	const maxStates = 400_000
+	for name, scenario := range map[string]searchScenario{
 		"keeps its identity when its disk is lost": {proposers: [][]Change{{searchAppend("x")}, {searchAppend("y")}}, joiningProposer: -1, wipes: 1, keepsIdentity: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var search stateSearch
-			events, _ := search.run(story, mostStates)
+			events, _ := search.run(scenario, maxStates)
 			require.NotEmpty(t, search.violation, "%d events", events)
 			t.Logf("%d states, %d events: %s", len(search.seen), events, search.violation)
 		})
--- a/coordination/register/model_test.go
+++ b/coordination/register/model_test.go
@@ -19,34 +19,34 @@
 	"weldscale/coordination/sim"
 )
 
-// replicaDefects are mistakes that the checks have to catch.
+// replicaDefects are implementation errors that the checks must detect.
 type replicaDefects struct {
-	answersBeforeSync bool
-	keepsIdentity     bool // a wiped replica comes back under its old identity
-	skipsJoint        bool // a set changes in one step, with the majority of the old one or the new one alone
+	repliesBeforeSync bool
+	keepsIdentity     bool // a wiped replica restarts under its old identity
+	skipsJoint        bool // a reconfiguration takes one step, without a joint set that needs both majorities
 }
 
 const (
 	modelFounders       = 3
 	modelMaxNodes       = 5 // processes
 	modelTarget         = 3
-	immediateRetryOneIn = 4 // one in so many tries again at once
-	maxFaultRate        = 20
+	immediateRetryOneIn = 4  // one retry in so many has no backoff
+	maxFaultRate        = 20 // faults in a thousand steps
 	modelSteps          = 2500
-	recoveryTurnSteps   = 500 // steps
-	recoveryTurns       = 8   // of each node
+	recoveryTurnSteps   = 500 // steps in which one node alone may propose
+	recoveryTurns       = 8   // turns of each node
 	maxInFlight         = 40
 	checkTimeout        = 20 * time.Second
 )
 
-// envelope is a request or a reply on its way.
+// envelope is a request or a reply in flight.
 type envelope struct {
-	to          int // node
-	incarnation int // of the node that a reply goes to
+	to          int // index of the receiving node
+	incarnation int // incarnation of the node that gets the reply
 	request     *Request
-	from        int // node that a reply to the request goes to
+	from        int // index of the node that sent the request
 	reply       *Reply
-	operation   *operation // that sent the request
+	operation   *operation // operation that sent the request
 }
 
 // modelNode is a process with a disk.
@@ -56,41 +56,42 @@
 	id          string
 	incarnation int
 
-	machine *sim.Machine // for its disk
-	disk    Disk         // of the present life
+	machine *sim.Machine // simulates the disk
+	disk    Disk         // state of the current incarnation
 
 	up           bool
 	acceptor     *Acceptor
 	chosen       Accepted
 	ballots      *BallotGenerator
-	step         *Step // waits for the disk
-	stepEnvelope envelope
+	step         *Step    // waiting for the disk
+	stepEnvelope envelope // request of step
 
 	operation *operation
 }
 
-// operation is an append, a read or a step of the set under way.
+// operation is an append, a read or a step of a reconfiguration in progress.
 type operation struct {
 	proposer     *Proposer
 	reader       *Reader
-	historyIndex int // index into the history; -1 for a step of the set
+	historyIndex int // index into the history, or -1 for a reconfiguration
 }
 
-// historyEntry is an operation as its client saw it.
+// historyEntry is an operation as observed by its client.
 type historyEntry struct {
 	client             int
 	called, ended      int64
 	id                 string // empty for a read
 	result             string
-	finished, excluded bool // void: it failed for certain, or it is a read without an answer
+	finished, excluded bool // excluded: it certainly had no effect, or it is a read without a result
 }
 
+// modelWorld is a simulated register with its nodes, disks and network, and the checks on it.
 type modelWorld struct {
 	draw          func(n int) int
 	disks         *sim.World
 	founders      []Replica
-	faultRate     int  // of a thousand steps, those that are faults
-	catchesUp     bool // nodes write chosen values that they were not asked to accept
+	faultRate     int  // faults in a thousand steps
+	catchesUp     bool // nodes write chosen values that they did not accept
 	defects       replicaDefects
 	nodes         []*modelNode
 	inFlight      []envelope
@@ -99,18 +100,18 @@
 	proposerCount uint64
 	diskCount     int
 	wipeCount     int
-	recovering    bool // no more faults, and one proposer at a time
-	turn          int  // whose turn it is then
+	recovering    bool // no faults, and one proposer at a time
+	turn          int  // index of the node that may propose while recovering
 
-	acceptedBy map[Ballot]map[string]bool
+	acceptedBy map[Ballot]map[string]bool // identities that have accepted the value of a ballot
 	values     map[Ballot]Value
-	chosen     []Accepted // all ballots that were chosen, in the order of the moments
-	newest     Accepted
-	violation  string
+	chosen     []Accepted // all chosen values, in the order in which they were chosen
+	newest     Accepted   // chosen value with the highest ballot
+	violation  string     // rule that was violated, empty if none
 }
 
-func newModelWorld(draw func(n int) int, faults replicaDefects) *modelWorld {
-	w := &modelWorld{draw: draw, defects: faults, acceptedBy: map[Ballot]map[string]bool{}, values: map[Ballot]Value{}}
+func newModelWorld(draw func(n int) int, defects replicaDefects) *modelWorld {
+	w := &modelWorld{draw: draw, defects: defects, acceptedBy: map[Ballot]map[string]bool{}, values: map[Ballot]Value{}}
 	w.disks = sim.New(uint64(draw(math.MaxInt)))
 	w.faultRate = 1 + draw(maxFaultRate)
 	for at := range modelFounders + draw(modelMaxNodes-modelFounders+1) {
@@ -142,7 +143,7 @@
 		acceptor, err = n.disk.Initialize(n.id, n.address, w.founderSet(n))
 	}
 	if err != nil {
-		return // the disk is full or fails
+		return // the disk is full or failed
 	}
 	n.up = true
 	n.incarnation++
@@ -159,7 +160,7 @@
 	}
 }
 
-// founderSet is what an empty disk is marked with.
+// founderSet returns the founders that are written to an empty disk.
 func (w *modelWorld) founderSet(n *modelNode) []Replica {
 	if n.id != FounderID(n.address) {
 		return nil
@@ -189,7 +190,7 @@
 	}
 }
 
-// wipe takes a disk away.
+// wipe replaces the disk of a node by an empty one.
 func (w *modelWorld) wipe(n *modelNode) {
 	n.up = false
 	w.wipeCount++
@@ -199,7 +200,7 @@
 	}
 }
 
-// allDisksInSet reports whether nothing else is lost: every disk is in the set that is chosen.
+// allDisksInSet reports whether every disk is in the newest chosen set, so that no other disk loss is pending.
 func (w *modelWorld) allDisksInSet() bool {
 	set := w.newest.Value
 	return !set.Joint() && len(set.Replicas) == len(w.nodes) &&
@@ -228,7 +229,7 @@
 	n := w.nodes[e.to]
 	switch {
 	case !n.up:
-	case e.reply != nil && e.reply.Kind == Query && e.operation != n.operation: // a read is given replies to its own questions only
+	case e.reply != nil && e.reply.Kind == Query && e.operation != n.operation: // a Reader must get replies to its own messages only
 	case e.reply != nil && e.incarnation == n.incarnation:
 		w.handleReply(n, *e.reply)
 	case e.request != nil:
@@ -249,7 +250,7 @@
 		w.enqueue(envelope{to: e.from, incarnation: e.incarnation, reply: &reply})
 	default:
 		if n.step != nil {
-			w.enqueue(e) // it waits for the disk
+			w.enqueue(e) // it waits until the disk is free
 			return
 		}
 		step := n.acceptor.Begin(request)
@@ -258,7 +259,7 @@
 			return
 		}
 		n.step, n.stepEnvelope = &step, e
-		if w.defects.answersBeforeSync {
+		if w.defects.repliesBeforeSync {
 			n.files().LosesSyncs = true
 			w.write(n)
 		}
@@ -270,7 +271,7 @@
 	w.enqueue(envelope{to: to.from, incarnation: to.incarnation, reply: &reply, operation: to.operation})
 }
 
-// write lets the disk of a node take the write that waits.
+// write performs the pending write of a node.
 func (w *modelWorld) write(n *modelNode) {
 	step := *n.step
 	n.step = nil
@@ -285,14 +286,15 @@
 	w.reply(n, n.stepEnvelope, reply)
 }
 
-// catchUp has a node write the chosen value that it knows, whatever it has promised.
+// catchUp begins to write the chosen value that a node knows to its disk, whatever the node has promised.
 func (w *modelWorld) catchUp(n *modelNode) {
 	if step := n.acceptor.Learn(n.chosen); step.Write != nil {
 		n.step, n.stepEnvelope = &step, envelope{to: n.at, from: n.at, incarnation: n.incarnation}
 	}
 }
 
-// recordAccept keeps what is chosen and checks that one value follows another.
+// recordAccept records that an identity has accepted a value. If the value is now chosen, recordAccept checks that there is one value
+// for each revision and that each extends the earlier ones.
 func (w *modelWorld) recordAccept(id string, accepted Accepted) {
 	if w.acceptedBy[accepted.Ballot] == nil {
 		w.acceptedBy[accepted.Ballot] = map[string]bool{}
@@ -310,7 +312,7 @@
 			older, newer = newer, older
 		}
 		if !bytes.HasPrefix(newer.Data, older.Data) {
-			w.violation = fmt.Sprintf("%q was chosen as well as %q", newer.Data, older.Data)
+			w.violation = fmt.Sprintf("chosen data %q does not extend chosen data %q", newer.Data, older.Data)
 		}
 	}
 	w.chosen = append(w.chosen, accepted)
@@ -362,7 +364,7 @@
 		r := &w.history[at]
 		r.finished, r.ended, r.result = true, w.tick(), string(value.Data)
 		if r.id != "" && !strings.Contains(r.result, r.id) {
-			w.violation = fmt.Sprintf("%s acknowledged without it: %s", r.id, r.result)
+			w.violation = fmt.Sprintf("append of %s was acknowledged, but the value lacks it: %s", r.id, r.result)
 		}
 	}
 	n.operation = nil
@@ -373,7 +375,7 @@
 	return w.clock
 }
 
-// abandon ends an operation without an answer.
+// abandon ends an operation without a result.
 func (w *modelWorld) abandon(n *modelNode) {
 	if n.operation == nil {
 		return
@@ -400,9 +402,9 @@
 	w.propose(n, appendOnce(id), len(w.history)-1)
 }
 
-func (w *modelWorld) propose(n *modelNode, change Change, record int) {
+func (w *modelWorld) propose(n *modelNode, change Change, historyIndex int) {
 	p := NewProposer(n.self(), n.ballots, n.known(), n.chosen.Ballot, change)
-	n.operation = &operation{proposer: p, historyIndex: record}
+	n.operation = &operation{proposer: p, historyIndex: historyIndex}
 	w.onProposer(n, p.Start())
 }
 
@@ -439,7 +441,7 @@
 	return time.Minute
 }
 
-// step takes one step at random.
+// step performs one random step.
 func (w *modelWorld) step() {
 	n := w.nodes[w.draw(len(w.nodes))]
 	choice := w.draw(1000)
@@ -492,7 +494,7 @@
 	}
 }
 
-// deliverRandom delivers a message, any of those in flight; at times it loses it or delivers it again.
+// deliverRandom delivers a random message in flight. Sometimes it drops the message, or keeps it to be delivered again.
 func (w *modelWorld) deliverRandom() {
 	if len(w.inFlight) == 0 {
 		return
@@ -530,7 +532,7 @@
 	}
 }
 
-// run plays faults, then a calm time in which the register has to work.
+// run performs the steps with faults, repairs the disks and checks the history.
 func (w *modelWorld) run() error {
 	for range modelSteps {
 		if w.step(); w.violation != "" {
@@ -544,7 +546,7 @@
 	return w.check()
 }
 
-// runRecovery plays a calm time and checks that all disks come back into the set.
+// runRecovery performs steps without faults and checks that all disks rejoin the set and learn the newest value.
 func (w *modelWorld) runRecovery() error {
 	for step := range recoveryTurnSteps * recoveryTurns * len(w.nodes) {
 		w.turn = step / recoveryTurnSteps % len(w.nodes)
@@ -555,10 +557,10 @@
 			return nil
 		}
 	}
-	return eris.Errorf("not recovered: %+v", w.newest.Value)
+	return eris.Errorf("the set has not recovered: %+v", w.newest.Value)
 }
 
-// check looks for an order of the history in which each operation takes effect at once.
+// check verifies that the history is linearizable.
 func (w *modelWorld) check() error {
 	var operations []porcupine.Operation
 	for client, r := range w.history {
@@ -581,15 +583,15 @@
 		},
 	}
 	if porcupine.CheckOperationsTimeout(model, operations, checkTimeout) == porcupine.Illegal {
-		return eris.Errorf("not linearizable: %+v", w.history)
+		return eris.Errorf("the history is not linearizable: %+v", w.history)
 	}
 	return nil
 }
 
 func TestModelIsLinearizableUnderFaults(t *testing.T) {
-	var finished, lost, plays int
+	var finished, lost, runs int
 	rapid.Check(t, func(t *rapid.T) {
-		// One seed in place of each draw: plays are long, and a seed reproduces them.
+		// Rapid draws a single seed instead of each random number: runs are long, and the seed reproduces them.
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		w := newModelWorld(random.IntN, replicaDefects{})
 		w.catchesUp = true
@@ -597,18 +599,19 @@
 		require.NoError(t, w.runRecovery())
 		finished += lo.CountBy(w.history, func(r historyEntry) bool { return r.finished })
 		lost += w.wipeCount
-		plays++
+		runs++
 	})
-	t.Logf("%d plays: %d operations answered, %d disks lost", plays, finished, lost)
+	t.Logf("%d runs: %d operations finished, %d disks lost", runs, finished, lost)
 	require.Positive(t, lost)
-	require.Greater(t, finished, plays)
+	require.Greater(t, finished, runs)
 }
 
-// TestModelOnRegressionSeeds plays seeds in which replicas come back with writes that their disks had reported as failed.
+// TestModelOnRegressionSeeds repeats runs that failed once. In them, replicas restart with writes that their disks had reported as
+// failed.
 func TestModelOnRegressionSeeds(t *testing.T) {
 	for name, seed := range map[string]uint64{
-		"a majority holds a value only since such a start": 0x11b9,
-		"a promise was made while such a write was hidden": 0x70c,
+		"a majority holds a value only after such a restart": 0x11b9,
+		"a promise was made before such a write reappeared":  0x70c,
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newModelWorld(rand.New(rand.NewPCG(seed, 0)).IntN, replicaDefects{})
@@ -618,10 +621,10 @@
 	}
 }
 
-// firstDetectingSeed reports after how many plays the checks find a mistake.
-func firstDetectingSeed(faults replicaDefects, first, most uint64) (uint64, error) {
+// firstDetectingSeed returns the first seed with which the checks detect the defect, with the error, or most if there is none.
+func firstDetectingSeed(defects replicaDefects, first, most uint64) (uint64, error) {
 	for seed := first; seed < most; seed++ {
-		w := newModelWorld(rand.New(rand.NewPCG(seed, 1)).IntN, faults)
+		w := newModelWorld(rand.New(rand.NewPCG(seed, 1)).IntN, defects)
 		if err := w.run(); err != nil {
 			return seed, err
 		}
@@ -631,18 +634,18 @@
 
 func TestModelDetectsDefectiveReplicas(t *testing.T) {
 	const most = 2000
-	for name, broken := range map[string]struct {
-		faults replicaDefects
-		first  uint64 // where a longer search found one, to save time
+	for name, test := range map[string]struct {
+		defects replicaDefects
+		first   uint64 // seed to start at, which saves time: a longer search found a failure from here on
 	}{
-		"answers before its sync":       {faults: replicaDefects{answersBeforeSync: true}},
-		"keeps its identity when wiped": {faults: replicaDefects{keepsIdentity: true}},
-		"changes its set in one step":   {faults: replicaDefects{skipsJoint: true}, first: 700},
+		"replies before the sync":       {defects: replicaDefects{repliesBeforeSync: true}},
+		"keeps its identity when wiped": {defects: replicaDefects{keepsIdentity: true}},
+		"reconfigures in one step":      {defects: replicaDefects{skipsJoint: true}, first: 700},
 	} {
 		t.Run(name, func(t *testing.T) {
-			seed, err := firstDetectingSeed(broken.faults, broken.first, most)
+			seed, err := firstDetectingSeed(test.defects, test.first, most)
 			require.Error(t, err)
-			t.Logf("caught by play %d: %.200s", seed, err.Error())
+			t.Logf("detected with seed %d: %.200s", seed, err.Error())
 		})
 	}
 }
--- a/coordination/register/node_test.go
+++ b/coordination/register/node_test.go
@@ -21,7 +21,7 @@
 
 const testDeadline = 20 * time.Second
 
-// machine is a process on loopback with a disk that outlives it.
+// machine is a node on a loopback address with a disk that survives its restarts.
 type machine struct {
 	t       *testing.T
 	folder  string
@@ -41,8 +41,8 @@
 	return listener
 }
 
-// newMachines reserves addresses and returns machines that are not started. The first ones, as many as there are
-// founders, found the register.
+// newMachines returns stopped machines with addresses that were free. The first of them, as many as there are founders, are the
+// founders of the register.
 func newMachines(t *testing.T, count, founders, target int) []*machine {
 	t.Helper()
 	machines := make([]*machine, count)
@@ -88,7 +88,7 @@
 	}()
 }
 
-// stop ends the process as a kill does, as far as others see.
+// stop ends the node without notice to the others, as a kill does.
 func (m *machine) stop() {
 	if m.cancel == nil {
 		return
@@ -96,7 +96,7 @@
 	m.cancel()
 	_ = m.server.Close()
 	<-m.ended
-	m.node.Close(context.Background()) // a process that has ended writes no more
+	m.node.Close(context.Background()) // an ended process writes nothing more
 	m.options.Client.Close()
 	m.cancel = nil
 	m.options.Bootstrap = false
@@ -116,7 +116,7 @@
 	return ctx
 }
 
-// await waits until what a node knows fulfils a condition.
+// await waits until the latest state of a node fulfils a condition, and returns that state.
 func await(t *testing.T, n *Node, condition func(State) bool) State {
 	t.Helper()
 	ctx := testContext(t)
@@ -128,7 +128,7 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			require.FailNow(t, "too late", "latest: %+v", n.Latest())
+			require.FailNow(t, "the condition was not met in time", "latest: %+v", n.Latest())
 		}
 	}
 }
@@ -206,7 +206,7 @@
 	group.Wait()
 	state, err := machines[2].node.Read(ctx)
 	require.NoError(t, err)
-	// An update that was in doubt may count twice, since this change does not recognise its own work.
+	// An update that was in doubt may be applied twice, because this change does not detect its earlier application.
 	require.GreaterOrEqual(t, len(state.Data), each*len(machines))
 }
 
@@ -301,7 +301,7 @@
 	three := hasIDs(machines[1].node.ID(), machines[2].node.ID(), machines[3].node.ID())
 	await(t, machines[3].node, three)
 	require.NoError(t, machines[3].node.WaitFormed(ctx))
-	require.NoError(t, machines[3].node.Leave(ctx)) // the set is never smaller than wanted
+	require.NoError(t, machines[3].node.Leave(ctx)) // does nothing: the set must not shrink below its target
 	require.True(t, three(machines[3].node.Latest()))
 }
 
@@ -333,13 +333,13 @@
 	require.Equal(t, "one", string(state.Data))
 }
 
-// faultyStore refuses while it is full, and holds writers up while it hangs.
+// faultyStore fails writes while it is full and blocks them while it hangs.
 type faultyStore struct {
 	store.Store
 	mu    sync.Mutex
 	full  bool
-	hang  chan struct{} // closed when the disk goes on
-	saved int           // calls of Save
+	hang  chan struct{} // closed to end the hang; nil if the store does not hang
+	saved int           // number of calls of Save
 }
 
 func (s *faultyStore) saves() int {
@@ -368,7 +368,7 @@
 	return s.Store.Save(data)
 }
 
-// installFaultyStores puts stores with faults in front of the disk of a running machine.
+// installFaultyStores wraps the promise and value stores of a running machine.
 func (m *machine) installFaultyStores() (promise, value *faultyStore) {
 	promise = &faultyStore{Store: m.node.disk.promise}
 	value = &faultyStore{Store: m.node.disk.value}
@@ -378,7 +378,7 @@
 	return promise, value
 }
 
-// Close waits for the write in hand, and nothing is written after it: the disk may be another's by then.
+// Close waits for the write in progress, and the node must write nothing later: another process may use the disk by then.
 func TestClosedNodeWritesNothing(t *testing.T) {
 	machines := newMachines(t, 3, 3, 3)
 	startAll(machines)
@@ -388,21 +388,21 @@
 	_, value := machines[0].installFaultyStores()
 	hang := make(chan struct{})
 	value.set(false, hang)
-	_, err := machines[1].node.Update(ctx, setData("its write hangs at one replica"))
+	_, err := machines[1].node.Update(ctx, setData("the write hangs at one replica"))
 	require.NoError(t, err)
 
 	brief, cancel := context.WithCancel(ctx)
 	cancel()
-	closing.Close(brief) // does not wait for a hung disk for ever
+	closing.Close(brief) // must return although the disk hangs
 
 	close(hang)
 	value.set(false, nil)
 	closing.Close(ctx)
 	before := value.saves()
-	_, err = machines[1].node.Update(ctx, setData("after the end"))
+	_, err = machines[1].node.Update(ctx, setData("after the close"))
 	require.NoError(t, err)
 	require.Equal(t, before, value.saves())
-	<-closing.diskSlot // the machine's own end takes it again
+	<-closing.diskSlot // stop calls Close again, which needs the slot
 }
 
 func TestHungDiskBlocksNoOperation(t *testing.T) {
@@ -450,11 +450,11 @@
 	ctx := testContext(t)
 	_, err := machines[0].node.Update(ctx, setData("one"))
 	require.NoError(t, err)
-	asleep := machines[0]
-	asleep.stop()
+	stopped := machines[0]
+	stopped.stop()
 	for at, m := range machines[3:] {
 		m.options.Bootstrap = false
-		before := machines[max(1, at)] // who is still there
+		before := machines[max(1, at)] // a machine that is still running
 		m.options.Seeds = func() []string { return []string{before.address, machines[2].address, machines[3].address} }
 		m.start()
 		await(t, m.node, func(s State) bool { return hasID(s, m.node.ID()) })
@@ -465,9 +465,9 @@
 			await(t, m.node, func(s State) bool { return !hasID(s, FounderID(gone.address)) || len(s.Replicas) <= 3 })
 		}
 	}
-	asleep.options.Seeds = func() []string { return []string{machines[5].address} }
-	asleep.start()
-	state := await(t, asleep.node, func(s State) bool { return hasID(s, asleep.node.ID()) && hasID(s, machines[5].node.ID()) })
+	stopped.options.Seeds = func() []string { return []string{machines[5].address} }
+	stopped.start()
+	state := await(t, stopped.node, func(s State) bool { return hasID(s, stopped.node.ID()) && hasID(s, machines[5].node.ID()) })
 	require.Equal(t, "one", string(state.Data))
 }
 
@@ -492,13 +492,13 @@
 	defer cancel()
 	_, err = machines[0].node.Update(short, setData("two full"))
 	require.ErrorIs(t, err, ErrNoQuorum)
-	state, err := machines[0].node.Read(ctx) // reads need no disk
+	state, err := machines[0].node.Read(ctx) // reads do not need the disk
 	require.NoError(t, err)
 	require.Equal(t, "one full", string(state.Data))
 	for _, disk := range []*faultyStore{promise, value, otherPromise, otherValue} {
 		disk.set(false, nil)
 	}
-	_, err = machines[0].node.Update(ctx, setData("room again"))
+	_, err = machines[0].node.Update(ctx, setData("space again"))
 	require.NoError(t, err)
 }
 
@@ -508,7 +508,7 @@
 	node, err := Open(options)
 	require.NoError(t, err)
 	require.NotEqual(t, FounderID(options.Address), node.ID())
-	options.Bootstrap = true // what is on disk goes before it
+	options.Bootstrap = true // the identity on the disk takes precedence
 	again, err := Open(options)
 	require.NoError(t, err)
 	require.Equal(t, node.ID(), again.ID())
--- a/coordination/register/plan_test.go
+++ b/coordination/register/plan_test.go
@@ -21,16 +21,16 @@
 		set     []Replica
 		want    []Replica // nil: no change
 	}{
-		"joins":                    {planner("d", nil), replicas("a", "b"), replicas("a", "b", "d")},
-		"joins beside living ones": {planner("d", nil), replicas("a", "b", "c"), replicas("a", "b", "c", "d")},
+		"joins":                              {planner("d", nil), replicas("a", "b"), replicas("a", "b", "d")},
+		"joins a set of responsive replicas": {planner("d", nil), replicas("a", "b", "c"), replicas("a", "b", "c", "d")},
 		"replaces a silent one": {planner("d", map[string]time.Duration{"b": 1}), replicas("a", "b", "c"),
 			replicas("a", "c", "d")},
-		"replaces the longest": {planner("d", map[string]time.Duration{"b": 1, "c": 2}), replicas("a", "b", "c"),
+		"replaces the one silent for longest": {planner("d", map[string]time.Duration{"b": 1, "c": 2}), replicas("a", "b", "c"),
 			replicas("a", "b", "d")},
-		"keeps the silent if few":    {planner("d", map[string]time.Duration{"b": 1}), replicas("a", "b"), replicas("a", "b", "d")},
-		"finds no room":              {planner("g", nil), replicas("a", "b", "c", "d", "e", "f"), nil},
-		"is content":                 {planner("a", nil), replicas("a", "b", "c"), nil},
-		"never shrinks below target": {planner("a", map[string]time.Duration{"b": time.Hour}), replicas("a", "b", "c"), nil},
+		"keeps a silent one in a small set": {planner("d", map[string]time.Duration{"b": 1}), replicas("a", "b"), replicas("a", "b", "d")},
+		"finds no room":                     {planner("g", nil), replicas("a", "b", "c", "d", "e", "f"), nil},
+		"has nothing to do":                 {planner("a", nil), replicas("a", "b", "c"), nil},
+		"never shrinks below target":        {planner("a", map[string]time.Duration{"b": time.Hour}), replicas("a", "b", "c"), nil},
 		"removes a silent one": {planner("a", map[string]time.Duration{"b": time.Hour}), replicas("a", "b", "c", "d"),
 			replicas("a", "c", "d")},
 		"waits for a short silence": {planner("a", map[string]time.Duration{"b": time.Millisecond}), replicas("a", "b", "c", "d"), nil},
@@ -46,7 +46,7 @@
 			require.Equal(t, c.set, next.Previous)
 			require.ElementsMatch(t, c.want, next.Replicas)
 			require.Equal(t, next.Replicas, c.planner.Next(next).Replicas)
-			require.False(t, new(c.planner.Next(next)).Joint(), "the next step finishes the change")
+			require.False(t, new(c.planner.Next(next)).Joint(), "the next step finishes the reconfiguration")
 		})
 	}
 }
@@ -67,7 +67,8 @@
 	require.Equal(t, few, p.Next(few))
 }
 
-// Whatever is silent, a set that has reached its size stays at it, and one step changes few members.
+// Whichever replicas are silent, a set that has reached its target size must not shrink below it, and one step must remove at most
+// one member.
 func TestPlannerNeverShrinksASetBelowItsTarget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c", "d", "e", "f", "g"}
--- a/coordination/register/proposer_test.go
+++ b/coordination/register/proposer_test.go
@@ -13,11 +13,11 @@
 	return lo.Map(names, func(name string, _ int) Replica { return Replica{ID: name, Address: "at " + name} })
 }
 
-// cluster holds acceptors that write at once, for a proposer under test.
+// cluster holds the acceptors for a proposer under test. Their writes are durable at once.
 type cluster struct {
 	t           *testing.T
 	acceptors   map[string]*Acceptor
-	unreachable map[string]bool // replicas that get nothing
+	unreachable map[string]bool // identities of replicas that get no messages
 }
 
 func newCluster(t *testing.T, first Accepted, names ...string) *cluster {
@@ -32,7 +32,7 @@
 	return c
 }
 
-// deliver lets a replica take a message and returns its reply.
+// deliver delivers a message to its replica and returns the reply. It returns false if there is none.
 func (c *cluster) deliver(message Message) (Reply, bool) {
 	a := c.acceptors[message.To.ID]
 	if c.unreachable[message.To.ID] || a == nil || message.Request.Kind == Commit {
@@ -45,7 +45,7 @@
 	return a.Finish(step), true
 }
 
-// run delivers messages until none is left or the proposer wants to try again.
+// run delivers messages until none is left, or the proposer is done or requests a retry.
 func (c *cluster) run(p *Proposer, output Output) Output {
 	queue := output.Messages
 	for len(queue) > 0 && !output.Done && !output.Retry {
@@ -114,7 +114,7 @@
 	require.True(t, output.Done)
 	result, _ := p.Result()
 	require.EqualValues(t, 2, result.Value.Revision)
-	require.NotContains(t, seen, "", "the change saw only what was chosen")
+	require.NotContains(t, seen, "", "the change must be applied to chosen values only")
 }
 
 func TestProposerReturnsTheErrorOfTheChange(t *testing.T) {
@@ -142,7 +142,7 @@
 	require.Greater(t, result.Ballot.Round, uint64(50))
 }
 
-// proposerInDoubt returns a proposer whose proposal only a has accepted.
+// proposerInDoubt returns a proposer whose proposal was accepted by replica a only. The reply of a is lost.
 func proposerInDoubt(c *cluster, first Accepted, change Change) *Proposer {
 	p := NewProposer(Replica{ID: "a"}, NewBallotGenerator(1), first, first.Ballot, change)
 	var accepts []Message
@@ -191,9 +191,9 @@
 		reply, _ := c.deliver(message)
 		accepts = append(accepts, p.Deliver(reply).Messages...)
 	}
-	require.True(t, p.InDoubt(), "someone may still complete what a has accepted")
+	require.True(t, p.InDoubt(), "another proposer may still complete the value that a has accepted")
 	require.NotEmpty(t, accepts)
-	require.Equal(t, Accept, accepts[0].Request.Kind, "the state without it is chosen anew, above it")
+	require.Equal(t, Accept, accepts[0].Request.Kind, "the base must be chosen again under a higher ballot")
 	require.True(t, c.run(p, Output{Messages: accepts}).Done)
 	_, err := p.Result()
 	require.ErrorIs(t, err, refused)
@@ -274,7 +274,7 @@
 		return output
 	}
 	require.True(t, deliver().Done == r.Done())
-	require.False(t, r.Known().Ballot == newer.Ballot && r.Done(), "one replica alone holds it")
+	require.False(t, r.Known().Ballot == newer.Ballot && r.Done(), "only one replica holds the newer value")
 	c.acceptors["c"] = NewAcceptor(replicas("c")[0], Ballot{}, newer)
 	r = NewReader(Replica{ID: "z"}, first)
 	queue = r.Start().Messages
--- a/coordination/register/quorum_age_test.go
+++ b/coordination/register/quorum_age_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// nodeWithContacts is a node in a set that heard some of its members a while ago.
+// nodeWithContacts returns node a1 with a chosen value and contacts with other identities of the given ages.
 func nodeWithContacts(value Value, ages map[string]time.Duration) *Node {
 	now := time.Now()
 	n := &Node{
@@ -22,7 +22,7 @@
 	return n
 }
 
-// members are named by their disk, at the address that its first letter is.
+// members returns replicas with the given identities. The first letter of an identity is its address.
 func members(ids ...string) []Replica {
 	var replicas []Replica
 	for _, id := range ids {
@@ -32,22 +32,22 @@
 }
 
 func TestQuorumAgeCountsAMajorityOfTheIdentities(t *testing.T) {
-	const near, far = time.Second, time.Minute
+	const recent, old = time.Second, time.Minute
 	for name, test := range map[string]struct {
 		value Value
 		ages  map[string]time.Duration
 		want  time.Duration
 	}{
-		"alone":                         {Value{Replicas: members("a1")}, nil, 0},
-		"no set":                        {Value{}, map[string]time.Duration{"b1": near}, NoContact},
-		"nobody heard":                  {Value{Replicas: members("a1", "b1", "c1")}, nil, NoContact},
-		"one of two":                    {Value{Replicas: members("a1", "b1", "c1")}, map[string]time.Duration{"b1": near}, near},
-		"the nearer of both":            {Value{Replicas: members("a1", "b1", "c1")}, map[string]time.Duration{"b1": far, "c1": near}, near},
-		"two of four are needed":        {Value{Replicas: members("a1", "b1", "c1", "d1")}, map[string]time.Duration{"b1": near, "c1": far}, far},
-		"another disk at the address":   {Value{Replicas: members("a1", "b1", "c1")}, map[string]time.Duration{"b2": near}, NoContact},
-		"not a member itself":           {Value{Replicas: members("b1", "c1", "d1")}, map[string]time.Duration{"b1": near}, NoContact},
-		"the set alone that it becomes": {Value{Replicas: members("a1", "d1", "e1"), Previous: members("a1", "b1", "c1")}, map[string]time.Duration{"d1": near}, NoContact},
-		"both sets":                     {Value{Replicas: members("a1", "d1", "e1"), Previous: members("a1", "b1", "c1")}, map[string]time.Duration{"d1": near, "c1": far}, far},
+		"alone":                        {Value{Replicas: members("a1")}, nil, 0},
+		"no set":                       {Value{}, map[string]time.Duration{"b1": recent}, NoContact},
+		"no replies":                   {Value{Replicas: members("a1", "b1", "c1")}, nil, NoContact},
+		"one of two":                   {Value{Replicas: members("a1", "b1", "c1")}, map[string]time.Duration{"b1": recent}, recent},
+		"the most recent of two":       {Value{Replicas: members("a1", "b1", "c1")}, map[string]time.Duration{"b1": old, "c1": recent}, recent},
+		"two of four are needed":       {Value{Replicas: members("a1", "b1", "c1", "d1")}, map[string]time.Duration{"b1": recent, "c1": old}, old},
+		"another disk at the address":  {Value{Replicas: members("a1", "b1", "c1")}, map[string]time.Duration{"b2": recent}, NoContact},
+		"not a member itself":          {Value{Replicas: members("b1", "c1", "d1")}, map[string]time.Duration{"b1": recent}, NoContact},
+		"majority of the new set only": {Value{Replicas: members("a1", "d1", "e1"), Previous: members("a1", "b1", "c1")}, map[string]time.Duration{"d1": recent}, NoContact},
+		"majorities of both sets":      {Value{Replicas: members("a1", "d1", "e1"), Previous: members("a1", "b1", "c1")}, map[string]time.Duration{"d1": recent, "c1": old}, old},
 	} {
 		t.Run(name, func(t *testing.T) {
 			age := nodeWithContacts(test.value, test.ages).QuorumAge()
@@ -60,7 +60,7 @@
 	}
 }
 
-// A replica that has accepted another set than the newest chosen one can't tell which of both is in force.
+// A replica that has accepted another set than the newest chosen one can't know which of the two is in force.
 func TestReplicaSetIsInDoubtAfterAnotherWasAccepted(t *testing.T) {
 	chosen := Value{Revision: 2, Replicas: members("a1", "b1", "c1")}
 	other := Value{Revision: 3, Replicas: members("a1", "b1", "d1"), Previous: chosen.Replicas}
@@ -72,7 +72,7 @@
 		{Accepted{Ballot: ballot(2), Value: chosen}, false},
 		{Accepted{Ballot: ballot(3), Value: sameSet}, false},
 		{Accepted{Ballot: ballot(3), Value: other}, true},
-		{Accepted{Ballot: ballot(1), Value: other}, false}, // older than what is chosen
+		{Accepted{Ballot: ballot(1), Value: other}, false}, // older than the chosen value
 	} {
 		n := nodeWithContacts(chosen, nil)
 		n.acceptor = NewAcceptor(Replica{ID: "a1", Address: "a"}, Ballot{}, test.accepted)
