--- a/coordination/register/exhaustive_test.go
+++ b/coordination/register/exhaustive_test.go
@@ -319,8 +319,8 @@
 	}
 }
 
-// recordAccept records that an identity has accepted a value. If the value is now chosen, recordAccept checks that there is one value
-// for each revision and that each extends the earlier ones.
+// recordAccept records that an identity has accepted a value. If the value is now chosen, recordAccept checks that there is
+// one value for each revision and that each extends the earlier ones.
 func (s *stateSearch) recordAccept(state *searchState, id string, accepted Accepted) {
 	at := slices.IndexFunc(state.acceptances, func(a acceptance) bool { return a.accepted.Ballot == accepted.Ballot })
 	if at < 0 {
--- a/coordination/register/model_test.go
+++ b/coordination/register/model_test.go
@@ -293,8 +293,8 @@
 	}
 }
 
-// recordAccept records that an identity has accepted a value. If the value is now chosen, recordAccept checks that there is one value
-// for each revision and that each extends the earlier ones.
+// recordAccept records that an identity has accepted a value. If the value is now chosen, recordAccept checks that there is
+// one value for each revision and that each extends the earlier ones.
 func (w *modelWorld) recordAccept(id string, accepted Accepted) {
 	if w.acceptedBy[accepted.Ballot] == nil {
 		w.acceptedBy[accepted.Ballot] = map[string]bool{}
--- a/coordination/register/plan_test.go
+++ b/coordination/register/plan_test.go
@@ -67,8 +67,8 @@
 	require.Equal(t, few, p.Next(few))
 }
 
-// Whichever replicas are silent, a set that has reached its target size must not shrink below it, and one step must remove at most
-// one member.
+// Whichever replicas are silent, a set that has reached its target size must not shrink below it, and one step must remove at
+// most one member.
 func TestPlannerNeverShrinksASetBelowItsTarget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c", "d", "e", "f", "g"}
--- a/coordination/register/proposer.go
+++ b/coordination/register/proposer.go
@@ -122,7 +122,7 @@
 	if reply.Ballot != p.ballot || !p.expects(reply.Kind) || !p.requested[reply.From.ID] {
 		return Output{Done: p.phase == ended}
 	}
-	if old, answered := p.replies[reply.From.ID]; answered && old.Refusal == NoRefusal {
+	if old, replied := p.replies[reply.From.ID]; replied && old.Refusal == NoRefusal {
 		return Output{}
 	}
 	p.replies[reply.From.ID] = reply
@@ -191,8 +191,8 @@
 }
 
 func (p *Proposer) hasAgreed(id string) bool {
-	answer, answered := p.replies[id]
-	return answered && answer.Refusal == NoRefusal
+	reply, replied := p.replies[id]
+	return replied && reply.Refusal == NoRefusal
 }
 
 // onRefusal requests a retry if a higher ballot was promised or if the refusals leave no majority. During the backoff before the
@@ -204,8 +204,8 @@
 // quorumImpossible reports whether the replicas that have not refused are no majority.
 func (p *Proposer) quorumImpossible(value *Value) bool {
 	return !value.Quorum(func(id string) bool {
-		answer, answered := p.replies[id]
-		return !answered || answer.Refusal == NoRefusal
+		reply, replied := p.replies[id]
+		return !replied || reply.Refusal == NoRefusal
 	})
 }
 
@@ -223,8 +223,8 @@
 		return true
 	}
 	return p.base.Value.Quorum(func(id string) bool {
-		answer, answered := p.replies[id]
-		return answered && answer.Refusal == NoRefusal && answer.Accepted == p.base.Ballot
+		reply, replied := p.replies[id]
+		return replied && reply.Refusal == NoRefusal && reply.Accepted == p.base.Ballot
 	})
 }
 
--- a/coordination/register/reader.go
+++ b/coordination/register/reader.go
@@ -41,8 +41,8 @@
 // Done reports whether a majority has accepted the known value, which is then chosen.
 func (r *Reader) Done() bool {
 	return r.known.Value.Quorum(func(id string) bool {
-		answer, answered := r.replies[id]
-		return answered && answer.Accepted == r.known.Ballot
+		reply, replied := r.replies[id]
+		return replied && reply.Accepted == r.known.Ballot
 	})
 }
 
