--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -6,7 +6,7 @@
 	"weldscale/decide"
 )
 
-// printer is the caller's side: it carries out actions. Here it prints them and keeps what must be answered.
+// printer is the caller. It prints the requested actions and records those that need an answer.
 type printer struct {
 	probes []decide.WorkerID
 	pushed decide.WorkerID
@@ -24,13 +24,13 @@
 func (p *printer) Fail(job uint32)                  { fmt.Println("fail", job) }
 func (p *printer) Watch(bool)                       {}
 func (p *printer) Reload()                          {}
-func (p *printer) Tell(int, []byte)                 {}
+func (p *printer) SendPeer(int, []byte)             {}
 
-// A job from its arrival to its final answer: the first worker turns it away as full, a fresh pair takes it.
+// A job from its arrival to its final answer: the first worker rejects it as full, and a worker of a new pair serves it.
 func Example() {
 	settings := decide.Settings{
 		Nodes: 1, Zones: 1, CanProbe: true, CanCancel: true, MaxAttempts: 3,
-		ColdFrom: 0.2, ColdSpan: 10e6, FallMultiple: 3, FallSpan: 1e6, DrainGrace: 500e3, Tick: 1000,
+		ColdFrom: 0.2, ColdSpan: 10e6, OverloadMultiple: 3, OverloadSpan: 1e6, DrainGrace: 500e3, Tick: 1000,
 		Classes: []decide.Class{{Effect: decide.Unsafe, Aim: 200e3, Stretch: 2, Deadline: 5e6, Worth: 1, Kind: -1}},
 	}
 	caller := &printer{}
@@ -43,7 +43,7 @@
 	d.Announce(now, decide.ListFull, []decide.Worker{
 		{ID: 1, State: decide.Ready}, {ID: 2, State: decide.Ready}, {ID: 3, State: decide.Ready}})
 
-	answer := func() { // the probed workers tell of two free slots each
+	answer := func() { // the probed workers report two free slots each
 		fmt.Println("probes:", len(caller.probes))
 		for _, w := range caller.probes {
 			d.ProbeResult(now, w, decide.Served, 500, decide.Report{Has: decide.HasFreeSlots, FreeSlots: 2})
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -18,12 +18,12 @@
 
 // servers are the two HTTP servers of a controller.
 type servers struct {
-	internal *http.Server // register, leases, watchers
-	control  *http.Server // the operator
+	internal *http.Server // serves the register, heartbeats, lists and watchers
+	control  *http.Server // serves the operator
 	failed   chan error
 }
 
-// listeners are the sockets of the two servers.
+// listeners are the listening sockets of the two servers.
 type listeners struct {
 	internal net.Listener
 	control  net.Listener
@@ -34,13 +34,13 @@
 	_ = l.control.Close()
 }
 
-// serve runs the controller until ctx is done, and then gives its roles up, answers what is in hand and returns.
-// Its parts end with the call of stop.
-func (c *controller) serve(ctx context.Context, stop func(), open listeners, parts ...func(context.Context)) error {
+// serve runs the controller until ctx is done or a server fails. Only in the first case does it release the roles. In both cases
+// it then answers the calls in flight, ends the background tasks by calling stop, and returns.
+func (c *controller) serve(ctx context.Context, stop func(), open listeners, tasks ...func(context.Context)) error {
 	serving := c.startServers(open)
-	var working sync.WaitGroup
-	for _, part := range append(parts, c.followRegister, c.sync, c.beat, c.poller.Run, c.keeper.Run) {
-		working.Go(func() { part(c.ctx) })
+	var running sync.WaitGroup
+	for _, task := range append(tasks, c.followRegister, c.initialSync, c.runHeartbeats, c.poller.Run, c.rebalancer.Run) {
+		running.Go(func() { task(c.ctx) })
 	}
 	c.log.Info("controller serves", zap.String("internal", c.self.Address), zap.String("life", c.self.Life))
 	var failure error
@@ -49,24 +49,25 @@
 		c.leave()
 	case failure = <-serving.failed:
 	}
-	serving.shutdown(c.operator.end)
+	serving.shutdown(c.operator.cancelCalls)
 	stop()
-	working.Wait()
+	running.Wait()
 	c.closeRegister()
 	return eris.Wrap(failure, "serve")
 }
 
-// closeRegister waits for the register's write in hand: calls of other controllers may have begun one that their proposer no
-// longer waits for.
+// closeRegister waits for a disk write of the register that is in progress. Calls of other controllers may have begun one whose
+// proposer no longer waits for it.
 func (c *controller) closeRegister() {
 	ctx, cancel := context.WithTimeout(context.Background(), lastWriteTimeout)
 	defer cancel()
 	c.node.Close(ctx)
 }
 
+// startServers starts both servers on their listeners.
 func (c *controller) startServers(open listeners) *servers {
 	operator := http.NewServeMux()
-	c.operator.register(operator)
+	c.operator.registerHandlers(operator)
 	serving := &servers{
 		internal: newServer(c.internalHandler()),
 		control:  newServer(operator),
@@ -87,6 +88,7 @@
 	}
 }
 
+// internalHandler serves the calls of other processes of the fleet.
 func (c *controller) internalHandler() http.Handler {
 	mux := http.NewServeMux()
 	c.node.Register(mux)
@@ -99,30 +101,31 @@
 	return mux
 }
 
-// leave gives up the roles, tells the other controllers, ends the polls of the watchers, and takes the replica out of the
-// register's set if enough others stay.
+// leave releases the roles, informs the other controllers by a heartbeat, ends the polls of the watchers, and removes this
+// replica from the register's set if enough others remain.
 func (c *controller) leave() {
-	c.leases.with(func(decider *lease.Decider, _ time.Duration) { decider.Release() })
+	c.leases.withDecider(func(decider *lease.Decider, _ time.Duration) { decider.Release() })
 	c.hub.Close()
 	ctx, cancel := context.WithTimeout(c.ctx, releaseTimeout)
 	defer cancel()
-	told := c.sendHeartbeats(ctx, true)
+	heartbeats := c.sendHeartbeats(ctx, true)
 	if err := c.node.Leave(ctx); err != nil {
 		c.log.Info("the replica stays in the register's set", zap.String("cause", err.Error()))
 	}
-	told.Wait()
+	heartbeats.Wait()
 }
 
-// shutdown answers the operator's calls in hand, for which the register must still be reached, and closes. Calls that take too
-// long are ended by endCalls, so that they get an answer as well.
-func (s *servers) shutdown(endCalls func()) {
-	ending := time.AfterFunc(operatorGrace-answerTime, endCalls)
-	defer ending.Stop()
-	end(s.control, operatorGrace)
-	end(s.internal, internalGrace)
+// shutdown stops both servers. It first waits for the operator's calls in flight, which still need the register and therefore the
+// internal server. Calls that take too long are ended by cancelCalls, so that they are answered too.
+func (s *servers) shutdown(cancelCalls func()) {
+	timer := time.AfterFunc(operatorGrace-answerGrace, cancelCalls)
+	defer timer.Stop()
+	shutdownServer(s.control, operatorGrace)
+	shutdownServer(s.internal, internalGrace)
 }
 
-func end(server *http.Server, grace time.Duration) {
+// shutdownServer stops a server and closes its connections after the grace period.
+func shutdownServer(server *http.Server, grace time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
 	if err := server.Shutdown(ctx); errors.Is(err, context.DeadlineExceeded) {
--- a/internal/jobs/overlay_test.go
+++ b/internal/jobs/overlay_test.go
@@ -12,26 +12,26 @@
 	"weldscale/internal/engine"
 )
 
-// nowhere is workers and directory of an engine that sends nothing.
-type nowhere struct{}
+// discardBackends implements engine.Workers and engine.Directory and sends nothing.
+type discardBackends struct{}
 
-func (nowhere) Push(*engine.Attempt)          {}
-func (nowhere) Cancel(*engine.Attempt)        {}
-func (nowhere) Probe(*engine.Probe)           {}
-func (nowhere) Withdraw(*engine.Attempt) bool { return false }
-func (nowhere) Watch(bool)                    {}
-func (nowhere) Reload()                       {}
+func (discardBackends) Push(*engine.Attempt)          {}
+func (discardBackends) Cancel(*engine.Attempt)        {}
+func (discardBackends) Probe(*engine.Probe)           {}
+func (discardBackends) Withdraw(*engine.Attempt) bool { return false }
+func (discardBackends) Watch(bool)                    {}
+func (discardBackends) Reload()                       {}
 
-// Whatever the list says and whoever is taken out and put back, what the engine sends to is what a model says: listed as
-// ready and not out.
+// For any sequence of list updates and offline changes, the engine sends exactly to the workers that a simple model
+// has as ready and not offline.
 func TestOverlayAgainstAModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e, err := engine.New(engine.NewLoop(), engine.Config{Settings: decide.Settings{Nodes: 1, Zones: 1, MaxAttempts: 1, ColdFrom: 1, FallMultiple: 1,
-			FallSpan: 1, Classes: []decide.Class{{Aim: 1, Deadline: 1, Kind: -1}}}})
+		e, err := engine.New(engine.NewLoop(), engine.Config{Settings: decide.Settings{Nodes: 1, Zones: 1, MaxAttempts: 1, ColdFrom: 1, OverloadMultiple: 1,
+			OverloadSpan: 1, Classes: []decide.Class{{Aim: 1, Deadline: 1, Kind: -1}}}})
 		require.NoError(t, err)
-		e.Use(nowhere{}, nowhere{})
+		e.SetBackends(discardBackends{}, discardBackends{})
 		o := NewOverlay(e)
-		list, out := map[string]decide.State{}, map[string]bool{}
+		list, offlineNames := map[string]decide.State{}, map[string]bool{}
 		name := rapid.Map(rapid.IntRange(0, 5), func(i int) string { return fmt.Sprint("w", i) })
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
@@ -44,54 +44,54 @@
 				if kind != decide.ListDelta {
 					clear(list)
 				}
-				var news []engine.Entry
+				var entries []engine.Entry
 				for _, n := range rapid.SliceOfNDistinct(name, 0, 6, rapid.ID).Draw(t, "names") {
 					state := rapid.SampledFrom([]decide.State{decide.Ready, decide.Draining, decide.Gone}).Draw(t, "state")
-					news = append(news, engine.Entry{Name: n, Addr: n, State: state})
+					entries = append(entries, engine.Entry{Name: n, Addr: n, State: state})
 					if list[n] = state; state == decide.Gone {
 						delete(list, n)
 					}
 				}
-				e.Announce(kind, news)
+				e.Announce(kind, entries)
 			default:
-				n, away := name.Draw(t, "name"), rapid.Bool().Draw(t, "out")
+				n, offline := name.Draw(t, "name"), rapid.Bool().Draw(t, "out")
 				_, listed := list[n]
-				assert.Equal(t, listed || out[n], o.Set(n, away))
-				if listed || out[n] {
-					if out[n] = away; !away {
-						delete(out, n)
+				assert.Equal(t, listed || offlineNames[n], o.SetOffline(n, offline))
+				if listed || offlineNames[n] {
+					if offlineNames[n] = offline; !offline {
+						delete(offlineNames, n)
 					}
 				}
 			}
 			want, got := map[string]bool{}, map[string]bool{}
 			excluded := 0
 			for n, state := range list {
-				if state == decide.Ready && !out[n] {
+				if state == decide.Ready && !offlineNames[n] {
 					want[n] = true
 				}
-				if out[n] {
+				if offlineNames[n] {
 					excluded++
 				}
 			}
-			e.Each(func(addr string) { got[addr] = true })
+			e.EachReadyAddr(func(addr string) { got[addr] = true })
 			require.Equal(t, want, got)
-			require.Equal(t, []int{len(list), excluded}, []int{o.Known(), o.Excluded()})
-			require.Len(t, o.Names(), len(out))
+			require.Equal(t, []int{len(list), excluded}, []int{o.KnownWorkers(), o.ExcludedWorkers()})
+			require.Len(t, o.Offline(), len(offlineNames))
 		}
 	})
 }
 
 func TestOverlayIsBounded(t *testing.T) {
-	e, err := engine.New(engine.NewLoop(), engine.Config{Settings: decide.Settings{Nodes: 1, Zones: 1, MaxAttempts: 1, ColdFrom: 1, FallMultiple: 1,
-		FallSpan: 1, Classes: []decide.Class{{Aim: 1, Deadline: 1, Kind: -1}}}})
+	e, err := engine.New(engine.NewLoop(), engine.Config{Settings: decide.Settings{Nodes: 1, Zones: 1, MaxAttempts: 1, ColdFrom: 1, OverloadMultiple: 1,
+		OverloadSpan: 1, Classes: []decide.Class{{Aim: 1, Deadline: 1, Kind: -1}}}})
 	require.NoError(t, err)
-	e.Use(nowhere{}, nowhere{})
+	e.SetBackends(discardBackends{}, discardBackends{})
 	o := NewOverlay(e)
-	for i := range 3 * maxOut {
+	for i := range 3 * maxOffline {
 		e.Announce(decide.ListFull, []engine.Entry{{Name: fmt.Sprint(i), Addr: "x", State: decide.Ready}})
-		require.True(t, o.Set(fmt.Sprint(i), true))
-		require.LessOrEqual(t, len(o.Names()), maxOut)
+		require.True(t, o.SetOffline(fmt.Sprint(i), true))
+		require.LessOrEqual(t, len(o.Offline()), maxOffline)
 	}
-	assert.Contains(t, o.Names(), fmt.Sprint(3*maxOut-1), "those missing longest go first")
-	assert.NotContains(t, o.Names(), "0")
+	assert.Contains(t, o.Offline(), fmt.Sprint(3*maxOffline-1), "those missing longest are removed first")
+	assert.NotContains(t, o.Offline(), "0")
 }
--- a/internal/router/events_test.go
+++ b/internal/router/events_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestAnyChunkingGivesTheSameEvents(t *testing.T) {
+func TestEventsDoNotDependOnChunking(t *testing.T) {
 	lineEnd := rapid.SampledFrom([]string{"\n", "\r\n"})
 	rapid.Check(t, func(t *rapid.T) {
 		var want []string
@@ -48,10 +48,10 @@
 	})
 }
 
-func TestTakingTheRestGoesOnBehindIt(t *testing.T) {
+func TestScannerContinuesAfterTakeRest(t *testing.T) {
 	var scanner eventScanner
 	scanner.feed([]byte("id: 1\ndata: a"))
-	require.Equal(t, "id: 1\ndata: a", string(scanner.take()))
+	require.Equal(t, "id: 1\ndata: a", string(scanner.takeRest()))
 	scanner.feed([]byte("b\n\nid: 2\n\n"))
 	next, whole := scanner.next()
 	require.True(t, whole)
