--- a/coordination/register/exhaustive_test.go
+++ b/coordination/register/exhaustive_test.go
@@ -15,75 +15,75 @@
 	"github.com/stretchr/testify/require"
 )
 
-// exhaustiveStates bounds the search: it ends with the number of events at which it has met as many states. In CI that takes
-// some seconds.
-var exhaustiveStates = flag.Int("register.states", 30_000, "states of each story of the exhaustive model")
-
-// The exhaustive model goes through all stories of a few events: all orders in which requests arrive, if they do, with answers that
-// are lost, proposers that give up and try again, a disk that is lost, and a replica that writes a chosen value it was not asked
-// for, at any moment. An event is a request that arrives, with its answer or without; requests that never arrive need none, since
-// each story is checked at each step. What is left out: answers that come after others have (they count as lost), doubled requests,
-// which acceptors answer alike, and commits, which only tell early what answers tell later.
-
-// exState is one state of the model.
-type exState struct {
-	replicas  []exReplica
-	proposers []exProposer
-	flying    []exMessage
-	wipes     int // disks that may yet be lost
-	learns    int // values that replicas may yet write unasked
-	accepts   []exAccepts
-}
-
-// exReplica is an acceptor at an address. A lost disk gives it another identity.
-type exReplica struct {
+// exhaustiveStates limits the search: it stops once it has visited this many states. The default takes some seconds in CI.
+var exhaustiveStates = flag.Int("register.states", 30_000, "maximum number of states for each scenario of the exhaustive search")
+
+// The exhaustive search explores all runs of a few events, breadth first: all orders in which requests arrive or get lost, lost
+// replies, proposers that give up and retry, a lost disk, and a replica that writes a chosen value that it was not asked to
+// accept, at any moment. An event is the arrival of a request, with its reply delivered at once or lost. A request that never
+// arrives needs no event, because each run is checked after each event. The search leaves out replies that are delivered later
+// than at once (they count as lost), duplicated requests (acceptors reply to them in the same way) and commits (they only tell
+// earlier what replies tell later).
+
+// searchState is one state of the search.
+type searchState struct {
+	replicas    []searchReplica
+	proposers   []searchProposer
+	inFlight    []searchMessage
+	wipesLeft   int // number of disks that may still be lost
+	learnsLeft  int // number of chosen values that replicas may still learn without a request
+	acceptances []acceptance
+}
+
+// searchReplica is an acceptor at an address. A lost disk gives it another identity.
+type searchReplica struct {
 	acceptor Acceptor
 	wiped    bool
 }
 
-// exProposer drives operations one after the other.
-type exProposer struct {
-	plan    []Change // operations that are left, the present one first
-	current Proposer
-	ballots *BallotGenerator
-	at      Replica
-	retries int // that it may yet make
-	done    bool
+// searchProposer runs operations one after the other.
+type searchProposer struct {
+	operations  []Change // operations that have not started
+	current     Proposer
+	ballots     *BallotGenerator
+	replica     Replica
+	retriesLeft int // number of retries that it may still make
+	done        bool
 }
 
-// exMessage is a request on its way to a replica.
-type exMessage struct {
-	to       int // of replicas
-	from     int // the proposer that asked
+// searchMessage is a request in flight.
+type searchMessage struct {
+	to       int // index of the receiving replica
+	from     int // index of the sending proposer
 	request  *Request
 	encoding string
 }
 
-// exAccepts are the identities that have ever held a value under a ballot.
-type exAccepts struct {
+// acceptance holds the identities that have ever accepted a value under its ballot.
+type acceptance struct {
 	accepted Accepted
 	ids      []string
 }
 
-// exStory is what a search begins with.
-type exStory struct {
+// searchScenario configures a search.
+type searchScenario struct {
 	name      string
 	proposers [][]Change
-	// joins is the proposer that begins once a disk is lost, at that replica; -1: none.
-	joins   int
-	wipes   int
-	learns  int
-	retries int // of each proposer
-	// broken variants, which the search has to catch
+	// joiningProposer is the index of the proposer that begins at the replica whose disk is lost, or -1 for none.
+	joiningProposer int
+	wipes           int
+	learns          int
+	retries         int // number of retries of each proposer
+	// defect that the search must detect
 	keepsIdentity bool
 }
 
-var exReplicas = []Replica{{ID: "A", Address: "a"}, {ID: "B", Address: "b"}, {ID: "C", Address: "c"}}
+var searchFounders = []Replica{{ID: "A", Address: "a"}, {ID: "B", Address: "b"}, {ID: "C", Address: "c"}}
 
-// exNewcomer is a fourth machine that joins.
-var exNewcomer = Replica{ID: "D", Address: "d"}
+// searchJoiner is a fourth replica, which joins.
+var searchJoiner = Replica{ID: "D", Address: "d"}
 
-func exAppend(text string) Change {
+func searchAppend(text string) Change {
 	return func(chosen Value) (Value, error) {
 		if !bytes.Contains(chosen.Data, []byte(text)) {
 			chosen.Data = append(slices.Clone(chosen.Data), text...)
@@ -92,33 +92,34 @@
 	}
 }
 
-func exPlan(self Replica) Change {
+func searchPlan(self Replica) Change {
 	planner := Planner{Self: self, TargetReplicas: 3, MaxReplicas: 6, SilentFor: func(Replica) time.Duration { return 0 }}
 	return func(chosen Value) (Value, error) { return planner.Next(chosen), nil }
 }
 
-// exSearch goes through the states.
-type exSearch struct {
-	story    exStory
-	seed     maphash.Seed
-	seen     map[[2]uint64]bool
-	next     []exState // states of one more event than those that are looked at
-	violated string
-	buffer   []byte
+// stateSearch is a breadth-first search through the states of a scenario.
+type stateSearch struct {
+	scenario  searchScenario
+	seed      maphash.Seed
+	seen      map[[2]uint64]bool
+	frontier  []searchState // states that are one event further than those being expanded
+	violation string
+	buffer    []byte
 }
 
-// run looks at all states of one event after the other, and returns the number of events of which it has seen all stories.
-func (s *exSearch) run(story exStory, mostStates int) (events int, whole bool) {
-	s.story = story
+// run expands the states level by level. It returns the number of events up to which it has explored all runs, and whether it
+// has explored the scenario completely.
+func (s *stateSearch) run(scenario searchScenario, maxStates int) (events int, complete bool) {
+	s.scenario = scenario
 	s.seed = maphash.MakeSeed()
 	s.seen = map[[2]uint64]bool{}
-	s.add(s.first())
-	for ; len(s.next) > 0 && s.violated == ""; events++ {
-		present := s.next
-		s.next = nil
-		for i := range present {
-			s.visit(&present[i])
-			if len(s.seen) > mostStates {
+	s.enqueue(s.initialState())
+	for ; len(s.frontier) > 0 && s.violation == ""; events++ {
+		current := s.frontier
+		s.frontier = nil
+		for i := range current {
+			s.expand(&current[i])
+			if len(s.seen) > maxStates {
 				return events, false
 			}
 		}
@@ -126,74 +127,74 @@
 	return events, true
 }
 
-// add keeps a state to be looked at, if it was not met before.
-func (s *exSearch) add(state exState) {
-	if s.violated == "" && !s.met(&state) {
-		s.next = append(s.next, state)
+// enqueue adds a state to the frontier if it was not visited before.
+func (s *stateSearch) enqueue(state searchState) {
+	if s.violation == "" && !s.visited(&state) {
+		s.frontier = append(s.frontier, state)
 	}
 }
 
-func (s *exSearch) first() exState {
-	genesis := Genesis(exReplicas)
-	state := exState{wipes: s.story.wipes, learns: s.story.learns}
-	for _, replica := range append(slices.Clone(exReplicas), exNewcomer) {
+func (s *stateSearch) initialState() searchState {
+	genesis := Genesis(searchFounders)
+	state := searchState{wipesLeft: s.scenario.wipes, learnsLeft: s.scenario.learns}
+	for _, replica := range append(slices.Clone(searchFounders), searchJoiner) {
 		accepted := genesis
-		if replica == exNewcomer {
+		if replica == searchJoiner {
 			accepted = Accepted{}
 		}
-		state.replicas = append(state.replicas, exReplica{acceptor: *NewAcceptor(replica, Ballot{}, accepted)})
+		state.replicas = append(state.replicas, searchReplica{acceptor: *NewAcceptor(replica, Ballot{}, accepted)})
 	}
-	for number, plan := range s.story.proposers {
-		p := exProposer{plan: plan, retries: s.story.retries, at: state.replicas[number].acceptor.self}
-		p.ballots = NewBallotGenerator(uint64(number + 1))
+	for index, plan := range s.scenario.proposers {
+		p := searchProposer{operations: plan, retriesLeft: s.scenario.retries, replica: state.replicas[index].acceptor.self}
+		p.ballots = NewBallotGenerator(uint64(index + 1))
 		state.proposers = append(state.proposers, p)
 	}
-	state.accepts = []exAccepts{{accepted: genesis, ids: []string{"A", "B", "C"}}}
-	for number := range state.proposers {
-		if number != s.story.joins {
-			s.begin(&state, number, genesis)
+	state.acceptances = []acceptance{{accepted: genesis, ids: []string{"A", "B", "C"}}}
+	for index := range state.proposers {
+		if index != s.scenario.joiningProposer {
+			s.begin(&state, index, genesis)
 		}
 	}
 	return state
 }
 
 // begin starts the next operation of a proposer.
-func (s *exSearch) begin(state *exState, number int, known Accepted) {
-	p := &state.proposers[number]
-	if len(p.plan) == 0 {
+func (s *stateSearch) begin(state *searchState, index int, known Accepted) {
+	p := &state.proposers[index]
+	if len(p.operations) == 0 {
 		p.done = true
 		return
 	}
-	p.current = *NewProposer(p.at, p.ballots, known, known.Ballot, p.plan[0])
-	p.plan = p.plan[1:]
-	s.output(state, number, p.current.Start())
+	p.current = *NewProposer(p.replica, p.ballots, known, known.Ballot, p.operations[0])
+	p.operations = p.operations[1:]
+	s.handleOutput(state, index, p.current.Start())
 }
 
-func (s *exSearch) output(state *exState, number int, output Output) {
-	p := &state.proposers[number]
+func (s *stateSearch) handleOutput(state *searchState, index int, output Output) {
+	p := &state.proposers[index]
 	for _, message := range output.Messages {
 		if message.Request.Kind == Commit {
 			continue
 		}
-		to := slices.IndexFunc(state.replicas, func(r exReplica) bool { return r.acceptor.self.Address == message.To.Address })
+		to := slices.IndexFunc(state.replicas, func(r searchReplica) bool { return r.acceptor.self.Address == message.To.Address })
 		request := message.Request
-		state.fly(exMessage{to: to, from: number, request: &request})
+		state.send(searchMessage{to: to, from: index, request: &request})
 	}
 	if output.Done {
 		result, _ := p.current.Result()
-		s.check(chosenIn(state, result), "a proposer took revision %d for chosen", result.Value.Revision)
-		s.begin(state, number, result)
+		s.check(chosenIn(state, result), "a proposer reported revision %d as chosen without a majority", result.Value.Revision)
+		s.begin(state, index, result)
 	}
 }
 
-func (state *exState) fly(message exMessage) {
+func (state *searchState) send(message searchMessage) {
 	message.encoding = message.encode()
-	state.flying = append(state.flying, message)
+	state.inFlight = append(state.inFlight, message)
 }
 
-// chosenIn reports whether a majority holds, or held, a value under its ballot.
-func chosenIn(state *exState, accepted Accepted) bool {
-	for _, known := range state.accepts {
+// chosenIn reports whether a majority has ever accepted a value under its ballot.
+func chosenIn(state *searchState, accepted Accepted) bool {
+	for _, known := range state.acceptances {
 		if known.accepted.Ballot == accepted.Ballot {
 			return known.accepted.Value.Quorum(func(id string) bool { return slices.Contains(known.ids, id) })
 		}
@@ -201,14 +202,14 @@
 	return false
 }
 
-func (s *exSearch) check(holds bool, format string, arguments ...any) {
-	if !holds && s.violated == "" {
-		s.violated = fmt.Sprintf(format, arguments...)
+func (s *stateSearch) check(holds bool, format string, arguments ...any) {
+	if !holds && s.violation == "" {
+		s.violation = fmt.Sprintf(format, arguments...)
 	}
 }
 
-// clone copies what events change. Values are never changed, and are shared.
-func (state *exState) clone() exState {
+// clone copies the parts of a state that events modify. Values are never modified and are shared.
+func (state *searchState) clone() searchState {
 	next := *state
 	next.replicas = slices.Clone(state.replicas)
 	next.proposers = slices.Clone(state.proposers)
@@ -216,123 +217,124 @@
 		p := &next.proposers[i]
 		p.ballots = &BallotGenerator{round: p.ballots.round, proposer: p.ballots.proposer}
 		p.current.ballots = p.ballots
-		p.current.asked = maps.Clone(p.current.asked)
-		p.current.answers = maps.Clone(p.current.answers)
-		p.current.doubt.origins = slices.Clone(p.current.doubt.origins)
+		p.current.requested = maps.Clone(p.current.requested)
+		p.current.replies = maps.Clone(p.current.replies)
+		p.current.doubtful.origins = slices.Clone(p.current.doubtful.origins)
 	}
-	next.flying = slices.Clone(state.flying)
-	next.accepts = slices.Clone(state.accepts)
+	next.inFlight = slices.Clone(state.inFlight)
+	next.acceptances = slices.Clone(state.acceptances)
 	return next
 }
 
-// visit goes on from a state by each event that is possible.
-func (s *exSearch) visit(state *exState) {
-	for at := range state.flying {
+// expand enqueues the states that follow by each possible event.
+func (s *stateSearch) expand(state *searchState) {
+	for at := range state.inFlight {
 		for _, answered := range []bool{true, false} {
 			next := state.clone()
-			message := next.flying[at]
-			next.flying = slices.Delete(next.flying, at, at+1)
+			message := next.inFlight[at]
+			next.inFlight = slices.Delete(next.inFlight, at, at+1)
 			s.deliver(&next, message, answered)
-			s.add(next)
+			s.enqueue(next)
 		}
 	}
-	for number := range state.proposers {
-		if p := &state.proposers[number]; p.retries > 0 && !p.done && p.current.phase != idle && p.current.phase != ended {
+	for index := range state.proposers {
+		if p := &state.proposers[index]; p.retriesLeft > 0 && !p.done && p.current.phase != idle && p.current.phase != ended {
 			next := state.clone()
-			next.proposers[number].retries--
-			s.output(&next, number, next.proposers[number].current.Retry())
-			s.add(next)
+			next.proposers[index].retriesLeft--
+			s.handleOutput(&next, index, next.proposers[index].current.Retry())
+			s.enqueue(next)
 		}
 	}
-	for at := range exReplicas {
-		s.visitDisk(state, at)
+	for at := range searchFounders {
+		s.expandDisk(state, at)
 	}
 }
 
-// visitDisk goes on by what befalls the disk of a replica.
-func (s *exSearch) visitDisk(state *exState, at int) {
-	if state.wipes > 0 && !state.replicas[at].wiped {
+// expandDisk enqueues the states that follow by a lost disk or a learned value at a replica.
+func (s *stateSearch) expandDisk(state *searchState, at int) {
+	if state.wipesLeft > 0 && !state.replicas[at].wiped {
 		next := state.clone()
 		s.wipe(&next, at)
-		s.add(next)
+		s.enqueue(next)
 	}
-	if state.learns == 0 {
+	if state.learnsLeft == 0 {
 		return
 	}
-	for _, known := range state.accepts {
+	for _, known := range state.acceptances {
 		if chosenIn(state, known.accepted) && state.replicas[at].acceptor.accepted.Ballot.Less(known.accepted.Ballot) {
 			next := state.clone()
-			next.learns--
+			next.learnsLeft--
 			s.learn(&next, at, known.accepted)
-			s.add(next)
+			s.enqueue(next)
 		}
 	}
 }
 
-func (s *exSearch) wipe(state *exState, at int) {
-	state.wipes--
+func (s *stateSearch) wipe(state *searchState, at int) {
+	state.wipesLeft--
 	replica := &state.replicas[at]
 	replica.wiped = true
 	self := replica.acceptor.self
-	if !s.story.keepsIdentity {
+	if !s.scenario.keepsIdentity {
 		self.ID += "'"
 	}
 	accepted := Accepted{}
-	if s.story.keepsIdentity {
-		accepted = Genesis(exReplicas)
+	if s.scenario.keepsIdentity {
+		accepted = Genesis(searchFounders)
 	}
 	replica.acceptor = *NewAcceptor(self, Ballot{}, accepted)
-	if s.story.joins >= 0 {
-		p := &state.proposers[s.story.joins]
-		p.at = self
-		p.plan = []Change{exPlan(self), exPlan(self)}
-		s.begin(state, s.story.joins, Genesis(exReplicas))
+	if s.scenario.joiningProposer >= 0 {
+		p := &state.proposers[s.scenario.joiningProposer]
+		p.replica = self
+		p.operations = []Change{searchPlan(self), searchPlan(self)}
+		s.begin(state, s.scenario.joiningProposer, Genesis(searchFounders))
 	}
 }
 
-func (s *exSearch) learn(state *exState, at int, chosen Accepted) {
+func (s *stateSearch) learn(state *searchState, at int, chosen Accepted) {
 	acceptor := &state.replicas[at].acceptor
 	if !chosen.Value.HasMember(acceptor.self.ID) {
 		return
 	}
 	step := acceptor.Learn(chosen)
 	acceptor.Finish(step)
-	s.accepted(state, acceptor.self.ID, chosen)
+	s.recordAccept(state, acceptor.self.ID, chosen)
 }
 
-func (s *exSearch) deliver(state *exState, message exMessage, answered bool) {
+func (s *stateSearch) deliver(state *searchState, message searchMessage, answered bool) {
 	replica := &state.replicas[message.to]
 	step := replica.acceptor.Begin(*message.request)
 	reply := step.Reply
 	if step.Write != nil {
 		reply = replica.acceptor.Finish(step)
 		if step.Write.Accepted != nil {
-			s.accepted(state, replica.acceptor.self.ID, *step.Write.Accepted)
+			s.recordAccept(state, replica.acceptor.self.ID, *step.Write.Accepted)
 		}
 	}
 	if reply.Refusal == IdentityMismatch {
 		reply.From.ID = message.request.To
 	}
 	if p := &state.proposers[message.from]; answered && !p.done {
-		s.output(state, message.from, p.current.Deliver(reply))
+		s.handleOutput(state, message.from, p.current.Deliver(reply))
 	}
 }
 
-// accepted notes that an identity holds a value, and checks that chosen values follow one another.
-func (s *exSearch) accepted(state *exState, id string, accepted Accepted) {
-	at := slices.IndexFunc(state.accepts, func(a exAccepts) bool { return a.accepted.Ballot == accepted.Ballot })
+// recordAccept records that an identity has accepted a value. If the value is now chosen, recordAccept checks that there is
+// one value for each revision and that each extends the earlier ones.
+func (s *stateSearch) recordAccept(state *searchState, id string, accepted Accepted) {
+	at := slices.IndexFunc(state.acceptances, func(a acceptance) bool { return a.accepted.Ballot == accepted.Ballot })
 	if at < 0 {
-		state.accepts = append(state.accepts, exAccepts{accepted: accepted})
-		at = len(state.accepts) - 1
+		state.acceptances = append(state.acceptances, acceptance{accepted: accepted})
+		at = len(state.acceptances) - 1
 	}
-	if slices.Contains(state.accepts[at].ids, id) {
+	if slices.Contains(state.acceptances[at].ids, id) {
 		return
 	}
-	state.accepts[at].ids = append(slices.Clone(state.accepts[at].ids), id)
+	state.acceptances[at].ids = append(slices.Clone(state.acceptances[at].ids), id)
 	if !chosenIn(state, accepted) {
 		return
 	}
-	for _, other := range state.accepts {
+	for _, other := range state.acceptances {
 		if !chosenIn(state, other.accepted) {
 			continue
 		}
@@ -341,12 +343,12 @@
 			older, newer = newer, older
 		}
 		s.check(older.Revision != newer.Revision || older.Origin == newer.Origin, "two values chosen as revision %d", older.Revision)
-		s.check(bytes.HasPrefix(newer.Data, older.Data), "revision %d has %q, %d had %q", newer.Revision, newer.Data, older.Revision, older.Data)
+		s.check(bytes.HasPrefix(newer.Data, older.Data), "revision %d has data %q, but revision %d had %q", newer.Revision, newer.Data, older.Revision, older.Data)
 	}
 }
 
-// met reports whether a state was met before.
-func (s *exSearch) met(state *exState) bool {
+// visited reports whether a state was visited before.
+func (s *stateSearch) visited(state *searchState) bool {
 	s.buffer = state.encode(s.buffer[:0])
 	var hash maphash.Hash
 	hash.SetSeed(s.seed)
@@ -359,7 +361,7 @@
 	return known
 }
 
-func (state *exState) encode(into []byte) []byte {
+func (state *searchState) encode(into []byte) []byte {
 	for i := range state.replicas {
 		a := &state.replicas[i].acceptor
 		into = append(into, a.self.ID...)
@@ -368,14 +370,14 @@
 	for i := range state.proposers {
 		into = state.proposers[i].encode(into)
 	}
-	encodings := lo.Map(state.flying, func(m exMessage, _ int) string { return m.encoding })
+	encodings := lo.Map(state.inFlight, func(m searchMessage, _ int) string { return m.encoding })
 	slices.Sort(encodings)
 	for _, encoding := range encodings {
 		into = append(into, encoding...)
 	}
-	into = append(into, byte(state.wipes), byte(state.learns))
-	accepts := slices.Clone(state.accepts)
-	slices.SortFunc(accepts, func(a, b exAccepts) int { return lo.Ternary(a.accepted.Ballot.Less(b.accepted.Ballot), -1, 1) })
+	into = append(into, byte(state.wipesLeft), byte(state.learnsLeft))
+	accepts := slices.Clone(state.acceptances)
+	slices.SortFunc(accepts, func(a, b acceptance) int { return lo.Ternary(a.accepted.Ballot.Less(b.accepted.Ballot), -1, 1) })
 	for _, known := range accepts {
 		into = appendBallot(into, known.accepted.Ballot)
 		for _, id := range slices.Sorted(slices.Values(known.ids)) {
@@ -385,16 +387,16 @@
 	return into
 }
 
-func (p *exProposer) encode(into []byte) []byte {
+func (p *searchProposer) encode(into []byte) []byte {
 	c := &p.current
-	into = append(into, byte(len(p.plan)), byte(p.retries), byte(c.phase), lo.Ternary[byte](p.done, 1, 0))
+	into = append(into, byte(len(p.operations)), byte(p.retriesLeft), byte(c.phase), lo.Ternary[byte](p.done, 1, 0))
 	into = binary.AppendUvarint(into, p.ballots.round)
-	into = append(into, p.at.ID...)
-	into = appendBallot(into, c.base.Ballot, c.chosen, c.ballot, c.proposal.Origin, c.doubt.highest)
-	into = appendBallot(into, c.doubt.origins...)
+	into = append(into, p.replica.ID...)
+	into = appendBallot(into, c.base.Ballot, c.chosen, c.ballot, c.proposal.Origin, c.doubtful.highest)
+	into = appendBallot(into, c.doubtful.origins...)
 	into = binary.AppendUvarint(into, c.proposal.Revision)
-	for _, id := range slices.Sorted(maps.Keys(c.asked)) {
-		answer, answered := c.answers[id]
+	for _, id := range slices.Sorted(maps.Keys(c.requested)) {
+		answer, answered := c.replies[id]
 		into = append(into, id...)
 		into = append(into, lo.Ternary[byte](answered, 1, 0), byte(answer.Refusal))
 		into = appendBallot(into, answer.Accepted)
@@ -402,7 +404,7 @@
 	return into
 }
 
-func (m *exMessage) encode() string {
+func (m *searchMessage) encode() string {
 	into := []byte{byte(m.to), byte(m.from), byte(m.request.Kind)}
 	into = append(into, m.request.To...)
 	return string(appendBallot(into, m.request.Ballot, m.request.Known))
@@ -416,40 +418,40 @@
 	return append(into, '|')
 }
 
-var exStories = []exStory{
-	{name: "two change", proposers: [][]Change{{exAppend("x")}, {exAppend("y")}}, joins: -1},
-	{name: "two change, and may try again", proposers: [][]Change{{exAppend("x")}, {exAppend("y")}}, joins: -1, retries: 1},
-	{name: "two change, a value is learnt unasked", proposers: [][]Change{{exAppend("x")}, {exAppend("y")}}, joins: -1, learns: 1},
-	{name: "one changes, a newcomer joins", joins: -1,
-		proposers: [][]Change{{exAppend("x")}, {exPlan(exNewcomer), exPlan(exNewcomer)}}},
-	{name: "one changes, a disk is lost and joins anew", proposers: [][]Change{{exAppend("x"), exAppend("y")}, nil}, joins: 1, wipes: 1},
+var searchScenarios = []searchScenario{
+	{name: "two writers", proposers: [][]Change{{searchAppend("x")}, {searchAppend("y")}}, joiningProposer: -1},
+	{name: "two writers with retries", proposers: [][]Change{{searchAppend("x")}, {searchAppend("y")}}, joiningProposer: -1, retries: 1},
+	{name: "two writers, a replica learns a chosen value", proposers: [][]Change{{searchAppend("x")}, {searchAppend("y")}}, joiningProposer: -1, learns: 1},
+	{name: "one writer, a replica joins", joiningProposer: -1,
+		proposers: [][]Change{{searchAppend("x")}, {searchPlan(searchJoiner), searchPlan(searchJoiner)}}},
+	{name: "one writer, a replica loses its disk and rejoins", proposers: [][]Change{{searchAppend("x"), searchAppend("y")}, nil}, joiningProposer: 1, wipes: 1},
 }
 
-func TestAllStoriesOfAFewEvents(t *testing.T) {
-	for _, story := range exStories {
-		t.Run(story.name, func(t *testing.T) {
+func TestExhaustiveSearchFindsNoViolation(t *testing.T) {
+	for _, scenario := range searchScenarios {
+		t.Run(scenario.name, func(t *testing.T) {
 			t.Parallel()
-			var search exSearch
-			begun := time.Now()
-			events, whole := search.run(story, *exhaustiveStates)
-			require.Empty(t, search.violated)
-			t.Logf("%d states, all stories of %d events (to their end: %v), %v", len(search.seen), events, whole,
-				time.Since(begun).Round(time.Millisecond))
+			var search stateSearch
+			started := time.Now()
+			events, complete := search.run(scenario, *exhaustiveStates)
+			require.Empty(t, search.violation)
+			t.Logf("%d states, all runs of %d events (complete: %v), %v", len(search.seen), events, complete,
+				time.Since(started).Round(time.Millisecond))
 		})
 	}
 }
 
-func TestAllStoriesFindBrokenReplicas(t *testing.T) {
-	const mostStates = 400_000
-	for name, story := range map[string]exStory{
-		"keeps its identity when its disk is lost": {proposers: [][]Change{{exAppend("x")}, {exAppend("y")}}, joins: -1, wipes: 1, keepsIdentity: true},
+func TestExhaustiveSearchDetectsDefectiveReplicas(t *testing.T) {
+	const maxStates = 400_000
+	for name, scenario := range map[string]searchScenario{
+		"keeps its identity when its disk is lost": {proposers: [][]Change{{searchAppend("x")}, {searchAppend("y")}}, joiningProposer: -1, wipes: 1, keepsIdentity: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var search exSearch
-			events, _ := search.run(story, mostStates)
-			require.NotEmpty(t, search.violated, "%d events", events)
-			t.Logf("%d states, %d events: %s", len(search.seen), events, search.violated)
+			var search stateSearch
+			events, _ := search.run(scenario, maxStates)
+			require.NotEmpty(t, search.violation, "%d events", events)
+			t.Logf("%d states, %d events: %s", len(search.seen), events, search.violation)
 		})
 	}
 }
--- a/coordination/register/upkeep.go
+++ b/coordination/register/upkeep.go
@@ -9,74 +9,74 @@
 )
 
 const (
-	// upkeepTick is the pace of what is urgent: a disk without an identity, a newcomer, a change of the set.
-	upkeepTick = 50 * time.Millisecond
-	// joinProbe is how long a newcomer waits to hear of every member, to know which of them can give way.
-	joinProbe = 500 * time.Millisecond
-	// rankDelay spreads what any member may do, so that usually the first one alone does it.
+	// upkeepInterval is the tick of Run while the disk has no identity, the node joins or the set is reconfigured.
+	upkeepInterval = 50 * time.Millisecond
+	// joinProbeTimeout is how long a joining node waits for replies of all members, to know which of them can be replaced.
+	joinProbeTimeout = 500 * time.Millisecond
+	// rankDelay staggers actions that any member may take by the rank of the member, so that usually only the first one acts.
 	rankDelay = 400 * time.Millisecond
-	// doubtAfter is how long a value may stay in doubt before it is completed unasked.
-	doubtAfter   = time.Second
-	upkeepBudget = 3 * time.Second
+	// doubtTimeout is how long a value may stay in doubt before a node completes it without a client request.
+	doubtTimeout  = time.Second
+	upkeepTimeout = 3 * time.Second
 )
 
-// Run keeps the node in touch and in the set until ctx is done.
+// Run sends heartbeats, keeps the node in the replica set and writes missed values to its disk until ctx is done.
 func (n *Node) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	var lastBeat time.Time
+	var lastHeartbeat time.Time
 	var upkeep upkeep
-	var keeping keeping
+	var catchUp diskCatchUp
 	for {
 		select {
 		case <-timer.C:
-		case <-n.nudge:
+		case <-n.wakeUp:
 		case <-ctx.Done():
 			return
 		}
-		if time.Since(lastBeat) >= n.heartbeatInterval() {
-			lastBeat = time.Now()
+		if time.Since(lastHeartbeat) >= n.heartbeatInterval() {
+			lastHeartbeat = time.Now()
 			n.heartbeat()
 		}
-		if n.markDisk() {
+		if n.initializeDisk() {
 			n.learnGenesis()
-			upkeep.step(ctx, n)
-			keeping.step(ctx, n, time.Now())
+			upkeep.tick(ctx, n)
+			catchUp.tick(ctx, n, time.Now())
 		}
-		timer.Reset(n.pace())
+		timer.Reset(n.nextDelay())
 	}
 }
 
-// pace is slow while all is settled: each wake-up costs.
-func (n *Node) pace() time.Duration {
+// nextDelay returns the time until the next tick. It is long while there is nothing to do, because wake-ups cost CPU time.
+func (n *Node) nextDelay() time.Duration {
 	known, chosen := n.known()
-	if known.Ballot == chosen && n.placed(&known.Value) && !known.Value.Joint() {
+	if known.Ballot == chosen && n.inSetOrStandby(&known.Value) && !known.Value.Joint() {
 		return n.options.Heartbeat
 	}
-	return upkeepTick
+	return upkeepInterval
 }
 
-// heartbeatInterval is short while the node is on its way into the set.
+// heartbeatInterval returns the time between heartbeats. It is short while the node joins the set.
 func (n *Node) heartbeatInterval() time.Duration {
-	if known, _ := n.known(); n.placed(&known.Value) {
+	if known, _ := n.known(); n.inSetOrStandby(&known.Value) {
 		return n.options.Heartbeat
 	}
-	return 2 * upkeepTick
+	return 2 * upkeepInterval
 }
 
-// placed reports whether the node is in the set, or on standby for one that has no room.
-func (n *Node) placed(value *Value) bool {
+// inSetOrStandby reports whether the node is in the set, or on standby because the set has no room.
+func (n *Node) inSetOrStandby(value *Value) bool {
 	return value.HasReplica(n.ID()) || len(value.Replicas) >= n.options.MaxReplicas
 }
 
-// Leave takes the own replica out of the set, if enough others stay: for a process that is stopped for good while its
-// successor is already there. It does nothing otherwise.
+// Leave removes the local replica from the set if at least TargetReplicas others remain, and does nothing otherwise. It is meant
+// for a process that stops for good after its successor has joined.
 func (n *Node) Leave(ctx context.Context) error {
 	n.mu.Lock()
 	n.leaving = true
 	n.mu.Unlock()
 	for {
-		chosen := n.latest().Value
+		chosen := n.latestChosen().Value
 		if !chosen.Joint() && !chosen.HasReplica(n.ID()) {
 			return nil
 		}
@@ -90,7 +90,7 @@
 	}
 }
 
-func (n *Node) latest() Accepted {
+func (n *Node) latestChosen() Accepted {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.chosen
@@ -112,39 +112,39 @@
 		SilentFor: func(replica Replica) time.Duration {
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			return n.silence(replica, now)
+			return n.silentFor(replica, now)
 		},
 		RemoveAfter: n.options.RemoveAfter + delay,
 	}
 }
 
-// upkeep is the state of the steps that Run takes beside the heartbeat.
+// upkeep is the state of the reconfigurations and completions that Run starts. Only the goroutine of Run uses it.
 type upkeep struct {
-	changing   background
-	memberOf   Ballot // joint value that was seen last
-	jointSince time.Time
-	doubtSince time.Time
-	probeSince time.Time // when the node, not in the set, first knew it
+	proposal    backgroundTask
+	jointOrigin Ballot // origin of the last observed joint value
+	jointSince  time.Time
+	doubtSince  time.Time
+	probeSince  time.Time // when the node, outside of the set, first knew the set
 }
 
-// step starts what is due, in the background: the heartbeat must not wait for it.
-func (u *upkeep) step(ctx context.Context, n *Node) {
-	if u.changing.busy() {
+// tick starts the proposal that is due. It runs in the background because the heartbeat must not wait for it.
+func (u *upkeep) tick(ctx context.Context, n *Node) {
+	if u.proposal.busy() {
 		return
 	}
-	change := u.due(n, time.Now())
+	change := u.dueChange(n, time.Now())
 	if change == nil {
 		return
 	}
-	u.changing.start(func() {
+	u.proposal.start(func() {
 		defer n.wake()
-		n.upkeep(ctx, change)
+		n.proposeUpkeep(ctx, change)
 	})
 }
 
-// upkeep proposes a change of the set, or completes one that is in doubt.
-func (n *Node) upkeep(ctx context.Context, change Change) {
-	ctx, cancel := context.WithTimeout(ctx, upkeepBudget)
+// proposeUpkeep proposes a reconfiguration, or completes a value in doubt.
+func (n *Node) proposeUpkeep(ctx context.Context, change Change) {
+	ctx, cancel := context.WithTimeout(ctx, upkeepTimeout)
 	defer cancel()
 	chosen, err := n.propose(ctx, change)
 	if err != nil {
@@ -154,15 +154,15 @@
 		zap.Int("replicas", len(chosen.Value.Replicas)), zap.Bool("joint", chosen.Value.Joint()))
 }
 
-// due returns the change to make now, nil if there is none.
-func (u *upkeep) due(n *Node, now time.Time) Change {
-	chosen := n.latest().Value
+// dueChange returns the change to propose now, or nil if there is none.
+func (u *upkeep) dueChange(n *Node, now time.Time) Change {
+	chosen := n.latestChosen().Value
 	if len(chosen.Replicas) == 0 {
-		return u.settle(n, now)
+		return u.dueCompletion(n, now)
 	}
 	plan := n.planner(rankDelay * time.Duration(rank(&chosen, n)))
 	if sameContent(&chosen, new(plan.Next(chosen))) {
-		return u.settle(n, now)
+		return u.dueCompletion(n, now)
 	}
 	if !u.mayChange(n, &chosen, now) {
 		return nil
@@ -170,15 +170,15 @@
 	return func(value Value) (Value, error) { return plan.Next(value), nil }
 }
 
-// mayChange holds a change back: a joint set is finished by whoever made it, unless it takes too long; a newcomer hears of
-// every member first.
+// mayChange reports whether a reconfiguration may be proposed now. A joint set is finished by its proposer unless that takes too
+// long, and a joining node first waits for replies of all members.
 func (u *upkeep) mayChange(n *Node, chosen *Value, now time.Time) bool {
 	if chosen.Joint() {
-		if u.memberOf != chosen.Origin {
-			u.memberOf, u.jointSince = chosen.Origin, now
+		if u.jointOrigin != chosen.Origin {
+			u.jointOrigin, u.jointSince = chosen.Origin, now
 		}
-		mine := chosen.Origin.Proposer == n.ballots.proposer
-		return mine || now.Sub(u.jointSince) >= rankDelay*time.Duration(1+rank(chosen, n))
+		ownProposal := chosen.Origin.Proposer == n.ballots.proposer
+		return ownProposal || now.Sub(u.jointSince) >= rankDelay*time.Duration(1+rank(chosen, n))
 	}
 	if chosen.HasReplica(n.ID()) {
 		u.probeSince = time.Time{}
@@ -187,12 +187,13 @@
 	if u.probeSince.IsZero() {
 		u.probeSince = now
 	}
-	return now.Sub(u.probeSince) >= joinProbe || n.heardAll(chosen, u.probeSince)
+	return now.Sub(u.probeSince) >= joinProbeTimeout || n.contactedAll(chosen, u.probeSince)
 }
 
-// settle completes what stays in doubt, or learns the set's state after a start. It returns nil if nothing does.
-func (u *upkeep) settle(n *Node, now time.Time) Change {
-	if known, chosen := n.known(); len(known.Value.Replicas) == 0 || known.Ballot == chosen && !n.behind(chosen) {
+// dueCompletion returns the change that completes a value that stays in doubt, or that learns the chosen value after a start. It
+// returns nil if none is due.
+func (u *upkeep) dueCompletion(n *Node, now time.Time) Change {
+	if known, chosen := n.known(); len(known.Value.Replicas) == 0 || known.Ballot == chosen && !n.peerAhead(chosen) {
 		u.doubtSince = time.Time{}
 		return nil
 	}
@@ -200,15 +201,15 @@
 		u.doubtSince = now
 	}
 	known, _ := n.known()
-	if now.Sub(u.doubtSince) < doubtAfter+rankDelay*time.Duration(rank(&known.Value, n)) {
+	if now.Sub(u.doubtSince) < doubtTimeout+rankDelay*time.Duration(rank(&known.Value, n)) {
 		return nil
 	}
 	u.doubtSince = time.Time{}
 	return Unchanged
 }
 
-// behind reports whether a replica told of an accepted ballot above the chosen one.
-func (n *Node) behind(chosen Ballot) bool {
+// peerAhead reports whether a peer has reported an accepted ballot above the chosen one.
+func (n *Node) peerAhead(chosen Ballot) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, p := range n.peers {
@@ -219,41 +220,41 @@
 	return false
 }
 
-// heardAll reports whether every member at another address has answered since a moment.
-func (n *Node) heardAll(value *Value, since time.Time) bool {
+// contactedAll reports whether every member at another address has replied to a request sent since the given time.
+func (n *Node) contactedAll(value *Value, since time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, replica := range value.Replicas {
 		if replica.Address == n.options.Address {
 			continue
 		}
-		if p := n.peers[replica.Address]; p == nil || p.answered.Before(since) {
+		if p := n.peers[replica.Address]; p == nil || p.lastAnswered.Before(since) {
 			return false
 		}
 	}
 	return true
 }
 
-// rank is the node's place among the members that are not silent.
+// rank returns the position of the node among the members that are not silent.
 func rank(value *Value, n *Node) int {
 	self := n.ID()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	place := 0
+	position := 0
 	for _, replica := range value.Replicas {
 		if replica.ID == self {
 			break
 		}
-		if n.silence(replica, now) == 0 {
-			place++
+		if n.silentFor(replica, now) == 0 {
+			position++
 		}
 	}
-	return place
+	return position
 }
 
-// awaitSet waits until the node knows whom to ask.
-func (n *Node) awaitSet(ctx context.Context) error {
+// awaitReplicaSet waits until the node knows a replica set. If ctx is done first, it returns ErrNoQuorum.
+func (n *Node) awaitReplicaSet(ctx context.Context) error {
 	for {
 		changed := n.Changed()
 		if known, _ := n.known(); len(known.Value.Replicas) > 0 {
@@ -262,7 +263,7 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return eris.Wrap(ErrNoQuorum, "no set known")
+			return eris.Wrap(ErrNoQuorum, "no replica set known")
 		}
 	}
 }
