--- a/coordination/handoff/handoff_test.go
+++ b/coordination/handoff/handoff_test.go
@@ -169,7 +169,7 @@
 func (l *teller) send(peer string, message hint) {
 	l.process.Call(peer, message, time.Second, func(_ any, err error) {
 		if err != nil {
-			l.keeper.Keep(l.process.Steady(), peer, message)
+			l.keeper.Keep(l.process.Monotonic(), peer, message)
 		} else {
 			l.keeper.Holds(peer, message.Key, message.Version)
 		}
@@ -187,7 +187,7 @@
 		world.AddMachine("teller").Start(func(process *sim.Process) {
 			l = &teller{process: process, keeper: New[number, string](roomy)}
 			process.OnMessage(func(from string, _ any) {
-				for _, message := range l.keeper.For(process.Steady(), from) {
+				for _, message := range l.keeper.For(process.Monotonic(), from) {
 					l.send(from, message)
 				}
 			})
--- a/coordination/register/durable.go
+++ b/coordination/register/durable.go
@@ -104,7 +104,7 @@
 
 func loadRecord(from store.Store, record any) (bool, error) {
 	data, err := from.Load()
-	if errors.Is(err, store.ErrNone) {
+	if errors.Is(err, store.ErrNotFound) {
 		return false, nil
 	}
 	if err != nil {
--- a/coordination/register/model_test.go
+++ b/coordination/register/model_test.go
@@ -259,7 +259,7 @@
 		}
 		n.step, n.stepOf = &step, e
 		if w.faults.answersBeforeSync {
-			n.files().LosesSyncs = true
+			n.files().IgnoreSyncs = true
 			w.write(n)
 		}
 	}
@@ -524,7 +524,7 @@
 	case 3:
 		n.files().Full = !n.files().Full
 	case 4:
-		n.files().Failing = !n.files().Failing
+		n.files().FailSyncs = !n.files().FailSyncs
 	default:
 		w.abandon(n)
 	}
@@ -539,7 +539,7 @@
 	}
 	w.calm = true
 	for _, n := range w.nodes {
-		n.machine.Disk().Heal()
+		n.machine.Disk().ClearFaults()
 	}
 	return w.check()
 }
--- a/coordination/register/options.go
+++ b/coordination/register/options.go
@@ -73,5 +73,5 @@
 	if o.Files != nil {
 		return o.Files, nil
 	}
-	return store.OpenFolder(o.Directory)
+	return store.OpenDirectory(o.Directory)
 }
--- a/coordination/sim/disk.go
+++ b/coordination/sim/disk.go
@@ -8,15 +8,15 @@
 	files *Files
 	jobs  []*job
 	busy  bool
-	// Shortest and Longest bound how long a job takes.
-	Shortest, Longest time.Duration
-	stalled           bool
+	// MinLatency and MaxLatency bound how long a job takes.
+	MinLatency, MaxLatency time.Duration
+	stalled                bool
 }
 
 // Times that a job on a good disk takes.
 const (
-	DefaultShortestJob = time.Millisecond
-	DefaultLongestJob  = 4 * time.Millisecond
+	DefaultMinDiskLatency = time.Millisecond
+	DefaultMaxDiskLatency = 4 * time.Millisecond
 )
 
 // maxPartialSteps bounds the steps that are done of a job whose process ends: a job has about as many.
@@ -30,15 +30,15 @@
 }
 
 func newDisk(world *World) *Disk {
-	return &Disk{world: world, files: NewFiles(world), Shortest: DefaultShortestJob, Longest: DefaultLongestJob}
+	return &Disk{world: world, files: NewFiles(world), MinLatency: DefaultMinDiskLatency, MaxLatency: DefaultMaxDiskLatency}
 }
 
 // Files returns the files for use at once, as at the start of a program.
 func (d *Disk) Files() *Files { return d.files }
 
-// Do has a process work on the files. The work is done a while later, and its result is given to done. If the process ends
+// Submit has a process work on the files. The work is done a while later, and its result is given to done. If the process ends
 // before, the job under way is done in part, and those that wait are not begun.
-func (d *Disk) Do(process *Process, work func(files *Files) error, done func(err error)) {
+func (d *Disk) Submit(process *Process, work func(files *Files) error, done func(err error)) {
 	d.jobs = append(d.jobs, &job{process: process, work: work, done: done})
 	d.next()
 }
@@ -52,10 +52,10 @@
 	d.next()
 }
 
-// Heal ends all troubles.
-func (d *Disk) Heal() {
-	d.files.Full, d.files.Failing, d.files.LosesSyncs = false, false, false
-	d.Shortest, d.Longest = DefaultShortestJob, DefaultLongestJob
+// ClearFaults ends all troubles.
+func (d *Disk) ClearFaults() {
+	d.files.Full, d.files.FailSyncs, d.files.IgnoreSyncs = false, false, false
+	d.MinLatency, d.MaxLatency = DefaultMinDiskLatency, DefaultMaxDiskLatency
 	d.Resume()
 }
 
@@ -65,7 +65,7 @@
 	}
 	d.busy = true
 	current := d.jobs[0]
-	d.world.After(d.world.Between(d.Shortest, d.Longest), func() { d.finish(current) })
+	d.world.After(d.world.Between(d.MinLatency, d.MaxLatency), func() { d.finish(current) })
 }
 
 func (d *Disk) finish(current *job) {
@@ -90,5 +90,5 @@
 	current := d.jobs[0]
 	d.jobs = nil
 	d.busy = false
-	_ = d.files.Partly(d.world.IntN(maxPartialSteps), current.work)
+	_ = d.files.ApplyPartially(d.world.IntN(maxPartialSteps), current.work)
 }
--- a/coordination/sim/files.go
+++ b/coordination/sim/files.go
@@ -19,10 +19,10 @@
 	world *World
 	// Full makes each Write fail half-way with ENOSPC.
 	Full bool
-	// Failing makes each Sync fail with EIO, after Write and Rename have done their work.
-	Failing bool
-	// LosesSyncs makes Write and Sync return without making anything durable, as a disk that lies does.
-	LosesSyncs bool
+	// FailSyncs makes each Sync fail with EIO, after Write and Rename have done their work.
+	FailSyncs bool
+	// IgnoreSyncs makes Write and Sync return without making anything durable, as a disk that lies does.
+	IgnoreSyncs bool
 
 	names   map[string]*content
 	durable map[string]*content
@@ -75,7 +75,7 @@
 	if !f.step() {
 		return errEnded
 	}
-	if f.LosesSyncs {
+	if f.IgnoreSyncs {
 		return nil
 	}
 	file.synced, file.before = true, data
@@ -116,17 +116,17 @@
 	if !f.step() {
 		return errEnded
 	}
-	if f.Failing {
+	if f.FailSyncs {
 		return &fs.PathError{Op: "sync", Path: ".", Err: syscall.EIO}
 	}
-	if !f.LosesSyncs {
+	if !f.IgnoreSyncs {
 		f.durable = maps.Clone(f.names)
 	}
 	return nil
 }
 
-// Partly does some steps of a piece of work, as a process does that ends in the middle of it.
-func (f *Files) Partly(steps int, work func(files *Files) error) error {
+// ApplyPartially does some steps of a piece of work, as a process does that ends in the middle of it.
+func (f *Files) ApplyPartially(steps int, work func(files *Files) error) error {
 	f.limited, f.stepsLeft = true, steps
 	defer func() { f.limited = false }()
 	return work(f)
--- a/coordination/sim/live/disk.go
+++ b/coordination/sim/live/disk.go
@@ -38,22 +38,22 @@
 	return &Disk{stepped: stepped, random: rand.New(rand.NewPCG(seed, 2)), files: sim.NewFiles(sim.New(seed))}
 }
 
-// Full makes each write fail for want of room, until it is called with false.
-func (d *Disk) Full(full bool) {
+// SetFull makes each write fail for want of room, until it is called with false.
+func (d *Disk) SetFull(full bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.files.Full = full
 }
 
-// Failing makes each sync fail, until it is called with false.
-func (d *Disk) Failing(failing bool) {
+// SetFailSyncs makes each sync fail, until it is called with false.
+func (d *Disk) SetFailSyncs(failing bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.files.Failing = failing
+	d.files.FailSyncs = failing
 }
 
-// Slow adds a time to each step; 0 ends it.
-func (d *Disk) Slow(by time.Duration) {
+// SetExtraLatency adds a time to each step; 0 ends it.
+func (d *Disk) SetExtraLatency(by time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.slow = by
@@ -107,7 +107,7 @@
 		return
 	}
 	if d.underWay != nil && d.random.IntN(2) == 0 {
-		_ = d.files.Partly(d.random.IntN(mostParts), d.underWay)
+		_ = d.files.ApplyPartially(d.random.IntN(mostParts), d.underWay)
 	}
 	d.underWay = nil
 	close(d.current.ended)
@@ -123,9 +123,9 @@
 func (d *Disk) wipe() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	full, failing := d.files.Full, d.files.Failing
+	full, failing := d.files.Full, d.files.FailSyncs
 	d.files = sim.NewFiles(sim.New(d.random.Uint64()))
-	d.files.Full, d.files.Failing = full, failing
+	d.files.Full, d.files.FailSyncs = full, failing
 }
 
 func (d *Disk) intend(process *Files, work func(files *sim.Files) error) {
--- a/coordination/sim/live/live_test.go
+++ b/coordination/sim/live/live_test.go
@@ -150,9 +150,9 @@
 
 		second := machine.Start().Files()
 		require.Error(t, first.Sync(), "its process has ended")
-		machine.Disk().Full(true)
+		machine.Disk().SetFull(true)
 		require.ErrorIs(t, second.Write("b", []byte("long")), syscall.ENOSPC)
-		machine.Disk().Full(false)
+		machine.Disk().SetFull(false)
 		machine.Wipe()
 		names, err := machine.Start().Files().List()
 		require.NoError(t, err)
--- a/coordination/sim/live/network.go
+++ b/coordination/sim/live/network.go
@@ -79,8 +79,8 @@
 	return waiting
 }
 
-// Slow adds a delay to what goes from one machine to another; 0 ends it.
-func (n *Network) Slow(from, to string, by time.Duration) {
+// SetExtraDelay adds a delay to what goes from one machine to another; 0 ends it.
+func (n *Network) SetExtraDelay(from, to string, by time.Duration) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.slowness[direction{from, to}] = by
--- a/coordination/sim/machine.go
+++ b/coordination/sim/machine.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// StepTime steps the time of day. The steady clock doesn't notice.
-func (m *Machine) StepTime(by time.Duration) { m.skew += by }
+// StepWallClock steps the time of day. The steady clock doesn't notice.
+func (m *Machine) StepWallClock(by time.Duration) { m.skew += by }
 
 func (m *Machine) steady() time.Duration {
 	if m.suspended {
--- a/coordination/sim/network.go
+++ b/coordination/sim/network.go
@@ -4,15 +4,17 @@
 
 // Link tells what happens to the messages from one machine to another.
 type Link struct {
-	Shortest, Longest time.Duration // of the delay
-	Loss              float64       // probability that a message is lost
-	Duplicate         float64       // probability that it comes twice
-	Straggle          float64       // probability that it is late
-	StraggleBy        time.Duration // the most that it is late by
+	MinDelay, MaxDelay time.Duration // of the delay
+	Loss               float64       // probability that a message is lost
+	Duplicate          float64       // probability that it comes twice
+	DelaySpike         float64       // probability that it is late
+	MaxDelaySpike      time.Duration // the most that it is late by
 }
 
 // DefaultLink is a good link, on which messages overtake each other a little.
-func DefaultLink() Link { return Link{Shortest: 200 * time.Microsecond, Longest: 2 * time.Millisecond} }
+func DefaultLink() Link {
+	return Link{MinDelay: 200 * time.Microsecond, MaxDelay: 2 * time.Millisecond}
+}
 
 // Network carries messages between machines.
 type Network struct {
@@ -28,11 +30,11 @@
 	return &Network{world: world, usual: DefaultLink(), links: map[direction]Link{}, cuts: map[direction]bool{}}
 }
 
-// SetUsual sets the link of all pairs that have none of their own.
-func (n *Network) SetUsual(link Link) { n.usual = link }
+// SetDefaultLink sets the link of all pairs that have none of their own.
+func (n *Network) SetDefaultLink(link Link) { n.usual = link }
 
-// Set sets the link in one direction.
-func (n *Network) Set(from, to string, link Link) { n.links[direction{from, to}] = link }
+// SetLink sets the link in one direction.
+func (n *Network) SetLink(from, to string, link Link) { n.links[direction{from, to}] = link }
 
 // Cut lets nothing more through in one direction. What is on its way is lost, too.
 func (n *Network) Cut(from, to string) { n.cuts[direction{from, to}] = true }
@@ -75,9 +77,9 @@
 		copies = 2
 	}
 	for range copies {
-		delay := n.world.Between(link.Shortest, link.Longest)
-		if n.world.Chance(link.Straggle) {
-			delay += n.world.Between(0, link.StraggleBy)
+		delay := n.world.Between(link.MinDelay, link.MaxDelay)
+		if n.world.Chance(link.DelaySpike) {
+			delay += n.world.Between(0, link.MaxDelaySpike)
 		}
 		n.world.After(delay, func() {
 			if !n.cuts[way] {
--- a/coordination/sim/process.go
+++ b/coordination/sim/process.go
@@ -20,17 +20,17 @@
 // Name returns the name of the machine.
 func (p *Process) Name() string { return p.machine.name }
 
-// Life returns the number of this life on its machine, from 1.
-func (p *Process) Life() int { return p.life }
+// Incarnation returns the number of this life on its machine, from 1.
+func (p *Process) Incarnation() int { return p.life }
 
-// Steady returns the reading of the steady clock. Readings of different machines can't be compared.
-func (p *Process) Steady() time.Duration { return p.machine.steady() }
+// Monotonic returns the reading of the steady clock. Readings of different machines can't be compared.
+func (p *Process) Monotonic() time.Duration { return p.machine.steady() }
 
-// SteadyTime returns the reading of the steady clock for programs that keep it as a time. It is not the time of day.
-func (p *Process) SteadyTime() time.Time { return epoch.Add(p.machine.steady()) }
+// MonotonicTime returns the reading of the steady clock for programs that keep it as a time. It is not the time of day.
+func (p *Process) MonotonicTime() time.Time { return epoch.Add(p.machine.steady()) }
 
-// TimeOfDay returns the time of day, which may step.
-func (p *Process) TimeOfDay() time.Time { return epoch.Add(p.world.now + p.machine.skew) }
+// WallTime returns the time of day, which may step.
+func (p *Process) WallTime() time.Time { return epoch.Add(p.world.now + p.machine.skew) }
 
 // World returns the world, for what a program draws at random.
 func (p *Process) World() *World { return p.world }
@@ -54,7 +54,7 @@
 // After has the program do something after a time on its steady clock.
 func (p *Process) After(delay time.Duration, act func()) *Timer {
 	timer := &Timer{}
-	p.fireAt(p.Steady()+delay, timer, act)
+	p.fireAt(p.Monotonic()+delay, timer, act)
 	return timer
 }
 
@@ -65,7 +65,7 @@
 }
 
 func (p *Process) fireAt(due time.Duration, timer *Timer, act func()) {
-	delay := due - p.Steady() + p.world.Between(0, p.world.TimerSlack)
+	delay := due - p.Monotonic() + p.world.Between(0, p.world.TimerSlack)
 	p.world.After(delay, func() { p.do(func() { p.fire(due, timer, act) }) })
 }
 
@@ -73,7 +73,7 @@
 func (p *Process) fire(due time.Duration, timer *Timer, act func()) {
 	switch {
 	case timer.stopped:
-	case p.Steady() < due:
+	case p.Monotonic() < due:
 		p.fireAt(due, timer, act)
 	default:
 		timer.stopped = true
--- a/coordination/sim/sim_test.go
+++ b/coordination/sim/sim_test.go
@@ -36,14 +36,14 @@
 func story(seed uint64) string {
 	var told strings.Builder
 	world := sim.New(seed)
-	world.Network().SetUsual(sim.Link{Longest: time.Second, Loss: 0.2, Duplicate: 0.2, Straggle: 0.1, StraggleBy: time.Second})
+	world.Network().SetDefaultLink(sim.Link{MaxDelay: time.Second, Loss: 0.2, Duplicate: 0.2, DelaySpike: 0.1, MaxDelaySpike: time.Second})
 	for _, name := range []string{"a", "b", "c"} {
 		world.AddMachine(name).Start(func(process *sim.Process) {
 			process.OnMessage(func(from string, message any) {
 				fmt.Fprintf(&told, "%v %s>%s %v\n", world.Now(), from, name, message)
 			})
 			process.Every(100*time.Millisecond, func() { process.Send([]string{"a", "b", "c"}[world.IntN(3)], world.IntN(100)) })
-			process.Disk().Do(process, func(files *sim.Files) error { return files.Write("x", []byte("data")) }, func(error) {})
+			process.Disk().Submit(process, func(files *sim.Files) error { return files.Write("x", []byte("data")) }, func(error) {})
 		})
 	}
 	world.After(2*time.Second, world.Machine("a").LosePower)
@@ -66,7 +66,7 @@
 func TestACallEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		world, a, b, _ := pair(rapid.Uint64().Draw(t, "seed"))
-		world.Network().SetUsual(sim.Link{Longest: time.Second, Loss: 0.3, Duplicate: 0.5})
+		world.Network().SetDefaultLink(sim.Link{MaxDelay: time.Second, Loss: 0.3, Duplicate: 0.5})
 		if rapid.Bool().Draw(t, "killed") {
 			world.After(world.Between(0, time.Second), b.Kill)
 		}
@@ -111,7 +111,7 @@
 
 func TestALinkLosesDoublesAndReorders(t *testing.T) {
 	world, a, _, heard := pair(1)
-	world.Network().Set("a", "b", sim.Link{Longest: time.Second, Loss: 0.2, Duplicate: 0.2})
+	world.Network().SetLink("a", "b", sim.Link{MaxDelay: time.Second, Loss: 0.2, Duplicate: 0.2})
 	for number := range 200 {
 		a.Process().Send("b", number)
 	}
@@ -129,7 +129,7 @@
 	for _, stops := range []bool{false, true} {
 		world, a, b, heard := pair(1)
 		fired := time.Duration(0)
-		before := b.Process().Steady()
+		before := b.Process().Monotonic()
 		b.Process().After(time.Second, func() { fired = world.Now() })
 		if stops {
 			b.Suspend()
@@ -148,17 +148,17 @@
 			wanted, passed = 6*time.Second, 5*time.Second
 		}
 		require.InDelta(t, wanted, fired, float64(10*time.Millisecond))
-		require.Equal(t, passed, b.Process().Steady()-before)
+		require.Equal(t, passed, b.Process().Monotonic()-before)
 	}
 }
 
 func TestStepsOfTheTimeOfDayLeaveTheSteadyClockAlone(t *testing.T) {
 	world, a, _, _ := pair(1)
-	steady, day := a.Process().Steady(), a.Process().TimeOfDay()
-	a.StepTime(-time.Hour)
+	steady, day := a.Process().Monotonic(), a.Process().WallTime()
+	a.StepWallClock(-time.Hour)
 	world.Run(time.Second)
-	require.Equal(t, time.Second, a.Process().Steady()-steady)
-	require.Equal(t, time.Second-time.Hour, a.Process().TimeOfDay().Sub(day))
+	require.Equal(t, time.Second, a.Process().Monotonic()-steady)
+	require.Equal(t, time.Second-time.Hour, a.Process().WallTime().Sub(day))
 }
 
 func TestNothingHappensToAProcessAfterItsEnd(t *testing.T) {
@@ -166,13 +166,13 @@
 	old := b.Process()
 	old.After(time.Second, func() { t.Error("a timer of a former life") })
 	old.Call("a", 1, time.Second, func(any, error) { t.Error("a call of a former life") })
-	old.Disk().Do(old, func(*sim.Files) error { return nil }, func(error) { t.Error("a job of a former life") })
+	old.Disk().Submit(old, func(*sim.Files) error { return nil }, func(error) { t.Error("a job of a former life") })
 	a.Process().Send("b", "for whoever runs on arrival")
 	b.LosePower()
 	require.False(t, b.Up())
 	b.Start(echo(heard))
 	world.Run(time.Minute)
-	require.Equal(t, 2, b.Process().Life())
+	require.Equal(t, 2, b.Process().Incarnation())
 	require.Len(t, *heard, 1)
 }
 
@@ -185,7 +185,7 @@
 		files := machine.Disk().Files()
 		require.NoError(t, files.Write("synced", []byte("data")))
 		require.NoError(t, files.Write("renamed", []byte("data")))
-		files.LosesSyncs = true
+		files.IgnoreSyncs = true
 		require.NoError(t, files.Write("unsynced", []byte("data")))
 		require.NoError(t, files.Rename("renamed", "other"))
 		machine.LosePower()
@@ -214,7 +214,7 @@
 	for seed := range uint64(100) {
 		machine := sim.New(seed).AddMachine("a")
 		machine.Start(func(process *sim.Process) {
-			process.Disk().Do(process, func(files *sim.Files) error {
+			process.Disk().Submit(process, func(files *sim.Files) error {
 				for i := range 3 {
 					if err := files.Write(fmt.Sprint(i), []byte("x")); err != nil {
 						return err
@@ -238,7 +238,7 @@
 	process, disk := machine.Process(), machine.Disk()
 	var ends []error
 	write := func() {
-		disk.Do(process, func(files *sim.Files) error {
+		disk.Submit(process, func(files *sim.Files) error {
 			if err := files.Write("x", []byte("data")); err != nil {
 				return err
 			}
@@ -249,11 +249,11 @@
 	write()
 	world.Run(time.Second)
 	require.ErrorIs(t, ends[0], syscall.ENOSPC)
-	disk.Files().Full, disk.Files().Failing = false, true
+	disk.Files().Full, disk.Files().FailSyncs = false, true
 	write()
 	world.Run(time.Second)
 	require.ErrorIs(t, ends[1], syscall.EIO)
-	disk.Heal()
+	disk.ClearFaults()
 	disk.Stall()
 	write()
 	write()
--- a/coordination/store/contract_test.go
+++ b/coordination/store/contract_test.go
@@ -25,7 +25,7 @@
 		"disk": func() reopenable {
 			folder := filepath.Join(t.TempDir(), "data")
 			reopen := func() Store {
-				disk, err := OpenDisk(folder, "record")
+				disk, err := OpenPath(folder, "record")
 				require.NoError(t, err)
 				return disk
 			}
@@ -47,7 +47,7 @@
 	for name, make := range stores(t) {
 		t.Run(name+"/empty", func(t *testing.T) {
 			_, err := make().store.Load()
-			require.ErrorIs(t, err, ErrNone)
+			require.ErrorIs(t, err, ErrNotFound)
 		})
 		t.Run(name+"/newest", func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) { checkNewest(t, make()) })
@@ -68,7 +68,7 @@
 		}
 		data, err := r.store.Load()
 		if !saved {
-			require.ErrorIs(t, err, ErrNone)
+			require.ErrorIs(t, err, ErrNotFound)
 			continue
 		}
 		require.NoError(t, err)
@@ -78,19 +78,19 @@
 
 func TestDiskCountsTheNewestWholeVersion(t *testing.T) {
 	folder := t.TempDir()
-	disk, err := OpenDisk(folder, "record")
+	disk, err := OpenPath(folder, "record")
 	require.NoError(t, err)
 	require.NoError(t, disk.Save([]byte("whole")))
 	whole := append(encodeHeader(2, []byte("torn")), "torn"...)
 	for length := range len(whole) {
 		require.NoError(t, os.WriteFile(filepath.Join(folder, disk.file(2)), whole[:length], 0o600))
-		again, err := OpenDisk(folder, "record")
+		again, err := OpenPath(folder, "record")
 		require.NoError(t, err)
 		data, err := again.Load()
 		require.NoError(t, err)
 		require.Equal(t, "whole", string(data))
 	}
-	again, err := OpenDisk(folder, "record")
+	again, err := OpenPath(folder, "record")
 	require.NoError(t, err)
 	require.NoError(t, again.Save([]byte("newer")))
 	entries, err := os.ReadDir(folder)
@@ -115,14 +115,14 @@
 
 func TestDiskForgetsWhatWasLeftAside(t *testing.T) {
 	folder := t.TempDir()
-	disk, err := OpenDisk(folder, "record")
+	disk, err := OpenPath(folder, "record")
 	require.NoError(t, err)
 	require.NoError(t, disk.Save([]byte("one")))
 	aside := filepath.Join(folder, disk.file(9)) + asideSuffix
 	require.NoError(t, os.WriteFile(aside, []byte("half"), 0o600))
 	other := filepath.Join(folder, "another.00000000000000000001")
 	require.NoError(t, os.WriteFile(other, []byte("not ours"), 0o600))
-	again, err := OpenDisk(folder, "record")
+	again, err := OpenPath(folder, "record")
 	require.NoError(t, err)
 	data, err := again.Load()
 	require.NoError(t, err)
@@ -133,20 +133,20 @@
 
 func TestDiskErrorsAreTyped(t *testing.T) {
 	folder := t.TempDir()
-	disk, err := OpenDisk(folder, "record")
+	disk, err := OpenPath(folder, "record")
 	require.NoError(t, err)
 	require.NoError(t, disk.Save([]byte("one")))
 	// A folder in the place of the file aside fails every write.
 	require.NoError(t, os.Mkdir(filepath.Join(folder, disk.file(2))+asideSuffix, 0o700))
 	require.NoError(t, os.WriteFile(filepath.Join(filepath.Join(folder, disk.file(2))+asideSuffix, "x"), nil, 0o600))
 	err = disk.Save([]byte("two"))
-	require.True(t, errors.Is(err, ErrFailed))
+	require.True(t, errors.Is(err, ErrIO))
 	data, err := disk.Load()
 	require.NoError(t, err)
 	require.Equal(t, "one", string(data))
 	require.NoError(t, disk.Save([]byte("three")))
-	_, err = OpenDisk(filepath.Join(filepath.Join(folder, disk.file(disk.version)), "below a file"), "record")
-	require.ErrorIs(t, err, ErrFailed)
+	_, err = OpenPath(filepath.Join(filepath.Join(folder, disk.file(disk.version)), "below a file"), "record")
+	require.ErrorIs(t, err, ErrIO)
 }
 
 func TestFullDiskIsToldFromAFailedOne(t *testing.T) {
@@ -155,5 +155,5 @@
 	defer func() { _ = full.Close() }()
 	_, err = full.Write([]byte("x"))
 	require.ErrorIs(t, typed(err, "write"), ErrFull)
-	require.ErrorIs(t, typed(os.ErrPermission, "write"), ErrFailed)
+	require.ErrorIs(t, typed(os.ErrPermission, "write"), ErrIO)
 }
--- a/coordination/store/disk.go
+++ b/coordination/store/disk.go
@@ -16,8 +16,8 @@
 	versionDigits = 20 // all digits of a uint64
 )
 
-// Disk is a Store in files NAME.VERSION of a folder. Several stores with different names may share a folder.
-type Disk struct {
+// FileStore is a Store in files NAME.VERSION of a folder. Several stores with different names may share a folder.
+type FileStore struct {
 	files   Files
 	name    string
 	version uint64 // highest version ever used, whole or not
@@ -27,11 +27,11 @@
 }
 
 // Open opens the record called name in a folder.
-func Open(files Files, name string) *Disk { return &Disk{files: files, name: name} }
+func Open(files Files, name string) *FileStore { return &FileStore{files: files, name: name} }
 
-// OpenDisk opens the record called name in a folder of the file system, which is made if it isn't there.
-func OpenDisk(path, name string) (*Disk, error) {
-	folder, err := OpenFolder(path)
+// OpenPath opens the record called name in a folder of the file system, which is made if it isn't there.
+func OpenPath(path, name string) (*FileStore, error) {
+	folder, err := OpenDirectory(path)
 	if err != nil {
 		return nil, err
 	}
@@ -40,7 +40,7 @@
 
 // Load implements Store. A process that was killed may have left a version that was renamed and is not durable yet, so the
 // folder is synced before any is trusted.
-func (d *Disk) Load() ([]byte, error) {
+func (d *FileStore) Load() ([]byte, error) {
 	if err := d.files.Sync(); err != nil {
 		return nil, typed(err, "sync folder")
 	}
@@ -50,17 +50,17 @@
 	for _, version := range slices.Backward(d.older) {
 		record, err := d.files.Read(d.file(version))
 		if err != nil {
-			return nil, eris.Wrapf(ErrFailed, "read: %v", err)
+			return nil, eris.Wrapf(ErrIO, "read: %v", err)
 		}
 		if data, whole := decodeRecord(version, record); whole {
 			return data, nil
 		}
 	}
-	return nil, eris.Wrap(ErrNone, d.name)
+	return nil, eris.Wrap(ErrNotFound, d.name)
 }
 
 // Save implements Store.
-func (d *Disk) Save(data []byte) error {
+func (d *FileStore) Save(data []byte) error {
 	if !d.listed {
 		if err := d.list(); err != nil {
 			return err
@@ -86,7 +86,7 @@
 }
 
 // removeOlder reports whether all went. What stays is removed by the next Save.
-func (d *Disk) removeOlder() bool {
+func (d *FileStore) removeOlder() bool {
 	all := true
 	for _, version := range d.older {
 		if err := d.files.Remove(d.file(version)); err != nil {
@@ -97,10 +97,10 @@
 }
 
 // list finds the versions there are, and removes what was left aside.
-func (d *Disk) list() error {
+func (d *FileStore) list() error {
 	names, err := d.files.List()
 	if err != nil {
-		return eris.Wrapf(ErrFailed, "list: %v", err)
+		return eris.Wrapf(ErrIO, "list: %v", err)
 	}
 	d.older = nil
 	for _, name := range names {
@@ -125,7 +125,7 @@
 	return nil
 }
 
-func (d *Disk) file(version uint64) string {
+func (d *FileStore) file(version uint64) string {
 	return fmt.Sprintf("%s.%0*d", d.name, versionDigits, version)
 }
 
@@ -133,5 +133,5 @@
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) {
 		return eris.Wrapf(ErrFull, "%s: %v", action, err)
 	}
-	return eris.Wrapf(ErrFailed, "%s: %v", action, err)
+	return eris.Wrapf(ErrIO, "%s: %v", action, err)
 }
--- a/coordination/store/faults_test.go
+++ b/coordination/store/faults_test.go
@@ -14,7 +14,7 @@
 type player struct {
 	world        *sim.World
 	machine      *sim.Machine
-	disk         *Disk
+	disk         *FileStore
 	acknowledged int // newest version whose Save has returned nil
 	attempted    int
 	full, failed int
@@ -30,7 +30,7 @@
 	p.machine.Start(func(process *sim.Process) {
 		p.disk = Open(process.Disk().Files(), "record")
 		data, err := p.disk.Load()
-		if eris.Is(err, ErrFailed) {
+		if eris.Is(err, ErrIO) {
 			p.failed++ // nobody may act on what can't be read
 			return
 		}
@@ -50,7 +50,7 @@
 	process := p.machine.Process()
 	p.attempted++
 	number, disk := p.attempted, p.disk
-	process.Disk().Do(process, func(*sim.Files) error { return disk.Save(encodeNumber(number)) }, func(err error) {
+	process.Disk().Submit(process, func(*sim.Files) error { return disk.Save(encodeNumber(number)) }, func(err error) {
 		switch {
 		case err == nil:
 			p.acknowledged = max(p.acknowledged, number)
@@ -64,18 +64,18 @@
 
 func (p *player) trouble(lies bool) {
 	files := p.machine.Disk().Files()
-	files.LosesSyncs = lies
+	files.IgnoreSyncs = lies
 	switch p.world.IntN(5) {
 	case 0:
 		files.Full = !files.Full
 	case 1:
-		files.Failing = !files.Failing
+		files.FailSyncs = !files.FailSyncs
 	case 2:
 		p.machine.Kill()
 	case 3:
 		p.machine.LosePower()
 	default:
-		p.world.Run(p.world.Between(0, sim.DefaultLongestJob))
+		p.world.Run(p.world.Between(0, sim.DefaultMaxDiskLatency))
 	}
 }
 
@@ -87,7 +87,7 @@
 			}
 		}
 		p.save()
-		p.world.Run(p.world.Between(0, sim.DefaultLongestJob))
+		p.world.Run(p.world.Between(0, sim.DefaultMaxDiskLatency))
 		p.trouble(lies)
 	}
 	return nil
@@ -127,9 +127,9 @@
 	require.NoError(t, store.Save([]byte("old")))
 	files.Full = true
 	require.ErrorIs(t, store.Save([]byte("no room")), ErrFull)
-	files.Full, files.Failing = false, true
-	require.ErrorIs(t, store.Save([]byte("in doubt")), ErrFailed)
-	files.Failing = false
+	files.Full, files.FailSyncs = false, true
+	require.ErrorIs(t, store.Save([]byte("in doubt")), ErrIO)
+	files.FailSyncs = false
 	require.NoError(t, store.Save([]byte("room")))
 	machine.LosePower()
 	data, err := Open(files, "record").Load()
@@ -137,5 +137,5 @@
 	require.Equal(t, "room", string(data))
 	machine.Wipe()
 	_, err = Open(machine.Disk().Files(), "record").Load()
-	require.ErrorIs(t, err, ErrNone)
+	require.ErrorIs(t, err, ErrNotFound)
 }
--- a/coordination/store/folder.go
+++ b/coordination/store/folder.go
@@ -28,30 +28,30 @@
 	folderPerm = 0o700
 )
 
-// Folder is a folder of the file system.
-type Folder struct{ path string }
+// Directory is a folder of the file system.
+type Directory struct{ path string }
 
-// OpenFolder makes the folder if it isn't there.
-func OpenFolder(path string) (Folder, error) {
+// OpenDirectory makes the folder if it isn't there.
+func OpenDirectory(path string) (Directory, error) {
 	if _, err := os.Stat(path); err != nil {
 		if err := makeFolder(path); err != nil {
-			return Folder{}, typed(err, "make folder")
+			return Directory{}, typed(err, "make folder")
 		}
 	}
-	return Folder{path: path}, nil
+	return Directory{path: path}, nil
 }
 
 // List implements Files.
-func (f Folder) List() ([]string, error) {
+func (f Directory) List() ([]string, error) {
 	entries, err := os.ReadDir(f.path)
 	return lo.Map(entries, func(entry os.DirEntry, _ int) string { return entry.Name() }), err
 }
 
 // Read implements Files.
-func (f Folder) Read(name string) ([]byte, error) { return os.ReadFile(f.at(name)) }
+func (f Directory) Read(name string) ([]byte, error) { return os.ReadFile(f.at(name)) }
 
 // Write implements Files.
-func (f Folder) Write(name string, parts ...[]byte) (err error) {
+func (f Directory) Write(name string, parts ...[]byte) (err error) {
 	file, err := os.OpenFile(f.at(name), os.O_WRONLY|os.O_CREATE|os.O_TRUNC, filePerm)
 	if err != nil {
 		return err
@@ -70,15 +70,15 @@
 }
 
 // Rename implements Files.
-func (f Folder) Rename(from, to string) error { return os.Rename(f.at(from), f.at(to)) }
+func (f Directory) Rename(from, to string) error { return os.Rename(f.at(from), f.at(to)) }
 
 // Remove implements Files.
-func (f Folder) Remove(name string) error { return os.Remove(f.at(name)) }
+func (f Directory) Remove(name string) error { return os.Remove(f.at(name)) }
 
 // Sync implements Files.
-func (f Folder) Sync() error { return syncFolder(f.path) }
+func (f Directory) Sync() error { return syncFolder(f.path) }
 
-func (f Folder) at(name string) string { return filepath.Join(f.path, name) }
+func (f Directory) at(name string) string { return filepath.Join(f.path, name) }
 
 func makeFolder(path string) error {
 	if err := os.MkdirAll(path, folderPerm); err != nil {
--- a/coordination/store/store.go
+++ b/coordination/store/store.go
@@ -8,17 +8,17 @@
 
 // Errors of stores. Every error that a Store returns has one of these as its root.
 var (
-	// ErrNone says that there is no whole version.
-	ErrNone = eris.New("store: no whole version")
+	// ErrNotFound says that there is no whole version.
+	ErrNotFound = eris.New("store: no whole version")
 	// ErrFull says that the disk has no room. The last version saved still stands, and a later Save may succeed.
 	ErrFull = eris.New("store: disk full")
-	// ErrFailed says that the disk failed in another way. The version in question may or may not be there after a restart.
-	ErrFailed = eris.New("store: disk failed")
+	// ErrIO says that the disk failed in another way. The version in question may or may not be there after a restart.
+	ErrIO = eris.New("store: disk failed")
 )
 
 // Store keeps one record. It is not safe for use by several goroutines.
 type Store interface {
-	// Load returns the newest whole version, or ErrNone.
+	// Load returns the newest whole version, or ErrNotFound.
 	Load() ([]byte, error)
 	// Save makes data the newest version. When it returns nil, the version outlives a crash and a loss of power.
 	// When it returns an error, the version before still stands, and after a restart either of them may count.
--- a/coordination/systemtest/controller_test.go
+++ b/coordination/systemtest/controller_test.go
@@ -102,8 +102,8 @@
 
 func startController(process *sim.Process, site *site) *controller {
 	c := &controller{process: process, site: site, beating: map[string]bool{}}
-	c.self = lease.Member{Address: process.Name(), Life: fmt.Sprint(process.Life())}
-	c.decider = lease.New(c.self, []string{roleReader}, lease.DefaultTiming(), process.Steady(), site.bootstrap)
+	c.self = lease.Member{Address: process.Name(), Life: fmt.Sprint(process.Incarnation())}
+	c.decider = lease.New(c.self, []string{roleReader}, lease.DefaultTiming(), process.Monotonic(), site.bootstrap)
 	c.node = newNode(process, site)
 	c.hub = watch.NewHub(watch.HubOptions{QuorumAge: c.node.quorumAge})
 	c.node.onChosen = c.publish
@@ -122,14 +122,14 @@
 		c.node.serve(request, func(reply register.Reply) { answer(reply) })
 	case heartbeat:
 		c.decider.SetDoubt(c.node.setInDoubt())
-		reply := c.decider.Receive(c.process.Steady(), request.Lease)
+		reply := c.decider.Receive(c.process.Monotonic(), request.Lease)
 		c.hear(request.Revision, request.List)
 		answer(heartbeatReply{Lease: reply, Revision: c.node.chosen.Value.Revision, List: c.list})
 	case listMessage:
 		c.offer(request)
 		answer(listMessage{})
 	case fleetwire.WatchRequest:
-		c.polls = append(c.polls, &heldPoll{request: request, since: c.process.Steady(), answer: answer})
+		c.polls = append(c.polls, &heldPoll{request: request, since: c.process.Monotonic(), answer: answer})
 		c.answerPolls()
 	case clientRequest:
 		c.serveClient(request, answer)
@@ -173,7 +173,7 @@
 	value := c.node.chosen.Value
 	current := decodeState(value.Data)
 	replicas := c.voters()
-	c.decider.Learn(c.process.Steady(), replicas, map[string]lease.Record{roleReader: current.Reader})
+	c.decider.Learn(c.process.Monotonic(), replicas, map[string]lease.Record{roleReader: current.Reader})
 	if changes := len(current.Log); changes > 0 {
 		config := &fleetwire.Config{Version: int64(changes), Routes: []fleetwire.Route{{Name: current.Log[changes-1]}}}
 		must(c.hub.PublishConfig(uint64(changes), config))
@@ -207,7 +207,7 @@
 
 // beat sends heartbeats and takes roles that are due.
 func (c *controller) beat() {
-	now := c.process.Steady()
+	now := c.process.Monotonic()
 	inTouch := c.node.quorumAge() <= watch.DefaultMaxQuorumAge
 	c.decider.SetDoubt(c.node.setInDoubt())
 	message := heartbeat{Lease: c.decider.Heartbeat(now, inTouch), Revision: c.node.chosen.Value.Revision, List: c.list}
@@ -220,7 +220,7 @@
 			c.beating[address] = false
 			if err == nil {
 				reply := answer.(heartbeatReply)
-				c.decider.Answered(now, c.process.Steady(), reply.Lease)
+				c.decider.Answered(now, c.process.Monotonic(), reply.Lease)
 				c.hear(reply.Revision, reply.List)
 			}
 		})
@@ -250,7 +250,7 @@
 
 // holds returns the token under which this controller may act now.
 func (c *controller) holds() (uint64, bool) {
-	token, held := c.decider.Holds(c.process.Steady(), roleReader)
+	token, held := c.decider.Holds(c.process.Monotonic(), roleReader)
 	if held && c.site.broken.keepsToken {
 		token = 1 // takes roles without raising the token
 	}
@@ -293,7 +293,7 @@
 
 // answerPolls answers the long polls that are due: there is something newer, the wait is over, or the majority is lost.
 func (c *controller) answerPolls() {
-	now := c.process.Steady()
+	now := c.process.Monotonic()
 	version := c.hub.Current().Version
 	c.polls = slices.DeleteFunc(c.polls, func(p *heldPoll) bool {
 		have, wait := p.request.Have, time.Duration(p.request.WaitMs)*time.Millisecond
--- a/coordination/systemtest/frontend_test.go
+++ b/coordination/systemtest/frontend_test.go
@@ -26,11 +26,11 @@
 	f.detector = membership.NewDetector(membership.Options{Self: memberOf(process.Name()), Interval: memberInterval})
 	f.follow()
 	process.OnMessage(func(_ string, message any) {
-		f.send(f.detector.Receive(process.SteadyTime(), message.(membership.Message)))
+		f.send(f.detector.Receive(process.MonotonicTime(), message.(membership.Message)))
 	})
 	// Each is told of one other; the rest travels with the heartbeats.
-	f.detector.Learn(process.SteadyTime(), []membership.Member{memberOf(site.neighbour(process.Name()))})
-	process.Every(memberInterval, func() { f.send(f.detector.Tick(process.SteadyTime())) })
+	f.detector.Learn(process.MonotonicTime(), []membership.Member{memberOf(site.neighbour(process.Name()))})
+	process.Every(memberInterval, func() { f.send(f.detector.Tick(process.MonotonicTime())) })
 	f.poll()
 	return f
 }
@@ -63,19 +63,19 @@
 		f.follow()
 	}
 	follower := f.follower
-	ask, request := follower.NextPoll(f.process.SteadyTime())
+	ask, request := follower.NextPoll(f.process.MonotonicTime())
 	f.process.After(ask.Delay, func() {
 		if ask.Address == "" {
 			f.poll()
 			return
 		}
-		sent := f.process.SteadyTime()
+		sent := f.process.MonotonicTime()
 		f.process.Call(ask.Address, request, ask.Deadline, func(answer any, err error) {
 			if err != nil {
-				follower.HandleFailure(f.process.SteadyTime(), ask)
+				follower.HandleFailure(f.process.MonotonicTime(), ask)
 			} else {
 				reply := answer.(fleetwire.WatchReply)
-				follower.HandleReply(f.process.SteadyTime(), sent, ask, &reply)
+				follower.HandleReply(f.process.MonotonicTime(), sent, ask, &reply)
 			}
 			f.poll()
 		})
--- a/coordination/systemtest/node_test.go
+++ b/coordination/systemtest/node_test.go
@@ -126,7 +126,7 @@
 		acceptor, err = n.disk.Initialize(id, n.process.Name(), founders)
 		return err
 	}
-	n.process.Disk().Do(n.process, work, func(err error) {
+	n.process.Disk().Submit(n.process, work, func(err error) {
 		if err != nil {
 			n.process.After(upkeepTick, n.mark)
 			return
@@ -271,7 +271,7 @@
 		refusal = n.disk.Write(step.Write)
 		return nil
 	}
-	n.process.Disk().Do(n.process, work, func(error) {
+	n.process.Disk().Submit(n.process, work, func(error) {
 		switch {
 		case n.site.broken.answersBeforeSync:
 		case refusal == register.NoRefusal:
@@ -316,7 +316,7 @@
 		n.serve(request, take)
 		return
 	}
-	sent := n.process.Steady()
+	sent := n.process.Monotonic()
 	n.process.Call(address, request, timeout, func(answer any, err error) {
 		if err != nil {
 			n.missed(address)
@@ -352,7 +352,7 @@
 func (n *node) missed(address string) {
 	p := n.peerAt(address)
 	if p.missed == 0 {
-		p.missedSince = n.process.Steady()
+		p.missedSince = n.process.Monotonic()
 	}
 	p.missed++
 }
@@ -379,7 +379,7 @@
 	if replica.Address == n.process.Name() || p == nil || p.missed == 0 || p.missed < missesForSilence && p.heard {
 		return 0
 	}
-	return max(1, n.process.Steady()-p.missedSince)
+	return max(1, n.process.Monotonic()-p.missedSince)
 }
 
 // quorumAge returns how long ago a majority of the set was last heard.
@@ -412,7 +412,7 @@
 	if p == nil || p.id != replica.ID || !p.heard {
 		return register.NoContact
 	}
-	return n.process.Steady() - p.answered
+	return n.process.Monotonic() - p.answered
 }
 
 func (n *node) placed() bool {
--- a/coordination/systemtest/site_test.go
+++ b/coordination/systemtest/site_test.go
@@ -80,8 +80,8 @@
 	added := &seat{machine: s.world.AddMachine(name), core: core}
 	s.seats = append(s.seats, added)
 	// Nothing befalls the operator's connections: a refusal has to mean that nothing was begun.
-	s.world.Network().Set(operatorName, name, sim.DefaultLink())
-	s.world.Network().Set(name, operatorName, sim.DefaultLink())
+	s.world.Network().SetLink(operatorName, name, sim.DefaultLink())
+	s.world.Network().SetLink(name, operatorName, sim.DefaultLink())
 	return added
 }
 
--- a/coordination/systemtest/tolerance_test.go
+++ b/coordination/systemtest/tolerance_test.go
@@ -58,15 +58,15 @@
 	}},
 	{name: "disk full", begin: func(_ *site, hit *seat) func() {
 		hit.machine.Disk().Files().Full = true
-		return hit.machine.Disk().Heal
+		return hit.machine.Disk().ClearFaults
 	}},
 	{name: "disk hangs", begin: func(_ *site, hit *seat) func() {
 		hit.machine.Disk().Stall()
-		return hit.machine.Disk().Heal
+		return hit.machine.Disk().ClearFaults
 	}},
 	{name: "disk fails", begin: func(_ *site, hit *seat) func() {
-		hit.machine.Disk().Files().Failing = true
-		return hit.machine.Disk().Heal
+		hit.machine.Disk().Files().FailSyncs = true
+		return hit.machine.Disk().ClearFaults
 	}},
 	{name: "all killed", all: true, begin: func(s *site, _ *seat) func() {
 		lo.ForEach(s.cores(), func(seat *seat, _ int) { seat.machine.Kill() })
@@ -137,7 +137,7 @@
 func playLosses(seed uint64, broken mistakes, losses []loss) (*site, error) {
 	s := newSite(seed, broken)
 	s.asked = s.world.IntN(maxOperations) // the operator falls silent at some time
-	s.world.Network().SetUsual(sim.Link{Shortest: 200 * time.Microsecond, Longest: s.world.Between(time.Millisecond, 10*time.Millisecond)})
+	s.world.Network().SetDefaultLink(sim.Link{MinDelay: 200 * time.Microsecond, MaxDelay: s.world.Between(time.Millisecond, 10*time.Millisecond)})
 	if err := s.form(); err != nil {
 		return s, err
 	}
--- a/coordination/systemtest/troubles_test.go
+++ b/coordination/systemtest/troubles_test.go
@@ -116,8 +116,8 @@
 
 func diskFailing(s *site, hit *seat) {
 	files := hit.machine.Disk().Files()
-	files.Failing = true
-	s.later(func() { files.Failing = false })
+	files.FailSyncs = true
+	s.later(func() { files.FailSyncs = false })
 }
 
 func diskStalled(s *site, hit *seat) {
@@ -128,11 +128,13 @@
 
 func diskSlow(s *site, hit *seat) {
 	disk := hit.machine.Disk()
-	disk.Longest = slowestJob
-	s.later(func() { disk.Longest = sim.DefaultLongestJob })
+	disk.MaxLatency = slowestJob
+	s.later(func() { disk.MaxLatency = sim.DefaultMaxDiskLatency })
 }
 
-func timeStepped(s *site, hit *seat) { hit.machine.StepTime(s.world.Between(-time.Hour, time.Hour)) }
+func timeStepped(s *site, hit *seat) {
+	hit.machine.StepWallClock(s.world.Between(-time.Hour, time.Hour))
+}
 
 func (s *site) rejoin(name string) {
 	for _, other := range s.world.Machines() {
@@ -155,10 +157,10 @@
 
 // chaos has troubles, alone and together, on a bad network.
 func (s *site) chaos(span time.Duration, kinds []trouble) error {
-	s.world.Network().SetUsual(sim.Link{
-		Shortest: 200 * time.Microsecond, Longest: s.world.Between(time.Millisecond, 60*time.Millisecond),
+	s.world.Network().SetDefaultLink(sim.Link{
+		MinDelay: 200 * time.Microsecond, MaxDelay: s.world.Between(time.Millisecond, 60*time.Millisecond),
 		Loss: 0.05 * s.world.Float64(), Duplicate: 0.1 * s.world.Float64(),
-		Straggle: 0.1 * s.world.Float64(), StraggleBy: 2 * time.Second,
+		DelaySpike: 0.1 * s.world.Float64(), MaxDelaySpike: 2 * time.Second,
 	})
 	for end := s.world.Now() + span; s.world.Now() < end; {
 		if hit := s.seats[s.world.IntN(len(s.seats))]; !hit.removed {
@@ -175,9 +177,9 @@
 func (s *site) heal() {
 	network := s.world.Network()
 	network.HealAll()
-	network.SetUsual(sim.DefaultLink())
+	network.SetDefaultLink(sim.DefaultLink())
 	for _, seat := range s.seats {
-		seat.machine.Disk().Heal()
+		seat.machine.Disk().ClearFaults()
 		seat.machine.Thaw()
 		s.start(seat)
 	}
--- a/coordination/systemtest/upkeep_test.go
+++ b/coordination/systemtest/upkeep_test.go
@@ -24,7 +24,7 @@
 	if !n.placed() {
 		interval = 2 * upkeepTick
 	}
-	if now := n.process.Steady(); n.lastBeat == 0 || now-n.lastBeat >= interval {
+	if now := n.process.Monotonic(); n.lastBeat == 0 || now-n.lastBeat >= interval {
 		n.lastBeat = now
 		n.beat()
 	}
@@ -45,7 +45,7 @@
 
 // keep has the own disk take a chosen value that it lacks for a while.
 func (n *node) keep() {
-	now := n.process.Steady()
+	now := n.process.Monotonic()
 	if !n.acceptor.Accepted().Ballot.Less(n.chosen.Ballot) || !n.chosen.Value.HasMember(n.id()) {
 		n.behindSince = 0
 		return
@@ -92,7 +92,7 @@
 }
 
 func (n *node) mayChange(chosen register.Value) bool {
-	now := n.process.Steady()
+	now := n.process.Monotonic()
 	if chosen.Joint() {
 		if n.jointSeen != chosen.Origin {
 			n.jointSeen, n.jointSince = chosen.Origin, now
@@ -120,7 +120,7 @@
 func (n *node) settle() register.Change {
 	known := n.known()
 	behind := lo.SomeBy(slices.Collect(maps.Values(n.peers)), func(p *peer) bool { return n.chosen.Ballot.Less(p.accepted) })
-	now := n.process.Steady()
+	now := n.process.Monotonic()
 	if len(known.Value.Replicas) == 0 || known.Ballot == n.chosen.Ballot && !behind {
 		n.doubtSince = 0
 		return nil
--- a/internal/controller/run.go
+++ b/internal/controller/run.go
@@ -73,7 +73,7 @@
 		listen: func(address string) (net.Listener, error) { return net.Listen("tcp", address) },
 		dial:   transport.TCPDial(),
 		files: func() (store.Files, error) {
-			return store.OpenFolder(filepath.Join(current.DataDir, registerDirectory))
+			return store.OpenDirectory(filepath.Join(current.DataDir, registerDirectory))
 		},
 	}
 }
--- a/internal/controller/simulation_scenes_test.go
+++ b/internal/controller/simulation_scenes_test.go
@@ -314,7 +314,7 @@
 	for _, from := range s.present() {
 		for _, to := range s.present() {
 			if from != to {
-				s.network.Slow(from.machine.IP(), to.machine.IP(), s.between(0, slowest))
+				s.network.SetExtraDelay(from.machine.IP(), to.machine.IP(), s.between(0, slowest))
 			}
 		}
 	}
--- a/internal/controller/simulation_troubles_test.go
+++ b/internal/controller/simulation_troubles_test.go
@@ -376,8 +376,8 @@
 func (s *simSite) slowPaths(hit *simMachine) func() {
 	change := func(by time.Duration) {
 		for _, other := range addressesOf(s.present()) {
-			s.network.Slow(hit.machine.IP(), other, by)
-			s.network.Slow(other, hit.machine.IP(), by)
+			s.network.SetExtraDelay(hit.machine.IP(), other, by)
+			s.network.SetExtraDelay(other, hit.machine.IP(), by)
 		}
 	}
 	change(slowPath)
@@ -385,13 +385,13 @@
 }
 
 func (s *simSite) fillDisk(hit *simMachine) func() {
-	hit.machine.Disk().Full(true)
-	return func() { hit.machine.Disk().Full(false) }
+	hit.machine.Disk().SetFull(true)
+	return func() { hit.machine.Disk().SetFull(false) }
 }
 
 func (s *simSite) failDisk(hit *simMachine) func() {
-	hit.machine.Disk().Failing(true)
-	return func() { hit.machine.Disk().Failing(false) }
+	hit.machine.Disk().SetFailSyncs(true)
+	return func() { hit.machine.Disk().SetFailSyncs(false) }
 }
 
 func (s *simSite) stallDisk(hit *simMachine) func() {
@@ -400,8 +400,8 @@
 }
 
 func (s *simSite) slowDisk(hit *simMachine) func() {
-	hit.machine.Disk().Slow(slowStep)
-	return func() { hit.machine.Disk().Slow(0) }
+	hit.machine.Disk().SetExtraLatency(slowStep)
+	return func() { hit.machine.Disk().SetExtraLatency(0) }
 }
 
 // leaveInCut stops a machine as planned work does while another is cut off.
