--- a/coordination/sim/disk.go
+++ b/coordination/sim/disk.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Disk is a machine's disk. Programs use it by Do, one job at a time in the order in which they were given.
+// Disk is a machine's disk. Programs submit operations, which run one at a time in the order of submission.
 type Disk struct {
-	world *World
-	files *Files
-	jobs  []*job
-	busy  bool
-	// MinLatency and MaxLatency bound how long a job takes.
+	world      *World
+	files      *Files
+	operations []*operation
+	busy       bool
+	// MinLatency and MaxLatency bound how long an operation takes.
 	MinLatency, MaxLatency time.Duration
 	stalled                bool
 }
 
-// Times that a job on a good disk takes.
+// Default latency bounds of an operation on a disk without faults.
 const (
 	DefaultMinDiskLatency = time.Millisecond
 	DefaultMaxDiskLatency = 4 * time.Millisecond
 )
 
-// maxPartialSteps bounds the steps that are done of a job whose process ends: a job has about as many.
+// maxPartialSteps bounds how many steps are done of an operation whose process ends. Operations have about that many steps.
 const maxPartialSteps = 8
 
-// job is a piece of work of a process.
-type job struct {
+// operation is a sequence of file accesses that a process has submitted.
+type operation struct {
 	process *Process
 	work    func(files *Files) error
 	done    func(err error)
@@ -33,62 +33,64 @@
 	return &Disk{world: world, files: NewFiles(world), MinLatency: DefaultMinDiskLatency, MaxLatency: DefaultMaxDiskLatency}
 }
 
-// Files returns the files for use at once, as at the start of a program.
+// Files returns the files for access without latency, such as at the start of a program.
 func (d *Disk) Files() *Files { return d.files }
 
-// Submit has a process work on the files. The work is done a while later, and its result is given to done. If the process ends
-// before, the job under way is done in part, and those that wait are not begun.
+// Submit queues an operation of a process. work runs after the disk's latency, and done is called with its result. If the
+// process ends before that, the operation in progress is partly done and the queued operations are dropped.
 func (d *Disk) Submit(process *Process, work func(files *Files) error, done func(err error)) {
-	d.jobs = append(d.jobs, &job{process: process, work: work, done: done})
-	d.next()
+	d.operations = append(d.operations, &operation{process: process, work: work, done: done})
+	d.startNext()
 }
 
-// Stall makes the job under way and those that wait take until Resume.
+// Stall blocks the operation in progress and all queued operations until Resume.
 func (d *Disk) Stall() { d.stalled = true }
 
 // Resume ends a Stall.
 func (d *Disk) Resume() {
 	d.stalled = false
-	d.next()
+	d.startNext()
 }
 
-// ClearFaults ends all troubles.
+// ClearFaults ends all faults and restores the default latencies.
 func (d *Disk) ClearFaults() {
 	d.files.Full, d.files.FailSyncs, d.files.IgnoreSyncs = false, false, false
 	d.MinLatency, d.MaxLatency = DefaultMinDiskLatency, DefaultMaxDiskLatency
 	d.Resume()
 }
 
-func (d *Disk) next() {
-	if d.busy || d.stalled || len(d.jobs) == 0 {
+// startNext starts the first queued operation unless one is in progress or the disk is stalled.
+func (d *Disk) startNext() {
+	if d.busy || d.stalled || len(d.operations) == 0 {
 		return
 	}
 	d.busy = true
-	current := d.jobs[0]
+	current := d.operations[0]
 	d.world.After(d.world.Between(d.MinLatency, d.MaxLatency), func() { d.finish(current) })
 }
 
-func (d *Disk) finish(current *job) {
-	if len(d.jobs) == 0 || d.jobs[0] != current {
-		return // abandoned
+// finish runs an operation whose latency has passed.
+func (d *Disk) finish(current *operation) {
+	if len(d.operations) == 0 || d.operations[0] != current {
+		return // aborted
 	}
 	d.busy = false
 	if d.stalled {
-		return // Resume begins it again
+		return // Resume starts the operation again
 	}
-	d.jobs = d.jobs[1:]
+	d.operations = d.operations[1:]
 	err := current.work(d.files)
-	current.process.do(func() { current.done(err) })
-	d.next()
+	current.process.run(func() { current.done(err) })
+	d.startNext()
 }
 
-// abandonJobs does a part of the job under way, as its process has ended, and forgets the others.
-func (d *Disk) abandonJobs() {
-	if len(d.jobs) == 0 {
+// abortOperations handles the end of the process: it does a random part of the operation in progress and drops the others.
+func (d *Disk) abortOperations() {
+	if len(d.operations) == 0 {
 		return
 	}
-	current := d.jobs[0]
-	d.jobs = nil
+	current := d.operations[0]
+	d.operations = nil
 	d.busy = false
 	_ = d.files.ApplyPartially(d.world.IntN(maxPartialSteps), current.work)
 }
--- a/coordination/sim/doc.go
+++ b/coordination/sim/doc.go
@@ -1,10 +1,11 @@
-// Package sim is a deterministic world for testing distributed programs: machines with a steady clock, a time of day, a disk
-// and a network between them, and faults for each. One seed decides everything, so a failure can be played again.
+// Package sim is a deterministic discrete-event simulator for testing distributed programs. It simulates machines, each with a
+// monotonic clock, a wall clock and a disk, the network between them, and faults of all of these. One seed determines the
+// whole run, so a failure can be reproduced.
 //
-// It knows nothing of what it simulates. A program is a set of callbacks: it is started on a Machine with a Process, through
-// which alone it may take the time, set timers, send messages and use the disk. All callbacks run one at a time in the
-// goroutine that runs the World; a program that starts goroutines, reads another clock or ranges over maps where the order
-// matters is not deterministic any more.
+// The simulator does not depend on the programs under test. A program is a set of callbacks: Machine.Start calls it with a
+// Process, which is its only way to read a clock, set timers, send messages and use the disk. All callbacks run one at a time
+// in the goroutine that runs the World. A program is no longer deterministic if it starts goroutines, reads another clock or
+// ranges over a map where the order matters.
 //
 //	world := sim.New(seed)
 //	machine := world.AddMachine("a")
@@ -16,10 +17,11 @@
 //
 // # Faults
 //
-//   - Network: delay, loss, duplication and reordering by the Link between two machines, and cuts in one direction.
-//   - Machine: Kill, LosePower, Freeze (the steady clock runs on), Suspend (it stands still), StepTime.
-//   - Disk: slow, stalled, full, failing, wiped. What was written and not synced is lost, torn or kept at a loss of power, and
-//     a write under way is done in part.
+//   - Network: delay, loss, duplication and reordering, set by the Link between two machines, and partitions, set by cuts in
+//     one direction.
+//   - Machine: Kill, LosePower, Freeze (the monotonic clock keeps running), Suspend (the monotonic clock stops), StepWallClock.
+//   - Disk: slow, stalled, full, failing, wiped. After a power loss, writes that were not synced are lost, torn or kept, and
+//     the operation in progress is partly done.
 //
-// Package simtest runs a simulation over fixed and fresh seeds in tests.
+// Package simtest runs a simulation over fixed and fresh random seeds in tests.
 package sim
--- a/coordination/sim/files.go
+++ b/coordination/sim/files.go
@@ -10,61 +10,63 @@
 	"github.com/rotisserie/eris"
 )
 
-// errEnded is what a process that has ended gets for the rest of its job. It never sees it.
+// errEnded aborts the rest of an operation whose process has ended. No program receives it.
 var errEnded = eris.New("sim: process ended")
 
-// Files is the folder of a disk. It keeps apart what programs see and what outlives a loss of power: a file's content, and
-// that there is a new file, are durable once its Write has returned; renames and removals are durable after Sync.
+// Files is the only directory of a disk. It tracks the state that programs see and the state that survives a power loss. The
+// content of a file and the directory entry of a new file are durable once Write has returned; renames and removals are
+// durable once Sync has returned.
 type Files struct {
 	world *World
-	// Full makes each Write fail half-way with ENOSPC.
+	// Full makes each Write fail with ENOSPC after half of the data.
 	Full bool
-	// FailSyncs makes each Sync fail with EIO, after Write and Rename have done their work.
+	// FailSyncs makes each Sync fail with EIO. Write and Rename are not affected.
 	FailSyncs bool
-	// IgnoreSyncs makes Write and Sync return without making anything durable, as a disk that lies does.
+	// IgnoreSyncs makes Write and Sync succeed without making anything durable, like a disk that acknowledges a flush and does
+	// not perform it.
 	IgnoreSyncs bool
 
-	names   map[string]*content
-	durable map[string]*content
+	entries map[string]*inode // as programs see them
+	durable map[string]*inode // as of the last Sync, plus new files
 
-	limited   bool // the process has ended: only some more steps are done
+	limited   bool // the process has ended, and only stepsLeft more steps are done
 	stepsLeft int
 }
 
-// content is that of a file. Its renames leave it where it is.
-type content struct {
-	data   []byte
-	synced bool
-	before []byte // the last synced data
+// inode is the content of a file, independent of its name.
+type inode struct {
+	data       []byte
+	synced     bool
+	syncedData []byte // data as of the last sync
 }
 
-// NewFiles returns an empty folder, for which the world draws what a loss of power leaves.
+// NewFiles returns an empty directory. The random numbers of world determine what a power loss leaves of it.
 func NewFiles(world *World) *Files {
-	return &Files{world: world, names: map[string]*content{}, durable: map[string]*content{}}
+	return &Files{world: world, entries: map[string]*inode{}, durable: map[string]*inode{}}
 }
 
-// List returns the names of all files in order.
-func (f *Files) List() ([]string, error) { return slices.Sorted(maps.Keys(f.names)), nil }
+// List returns the names of all files in ascending order.
+func (f *Files) List() ([]string, error) { return slices.Sorted(maps.Keys(f.entries)), nil }
 
 // Read returns the content of a file.
 func (f *Files) Read(name string) ([]byte, error) {
-	file := f.names[name]
+	file := f.entries[name]
 	if file == nil {
 		return nil, &fs.PathError{Op: "open", Path: name, Err: syscall.ENOENT}
 	}
 	return bytes.Clone(file.data), nil
 }
 
-// Write makes or replaces a file and syncs its content.
+// Write creates or replaces a file and syncs its content.
 func (f *Files) Write(name string, parts ...[]byte) error {
 	data := bytes.Join(parts, nil)
 	if !f.step() {
 		return errEnded
 	}
-	file := f.names[name]
+	file := f.entries[name]
 	if file == nil {
-		file = &content{}
-		f.names[name] = file
+		file = &inode{}
+		f.entries[name] = file
 	}
 	file.synced = false
 	if f.Full {
@@ -78,24 +80,24 @@
 	if f.IgnoreSyncs {
 		return nil
 	}
-	file.synced, file.before = true, data
+	file.synced, file.syncedData = true, data
 	if !f.isDurable(file) {
 		f.durable[name] = file
 	}
 	return nil
 }
 
-// Rename gives a file another name.
+// Rename renames a file. It replaces a file that already has the new name.
 func (f *Files) Rename(from, to string) error {
 	if !f.step() {
 		return errEnded
 	}
-	file := f.names[from]
+	file := f.entries[from]
 	if file == nil {
 		return &fs.PathError{Op: "rename", Path: from, Err: syscall.ENOENT}
 	}
-	delete(f.names, from)
-	f.names[to] = file
+	delete(f.entries, from)
+	f.entries[to] = file
 	return nil
 }
 
@@ -104,14 +106,14 @@
 	if !f.step() {
 		return errEnded
 	}
-	if f.names[name] == nil {
+	if f.entries[name] == nil {
 		return &fs.PathError{Op: "remove", Path: name, Err: syscall.ENOENT}
 	}
-	delete(f.names, name)
+	delete(f.entries, name)
 	return nil
 }
 
-// Sync makes durable which files there are.
+// Sync makes all renames and removals durable.
 func (f *Files) Sync() error {
 	if !f.step() {
 		return errEnded
@@ -120,19 +122,19 @@
 		return &fs.PathError{Op: "sync", Path: ".", Err: syscall.EIO}
 	}
 	if !f.IgnoreSyncs {
-		f.durable = maps.Clone(f.names)
+		f.durable = maps.Clone(f.entries)
 	}
 	return nil
 }
 
-// ApplyPartially does some steps of a piece of work, as a process does that ends in the middle of it.
+// ApplyPartially runs work but does only its first steps, as happens if its process ends in the middle.
 func (f *Files) ApplyPartially(steps int, work func(files *Files) error) error {
 	f.limited, f.stepsLeft = true, steps
 	defer func() { f.limited = false }()
 	return work(f)
 }
 
-// step reports whether the process can do one more step.
+// step consumes one of the remaining steps and reports whether there was one.
 func (f *Files) step() bool {
 	if !f.limited {
 		return true
@@ -141,7 +143,8 @@
 	return f.stepsLeft >= 0
 }
 
-func (f *Files) isDurable(file *content) bool {
+// isDurable reports whether a file has a directory entry, under any name, that survives a power loss.
+func (f *Files) isDurable(file *inode) bool {
 	for _, other := range f.durable {
 		if other == file {
 			return true
@@ -150,61 +153,62 @@
 	return false
 }
 
-// Size returns the bytes of all files.
+// Size returns the total size of all files in bytes.
 func (f *Files) Size() int {
 	size := 0
-	for _, file := range f.names {
+	for _, file := range f.entries {
 		size += len(file.data)
 	}
 	return size
 }
 
-// Clone returns a copy of the folder as programs see it.
+// Clone returns a copy of the directory as programs see it. All of its files are durable.
 func (f *Files) Clone() *Files {
 	cloned := NewFiles(f.world)
-	for name, file := range f.names {
-		cloned.names[name] = &content{data: bytes.Clone(file.data), synced: true, before: bytes.Clone(file.data)}
+	for name, file := range f.entries {
+		cloned.entries[name] = &inode{data: bytes.Clone(file.data), synced: true, syncedData: bytes.Clone(file.data)}
 	}
-	cloned.durable = maps.Clone(cloned.names)
+	cloned.durable = maps.Clone(cloned.entries)
 	return cloned
 }
 
-// LosePower leaves of each file, on its own, the names that it had at the last Sync or those that it had at the end, and of
-// unsynced content anything between what was there before and all of it.
+// LosePower simulates a power loss. For each file independently, it keeps at random either the durable directory entries or the
+// current ones. Content that was not synced is replaced by the last synced content, truncated, or kept.
 func (f *Files) LosePower() {
-	kept := map[string]*content{}
-	atTheEnd := map[*content]bool{}
-	for _, side := range []map[string]*content{f.durable, f.names} {
-		for _, name := range slices.Sorted(maps.Keys(side)) {
-			file := side[name]
-			if _, drawn := atTheEnd[file]; !drawn {
-				atTheEnd[file] = f.world.Chance(0.5)
-				f.settle(file)
+	kept := map[string]*inode{}
+	keepsCurrent := map[*inode]bool{}
+	for _, entries := range []map[string]*inode{f.durable, f.entries} {
+		for _, name := range slices.Sorted(maps.Keys(entries)) {
+			file := entries[name]
+			if _, drawn := keepsCurrent[file]; !drawn {
+				keepsCurrent[file] = f.world.Chance(0.5)
+				f.resolveUnsynced(file)
 			}
 		}
 	}
-	keep := func(side map[string]*content, end bool) {
-		for name, file := range side {
-			if atTheEnd[file] == end {
+	keep := func(entries map[string]*inode, current bool) {
+		for name, file := range entries {
+			if keepsCurrent[file] == current {
 				kept[name] = file
 			}
 		}
 	}
 	keep(f.durable, false)
-	keep(f.names, true)
-	f.names = kept
+	keep(f.entries, true)
+	f.entries = kept
 	f.durable = maps.Clone(kept)
 }
 
-func (f *Files) settle(file *content) {
+// resolveUnsynced decides what a power loss leaves of the unsynced content of a file.
+func (f *Files) resolveUnsynced(file *inode) {
 	if file.synced {
 		return
 	}
 	switch f.world.IntN(3) {
 	case 0:
-		file.data = file.before
+		file.data = file.syncedData
 	case 1:
 		file.data = file.data[:f.world.IntN(len(file.data)+1)]
 	}
-	file.synced, file.before = true, file.data
+	file.synced, file.syncedData = true, file.data
 }
--- a/coordination/sim/live/conn.go
+++ b/coordination/sim/live/conn.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// windowBytes is how much may be on its way or unread in one direction.
+// windowBytes is the number of bytes in transit or unread in one direction at which writes block.
 const windowBytes = 256 << 10
 
-// conn is one end of a connection.
+// conn is one end of a connection. It implements net.Conn.
 type conn struct {
 	process *Process
 	local   net.Addr
 	remote  net.Addr
-	in      *half // read here
-	out     *half // written here
+	in      *stream // read by this end
+	out     *stream // written by this end
 }
 
-// newConnPair returns the ends of a connection from a process to a listener's address.
-func newConnPair(from, to *Process, address string) (near, far *conn) {
+// newConnPair returns both ends of a connection from a process to the address of a listener of another process.
+func newConnPair(from, to *Process, address string) (dialed, accepted *conn) {
 	network := from.machine.network
-	there := newHalf(network, direction{from.machine.ip, to.machine.ip})
-	back := newHalf(network, direction{to.machine.ip, from.machine.ip})
-	client := net.Addr(&net.TCPAddr{IP: net.ParseIP(from.machine.ip)})
-	server := tcpAddress(address)
-	near = &conn{process: from, local: client, remote: server, in: back, out: there}
-	far = &conn{process: to, local: server, remote: client, in: there, out: back}
-	return near, far
+	toServer := newStream(network, direction{from.machine.ip, to.machine.ip})
+	toClient := newStream(network, direction{to.machine.ip, from.machine.ip})
+	clientAddress := net.Addr(&net.TCPAddr{IP: net.ParseIP(from.machine.ip)})
+	serverAddress := tcpAddress(address)
+	dialed = &conn{process: from, local: clientAddress, remote: serverAddress, in: toClient, out: toServer}
+	accepted = &conn{process: to, local: serverAddress, remote: clientAddress, in: toServer, out: toClient}
+	return dialed, accepted
 }
 
 // Read implements net.Conn.
@@ -39,25 +39,26 @@
 // Write implements net.Conn.
 func (c *conn) Write(data []byte) (int, error) { return c.out.write(data) }
 
-// Close implements net.Conn. What was written still arrives. Unread bytes make it a reset.
+// Close implements net.Conn. Bytes that were written still arrive, unless received bytes were not read: then Close resets the
+// connection, as TCP does.
 func (c *conn) Close() error {
-	c.process.release(c)
-	if c.in.stopReading() {
-		c.out.fail()
+	c.process.untrack(c)
+	if c.in.closeRead() {
+		c.out.reset()
 	} else {
-		c.out.finish()
+		c.out.closeWrite()
 	}
 	return nil
 }
 
-// dropSilently ends this side alone, as the end of its process does.
+// dropSilently closes this end without notifying the peer.
 func (c *conn) dropSilently() {
-	c.in.stopReading()
+	c.in.closeRead()
 	c.out.abandon()
 }
 
-// resetPeer has the other side learn that the connection is gone, once that gets through.
-func (c *conn) resetPeer() { c.out.fail() }
+// resetPeer resets the connection at the peer. If the path is cut, the reset arrives after Heal.
+func (c *conn) resetPeer() { c.out.reset() }
 
 // LocalAddr implements net.Conn.
 func (c *conn) LocalAddr() net.Addr { return c.local }
@@ -84,210 +85,214 @@
 	return nil
 }
 
-// segment is what travels at once: bytes, the end of the stream, or a reset.
+// segment is a unit of transmission: bytes, the end of the stream, or a reset.
 type segment struct {
 	data []byte
-	end  error // io.EOF or a reset; nil: bytes
+	end  error // io.EOF or ECONNRESET; nil for bytes
 }
 
-// half is one direction of a connection.
-type half struct {
+// stream is one direction of a connection.
+type stream struct {
 	network *Network
-	way     direction
-
-	mutex     sync.Mutex
-	changed   chan struct{} // closed at each change
-	sent      []segment     // on their way, in order
-	moving    bool          // the first of them is due after its delay
-	arrived   []byte
-	end       error // what the reader gets after the bytes
-	size      int   // bytes sent and unread
-	closed    bool  // the writer has ended it
-	gone      bool  // the reader reads no more
-	readBy    time.Time
-	writtenBy time.Time
+	path    direction
+
+	mutex         sync.Mutex
+	changed       chan struct{} // closed and replaced at each change
+	inTransit     []segment     // in the order of writing
+	delivering    bool          // a timer for the delivery of inTransit is running
+	received      []byte        // not read yet
+	end           error         // returned by reads after the received bytes
+	size          int           // bytes in transit or unread
+	closed        bool          // by the writer
+	readerClosed  bool
+	readDeadline  time.Time
+	writeDeadline time.Time
 }
 
-func newHalf(network *Network, way direction) *half {
-	one := &half{network: network, way: way, changed: make(chan struct{})}
-	network.register(one)
-	return one
+func newStream(network *Network, path direction) *stream {
+	created := &stream{network: network, path: path, changed: make(chan struct{})}
+	network.register(created)
+	return created
 }
 
-// broadcast needs the lock.
-func (h *half) broadcast() {
-	close(h.changed)
-	h.changed = make(chan struct{})
+// broadcast wakes all blocked reads and writes. The caller must hold the mutex.
+func (s *stream) broadcast() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-func (h *half) read(buffer []byte) (int, error) {
+// read blocks until bytes, the end of the stream or an error can be returned.
+func (s *stream) read(buffer []byte) (int, error) {
 	for {
-		h.mutex.Lock()
-		count, err, ready := h.take(buffer)
-		changed, deadline := h.changed, h.readBy
-		h.mutex.Unlock()
+		s.mutex.Lock()
+		count, err, ready := s.tryRead(buffer)
+		changed, deadline := s.changed, s.readDeadline
+		s.mutex.Unlock()
 		if ready {
 			return count, err
 		}
-		await(changed, deadline)
+		waitForChange(changed, deadline)
 	}
 }
 
-// take needs the lock.
-func (h *half) take(buffer []byte) (count int, err error, ready bool) {
+// tryRead reads without blocking. ready is false if the caller has to wait. The caller must hold the mutex.
+func (s *stream) tryRead(buffer []byte) (count int, err error, ready bool) {
 	switch {
-	case h.gone:
+	case s.readerClosed:
 		return 0, net.ErrClosed, true
-	case passed(h.readBy):
+	case expired(s.readDeadline):
 		return 0, os.ErrDeadlineExceeded, true
-	case len(h.arrived) > 0 && h.end != syscall.ECONNRESET:
-		count = copy(buffer, h.arrived)
-		h.arrived = h.arrived[count:]
-		h.size -= count
-		h.broadcast()
+	case len(s.received) > 0 && s.end != syscall.ECONNRESET:
+		count = copy(buffer, s.received)
+		s.received = s.received[count:]
+		s.size -= count
+		s.broadcast()
 		return count, nil, true
-	case h.end == io.EOF:
+	case s.end == io.EOF:
 		return 0, io.EOF, true
-	case h.end != nil:
-		return 0, &net.OpError{Op: "read", Net: "tcp", Err: h.end}, true
+	case s.end != nil:
+		return 0, &net.OpError{Op: "read", Net: "tcp", Err: s.end}, true
 	}
 	return 0, nil, len(buffer) == 0
 }
 
-func (h *half) write(data []byte) (int, error) {
+// write blocks until the window has room and queues all of the data.
+func (s *stream) write(data []byte) (int, error) {
 	for {
-		h.mutex.Lock()
-		err, ready := h.put(data)
-		changed, deadline := h.changed, h.writtenBy
-		h.mutex.Unlock()
+		s.mutex.Lock()
+		err, ready := s.tryWrite(data)
+		changed, deadline := s.changed, s.writeDeadline
+		s.mutex.Unlock()
 		if ready && err != nil {
 			return 0, err
 		}
 		if ready {
-			h.resume()
+			s.startDelivery()
 			return len(data), nil
 		}
-		await(changed, deadline)
+		waitForChange(changed, deadline)
 	}
 }
 
-// put needs the lock.
-func (h *half) put(data []byte) (err error, ready bool) {
+// tryWrite queues data without blocking. ready is false if the caller has to wait. The caller must hold the mutex.
+func (s *stream) tryWrite(data []byte) (err error, ready bool) {
 	switch {
-	case h.closed:
+	case s.closed:
 		return net.ErrClosed, true
-	case passed(h.writtenBy):
+	case expired(s.writeDeadline):
 		return os.ErrDeadlineExceeded, true
-	case h.gone && len(h.sent) == 0:
+	case s.readerClosed && len(s.inTransit) == 0:
 		return &net.OpError{Op: "write", Net: "tcp", Err: syscall.EPIPE}, true
-	case h.size >= windowBytes:
+	case s.size >= windowBytes:
 		return nil, false
 	}
-	h.sent = append(h.sent, segment{data: append([]byte(nil), data...)})
-	h.size += len(data)
+	s.inTransit = append(s.inTransit, segment{data: append([]byte(nil), data...)})
+	s.size += len(data)
 	return nil, true
 }
 
-// resume sends the first segment on its way, if none is.
-func (h *half) resume() {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if h.moving || len(h.sent) == 0 {
+// startDelivery starts the timer of the next delivery, unless one is running or nothing is in transit.
+func (s *stream) startDelivery() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.delivering || len(s.inTransit) == 0 {
 		return
 	}
-	h.moving = true
-	time.AfterFunc(h.network.delay(h.way), h.deliver)
+	s.delivering = true
+	time.AfterFunc(s.network.delay(s.path), s.deliver)
 }
 
-// deliver has all that was sent arrive, if anything gets through. Heal calls resume for the rest.
-func (h *half) deliver() {
-	open, _ := h.network.open(h.way)
-	if h.arrive(open) {
-		h.network.forget(h)
+// deliver delivers all segments in transit, unless the path is cut. In that case Heal calls startDelivery.
+func (s *stream) deliver() {
+	open, _ := s.network.isOpen(s.path)
+	if s.receive(open) {
+		s.network.unregister(s)
 	}
 	if open {
-		h.network.stepped()
+		s.network.countStep()
 	}
 }
 
-// arrive reports whether nothing more will come.
-func (h *half) arrive(open bool) bool {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	h.moving = false
+// receive ends a delivery, and receives all segments in transit if the path is open. It reports whether the stream has ended.
+func (s *stream) receive(open bool) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.delivering = false
 	if !open {
 		return false
 	}
-	for _, next := range h.sent {
-		h.arrived = append(h.arrived, next.data...)
-		if next.end != nil && h.end == nil {
-			h.end = next.end
+	for _, next := range s.inTransit {
+		s.received = append(s.received, next.data...)
+		if next.end != nil && s.end == nil {
+			s.end = next.end
 		}
 	}
-	h.sent = nil
-	h.broadcast()
-	return h.end != nil
+	s.inTransit = nil
+	s.broadcast()
+	return s.end != nil
 }
 
-// finish ends the stream after what was written.
-func (h *half) finish() { h.close(segment{end: io.EOF}, false) }
+// closeWrite ends the stream after the bytes that were written.
+func (s *stream) closeWrite() { s.close(segment{end: io.EOF}, false) }
 
-// fail resets the connection. Bytes that are on their way are lost.
-func (h *half) fail() { h.close(segment{end: syscall.ECONNRESET}, true) }
+// reset resets the connection. Bytes in transit are lost.
+func (s *stream) reset() { s.close(segment{end: syscall.ECONNRESET}, true) }
 
-func (h *half) close(last segment, drop bool) {
-	h.mutex.Lock()
-	if h.closed && !drop {
-		h.mutex.Unlock()
+// close queues the last segment of the stream. If drop is set, the segments in transit are lost.
+func (s *stream) close(last segment, drop bool) {
+	s.mutex.Lock()
+	if s.closed && !drop {
+		s.mutex.Unlock()
 		return
 	}
-	h.closed = true
+	s.closed = true
 	if drop {
-		h.sent = nil
+		s.inTransit = nil
 	}
-	h.sent = append(h.sent, last)
-	h.broadcast()
-	h.mutex.Unlock()
-	h.resume()
+	s.inTransit = append(s.inTransit, last)
+	s.broadcast()
+	s.mutex.Unlock()
+	s.startDelivery()
 }
 
-// abandon ends the writer's side without a word: what is on its way is lost.
-func (h *half) abandon() {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	h.closed = true
-	h.sent = nil
-	h.broadcast()
+// abandon closes the writer's end without notifying the reader. Bytes in transit are lost.
+func (s *stream) abandon() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.closed = true
+	s.inTransit = nil
+	s.broadcast()
 }
 
-// stopReading reports whether bytes are left unread.
-func (h *half) stopReading() bool {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	left := len(h.arrived) > 0 && !h.gone
-	h.gone = true
-	h.broadcast()
-	return left
+// closeRead closes the reader's end. It reports whether received bytes were not read.
+func (s *stream) closeRead() bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	unread := len(s.received) > 0 && !s.readerClosed
+	s.readerClosed = true
+	s.broadcast()
+	return unread
 }
 
-func (h *half) setReadDeadline(at time.Time) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	h.readBy = at
-	h.broadcast()
+func (s *stream) setReadDeadline(at time.Time) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.readDeadline = at
+	s.broadcast()
 }
 
-func (h *half) setWriteDeadline(at time.Time) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	h.writtenBy = at
-	h.broadcast()
+func (s *stream) setWriteDeadline(at time.Time) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.writeDeadline = at
+	s.broadcast()
 }
 
-func passed(deadline time.Time) bool { return !deadline.IsZero() && !time.Now().Before(deadline) }
+// expired reports whether a deadline is set and has passed.
+func expired(deadline time.Time) bool { return !deadline.IsZero() && !time.Now().Before(deadline) }
 
-// await waits for a change, until a deadline at most.
-func await(changed <-chan struct{}, deadline time.Time) {
+// waitForChange blocks until changed is closed or the deadline, if any, has passed.
+func waitForChange(changed <-chan struct{}, deadline time.Time) {
 	if deadline.IsZero() {
 		<-changed
 		return
--- a/coordination/sim/live/disk.go
+++ b/coordination/sim/live/disk.go
@@ -10,56 +10,56 @@
 	"weldscale/coordination/sim"
 )
 
-// Spans of a disk's work.
+// Bounds of a disk step.
 const (
-	shortestStep = 100 * time.Microsecond
-	longestStep  = time.Millisecond
-	// mostParts is above the number of parts that a step has.
-	mostParts = 3
+	minLatency = 100 * time.Microsecond
+	maxLatency = time.Millisecond
+	// maxPartialSteps is above the number of steps that sim.Files counts in one step of this package.
+	maxPartialSteps = 3
 )
 
-// errEnded is what a process that has ended gets from its disk. It can tell nobody.
+// errEnded is the error of all disk accesses of a process that has ended.
 var errEnded = eris.New("live: process ended")
 
-// Disk is a machine's disk.
+// Disk is a machine's disk. Its methods may be called by several goroutines.
 type Disk struct {
-	mutex   sync.Mutex
-	random  *rand.Rand
-	files   *sim.Files
-	stepped func() // is told of each change
-	current *Files // of the process that runs
-	slow    time.Duration
-	// underWay is the step that the present process waits for: its end may leave it done in part.
-	underWay func(files *sim.Files) error
-	resumed  chan struct{} // nil while the disk answers; else closed when it does again
+	mutex        sync.Mutex
+	random       *rand.Rand
+	files        *sim.Files
+	onChange     func() // called after each write access
+	current      *Files // of the running process
+	extraLatency time.Duration
+	// inProgress is the latest step that the running process waits for. If the process ends, the step may be partly done.
+	inProgress func(files *sim.Files) error
+	resumed    chan struct{} // closed by Resume; nil if the disk is not stalled
 }
 
-func newDisk(seed uint64, stepped func()) *Disk {
-	return &Disk{stepped: stepped, random: rand.New(rand.NewPCG(seed, 2)), files: sim.NewFiles(sim.New(seed))}
+func newDisk(seed uint64, onChange func()) *Disk {
+	return &Disk{onChange: onChange, random: rand.New(rand.NewPCG(seed, 2)), files: sim.NewFiles(sim.New(seed))}
 }
 
-// SetFull makes each write fail for want of room, until it is called with false.
+// SetFull makes each write fail with ENOSPC until SetFull(false) is called.
 func (d *Disk) SetFull(full bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.files.Full = full
 }
 
-// SetFailSyncs makes each sync fail, until it is called with false.
-func (d *Disk) SetFailSyncs(failing bool) {
+// SetFailSyncs makes each sync of the directory fail with EIO until SetFailSyncs(false) is called.
+func (d *Disk) SetFailSyncs(fail bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.files.FailSyncs = failing
+	d.files.FailSyncs = fail
 }
 
-// SetExtraLatency adds a time to each step; 0 ends it.
+// SetExtraLatency sets an additional latency of each step. 0 removes it.
 func (d *Disk) SetExtraLatency(by time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.slow = by
+	d.extraLatency = by
 }
 
-// Stall makes each step wait until Resume.
+// Stall blocks all steps until Resume.
 func (d *Disk) Stall() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -78,48 +78,51 @@
 	}
 }
 
-// Size returns the bytes of all files.
+// Size returns the total size of all files in bytes.
 func (d *Disk) Size() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.files.Size()
 }
 
-// Snapshot returns a copy of the files as a program that starts now would find them.
+// Snapshot returns a copy of the files as a program that starts now would see them.
 func (d *Disk) Snapshot() *sim.Files {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.files.Clone()
 }
 
-func (d *Disk) begin() *Files {
+// attach returns the files for a new process.
+func (d *Disk) attach() *Files {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.current = &Files{disk: d, ended: make(chan struct{})}
 	return d.current
 }
 
-// end lets no more step of the present process be done.
-func (d *Disk) end() {
+// detach ends the access of the running process. The step in progress may be partly done; no further step is.
+func (d *Disk) detach() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.current == nil {
 		return
 	}
-	if d.underWay != nil && d.random.IntN(2) == 0 {
-		_ = d.files.ApplyPartially(d.random.IntN(mostParts), d.underWay)
+	if d.inProgress != nil && d.random.IntN(2) == 0 {
+		_ = d.files.ApplyPartially(d.random.IntN(maxPartialSteps), d.inProgress)
 	}
-	d.underWay = nil
+	d.inProgress = nil
 	close(d.current.ended)
 	d.current = nil
 }
 
+// losePower lets unsynced data be lost or torn.
 func (d *Disk) losePower() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.files.LosePower()
 }
 
+// wipe replaces the files by an empty directory. The faults SetFull and SetFailSyncs stay in effect.
 func (d *Disk) wipe() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -128,51 +131,53 @@
 	d.files.Full, d.files.FailSyncs = full, failing
 }
 
-func (d *Disk) intend(process *Files, work func(files *sim.Files) error) {
+// setInProgress records the step that a process waits for, unless the process has ended.
+func (d *Disk) setInProgress(process *Files, work func(files *sim.Files) error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.current == process {
-		d.underWay = work
+		d.inProgress = work
 	}
 }
 
-func (d *Disk) span() (time.Duration, <-chan struct{}) {
+// latency returns the random latency of a step, and the channel that Resume closes, which is nil if the disk is not stalled.
+func (d *Disk) latency() (time.Duration, <-chan struct{}) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.slow + shortestStep + time.Duration(d.random.Int64N(int64(longestStep-shortestStep))), d.resumed
+	return d.extraLatency + minLatency + time.Duration(d.random.Int64N(int64(maxLatency-minLatency))), d.resumed
 }
 
-// Files are the files of a disk as one process sees them. It implements store.Files.
+// Files gives one process access to the files of a disk. It implements store.Files.
 type Files struct {
 	disk  *Disk
 	ended chan struct{}
 }
 
-// step does one step after its time, unless the process has ended.
+// step does one disk access after its latency, unless the process has ended by then.
 func (f *Files) step(work func(files *sim.Files) error) error {
-	span, stalled := f.disk.span()
-	f.disk.intend(f, work)
-	time.Sleep(span)
-	for stalled != nil {
+	latency, resumed := f.disk.latency()
+	f.disk.setInProgress(f, work)
+	time.Sleep(latency)
+	for resumed != nil {
 		select {
-		case <-stalled:
+		case <-resumed:
 		case <-f.ended:
 			return errEnded
 		}
-		_, stalled = f.disk.span()
+		_, resumed = f.disk.latency()
 	}
 	f.disk.mutex.Lock()
 	defer f.disk.mutex.Unlock()
 	if f.disk.current != f {
 		return errEnded
 	}
-	f.disk.underWay = nil
+	f.disk.inProgress = nil
 	return work(f.disk.files)
 }
 
-// change is a step that changes the disk.
+// change does a write access and counts it for Network.AfterSteps.
 func (f *Files) change(work func(files *sim.Files) error) error {
-	defer f.disk.stepped()
+	defer f.disk.onChange()
 	return f.step(work)
 }
 
--- a/coordination/sim/live/live_test.go
+++ b/coordination/sim/live/live_test.go
@@ -20,7 +20,7 @@
 	serverPort = serverIP + ":80"
 )
 
-// pair is a machine that serves and one that calls.
+// pair is a network of a server and a client.
 type pair struct {
 	network        *Network
 	server, client *Machine
@@ -31,7 +31,7 @@
 	return &pair{network: network, server: network.AddMachine(serverIP), client: network.AddMachine(clientIP)}
 }
 
-// serve starts a process that answers each request with its body.
+// serve starts a process on the server that answers each request with the request's body.
 func (p *pair) serve(t *testing.T) {
 	listener, err := p.server.Start().Listen(serverPort)
 	require.NoError(t, err)
@@ -41,13 +41,14 @@
 	go func() { _ = server.Serve(listener) }()
 }
 
-// end ends both machines, and with them all connections, and waits in virtual time for what net/http does after that.
-func (p *pair) end() {
+// stop ends both processes and their connections, and waits in virtual time until the goroutines of net/http have returned.
+func (p *pair) stop() {
 	p.server.Kill()
 	p.client.Kill()
 	time.Sleep(time.Minute)
 }
 
+// call sends a request to the server and returns the body of the answer.
 func call(ctx context.Context, transport http.RoundTripper, body []byte) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+serverPort+"/", bytes.NewReader(body))
 	if err != nil {
@@ -61,10 +62,10 @@
 	return io.ReadAll(response.Body)
 }
 
-func TestHTTPPassesWhole(t *testing.T) {
+func TestHTTPBodiesArriveComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair()
-		defer p.end()
+		defer p.stop()
 		p.serve(t)
 		transport := &http.Transport{DialContext: p.client.Start().Dial}
 		defer transport.CloseIdleConnections()
@@ -77,32 +78,32 @@
 	})
 }
 
-func TestACutHoldsBytesUpUntilItHeals(t *testing.T) {
-	for _, way := range []direction{{clientIP, serverIP}, {serverIP, clientIP}} {
+func TestCutDelaysBytesUntilHealed(t *testing.T) {
+	for _, path := range []direction{{clientIP, serverIP}, {serverIP, clientIP}} {
 		synctest.Test(t, func(t *testing.T) {
 			p := newPair()
-			defer p.end()
+			defer p.stop()
 			p.serve(t)
 			transport := &http.Transport{DialContext: p.client.Start().Dial}
 			defer transport.CloseIdleConnections()
 			_, err := call(t.Context(), transport, []byte("first"))
 			require.NoError(t, err)
-			const cutFor = 20 * time.Second
-			p.network.Cut(way.from, way.to)
-			time.AfterFunc(cutFor, func() { p.network.Heal(way.from, way.to) })
-			begun := time.Now()
+			const cutDuration = 20 * time.Second
+			p.network.Cut(path.from, path.to)
+			time.AfterFunc(cutDuration, func() { p.network.Heal(path.from, path.to) })
+			start := time.Now()
 			answer, err := call(t.Context(), transport, []byte("second"))
 			require.NoError(t, err)
 			require.Equal(t, "second", string(answer))
-			require.GreaterOrEqual(t, time.Since(begun), cutFor)
+			require.GreaterOrEqual(t, time.Since(start), cutDuration)
 		})
 	}
 }
 
-func TestAKilledProcessResetsAndADarkMachineIsSilent(t *testing.T) {
+func TestKillResetsConnectionsAndPowerLossIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair()
-		defer p.end()
+		defer p.stop()
 		p.serve(t)
 		client := p.client.Start()
 		conn, err := client.Dial(t.Context(), "tcp", serverPort)
@@ -121,20 +122,20 @@
 		_, err = conn.Read(make([]byte, 1))
 		var timeout net.Error
 		require.ErrorAs(t, err, &timeout)
-		require.True(t, timeout.Timeout(), "nothing was said")
-		short, cancel := context.WithTimeout(t.Context(), time.Second)
+		require.True(t, timeout.Timeout(), "no reset was received")
+		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		_, err = client.Dial(short, "tcp", serverPort)
+		_, err = client.Dial(ctx, "tcp", serverPort)
 		require.ErrorIs(t, err, context.DeadlineExceeded)
 
 		p.serve(t)
 		require.NoError(t, conn.SetReadDeadline(time.Time{}))
 		_, err = conn.Read(make([]byte, 1))
-		require.ErrorIs(t, err, syscall.ECONNRESET, "the machine is back and knows nothing of it")
+		require.ErrorIs(t, err, syscall.ECONNRESET, "the restarted machine does not know the connection")
 	})
 }
 
-func TestADiskBelongsToOneProcess(t *testing.T) {
+func TestDiskServesOnlyTheRunningProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		machine := NewNetwork(1).AddMachine(serverIP)
 		first := machine.Start().Files()
@@ -149,7 +150,7 @@
 		machine.Disk().Resume()
 
 		second := machine.Start().Files()
-		require.Error(t, first.Sync(), "its process has ended")
+		require.Error(t, first.Sync(), "the process of these files has ended")
 		machine.Disk().SetFull(true)
 		require.ErrorIs(t, second.Write("b", []byte("long")), syscall.ENOSPC)
 		machine.Disk().SetFull(false)
--- a/coordination/sim/live/network.go
+++ b/coordination/sim/live/network.go
@@ -10,130 +10,134 @@
 	"time"
 )
 
-// Spans of the network.
+// Network delays and intervals.
 const (
-	shortestDelay = 200 * time.Microsecond
-	longestDelay  = 2 * time.Millisecond
-	// openingRetry separates the tries to open a connection to a machine that says nothing.
-	openingRetry = time.Second
+	minDelay = 200 * time.Microsecond
+	maxDelay = 2 * time.Millisecond
+	// connectRetryInterval is the time between attempts to connect to a machine that does not respond.
+	connectRetryInterval = time.Second
 )
 
-// direction is one way of the path between two machines.
+// direction identifies the path from one machine to another.
 type direction struct{ from, to string }
 
-// Network joins machines, which are named by their IP addresses.
+// Network connects machines, which are identified by their IP addresses.
 type Network struct {
-	mutex    sync.Mutex
-	random   *rand.Rand
-	machines map[string]*Machine
-	cuts     map[direction]int // how many cuts hold at present
-	slowness map[direction]time.Duration
-	healed   chan struct{} // closed when a cut ends
-	halves   map[*half]struct{}
-	stepsTo  int    // steps until awaited is called; 0: nothing is
-	awaited  func() // what happens then
-}
-
-// NewNetwork returns a network without machines.
+	mutex        sync.Mutex
+	random       *rand.Rand
+	machines     map[string]*Machine
+	cuts         map[direction]int // calls of Cut without a matching Heal
+	extraDelays  map[direction]time.Duration
+	healed       chan struct{} // closed and replaced when a cut ends
+	streams      map[*stream]struct{}
+	stepsLeft    int // steps until stepCallback is called; 0 if none is pending
+	stepCallback func()
+}
+
+// NewNetwork returns a network without machines. The seed determines its delays and the faults of its disks.
 func NewNetwork(seed uint64) *Network {
 	return &Network{
-		random:   rand.New(rand.NewPCG(seed, 1)),
-		machines: map[string]*Machine{},
-		cuts:     map[direction]int{},
-		slowness: map[direction]time.Duration{},
-		healed:   make(chan struct{}),
-		halves:   map[*half]struct{}{},
+		random:      rand.New(rand.NewPCG(seed, 1)),
+		machines:    map[string]*Machine{},
+		cuts:        map[direction]int{},
+		extraDelays: map[direction]time.Duration{},
+		healed:      make(chan struct{}),
+		streams:     map[*stream]struct{}{},
 	}
 }
 
-// Cut holds up all that goes from one machine to another, until Heal was called as often.
+// Cut delays all traffic from one machine to another until Heal was called as often as Cut.
 func (n *Network) Cut(from, to string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.cuts[direction{from, to}]++
 }
 
-// Heal ends a Cut. What was held up arrives a moment later.
+// Heal ends one Cut. When the last one ends, the delayed bytes arrive after the usual network delay.
 func (n *Network) Heal(from, to string) {
-	for _, waiting := range n.uncut(direction{from, to}) {
-		waiting.resume()
+	for _, waiting := range n.removeCut(direction{from, to}) {
+		waiting.startDelivery()
 	}
 }
 
-// uncut ends one cut and returns the connections that wait for it, if it was the last one.
-func (n *Network) uncut(way direction) []*half {
+// removeCut ends one cut. If it was the last one of the path, it returns the streams of the path.
+func (n *Network) removeCut(path direction) []*stream {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if n.cuts[way]--; n.cuts[way] > 0 {
+	if n.cuts[path]--; n.cuts[path] > 0 {
 		return nil
 	}
-	delete(n.cuts, way)
+	delete(n.cuts, path)
 	close(n.healed)
 	n.healed = make(chan struct{})
-	var waiting []*half
-	for one := range n.halves {
-		if one.way == way {
-			waiting = append(waiting, one)
+	var waiting []*stream
+	for candidate := range n.streams {
+		if candidate.path == path {
+			waiting = append(waiting, candidate)
 		}
 	}
 	return waiting
 }
 
-// SetExtraDelay adds a delay to what goes from one machine to another; 0 ends it.
+// SetExtraDelay sets an additional delay for all traffic from one machine to another. 0 removes it.
 func (n *Network) SetExtraDelay(from, to string, by time.Duration) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.slowness[direction{from, to}] = by
+	n.extraDelays[direction{from, to}] = by
 }
 
-// AfterSteps has an act done after so many more steps of the machines, in a goroutine of its own. A step is an arrival of bytes at
-// another machine or a change of a disk.
-func (n *Network) AfterSteps(count int, act func()) {
+// AfterSteps calls callback in a new goroutine after count more steps of the machines. A step is a delivery of bytes to a
+// machine or a write access to a disk. A later call of AfterSteps replaces a pending one.
+func (n *Network) AfterSteps(count int, callback func()) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.stepsTo, n.awaited = count, act
+	n.stepsLeft, n.stepCallback = count, callback
 }
 
-// stepped counts a step.
-func (n *Network) stepped() {
+// countStep counts one step for AfterSteps.
+func (n *Network) countStep() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if n.stepsTo == 0 {
+	if n.stepsLeft == 0 {
 		return
 	}
-	if n.stepsTo--; n.stepsTo == 0 {
-		go n.awaited()
+	if n.stepsLeft--; n.stepsLeft == 0 {
+		go n.stepCallback()
 	}
 }
 
-// open reports whether anything gets through, and else a channel that is closed when a cut ends.
-func (n *Network) open(way direction) (bool, <-chan struct{}) {
+// isOpen reports whether a path is not cut. The channel is closed when the next cut ends.
+func (n *Network) isOpen(path direction) (bool, <-chan struct{}) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.cuts[way] == 0, n.healed
+	return n.cuts[path] == 0, n.healed
 }
 
-func (n *Network) delay(way direction) time.Duration {
+// delay returns a random delay for a transmission on a path.
+func (n *Network) delay(path direction) time.Duration {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if way.from == way.to {
-		return shortestDelay
+	if path.from == path.to {
+		return minDelay
 	}
-	return n.slowness[way] + shortestDelay + time.Duration(n.random.Int64N(int64(longestDelay-shortestDelay)))
+	return n.extraDelays[path] + minDelay + time.Duration(n.random.Int64N(int64(maxDelay-minDelay)))
 }
 
-func (n *Network) register(one *half) {
+// register adds a stream whose delivery Heal resumes.
+func (n *Network) register(added *stream) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.halves[one] = struct{}{}
+	n.streams[added] = struct{}{}
 }
 
-func (n *Network) forget(one *half) {
+// unregister removes a stream that has ended.
+func (n *Network) unregister(ended *stream) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	delete(n.halves, one)
+	delete(n.streams, ended)
 }
 
+// machine returns the machine with the IP address of address, or nil.
 func (n *Network) machine(address string) *Machine {
 	ip, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -144,24 +148,25 @@
 	return n.machines[ip]
 }
 
-// dial opens a connection from a process to an address.
+// dial opens a connection from a process to an address. It retries until ctx is done while the target has no power or a path
+// is cut.
 func (n *Network) dial(ctx context.Context, from *Process, address string) (net.Conn, error) {
 	target := n.machine(address)
-	there := direction{from.machine.ip, hostOf(address)}
-	back := direction{there.to, there.from}
+	forward := direction{from.machine.ip, hostOf(address)}
+	backward := direction{forward.to, forward.from}
 	for {
-		if err := pause(ctx, n.delay(there)); err != nil {
+		if err := sleep(ctx, n.delay(forward)); err != nil {
 			return nil, err
 		}
-		forth, healed := n.open(there)
-		home, _ := n.open(back)
-		if !forth || !home || target == nil || !target.powered() {
-			if err := waitFor(ctx, healed, openingRetry); err != nil {
+		forwardOpen, healed := n.isOpen(forward)
+		backwardOpen, _ := n.isOpen(backward)
+		if !forwardOpen || !backwardOpen || target == nil || !target.powered() {
+			if err := waitFor(ctx, healed, connectRetryInterval); err != nil {
 				return nil, err
 			}
 			continue
 		}
-		if err := pause(ctx, n.delay(back)); err != nil {
+		if err := sleep(ctx, n.delay(backward)); err != nil {
 			return nil, err
 		}
 		conn, err := target.accept(from, address)
@@ -172,17 +177,18 @@
 	}
 }
 
+// hostOf returns the host part of an address.
 func hostOf(address string) string {
 	host, _, _ := net.SplitHostPort(address)
 	return host
 }
 
-// pause waits, and returns the error of the context if it ends before.
-func pause(ctx context.Context, span time.Duration) error { return waitFor(ctx, nil, span) }
+// sleep waits for a duration. It returns the error of ctx if that is done earlier.
+func sleep(ctx context.Context, duration time.Duration) error { return waitFor(ctx, nil, duration) }
 
-// waitFor waits for an event, for a time at most.
-func waitFor(ctx context.Context, event <-chan struct{}, span time.Duration) error {
-	timer := time.NewTimer(span)
+// waitFor waits until event is closed or timeout has passed. It returns the error of ctx if that is done earlier.
+func waitFor(ctx context.Context, event <-chan struct{}, timeout time.Duration) error {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -193,14 +199,17 @@
 	return nil
 }
 
+// errNoPower means that the machine has no power, so that it does not respond.
 var errNoPower = errors.New("the machine has no power")
 
-func refused(address string) error {
+// refusedError returns the error of a dial to an address without a listener.
+func refusedError(address string) error {
 	return &net.OpError{Op: "dial", Net: "tcp", Addr: tcpAddress(address), Err: syscall.ECONNREFUSED}
 }
 
+// tcpAddress parses an address that consists of an IP address and a port.
 func tcpAddress(address string) net.Addr {
-	parsed, err := net.ResolveTCPAddr("tcp", address) // IP addresses only, so that nothing is looked up
+	parsed, err := net.ResolveTCPAddr("tcp", address) // no DNS lookup, since addresses contain IP addresses only
 	if err != nil {
 		return &net.TCPAddr{}
 	}
--- a/coordination/sim/network.go
+++ b/coordination/sim/network.go
@@ -2,44 +2,45 @@
 
 import "time"
 
-// Link tells what happens to the messages from one machine to another.
+// Link holds the delays and fault probabilities of the messages from one machine to another.
 type Link struct {
-	MinDelay, MaxDelay time.Duration // of the delay
+	MinDelay, MaxDelay time.Duration // bounds of the delay
 	Loss               float64       // probability that a message is lost
-	Duplicate          float64       // probability that it comes twice
-	DelaySpike         float64       // probability that it is late
-	MaxDelaySpike      time.Duration // the most that it is late by
+	Duplicate          float64       // probability that a message is delivered twice
+	DelaySpike         float64       // probability of an additional delay
+	MaxDelaySpike      time.Duration // upper bound of the additional delay
 }
 
-// DefaultLink is a good link, on which messages overtake each other a little.
+// DefaultLink returns a link without loss or duplication. Its delay varies, so messages can still be reordered.
 func DefaultLink() Link {
 	return Link{MinDelay: 200 * time.Microsecond, MaxDelay: 2 * time.Millisecond}
 }
 
-// Network carries messages between machines.
+// Network transmits messages between machines.
 type Network struct {
-	world *World
-	usual Link
-	links map[direction]Link
-	cuts  map[direction]bool
+	world       *World
+	defaultLink Link
+	links       map[direction]Link
+	cuts        map[direction]bool
 }
 
+// direction identifies the path from one machine to another.
 type direction struct{ from, to string }
 
 func newNetwork(world *World) *Network {
-	return &Network{world: world, usual: DefaultLink(), links: map[direction]Link{}, cuts: map[direction]bool{}}
+	return &Network{world: world, defaultLink: DefaultLink(), links: map[direction]Link{}, cuts: map[direction]bool{}}
 }
 
-// SetDefaultLink sets the link of all pairs that have none of their own.
-func (n *Network) SetDefaultLink(link Link) { n.usual = link }
+// SetDefaultLink sets the link of all machine pairs for which SetLink was not called.
+func (n *Network) SetDefaultLink(link Link) { n.defaultLink = link }
 
-// SetLink sets the link in one direction.
+// SetLink sets the link from one machine to another. The opposite direction is not affected.
 func (n *Network) SetLink(from, to string, link Link) { n.links[direction{from, to}] = link }
 
-// Cut lets nothing more through in one direction. What is on its way is lost, too.
+// Cut drops all messages from one machine to another, including those in transit that would arrive before Heal.
 func (n *Network) Cut(from, to string) { n.cuts[direction{from, to}] = true }
 
-// Heal ends a Cut.
+// Heal ends the cut from one machine to another.
 func (n *Network) Heal(from, to string) { delete(n.cuts, direction{from, to}) }
 
 // Isolate cuts all links of a machine in both directions.
@@ -55,21 +56,22 @@
 // HealAll ends all cuts.
 func (n *Network) HealAll() { clear(n.cuts) }
 
-// IsCut reports whether nothing gets through in a direction.
+// IsCut reports whether the path from one machine to another is cut.
 func (n *Network) IsCut(from, to string) bool { return n.cuts[direction{from, to}] }
 
-// carry brings something to another machine, or doesn't. A machine reaches itself at once.
-func (n *Network) carry(from, to string, arrive func()) {
+// transmit calls deliver when a message arrives. A message may be lost or arrive twice, unless a machine sends it to itself:
+// then it arrives without delay.
+func (n *Network) transmit(from, to string, deliver func()) {
 	if from == to {
-		n.world.After(0, arrive)
+		n.world.After(0, deliver)
 		return
 	}
-	way := direction{from, to}
-	link, own := n.links[way]
-	if !own {
-		link = n.usual
+	path := direction{from, to}
+	link, configured := n.links[path]
+	if !configured {
+		link = n.defaultLink
 	}
-	if n.cuts[way] || n.world.Chance(link.Loss) {
+	if n.cuts[path] || n.world.Chance(link.Loss) {
 		return
 	}
 	copies := 1
@@ -82,8 +84,8 @@
 			delay += n.world.Between(0, link.MaxDelaySpike)
 		}
 		n.world.After(delay, func() {
-			if !n.cuts[way] {
-				arrive()
+			if !n.cuts[path] {
+				deliver()
 			}
 		})
 	}
--- a/coordination/sim/process.go
+++ b/coordination/sim/process.go
@@ -4,12 +4,12 @@
 	"time"
 )
 
-// Process is one life of a program on a machine. Nothing that it has set going happens to it after its end.
+// Process is one run of a program on a machine. None of its callbacks runs after it has ended.
 type Process struct {
-	machine *Machine
-	world   *World
-	life    int
-	ended   bool
+	machine     *Machine
+	world       *World
+	incarnation int
+	ended       bool
 
 	onMessage func(from string, message any)
 	onCall    func(from string, request any, answer func(reply any))
@@ -17,77 +17,80 @@
 	callID    uint64
 }
 
-// Name returns the name of the machine.
+// Name returns the name of the process's machine.
 func (p *Process) Name() string { return p.machine.name }
 
-// Incarnation returns the number of this life on its machine, from 1.
-func (p *Process) Incarnation() int { return p.life }
+// Incarnation returns how many programs were started on the machine so far, this one included. The first is 1.
+func (p *Process) Incarnation() int { return p.incarnation }
 
-// Monotonic returns the reading of the steady clock. Readings of different machines can't be compared.
-func (p *Process) Monotonic() time.Duration { return p.machine.steady() }
+// Monotonic returns the reading of the monotonic clock. Readings of different machines cannot be compared.
+func (p *Process) Monotonic() time.Duration { return p.machine.monotonic() }
 
-// MonotonicTime returns the reading of the steady clock for programs that keep it as a time. It is not the time of day.
-func (p *Process) MonotonicTime() time.Time { return epoch.Add(p.machine.steady()) }
+// MonotonicTime returns the reading of the monotonic clock as a time.Time, for programs that need this type. It is unrelated to
+// the wall clock.
+func (p *Process) MonotonicTime() time.Time { return epoch.Add(p.machine.monotonic()) }
 
-// WallTime returns the time of day, which may step.
-func (p *Process) WallTime() time.Time { return epoch.Add(p.world.now + p.machine.skew) }
+// WallTime returns the reading of the wall clock, which StepWallClock may move forward or backward.
+func (p *Process) WallTime() time.Time { return epoch.Add(p.world.now + p.machine.wallClockOffset) }
 
-// World returns the world, for what a program draws at random.
+// World returns the world, whose random numbers a program may use.
 func (p *Process) World() *World { return p.world }
 
-// Disk returns the machine's disk.
+// Disk returns the disk of the process's machine.
 func (p *Process) Disk() *Disk { return p.machine.disk }
 
-// Running reports whether the process can act now.
+// Running reports whether the process has not ended and its machine is not frozen.
 func (p *Process) Running() bool { return !p.ended && !p.machine.frozen }
 
-// Timer is something that a program has set for later.
+// Timer is a callback that a program has scheduled.
 type Timer struct{ stopped bool }
 
-// Stop prevents the timer from firing, if it has not.
+// Stop prevents the timer from firing if it has not fired yet. A nil timer is allowed.
 func (t *Timer) Stop() {
 	if t != nil {
 		t.stopped = true
 	}
 }
 
-// After has the program do something after a time on its steady clock.
-func (p *Process) After(delay time.Duration, act func()) *Timer {
+// After schedules callback to run once delay has passed on the monotonic clock. The timer may fire up to World.TimerSlack late.
+func (p *Process) After(delay time.Duration, callback func()) *Timer {
 	timer := &Timer{}
-	p.fireAt(p.Monotonic()+delay, timer, act)
+	p.scheduleTimer(p.Monotonic()+delay, timer, callback)
 	return timer
 }
 
-// Every has the program do something now and then again each time the interval has passed.
-func (p *Process) Every(interval time.Duration, act func()) {
-	act()
-	p.After(interval, func() { p.Every(interval, act) })
+// Every calls callback now, and again each time interval has passed since the last call.
+func (p *Process) Every(interval time.Duration, callback func()) {
+	callback()
+	p.After(interval, func() { p.Every(interval, callback) })
 }
 
-func (p *Process) fireAt(due time.Duration, timer *Timer, act func()) {
+// scheduleTimer schedules an event for the time at which the monotonic clock reaches due, plus the timer slack.
+func (p *Process) scheduleTimer(due time.Duration, timer *Timer, callback func()) {
 	delay := due - p.Monotonic() + p.world.Between(0, p.world.TimerSlack)
-	p.world.After(delay, func() { p.do(func() { p.fire(due, timer, act) }) })
+	p.world.After(delay, func() { p.run(func() { p.fire(due, timer, callback) }) })
 }
 
-// fire puts a timer off if the steady clock was stopped meanwhile.
-func (p *Process) fire(due time.Duration, timer *Timer, act func()) {
+// fire runs the callback of a due timer. It reschedules the timer if the monotonic clock was stopped in the meantime and has
+// not reached due yet.
+func (p *Process) fire(due time.Duration, timer *Timer, callback func()) {
 	switch {
 	case timer.stopped:
 	case p.Monotonic() < due:
-		p.fireAt(due, timer, act)
+		p.scheduleTimer(due, timer, callback)
 	default:
 		timer.stopped = true
-		act()
+		callback()
 	}
 }
 
-// do acts now, at the thaw, or never.
-func (p *Process) do(act func()) {
+// run calls callback now. While the machine is frozen it defers the call until Thaw; after the end of the process it drops it.
+func (p *Process) run(callback func()) {
 	switch {
 	case p.ended:
 	case p.machine.frozen:
-		p.machine.held = append(p.machine.held, func() { p.do(act) })
+		p.machine.deferred = append(p.machine.deferred, func() { p.run(callback) })
 	default:
-		act()
+		callback()
 	}
 }
--- a/coordination/sim/simtest/simtest.go
+++ b/coordination/sim/simtest/simtest.go
@@ -1,4 +1,5 @@
-// Package simtest runs simulations in tests over fixed and fresh seeds. A test that fails tells how to play its seed again:
+// Package simtest runs simulations in tests over fixed and fresh random seeds. A failed test logs the command that runs its seed
+// again:
 //
 //	go test ./path -run TestName -sim.seed 1234
 package simtest
@@ -10,32 +11,32 @@
 )
 
 var (
-	seedFlag  = flag.Uint64("sim.seed", 0, "play only this seed (0: the fixed and the fresh ones)")
-	freshFlag = flag.Int("sim.fresh", -1, "number of fresh seeds (-1: what the test asks for)")
-	fixedFlag = flag.Int("sim.fixed", -1, "number of fixed seeds (-1: what the test asks for)")
+	seedFlag  = flag.Uint64("sim.seed", 0, "run only this seed (0: the fixed and the fresh seeds)")
+	freshFlag = flag.Int("sim.fresh", -1, "number of fresh random seeds (-1: as set by the test)")
+	fixedFlag = flag.Int("sim.fixed", -1, "number of fixed seeds (-1: as set by the test)")
 )
 
-// Seeds tells how many seeds a test plays: the fixed ones are 1 to Fixed, the fresh ones are drawn anew.
+// Seeds holds the numbers of seeds of a test. The fixed seeds are 1 to Fixed; the fresh seeds are random in each run.
 type Seeds struct {
 	Fixed int
 	Fresh int
 }
 
-// Run plays a simulation for each seed, or for the one that the flag -sim.seed names. A failed seed ends the test.
-func Run(t *testing.T, seeds Seeds, play func(t *testing.T, seed uint64)) {
+// Run calls simulate for each seed, or only for the seed of the flag -sim.seed. It ends the test at the first seed that fails.
+func Run(t *testing.T, seeds Seeds, simulate func(t *testing.T, seed uint64)) {
 	t.Helper()
 	if *seedFlag != 0 {
-		play(t, *seedFlag)
+		simulate(t, *seedFlag)
 		return
 	}
 	for _, seed := range seeds.list() {
-		if !runOne(t, seed, play) {
+		if !runOne(t, seed, simulate) {
 			t.FailNow()
 		}
 	}
 }
 
-// list returns the seeds to be played.
+// list returns the seeds to run. The flags -sim.fixed and -sim.fresh override the numbers of s.
 func (s Seeds) list() []uint64 {
 	if *fixedFlag >= 0 {
 		s.Fixed = *fixedFlag
@@ -48,19 +49,19 @@
 		list = append(list, uint64(seed)+1)
 	}
 	for range s.Fresh {
-		list = append(list, rand.Uint64()|1) // never 0
+		list = append(list, rand.Uint64()|1) // never 0, which means no seed in -sim.seed
 	}
 	return list
 }
 
-// runOne plays one seed and prints it if the play fails.
-func runOne(t *testing.T, seed uint64, play func(t *testing.T, seed uint64)) bool {
+// runOne runs one seed, logs it if it fails, and reports whether it passed.
+func runOne(t *testing.T, seed uint64, simulate func(t *testing.T, seed uint64)) bool {
 	t.Helper()
 	defer func() {
 		if t.Failed() {
-			t.Logf("seed %d failed; play it again: go test -run '^%s$' -sim.seed %d", seed, t.Name(), seed)
+			t.Logf("seed %d failed; run it again: go test -run '^%s$' -sim.seed %d", seed, t.Name(), seed)
 		}
 	}()
-	play(t, seed)
+	simulate(t, seed)
 	return !t.Failed()
 }
--- a/coordination/sim/world.go
+++ b/coordination/sim/world.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// World holds the machines and the queue of what happens to them. It is used by one goroutine.
+// World is a simulation: its machines, its network, its virtual clock and its event queue. It must be used by one goroutine
+// only.
 type World struct {
 	random   *rand.Rand
 	now      time.Duration
@@ -14,39 +15,39 @@
 	sequence uint64
 	machines []*Machine
 	network  *Network
-	// TimerSlack is the most by which timers of programs fire late.
+	// TimerSlack is the maximum delay with which timers of programs fire.
 	TimerSlack time.Duration
 }
 
-// DefaultTimerSlack is what timers of a busy machine are late by.
+// DefaultTimerSlack is the maximum timer delay of a busy machine.
 const DefaultTimerSlack = 2 * time.Millisecond
 
-// New returns an empty world.
+// New returns a world without machines, whose random decisions all derive from seed.
 func New(seed uint64) *World {
 	w := &World{random: rand.New(rand.NewPCG(seed, 0)), TimerSlack: DefaultTimerSlack}
 	w.network = newNetwork(w)
 	return w
 }
 
-// Now returns the true time since the world began, which no program can read.
+// Now returns the virtual time since the start of the simulation. Programs read the clocks of their Process instead.
 func (w *World) Now() time.Duration { return w.now }
 
-// Network returns the network between all machines.
+// Network returns the network that connects all machines.
 func (w *World) Network() *Network { return w.network }
 
-// Machines returns all machines in the order in which they were added.
+// Machines returns all machines in the order of their addition.
 func (w *World) Machines() []*Machine { return w.machines }
 
-// AddMachine adds a machine with an empty disk, which is off.
+// AddMachine adds a machine with an empty disk, on which no program runs.
 func (w *World) AddMachine(name string) *Machine {
 	m := &Machine{world: w, name: name}
 	m.disk = newDisk(w)
-	m.steadyOffset = w.Between(0, maxSteadyOffset)
+	m.monotonicOffset = w.Between(0, maxMonotonicOffset)
 	w.machines = append(w.machines, m)
 	return m
 }
 
-// Machine returns the machine of a name, or nil.
+// Machine returns the machine with the given name, or nil if there is none.
 func (w *World) Machine(name string) *Machine {
 	for _, m := range w.machines {
 		if m.name == name {
@@ -56,21 +57,21 @@
 	return nil
 }
 
-// IntN draws a number in [0, n).
+// IntN returns a random number in [0, n).
 func (w *World) IntN(n int) int { return w.random.IntN(n) }
 
-// Float64 draws a number in [0, 1).
+// Float64 returns a random number in [0, 1).
 func (w *World) Float64() float64 { return w.random.Float64() }
 
-// Uint64 draws a number.
+// Uint64 returns a random number.
 func (w *World) Uint64() uint64 { return w.random.Uint64() }
 
-// Chance reports true with a probability.
+// Chance returns true with the given probability.
 func (w *World) Chance(probability float64) bool {
 	return probability > 0 && w.random.Float64() < probability
 }
 
-// Between draws a duration from shortest to longest, both included.
+// Between returns a random duration in [shortest, longest], or shortest if the interval is empty.
 func (w *World) Between(shortest, longest time.Duration) time.Duration {
 	if longest <= shortest {
 		return shortest
@@ -78,23 +79,23 @@
 	return shortest + time.Duration(w.random.Int64N(int64(longest-shortest)+1))
 }
 
-// After has something happen to the world after a time.
-func (w *World) After(delay time.Duration, act func()) {
+// After schedules callback to run after delay. A negative delay counts as 0.
+func (w *World) After(delay time.Duration, callback func()) {
 	w.sequence++
-	heap.Push(&w.queue, event{at: w.now + max(delay, 0), sequence: w.sequence, act: act})
+	heap.Push(&w.queue, event{at: w.now + max(delay, 0), sequence: w.sequence, callback: callback})
 }
 
-// Run lets a time pass.
+// Run processes the events of the next duration and advances the virtual clock by it.
 func (w *World) Run(duration time.Duration) { w.RunUntil(duration, nil) }
 
-// RunUntil lets a time pass, but no longer than until done holds, which is asked after each event. It reports whether done
-// held.
+// RunUntil is like Run, but stops early as soon as done returns true. It calls done after each event and at the end, and
+// reports whether done returned true. done may be nil.
 func (w *World) RunUntil(duration time.Duration, done func() bool) bool {
 	end := w.now + duration
 	for len(w.queue) > 0 && w.queue[0].at <= end {
 		next := heap.Pop(&w.queue).(event)
 		w.now = next.at
-		next.act()
+		next.callback()
 		if done != nil && done() {
 			return true
 		}
@@ -103,13 +104,14 @@
 	return done != nil && done()
 }
 
-// event is something that happens at a time. Events of one time happen in the order in which they were set.
+// event is a callback that is due at a virtual time. Events with equal times run in the order in which they were scheduled.
 type event struct {
 	at       time.Duration
 	sequence uint64
-	act      func()
+	callback func()
 }
 
+// eventQueue is a heap of events, ordered by time and then by sequence number.
 type eventQueue []event
 
 func (q eventQueue) Len() int      { return len(q) }
