--- a/coordination/store/contract_test.go
+++ b/coordination/store/contract_test.go
@@ -13,21 +13,22 @@
 	"weldscale/coordination/sim"
 )
 
-// reopenable makes a store anew on the same files, as after a restart.
+// reopenable is a store and a function that opens it again on the same files, as after a restart.
 type reopenable struct {
 	store  Store
 	reopen func() Store
 }
 
+// stores returns a constructor of each kind of store by name.
 func stores(t *testing.T) map[string]func() reopenable {
 	t.Helper()
 	return map[string]func() reopenable{
 		"disk": func() reopenable {
-			folder := filepath.Join(t.TempDir(), "data")
+			directory := filepath.Join(t.TempDir(), "data")
 			reopen := func() Store {
-				disk, err := OpenPath(folder, "record")
+				store, err := OpenPath(directory, "record")
 				require.NoError(t, err)
-				return disk
+				return store
 			}
 			return reopenable{store: reopen(), reopen: reopen}
 		},
@@ -42,19 +43,20 @@
 	}
 }
 
-// Each store passes the same contract.
+// Each store must satisfy the same contract.
 func TestContract(t *testing.T) {
-	for name, make := range stores(t) {
+	for name, create := range stores(t) {
 		t.Run(name+"/empty", func(t *testing.T) {
-			_, err := make().store.Load()
+			_, err := create().store.Load()
 			require.ErrorIs(t, err, ErrNotFound)
 		})
 		t.Run(name+"/newest", func(t *testing.T) {
-			rapid.Check(t, func(t *rapid.T) { checkNewest(t, make()) })
+			rapid.Check(t, func(t *rapid.T) { checkNewest(t, create()) })
 		})
 	}
 }
 
+// checkNewest saves random records and restarts the store, and checks after each step that Load returns the last saved one.
 func checkNewest(t *rapid.T, r reopenable) {
 	var last []byte
 	saved := false
@@ -76,84 +78,84 @@
 	}
 }
 
-func TestDiskCountsTheNewestWholeVersion(t *testing.T) {
-	folder := t.TempDir()
-	disk, err := OpenPath(folder, "record")
+func TestFileStoreLoadsNewestValidVersion(t *testing.T) {
+	directory := t.TempDir()
+	store, err := OpenPath(directory, "record")
 	require.NoError(t, err)
-	require.NoError(t, disk.Save([]byte("whole")))
-	whole := append(encodeHeader(2, []byte("torn")), "torn"...)
-	for length := range len(whole) {
-		require.NoError(t, os.WriteFile(filepath.Join(folder, disk.file(2)), whole[:length], 0o600))
-		again, err := OpenPath(folder, "record")
+	require.NoError(t, store.Save([]byte("whole")))
+	record := append(encodeHeader(2, []byte("torn")), "torn"...)
+	for length := range len(record) {
+		require.NoError(t, os.WriteFile(filepath.Join(directory, store.fileName(2)), record[:length], 0o600))
+		reopened, err := OpenPath(directory, "record")
 		require.NoError(t, err)
-		data, err := again.Load()
+		data, err := reopened.Load()
 		require.NoError(t, err)
 		require.Equal(t, "whole", string(data))
 	}
-	again, err := OpenPath(folder, "record")
+	reopened, err := OpenPath(directory, "record")
 	require.NoError(t, err)
-	require.NoError(t, again.Save([]byte("newer")))
-	entries, err := os.ReadDir(folder)
+	require.NoError(t, reopened.Save([]byte("newer")))
+	entries, err := os.ReadDir(directory)
 	require.NoError(t, err)
-	require.Len(t, entries, 1, "older and torn versions are gone")
-	require.Equal(t, again.file(3), entries[0].Name())
+	require.Len(t, entries, 1, "older and torn versions must be removed")
+	require.Equal(t, reopened.fileName(3), entries[0].Name())
 }
 
-func TestDiskFindsEachFlippedBit(t *testing.T) {
+func TestChecksumDetectsEveryFlippedBit(t *testing.T) {
 	record := append(encodeHeader(7, []byte("data")), "data"...)
-	_, whole := decodeRecord(7, record)
-	require.True(t, whole)
+	_, valid := decodeRecord(7, record)
+	require.True(t, valid)
 	for bit := range 8 * len(record) {
 		flipped := bytes.Clone(record)
 		flipped[bit/8] ^= 1 << (bit % 8)
-		_, whole := decodeRecord(7, flipped)
-		require.False(t, whole, "bit %d", bit)
+		_, valid := decodeRecord(7, flipped)
+		require.False(t, valid, "bit %d", bit)
 	}
-	_, whole = decodeRecord(8, record)
-	require.False(t, whole, "another version's record")
+	_, valid = decodeRecord(8, record)
+	require.False(t, valid, "the record of another version")
 }
 
-func TestDiskForgetsWhatWasLeftAside(t *testing.T) {
-	folder := t.TempDir()
-	disk, err := OpenPath(folder, "record")
+func TestFileStoreRemovesTemporaryFiles(t *testing.T) {
+	directory := t.TempDir()
+	store, err := OpenPath(directory, "record")
 	require.NoError(t, err)
-	require.NoError(t, disk.Save([]byte("one")))
-	aside := filepath.Join(folder, disk.file(9)) + asideSuffix
-	require.NoError(t, os.WriteFile(aside, []byte("half"), 0o600))
-	other := filepath.Join(folder, "another.00000000000000000001")
-	require.NoError(t, os.WriteFile(other, []byte("not ours"), 0o600))
-	again, err := OpenPath(folder, "record")
+	require.NoError(t, store.Save([]byte("one")))
+	temporary := filepath.Join(directory, store.fileName(9)) + temporarySuffix
+	require.NoError(t, os.WriteFile(temporary, []byte("half"), 0o600))
+	other := filepath.Join(directory, "another.00000000000000000001")
+	require.NoError(t, os.WriteFile(other, []byte("another record"), 0o600))
+	reopened, err := OpenPath(directory, "record")
 	require.NoError(t, err)
-	data, err := again.Load()
+	data, err := reopened.Load()
 	require.NoError(t, err)
 	require.Equal(t, "one", string(data))
-	require.NoFileExists(t, aside)
+	require.NoFileExists(t, temporary)
 	require.FileExists(t, other)
 }
 
-func TestDiskErrorsAreTyped(t *testing.T) {
-	folder := t.TempDir()
-	disk, err := OpenPath(folder, "record")
+func TestFileStoreErrorsAreClassified(t *testing.T) {
+	directory := t.TempDir()
+	store, err := OpenPath(directory, "record")
 	require.NoError(t, err)
-	require.NoError(t, disk.Save([]byte("one")))
-	// A folder in the place of the file aside fails every write.
-	require.NoError(t, os.Mkdir(filepath.Join(folder, disk.file(2))+asideSuffix, 0o700))
-	require.NoError(t, os.WriteFile(filepath.Join(filepath.Join(folder, disk.file(2))+asideSuffix, "x"), nil, 0o600))
-	err = disk.Save([]byte("two"))
+	require.NoError(t, store.Save([]byte("one")))
+	// A directory in place of the temporary file makes every write fail.
+	require.NoError(t, os.Mkdir(filepath.Join(directory, store.fileName(2))+temporarySuffix, 0o700))
+	require.NoError(t, os.WriteFile(filepath.Join(filepath.Join(directory, store.fileName(2))+temporarySuffix, "x"), nil, 0o600))
+	err = store.Save([]byte("two"))
 	require.True(t, errors.Is(err, ErrIO))
-	data, err := disk.Load()
+	data, err := store.Load()
 	require.NoError(t, err)
 	require.Equal(t, "one", string(data))
-	require.NoError(t, disk.Save([]byte("three")))
-	_, err = OpenPath(filepath.Join(filepath.Join(folder, disk.file(disk.version)), "below a file"), "record")
+	require.NoError(t, store.Save([]byte("three")))
+	_, err = OpenPath(filepath.Join(filepath.Join(directory, store.fileName(store.version)), "below a file"), "record")
 	require.ErrorIs(t, err, ErrIO)
 }
 
-func TestFullDiskIsToldFromAFailedOne(t *testing.T) {
+func TestFullDiskIsDistinguishedFromOtherErrors(t *testing.T) {
 	full, err := os.OpenFile("/dev/full", os.O_WRONLY, 0)
-	require.NoError(t, err, "Linux has it")
+	require.NoError(t, err, "/dev/full exists on Linux")
 	defer func() { _ = full.Close() }()
 	_, err = full.Write([]byte("x"))
-	require.ErrorIs(t, typed(err, "write"), ErrFull)
-	require.ErrorIs(t, typed(os.ErrPermission, "write"), ErrIO)
+	require.ErrorIs(t, classify(err, "write"), ErrFull)
+	require.ErrorIs(t, classify(os.ErrPermission, "write"), ErrIO)
 }
--- a/coordination/store/disk.go
+++ b/coordination/store/disk.go
@@ -12,124 +12,128 @@
 )
 
 const (
-	asideSuffix   = ".tmp"
-	versionDigits = 20 // all digits of a uint64
+	temporarySuffix = ".tmp"
+	versionDigits   = 20 // enough for every uint64
 )
 
-// FileStore is a Store in files NAME.VERSION of a folder. Several stores with different names may share a folder.
+// FileStore is a Store that keeps its versions in files named NAME.VERSION in a directory. Several stores with different names
+// may share a directory.
 type FileStore struct {
 	files   Files
 	name    string
-	version uint64 // highest version ever used, whole or not
+	version uint64 // highest version used so far, valid or not
 
-	listed bool     // older is complete
-	older  []uint64 // versions on the disk, oldest first
+	listed   bool     // versions lists all versions on the disk
+	versions []uint64 // on the disk, oldest first
 }
 
-// Open opens the record called name in a folder.
+// Open opens the record with the given name in a directory.
 func Open(files Files, name string) *FileStore { return &FileStore{files: files, name: name} }
 
-// OpenPath opens the record called name in a folder of the file system, which is made if it isn't there.
+// OpenPath opens the record with the given name in a directory of the file system. It creates the directory if it does not
+// exist.
 func OpenPath(path, name string) (*FileStore, error) {
-	folder, err := OpenDirectory(path)
+	directory, err := OpenDirectory(path)
 	if err != nil {
 		return nil, err
 	}
-	return Open(folder, name), nil
+	return Open(directory, name), nil
 }
 
-// Load implements Store. A process that was killed may have left a version that was renamed and is not durable yet, so the
-// folder is synced before any is trusted.
-func (d *FileStore) Load() ([]byte, error) {
-	if err := d.files.Sync(); err != nil {
-		return nil, typed(err, "sync folder")
+// Load implements Store. It syncs the directory first, since a killed process may have left a renamed version that is not
+// durable yet.
+func (s *FileStore) Load() ([]byte, error) {
+	if err := s.files.Sync(); err != nil {
+		return nil, classify(err, "sync directory")
 	}
-	if err := d.list(); err != nil {
+	if err := s.list(); err != nil {
 		return nil, err
 	}
-	for _, version := range slices.Backward(d.older) {
-		record, err := d.files.Read(d.file(version))
+	for _, version := range slices.Backward(s.versions) {
+		record, err := s.files.Read(s.fileName(version))
 		if err != nil {
 			return nil, eris.Wrapf(ErrIO, "read: %v", err)
 		}
-		if data, whole := decodeRecord(version, record); whole {
+		if data, valid := decodeRecord(version, record); valid {
 			return data, nil
 		}
 	}
-	return nil, eris.Wrap(ErrNotFound, d.name)
+	return nil, eris.Wrap(ErrNotFound, s.name)
 }
 
 // Save implements Store.
-func (d *FileStore) Save(data []byte) error {
-	if !d.listed {
-		if err := d.list(); err != nil {
+func (s *FileStore) Save(data []byte) error {
+	if !s.listed {
+		if err := s.list(); err != nil {
 			return err
 		}
 	}
-	d.version++
-	d.listed = false // until all has gone well
-	aside := d.file(d.version) + asideSuffix
-	if err := d.files.Write(aside, encodeHeader(d.version, data), data); err != nil {
-		_ = d.files.Remove(aside)
-		return typed(err, "write aside")
+	s.version++
+	s.listed = false // until all steps have succeeded
+	temporary := s.fileName(s.version) + temporarySuffix
+	if err := s.files.Write(temporary, encodeHeader(s.version, data), data); err != nil {
+		_ = s.files.Remove(temporary)
+		return classify(err, "write temporary file")
 	}
-	if err := d.files.Rename(aside, d.file(d.version)); err != nil {
-		_ = d.files.Remove(aside)
-		return typed(err, "rename")
+	if err := s.files.Rename(temporary, s.fileName(s.version)); err != nil {
+		_ = s.files.Remove(temporary)
+		return classify(err, "rename")
 	}
-	if err := d.files.Sync(); err != nil {
-		return typed(err, "sync folder")
+	if err := s.files.Sync(); err != nil {
+		return classify(err, "sync directory")
 	}
-	d.listed = d.removeOlder()
-	d.older = []uint64{d.version}
+	s.listed = s.removeOlder()
+	s.versions = []uint64{s.version}
 	return nil
 }
 
-// removeOlder reports whether all went. What stays is removed by the next Save.
-func (d *FileStore) removeOlder() bool {
-	all := true
-	for _, version := range d.older {
-		if err := d.files.Remove(d.file(version)); err != nil {
-			all = false
+// removeOlder removes the older versions and reports whether all removals succeeded. The next Save removes the remaining ones.
+func (s *FileStore) removeOlder() bool {
+	allRemoved := true
+	for _, version := range s.versions {
+		if err := s.files.Remove(s.fileName(version)); err != nil {
+			allRemoved = false
 		}
 	}
-	return all
+	return allRemoved
 }
 
-// list finds the versions there are, and removes what was left aside.
-func (d *FileStore) list() error {
-	names, err := d.files.List()
+// list finds all versions on the disk and removes temporary files of interrupted saves.
+func (s *FileStore) list() error {
+	names, err := s.files.List()
 	if err != nil {
 		return eris.Wrapf(ErrIO, "list: %v", err)
 	}
-	d.older = nil
+	s.versions = nil
 	for _, name := range names {
-		rest, ours := strings.CutPrefix(name, d.name+".")
-		if !ours {
+		rest, matches := strings.CutPrefix(name, s.name+".")
+		if !matches {
 			continue
 		}
-		digits, aside := strings.CutSuffix(rest, asideSuffix)
+		digits, temporary := strings.CutSuffix(rest, temporarySuffix)
 		version, err := strconv.ParseUint(digits, 10, 64)
 		if err != nil {
 			continue
 		}
-		d.version = max(d.version, version)
-		if aside {
-			_ = d.files.Remove(name)
+		s.version = max(s.version, version)
+		if temporary {
+			_ = s.files.Remove(name)
 			continue
 		}
-		d.older = append(d.older, version)
+		s.versions = append(s.versions, version)
 	}
-	slices.Sort(d.older)
-	d.listed = true
+	slices.Sort(s.versions)
+	s.listed = true
 	return nil
 }
 
-func (d *FileStore) file(version uint64) string {
-	return fmt.Sprintf("%s.%0*d", d.name, versionDigits, version)
+// fileName returns the name of the file of a version.
+func (s *FileStore) fileName(version uint64) string {
+	return fmt.Sprintf("%s.%0*d", s.name, versionDigits, version)
 }
 
-func typed(err error, action string) error {
+// classify returns an error with ErrFull or ErrIO as its root.
+func classify(err error, action string) error {
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) {
 		return eris.Wrapf(ErrFull, "%s: %v", action, err)
 	}
--- a/coordination/store/faults_test.go
+++ b/coordination/store/faults_test.go
@@ -10,12 +10,12 @@
 	"weldscale/coordination/sim/simtest"
 )
 
-// player saves versions on a simulated disk with troubles and ends of its process at any moment.
-type player struct {
+// simulation saves versions on a simulated disk with faults. Its process can end at any moment.
+type simulation struct {
 	world        *sim.World
 	machine      *sim.Machine
-	disk         *FileStore
-	acknowledged int // newest version whose Save has returned nil
+	store        *FileStore
+	acknowledged int // newest version that a Save acknowledged or a Load returned
 	attempted    int
 	full, failed int
 }
@@ -24,103 +24,107 @@
 
 func decodeNumber(data []byte) int { return int(data[0])<<8 | int(data[1]) }
 
-// start reads the disk, and checks that it holds what was acknowledged or something newer.
-func (p *player) start() error {
-	var problem error
-	p.machine.Start(func(process *sim.Process) {
-		p.disk = Open(process.Disk().Files(), "record")
-		data, err := p.disk.Load()
+// start starts a process and checks that its store loads the acknowledged version or a newer one.
+func (s *simulation) start() error {
+	var violation error
+	s.machine.Start(func(process *sim.Process) {
+		s.store = Open(process.Disk().Files(), "record")
+		data, err := s.store.Load()
 		if eris.Is(err, ErrIO) {
-			p.failed++ // nobody may act on what can't be read
+			s.failed++ // a store that cannot be loaded must not be used
 			return
 		}
-		found := 0
+		loaded := 0
 		if err == nil {
-			found = decodeNumber(data)
+			loaded = decodeNumber(data)
 		}
-		if found < p.acknowledged || found > p.attempted {
-			problem = eris.Errorf("found %d (%v), %d was acknowledged, %d attempted", found, err, p.acknowledged, p.attempted)
+		if loaded < s.acknowledged || loaded > s.attempted {
+			violation = eris.Errorf("loaded version %d (%v), acknowledged version %d, attempted version %d", loaded, err, s.acknowledged, s.attempted)
 		}
-		p.acknowledged = found // what was read counts from now on
+		s.acknowledged = loaded // a version that was loaded once must not be lost
 	})
-	return problem
+	return violation
 }
 
-func (p *player) save() {
-	process := p.machine.Process()
-	p.attempted++
-	number, disk := p.attempted, p.disk
-	process.Disk().Submit(process, func(*sim.Files) error { return disk.Save(encodeNumber(number)) }, func(err error) {
+// save submits an operation that saves the next version.
+func (s *simulation) save() {
+	process := s.machine.Process()
+	s.attempted++
+	number, store := s.attempted, s.store
+	process.Disk().Submit(process, func(*sim.Files) error { return store.Save(encodeNumber(number)) }, func(err error) {
 		switch {
 		case err == nil:
-			p.acknowledged = max(p.acknowledged, number)
+			s.acknowledged = max(s.acknowledged, number)
 		case eris.Is(err, ErrFull):
-			p.full++
+			s.full++
 		default:
-			p.failed++
+			s.failed++
 		}
 	})
 }
 
-func (p *player) trouble(lies bool) {
-	files := p.machine.Disk().Files()
-	files.IgnoreSyncs = lies
-	switch p.world.IntN(5) {
+// injectFault injects a random fault or lets time pass. The disk ignores syncs if ignoreSyncs is set.
+func (s *simulation) injectFault(ignoreSyncs bool) {
+	files := s.machine.Disk().Files()
+	files.IgnoreSyncs = ignoreSyncs
+	switch s.world.IntN(5) {
 	case 0:
 		files.Full = !files.Full
 	case 1:
 		files.FailSyncs = !files.FailSyncs
 	case 2:
-		p.machine.Kill()
+		s.machine.Kill()
 	case 3:
-		p.machine.LosePower()
+		s.machine.LosePower()
 	default:
-		p.world.Run(p.world.Between(0, sim.DefaultMaxDiskLatency))
+		s.world.Run(s.world.Between(0, sim.DefaultMaxDiskLatency))
 	}
 }
 
-func (p *player) play(lies bool) error {
+// run saves versions under faults. It returns an error if the store has lost an acknowledged version.
+func (s *simulation) run(ignoreSyncs bool) error {
 	for range 120 {
-		if !p.machine.Up() {
-			if err := p.start(); err != nil {
+		if !s.machine.Up() {
+			if err := s.start(); err != nil {
 				return err
 			}
 		}
-		p.save()
-		p.world.Run(p.world.Between(0, sim.DefaultMaxDiskLatency))
-		p.trouble(lies)
+		s.save()
+		s.world.Run(s.world.Between(0, sim.DefaultMaxDiskLatency))
+		s.injectFault(ignoreSyncs)
 	}
 	return nil
 }
 
-func newPlayer(seed uint64) *player {
+func newSimulation(seed uint64) *simulation {
 	world := sim.New(seed)
-	return &player{world: world, machine: world.AddMachine("a")}
+	return &simulation{world: world, machine: world.AddMachine("a")}
 }
 
-func TestWhatWasSavedOutlivesAllThatADiskDoes(t *testing.T) {
+func TestSavedVersionsSurviveDiskFaults(t *testing.T) {
 	var acknowledged, full, failed int
 	simtest.Run(t, simtest.Seeds{Fixed: 300, Fresh: 100}, func(t *testing.T, seed uint64) {
-		p := newPlayer(seed)
-		require.NoError(t, p.play(false))
-		acknowledged, full, failed = acknowledged+p.acknowledged, full+p.full, failed+p.failed
+		s := newSimulation(seed)
+		require.NoError(t, s.run(false))
+		acknowledged, full, failed = acknowledged+s.acknowledged, full+s.full, failed+s.failed
 	})
 	require.Positive(t, acknowledged)
 	require.Positive(t, full)
 	require.Positive(t, failed)
 }
 
-func TestADiskThatLosesSyncsIsCaught(t *testing.T) {
+// The simulation must detect a disk that acknowledges syncs without performing them.
+func TestIgnoredSyncsAreDetected(t *testing.T) {
 	for seed := range uint64(50) {
-		if err := newPlayer(seed).play(true); err != nil {
-			t.Logf("caught by play %d: %v", seed, err)
+		if err := newSimulation(seed).run(true); err != nil {
+			t.Logf("detected with seed %d: %v", seed, err)
 			return
 		}
 	}
-	require.Fail(t, "not caught")
+	require.Fail(t, "no seed detected the ignored syncs")
 }
 
-func TestAFullDiskRefusesAndKeepsWhatItHas(t *testing.T) {
+func TestFullDiskRejectsSaveAndKeepsOldVersion(t *testing.T) {
 	machine := sim.New(1).AddMachine("a")
 	files := machine.Disk().Files()
 	store := Open(files, "record")
--- a/coordination/store/folder.go
+++ b/coordination/store/folder.go
@@ -7,58 +7,58 @@
 	"github.com/samber/lo"
 )
 
-// Files is one folder of a disk, for records. Folder is the real one; a simulated one stands in tests.
+// Files is a directory that holds records. Directory implements it for the file system, and package sim for simulations.
 type Files interface {
 	// List returns the names of all files.
 	List() ([]string, error)
 	// Read returns the content of a file.
 	Read(name string) ([]byte, error)
-	// Write makes or replaces a file. When it returns nil, the content is durable; that there is such a file is so after Sync.
+	// Write creates or replaces a file. If it returns nil, the content is durable. The directory entry is durable after Sync.
 	Write(name string, parts ...[]byte) error
-	// Rename gives a file another name, at once or not at all.
+	// Rename atomically renames a file.
 	Rename(from, to string) error
 	// Remove removes a file.
 	Remove(name string) error
-	// Sync makes durable which files there are.
+	// Sync makes all directory entries durable: creations, renames and removals.
 	Sync() error
 }
 
 const (
-	filePerm   = 0o600
-	folderPerm = 0o700
+	filePerm      = 0o600
+	directoryPerm = 0o700
 )
 
-// Directory is a folder of the file system.
+// Directory implements Files for a directory of the file system.
 type Directory struct{ path string }
 
-// OpenDirectory makes the folder if it isn't there.
+// OpenDirectory opens a directory and creates it if it does not exist.
 func OpenDirectory(path string) (Directory, error) {
 	if _, err := os.Stat(path); err != nil {
-		if err := makeFolder(path); err != nil {
-			return Directory{}, typed(err, "make folder")
+		if err := createDirectory(path); err != nil {
+			return Directory{}, classify(err, "create directory")
 		}
 	}
 	return Directory{path: path}, nil
 }
 
 // List implements Files.
-func (f Directory) List() ([]string, error) {
-	entries, err := os.ReadDir(f.path)
+func (d Directory) List() ([]string, error) {
+	entries, err := os.ReadDir(d.path)
 	return lo.Map(entries, func(entry os.DirEntry, _ int) string { return entry.Name() }), err
 }
 
 // Read implements Files.
-func (f Directory) Read(name string) ([]byte, error) { return os.ReadFile(f.at(name)) }
+func (d Directory) Read(name string) ([]byte, error) { return os.ReadFile(d.filePath(name)) }
 
 // Write implements Files.
-func (f Directory) Write(name string, parts ...[]byte) (err error) {
-	file, err := os.OpenFile(f.at(name), os.O_WRONLY|os.O_CREATE|os.O_TRUNC, filePerm)
+func (d Directory) Write(name string, parts ...[]byte) (err error) {
+	file, err := os.OpenFile(d.filePath(name), os.O_WRONLY|os.O_CREATE|os.O_TRUNC, filePerm)
 	if err != nil {
 		return err
 	}
 	defer func() {
-		if closed := file.Close(); err == nil {
-			err = closed
+		if closeErr := file.Close(); err == nil {
+			err = closeErr
 		}
 	}()
 	for _, part := range parts {
@@ -70,28 +70,31 @@
 }
 
 // Rename implements Files.
-func (f Directory) Rename(from, to string) error { return os.Rename(f.at(from), f.at(to)) }
+func (d Directory) Rename(from, to string) error { return os.Rename(d.filePath(from), d.filePath(to)) }
 
 // Remove implements Files.
-func (f Directory) Remove(name string) error { return os.Remove(f.at(name)) }
+func (d Directory) Remove(name string) error { return os.Remove(d.filePath(name)) }
 
 // Sync implements Files.
-func (f Directory) Sync() error { return syncFolder(f.path) }
+func (d Directory) Sync() error { return syncDirectory(d.path) }
 
-func (f Directory) at(name string) string { return filepath.Join(f.path, name) }
+// filePath returns the path of a file.
+func (d Directory) filePath(name string) string { return filepath.Join(d.path, name) }
 
-func makeFolder(path string) error {
-	if err := os.MkdirAll(path, folderPerm); err != nil {
+// createDirectory creates a directory, with its missing parents, and syncs its direct parent.
+func createDirectory(path string) error {
+	if err := os.MkdirAll(path, directoryPerm); err != nil {
 		return err
 	}
-	return syncFolder(filepath.Dir(path))
+	return syncDirectory(filepath.Dir(path))
 }
 
-func syncFolder(path string) error {
-	folder, err := os.Open(path)
+// syncDirectory syncs the entries of a directory.
+func syncDirectory(path string) error {
+	directory, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = folder.Close() }()
-	return folder.Sync()
+	defer func() { _ = directory.Close() }()
+	return directory.Sync()
 }
--- a/coordination/store/store.go
+++ b/coordination/store/store.go
@@ -1,26 +1,26 @@
-// Package store keeps the newest version of a record through crashes and losses of power.
+// Package store keeps one record durable through crashes and power losses. It always loads the newest valid version.
 //
-// Each version is a file of its own: it is written aside, synced, renamed, and its folder is synced, before older
-// versions are removed. A checksum tells a torn file; on opening, the newest whole version counts.
+// Each version is a file of its own. It is written to a temporary file, synced and renamed, and its directory is synced, before
+// older versions are removed. A checksum detects torn files.
 package store
 
 import "github.com/rotisserie/eris"
 
 // Errors of stores. Every error that a Store returns has one of these as its root.
 var (
-	// ErrNotFound says that there is no whole version.
-	ErrNotFound = eris.New("store: no whole version")
-	// ErrFull says that the disk has no room. The last version saved still stands, and a later Save may succeed.
+	// ErrNotFound means that there is no valid version.
+	ErrNotFound = eris.New("store: no valid version")
+	// ErrFull means that the disk is full. The last saved version remains, and a later Save may succeed.
 	ErrFull = eris.New("store: disk full")
-	// ErrIO says that the disk failed in another way. The version in question may or may not be there after a restart.
+	// ErrIO means that the disk failed in another way. The version in question may or may not exist after a restart.
 	ErrIO = eris.New("store: disk failed")
 )
 
-// Store keeps one record. It is not safe for use by several goroutines.
+// Store keeps one record. It must not be used by several goroutines at once.
 type Store interface {
-	// Load returns the newest whole version, or ErrNotFound.
+	// Load returns the newest valid version, or ErrNotFound.
 	Load() ([]byte, error)
-	// Save makes data the newest version. When it returns nil, the version outlives a crash and a loss of power.
-	// When it returns an error, the version before still stands, and after a restart either of them may count.
+	// Save stores data as the newest version. If it returns nil, the version survives a crash and a power loss.
+	// If it returns an error, the previous version remains, and after a restart Load may return either of the two.
 	Save(data []byte) error
 }
