--- a/coordination/sim/live/conn.go
+++ b/coordination/sim/live/conn.go
@@ -39,8 +39,8 @@
 // Write implements net.Conn.
 func (c *conn) Write(data []byte) (int, error) { return c.out.write(data) }
 
-// Close implements net.Conn. Bytes that were written still arrive, unless received bytes were not read: then Close resets the
-// connection, as TCP does.
+// Close implements net.Conn. Bytes that were written still arrive. If received bytes were not read, Close resets the connection
+// instead, as TCP does.
 func (c *conn) Close() error {
 	c.process.untrack(c)
 	if c.in.closeRead() {
--- a/coordination/sim/network.go
+++ b/coordination/sim/network.go
@@ -43,7 +43,7 @@
 // Heal ends the cut from one machine to another.
 func (n *Network) Heal(from, to string) { delete(n.cuts, direction{from, to}) }
 
-// Isolate cuts all links of a machine in both directions.
+// Isolate cuts the paths between a machine and all others in both directions.
 func (n *Network) Isolate(name string) {
 	for _, other := range n.world.machines {
 		if other.name != name {
@@ -59,8 +59,8 @@
 // IsCut reports whether the path from one machine to another is cut.
 func (n *Network) IsCut(from, to string) bool { return n.cuts[direction{from, to}] }
 
-// transmit calls deliver when a message arrives. A message may be lost or arrive twice, unless a machine sends it to itself:
-// then it arrives without delay.
+// transmit calls deliver when a message arrives. A message may be lost or arrive twice, unless a machine sends it to itself.
+// In that case it arrives without delay.
 func (n *Network) transmit(from, to string, deliver func()) {
 	if from == to {
 		n.world.After(0, deliver)
--- a/coordination/sim/sim_test.go
+++ b/coordination/sim/sim_test.go
@@ -63,6 +63,7 @@
 	require.NotEqual(t, runTrace(1), runTrace(2))
 }
 
+// A call must end exactly once, also if its request or reply is duplicated or lost or its target is killed.
 func TestCallEndsExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		world, a, b, _ := newEchoPair(rapid.Uint64().Draw(t, "seed"))
@@ -161,6 +162,7 @@
 	require.Equal(t, time.Second-time.Hour, a.Process().WallTime().Sub(wall))
 }
 
+// Timers, calls and disk operations of a process must not reach the next process on the same machine.
 func TestEndedProcessGetsNoCallbacks(t *testing.T) {
 	world, a, b, received := newEchoPair(1)
 	ended := b.Process()
--- a/coordination/store/faults_test.go
+++ b/coordination/store/faults_test.go
@@ -101,6 +101,7 @@
 	return &simulation{world: world, machine: world.AddMachine("a")}
 }
 
+// A full or failing disk, a killed process or a power loss at any moment must never lose an acknowledged version.
 func TestSavedVersionsSurviveDiskFaults(t *testing.T) {
 	var acknowledged, full, failed int
 	simtest.Run(t, simtest.Seeds{Fixed: 300, Fresh: 100}, func(t *testing.T, seed uint64) {
