--- a/coordination/register/model_test.go
+++ b/coordination/register/model_test.go
@@ -258,9 +258,15 @@
 			w.reply(n, e, step.Reply)
 			return
 		}
+<<<<<<< HEAD
 		n.step, n.stepEnvelope = &step, e
 		if w.defects.repliesBeforeSync {
 			n.files().LosesSyncs = true
+=======
+		n.step, n.stepOf = &step, e
+		if w.faults.answersBeforeSync {
+			n.files().IgnoreSyncs = true
+>>>>>>> 7266688a8580ef5eb7cb803f2db13170478901c9
 			w.write(n)
 		}
 	}
@@ -526,7 +532,7 @@
 	case 3:
 		n.files().Full = !n.files().Full
 	case 4:
-		n.files().Failing = !n.files().Failing
+		n.files().FailSyncs = !n.files().FailSyncs
 	default:
 		w.abandon(n)
 	}
@@ -541,7 +547,7 @@
 	}
 	w.recovering = true
 	for _, n := range w.nodes {
-		n.machine.Disk().Heal()
+		n.machine.Disk().ClearFaults()
 	}
 	return w.check()
 }
