--- a/coordination/handoff/handoff_test.go
+++ b/coordination/handoff/handoff_test.go
@@ -170,11 +170,7 @@
 func (p *publisher) send(peer string, message hint) {
 	p.process.Call(peer, message, time.Second, func(_ any, err error) {
 		if err != nil {
-<<<<<<< HEAD
-			p.store.Add(p.process.Steady(), peer, message)
-=======
-			l.keeper.Keep(l.process.Monotonic(), peer, message)
->>>>>>> 7266688a8580ef5eb7cb803f2db13170478901c9
+			p.store.Add(p.process.Monotonic(), peer, message)
 		} else {
 			p.store.MarkDelivered(peer, message.Key, message.Version)
 		}
@@ -192,13 +188,8 @@
 		world.AddMachine("teller").Start(func(process *sim.Process) {
 			sender = &publisher{process: process, store: New[number, string](largeLimits)}
 			process.OnMessage(func(from string, _ any) {
-<<<<<<< HEAD
-				for _, message := range sender.store.HintsFor(process.Steady(), from) {
+				for _, message := range sender.store.HintsFor(process.Monotonic(), from) {
 					sender.send(from, message)
-=======
-				for _, message := range l.keeper.For(process.Monotonic(), from) {
-					l.send(from, message)
->>>>>>> 7266688a8580ef5eb7cb803f2db13170478901c9
 				}
 			})
 			process.Every(300*time.Millisecond, func() {
--- a/coordination/register/model_test.go
+++ b/coordination/register/model_test.go
@@ -258,15 +258,9 @@
 			w.reply(n, e, step.Reply)
 			return
 		}
-<<<<<<< HEAD
 		n.step, n.stepEnvelope = &step, e
 		if w.defects.repliesBeforeSync {
-			n.files().LosesSyncs = true
-=======
-		n.step, n.stepOf = &step, e
-		if w.faults.answersBeforeSync {
 			n.files().IgnoreSyncs = true
->>>>>>> 7266688a8580ef5eb7cb803f2db13170478901c9
 			w.write(n)
 		}
 	}
