--- a/coordination/register/node_test.go
+++ b/coordination/register/node_test.go
@@ -21,7 +21,7 @@
 
 const testDeadline = 20 * time.Second
 
-// machine is a process on loopback with a disk that outlives it.
+// machine is a node on a loopback address with a disk that survives its restarts.
 type machine struct {
 	t       *testing.T
 	folder  string
@@ -41,8 +41,8 @@
 	return listener
 }
 
-// newMachines reserves addresses and returns machines that are not started. The first ones, as many as there are
-// founders, found the register.
+// newMachines returns stopped machines with addresses that were free. The first of them, as many as there are founders, are the
+// founders of the register.
 func newMachines(t *testing.T, count, founders, target int) []*machine {
 	t.Helper()
 	machines := make([]*machine, count)
@@ -88,7 +88,7 @@
 	}()
 }
 
-// stop ends the process as a kill does, as far as others see.
+// stop ends the node without notice to the others, as a kill does.
 func (m *machine) stop() {
 	if m.cancel == nil {
 		return
@@ -96,7 +96,7 @@
 	m.cancel()
 	_ = m.server.Close()
 	<-m.ended
-	m.node.Close(context.Background()) // a process that has ended writes no more
+	m.node.Close(context.Background()) // an ended process writes nothing more
 	m.options.Client.Close()
 	m.cancel = nil
 	m.options.Bootstrap = false
@@ -109,17 +109,17 @@
 	require.NoError(m.t, os.Mkdir(m.folder, 0o700))
 }
 
-func deadline(t *testing.T) context.Context {
+func testContext(t *testing.T) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testDeadline)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// await waits until what a node knows fulfils a condition.
+// await waits until the latest state of a node fulfils a condition, and returns that state.
 func await(t *testing.T, n *Node, condition func(State) bool) State {
 	t.Helper()
-	ctx := deadline(t)
+	ctx := testContext(t)
 	for {
 		changed := n.Changed()
 		if state := n.Latest(); condition(state) {
@@ -128,12 +128,12 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			require.FailNow(t, "too late", "latest: %+v", n.Latest())
+			require.FailNow(t, "the condition was not met in time", "latest: %+v", n.Latest())
 		}
 	}
 }
 
-func set(text string) func([]byte) ([]byte, error) {
+func setData(text string) func([]byte) ([]byte, error) {
 	return func([]byte) ([]byte, error) { return []byte(text), nil }
 }
 
@@ -168,9 +168,9 @@
 func TestUpdateReadAndLearn(t *testing.T) {
 	machines := newMachines(t, 3, 3, 3)
 	startAll(machines)
-	ctx := deadline(t)
+	ctx := testContext(t)
 	require.NoError(t, machines[0].node.WaitFormed(ctx))
-	state, err := machines[0].node.Update(ctx, set("one"))
+	state, err := machines[0].node.Update(ctx, setData("one"))
 	require.NoError(t, err)
 	require.Equal(t, "one", string(state.Data))
 	require.EqualValues(t, 1, state.Revision)
@@ -189,10 +189,10 @@
 	require.EqualValues(t, 1, same.Revision)
 }
 
-func TestConcurrentUpdatesAllCount(t *testing.T) {
+func TestConcurrentUpdatesAreAllApplied(t *testing.T) {
 	machines := newMachines(t, 3, 3, 3)
 	startAll(machines)
-	ctx := deadline(t)
+	ctx := testContext(t)
 	const each = 5
 	var group sync.WaitGroup
 	for _, m := range machines {
@@ -206,23 +206,23 @@
 	group.Wait()
 	state, err := machines[2].node.Read(ctx)
 	require.NoError(t, err)
-	// An update that was in doubt may count twice, since this change does not recognise its own work.
+	// An update that was in doubt may be applied twice, because this change does not detect its earlier application.
 	require.GreaterOrEqual(t, len(state.Data), each*len(machines))
 }
 
 func TestMinorityNeitherWritesNorReads(t *testing.T) {
 	machines := newMachines(t, 3, 3, 3)
 	startAll(machines)
-	ctx := deadline(t)
-	_, err := machines[0].node.Update(ctx, set("one"))
+	ctx := testContext(t)
+	_, err := machines[0].node.Update(ctx, setData("one"))
 	require.NoError(t, err)
 	machines[1].stop()
-	_, err = machines[0].node.Update(ctx, set("two"))
+	_, err = machines[0].node.Update(ctx, setData("two"))
 	require.NoError(t, err)
 	machines[2].stop()
 	short, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer cancel()
-	_, err = machines[0].node.Update(short, set("three"))
+	_, err = machines[0].node.Update(short, setData("three"))
 	require.ErrorIs(t, err, ErrNoQuorum)
 	_, err = machines[0].node.Read(short)
 	require.ErrorIs(t, err, ErrNoQuorum)
@@ -232,11 +232,11 @@
 	require.Equal(t, "two", string(state.Data))
 }
 
-func TestAllRestartFromDisk(t *testing.T) {
+func TestAllReplicasRestartFromDisk(t *testing.T) {
 	machines := newMachines(t, 3, 3, 3)
 	startAll(machines)
-	ctx := deadline(t)
-	_, err := machines[0].node.Update(ctx, set("one"))
+	ctx := testContext(t)
+	_, err := machines[0].node.Update(ctx, setData("one"))
 	require.NoError(t, err)
 	for _, m := range machines {
 		m.stop()
@@ -248,13 +248,13 @@
 	}
 }
 
-func TestWipedReplicaJoinsAnewAndCarriesTheNextLoss(t *testing.T) {
+func TestWipedReplicaRejoinsAndToleratesTheNextWipe(t *testing.T) {
 	machines := newMachines(t, 3, 3, 3)
 	startAll(machines)
-	ctx := deadline(t)
+	ctx := testContext(t)
 	for round := range 3 {
 		text := fmt.Sprintf("round %d", round)
-		_, err := machines[round].node.Update(ctx, set(text))
+		_, err := machines[round].node.Update(ctx, setData(text))
 		require.NoError(t, err)
 		lost := machines[round]
 		former := lost.node.ID()
@@ -274,8 +274,8 @@
 func TestReplacementAtANewAddress(t *testing.T) {
 	machines := newMachines(t, 4, 3, 3)
 	startAll(machines[:3])
-	ctx := deadline(t)
-	_, err := machines[0].node.Update(ctx, set("one"))
+	ctx := testContext(t)
+	_, err := machines[0].node.Update(ctx, setData("one"))
 	require.NoError(t, err)
 	machines[2].stop()
 	machines[3].options.Bootstrap = false
@@ -292,7 +292,7 @@
 func TestPlannedReplacement(t *testing.T) {
 	machines := newMachines(t, 4, 3, 3)
 	startAll(machines)
-	ctx := deadline(t)
+	ctx := testContext(t)
 	all := hasIDs(machines[0].node.ID(), machines[1].node.ID(), machines[2].node.ID(), machines[3].node.ID())
 	await(t, machines[0].node, all)
 	require.NoError(t, machines[0].node.WaitFormed(ctx))
@@ -301,11 +301,11 @@
 	three := hasIDs(machines[1].node.ID(), machines[2].node.ID(), machines[3].node.ID())
 	await(t, machines[3].node, three)
 	require.NoError(t, machines[3].node.WaitFormed(ctx))
-	require.NoError(t, machines[3].node.Leave(ctx)) // the set is never smaller than wanted
+	require.NoError(t, machines[3].node.Leave(ctx)) // does nothing: the set must not shrink below its target
 	require.True(t, three(machines[3].node.Latest()))
 }
 
-func TestSilentReplicaIsRemovedFromALargeSetAndComesBack(t *testing.T) {
+func TestSilentReplicaIsRemovedFromALargeSetAndRejoins(t *testing.T) {
 	machines := newMachines(t, 4, 3, 3)
 	startAll(machines)
 	all := hasIDs(machines[0].node.ID(), machines[1].node.ID(), machines[2].node.ID(), machines[3].node.ID())
@@ -316,14 +316,14 @@
 	await(t, machines[0].node, all)
 }
 
-func TestFoundersGrowToTheTarget(t *testing.T) {
+func TestReplicaSetGrowsFromFoundersToTarget(t *testing.T) {
 	machines := newMachines(t, 5, 3, 5)
 	startAll(machines)
-	ctx := deadline(t)
+	ctx := testContext(t)
 	for _, m := range machines {
 		require.NoError(t, m.node.WaitFormed(ctx))
 	}
-	_, err := machines[4].node.Update(ctx, set("one"))
+	_, err := machines[4].node.Update(ctx, setData("one"))
 	require.NoError(t, err)
 	for _, lost := range machines[:2] {
 		lost.stop()
@@ -333,13 +333,13 @@
 	require.Equal(t, "one", string(state.Data))
 }
 
-// faultyStore refuses while it is full, and holds writers up while it hangs.
+// faultyStore fails writes while it is full and blocks them while it hangs.
 type faultyStore struct {
 	store.Store
 	mu    sync.Mutex
 	full  bool
-	hang  chan struct{} // closed when the disk goes on
-	saved int           // calls of Save
+	hang  chan struct{} // closed to end the hang; nil if the store does not hang
+	saved int           // number of calls of Save
 }
 
 func (s *faultyStore) saves() int {
@@ -368,56 +368,56 @@
 	return s.Store.Save(data)
 }
 
-// faulty puts stores with faults in front of the disk of a running machine.
-func (m *machine) faulty() (promise, value *faultyStore) {
+// installFaultyStores wraps the promise and value stores of a running machine.
+func (m *machine) installFaultyStores() (promise, value *faultyStore) {
 	promise = &faultyStore{Store: m.node.disk.promise}
 	value = &faultyStore{Store: m.node.disk.value}
-	m.node.writing <- struct{}{}
+	m.node.diskSlot <- struct{}{}
 	m.node.disk.promise, m.node.disk.value = promise, value
-	<-m.node.writing
+	<-m.node.diskSlot
 	return promise, value
 }
 
-// Close waits for the write in hand, and nothing is written after it: the disk may be another's by then.
-func TestAClosedNodeWritesNothingMore(t *testing.T) {
+// Close waits for the write in progress, and the node must write nothing later: another process may use the disk by then.
+func TestClosedNodeWritesNothing(t *testing.T) {
 	machines := newMachines(t, 3, 3, 3)
 	startAll(machines)
-	ctx := deadline(t)
+	ctx := testContext(t)
 	closing := machines[0].node
 	require.NoError(t, closing.WaitFormed(ctx))
-	_, value := machines[0].faulty()
+	_, value := machines[0].installFaultyStores()
 	hang := make(chan struct{})
 	value.set(false, hang)
-	_, err := machines[1].node.Update(ctx, set("its write hangs at one replica"))
+	_, err := machines[1].node.Update(ctx, setData("the write hangs at one replica"))
 	require.NoError(t, err)
 
 	brief, cancel := context.WithCancel(ctx)
 	cancel()
-	closing.Close(brief) // does not wait for a hung disk for ever
+	closing.Close(brief) // must return although the disk hangs
 
 	close(hang)
 	value.set(false, nil)
 	closing.Close(ctx)
 	before := value.saves()
-	_, err = machines[1].node.Update(ctx, set("after the end"))
+	_, err = machines[1].node.Update(ctx, setData("after the close"))
 	require.NoError(t, err)
 	require.Equal(t, before, value.saves())
-	<-closing.writing // the machine's own end takes it again
+	<-closing.diskSlot // stop calls Close again, which needs the slot
 }
 
-func TestHungDiskHoldsNobodyUp(t *testing.T) {
+func TestHungDiskBlocksNoOperation(t *testing.T) {
 	machines := newMachines(t, 3, 3, 3)
 	startAll(machines)
-	ctx := deadline(t)
+	ctx := testContext(t)
 	require.NoError(t, machines[0].node.WaitFormed(ctx))
-	promise, value := machines[0].faulty()
+	promise, value := machines[0].installFaultyStores()
 	hang := make(chan struct{})
 	promise.set(false, hang)
 	value.set(false, hang)
 	for at, m := range machines {
 		text := fmt.Sprintf("update %d", at)
 		began := time.Now()
-		_, err := m.node.Update(ctx, set(text))
+		_, err := m.node.Update(ctx, setData(text))
 		require.NoError(t, err)
 		state, err := machines[0].node.Read(ctx)
 		require.NoError(t, err)
@@ -431,7 +431,7 @@
 func TestQuorumAgeGrowsWithoutAMajority(t *testing.T) {
 	machines := newMachines(t, 3, 3, 3)
 	startAll(machines)
-	_, err := machines[0].node.Update(deadline(t), set("one"))
+	_, err := machines[0].node.Update(testContext(t), setData("one"))
 	require.NoError(t, err)
 	old := 300 * time.Millisecond
 	fresh := func() bool { return machines[0].node.QuorumAge() < old }
@@ -444,17 +444,17 @@
 	require.Eventually(t, fresh, testDeadline, time.Millisecond)
 }
 
-func TestSetThatMovedOnIsFoundThroughSeeds(t *testing.T) {
+func TestReconfiguredSetIsFoundThroughSeeds(t *testing.T) {
 	machines := newMachines(t, 6, 3, 3)
 	startAll(machines[:3])
-	ctx := deadline(t)
-	_, err := machines[0].node.Update(ctx, set("one"))
+	ctx := testContext(t)
+	_, err := machines[0].node.Update(ctx, setData("one"))
 	require.NoError(t, err)
-	asleep := machines[0]
-	asleep.stop()
+	stopped := machines[0]
+	stopped.stop()
 	for at, m := range machines[3:] {
 		m.options.Bootstrap = false
-		before := machines[max(1, at)] // who is still there
+		before := machines[max(1, at)] // a machine that is still running
 		m.options.Seeds = func() []string { return []string{before.address, machines[2].address, machines[3].address} }
 		m.start()
 		await(t, m.node, func(s State) bool { return hasID(s, m.node.ID()) })
@@ -465,9 +465,9 @@
 			await(t, m.node, func(s State) bool { return !hasID(s, FounderID(gone.address)) || len(s.Replicas) <= 3 })
 		}
 	}
-	asleep.options.Seeds = func() []string { return []string{machines[5].address} }
-	asleep.start()
-	state := await(t, asleep.node, func(s State) bool { return hasID(s, asleep.node.ID()) && hasID(s, machines[5].node.ID()) })
+	stopped.options.Seeds = func() []string { return []string{machines[5].address} }
+	stopped.start()
+	state := await(t, stopped.node, func(s State) bool { return hasID(s, stopped.node.ID()) && hasID(s, machines[5].node.ID()) })
 	require.Equal(t, "one", string(state.Data))
 }
 
@@ -478,37 +478,37 @@
 func TestFullDiskRefusesAndRecovers(t *testing.T) {
 	machines := newMachines(t, 3, 3, 3)
 	startAll(machines)
-	ctx := deadline(t)
+	ctx := testContext(t)
 	require.NoError(t, machines[0].node.WaitFormed(ctx))
-	promise, value := machines[0].faulty()
+	promise, value := machines[0].installFaultyStores()
 	promise.set(true, nil)
 	value.set(true, nil)
-	_, err := machines[0].node.Update(ctx, set("one full"))
+	_, err := machines[0].node.Update(ctx, setData("one full"))
 	require.NoError(t, err)
-	otherPromise, otherValue := machines[1].faulty()
+	otherPromise, otherValue := machines[1].installFaultyStores()
 	otherPromise.set(true, nil)
 	otherValue.set(true, nil)
 	short, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer cancel()
-	_, err = machines[0].node.Update(short, set("two full"))
+	_, err = machines[0].node.Update(short, setData("two full"))
 	require.ErrorIs(t, err, ErrNoQuorum)
-	state, err := machines[0].node.Read(ctx) // reads need no disk
+	state, err := machines[0].node.Read(ctx) // reads do not need the disk
 	require.NoError(t, err)
 	require.Equal(t, "one full", string(state.Data))
 	for _, disk := range []*faultyStore{promise, value, otherPromise, otherValue} {
 		disk.set(false, nil)
 	}
-	_, err = machines[0].node.Update(ctx, set("room again"))
+	_, err = machines[0].node.Update(ctx, setData("space again"))
 	require.NoError(t, err)
 }
 
-func TestEmptyDiskWithoutBootstrapIsANewcomer(t *testing.T) {
+func TestEmptyDiskWithoutBootstrapIsNoFounder(t *testing.T) {
 	folder := t.TempDir()
 	options := Options{Directory: folder, Address: "127.0.0.1:1", Founders: []string{"127.0.0.1:1"}}
 	node, err := Open(options)
 	require.NoError(t, err)
 	require.NotEqual(t, FounderID(options.Address), node.ID())
-	options.Bootstrap = true // what is on disk goes before it
+	options.Bootstrap = true // the identity on the disk takes precedence
 	again, err := Open(options)
 	require.NoError(t, err)
 	require.Equal(t, node.ID(), again.ID())
--- a/internal/controller/simulation_scenes_test.go
+++ b/internal/controller/simulation_scenes_test.go
@@ -265,7 +265,7 @@
 		})
 		node := hit.program().node
 		for begun := time.Now(); time.Since(begun) < maxQuorumAge; time.Sleep(sampleEvery) {
-			if inTouch(node) {
+			if hasQuorum(node) {
 				s.checks.failf("in touch %v after a start behind a cut", time.Since(begun))
 				return
 			}
@@ -314,7 +314,7 @@
 	for _, from := range s.present() {
 		for _, to := range s.present() {
 			if from != to {
-				s.network.Slow(from.machine.IP(), to.machine.IP(), s.between(0, slowest))
+				s.network.SetExtraDelay(from.machine.IP(), to.machine.IP(), s.between(0, slowest))
 			}
 		}
 	}
@@ -322,7 +322,7 @@
 
 func (s *simSite) oldestList() (oldest time.Duration) {
 	for _, m := range s.present() {
-		_, age := m.program().controller.lists.held(time.Now())
+		_, age := m.program().controller.lists.versionAndAge(time.Now())
 		oldest = max(oldest, milliseconds(age))
 	}
 	return oldest
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -8,6 +8,7 @@
 	"weldscale/internal/fleetwire"
 )
 
+// serveStatus returns the status of this controller.
 func (c *controller) serveStatus(context.Context, empty) (status, error) {
 	now := time.Now()
 	latest := c.node.Latest()
@@ -16,7 +17,7 @@
 		return status{}, err
 	}
 	list := c.lists.message(now)
-	_, listAge := c.lists.held(now)
+	_, listAge := c.lists.versionAndAge(now)
 	return status{
 		Member:      c.member(),
 		Revision:    latest.Revision,
@@ -30,13 +31,14 @@
 		Instances:   len(list.Instances),
 		ListAgeMs:   listAge,
 		QuorumAgeMs: c.node.QuorumAge().Milliseconds(),
-		Routers:     c.census.count(now),
+		Routers:     c.agents.count(now),
 	}, nil
 }
 
+// heldRoles returns the keys of the roles in which this controller may act now.
 func (c *controller) heldRoles() []string {
 	var held []string
-	c.leases.with(func(decider *lease.Decider, now time.Duration) {
+	c.leases.withDecider(func(decider *lease.Participant, now time.Duration) {
 		for _, key := range roles {
 			if _, ok := decider.Holds(now, key); ok {
 				held = append(held, key)
@@ -46,6 +48,7 @@
 	return held
 }
 
+// member describes this controller to other processes.
 func (c *controller) member() fleetwire.Member {
 	current := c.settings.Load()
 	return fleetwire.Member{
