--- a/internal/net/net.go
+++ b/internal/net/net.go
@@ -32,7 +32,7 @@
 	receiveBuffer       = 64 << 10 // SO_RCVBUF of client connections
 	sendBuffer          = 64 << 10 // SO_SNDBUF of client connections, which bounds unread answers; the system doubles it
 	maxUnread           = 2 << 20  // for netpoll to buffer per connection; it reads on while the loop is busy, except from clients
-	maxIgnored          = 1 << 20  // bytes that a client may send after its last answer
+	maxDiscarded        = 1 << 20  // bytes that a client may send after its last answer
 	maxHosts            = 256      // hosts without idle connections and waiters are removed beyond that
 )
 
@@ -341,7 +341,7 @@
 	if c.discarding.Load() {
 		_ = r.Skip(n)
 		_ = r.Release()
-		if c.discardedBytes += n; c.discardedBytes > maxIgnored {
+		if c.discardedBytes += n; c.discardedBytes > maxDiscarded {
 			_ = nc.Close()
 		}
 		return
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -251,7 +251,7 @@
 	close(release)
 	require.Eventually(t, func() (all bool) { g.do(func() { all = k.n == sent }); return }, testTimeout, time.Millisecond)
 
-	// After the last answer input is discarded, and beyond maxIgnored the connection is closed.
+	// After the last answer input is discarded, and beyond maxDiscarded the connection is closed.
 	g.do(func() { conn.Write([]byte("bye"), nil); conn.CloseAfterWrite() })
 	require.NoError(t, c.SetDeadline(time.Now().Add(testTimeout)))
 	_, err = c.Write(make([]byte, body))
