--- a/internal/net/net.go
+++ b/internal/net/net.go
@@ -280,7 +280,8 @@
 	}
 	c.unregister()
 	c.closeCalled.Store(true)
-	if c.quota != nil && !c.duplicated { // netpoll closes only after a read in progress, which may wait for the loop; an abandoned attempt must end at once
+	// netpoll closes only after a read in progress, which may wait for the loop. An abandoned attempt must end at once.
+	if c.quota != nil && !c.duplicated {
 		_ = c.withDescriptor(func(fd int) error { return unix.Shutdown(fd, unix.SHUT_WR) })
 	}
 	_ = c.nc.Close()
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -206,7 +206,7 @@
 	assert.Nil(t, g.get(ln.Addr().String()), "no descriptor is left")
 }
 
-// The handler is told of a broken connection, and a later write on it reports that it was not sent.
+// The handler is notified of a broken connection, and a later write on it reports that it was not sent.
 func TestWriteAfterPeerClosed(t *testing.T) {
 	addr, conns := listen(t)
 	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
