--- a/cmd/weldfleet/config.go
+++ b/cmd/weldfleet/config.go
@@ -131,7 +131,7 @@
 		return base, nil, nil
 	}
 	body, err := client.Read(ctx)
-	if errors.Is(err, fleetclient.ErrNone) {
+	if errors.Is(err, fleetclient.ErrNoConfig) {
 		return 0, nil, nil
 	}
 	if err != nil {
--- a/cmd/weldfleet/fleet.go
+++ b/cmd/weldfleet/fleet.go
@@ -27,7 +27,7 @@
 	return []cli.Flag{
 		&cli.StringSliceFlag{
 			Name:  flagControl,
-			Usage: "Control address `IP:PORT` of a controller, may be repeated; by default the seeds of " + settings.Variable,
+			Usage: "Control address `IP:PORT` of a controller, may be repeated; by default the seeds of " + settings.EnvVariable,
 		},
 		&cli.StringSliceFlag{
 			Name:  flagInternal,
@@ -56,7 +56,7 @@
 // addresses returns those of a flag, or those of the settings file if the flag is not given.
 func addresses(command *cli.Command, flag string, fromSettings func(*settings.Settings) []string) ([]string, error) {
 	given := command.StringSlice(flag)
-	if len(given) == 0 && os.Getenv(settings.Variable) != "" {
+	if len(given) == 0 && os.Getenv(settings.EnvVariable) != "" {
 		known, err := settings.Load()
 		if err != nil {
 			return nil, err
@@ -64,7 +64,7 @@
 		given = fromSettings(known)
 	}
 	if len(given) == 0 {
-		return nil, usageError{"name a controller with --" + flag + ", or a settings file with " + settings.Variable}
+		return nil, usageError{"name a controller with --" + flag + ", or a settings file with " + settings.EnvVariable}
 	}
 	for _, address := range given {
 		if _, err := netip.ParseAddrPort(address); err != nil {
--- a/cmd/weldfleet/main.go
+++ b/cmd/weldfleet/main.go
@@ -58,7 +58,7 @@
 		return exitUsage
 	case errors.Is(err, fleetclient.ErrConflict):
 		return exitConflict
-	case errors.Is(err, fleetclient.ErrUnclear):
+	case errors.Is(err, fleetclient.ErrIndeterminate):
 		return exitUnclear
 	}
 	return exitFailed
--- a/cmd/weldfleet/main_test.go
+++ b/cmd/weldfleet/main_test.go
@@ -214,14 +214,14 @@
 	fleet := newController(t)
 	fleet.current = first
 	known := `{"NodeName":"n","Ip":"127.0.0.1","Zone":"z","InternalPorts":[1,2],"Seeds":["` + fleet.address + `"]}`
-	t.Setenv(settings.Variable, file(t, known))
+	t.Setenv(settings.EnvVariable, file(t, known))
 	code, out, _ := run(t, "", "config", "get")
 	assert.Equal(t, exitOK, code)
 	assert.Equal(t, first, out)
 }
 
 func TestFaultsOfTheCommandLine(t *testing.T) {
-	t.Setenv(settings.Variable, "")
+	t.Setenv(settings.EnvVariable, "")
 	for _, arguments := range [][]string{
 		{"bogus"},
 		{"config", "bogus"},
--- a/cmd/weldfleet/status.go
+++ b/cmd/weldfleet/status.go
@@ -54,7 +54,7 @@
 			return err
 		}
 		if !slices.ContainsFunc(probes, answered) {
-			return eris.Wrap(fleetclient.ErrUnclear, "no controller answered")
+			return eris.Wrap(fleetclient.ErrIndeterminate, "no controller answered")
 		}
 		return nil
 	}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -55,11 +55,11 @@
 
 // New returns an agent that knows nothing yet.
 func New(current *settings.Settings, log *zap.Logger) *Agent {
-	return NewCalling(current, transport.NewClient(), log)
+	return NewWithClient(current, transport.NewClient(), log)
 }
 
-// NewCalling returns an agent that calls the controllers by a client of the caller's. The agent closes it in the end.
-func NewCalling(current *settings.Settings, client *transport.Client, log *zap.Logger) *Agent {
+// NewWithClient returns an agent that calls the controllers by a client of the caller's. The agent closes it in the end.
+func NewWithClient(current *settings.Settings, client *transport.Client, log *zap.Logger) *Agent {
 	agent := &Agent{log: log, client: client}
 	agent.settings.Store(current)
 	agent.hub = watch.NewHub(watch.HubOptions{
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -41,7 +41,7 @@
 		"Seeds": ["127.0.0.1:1"]}`, port, port+1)
 	path := filepath.Join(t.TempDir(), "boot.json")
 	require.NoError(t, os.WriteFile(path, []byte(body), 0o600))
-	t.Setenv(settings.Variable, path)
+	t.Setenv(settings.EnvVariable, path)
 	current, err := settings.Load()
 	require.NoError(t, err)
 	return current
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -82,7 +82,7 @@
 	c.reports = newReports(c.leases.started)
 	c.settledAt = c.leases.started.Add(settleTime)
 	c.lists = newListStore(c.hub, log)
-	reader := instances.NewReaderDialing(func() string { return latest.Load().Cloud.Address }, dial)
+	reader := instances.NewReaderWithDial(func() string { return latest.Load().Cloud.Address }, dial)
 	c.poller = instances.NewPoller(reader, c.mayReadList, c.listHandler(ctx), log)
 	c.rebalancer = stages.NewRebalancer(stages.Options{
 		Holder:        current.NodeName,
--- a/internal/controller/lists.go
+++ b/internal/controller/lists.go
@@ -37,7 +37,7 @@
 	if token < l.version.Token {
 		return false
 	}
-	if token == l.version.Token && instances.Same(l.list, list) {
+	if token == l.version.Token && instances.Equal(l.list, list) {
 		l.confirm(now)
 		return false
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -83,7 +83,7 @@
 	flags.BoolVar(&chosen.version, "version", false, "print the version, and end")
 	flags.TextVar(&chosen.logLevel, "log-level", chosen.logLevel, "what the log holds: debug, info, warn or error")
 	flags.Usage = func() {
-		_, _ = fmt.Fprintf(complaints, "%s: %s\nThe settings file is the one that %s names.\n", p.Name, p.About, settings.Variable)
+		_, _ = fmt.Fprintf(complaints, "%s: %s\nThe settings file is the one that %s names.\n", p.Name, p.About, settings.EnvVariable)
 		flags.PrintDefaults()
 	}
 	if err := flags.Parse(arguments); err != nil {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -25,7 +25,7 @@
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "boot.json")
 	require.NoError(t, os.WriteFile(path, []byte(content), 0o600))
-	t.Setenv(settings.Variable, path)
+	t.Setenv(settings.EnvVariable, path)
 }
 
 // testProgram notes whether it ran, and ends with err.
@@ -109,7 +109,7 @@
 }
 
 func TestWithoutSettings(t *testing.T) {
-	t.Setenv(settings.Variable, "")
+	t.Setenv(settings.EnvVariable, "")
 	var program testProgram
 	code, printed := program.execute(t.Context())
 	assert.Equal(t, exitFailed, code)
--- a/internal/fleetclient/client.go
+++ b/internal/fleetclient/client.go
@@ -22,10 +22,10 @@
 	ErrConflict = eris.New("another version is current")
 	// ErrRefused is the root of errors for a call that the fleet refused for good.
 	ErrRefused = eris.New("refused")
-	// ErrNone is the root of errors for a fleet that has no configuration yet.
-	ErrNone = eris.New("there is no configuration")
-	// ErrUnclear is the root of errors for a call that got no clear answer in time. A change may have been taken.
-	ErrUnclear = eris.New("no clear answer")
+	// ErrNoConfig is the root of errors for a fleet that has no configuration yet.
+	ErrNoConfig = eris.New("there is no configuration")
+	// ErrIndeterminate is the root of errors for a call that got no clear answer in time. A change may have been taken.
+	ErrIndeterminate = eris.New("no clear answer")
 )
 
 const (
@@ -65,7 +65,7 @@
 	case reply.status == http.StatusOK:
 		return reply.body, nil
 	case reply.status == http.StatusNotFound:
-		return nil, ErrNone
+		return nil, ErrNoConfig
 	}
 	return nil, reply.refusal()
 }
@@ -138,7 +138,7 @@
 			last = address + ": status " + strconv.Itoa(answer.status) + ": " + answer.text()
 		}
 		if !pause.For(ctx, wait) {
-			return reply{}, eris.Wrap(ErrUnclear, last)
+			return reply{}, eris.Wrap(ErrIndeterminate, last)
 		}
 		wait = min(2*wait, maxPause)
 	}
--- a/internal/fleetclient/client_test.go
+++ b/internal/fleetclient/client_test.go
@@ -137,7 +137,7 @@
 func TestReadOfAFleetWithoutConfiguration(t *testing.T) {
 	controller := newControl(t, status(http.StatusNotFound, ""))
 	_, err := New([]string{controller.address}).Read(t.Context())
-	assert.ErrorIs(t, err, ErrNone)
+	assert.ErrorIs(t, err, ErrNoConfig)
 }
 
 func TestNoClearAnswerInTime(t *testing.T) {
@@ -147,7 +147,7 @@
 		cancel()
 	})
 	_, err := New([]string{controller.address}).Read(ctx)
-	assert.ErrorIs(t, err, ErrUnclear)
+	assert.ErrorIs(t, err, ErrIndeterminate)
 	assert.Error(t, New(nil).Replace(t.Context(), 0, nil))
 }
 
--- a/internal/hollow/member.go
+++ b/internal/hollow/member.go
@@ -73,7 +73,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	log := zap.NewNop()
 	m := &member{light: light, started: time.Now(), stop: stop}
-	m.agent = agent.NewCalling(given, transport.NewClientWithDial(counted.dial), log)
+	m.agent = agent.NewWithClient(given, transport.NewClientWithDial(counted.dial), log)
 	notes.add(m)
 	m.running.Go(func() { _ = m.agent.Serve(ctx, listener) })
 	learned := func(snapshot *watch.Snapshot) {
--- a/internal/instances/instances_test.go
+++ b/internal/instances/instances_test.go
@@ -59,7 +59,7 @@
 		body   string
 		want   error
 	}{
-		"over the rate":   {http.StatusTooManyRequests, "", ErrRate},
+		"over the rate":   {http.StatusTooManyRequests, "", ErrRateLimited},
 		"a failure":       {http.StatusInternalServerError, "", ErrPlatform},
 		"cut off":         {http.StatusOK, lastPage[:50], nil},
 		"no id":           {http.StatusOK, `{"Instances":[{"Address":"10.0.0.1:1"}]}`, nil},
@@ -110,7 +110,7 @@
 			require.Equal(t, want[entry.ID], entry.State)
 			require.True(t, i == 0 || merged[i-1].ID < entry.ID)
 		}
-		require.True(t, Same(merged, Merge(pages)))
+		require.True(t, Equal(merged, Merge(pages)))
 	})
 }
 
@@ -122,13 +122,13 @@
 		return []fleetwire.Instance{changed}
 	}
 	list := []fleetwire.Instance{base}
-	require.True(t, Same(list, with(func(i *fleetwire.Instance) { i.ColdRemainingMs = 400 })))
-	require.False(t, Same(list, with(func(i *fleetwire.Instance) { i.ColdRemainingMs = 0 })))
-	require.False(t, Same(list, with(func(i *fleetwire.Instance) { i.State = fleetwire.InstanceDraining })))
-	require.False(t, Same(list, with(func(i *fleetwire.Instance) { i.Stage = fleetwire.StagePrefill })))
-	require.False(t, Same(list, with(func(i *fleetwire.Instance) { i.Models = []fleetwire.Model{{Name: "m", Version: 2}} })))
-	require.False(t, Same(list, nil))
-	require.True(t, Same(nil, []fleetwire.Instance{}))
+	require.True(t, Equal(list, with(func(i *fleetwire.Instance) { i.ColdRemainingMs = 400 })))
+	require.False(t, Equal(list, with(func(i *fleetwire.Instance) { i.ColdRemainingMs = 0 })))
+	require.False(t, Equal(list, with(func(i *fleetwire.Instance) { i.State = fleetwire.InstanceDraining })))
+	require.False(t, Equal(list, with(func(i *fleetwire.Instance) { i.Stage = fleetwire.StagePrefill })))
+	require.False(t, Equal(list, with(func(i *fleetwire.Instance) { i.Models = []fleetwire.Model{{Name: "m", Version: 2}} })))
+	require.False(t, Equal(list, nil))
+	require.True(t, Equal(nil, []fleetwire.Instance{}))
 }
 
 // scripted is a source and lease for a poller; it notes when it was read.
@@ -170,7 +170,7 @@
 func TestThePollerKeepsItsPaceAndRetriesSooner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		failure := errors.New("failed")
-		script := &scripted{token: 3, held: true, errors: []error{failure, failure, ErrRate}}
+		script := &scripted{token: 3, held: true, errors: []error{failure, failure, ErrRateLimited}}
 		published := script.poll(t, 1800*time.Millisecond)
 		ms := time.Millisecond
 		require.Equal(t, []time.Duration{0, 100 * ms, 300 * ms, 700 * ms, 1200 * ms, 1700 * ms}, script.reads)
--- a/internal/instances/list.go
+++ b/internal/instances/list.go
@@ -30,9 +30,9 @@
 	return merged
 }
 
-// Same reports whether two merged lists say the same. The time for which a worker remains cold falls by itself: only
+// Equal reports whether two merged lists say the same. The time for which a worker remains cold falls by itself: only
 // whether it is cold counts.
-func Same(a, b []fleetwire.Instance) bool {
+func Equal(a, b []fleetwire.Instance) bool {
 	return slices.EqualFunc(a, b, sameInstance)
 }
 
--- a/internal/instances/poller.go
+++ b/internal/instances/poller.go
@@ -103,7 +103,7 @@
 	if failures == 0 {
 		return pollInterval
 	}
-	if errors.Is(err, ErrRate) {
+	if errors.Is(err, ErrRateLimited) {
 		return rateRetry
 	}
 	return min(firstRetry<<min(failures-1, 10), maxRetry)
--- a/internal/instances/reader.go
+++ b/internal/instances/reader.go
@@ -24,8 +24,8 @@
 
 // Errors of a reading.
 var (
-	// ErrRate means that the platform refused a call over its rate.
-	ErrRate = eris.New("over the platform's rate")
+	// ErrRateLimited means that the platform refused a call over its rate.
+	ErrRateLimited = eris.New("over the platform's rate")
 	// ErrPlatform means that the platform answered with another failure.
 	ErrPlatform = eris.New("the platform failed")
 )
@@ -37,10 +37,10 @@
 }
 
 // NewReader returns a reader of the platform at the address (IP:PORT) that the function gives at each reading.
-func NewReader(address func() string) *Reader { return NewReaderDialing(address, transport.TCPDial()) }
+func NewReader(address func() string) *Reader { return NewReaderWithDial(address, transport.TCPDial()) }
 
-// NewReaderDialing returns a reader whose connections a function opens.
-func NewReaderDialing(address func() string, dial transport.DialFunc) *Reader {
+// NewReaderWithDial returns a reader whose connections a function opens.
+func NewReaderWithDial(address func() string, dial transport.DialFunc) *Reader {
 	return &Reader{address: address, http: &http.Transport{
 		DialContext:         dial.WithTimeout(dialTimeout),
 		DisableCompression:  true,
@@ -98,7 +98,7 @@
 	case http.StatusOK:
 		return nil
 	case http.StatusTooManyRequests:
-		return ErrRate
+		return ErrRateLimited
 	default:
 		return eris.Wrapf(ErrPlatform, "status %d", status)
 	}
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -130,8 +130,8 @@
 // Transit is the time in which an event of a stream must pass through a router.
 func (b *Bounds) Transit() time.Duration { return milliseconds(b.TransitMs) }
 
-// Again is the time since its last use within which a part of a prompt that is read once more is priced.
-func (b *Bounds) Again() time.Duration { return seconds(b.AgainS) }
+// PromptReuseWindow is the time since its last use within which a part of a prompt that is read once more is priced.
+func (b *Bounds) PromptReuseWindow() time.Duration { return seconds(b.AgainS) }
 
 // Lease is the time within which two holders of one role must not take turns.
 func (b *Bounds) Lease() time.Duration { return milliseconds(b.LeaseMs) }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -13,8 +13,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Variable is the environment variable that holds the path of the settings file.
-const Variable = "WELDSCALE_CONFIG"
+// EnvVariable is the environment variable that holds the path of the settings file.
+const EnvVariable = "WELDSCALE_CONFIG"
 
 // What a role may serve.
 const (
@@ -84,9 +84,9 @@
 
 // Load reads the file that the environment variable names.
 func Load() (*Settings, error) {
-	path := os.Getenv(Variable)
+	path := os.Getenv(EnvVariable)
 	if path == "" {
-		return nil, eris.Errorf("%s is not set", Variable)
+		return nil, eris.Errorf("%s is not set", EnvVariable)
 	}
 	return LoadFile(path)
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -82,7 +82,7 @@
 	assert.Equal(t, 3*time.Second, bounds.Liveness())
 	assert.Equal(t, 2500*time.Millisecond, bounds.Drain())
 	assert.Equal(t, 8*time.Second, bounds.Grace())
-	assert.Equal(t, 7500*time.Millisecond, bounds.Again())
+	assert.Equal(t, 7500*time.Millisecond, bounds.PromptReuseWindow())
 	assert.Equal(t, 10*time.Second, bounds.BudgetWindow())
 	assert.Equal(t, 120*time.Millisecond, bounds.Transit())
 }
@@ -159,12 +159,12 @@
 }
 
 func TestLoadNamesWhatIsMissing(t *testing.T) {
-	t.Setenv(Variable, "")
+	t.Setenv(EnvVariable, "")
 	_, err := Load()
 	assert.EqualError(t, err, "WELDSCALE_CONFIG is not set")
 
 	path := filepath.Join(t.TempDir(), "boot.json")
-	t.Setenv(Variable, path)
+	t.Setenv(EnvVariable, path)
 	_, err = Load()
 	assert.ErrorIs(t, err, os.ErrNotExist)
 	assert.Contains(t, err.Error(), path)
--- a/internal/settings/watcher.go
+++ b/internal/settings/watcher.go
@@ -35,7 +35,7 @@
 // with each new content that can be used; current is what the process started with. A file that can't be used changes
 // nothing and is logged once.
 func NewWatcher(current *Settings, onChange func(*Settings), log *zap.Logger) *Watcher {
-	return newWatcher(os.Getenv(Variable), current, onChange, log)
+	return newWatcher(os.Getenv(EnvVariable), current, onChange, log)
 }
 
 func newWatcher(path string, current *Settings, onChange func(*Settings), log *zap.Logger) *Watcher {
--- a/internal/standin/fleet/process.go
+++ b/internal/standin/fleet/process.go
@@ -89,7 +89,7 @@
 		return err
 	}
 	p.command = exec.Command(p.program)
-	p.command.Env = append(os.Environ(), settings.Variable+"="+p.settings)
+	p.command.Env = append(os.Environ(), settings.EnvVariable+"="+p.settings)
 	p.command.Stderr, p.command.Stdout = logFile, logFile
 	if p.passLog {
 		p.command.Stderr = os.Stderr
