--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,5 +1,6 @@
-// Package agent runs the small process beside each router. It follows one of the controllers and offers what it learns to
-// the router over loopback, so that a restarted router has its state at once and controllers serve one watcher a machine.
+// Package agent implements the process that runs beside each router. It subscribes to one of the controllers and relays
+// configurations and worker lists to the router over loopback, so that a restarted router gets its state at once and
+// controllers serve one subscriber per machine.
 package agent
 
 import (
@@ -21,18 +22,19 @@
 )
 
 const (
-	// gcPercent keeps the heap small: an agent allocates little, so frequent collections cost less than memory does.
+	// gcPercent keeps the heap small. An agent allocates little, so frequent collections cost less than a larger heap.
 	gcPercent       = 25
 	headerTimeout   = 5 * time.Second
 	maxHeaderBytes  = 8 << 10
 	shutdownTimeout = 200 * time.Millisecond
-	// An agent that is told to end stays while its router polls: a router that drains must still hear of workers that do.
-	lingerPoll   = 100 * time.Millisecond
-	lingerSilent = 900 * time.Millisecond // a router that lives polls again within its longest wait and the way
-	lingerSpare  = time.Second            // of the grace, for the end itself
+	// During shutdown the agent keeps serving while its router polls, because a router that drains still needs to know which
+	// workers drain.
+	drainPollInterval = 100 * time.Millisecond
+	routerPollTimeout = 900 * time.Millisecond // above the longest wait of a poll and the round trip
+	shutdownReserve   = time.Second            // the part of the grace period that is kept for closing the server
 )
 
-// Agent is the process beside a router.
+// Agent relays the state of the fleet from a controller to the router on the same machine.
 type Agent struct {
 	settings atomic.Pointer[settings.Settings]
 	log      *zap.Logger
@@ -40,10 +42,10 @@
 	hub      *watch.Hub
 	evidence evidence
 	follower *watch.Follower
-	polled   atomic.Pointer[time.Time] // when the router polled last
+	lastPoll atomic.Pointer[time.Time] // time of the router's latest poll
 }
 
-// Run runs an agent until ctx is done.
+// Run listens at the agent's address and serves the router until ctx is done.
 func Run(ctx context.Context, current *settings.Settings, log *zap.Logger) error {
 	debug.SetGCPercent(gcPercent)
 	listener, err := net.Listen("tcp", current.AgentAddress())
@@ -53,20 +55,20 @@
 	return New(current, log).Serve(ctx, listener)
 }
 
-// New returns an agent that knows nothing yet.
+// New returns an agent without any state.
 func New(current *settings.Settings, log *zap.Logger) *Agent {
 	return NewWithClient(current, transport.NewClient(), log)
 }
 
-// NewWithClient returns an agent that calls the controllers by a client of the caller's. The agent closes it in the end.
+// NewWithClient returns an agent that calls the controllers through the given client. Serve closes the client at shutdown.
 func NewWithClient(current *settings.Settings, client *transport.Client, log *zap.Logger) *Agent {
 	agent := &Agent{log: log, client: client}
 	agent.settings.Store(current)
 	agent.hub = watch.NewHub(watch.HubOptions{
 		QuorumAge:    func() time.Duration { return agent.follower.QuorumAge() },
 		MaxQuorumAge: watch.RelayMaxQuorumAge,
-		OnPoll:       agent.sawPoll,
-		Doubts:       func(*fleetwire.WatchRequest) []fleetwire.Doubt { return agent.evidence.doubts(time.Now()) },
+		OnPoll:       agent.recordPoll,
+		Doubts:       func(*fleetwire.WatchRequest) []fleetwire.Doubt { return agent.evidence.suspects(time.Now()) },
 	})
 	agent.follower = watch.NewFollower(watch.FollowerOptions{
 		Self:       self(current),
@@ -74,7 +76,7 @@
 		Client:     agent.client,
 		Relay:      agent.hub,
 		BeforePoll: func(request *fleetwire.WatchRequest) { request.Observations = agent.evidence.take() },
-		OnDoubts:   func(doubts []fleetwire.Doubt) { agent.evidence.told(time.Now(), doubts) },
+		OnDoubts:   func(suspects []fleetwire.Doubt) { agent.evidence.setSuspects(time.Now(), suspects) },
 		Log:        log,
 	})
 	return agent
@@ -90,25 +92,26 @@
 	}
 }
 
-// Source returns the internal address of the controller that the agent follows, or nothing while it follows none.
+// Source returns the internal address of the agent's current source, or an empty string without one.
 func (a *Agent) Source() string { return a.follower.Source() }
 
-// Serve follows the controllers and serves the router at the listener until ctx is done.
+// Serve polls the controllers and serves the router on the listener until ctx is done. It then keeps serving until the
+// router stops polling or the grace period is nearly over.
 func (a *Agent) Serve(ctx context.Context, listener net.Listener) error {
-	ended := ctx.Done()
-	ctx, stop := context.WithCancel(context.WithoutCancel(ctx))
-	defer stop()
+	done := ctx.Done()
+	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
 	server := &http.Server{Handler: a.handler(), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes}
 	go a.follower.Run(ctx)
 	go settings.NewWatcher(a.settings.Load(), a.settings.Store, a.log).Run(ctx)
-	failed := make(chan error, 1)
-	go func() { failed <- server.Serve(listener) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- server.Serve(listener) }()
 	a.log.Info("agent serves", zap.String("address", listener.Addr().String()))
 	select {
-	case <-ended:
-		a.linger()
+	case <-done:
+		a.waitForRouter()
 		return a.shutdown(server)
-	case err := <-failed:
+	case err := <-serveErr:
 		return eris.Wrap(err, "serve the router")
 	}
 }
@@ -120,26 +123,26 @@
 	return mux
 }
 
-func (a *Agent) sawPoll(request *fleetwire.WatchRequest) {
+func (a *Agent) recordPoll(request *fleetwire.WatchRequest) {
 	now := time.Now()
-	a.polled.Store(&now)
-	a.evidence.seen(request.Observations)
+	a.lastPoll.Store(&now)
+	a.evidence.add(request.Observations)
 }
 
-// linger returns once the router has stopped polling, or the grace is nearly over.
-func (a *Agent) linger() {
-	latest := time.Now().Add(a.settings.Load().Bounds.Grace() - lingerSpare)
-	ticker := time.NewTicker(lingerPoll)
+// waitForRouter returns once the router has stopped polling or the grace period is nearly over.
+func (a *Agent) waitForRouter() {
+	deadline := time.Now().Add(a.settings.Load().Bounds.Grace() - shutdownReserve)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
-	for now := time.Now(); now.Before(latest); now = <-ticker.C {
-		polled := a.polled.Load()
-		if polled == nil || now.Sub(*polled) > lingerSilent {
+	for now := time.Now(); now.Before(deadline); now = <-ticker.C {
+		lastPoll := a.lastPoll.Load()
+		if lastPoll == nil || now.Sub(*lastPoll) > routerPollTimeout {
 			return
 		}
 	}
 }
 
-// shutdown ends the router's poll with an answer and closes; the router lives on with what it has.
+// shutdown answers the router's pending poll and closes the server and the client. The router keeps its last state.
 func (a *Agent) shutdown(server *http.Server) error {
 	a.hub.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -19,7 +19,7 @@
 	"weldscale/internal/settings"
 )
 
-// controller is a hub on loopback, at the address that an agent's settings lead to.
+// controller is a hub that listens on loopback.
 type controller struct {
 	hub    *watch.Hub
 	server *httptest.Server
@@ -34,7 +34,7 @@
 	return &controller{hub: hub, server: server}
 }
 
-// settingsFor writes a settings file whose one seed leads to the controller.
+// settingsFor writes and loads a settings file whose internal ports make the only seed resolve to the controller.
 func settingsFor(t *testing.T, c *controller) *settings.Settings {
 	port := c.server.Listener.Addr().(*net.TCPAddr).Port
 	body := fmt.Sprintf(`{"NodeName": "frontend-a-1", "Ip": "127.0.0.1", "Zone": "a", "InternalPorts": [%d, %d],
@@ -47,44 +47,44 @@
 	return current
 }
 
-// running is an agent that serves on a port of its own.
-type running struct {
+// runningAgent is an agent that serves on a port of its own.
+type runningAgent struct {
 	address string
 	stop    context.CancelFunc
-	ended   chan error
+	done    chan error
 }
 
-func startAgent(t *testing.T, current *settings.Settings) *running {
+func startAgent(t *testing.T, current *settings.Settings) *runningAgent {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
-	r := &running{address: listener.Addr().String(), stop: stop, ended: make(chan error, 1)}
-	go func() { r.ended <- New(current, zap.NewNop()).Serve(ctx, listener) }()
+	r := &runningAgent{address: listener.Addr().String(), stop: stop, done: make(chan error, 1)}
+	go func() { r.done <- New(current, zap.NewNop()).Serve(ctx, listener) }()
 	t.Cleanup(stop)
 	return r
 }
 
-// follow watches an agent as its router does.
+// follow subscribes to an agent as its router does and returns the snapshots.
 func follow(t *testing.T, address string) <-chan *watch.Snapshot {
-	got := make(chan *watch.Snapshot, 16)
+	snapshots := make(chan *watch.Snapshot, 16)
 	client := transport.NewClient()
 	follower := watch.NewFollower(watch.FollowerOptions{
 		Self:         fleetwire.Member{Name: "frontend-a-1", Role: fleetwire.RoleRouter},
 		Sources:      func() []string { return []string{address} },
 		Client:       client,
-		OnChange:     func(snapshot *watch.Snapshot) { got <- snapshot },
+		OnChange:     func(snapshot *watch.Snapshot) { snapshots <- snapshot },
 		MaxQuorumAge: watch.RelayMaxQuorumAge,
 	})
 	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	go func() { follower.Run(ctx); close(ended) }()
-	t.Cleanup(func() { stop(); <-ended; client.Close() })
-	return got
+	done := make(chan struct{})
+	go func() { follower.Run(ctx); close(done) }()
+	t.Cleanup(func() { stop(); <-done; client.Close() })
+	return snapshots
 }
 
-// await returns the first snapshot with a configuration of the revision.
-func await(got <-chan *watch.Snapshot, revision uint64) *watch.Snapshot {
-	for snapshot := range got {
+// await returns the first snapshot with the given revision of the configuration.
+func await(snapshots <-chan *watch.Snapshot, revision uint64) *watch.Snapshot {
+	for snapshot := range snapshots {
 		if snapshot.Version.ConfigRevision == revision {
 			return snapshot
 		}
@@ -92,18 +92,18 @@
 	return nil
 }
 
-func TestAgentFeedsItsRouter(t *testing.T) {
+func TestAgentRelaysConfigurationsToTheRouter(t *testing.T) {
 	c := startController(t)
 	agent := startAgent(t, settingsFor(t, c))
-	got := follow(t, agent.address)
+	snapshots := follow(t, agent.address)
 	for revision := uint64(1); revision <= 3; revision++ {
 		config := &fleetwire.Config{Version: int64(revision), Services: []fleetwire.Service{{Name: "service"}}}
 		require.NoError(t, c.hub.PublishConfig(revision, config))
-		require.Equal(t, config, await(got, revision).Config)
+		require.Equal(t, config, await(snapshots, revision).Config)
 	}
 }
 
-func TestAgentTellsItsStatus(t *testing.T) {
+func TestAgentReportsItsStatus(t *testing.T) {
 	c := startController(t)
 	c.hub.SetControllers([]string{c.server.Listener.Addr().String()})
 	require.NoError(t, c.hub.PublishConfig(1, &fleetwire.Config{Version: 1}))
@@ -118,49 +118,49 @@
 	require.Equal(t, []string{c.server.Listener.Addr().String()}, status.Controllers)
 }
 
-func TestAgentServesADrainingRouterUntilItIsGone(t *testing.T) {
+func TestAgentServesADrainingRouterUntilItStopsPolling(t *testing.T) {
 	c := startController(t)
 	require.NoError(t, c.hub.PublishConfig(1, &fleetwire.Config{Version: 1}))
 	agent := startAgent(t, settingsFor(t, c))
-	t.Run("router lives", func(t *testing.T) { // the follower ends with this part
-		got := follow(t, agent.address)
-		await(got, 1)
+	t.Run("router still polls", func(t *testing.T) { // the follower stops when the subtest ends
+		snapshots := follow(t, agent.address)
+		await(snapshots, 1)
 		agent.stop()
 		require.NoError(t, c.hub.PublishConfig(2, &fleetwire.Config{Version: 2}))
-		require.NotNil(t, await(got, 2), "a list that changes while the router drains must reach it")
+		require.NotNil(t, await(snapshots, 2), "an update during the drain must reach the router")
 	})
-	require.NoError(t, <-agent.ended)
+	require.NoError(t, <-agent.done)
 	_, err := net.Dial("tcp", agent.address)
-	require.Error(t, err, "nothing listens any more")
+	require.Error(t, err, "the listener must be closed")
 }
 
-func TestAgentEndsItsPollsOnceItsGraceIsOver(t *testing.T) {
+func TestAgentEndsPollsAtTheEndOfTheGracePeriod(t *testing.T) {
 	c := startController(t)
 	require.NoError(t, c.hub.PublishConfig(1, &fleetwire.Config{Version: 1}))
 	current := settingsFor(t, c)
-	current.Bounds.GraceS = lingerSpare.Seconds() // nothing is left to wait in
+	current.Bounds.GraceS = shutdownReserve.Seconds() // leaves no time to wait for the router
 	agent := startAgent(t, current)
 	await(follow(t, agent.address), 1)
 	agent.stop()
-	require.NoError(t, <-agent.ended)
+	require.NoError(t, <-agent.done)
 	_, err := net.Dial("tcp", agent.address)
-	require.Error(t, err, "nothing listens any more")
+	require.Error(t, err, "the listener must be closed")
 }
 
-func TestAgentStartsBeforeItsControllers(t *testing.T) {
+func TestAgentConnectsToControllersThatStartLater(t *testing.T) {
 	c := startController(t)
 	current := settingsFor(t, c)
-	reserved := c.server.Listener.Addr().String()
+	address := c.server.Listener.Addr().String()
 	c.server.Close()
 	agent := startAgent(t, current)
-	got := follow(t, agent.address)
-	listener, err := net.Listen("tcp", reserved)
+	snapshots := follow(t, agent.address)
+	listener, err := net.Listen("tcp", address)
 	require.NoError(t, err)
 	mux := http.NewServeMux()
 	c.hub.Register(mux)
-	late := &http.Server{Handler: mux}
-	go func() { _ = late.Serve(listener) }()
-	defer func() { _ = late.Close() }()
+	lateServer := &http.Server{Handler: mux}
+	go func() { _ = lateServer.Serve(listener) }()
+	defer func() { _ = lateServer.Close() }()
 	require.NoError(t, c.hub.PublishConfig(1, &fleetwire.Config{Version: 1}))
-	require.NotNil(t, await(got, 1))
+	require.NotNil(t, await(snapshots, 1))
 }
--- a/internal/agent/evidence.go
+++ b/internal/agent/evidence.go
@@ -8,50 +8,52 @@
 )
 
 const (
-	// doubtsKept is how long doubts count without an answer of a controller: cut off, nobody is spoken against for long.
-	doubtsKept = 3 * time.Second
-	// mostObservations bounds what waits for the next poll; what is left out is said again by the router.
-	mostObservations = 128
+	// suspectTTL is how long suspects stay valid without a reply from a controller. An agent that is cut off must not keep
+	// workers under suspicion for long.
+	suspectTTL = 3 * time.Second
+	// maxPendingObservations bounds the observations that wait for the next poll. The router repeats those that are dropped.
+	maxPendingObservations = 128
 )
 
-// evidence passes on what the router saw of workers, and what the controllers say of them.
+// evidence buffers the router's observations of workers for the controllers, and holds the controllers' suspects for the
+// router. It is safe for use by several goroutines.
 type evidence struct {
-	mutex    sync.Mutex
-	waiting  []fleetwire.Observation
-	doubted  []fleetwire.Doubt
-	answered time.Time
+	mutex     sync.Mutex
+	pending   []fleetwire.Observation
+	suspected []fleetwire.Doubt
+	updatedAt time.Time // time of the controller's latest reply
 }
 
-// seen takes the router's observations.
-func (h *evidence) seen(observations []fleetwire.Observation) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	room := max(0, mostObservations-len(h.waiting))
-	h.waiting = append(h.waiting, observations[:min(room, len(observations))]...)
+// add appends the router's observations to those that wait for the next poll.
+func (e *evidence) add(observations []fleetwire.Observation) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	free := max(0, maxPendingObservations-len(e.pending))
+	e.pending = append(e.pending, observations[:min(free, len(observations))]...)
 }
 
-// take returns what waits to be passed on.
-func (h *evidence) take() []fleetwire.Observation {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	waiting := h.waiting
-	h.waiting = nil
-	return waiting
+// take removes and returns the pending observations.
+func (e *evidence) take() []fleetwire.Observation {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	pending := e.pending
+	e.pending = nil
+	return pending
 }
 
-// told takes a controller's doubts.
-func (h *evidence) told(now time.Time, doubts []fleetwire.Doubt) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	h.doubted, h.answered = doubts, now
+// setSuspects stores the suspects that a controller reported.
+func (e *evidence) setSuspects(now time.Time, suspects []fleetwire.Doubt) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	e.suspected, e.updatedAt = suspects, now
 }
 
-// doubts returns the newest doubts, none if they are old.
-func (h *evidence) doubts(now time.Time) []fleetwire.Doubt {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if now.Sub(h.answered) > doubtsKept {
+// suspects returns the latest suspects, or nil if they are older than suspectTTL.
+func (e *evidence) suspects(now time.Time) []fleetwire.Doubt {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	if now.Sub(e.updatedAt) > suspectTTL {
 		return nil
 	}
-	return h.doubted
+	return e.suspected
 }
--- a/internal/agent/evidence_test.go
+++ b/internal/agent/evidence_test.go
@@ -9,24 +9,24 @@
 	"weldscale/internal/fleetwire"
 )
 
-func TestEvidencePassesEachObservationOnOnce(t *testing.T) {
-	var h evidence
-	h.seen([]fleetwire.Observation{{Worker: "a"}})
-	h.seen([]fleetwire.Observation{{Worker: "b"}})
-	require.Len(t, h.take(), 2)
-	require.Empty(t, h.take())
-	h.seen(make([]fleetwire.Observation, 2*mostObservations))
-	require.Len(t, h.take(), mostObservations)
+func TestEachObservationIsForwardedOnce(t *testing.T) {
+	var e evidence
+	e.add([]fleetwire.Observation{{Worker: "a"}})
+	e.add([]fleetwire.Observation{{Worker: "b"}})
+	require.Len(t, e.take(), 2)
+	require.Empty(t, e.take())
+	e.add(make([]fleetwire.Observation, 2*maxPendingObservations))
+	require.Len(t, e.take(), maxPendingObservations)
 }
 
-func TestDoubtsEndWhenTheControllersAreNotHeard(t *testing.T) {
-	var h evidence
+func TestSuspectsExpireWithoutRepliesFromControllers(t *testing.T) {
+	var e evidence
 	now := time.Now()
-	doubts := []fleetwire.Doubt{{Worker: "a", Avoid: true}}
-	require.Empty(t, h.doubts(now))
-	h.told(now, doubts)
-	require.Equal(t, doubts, h.doubts(now.Add(doubtsKept)))
-	require.Empty(t, h.doubts(now.Add(doubtsKept+time.Millisecond)))
-	h.told(now.Add(time.Minute), nil)
-	require.Empty(t, h.doubts(now.Add(time.Minute)))
+	suspects := []fleetwire.Doubt{{Worker: "a", Avoid: true}}
+	require.Empty(t, e.suspects(now))
+	e.setSuspects(now, suspects)
+	require.Equal(t, suspects, e.suspects(now.Add(suspectTTL)))
+	require.Empty(t, e.suspects(now.Add(suspectTTL+time.Millisecond)))
+	e.setSuspects(now.Add(time.Minute), nil)
+	require.Empty(t, e.suspects(now.Add(time.Minute)))
 }
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -7,18 +7,18 @@
 	"weldscale/internal/fleetwire"
 )
 
-// Status is what an agent tells of itself at fleetwire.PathStatus.
+// Status is an agent's reply at fleetwire.PathStatus.
 type Status struct {
 	Member      fleetwire.Member
 	Version     fleetwire.Version
-	Source      string // the controller that it follows; empty: none
+	Source      string // internal address of the current source; empty: none
 	Controllers []string
 	Routers     int
 	QuorumAgeMs int64
 	ListAgeMs   int64
 }
 
-// StatusRequest asks for a Status.
+// StatusRequest is the empty request for a Status.
 type StatusRequest struct{}
 
 func (a *Agent) status(context.Context, StatusRequest) (Status, error) {
