--- a/internal/instances/decode.go
+++ b/internal/instances/decode.go
@@ -1,4 +1,5 @@
-// Package instances reads the platform's list of workers, page by page, as whole snapshots.
+// Package instances polls the platform's paginated list of workers and returns it as complete snapshots. The controller
+// that holds the lease publishes them to the fleet.
 package instances
 
 import (
@@ -9,13 +10,13 @@
 	"weldscale/internal/fleetwire"
 )
 
-// page is one answer of the platform.
+// page is one response of the platform.
 type page struct {
 	Instances     []entry
 	NextPageToken *string
 }
 
-// entry is one worker as the platform writes it. Keys that routers don't use are left out.
+// entry is one worker as the platform encodes it. Keys that routers don't use are ignored.
 type entry struct {
 	ID              string `json:"Id"`
 	Service         string
@@ -34,7 +35,7 @@
 	Version int64
 }
 
-// decodePage returns the workers of one page and the token of the next page, empty after the last one.
+// decodePage returns the workers of one page and the token of the next page, which is empty on the last page.
 func decodePage(body []byte) ([]fleetwire.Instance, string, error) {
 	var decoded page
 	if err := json.Unmarshal(body, &decoded); err != nil {
@@ -43,7 +44,7 @@
 	list := make([]fleetwire.Instance, 0, len(decoded.Instances))
 	for _, entry := range decoded.Instances {
 		if entry.ID == "" || entry.Address == "" {
-			return nil, "", eris.New("an instance lacks its id or address")
+			return nil, "", eris.New("an instance has no id or no address")
 		}
 		list = append(list, entry.instance())
 	}
--- a/internal/instances/instances_test.go
+++ b/internal/instances/instances_test.go
@@ -53,17 +53,17 @@
 	}, list)
 }
 
-func TestReadFails(t *testing.T) {
+func TestReadReturnsErrors(t *testing.T) {
 	cases := map[string]struct {
 		status int
 		body   string
 		want   error
 	}{
-		"over the rate":   {http.StatusTooManyRequests, "", ErrRateLimited},
-		"a failure":       {http.StatusInternalServerError, "", ErrPlatform},
-		"cut off":         {http.StatusOK, lastPage[:50], nil},
-		"no id":           {http.StatusOK, `{"Instances":[{"Address":"10.0.0.1:1"}]}`, nil},
-		"an endless list": {http.StatusOK, firstPage, ErrPlatform},
+		"above the rate limit": {http.StatusTooManyRequests, "", ErrRateLimited},
+		"server error":         {http.StatusInternalServerError, "", ErrPlatform},
+		"truncated page":       {http.StatusOK, lastPage[:50], nil},
+		"no id":                {http.StatusOK, `{"Instances":[{"Address":"10.0.0.1:1"}]}`, nil},
+		"too many pages":       {http.StatusOK, firstPage, ErrPlatform},
 	}
 	for name, each := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -80,15 +80,15 @@
 	}
 }
 
-func TestReadGivesUpOnASilentPlatform(t *testing.T) {
+func TestReadTimesOutWithoutAReply(t *testing.T) {
 	reader := serve(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	begun := time.Now()
+	started := time.Now()
 	_, err := reader.Read(t.Context())
 	require.ErrorIs(t, err, context.DeadlineExceeded)
-	require.Less(t, time.Since(begun), 10*pageTimeout)
+	require.Less(t, time.Since(started), 10*pageTimeout)
 }
 
-func TestMergeKeepsEachInstanceOnceAndDrainingOnesDraining(t *testing.T) {
+func TestMergeRemovesDuplicatesAndKeepsDraining(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 		states := rapid.SampledFrom([]string{fleetwire.InstanceReady, fleetwire.InstanceDraining})
@@ -114,7 +114,7 @@
 	})
 }
 
-func TestSameLooksAtWhatMatters(t *testing.T) {
+func TestEqualIgnoresTheRemainingColdStartTime(t *testing.T) {
 	base := fleetwire.Instance{ID: "i", Address: "a", ColdRemainingMs: 900, Models: []fleetwire.Model{{Name: "m", Version: 1}}}
 	with := func(change func(*fleetwire.Instance)) []fleetwire.Instance {
 		changed := base
@@ -131,18 +131,18 @@
 	require.True(t, Equal(nil, []fleetwire.Instance{}))
 }
 
-// scripted is a source and lease for a poller; it notes when it was read.
-type scripted struct {
-	begun  time.Time
-	reads  []time.Duration
-	errors []error
-	onRead func()
-	token  uint64
-	held   bool
+// scriptedSource is a source and a lease for a poller. It records the time of each read and returns the scripted errors.
+type scriptedSource struct {
+	started time.Time
+	reads   []time.Duration
+	errors  []error
+	onRead  func()
+	token   uint64
+	held    bool
 }
 
-func (s *scripted) Read(context.Context) ([]fleetwire.Instance, error) {
-	s.reads = append(s.reads, time.Since(s.begun))
+func (s *scriptedSource) Read(context.Context) ([]fleetwire.Instance, error) {
+	s.reads = append(s.reads, time.Since(s.started))
 	if s.onRead != nil {
 		s.onRead()
 	}
@@ -154,12 +154,12 @@
 	return nil, nil
 }
 
-func (s *scripted) lease() (uint64, bool) { return s.token, s.held }
+func (s *scriptedSource) lease() (uint64, bool) { return s.token, s.held }
 
-// poll runs a poller for a while of the bubble's clock and returns the tokens under which it published.
-func (s *scripted) poll(t *testing.T, span time.Duration) []uint64 {
+// poll runs a poller for a span of the fake clock and returns the fencing tokens of the published lists.
+func (s *scriptedSource) poll(t *testing.T, span time.Duration) []uint64 {
 	var published []uint64
-	s.begun = time.Now()
+	s.started = time.Now()
 	poller := NewPoller(s, s.lease, func(token uint64, _ []fleetwire.Instance) { published = append(published, token) }, zap.NewNop())
 	ctx, cancel := context.WithTimeout(t.Context(), span)
 	defer cancel()
@@ -167,43 +167,43 @@
 	return published
 }
 
-func TestThePollerKeepsItsPaceAndRetriesSooner(t *testing.T) {
+func TestPollerKeepsItsIntervalAndRetriesSooner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		failure := errors.New("failed")
-		script := &scripted{token: 3, held: true, errors: []error{failure, failure, ErrRateLimited}}
-		published := script.poll(t, 1800*time.Millisecond)
+		source := &scriptedSource{token: 3, held: true, errors: []error{failure, failure, ErrRateLimited}}
+		published := source.poll(t, 1800*time.Millisecond)
 		ms := time.Millisecond
-		require.Equal(t, []time.Duration{0, 100 * ms, 300 * ms, 700 * ms, 1200 * ms, 1700 * ms}, script.reads)
+		require.Equal(t, []time.Duration{0, 100 * ms, 300 * ms, 700 * ms, 1200 * ms, 1700 * ms}, source.reads)
 		require.Equal(t, []uint64{3, 3, 3}, published)
 	})
 }
 
-func TestThePollerDoesNotReadWithoutItsLease(t *testing.T) {
+func TestPollerDoesNotReadWithoutTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		script := &scripted{}
-		require.Empty(t, script.poll(t, time.Minute))
-		require.Empty(t, script.reads)
+		source := &scriptedSource{}
+		require.Empty(t, source.poll(t, time.Minute))
+		require.Empty(t, source.reads)
 	})
 }
 
-func TestThePollerDropsWhatItReadUnderALostLease(t *testing.T) {
+func TestPollerDropsAListReadUnderALostLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		script := &scripted{token: 3, held: true}
-		script.onRead = func() { script.held = false }
-		require.Empty(t, script.poll(t, time.Second))
-		require.Len(t, script.reads, 1)
+		source := &scriptedSource{token: 3, held: true}
+		source.onRead = func() { source.held = false }
+		require.Empty(t, source.poll(t, time.Second))
+		require.Len(t, source.reads, 1)
 	})
 }
 
-func TestAWokenPollerAsksForItsLease(t *testing.T) {
+func TestWakeMakesThePollerCheckItsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		script := &scripted{token: 3, begun: time.Now()}
+		source := &scriptedSource{token: 3, started: time.Now()}
 		published := make(chan uint64, 1)
-		poller := NewPoller(script, script.lease, func(token uint64, _ []fleetwire.Instance) { published <- token }, zap.NewNop())
+		poller := NewPoller(source, source.lease, func(token uint64, _ []fleetwire.Instance) { published <- token }, zap.NewNop())
 		ctx, cancel := context.WithCancel(t.Context())
 		go poller.Run(ctx)
 		synctest.Wait()
-		script.held = true
+		source.held = true
 		poller.Wake()
 		require.Equal(t, uint64(3), <-published)
 		cancel()
--- a/internal/instances/poller.go
+++ b/internal/instances/poller.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// pollInterval is the time from one reading to the next. Each call has a price; a worker that drains must be left
-	// within seconds, and half a second leaves the rest of them to the way of the list.
+	// pollInterval is the time between two reads. Each call has a cost, but routers must stop using a draining worker within
+	// seconds. Half a second leaves the rest of that time for the distribution of the list.
 	pollInterval = 500 * time.Millisecond
-	// A failed reading is repeated sooner, since the time of a drain runs on.
+	// A failed read is repeated sooner, because the time limit for draining workers keeps running.
 	firstRetry = 100 * time.Millisecond
 	maxRetry   = 800 * time.Millisecond
-	// rateRetry lets the rate, which all callers share, recover.
+	// rateRetry lets the rate limit recover, which all callers share.
 	rateRetry = 400 * time.Millisecond
 )
 
-// Source reads the list.
+// Source reads the complete list of workers.
 type Source interface {
 	Read(ctx context.Context) ([]fleetwire.Instance, error)
 }
 
-// Lease tells whether this process may read the list now, and under which fencing token.
+// Lease returns whether this process holds the lease for reading the list, and its fencing token.
 type Lease func() (token uint64, held bool)
 
-// Poller reads the list while it holds the lease, again and again.
+// Poller reads the list periodically while it holds the lease.
 type Poller struct {
 	source  Source
 	lease   Lease
@@ -39,13 +39,13 @@
 	log     *zap.Logger
 }
 
-// NewPoller returns a poller that hands each whole list to publish, whether it has changed or not, as long as the lease
-// under which it was begun is still held.
+// NewPoller returns a poller that calls publish with each complete list, changed or not. A list is dropped if the lease under
+// which its read started is no longer held.
 func NewPoller(source Source, lease Lease, publish func(token uint64, list []fleetwire.Instance), log *zap.Logger) *Poller {
 	return &Poller{source: source, lease: lease, publish: publish, wake: make(chan struct{}, 1), log: log}
 }
 
-// Wake has the poller ask for its lease at once if it is waiting without one.
+// Wake makes a poller that waits for its lease check the lease at once. It does not block.
 func (p *Poller) Wake() {
 	select {
 	case p.wake <- struct{}{}:
@@ -53,7 +53,7 @@
 	}
 }
 
-// Run polls until the context is done.
+// Run polls until ctx is done.
 func (p *Poller) Run(ctx context.Context) {
 	failures := 0
 	for ctx.Err() == nil {
@@ -68,7 +68,7 @@
 			failures = 0
 		} else {
 			failures++
-			p.complain(failures, err)
+			p.logFailure(failures, err)
 		}
 		pause.For(ctx, delay(failures, err))
 	}
@@ -86,19 +86,19 @@
 	if err != nil {
 		return err
 	}
-	if now, held := p.lease(); held && now == token {
+	if current, held := p.lease(); held && current == token {
 		p.publish(token, list)
 	}
 	return nil
 }
 
-func (p *Poller) complain(failures int, err error) {
+func (p *Poller) logFailure(failures int, err error) {
 	if failures == 1 {
 		p.log.Warn("the list of instances could not be read", zap.String("cause", err.Error()))
 	}
 }
 
-// delay returns the time until the next reading after some failures in a row, of which err is the last.
+// delay returns the time until the next read after a number of consecutive failures, the last of which is err.
 func delay(failures int, err error) time.Duration {
 	if failures == 0 {
 		return pollInterval
--- a/internal/instances/reader.go
+++ b/internal/instances/reader.go
@@ -15,31 +15,31 @@
 
 const (
 	path         = "/instances"
-	pageTimeout  = 700 * time.Millisecond // a platform that is slower than this is in trouble
+	pageTimeout  = 700 * time.Millisecond // a healthy platform answers faster
 	dialTimeout  = 400 * time.Millisecond
 	idleTimeout  = 10 * time.Second
 	maxPageBytes = 8 << 20
-	maxPages     = 200 // a list that never ends is a fault of the platform
+	maxPages     = 200 // a longer list is treated as a fault of the platform
 )
 
-// Errors of a reading.
+// Errors that Read wraps.
 var (
-	// ErrRateLimited means that the platform refused a call over its rate.
-	ErrRateLimited = eris.New("over the platform's rate")
-	// ErrPlatform means that the platform answered with another failure.
-	ErrPlatform = eris.New("the platform failed")
+	// ErrRateLimited means that the platform refused a call above its rate limit.
+	ErrRateLimited = eris.New("above the platform's rate limit")
+	// ErrPlatform means that the platform answered with another error status, or with a list that does not end.
+	ErrPlatform = eris.New("platform error")
 )
 
-// Reader reads the list from the platform.
+// Reader reads the list of workers from the platform over HTTP.
 type Reader struct {
 	address func() string
 	http    http.RoundTripper
 }
 
-// NewReader returns a reader of the platform at the address (IP:PORT) that the function gives at each reading.
+// NewReader returns a reader that calls address before each page for the platform's address (IP:PORT).
 func NewReader(address func() string) *Reader { return NewReaderWithDial(address, transport.TCPDial()) }
 
-// NewReaderWithDial returns a reader whose connections a function opens.
+// NewReaderWithDial is like NewReader but opens connections with the given function.
 func NewReaderWithDial(address func() string, dial transport.DialFunc) *Reader {
 	return &Reader{address: address, http: &http.Transport{
 		DialContext:         dial.WithTimeout(dialTimeout),
@@ -49,7 +49,7 @@
 	}}
 }
 
-// Read returns the whole list. Each page has a deadline of its own.
+// Read returns the complete list. Each page has a deadline of its own.
 func (r *Reader) Read(ctx context.Context) ([]fleetwire.Instance, error) {
 	var pages [][]fleetwire.Instance
 	token := ""
@@ -64,7 +64,7 @@
 		}
 		token = next
 	}
-	return nil, eris.Wrap(ErrPlatform, "the list does not end")
+	return nil, eris.Wrap(ErrPlatform, "the list has too many pages")
 }
 
 func (r *Reader) readPage(ctx context.Context, token string) ([]fleetwire.Instance, string, error) {
