--- a/internal/fleetclient/address.go
+++ b/internal/fleetclient/address.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// compareAddresses orders addresses by number, and what is none by text.
+// compareAddresses orders IP:PORT addresses numerically. If one of the two is not an IP:PORT, it compares them as text.
 func compareAddresses(a, b string) int {
 	first, firstErr := netip.ParseAddrPort(a)
 	second, secondErr := netip.ParseAddrPort(b)
--- a/internal/fleetclient/client.go
+++ b/internal/fleetclient/client.go
@@ -1,5 +1,5 @@
-// Package fleetclient speaks to a running fleet as its operator does: it sends and reads configurations at the controllers'
-// Control addresses and asks processes for their status.
+// Package fleetclient is the operator's client of a running fleet. It reads and replaces the configuration at the controllers'
+// Control addresses and queries the controllers for their status.
 package fleetclient
 
 import (
@@ -16,15 +16,15 @@
 	"weldscale/internal/pause"
 )
 
-// Errors that callers tell apart.
+// Errors that callers distinguish.
 var (
-	// ErrConflict is the root of errors for a change on top of a version that is not the current one.
+	// ErrConflict is wrapped by errors for a change whose base is not the current version.
 	ErrConflict = eris.New("another version is current")
-	// ErrRefused is the root of errors for a call that the fleet refused for good.
+	// ErrRefused is wrapped by errors for a call that was rejected and is not worth a retry.
 	ErrRefused = eris.New("refused")
-	// ErrNoConfig is the root of errors for a fleet that has no configuration yet.
+	// ErrNoConfig is returned by Read if the fleet has no configuration yet.
 	ErrNoConfig = eris.New("there is no configuration")
-	// ErrIndeterminate is the root of errors for a call that got no clear answer in time. A change may have been taken.
+	// ErrIndeterminate is wrapped by errors for a call without a conclusive reply in time. A change may have been applied.
 	ErrIndeterminate = eris.New("no clear answer")
 )
 
@@ -33,31 +33,31 @@
 	pathRead    = "/config/read"
 	headerBase  = "Base-Version"
 
-	maxRedirects   = 2
-	maxAnswerBytes = 64 << 20
-	// tryTimeout bounds one call, so that the next controller is asked in time.
-	tryTimeout = 4 * time.Second
-	firstPause = 50 * time.Millisecond
-	maxPause   = time.Second
+	maxRedirects  = 2
+	maxReplyBytes = 64 << 20
+	// attemptTimeout bounds one attempt, so that enough time is left for the next controller.
+	attemptTimeout = 4 * time.Second
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = time.Second
 )
 
-// Client calls the controllers in turn until one gives a clear answer or the context is done.
+// Client calls the controllers in turn until one gives a conclusive reply or the context is done.
 type Client struct {
-	controls  []string
+	addresses []string
 	transport *http.Transport
 }
 
-// New returns a client of the controllers at these Control addresses, IP:PORT.
-func New(controls []string) *Client {
-	return &Client{controls: controls, transport: &http.Transport{DisableCompression: true}}
+// New returns a client of the controllers at the given Control addresses, IP:PORT.
+func New(addresses []string) *Client {
+	return &Client{addresses: addresses, transport: &http.Transport{DisableCompression: true}}
 }
 
 // Close closes the idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// Read returns the newest configuration as it was sent.
+// Read returns the current configuration, byte for byte as the operator sent it.
 func (c *Client) Read(ctx context.Context) ([]byte, error) {
-	reply, err := c.ask(ctx, call{method: http.MethodGet, path: pathRead})
+	reply, err := c.do(ctx, call{method: http.MethodGet, path: pathRead})
 	if err != nil {
 		return nil, err
 	}
@@ -70,9 +70,9 @@
 	return nil, reply.refusal()
 }
 
-// Replace sends a configuration that builds on the version base. It is sent again, unchanged, until the answer is clear.
+// Replace replaces the configuration whose version is base. It repeats the same request until a reply is conclusive.
 func (c *Client) Replace(ctx context.Context, base int64, body []byte) error {
-	reply, err := c.ask(ctx, call{
+	reply, err := c.do(ctx, call{
 		method: http.MethodPost,
 		path:   pathReplace,
 		header: http.Header{headerBase: {strconv.FormatInt(base, 10)}, "Content-Type": {"application/json"}},
@@ -90,20 +90,22 @@
 	return reply.refusal()
 }
 
+// call is a request to any of the controllers.
 type call struct {
 	method, path string
 	header       http.Header
 	body         []byte
 }
 
+// reply is a controller's response to a call.
 type reply struct {
 	status   int
 	location string
 	body     []byte
 }
 
-// clear reports whether the answer settles the call: another controller would not answer otherwise.
-func (r reply) clear() bool {
+// conclusive reports whether the reply decides the call, so that asking another controller is of no use.
+func (r reply) conclusive() bool {
 	switch r.status {
 	case http.StatusRequestTimeout, http.StatusTooManyRequests:
 		return false
@@ -111,7 +113,7 @@
 	return r.status < http.StatusInternalServerError
 }
 
-// text returns the first line of the answer.
+// text returns the first line of the body.
 func (r reply) text() string {
 	line, _, _ := strings.Cut(strings.TrimSpace(string(r.body)), "\n")
 	return line
@@ -119,34 +121,34 @@
 
 func (r reply) refusal() error { return eris.Wrapf(ErrRefused, "status %d: %s", r.status, r.text()) }
 
-// ask makes the call at one controller after the other until an answer is clear.
-func (c *Client) ask(ctx context.Context, wanted call) (reply, error) {
-	if len(c.controls) == 0 {
+// do sends the call to one controller after the other, with exponential backoff, until a reply is conclusive.
+func (c *Client) do(ctx context.Context, wanted call) (reply, error) {
+	if len(c.addresses) == 0 {
 		return reply{}, eris.New("no controller is known")
 	}
-	last := "no controller answered"
-	wait := firstPause
-	for turn := 0; ; turn++ {
-		address := c.controls[turn%len(c.controls)]
-		answer, err := c.try(ctx, address, wanted)
+	lastFailure := "no controller answered"
+	backoff := initialBackoff
+	for i := 0; ; i++ {
+		address := c.addresses[i%len(c.addresses)]
+		answer, err := c.attempt(ctx, address, wanted)
 		switch {
 		case err != nil:
-			last = err.Error()
-		case answer.clear():
+			lastFailure = err.Error()
+		case answer.conclusive():
 			return answer, nil
 		default:
-			last = address + ": status " + strconv.Itoa(answer.status) + ": " + answer.text()
+			lastFailure = address + ": status " + strconv.Itoa(answer.status) + ": " + answer.text()
 		}
-		if !pause.For(ctx, wait) {
-			return reply{}, eris.Wrap(ErrIndeterminate, last)
+		if !pause.For(ctx, backoff) {
+			return reply{}, eris.Wrap(ErrIndeterminate, lastFailure)
 		}
-		wait = min(2*wait, maxPause)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// try makes the call at one controller and follows where it points.
-func (c *Client) try(ctx context.Context, address string, wanted call) (reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+// attempt sends the call to one controller and follows its redirects.
+func (c *Client) attempt(ctx context.Context, address string, wanted call) (reply, error) {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	target := "http://" + address + wanted.path
 	for redirects := 0; ; redirects++ {
@@ -174,7 +176,7 @@
 		return reply{}, eris.Wrap(err, target)
 	}
 	defer func() { _ = response.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	if err != nil {
 		return reply{}, eris.Wrap(err, target)
 	}
--- a/internal/fleetclient/client_test.go
+++ b/internal/fleetclient/client_test.go
@@ -19,11 +19,11 @@
 	"weldscale/internal/fleetwire"
 )
 
-// received is a call as a controller got it.
+// received is a request that a controller received.
 type received struct{ method, path, base, body string }
 
-// control is a controller that answers each call by the next of its answers, and by the last one from then on.
-type control struct {
+// fakeController answers each request with the next of its answers, and repeats the last one.
+type fakeController struct {
 	address string
 
 	mutex   sync.Mutex
@@ -31,16 +31,16 @@
 	calls   []received
 }
 
-func newControl(t *testing.T, answers ...http.HandlerFunc) *control {
+func newFakeController(t *testing.T, answers ...http.HandlerFunc) *fakeController {
 	t.Helper()
-	c := &control{answers: answers}
+	c := &fakeController{answers: answers}
 	server := httptest.NewServer(c)
 	t.Cleanup(server.Close)
 	c.address = server.Listener.Addr().String()
 	return c
 }
 
-func (c *control) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *fakeController) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	c.mutex.Lock()
 	c.calls = append(c.calls, received{r.Method, r.URL.Path, r.Header.Get("Base-Version"), string(body)})
@@ -52,14 +52,14 @@
 	answer(w, r)
 }
 
-// received returns the calls so far. A client whose answer is cut returns while its call is still being served.
-func (c *control) received() []received {
+// received returns the requests so far. It locks, because a client whose reply is cut returns while its request is still served.
+func (c *fakeController) received() []received {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return slices.Clone(c.calls)
 }
 
-func status(code int, body string) http.HandlerFunc {
+func respond(code int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(code)
 		_, _ = io.WriteString(w, body)
@@ -75,8 +75,8 @@
 
 func cutOff(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// unused returns an address at which nobody listens.
-func unused(t *testing.T) string {
+// unusedAddress returns an address without a listener.
+func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -85,64 +85,64 @@
 }
 
 func TestReplaceSendsTheConfigurationUnchanged(t *testing.T) {
-	controller := newControl(t, status(http.StatusOK, ""))
+	controller := newFakeController(t, respond(http.StatusOK, ""))
 	require.NoError(t, New([]string{controller.address}).Replace(t.Context(), 5, []byte("{ }\n")))
 	assert.Equal(t, []received{{http.MethodPost, "/config/replace", "5", "{ }\n"}}, controller.received())
 }
 
-func TestReplaceGoesOnToTheNextControllerUntilTheAnswerIsClear(t *testing.T) {
-	for name, unclear := range map[string]http.HandlerFunc{
-		"503": status(http.StatusServiceUnavailable, "no majority"),
-		"408": status(http.StatusRequestTimeout, ""),
-		"429": status(http.StatusTooManyRequests, ""),
+func TestReplaceTriesTheNextControllerUntilAReplyIsConclusive(t *testing.T) {
+	for name, inconclusive := range map[string]http.HandlerFunc{
+		"503": respond(http.StatusServiceUnavailable, "no majority"),
+		"408": respond(http.StatusRequestTimeout, ""),
+		"429": respond(http.StatusTooManyRequests, ""),
 		"cut": cutOff,
 	} {
 		t.Run(name, func(t *testing.T) {
-			first, second := newControl(t, unclear), newControl(t, status(http.StatusOK, ""))
-			client := New([]string{unused(t), first.address, second.address})
+			first, second := newFakeController(t, inconclusive), newFakeController(t, respond(http.StatusOK, ""))
+			client := New([]string{unusedAddress(t), first.address, second.address})
 			require.NoError(t, client.Replace(t.Context(), 0, []byte("body")))
 			assert.Len(t, first.received(), 1)
-			assert.Equal(t, first.received(), second.received(), "the same call")
+			assert.Equal(t, first.received(), second.received(), "both requests must be equal")
 		})
 	}
 }
 
-func TestReplaceTellsAConflictFromARefusal(t *testing.T) {
-	conflict := newControl(t, status(http.StatusPreconditionFailed, "another version is current"))
+func TestReplaceDistinguishesConflictAndRefusal(t *testing.T) {
+	conflict := newFakeController(t, respond(http.StatusPreconditionFailed, "another version is current"))
 	assert.ErrorIs(t, New([]string{conflict.address}).Replace(t.Context(), 1, nil), ErrConflict)
-	invalid := newControl(t, status(http.StatusBadRequest, "TimeoutMs: 0\nmore\n"))
+	invalid := newFakeController(t, respond(http.StatusBadRequest, "TimeoutMs: 0\nmore\n"))
 	err := New([]string{invalid.address}).Replace(t.Context(), 1, nil)
 	assert.ErrorIs(t, err, ErrRefused)
 	assert.Contains(t, err.Error(), "status 400: TimeoutMs: 0")
 	assert.NotContains(t, err.Error(), "more")
-	assert.Len(t, invalid.received(), 1, "a refusal is final")
+	assert.Len(t, invalid.received(), 1, "a refusal must not be retried")
 }
 
-func TestRedirectsAreFollowedTwice(t *testing.T) {
-	last := newControl(t, status(http.StatusOK, "{}"))
-	second := newControl(t, redirect(func() string { return last.address }))
-	first := newControl(t, redirect(func() string { return second.address }))
+func TestAtMostTwoRedirectsAreFollowed(t *testing.T) {
+	last := newFakeController(t, respond(http.StatusOK, "{}"))
+	second := newFakeController(t, redirect(func() string { return last.address }))
+	first := newFakeController(t, redirect(func() string { return second.address }))
 	body, err := New([]string{first.address}).Read(t.Context())
 	require.NoError(t, err)
 	assert.Equal(t, "{}", string(body))
 
-	var loop *control
-	loop = newControl(t, redirect(func() string { return loop.address }))
+	var loop *fakeController
+	loop = newFakeController(t, redirect(func() string { return loop.address }))
 	client := New([]string{loop.address, last.address})
 	_, err = client.Read(t.Context())
-	require.NoError(t, err, "the next controller is asked")
+	require.NoError(t, err, "the next controller must be tried after too many redirects")
 	assert.Len(t, loop.received(), 3)
 }
 
 func TestReadOfAFleetWithoutConfiguration(t *testing.T) {
-	controller := newControl(t, status(http.StatusNotFound, ""))
+	controller := newFakeController(t, respond(http.StatusNotFound, ""))
 	_, err := New([]string{controller.address}).Read(t.Context())
 	assert.ErrorIs(t, err, ErrNoConfig)
 }
 
-func TestNoClearAnswerInTime(t *testing.T) {
+func TestNoConclusiveReplyInTime(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	controller := newControl(t, func(w http.ResponseWriter, _ *http.Request) {
+	controller := newFakeController(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		cancel()
 	})
@@ -151,8 +151,8 @@
 	assert.Error(t, New(nil).Replace(t.Context(), 0, nil))
 }
 
-// internal is a controller that answers calls for its status.
-func internal(t *testing.T, answer func(self string) (ControllerStatus, error)) string {
+// startStatusServer starts a controller that answers status requests, and returns its address.
+func startStatusServer(t *testing.T, answer func(self string) (ControllerStatus, error)) string {
 	t.Helper()
 	mux := http.NewServeMux()
 	server := httptest.NewServer(mux)
@@ -164,14 +164,14 @@
 	return self
 }
 
-func TestSurveyAsksWhomTheControllersName(t *testing.T) {
-	named := internal(t, func(self string) (ControllerStatus, error) {
+func TestSurveyProbesListedControllers(t *testing.T) {
+	listed := startStatusServer(t, func(self string) (ControllerStatus, error) {
 		return ControllerStatus{Member: fleetwire.Member{Name: "named"}, Replicas: []string{self}}, nil
 	})
-	gone := unused(t)
-	failing := internal(t, func(string) (ControllerStatus, error) { return ControllerStatus{}, eris.New("not yet") })
-	first := internal(t, func(self string) (ControllerStatus, error) {
-		return ControllerStatus{Replicas: []string{self, gone}, Live: []string{named, failing}, Revision: 7}, nil
+	stopped := unusedAddress(t)
+	failing := startStatusServer(t, func(string) (ControllerStatus, error) { return ControllerStatus{}, eris.New("not yet") })
+	first := startStatusServer(t, func(self string) (ControllerStatus, error) {
+		return ControllerStatus{Replicas: []string{self, stopped}, Live: []string{listed, failing}, Revision: 7}, nil
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
@@ -182,15 +182,15 @@
 	}
 	require.Len(t, probes, 4)
 	assert.Equal(t, uint64(7), byAddress[first].Status.Revision)
-	assert.Equal(t, "named", byAddress[named].Status.Member.Name)
-	assert.Error(t, byAddress[gone].Err)
+	assert.Equal(t, "named", byAddress[listed].Status.Member.Name)
+	assert.Error(t, byAddress[stopped].Err)
 	assert.Error(t, byAddress[failing].Err)
 	for i := 1; i < len(probes); i++ {
 		assert.Negative(t, compareAddresses(probes[i-1].Address, probes[i].Address), "in order")
 	}
 }
 
-func TestAddressesAreOrderedByNumber(t *testing.T) {
+func TestAddressesAreOrderedNumerically(t *testing.T) {
 	assert.Negative(t, compareAddresses("10.0.0.9:80", "10.0.0.10:80"))
 	assert.Positive(t, compareAddresses("10.0.0.9:81", "10.0.0.9:80"))
 	assert.Negative(t, compareAddresses("a", "b"))
--- a/internal/fleetclient/status.go
+++ b/internal/fleetclient/status.go
@@ -10,17 +10,17 @@
 	"weldscale/internal/fleetwire"
 )
 
-// ControllerStatus is what a controller tells of itself and the fleet. The fields are those of its answer at
+// ControllerStatus is a controller's status and its view of the fleet. The fields are those of its reply at
 // fleetwire.PathStatus.
 type ControllerStatus struct {
 	Member      fleetwire.Member
 	Revision    uint64 // of the register
 	Version     int64  // of the current configuration
-	Changes     uint64 // configurations taken so far
+	Changes     uint64 // number of configurations accepted so far
 	Replicas    []string
 	Live        []string
 	Roles       map[string]lease.Record
-	Held        []string // roles in which it may act now
+	Held        []string // roles that the controller holds now
 	List        fleetwire.ListVersion
 	Instances   int
 	ListAgeMs   int64
@@ -28,42 +28,43 @@
 	Routers     int
 }
 
-// Probe is the outcome of asking one process for its status.
+// Probe is the result of a status request to one controller.
 type Probe struct {
 	Address string // internal address, IP:PORT
 	Status  ControllerStatus
 	Err     error
 }
 
-// Survey asks the controllers at these internal addresses for their status, and those that they name, all at once. The
-// probes come in order of their address.
+// Survey requests the status of the controllers at the given internal addresses, and of all controllers that their replies
+// list, concurrently. It returns one probe per address, sorted by address.
 func Survey(ctx context.Context, addresses []string) []Probe {
-	survey := survey{client: transport.NewClient(), asked: make(map[string]bool)}
+	survey := survey{client: transport.NewClient(), probed: make(map[string]bool)}
 	defer survey.client.Close()
-	survey.ask(ctx, addresses)
+	survey.start(ctx, addresses)
 	survey.running.Wait()
 	slices.SortFunc(survey.probes, func(a, b Probe) int { return compareAddresses(a.Address, b.Address) })
 	return survey.probes
 }
 
+// survey is the state of one call of Survey.
 type survey struct {
 	client  *transport.Client
 	running sync.WaitGroup
 
 	mutex  sync.Mutex
-	asked  map[string]bool
+	probed map[string]bool
 	probes []Probe
 }
 
-// ask starts a probe of each address that has not been asked yet.
-func (s *survey) ask(ctx context.Context, addresses []string) {
+// start starts a probe of each address that has not been probed yet.
+func (s *survey) start(ctx context.Context, addresses []string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, address := range addresses {
-		if address == "" || s.asked[address] {
+		if address == "" || s.probed[address] {
 			continue
 		}
-		s.asked[address] = true
+		s.probed[address] = true
 		s.running.Go(func() { s.probe(ctx, address) })
 	}
 }
@@ -72,7 +73,7 @@
 	probe := Probe{Address: address}
 	probe.Err = s.client.Call(ctx, address, fleetwire.PathStatus, struct{}{}, &probe.Status)
 	if probe.Err == nil {
-		s.ask(ctx, slices.Concat(probe.Status.Replicas, probe.Status.Live))
+		s.start(ctx, slices.Concat(probe.Status.Replicas, probe.Status.Live))
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
