--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,8 +1,8 @@
-// Package daemon starts and ends the programs of the fleet: flags, settings, log and signals. The programs differ only in
-// what they check and run.
+// Package daemon is the common main function of the fleet's programs: it handles flags, settings, logging and signals. The
+// programs differ only in the settings that they check and in what they run.
 //
-// The flags are read by the standard library: the daemons stand many times on small machines, and the library of the
-// operator's tool costs each process 2 MB.
+// Flags are parsed with the standard library. Many daemons run on small machines, and the flag library of the operator's
+// tool costs each process 2 MB.
 package daemon
 
 import (
@@ -25,23 +25,24 @@
 // Exit codes of a daemon.
 const (
 	exitOK     = 0
-	exitFailed = 1 // the settings can't be used, or the program could not go on
-	exitUsage  = 2 // the command line can't be used
+	exitFailed = 1 // invalid settings, or an error of the program
+	exitUsage  = 2 // invalid command line
 )
 
 // Program is one of the fleet's programs.
 type Program struct {
-	Name  string // of the command
-	About string // one line for the help
-	// Check looks at the settings that only this program needs; nil if there are none.
+	Name  string // name of the command
+	About string // one-line description for the help text
+	// Check validates the settings that only this program needs; nil: none.
 	Check func(*settings.Settings) error
-	// Run works until the context is done, and then ends in order within the grace that the settings give.
+	// Run runs the program until the context is done. It then shuts down within the grace period of the settings.
 	Run func(context.Context, *settings.Settings, *zap.Logger) error
 }
 
-// Main runs the program as the process's only work and ends the process.
+// Main runs the program and exits the process with its exit code.
 func Main(program Program) {
-	// SIGHUP says that the settings file has changed. Until somebody listens it must not end the process.
+	// SIGHUP announces a change of the settings file. It must not terminate the process before the settings watcher handles
+	// the signal.
 	signal.Ignore(syscall.SIGHUP, syscall.SIGPIPE)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	code := program.execute(ctx, os.Args[1:], os.Stderr)
@@ -49,55 +50,56 @@
 	os.Exit(code)
 }
 
-// options is the command line.
+// options holds the parsed command line.
 type options struct {
 	check    bool
 	version  bool
 	logLevel zapcore.Level
 }
 
-// execute runs the program and returns its exit code. A fault is told in one line on complaints, which also takes the log.
-func (p Program) execute(ctx context.Context, arguments []string, complaints io.Writer) int {
-	chosen, err := p.parse(arguments, complaints)
+// execute runs the program and returns its exit code. It writes an error as one line to stderr. The log
+// goes to stderr too.
+func (p Program) execute(ctx context.Context, arguments []string, stderr io.Writer) int {
+	parsed, err := p.parse(arguments, stderr)
 	switch {
 	case errors.Is(err, flag.ErrHelp):
 		return exitOK
 	case err != nil:
 		return exitUsage
-	case chosen.version:
-		_, _ = fmt.Fprintln(complaints, p.Name, revision())
+	case parsed.version:
+		_, _ = fmt.Fprintln(stderr, p.Name, revision())
 		return exitOK
 	}
-	if err := p.serve(ctx, chosen, complaints); err != nil {
-		_, _ = fmt.Fprintf(complaints, "%s: %v\n", p.Name, err)
+	if err := p.serve(ctx, parsed, stderr); err != nil {
+		_, _ = fmt.Fprintf(stderr, "%s: %v\n", p.Name, err)
 		return exitFailed
 	}
 	return exitOK
 }
 
-func (p Program) parse(arguments []string, complaints io.Writer) (options, error) {
-	chosen := options{logLevel: zapcore.InfoLevel}
+func (p Program) parse(arguments []string, stderr io.Writer) (options, error) {
+	parsed := options{logLevel: zapcore.InfoLevel}
 	flags := flag.NewFlagSet(p.Name, flag.ContinueOnError)
-	flags.SetOutput(complaints)
-	flags.BoolVar(&chosen.check, "check", false, "read and check the settings, and end")
-	flags.BoolVar(&chosen.version, "version", false, "print the version, and end")
-	flags.TextVar(&chosen.logLevel, "log-level", chosen.logLevel, "what the log holds: debug, info, warn or error")
+	flags.SetOutput(stderr)
+	flags.BoolVar(&parsed.check, "check", false, "read and check the settings, and end")
+	flags.BoolVar(&parsed.version, "version", false, "print the version, and end")
+	flags.TextVar(&parsed.logLevel, "log-level", parsed.logLevel, "what the log holds: debug, info, warn or error")
 	flags.Usage = func() {
-		_, _ = fmt.Fprintf(complaints, "%s: %s\nThe settings file is the one that %s names.\n", p.Name, p.About, settings.EnvVariable)
+		_, _ = fmt.Fprintf(stderr, "%s: %s\nThe settings file is the one that %s names.\n", p.Name, p.About, settings.EnvVariable)
 		flags.PrintDefaults()
 	}
 	if err := flags.Parse(arguments); err != nil {
-		return chosen, err
+		return parsed, err
 	}
 	if flags.NArg() > 0 {
-		_, _ = fmt.Fprintf(complaints, "%s: unexpected argument %q\n", p.Name, flags.Arg(0))
-		return chosen, errors.New("unexpected argument")
+		_, _ = fmt.Fprintf(stderr, "%s: unexpected argument %q\n", p.Name, flags.Arg(0))
+		return parsed, errors.New("unexpected argument")
 	}
-	return chosen, nil
+	return parsed, nil
 }
 
-// serve reads the settings and runs the program until it ends.
-func (p Program) serve(ctx context.Context, chosen options, complaints io.Writer) error {
+// serve loads and checks the settings and runs the program. With -check it only checks them.
+func (p Program) serve(ctx context.Context, parsed options, stderr io.Writer) error {
 	current, err := settings.Load()
 	if err != nil {
 		return err
@@ -107,20 +109,20 @@
 			return fmt.Errorf("settings: %w", err)
 		}
 	}
-	if chosen.check {
+	if parsed.check {
 		return nil
 	}
 	limitMemory(current)
-	log := newLogger(complaints, chosen.logLevel).With(zap.String("node", current.NodeName))
+	log := newLogger(stderr, parsed.logLevel).With(zap.String("node", current.NodeName))
 	err = p.Run(ctx, current, log)
 	if ctx.Err() != nil && errors.Is(err, context.Canceled) {
-		return nil // it was asked to end
+		return nil // regular shutdown
 	}
 	return err
 }
 
-// memoryShare is the part of the machine's memory from which on the collector works harder. What has arrived at the
-// sockets and is not read yet counts as well, and has to fit in the rest.
+// memoryShare is the share of the machine's memory that is set as the soft memory limit of the Go runtime. Unread data in the
+// socket buffers counts towards the machine's memory too and must fit in the rest.
 const memoryShare = 0.7
 
 func limitMemory(current *settings.Settings) {
@@ -129,7 +131,7 @@
 	}
 }
 
-// revision tells what the program was built from.
+// revision returns the version control revision of the build, or the module version without one.
 func revision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -18,9 +18,9 @@
 	"weldscale/internal/settings"
 )
 
-const usable = `{"NodeName": "a-1", "Ip": "10.0.0.1", "Zone": "a", "InternalPorts": [7000, 7010]}`
+const validSettings = `{"NodeName": "a-1", "Ip": "10.0.0.1", "Zone": "a", "InternalPorts": [7000, 7010]}`
 
-// useSettings writes a settings file and names it as the platform does.
+// useSettings writes a settings file and sets the environment variable to its path.
 func useSettings(t *testing.T, content string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "boot.json")
@@ -28,16 +28,16 @@
 	t.Setenv(settings.EnvVariable, path)
 }
 
-// testProgram notes whether it ran, and ends with err.
+// testProgram records whether it ran and returns err.
 type testProgram struct {
 	err   error
 	check error
 	ran   bool
 }
 
-// execute runs the program with these arguments and returns its exit code and what it printed.
+// execute runs the program with the arguments and returns its exit code and output.
 func (p *testProgram) execute(ctx context.Context, arguments ...string) (int, string) {
-	var printed bytes.Buffer
+	var output bytes.Buffer
 	program := Program{
 		Name:  "weldtest",
 		About: "is tested",
@@ -48,85 +48,85 @@
 			return p.err
 		},
 	}
-	code := program.execute(ctx, arguments, &printed)
-	return code, printed.String()
+	code := program.execute(ctx, arguments, &output)
+	return code, output.String()
 }
 
 func TestProgramRunsWithItsSettings(t *testing.T) {
-	useSettings(t, usable)
+	useSettings(t, validSettings)
 	var program testProgram
-	code, printed := program.execute(t.Context())
+	code, output := program.execute(t.Context())
 	assert.Equal(t, exitOK, code)
 	assert.True(t, program.ran)
 	var line map[string]any
-	require.NoError(t, json.Unmarshal([]byte(printed), &line), "the log is one JSON object a line")
+	require.NoError(t, json.Unmarshal([]byte(output), &line), "the log must be one JSON object per line")
 	assert.Equal(t, "running", line["msg"])
 	assert.Equal(t, "a-1", line["node"])
 }
 
-func TestErrorsAreLoggedWithoutTheirStacks(t *testing.T) {
-	var printed bytes.Buffer
+func TestErrorsAreLoggedWithoutStackTraces(t *testing.T) {
+	var output bytes.Buffer
 	fault := eris.Wrap(eris.New("refused"), "dial")
-	newLogger(&printed, zap.InfoLevel).With(zap.Error(fault)).Warn("no answer", zap.NamedError("cause", fault), zap.Int("tries", 2))
+	newLogger(&output, zap.InfoLevel).With(zap.Error(fault)).Warn("no answer", zap.NamedError("cause", fault), zap.Int("tries", 2))
 	var line map[string]any
-	require.NoError(t, json.Unmarshal(printed.Bytes(), &line))
+	require.NoError(t, json.Unmarshal(output.Bytes(), &line))
 	delete(line, "ts")
 	want := map[string]any{"level": "warn", "msg": "no answer", "error": "dial: refused", "cause": "dial: refused", "tries": 2.0}
 	assert.Equal(t, want, line)
 }
 
 func TestLogLevel(t *testing.T) {
-	useSettings(t, usable)
+	useSettings(t, validSettings)
 	var program testProgram
-	code, printed := program.execute(t.Context(), "-log-level", "warn")
+	code, output := program.execute(t.Context(), "-log-level", "warn")
 	assert.Equal(t, exitOK, code)
-	assert.Empty(t, printed)
+	assert.Empty(t, output)
 }
 
-func TestFaultsAreToldInOneLine(t *testing.T) {
+func TestErrorsAreReportedInOneLine(t *testing.T) {
 	for _, test := range []struct {
 		name, content, want string
 		program             testProgram
 		ran                 bool
 	}{
-		{name: "a missing key", content: `{"NodeName": "a-1"}`, want: ": Ip: missing\n"},
-		{name: "not JSON", content: `{`, want: ": not valid JSON: unexpected end of JSON input\n"},
-		{name: "a key that only this program needs", content: usable, program: testProgram{check: errors.New("Listen: missing")},
+		{name: "missing key", content: `{"NodeName": "a-1"}`, want: ": Ip: missing\n"},
+		{name: "invalid JSON", content: `{`, want: ": not valid JSON: unexpected end of JSON input\n"},
+		{name: "failed check of the program", content: validSettings, program: testProgram{check: errors.New("Listen: missing")},
 			want: "weldtest: settings: Listen: missing\n"},
-		{name: "a program that can't go on", content: usable, program: testProgram{err: errors.New("address in use")}, ran: true,
+		{name: "error of the program", content: validSettings, program: testProgram{err: errors.New("address in use")}, ran: true,
 			want: "weldtest: address in use\n"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			useSettings(t, test.content)
-			code, printed := test.program.execute(t.Context(), "-log-level", "error")
+			code, output := test.program.execute(t.Context(), "-log-level", "error")
 			assert.Equal(t, exitFailed, code)
 			assert.Equal(t, test.ran, test.program.ran)
-			assert.True(t, strings.HasPrefix(printed, "weldtest: "), printed)
-			assert.True(t, strings.HasSuffix(printed, test.want), printed)
-			assert.Equal(t, 1, strings.Count(printed, "\n"))
+			assert.True(t, strings.HasPrefix(output, "weldtest: "), output)
+			assert.True(t, strings.HasSuffix(output, test.want), output)
+			assert.Equal(t, 1, strings.Count(output, "\n"))
 		})
 	}
 }
 
-func TestWithoutSettings(t *testing.T) {
+func TestMissingEnvironmentVariable(t *testing.T) {
 	t.Setenv(settings.EnvVariable, "")
 	var program testProgram
-	code, printed := program.execute(t.Context())
+	code, output := program.execute(t.Context())
 	assert.Equal(t, exitFailed, code)
-	assert.Equal(t, "weldtest: WELDSCALE_CONFIG is not set\n", printed)
+	assert.Equal(t, "weldtest: WELDSCALE_CONFIG is not set\n", output)
 }
 
 func TestCheckDoesNotRun(t *testing.T) {
-	useSettings(t, usable)
+	useSettings(t, validSettings)
 	var program testProgram
-	code, printed := program.execute(t.Context(), "-check")
+	code, output := program.execute(t.Context(), "-check")
 	assert.Equal(t, exitOK, code)
-	assert.Empty(t, printed)
+	assert.Empty(t, output)
 	assert.False(t, program.ran)
 }
 
-func TestAProgramThatWasAskedToEndHasNotFailed(t *testing.T) {
-	useSettings(t, usable)
+func TestCancellationIsNotAFailure(t *testing.T) {
+	useSettings(t, validSettings)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	program := testProgram{err: context.Canceled}
@@ -139,18 +139,18 @@
 }
 
 func TestUsage(t *testing.T) {
-	useSettings(t, usable)
+	useSettings(t, validSettings)
 	var program testProgram
-	code, printed := program.execute(t.Context(), "-help")
+	code, output := program.execute(t.Context(), "-help")
 	assert.Equal(t, exitOK, code)
-	assert.Contains(t, printed, "-log-level")
+	assert.Contains(t, output, "-log-level")
 	code, _ = program.execute(t.Context(), "-unknown")
 	assert.Equal(t, exitUsage, code)
-	code, printed = program.execute(t.Context(), "serve")
+	code, output = program.execute(t.Context(), "serve")
 	assert.Equal(t, exitUsage, code)
-	assert.Equal(t, "weldtest: unexpected argument \"serve\"\n", printed)
-	code, printed = program.execute(t.Context(), "-version")
+	assert.Equal(t, "weldtest: unexpected argument \"serve\"\n", output)
+	code, output = program.execute(t.Context(), "-version")
 	assert.Equal(t, exitOK, code)
-	assert.True(t, strings.HasPrefix(printed, "weldtest "), printed)
+	assert.True(t, strings.HasPrefix(output, "weldtest "), output)
 	assert.False(t, program.ran)
 }
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits.
+// Package pause provides a sleep that a context can interrupt. Poll and retry loops use it.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for a span, or until the context is done. It reports whether the context is still good.
+// For sleeps for span or until ctx is done, whichever comes first. It reports whether ctx is not done.
 func For(ctx context.Context, span time.Duration) bool {
 	if span <= 0 {
 		return ctx.Err() == nil
