--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
 // Package settings reads the settings file that the platform writes for each process of the fleet, and watches it for
-// changes. Keys that this package does not know are ignored; keys that a process needs are checked.
+// changes. It ignores unknown keys and validates the keys that a process needs.
 package settings
 
 import (
@@ -16,13 +16,13 @@
 // EnvVariable is the environment variable that holds the path of the settings file.
 const EnvVariable = "WELDSCALE_CONFIG"
 
-// What a role may serve.
+// Values of Settings.Serves.
 const (
 	ServesFrontend = "frontend"
 	ServesControl  = "control_plane"
 )
 
-// Settings is the settings file of one process. It is not changed after it has been read.
+// Settings holds the settings file of one process. It must not be modified after it has been read.
 type Settings struct {
 	NodeName        string
 	Role            string
@@ -30,12 +30,12 @@
 	Serves          []string
 	IP              string `json:"Ip"`
 	Zone            string
-	Region          string            // empty where there are no regions
-	Zones           map[string]string // region by zone
+	Region          string            // empty without regions
+	Zones           map[string]string // maps zones to their regions
 	Listen          Listen
-	InternalPorts   [2]int   // first and last port that the machine keeps free for the fleet
+	InternalPorts   [2]int   // first and last port of the range reserved for the fleet
 	Seeds           []string // Control addresses of some controllers, IP:PORT
-	Bootstrap       bool     // the whole fleet starts for the first time
+	Bootstrap       bool     // set on the first start of the whole fleet
 	CountsForQuorum bool
 	Limits          Limits
 	DataDir         string // empty on a machine without a disk
@@ -47,17 +47,17 @@
 	Bounds          Bounds
 	Cloud           Cloud
 
-	body []byte // the file as it was read
+	body []byte // content of the file
 }
 
-// Listen holds the addresses (IP:PORT) for what the role serves. Those of other roles are empty.
+// Listen holds the listen addresses (IP:PORT) of the role. Addresses of other roles are empty.
 type Listen struct {
 	Frontend  string
 	Readiness string
 	Control   string
 }
 
-// Limits is what the machine grants the process.
+// Limits holds the resource limits of the process.
 type Limits struct {
 	CPUShare float64 `json:"CpuShare"`
 	Cores    float64
@@ -67,14 +67,14 @@
 	DiskMb   float64
 }
 
-// FaultTolerance is the number of machines that count, zones or regions that may be lost at once.
+// FaultTolerance holds the number of machines (that count for the quorum), zones or regions that may fail at the same time.
 type FaultTolerance struct {
 	Machines int
 	Zones    int
 	Regions  int
 }
 
-// Cloud says how the platform's list of instances is read.
+// Cloud holds the address and limits of the platform's list of instances.
 type Cloud struct {
 	Address  string // IP:PORT
 	RatePerS float64
@@ -82,7 +82,7 @@
 	Duties   json.RawMessage
 }
 
-// Load reads the file that the environment variable names.
+// Load reads the settings file whose path is in the environment variable EnvVariable.
 func Load() (*Settings, error) {
 	path := os.Getenv(EnvVariable)
 	if path == "" {
@@ -101,11 +101,11 @@
 	return parsed, eris.Wrapf(err, "settings %s", path)
 }
 
-// Parse reads settings from the bytes of a file and checks what every program needs.
+// Parse decodes the content of a settings file and validates the keys that every program needs.
 func Parse(body []byte) (*Settings, error) {
 	parsed := &Settings{Bounds: DefaultBounds(), body: body}
 	if err := json.Unmarshal(body, parsed); err != nil {
-		return nil, plainError(body, err)
+		return nil, decodeError(body, err)
 	}
 	if err := parsed.check(); err != nil {
 		return nil, err
@@ -113,11 +113,11 @@
 	return parsed, nil
 }
 
-// plainError turns an error of the JSON decoder into one that names the key.
-func plainError(body []byte, err error) error {
-	var wrongType *json.UnmarshalTypeError
-	if errors.As(err, &wrongType) && wrongType.Field != "" {
-		return eris.Errorf("%s: a %s is not expected here", wrongType.Field, wrongType.Value)
+// decodeError returns a one-line description of an error of the JSON decoder, with the key if it is known.
+func decodeError(body []byte, err error) error {
+	var typeError *json.UnmarshalTypeError
+	if errors.As(err, &typeError) && typeError.Field != "" {
+		return eris.Errorf("%s: unexpected %s", typeError.Field, typeError.Value)
 	}
 	if len(bytes.TrimSpace(body)) == 0 {
 		return eris.New("the file is empty")
@@ -125,19 +125,19 @@
 	return eris.Errorf("not valid JSON: %v", err)
 }
 
-// check looks at the keys that every program needs.
+// check validates the keys that every program needs.
 func (s *Settings) check() error {
 	if s.NodeName == "" {
-		return missing("NodeName")
+		return missingKey("NodeName")
 	}
 	if s.IP == "" {
-		return missing("Ip")
+		return missingKey("Ip")
 	}
 	if address, err := netip.ParseAddr(s.IP); err != nil || address.Zone() != "" {
 		return eris.Errorf("Ip: %q is not an IP address", s.IP)
 	}
 	if s.Zone == "" {
-		return missing("Zone")
+		return missingKey("Zone")
 	}
 	if err := s.checkPorts(); err != nil {
 		return err
@@ -150,13 +150,13 @@
 	return s.Bounds.check()
 }
 
-// agentPortOffset is the distance of the agent's port, which only its router uses, from the first internal port.
+// agentPortOffset is the offset of the agent's port from the first internal port. Only the agent's router uses that port.
 const agentPortOffset = 1
 
 func (s *Settings) checkPorts() error {
 	first, last := s.InternalPorts[0], s.InternalPorts[1]
 	if first == 0 && last == 0 {
-		return missing("InternalPorts")
+		return missingKey("InternalPorts")
 	}
 	if first < 1 || last > 65535 || first+agentPortOffset > last {
 		return eris.Errorf("InternalPorts: [%d, %d] is not a range of two ports or more", first, last)
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// CheckFrontend checks the keys that a router needs besides.
+// CheckFrontend validates the additional keys that a router needs.
 func (s *Settings) CheckFrontend() error {
 	if err := checkAddress("Listen.Frontend", s.Listen.Frontend); err != nil {
 		return err
@@ -172,20 +172,20 @@
 	return checkAddress("Listen.Readiness", s.Listen.Readiness)
 }
 
-// CheckControl checks the keys that a controller needs besides.
+// CheckControl validates the additional keys that a controller needs.
 func (s *Settings) CheckControl() error {
 	if err := checkAddress("Listen.Control", s.Listen.Control); err != nil {
 		return err
 	}
 	if s.DataDir == "" {
-		return missing("DataDir")
+		return missingKey("DataDir")
 	}
 	return checkAddress("Cloud.Address", s.Cloud.Address)
 }
 
 func checkAddress(key, address string) error {
 	if address == "" {
-		return missing(key)
+		return missingKey(key)
 	}
 	if _, err := netip.ParseAddrPort(address); err != nil {
 		return eris.Errorf("%s: %q is not IP:PORT", key, address)
@@ -193,16 +193,16 @@
 	return nil
 }
 
-func missing(key string) error { return eris.Errorf("%s: missing", key) }
+func missingKey(key string) error { return eris.Errorf("%s: missing", key) }
 
-// InternalAddress is the address at which the process on this machine listens for the rest of the fleet.
+// InternalAddress returns the address at which the process on this machine listens for the rest of the fleet.
 func (s *Settings) InternalAddress() string { return internalAddress(s.IP, s.InternalPorts[0]) }
 
-// loopbackIP is the address of the machine that only its own processes reach.
+// loopbackIP is the default loopback address.
 const loopbackIP = "127.0.0.1"
 
-// AgentAddress is the loopback address at which the agent of this machine feeds its router. A machine whose own IP is a
-// loopback address is one of several on a real machine: its agent listens at that IP, so that they don't clash.
+// AgentAddress returns the loopback address at which the agent of this machine serves its router. If the machine's own IP is
+// a loopback address, several machines of the fleet share one host. The agent then listens at that IP to avoid port conflicts.
 func (s *Settings) AgentAddress() string {
 	ip := loopbackIP
 	if netip.MustParseAddr(s.IP).IsLoopback() {
@@ -211,8 +211,8 @@
 	return internalAddress(ip, s.InternalPorts[0]+agentPortOffset)
 }
 
-// SeedInternalAddresses returns the internal addresses of the seeds. Ports are alike on all machines, so these are the
-// seeds' IPs with the first internal port.
+// SeedInternalAddresses returns the internal addresses of the seeds. All machines use the same internal ports, so these are
+// the IPs of the seeds with the first internal port.
 func (s *Settings) SeedInternalAddresses() []string {
 	addresses := make([]string, 0, len(s.Seeds))
 	for _, seed := range s.Seeds {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -31,7 +31,7 @@
   "Cloud": {"Address": "10.200.0.79:8169", "RatePerS": 47.0, "Duties": [], "MaxLagMs": 800}
 }`
 
-// changed returns the file with one piece of text changed.
+// changed returns routerFile with one occurrence of old replaced by next.
 func changed(t *testing.T, old, next string) []byte {
 	t.Helper()
 	require.Contains(t, routerFile, old)
@@ -69,7 +69,7 @@
 	assert.Equal(t, []string{"10.1.0.16:7720", "10.2.0.32:7720"}, parsed.SeedInternalAddresses())
 }
 
-func TestAnAgentOnALoopbackMachineListensAtItsIP(t *testing.T) {
+func TestAgentAddressOfALoopbackMachineIsItsIP(t *testing.T) {
 	parsed, err := Parse(changed(t, `"Ip": "10.1.0.13"`, `"Ip": "127.0.1.4"`))
 	require.NoError(t, err)
 	assert.Equal(t, "127.0.1.4:7721", parsed.AgentAddress())
@@ -96,20 +96,20 @@
 	assert.Equal(t, DefaultBounds().DrainMs, parsed.Bounds.DrainMs)
 }
 
-func TestFaultsNameTheirKey(t *testing.T) {
+func TestErrorsNameTheKey(t *testing.T) {
 	for _, test := range []struct{ name, old, next, want string }{
 		{"no name", `"NodeName": "frontend-a-1",`, ``, "NodeName: missing"},
 		{"no IP", `"Ip": "10.1.0.13",`, ``, "Ip: missing"},
-		{"an IP that is a name", `"Ip": "10.1.0.13"`, `"Ip": "here"`, `Ip: "here" is not an IP address`},
+		{"host name for an IP", `"Ip": "10.1.0.13"`, `"Ip": "here"`, `Ip: "here" is not an IP address`},
 		{"no zone", `"Zone": "a",`, ``, "Zone: missing"},
 		{"no ports", `"InternalPorts": [7720, 7735],`, ``, "InternalPorts: missing"},
 		{"one port", `[7720, 7735]`, `[7720, 7720]`, "InternalPorts: [7720, 7720] is not a range of two ports or more"},
 		{"ports out of range", `[7720, 7735]`, `[7720, 77350]`, "InternalPorts: [7720, 77350] is not a range of two ports or more"},
-		{"a seed that is no address", `"10.2.0.32:8166"`, `"10.2.0.32"`, `Seeds[1]: "10.2.0.32" is not IP:PORT`},
-		{"a bound of 0", `"DrainMs": 2500`, `"DrainMs": 0`, "Bounds.DrainMs: 0 is not above 0"},
-		{"text for a bound", `"DrainMs": 2500`, `"DrainMs": "soon"`, "Bounds.DrainMs: a string is not expected here"},
-		{"a number for a text", `"Zone": "a"`, `"Zone": 1`, "Zone: a number is not expected here"},
-		{"not JSON", `"Zone": "a"`, `Zone = a`, "not valid JSON: "},
+		{"seed without a port", `"10.2.0.32:8166"`, `"10.2.0.32"`, `Seeds[1]: "10.2.0.32" is not IP:PORT`},
+		{"bound of 0", `"DrainMs": 2500`, `"DrainMs": 0`, "Bounds.DrainMs: 0 is not above 0"},
+		{"string for a bound", `"DrainMs": 2500`, `"DrainMs": "soon"`, "Bounds.DrainMs: unexpected string"},
+		{"number for a string", `"Zone": "a"`, `"Zone": 1`, "Zone: unexpected number"},
+		{"invalid JSON", `"Zone": "a"`, `Zone = a`, "not valid JSON: "},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := Parse(changed(t, test.old, test.next))
@@ -158,7 +158,7 @@
 	assert.EqualError(t, controller.CheckControl(), `Cloud.Address: "cloud" is not IP:PORT`)
 }
 
-func TestLoadNamesWhatIsMissing(t *testing.T) {
+func TestLoadReportsMissingFilesAndKeys(t *testing.T) {
 	t.Setenv(EnvVariable, "")
 	_, err := Load()
 	assert.EqualError(t, err, "WELDSCALE_CONFIG is not set")
@@ -179,12 +179,13 @@
 	assert.Equal(t, "frontend-a-1", loaded.NodeName)
 }
 
-// TestEveryCutOfAFileIsRefused: a file that is being written is never taken for a whole one.
-func TestEveryCutOfAFileIsRefused(t *testing.T) {
+// TestTruncatedFilesAreRejected checks that no prefix of a file is accepted. The platform may be writing the file while it is
+// read.
+func TestTruncatedFilesAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		length := rapid.IntRange(0, len(routerFile)-1).Draw(t, "length")
 		if _, err := Parse([]byte(routerFile[:length])); err == nil {
-			t.Fatalf("the first %d bytes are taken for a whole file", length)
+			t.Fatalf("the first %d bytes are accepted as a complete file", length)
 		}
 	})
 }
--- a/internal/settings/watcher.go
+++ b/internal/settings/watcher.go
@@ -11,29 +11,29 @@
 	"go.uber.org/zap"
 )
 
-// checkInterval is how often the watcher looks at the file, since it may change without a signal.
+// checkInterval is the interval at which the watcher checks the file, because it may change without a signal.
 const checkInterval = 2 * time.Second
 
-// Watcher reads the settings file anew on SIGHUP and when its time or size changes.
+// Watcher reloads the settings file on SIGHUP and when its modification time or size changes.
 type Watcher struct {
 	path     string
 	onChange func(*Settings)
 	log      *zap.Logger
 
-	body []byte // the newest usable content
-	seen stamp  // the file at the last reading, usable or not
-	told string // the complaint that was logged last
+	body      []byte    // content of the latest valid file
+	lastState fileState // state of the file at the last load, valid or not
+	lastError string    // the error that was logged last
 }
 
-// stamp tells one state of a file from another without reading it.
-type stamp struct {
+// fileState identifies a version of a file without reading it.
+type fileState struct {
 	modified time.Time
 	size     int64
 }
 
-// NewWatcher returns a watcher of the file that the environment variable names. It calls onChange, from Run's goroutine,
-// with each new content that can be used; current is what the process started with. A file that can't be used changes
-// nothing and is logged once.
+// NewWatcher returns a watcher of the file whose path is in EnvVariable. It calls onChange on the goroutine of Run with each
+// new valid content. The parameter current holds the settings that the process started with. An invalid file is logged once
+// and otherwise ignored.
 func NewWatcher(current *Settings, onChange func(*Settings), log *zap.Logger) *Watcher {
 	return newWatcher(os.Getenv(EnvVariable), current, onChange, log)
 }
@@ -42,50 +42,51 @@
 	return &Watcher{path: path, onChange: onChange, log: log, body: current.body}
 }
 
-// Run watches until ctx is done.
+// Run watches the file until ctx is done.
 func (w *Watcher) Run(ctx context.Context) {
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
-	defer signal.Stop(hangups)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGHUP)
+	defer signal.Stop(signals)
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangups:
-			w.reread(w.current())
+		case <-signals:
+			w.reload(w.state())
 		case <-ticker.C:
-			w.look()
+			w.reloadIfChanged()
 		}
 	}
 }
 
-// look rereads the file if it has another time or size than before.
-func (w *Watcher) look() {
-	if now := w.current(); now != w.seen {
-		w.reread(now)
+// reloadIfChanged reloads the file if its modification time or size differs from the last load.
+func (w *Watcher) reloadIfChanged() {
+	if state := w.state(); state != w.lastState {
+		w.reload(state)
 	}
 }
 
-// current returns the stamp of the file, zero if there is none.
-func (w *Watcher) current() stamp {
+// state returns the state of the file, or the zero value if the file can't be read.
+func (w *Watcher) state() fileState {
 	info, err := os.Stat(w.path)
 	if err != nil {
-		return stamp{}
+		return fileState{}
 	}
-	return stamp{modified: info.ModTime(), size: info.Size()}
+	return fileState{modified: info.ModTime(), size: info.Size()}
 }
 
-// reread reads the file. Its stamp was taken before, so that a write during the reading is seen at the next look.
-func (w *Watcher) reread(now stamp) {
-	w.seen = now
+// reload loads the file. The caller determines the file's state before the load, so that a write during the load is noticed
+// at the next check.
+func (w *Watcher) reload(state fileState) {
+	w.lastState = state
 	next, err := LoadFile(w.path)
 	if err != nil {
-		w.complain(err)
+		w.logOnce(err)
 		return
 	}
-	w.told = ""
+	w.lastError = ""
 	if bytes.Equal(next.body, w.body) {
 		return
 	}
@@ -93,10 +94,11 @@
 	w.onChange(next)
 }
 
-func (w *Watcher) complain(err error) {
-	if err.Error() == w.told {
+// logOnce logs an error unless it is the one that was logged last.
+func (w *Watcher) logOnce(err error) {
+	if err.Error() == w.lastError {
 		return
 	}
-	w.told = err.Error()
-	w.log.Warn("settings file not usable, keeping the previous ones", zap.String("error", w.told))
+	w.lastError = err.Error()
+	w.log.Warn("settings file not usable, keeping the previous ones", zap.String("error", w.lastError))
 }
--- a/internal/settings/watcher_test.go
+++ b/internal/settings/watcher_test.go
@@ -16,22 +16,22 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// watched is a watcher of a file in a test's own folder.
-type watched struct {
+// testWatcher is a watcher of a file in a temporary folder. It records the settings passed to onChange.
+type testWatcher struct {
 	*Watcher
-	taken  []*Settings
-	logged *observer.ObservedLogs
+	applied []*Settings
+	logged  *observer.ObservedLogs
 }
 
-func watch(t *testing.T) *watched {
+func newTestWatcher(t *testing.T) *testWatcher {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "boot.json")
 	write(t, path, routerFile)
 	current, err := LoadFile(path)
 	require.NoError(t, err)
 	core, logged := observer.New(zapcore.DebugLevel)
-	w := &watched{logged: logged}
-	w.Watcher = newWatcher(path, current, func(next *Settings) { w.taken = append(w.taken, next) }, zap.New(core))
+	w := &testWatcher{logged: logged}
+	w.Watcher = newWatcher(path, current, func(next *Settings) { w.applied = append(w.applied, next) }, zap.New(core))
 	return w
 }
 
@@ -40,91 +40,91 @@
 	require.NoError(t, os.WriteFile(path, []byte(content), 0o600))
 }
 
-func (w *watched) hangUp() { w.reread(w.current()) }
+func (w *testWatcher) reloadOnSighup() { w.reload(w.state()) }
 
-func other(name string) string { return strings.Replace(routerFile, "frontend-a-1", name, 1) }
+func renamed(name string) string { return strings.Replace(routerFile, "frontend-a-1", name, 1) }
 
-func TestWatcherTakesAChangedFile(t *testing.T) {
-	w := watch(t)
-	w.look()
-	assert.Empty(t, w.taken, "nothing has changed")
-	write(t, w.path, other("renamed"))
-	w.look()
-	require.Len(t, w.taken, 1)
-	assert.Equal(t, "renamed", w.taken[0].NodeName)
-	w.look()
-	assert.Len(t, w.taken, 1)
+func TestWatcherReloadsAChangedFile(t *testing.T) {
+	w := newTestWatcher(t)
+	w.reloadIfChanged()
+	assert.Empty(t, w.applied, "the file is unchanged")
+	write(t, w.path, renamed("renamed"))
+	w.reloadIfChanged()
+	require.Len(t, w.applied, 1)
+	assert.Equal(t, "renamed", w.applied[0].NodeName)
+	w.reloadIfChanged()
+	assert.Len(t, w.applied, 1)
 }
 
-func TestWatcherRereadsOnHangUpWhateverTheTimeOfTheFile(t *testing.T) {
-	w := watch(t)
-	w.look()
+func TestWatcherReloadsOnSighupEvenIfTimeAndSizeAreUnchanged(t *testing.T) {
+	w := newTestWatcher(t)
+	w.reloadIfChanged()
 	info, err := os.Stat(w.path)
 	require.NoError(t, err)
-	write(t, w.path, other("frontend-b-1")) // of the same length
+	write(t, w.path, renamed("frontend-b-1")) // same length
 	require.NoError(t, os.Chtimes(w.path, info.ModTime(), info.ModTime()))
-	w.look()
-	assert.Empty(t, w.taken, "time and size are as they were")
-	w.hangUp()
-	require.Len(t, w.taken, 1)
-	assert.Equal(t, "frontend-b-1", w.taken[0].NodeName)
+	w.reloadIfChanged()
+	assert.Empty(t, w.applied, "modification time and size are unchanged")
+	w.reloadOnSighup()
+	require.Len(t, w.applied, 1)
+	assert.Equal(t, "frontend-b-1", w.applied[0].NodeName)
 }
 
-func TestWatcherKeepsTheSettingsWhenTheFileCannotBeUsed(t *testing.T) {
-	w := watch(t)
+func TestWatcherKeepsTheSettingsWhenTheFileIsInvalid(t *testing.T) {
+	w := newTestWatcher(t)
 	write(t, w.path, "{")
-	w.look()
-	w.look()
-	w.hangUp()
-	assert.Empty(t, w.taken)
-	assert.Equal(t, 1, w.logged.Len(), "one line for one fault")
+	w.reloadIfChanged()
+	w.reloadIfChanged()
+	w.reloadOnSighup()
+	assert.Empty(t, w.applied)
+	assert.Equal(t, 1, w.logged.Len(), "the same error must be logged once")
 
 	require.NoError(t, os.Remove(w.path))
-	w.look()
-	w.look()
-	assert.Empty(t, w.taken)
+	w.reloadIfChanged()
+	w.reloadIfChanged()
+	assert.Empty(t, w.applied)
 	assert.Equal(t, 2, w.logged.Len())
 
 	write(t, w.path, routerFile)
-	w.look()
-	assert.Empty(t, w.taken, "back to what was in force")
-	write(t, w.path, other("renamed"))
-	w.look()
-	require.Len(t, w.taken, 1)
+	w.reloadIfChanged()
+	assert.Empty(t, w.applied, "the content is that of the settings in force")
+	write(t, w.path, renamed("renamed"))
+	w.reloadIfChanged()
+	require.Len(t, w.applied, 1)
 	assert.Equal(t, 2, w.logged.Len())
 }
 
-// listen returns a channel that gets the signal, so that it does not end the test.
-func listen(t *testing.T) <-chan os.Signal {
+// notifySighup returns a channel that receives SIGHUP, so that the signal does not terminate the test.
+func notifySighup(t *testing.T) <-chan os.Signal {
 	t.Helper()
-	heard := make(chan os.Signal, 1)
-	signal.Notify(heard, syscall.SIGHUP)
-	t.Cleanup(func() { signal.Stop(heard) })
-	return heard
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGHUP)
+	t.Cleanup(func() { signal.Stop(signals) })
+	return signals
 }
 
-// TestWatcherHearsTheSignal sends the process the signal that the platform sends.
-func TestWatcherHearsTheSignal(t *testing.T) {
-	heard := listen(t)
-	w := watch(t)
-	taken := make(chan *Settings)
-	w.onChange = func(next *Settings) { taken <- next }
+// TestWatcherReloadsOnSighup sends the process the signal that the platform sends.
+func TestWatcherReloadsOnSighup(t *testing.T) {
+	signals := notifySighup(t)
+	w := newTestWatcher(t)
+	applied := make(chan *Settings)
+	w.onChange = func(next *Settings) { applied <- next }
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		w.Run(ctx)
 	}()
-	write(t, w.path, other("renamed"))
+	write(t, w.path, renamed("renamed"))
 	var next *Settings
 	for next == nil {
 		require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 		select {
-		case next = <-taken:
-		case <-heard: // and sent again, as the watcher may not have listened yet
+		case next = <-applied:
+		case <-signals: // the signal is sent again, because Run may not have subscribed yet
 		}
 	}
 	assert.Equal(t, "renamed", next.NodeName)
 	cancel()
-	<-ended
+	<-done
 }
