--- a/internal/fleetconfig/convert.go
+++ b/internal/fleetconfig/convert.go
@@ -9,7 +9,7 @@
 	"weldscale/internal/fleetwire"
 )
 
-// convert brings a checked configuration into the form that the fleet's programs share.
+// convert converts a validated configuration to the type that the fleet's programs use.
 func convert(message *fleetconfigpb.Config) *fleetwire.Config {
 	return &fleetwire.Config{
 		Version:  message.GetVersion(),
@@ -19,6 +19,7 @@
 	}
 }
 
+// convertAll applies one to each item. It returns nil for an empty list.
 func convertAll[From, To any](from []From, one func(From) To) []To {
 	if len(from) == 0 {
 		return nil
@@ -43,8 +44,8 @@
 	}
 }
 
-// convertSplit returns the targets of a route. A split goes before a single service where both are given. Targets without
-// weight are left out, since they get no requests.
+// convertSplit returns the weighted targets of a route. A traffic split takes precedence over a single service. Targets of
+// weight 0 are omitted, because they get no requests.
 func convertSplit(route *fleetconfigpb.Route) []fleetwire.WeightedService {
 	split := route.GetTrafficSplit()
 	if len(split) == 0 {
@@ -62,19 +63,19 @@
 	return targets
 }
 
-// fractionScale is the precision that is kept of weights with fractions.
+// fractionScale is the sum to which fractional weights are scaled before they are rounded to integers.
 const fractionScale = 1e6
 
-// weightScale returns what the weights are multiplied by: 1 for whole numbers, and otherwise what brings their sum to
-// fractionScale.
+// weightScale returns the factor by which the weights are multiplied: 1 if all are integers, and otherwise the factor that
+// scales their sum to fractionScale.
 func weightScale(split []*fleetconfigpb.WeightedService) float64 {
-	sum, whole := 0.0, true
+	sum, integers := 0.0, true
 	for _, target := range split {
 		weight := target.GetWeight()
 		sum += weight
-		whole = whole && weight == math.Trunc(weight)
+		integers = integers && weight == math.Trunc(weight)
 	}
-	if whole && sum <= math.MaxInt32 {
+	if integers && sum <= math.MaxInt32 {
 		return 1
 	}
 	return fractionScale / sum
@@ -114,7 +115,7 @@
 	}
 }
 
-// wholeMs rounds up, so that a time above 0 stays above 0. What is too long to be told from forever is held to a day.
+// wholeMs rounds up, so that a time above 0 stays above 0. It caps times at one day, which is practically unlimited.
 func wholeMs(value float64) int64 {
 	const dayMs = 86_400_000
 	if !(value > 0) {
--- a/internal/fleetconfig/diff.go
+++ b/internal/fleetconfig/diff.go
@@ -10,27 +10,28 @@
 	"weldscale/internal/fleetwire"
 )
 
-// Difference is one thing in which two configurations differ.
+// Difference is one difference between two configurations.
 type Difference struct {
 	Part string // "version", "route", "service" or "limits"
-	Name string // of the route (its place) or the service
+	Name string // name of the service, or hostname and path prefix of the route
 	What string // "added", "removed", or the key that changed
-	Old  string // empty where something was added
-	New  string // empty where something was removed
+	Old  string // empty for an addition
+	New  string // empty for a removal
 }
 
-// Diff lists the differences between two configurations: version, limits, services and routes, in order of their names. A
-// route is known by its host and path prefix, as no two of a configuration share them.
+// Diff returns the differences between two configurations in the order version, limits, services and routes. Services and
+// routes are sorted by name. A route is identified by its hostname and path prefix, which are unique in a configuration.
 func Diff(old, next *fleetwire.Config) []Difference {
 	differences := diffFields("version", "", versionOnly{old.Version}, versionOnly{next.Version})
 	differences = append(differences, diffFields("limits", "", old.Limits, next.Limits)...)
-	differences = append(differences, diffItems("service", serviceNames(old), serviceNames(next))...)
-	return append(differences, diffItems("route", routePlaces(old), routePlaces(next))...)
+	differences = append(differences, diffItems("service", servicesByName(old), servicesByName(next))...)
+	return append(differences, diffItems("route", routesByPlace(old), routesByPlace(next))...)
 }
 
+// versionOnly wraps a version for diffFields. The field name appears in the output.
 type versionOnly struct{ Version int64 }
 
-func serviceNames(config *fleetwire.Config) map[string]fleetwire.Service {
+func servicesByName(config *fleetwire.Config) map[string]fleetwire.Service {
 	byName := make(map[string]fleetwire.Service, len(config.Services))
 	for _, service := range config.Services {
 		byName[service.Name] = service
@@ -38,7 +39,7 @@
 	return byName
 }
 
-func routePlaces(config *fleetwire.Config) map[string]fleetwire.Route {
+func routesByPlace(config *fleetwire.Config) map[string]fleetwire.Route {
 	byPlace := make(map[string]fleetwire.Route, len(config.Routes))
 	for _, route := range config.Routes {
 		byPlace[strings.ToLower(route.Hostname)+route.PathPrefix] = route
@@ -46,6 +47,7 @@
 	return byPlace
 }
 
+// diffItems compares the items of equal name and reports items that exist on one side only.
 func diffItems[Item any](part string, old, next map[string]Item) []Difference {
 	var differences []Difference
 	for name, item := range old {
@@ -79,6 +81,7 @@
 	return differences
 }
 
+// text returns the JSON encoding of a value.
 func text(value any) string {
 	line, err := json.Marshal(value)
 	if err != nil {
--- a/internal/fleetconfig/diff_test.go
+++ b/internal/fleetconfig/diff_test.go
@@ -8,7 +8,7 @@
 	"weldscale/internal/fleetwire"
 )
 
-func TestDiffNamesWhatChanged(t *testing.T) {
+func TestDiffListsAllChanges(t *testing.T) {
 	old, next := exampleConfig(), exampleConfig()
 	next.Version = 9
 	next.Limits.IdleTimeoutMs = 20000
--- a/internal/fleetconfig/errors.go
+++ b/internal/fleetconfig/errors.go
@@ -6,22 +6,22 @@
 	"strconv"
 )
 
-// Kind is the kind of fault that makes a configuration invalid. The list is closed.
+// Kind classifies the error that makes a configuration invalid. No other kinds exist.
 type Kind uint8
 
-// The kinds of faults.
+// The kinds of errors.
 const (
-	KindUnreadable     Kind = iota + 1 // not JSON, cut short, trailing bytes, a value of the wrong type, a part missing
-	KindVersion                        // no version, or one that is not positive
+	KindUnreadable     Kind = iota + 1 // not JSON, truncated, trailing bytes, a value of the wrong type, or a missing list
+	KindVersion                        // the version is missing or not positive
 	KindVersionNotNew                  // the version is not above the current one
 	KindTimeout                        // a route has no timeout above 0
 	KindNoService                      // a route names no service
-	KindUnknownService                 // a route names a service that is not there
-	KindWeights                        // the weights of a route sum to 0, or one is below 0
-	KindDuplicateRoute                 // two routes share host and path prefix
+	KindUnknownService                 // a route names a service that does not exist
+	KindWeights                        // the weights of a route sum to 0, or a weight is negative or infinite
+	KindDuplicateRoute                 // two routes have the same hostname and path prefix
 )
 
-// kinds holds the name of each kind and the HTTP status that answers it.
+// kinds maps each kind to its name and its HTTP status.
 var kinds = map[Kind]struct {
 	name   string
 	status int
@@ -44,7 +44,7 @@
 	return "kind " + strconv.Itoa(int(k))
 }
 
-// Status returns the HTTP status that answers a configuration with this fault.
+// Status returns the HTTP status of the response to a configuration with this error.
 func (k Kind) Status() int {
 	if known, ok := kinds[k]; ok {
 		return known.status
@@ -52,15 +52,15 @@
 	return http.StatusInternalServerError
 }
 
-// Error tells why a configuration is invalid, and where.
+// Error describes why a configuration is invalid and where.
 type Error struct {
 	Kind   Kind
-	Route  string // name of the route at fault; empty for faults of the whole
-	Field  string // key at fault; empty where no single one is
+	Route  string // name of the invalid route; empty if the error is not in a route
+	Field  string // invalid key; empty if the error has no single key
 	Detail string
 }
 
-// Error returns one plain line.
+// Error returns the description as a single line.
 func (e *Error) Error() string {
 	line := "invalid configuration (" + e.Kind.String() + ")"
 	if e.Route != "" {
@@ -72,7 +72,7 @@
 	return line + ": " + e.Detail
 }
 
-// StatusOf returns the HTTP status for err: that of its kind, or 500 for an error of another type.
+// StatusOf returns the HTTP status of err: the status of its kind if it wraps an *Error, and 500 otherwise.
 func StatusOf(err error) int {
 	var invalid *Error
 	if errors.As(err, &invalid) {
--- a/internal/fleetconfig/fuzz_test.go
+++ b/internal/fleetconfig/fuzz_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Whatever an operator sends is taken or refused by a typed error, and what is taken keeps the rules.
+// FuzzParse checks that Parse either returns a typed error with a 4xx status, or a configuration that keeps the rules.
 func FuzzParse(f *testing.F) {
 	for _, body := range []string{
 		``, `{}`, `null`, `[]`, `{"Version":1}`, `{"Version":1e999}`, `{"Version":-1,"Routes":[{}]}`,
@@ -33,8 +33,8 @@
 		}
 		for _, route := range config.Routes {
 			require.Positive(t, route.TimeoutMs)
-			for _, part := range route.Split {
-				require.True(t, services[part.Service], "an unknown service")
+			for _, target := range route.Split {
+				require.True(t, services[target.Service], "a target must be a known service")
 			}
 		}
 	})
--- a/internal/fleetconfig/parse.go
+++ b/internal/fleetconfig/parse.go
@@ -1,5 +1,5 @@
-// Package fleetconfig reads the operator's configuration and checks it. It refuses what the protocol calls invalid and
-// nothing else: unknown keys are discarded and missing ones take their zero value.
+// Package fleetconfig decodes and validates the operator's configuration. It rejects exactly what the protocol defines as
+// invalid: unknown keys are ignored and missing ones have their zero value.
 package fleetconfig
 
 import (
@@ -13,11 +13,11 @@
 	"weldscale/internal/fleetwire"
 )
 
-// Parse reads a whole configuration. An error is always an *Error.
+// Parse decodes and validates a configuration. All errors are of type *Error.
 func Parse(body []byte) (*fleetwire.Config, error) {
 	var message fleetconfigpb.Config
 	if err := (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(body, &message); err != nil {
-		return nil, &Error{Kind: KindUnreadable, Detail: plainDetail(err)}
+		return nil, &Error{Kind: KindUnreadable, Detail: trimPrefix(err)}
 	}
 	if err := check(body, &message); err != nil {
 		return nil, err
@@ -25,7 +25,7 @@
 	return convert(&message), nil
 }
 
-// CheckVersion reports the fault of a configuration whose version is not above the current one.
+// CheckVersion returns an *Error of KindVersionNotNew if the version of config is not above the current one.
 func CheckVersion(config *fleetwire.Config, current int64) error {
 	if config.Version > current {
 		return nil
@@ -33,8 +33,8 @@
 	return &Error{Kind: KindVersionNotNew, Field: "Version", Detail: "not above the current one"}
 }
 
-// plainDetail strips the prefix that protojson puts before its messages.
-func plainDetail(err error) string {
+// trimPrefix removes the prefix of protojson's error messages.
+func trimPrefix(err error) string {
 	detail := err.Error()
 	if _, rest, found := strings.Cut(detail, "proto:"); found {
 		detail = strings.TrimLeft(rest, " \u00a0")
@@ -42,39 +42,40 @@
 	return detail
 }
 
-// check returns a nil error for a valid configuration and an *Error for any other.
+// check returns nil for a valid configuration and an *Error otherwise.
 func check(body []byte, message *fleetconfigpb.Config) error {
 	if message.GetVersion() <= 0 {
 		return &Error{Kind: KindVersion, Field: "Version", Detail: "missing or not above 0"}
 	}
-	if err := checkParts(body, message); err != nil {
+	if err := checkLists(body, message); err != nil {
 		return err
 	}
 	return checkRoutes(message)
 }
 
-// checkParts refuses a configuration without its list of routes or of services, which can't be the whole one. Lists that
-// are there but empty are allowed.
-func checkParts(body []byte, message *fleetconfigpb.Config) error {
+// checkLists rejects a configuration without a list of routes or services, because it must be incomplete. Empty lists are
+// allowed.
+func checkLists(body []byte, message *fleetconfigpb.Config) error {
 	if len(message.GetRoutes()) > 0 && len(message.GetServices()) > 0 {
 		return nil
 	}
-	var parts struct{ Routes, Services json.RawMessage }
-	if err := json.Unmarshal(body, &parts); err != nil {
+	var lists struct{ Routes, Services json.RawMessage }
+	if err := json.Unmarshal(body, &lists); err != nil {
 		return &Error{Kind: KindUnreadable, Detail: err.Error()}
 	}
-	if absent(parts.Routes) {
+	if absent(lists.Routes) {
 		return &Error{Kind: KindUnreadable, Field: "Routes", Detail: "missing"}
 	}
-	if absent(parts.Services) {
+	if absent(lists.Services) {
 		return &Error{Kind: KindUnreadable, Field: "Services", Detail: "missing"}
 	}
 	return nil
 }
 
+// absent reports whether a JSON value is missing or null.
 func absent(value json.RawMessage) bool { return len(value) == 0 || string(value) == "null" }
 
-// place is what no two routes may share.
+// place identifies a route. It must be unique in a configuration.
 type place struct{ hostname, pathPrefix string }
 
 func checkRoutes(message *fleetconfigpb.Config) error {
@@ -82,16 +83,16 @@
 	for _, service := range message.GetServices() {
 		services[service.GetName()] = true
 	}
-	taken := make(map[place]string, len(message.GetRoutes()))
+	routeNames := make(map[place]string, len(message.GetRoutes()))
 	for _, route := range message.GetRoutes() {
 		if err := checkRoute(route, services); err != nil {
 			return err
 		}
 		at := place{strings.ToLower(route.GetHostname()), route.GetPathPrefix()}
-		if other, found := taken[at]; found {
+		if other, found := routeNames[at]; found {
 			return routeError(KindDuplicateRoute, route, "PathPrefix", "host and prefix are those of route "+other)
 		}
-		taken[at] = route.GetName()
+		routeNames[at] = route.GetName()
 	}
 	return nil
 }
--- a/internal/fleetconfig/parse_test.go
+++ b/internal/fleetconfig/parse_test.go
@@ -60,32 +60,32 @@
 	assert.Equal(t, exampleConfig(), config)
 }
 
-// replaced returns the example with one piece of text changed.
+// replaced returns the example with one occurrence of old replaced by changed.
 func replaced(t *testing.T, old, changed string) string {
 	t.Helper()
 	require.Contains(t, example, old)
 	return strings.Replace(example, old, changed, 1)
 }
 
-func TestParseRefusesWhatIsInvalid(t *testing.T) {
+func TestParseRejectsInvalidConfigurations(t *testing.T) {
 	for _, test := range []struct {
 		name, old, changed string
 		want               Error
 	}{
-		{"cut short", `"IdleTimeoutMs":15000}}`, `"IdleTimeoutMs":15000}`, Error{Kind: KindUnreadable}},
+		{"truncated object", `"IdleTimeoutMs":15000}}`, `"IdleTimeoutMs":15000}`, Error{Kind: KindUnreadable}},
 		{"trailing bytes", `"IdleTimeoutMs":15000}}`, `"IdleTimeoutMs":15000}}x`, Error{Kind: KindUnreadable}},
 		{"two documents", `"IdleTimeoutMs":15000}}`, `"IdleTimeoutMs":15000}}{}`, Error{Kind: KindUnreadable}},
-		{"not JSON", `"Version":7`, `Version=7`, Error{Kind: KindUnreadable}},
-		{"text for a number", `"TimeoutMs":8000`, `"TimeoutMs":"soon"`, Error{Kind: KindUnreadable}},
-		{"an object for a list", `"Routes":[`, `"Routes":{},"Others":[`, Error{Kind: KindUnreadable}},
+		{"invalid JSON", `"Version":7`, `Version=7`, Error{Kind: KindUnreadable}},
+		{"string for a number", `"TimeoutMs":8000`, `"TimeoutMs":"soon"`, Error{Kind: KindUnreadable}},
+		{"object for a list", `"Routes":[`, `"Routes":{},"Others":[`, Error{Kind: KindUnreadable}},
 		{"no routes", `"Routes":[`, `"Others":[`, Error{Kind: KindUnreadable, Field: "Routes"}},
 		{"no services", `"Services":[`, `"Others":[`, Error{Kind: KindUnreadable, Field: "Services"}},
 		{"no version", `"Version":7,`, ``, Error{Kind: KindVersion, Field: "Version"}},
 		{"version 0", `"Version":7`, `"Version":0`, Error{Kind: KindVersion, Field: "Version"}},
-		{"version below 0", `"Version":7`, `"Version":-7`, Error{Kind: KindVersion, Field: "Version"}},
+		{"negative version", `"Version":7`, `"Version":-7`, Error{Kind: KindVersion, Field: "Version"}},
 		{"timeout 0", `"TimeoutMs":8000`, `"TimeoutMs":0`, Error{Kind: KindTimeout, Route: "first", Field: "TimeoutMs"}},
-		{"timeout below 0", `"TimeoutMs":2500`, `"TimeoutMs":-1`, Error{Kind: KindTimeout, Route: "second", Field: "TimeoutMs"}},
-		{"timeout not a number", `"TimeoutMs":2500`, `"TimeoutMs":"NaN"`,
+		{"negative timeout", `"TimeoutMs":2500`, `"TimeoutMs":-1`, Error{Kind: KindTimeout, Route: "second", Field: "TimeoutMs"}},
+		{"timeout NaN", `"TimeoutMs":2500`, `"TimeoutMs":"NaN"`,
 			Error{Kind: KindTimeout, Route: "second", Field: "TimeoutMs"}},
 		{"no timeout", `"TimeoutMs":8000,`, ``, Error{Kind: KindTimeout, Route: "first", Field: "TimeoutMs"}},
 		{"no target", `"Service":"plain","MaxAttempts":2`, `"MaxAttempts":2`,
@@ -98,11 +98,11 @@
 			Error{Kind: KindUnknownService, Route: "first", Field: "TrafficSplit"}},
 		{"weights sum to 0", `"Weight":90},{"Service":"plain","Weight":10}`, `"Weight":0},{"Service":"plain","Weight":0}`,
 			Error{Kind: KindWeights, Route: "first", Field: "TrafficSplit"}},
-		{"weight below 0", `"Weight":10`, `"Weight":-90`, Error{Kind: KindWeights, Route: "first", Field: "TrafficSplit"}},
-		{"weight without end", `"Weight":10`, `"Weight":"Infinity"`, Error{Kind: KindWeights, Route: "first", Field: "TrafficSplit"}},
-		{"routes that share host and prefix", `/briefs/`, `/proofs/`,
+		{"negative weight", `"Weight":10`, `"Weight":-90`, Error{Kind: KindWeights, Route: "first", Field: "TrafficSplit"}},
+		{"infinite weight", `"Weight":10`, `"Weight":"Infinity"`, Error{Kind: KindWeights, Route: "first", Field: "TrafficSplit"}},
+		{"duplicate hostname and prefix", `/briefs/`, `/proofs/`,
 			Error{Kind: KindDuplicateRoute, Route: "second", Field: "PathPrefix"}},
-		{"hosts that differ in case", `"shop.example","PathPrefix":"/briefs/"`, `"Shop.example","PathPrefix":"/proofs/"`,
+		{"duplicate hostname in another case", `"shop.example","PathPrefix":"/briefs/"`, `"Shop.example","PathPrefix":"/proofs/"`,
 			Error{Kind: KindDuplicateRoute, Route: "second", Field: "PathPrefix"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestParseRefusesWhatIsNoConfiguration(t *testing.T) {
+func TestParseRejectsOtherDocuments(t *testing.T) {
 	for _, body := range []string{
 		``, ` `, `null`, `[]`, `7`, `"x"`, `{}`, `{"Version":7}`, `{"Version":7,"Routes":null,"Services":[]}`,
 	} {
@@ -127,19 +127,19 @@
 	}
 }
 
-func TestParseTakesWhatIsNotCalledInvalid(t *testing.T) {
+func TestParseAcceptsWhatTheProtocolAllows(t *testing.T) {
 	for _, test := range []struct{ name, old, changed string }{
 		{"unknown keys", `"Version":7`, `"Version":7,"Later":{"a":[1,2]}`},
-		{"an unknown key in a route", `"Name":"first"`, `"Name":"first","Later":null`},
-		{"a version as text", `"Version":7`, `"Version":"7"`},
-		{"a version as a fraction without a rest", `"Version":7`, `"Version":7.0`},
-		{"a whole number for a fraction", `1100000.0`, `1100000`},
-		{"a fraction for a whole number of tokens", `940121`, `940121.0`},
-		{"null for a list", `"gap_aim_ms":300`, `"gap_aim_ms":300,"Later":[]`},
-		{"a service besides its split", `"Priority":1`, `"Priority":1,"Service":"plain"`},
-		{"a target without weight", `{"Service":"plain","Weight":10}`,
+		{"unknown key in a route", `"Name":"first"`, `"Name":"first","Later":null`},
+		{"version as a string", `"Version":7`, `"Version":"7"`},
+		{"version with a zero fraction", `"Version":7`, `"Version":7.0`},
+		{"integer for a fraction", `1100000.0`, `1100000`},
+		{"zero fraction for an integer", `940121`, `940121.0`},
+		{"unknown empty list", `"gap_aim_ms":300`, `"gap_aim_ms":300,"Later":[]`},
+		{"service and traffic split", `"Priority":1`, `"Priority":1,"Service":"plain"`},
+		{"target of weight 0", `{"Service":"plain","Weight":10}`,
 			`{"Service":"plain","Weight":10},{"Service":"plain","Weight":0}`},
-		{"space at the end", `"IdleTimeoutMs":15000}}`, "\"IdleTimeoutMs\":15000}}\r\n "},
+		{"trailing white space", `"IdleTimeoutMs":15000}}`, "\"IdleTimeoutMs\":15000}}\r\n "},
 		{"another protocol", `"Protocol":"h1","Tls":false,"Engine"`, `"Protocol":2,"Tls":{},"Engine"`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -150,14 +150,14 @@
 	}
 }
 
-func TestParseTakesRoutesThatDifferInHostOrPrefixOnly(t *testing.T) {
+func TestParseAcceptsRoutesThatDifferInHostnameOrPrefixOnly(t *testing.T) {
 	_, err := Parse([]byte(replaced(t, `"shop.example","PathPrefix":"/briefs/"`, `"other.example","PathPrefix":"/proofs/"`)))
 	assert.NoError(t, err)
 	_, err = Parse([]byte(replaced(t, `/briefs/`, `/proofs/late/`)))
 	assert.NoError(t, err)
 }
 
-func TestParseTakesAConfigurationWithoutRoutes(t *testing.T) {
+func TestParseAcceptsAConfigurationWithoutRoutes(t *testing.T) {
 	config, err := Parse([]byte(`{"Version":3,"Routes":[],"Services":[]}`))
 	require.NoError(t, err)
 	assert.Equal(t, &fleetwire.Config{Version: 3}, config)
@@ -174,7 +174,7 @@
 	assert.Equal(t, int64(1), config.Routes[0].TimeoutMs)
 }
 
-func TestEveryKindHasANameAndAClientError(t *testing.T) {
+func TestEveryKindHasANameAndA4xxStatus(t *testing.T) {
 	for kind := KindUnreadable; kind <= KindDuplicateRoute; kind++ {
 		assert.NotContains(t, kind.String(), "kind ")
 		assert.GreaterOrEqual(t, kind.Status(), 400)
--- a/internal/fleetconfig/property_test.go
+++ b/internal/fleetconfig/property_test.go
@@ -14,7 +14,7 @@
 	"weldscale/internal/fleetwire"
 )
 
-// drawConfig draws a valid configuration.
+// drawConfig draws a random valid configuration.
 func drawConfig(t *rapid.T) *fleetwire.Config {
 	services := make([]fleetwire.Service, rapid.IntRange(1, 5).Draw(t, "services"))
 	for i := range services {
@@ -80,7 +80,7 @@
 	return route
 }
 
-// messageOf is the inverse of convert, up to the way in which a route names its only target.
+// messageOf is the inverse of convert, except that a route with a single target gets a traffic split of one entry.
 func messageOf(config *fleetwire.Config) *fleetconfigpb.Config {
 	message := &fleetconfigpb.Config{
 		Version: config.Version,
@@ -152,7 +152,7 @@
 	return body
 }
 
-func TestParseGivesBackEveryConfiguration(t *testing.T) {
+func TestParseRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := drawConfig(t)
 		parsed, err := Parse(marshal(t, config))
@@ -168,28 +168,28 @@
 	})
 }
 
-func TestEveryCutOfAConfigurationIsRefused(t *testing.T) {
+func TestTruncatedConfigurationsAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := marshal(t, drawConfig(t))
 		length := rapid.IntRange(0, len(body)-1).Draw(t, "length")
 		if _, err := Parse(body[:length]); err == nil {
-			t.Fatalf("the first %d of %d bytes are taken for a whole configuration", length, len(body))
+			t.Fatalf("the first %d of %d bytes are accepted as a complete configuration", length, len(body))
 		}
 	})
 }
 
-func TestEveryByteBehindAConfigurationIsRefused(t *testing.T) {
+func TestTrailingBytesAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := marshal(t, drawConfig(t))
 		extra := rapid.Byte().Filter(func(b byte) bool { return !slices.Contains([]byte(" \t\r\n"), b) }).Draw(t, "extra")
 		if _, err := Parse(append(body, extra)); err == nil {
-			t.Fatalf("a byte %q behind the whole is not noticed", extra)
+			t.Fatalf("the trailing byte %q is accepted", extra)
 		}
 	})
 }
 
-// TestParseRefusesOneFaultInAnyPlace spoils one route of a valid configuration.
-func TestParseRefusesOneFaultInAnyPlace(t *testing.T) {
+// TestParseRejectsAnErrorInAnyRoute makes one route of a valid configuration invalid and checks the kind of the error.
+func TestParseRejectsAnErrorInAnyRoute(t *testing.T) {
 	faults := map[Kind]func(*fleetconfigpb.Config, *fleetconfigpb.Route){
 		KindTimeout:   func(_ *fleetconfigpb.Config, route *fleetconfigpb.Route) { route.TimeoutMs = 0 },
 		KindNoService: func(_ *fleetconfigpb.Config, route *fleetconfigpb.Route) { route.TrafficSplit = nil },
@@ -202,8 +202,8 @@
 			}
 		},
 		KindDuplicateRoute: func(message *fleetconfigpb.Config, route *fleetconfigpb.Route) {
-			again := &fleetconfigpb.Route{Hostname: route.Hostname, PathPrefix: route.PathPrefix, TimeoutMs: 1, Service: "service-0"}
-			message.Routes = append(message.Routes, again)
+			duplicate := &fleetconfigpb.Route{Hostname: route.Hostname, PathPrefix: route.PathPrefix, TimeoutMs: 1, Service: "service-0"}
+			message.Routes = append(message.Routes, duplicate)
 		},
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -218,7 +218,7 @@
 		_, err = Parse(body)
 		invalid, ok := err.(*Error)
 		if !ok || invalid.Kind != kind {
-			t.Fatalf("a fault of kind %v is told as: %v", kind, err)
+			t.Fatalf("an error of kind %v is reported as: %v", kind, err)
 		}
 	})
 }
