--- a/internal/fleetclient/client.go
+++ b/internal/fleetclient/client.go
@@ -122,7 +122,7 @@
 func (r reply) refusal() error { return eris.Wrapf(ErrRefused, "status %d: %s", r.status, r.text()) }
 
 // do sends the call to one controller after the other, with exponential backoff, until a reply is conclusive.
-func (c *Client) do(ctx context.Context, wanted call) (reply, error) {
+func (c *Client) do(ctx context.Context, outgoing call) (reply, error) {
 	if len(c.addresses) == 0 {
 		return reply{}, eris.New("no controller is known")
 	}
@@ -130,7 +130,7 @@
 	backoff := initialBackoff
 	for i := 0; ; i++ {
 		address := c.addresses[i%len(c.addresses)]
-		answer, err := c.attempt(ctx, address, wanted)
+		answer, err := c.attempt(ctx, address, outgoing)
 		switch {
 		case err != nil:
 			lastFailure = err.Error()
@@ -147,12 +147,12 @@
 }
 
 // attempt sends the call to one controller and follows its redirects.
-func (c *Client) attempt(ctx context.Context, address string, wanted call) (reply, error) {
+func (c *Client) attempt(ctx context.Context, address string, outgoing call) (reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	target := "http://" + address + wanted.path
+	target := "http://" + address + outgoing.path
 	for redirects := 0; ; redirects++ {
-		answer, err := c.send(ctx, target, wanted)
+		answer, err := c.send(ctx, target, outgoing)
 		if err != nil || answer.status != http.StatusTemporaryRedirect {
 			return answer, err
 		}
@@ -163,12 +163,12 @@
 	}
 }
 
-func (c *Client) send(ctx context.Context, target string, wanted call) (reply, error) {
-	request, err := http.NewRequestWithContext(ctx, wanted.method, target, bytes.NewReader(wanted.body))
+func (c *Client) send(ctx context.Context, target string, outgoing call) (reply, error) {
+	request, err := http.NewRequestWithContext(ctx, outgoing.method, target, bytes.NewReader(outgoing.body))
 	if err != nil {
 		return reply{}, eris.Wrap(err, "make request")
 	}
-	for name, values := range wanted.header {
+	for name, values := range outgoing.header {
 		request.Header[name] = values
 	}
 	response, err := c.transport.RoundTrip(request)
--- a/internal/fleetconfig/convert.go
+++ b/internal/fleetconfig/convert.go
@@ -33,14 +33,14 @@
 		Hostname:        route.GetHostname(),
 		PathPrefix:      route.GetPathPrefix(),
 		RouteType:       route.GetRouteType(),
-		TimeoutMs:       wholeMs(route.GetTimeoutMs()),
-		TargetLatencyMs: wholeMs(route.GetTargetLatencyMs()),
+		TimeoutMs:       ceilMs(route.GetTimeoutMs()),
+		TargetLatencyMs: ceilMs(route.GetTargetLatencyMs()),
 		Priority:        int(route.GetPriority()),
 		Split:           convertSplit(route),
 		MaxAttempts:     int(route.GetMaxAttempts()),
 		Sticky:          route.GetSticky(),
 		Resumable:       route.GetResumable(),
-		GapAimMs:        wholeMs(route.GetGapAimMs()),
+		GapAimMs:        ceilMs(route.GetGapAimMs()),
 	}
 }
 
@@ -110,13 +110,14 @@
 	return fleetwire.Limits{
 		MaxHeaderBytes:  int(limits.GetMaxHeaderBytes()),
 		MaxBodyBytes:    limits.GetMaxBodyBytes(),
-		HeaderTimeoutMs: wholeMs(limits.GetHeaderTimeoutMs()),
-		IdleTimeoutMs:   wholeMs(limits.GetIdleTimeoutMs()),
+		HeaderTimeoutMs: ceilMs(limits.GetHeaderTimeoutMs()),
+		IdleTimeoutMs:   ceilMs(limits.GetIdleTimeoutMs()),
 	}
 }
 
-// wholeMs rounds up, so that a time above 0 stays above 0. It caps times at one day, which is practically unlimited.
-func wholeMs(value float64) int64 {
+// ceilMs rounds up to integer milliseconds, so that a time above 0 stays above 0. It caps times at one day, which is
+// practically unlimited.
+func ceilMs(value float64) int64 {
 	const dayMs = 86_400_000
 	if !(value > 0) {
 		return 0
--- a/internal/fleetconfig/diff.go
+++ b/internal/fleetconfig/diff.go
@@ -25,7 +25,7 @@
 	differences := diffFields("version", "", versionOnly{old.Version}, versionOnly{next.Version})
 	differences = append(differences, diffFields("limits", "", old.Limits, next.Limits)...)
 	differences = append(differences, diffItems("service", servicesByName(old), servicesByName(next))...)
-	return append(differences, diffItems("route", routesByPlace(old), routesByPlace(next))...)
+	return append(differences, diffItems("route", routesByKey(old), routesByKey(next))...)
 }
 
 // versionOnly wraps a version for diffFields. The field name appears in the output.
@@ -39,12 +39,12 @@
 	return byName
 }
 
-func routesByPlace(config *fleetwire.Config) map[string]fleetwire.Route {
-	byPlace := make(map[string]fleetwire.Route, len(config.Routes))
+func routesByKey(config *fleetwire.Config) map[string]fleetwire.Route {
+	byKey := make(map[string]fleetwire.Route, len(config.Routes))
 	for _, route := range config.Routes {
-		byPlace[strings.ToLower(route.Hostname)+route.PathPrefix] = route
+		byKey[strings.ToLower(route.Hostname)+route.PathPrefix] = route
 	}
-	return byPlace
+	return byKey
 }
 
 // diffItems compares the items of equal name and reports items that exist on one side only.
--- a/internal/fleetconfig/parse.go
+++ b/internal/fleetconfig/parse.go
@@ -75,24 +75,24 @@
 // absent reports whether a JSON value is missing or null.
 func absent(value json.RawMessage) bool { return len(value) == 0 || string(value) == "null" }
 
-// place identifies a route. It must be unique in a configuration.
-type place struct{ hostname, pathPrefix string }
+// routeKey identifies a route. It must be unique in a configuration.
+type routeKey struct{ hostname, pathPrefix string }
 
 func checkRoutes(message *fleetconfigpb.Config) error {
 	services := make(map[string]bool, len(message.GetServices()))
 	for _, service := range message.GetServices() {
 		services[service.GetName()] = true
 	}
-	routeNames := make(map[place]string, len(message.GetRoutes()))
+	routeNames := make(map[routeKey]string, len(message.GetRoutes()))
 	for _, route := range message.GetRoutes() {
 		if err := checkRoute(route, services); err != nil {
 			return err
 		}
-		at := place{strings.ToLower(route.GetHostname()), route.GetPathPrefix()}
-		if other, found := routeNames[at]; found {
+		key := routeKey{strings.ToLower(route.GetHostname()), route.GetPathPrefix()}
+		if other, found := routeNames[key]; found {
 			return routeError(KindDuplicateRoute, route, "PathPrefix", "host and prefix are those of route "+other)
 		}
-		routeNames[at] = route.GetName()
+		routeNames[key] = route.GetName()
 	}
 	return nil
 }
--- a/internal/fleetconfig/property_test.go
+++ b/internal/fleetconfig/property_test.go
@@ -190,7 +190,7 @@
 
 // TestParseRejectsAnErrorInAnyRoute makes one route of a valid configuration invalid and checks the kind of the error.
 func TestParseRejectsAnErrorInAnyRoute(t *testing.T) {
-	faults := map[Kind]func(*fleetconfigpb.Config, *fleetconfigpb.Route){
+	corruptions := map[Kind]func(*fleetconfigpb.Config, *fleetconfigpb.Route){
 		KindTimeout:   func(_ *fleetconfigpb.Config, route *fleetconfigpb.Route) { route.TimeoutMs = 0 },
 		KindNoService: func(_ *fleetconfigpb.Config, route *fleetconfigpb.Route) { route.TrafficSplit = nil },
 		KindUnknownService: func(_ *fleetconfigpb.Config, route *fleetconfigpb.Route) {
@@ -208,9 +208,9 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		message := messageOf(drawConfig(t))
-		kind := rapid.SampledFrom(slices.Sorted(maps.Keys(faults))).Draw(t, "kind")
+		kind := rapid.SampledFrom(slices.Sorted(maps.Keys(corruptions))).Draw(t, "kind")
 		route := rapid.SampledFrom(message.Routes).Draw(t, "route")
-		faults[kind](message, route)
+		corruptions[kind](message, route)
 		body, err := protojson.Marshal(message)
 		if err != nil {
 			t.Fatal(err)
