--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -28,56 +28,60 @@
 	"weldscale/internal/settings"
 )
 
-// patience bounds every wait of these tests; the bounds of the rules are checked by what they measure, not by it.
-const patience = 20 * time.Second
+// waitTimeout bounds every wait of these tests. It is not one of the bounds that controllers must meet.
+const waitTimeout = 20 * time.Second
 
-// platform is a stand-in for the platform's list of instances.
-type platform struct {
+// fakePlatform is an HTTP server that serves the platform's list of instances.
+type fakePlatform struct {
 	server *httptest.Server
 
 	mutex   sync.Mutex
 	workers []map[string]any
 }
 
-func newPlatform(t *testing.T) *platform {
-	p := &platform{}
+func newFakePlatform(t *testing.T) *fakePlatform {
+	p := &fakePlatform{}
 	p.server = httptest.NewServer(http.HandlerFunc(p.serve))
 	t.Cleanup(p.server.Close)
 	return p
 }
 
-func (p *platform) set(workers ...map[string]any) {
+// set replaces the list.
+func (p *fakePlatform) set(workers ...map[string]any) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.workers = workers
 }
 
-func (p *platform) serve(w http.ResponseWriter, _ *http.Request) {
+func (p *fakePlatform) serve(w http.ResponseWriter, _ *http.Request) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	_ = json.NewEncoder(w).Encode(map[string]any{"Instances": p.workers, "NextPageToken": nil})
 }
 
+// worker returns an entry of the platform's list.
 func worker(id, state string) map[string]any {
 	return map[string]any{"Id": id, "Service": "s", "Address": "10.0.0.1:80", "Zone": "z", "Slots": 4, "State": state}
 }
 
-// fleet is a set of controllers on loopback, each at an address of its own.
+// fleet is a set of controllers on loopback addresses, one for each.
 type fleet struct {
 	t        *testing.T
-	platform *platform
+	platform *fakePlatform
 	client   *transport.Client
-	seeds    []string // Control addresses
+	seeds    []string // control addresses
 	settings []*settings.Settings
 	running  map[int]*runningController
 }
 
+// runningController is a controller that runs in this process.
 type runningController struct {
 	process *process
 	cancel  context.CancelFunc
 	ended   chan error
 }
 
+// freePort returns a TCP port that is free on a loopback address.
 func freePort(t *testing.T) int {
 	listener, err := net.Listen("tcp", "127.0.0.2:0")
 	require.NoError(t, err)
@@ -85,8 +89,9 @@
 	return listener.Addr().(*net.TCPAddr).Port
 }
 
+// newFleet starts a fleet of new controllers and stops it when the test ends.
 func newFleet(t *testing.T, count int) *fleet {
-	f := &fleet{t: t, platform: newPlatform(t), client: transport.NewClient(), running: make(map[int]*runningController)}
+	f := &fleet{t: t, platform: newFakePlatform(t), client: transport.NewClient(), running: make(map[int]*runningController)}
 	internal, control := freePort(t), freePort(t)
 	const seeds = 3
 	for i := range seeds {
@@ -102,7 +107,7 @@
 	return f
 }
 
-// addMachine makes the settings of one more machine and returns its number.
+// addMachine adds the settings of one more machine and returns its number.
 func (f *fleet) addMachine(internal, control int, bootstrap bool) int {
 	number := len(f.settings)
 	ip := fmt.Sprintf("127.0.0.%d", number+2)
@@ -121,23 +126,23 @@
 	return number
 }
 
-// replacement adds a machine at a new address with an empty disk.
-func (f *fleet) replacement() int {
+// addReplacement adds a machine with a new address and an empty disk, and returns its number.
+func (f *fleet) addReplacement() int {
 	address, err := netip.ParseAddrPort(f.settings[0].Listen.Control)
 	require.NoError(f.t, err)
 	return f.addMachine(f.settings[0].InternalPorts[0], int(address.Port()), false)
 }
 
-// restart starts a controller again after it has ended.
+// restart starts a controller that has ended again, without bootstrap.
 func (f *fleet) restart(i int) {
-	again := *f.settings[i]
-	again.Bootstrap = false
-	f.settings[i] = &again
+	updated := *f.settings[i]
+	updated.Bootstrap = false
+	f.settings[i] = &updated
 	f.start(i)
 }
 
-// isReplica tells whether a controller is in the set of replicas that it knows, with its present disk, and the change of the
-// set is finished: only then may the next machine be lost.
+// isReplica reports whether a controller with its current disk is in a full set of replicas and the change of the set is finished.
+// Only then does the fleet tolerate the loss of another machine.
 func (f *fleet) isReplica(i int) bool {
 	node := f.running[i].process.node
 	replicas := node.Latest().Replicas
@@ -145,6 +150,7 @@
 		slices.ContainsFunc(replicas, func(replica register.Replica) bool { return replica.ID == node.ID() })
 }
 
+// start starts a controller.
 func (f *fleet) start(i int) {
 	process, err := open(f.t.Context(), f.settings[i], systemHost(f.settings[i]), zap.NewNop())
 	require.NoError(f.t, err)
@@ -154,14 +160,14 @@
 	go func() { started.ended <- process.run(ctx) }()
 }
 
-// stop ends a controller as SIGTERM does.
+// stop shuts a controller down as SIGTERM does.
 func (f *fleet) stop(i int) {
 	f.running[i].cancel()
 	require.NoError(f.t, <-f.running[i].ended)
 	delete(f.running, i)
 }
 
-// crash ends a controller without a word to the others.
+// crash ends a controller without a message to the others.
 func (f *fleet) crash(i int) {
 	stopped := f.running[i]
 	stopped.process.stop()
@@ -171,6 +177,7 @@
 	delete(f.running, i)
 }
 
+// stopAll shuts all running controllers down.
 func (f *fleet) stopAll() {
 	for _, started := range f.running {
 		started.cancel()
@@ -181,9 +188,9 @@
 	f.client.Close()
 }
 
-// replace sends a change to a controller until the answer is clear, as the operator does.
+// replace sends a change to a controller until there is a definite answer, as operators do, and returns its status.
 func (f *fleet) replace(i int, base int64, body string) int {
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for time.Now().Before(deadline) {
 		request, err := http.NewRequest(http.MethodPost, "http://"+f.settings[i].Listen.Control+pathReplace, strings.NewReader(body))
 		require.NoError(f.t, err)
@@ -198,10 +205,11 @@
 			return response.StatusCode
 		}
 	}
-	require.Fail(f.t, "no clear answer")
+	require.Fail(f.t, "no definite answer")
 	return 0
 }
 
+// read returns the configuration that a controller returns to operators.
 func (f *fleet) read(i int) string {
 	response, err := http.Get("http://" + f.settings[i].Listen.Control + pathRead)
 	require.NoError(f.t, err)
@@ -212,21 +220,22 @@
 	return body.String()
 }
 
-// eventually polls a condition of running processes, and returns how long it took to come about.
+// eventually polls until a condition holds and returns how long that took.
 func (f *fleet) eventually(what string, holds func() bool) time.Duration {
 	begun := time.Now()
 	ticker := time.NewTicker(5 * time.Millisecond)
 	defer ticker.Stop()
-	for time.Since(begun) < patience {
+	for time.Since(begun) < waitTimeout {
 		if holds() {
 			return time.Since(begun)
 		}
 		<-ticker.C
 	}
-	require.Fail(f.t, "waited in vain", what)
+	require.Fail(f.t, "the condition did not hold in time", what)
 	return 0
 }
 
+// everywhere returns a condition that holds when each running controller fulfills the given one.
 func (f *fleet) everywhere(holds func(c *controller) bool) func() bool {
 	return func() bool {
 		for _, started := range f.running {
@@ -238,7 +247,7 @@
 	}
 }
 
-// reader returns the controller that may read the list, or -1.
+// reader returns the number of the controller that holds the reader's role, or -1.
 func (f *fleet) reader() int {
 	for i, started := range f.running {
 		if _, held := started.process.controller.leases.holds(roleReader); held {
@@ -248,9 +257,10 @@
 	return -1
 }
 
-// hasReader reports whether a controller holds the role that reads the list.
+// hasReader reports whether a controller holds the reader's role.
 func (f *fleet) hasReader() bool { return f.reader() >= 0 }
 
+// hasVersion returns a condition: the controller publishes the given version of the configuration.
 func hasVersion(version int64) func(c *controller) bool {
 	return func(c *controller) bool {
 		config := c.hub.Current().Config
@@ -258,6 +268,7 @@
 	}
 }
 
+// showsWorker returns a condition: the controller publishes the worker in the given state.
 func showsWorker(id, state string) func(c *controller) bool {
 	return func(c *controller) bool {
 		return slices.ContainsFunc(c.hub.Current().Instances, func(instance fleetwire.Instance) bool {
@@ -266,26 +277,28 @@
 	}
 }
 
+// configBody returns a minimal configuration.
 func configBody(version int64) string {
 	return fmt.Sprintf(`{"Version":%d,"Routes":[],"Services":[],"Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":4194304,`+
 		`"HeaderTimeoutMs":3000,"IdleTimeoutMs":15000}}`, version)
 }
 
-func TestThreeControllersTakeAConfigurationAndServeIt(t *testing.T) {
+func TestThreeControllersAcceptAndServeAConfiguration(t *testing.T) {
 	f := newFleet(t, 3)
 	require.Equal(t, http.StatusOK, f.replace(0, 0, configBody(3)))
-	f.eventually("the configuration everywhere", f.everywhere(hasVersion(3)))
+	f.eventually("the configuration at every controller", f.everywhere(hasVersion(3)))
 	for i := range 3 {
 		require.Equal(t, configBody(3), f.read(i))
-		require.Equal(t, http.StatusOK, f.replace(i, 0, configBody(3)), "sent again")
+		require.Equal(t, http.StatusOK, f.replace(i, 0, configBody(3)), "resent without a change")
 	}
 	require.Equal(t, http.StatusPreconditionFailed, f.replace(1, 0, configBody(4)))
 	require.Equal(t, http.StatusBadRequest, f.replace(1, 3, configBody(3)))
 	require.Equal(t, http.StatusOK, f.replace(2, 3, configBody(7)))
-	f.eventually("the next configuration everywhere", f.everywhere(hasVersion(7)))
-	require.Equal(t, http.StatusOK, f.replace(0, 0, configBody(3)), "the first one sent once more")
+	f.eventually("the next configuration at every controller", f.everywhere(hasVersion(7)))
+	require.Equal(t, http.StatusOK, f.replace(0, 0, configBody(3)), "the first change resent after the next one")
 }
 
+// Guards against accepting two different changes on the same base version.
 func TestTwoOperatorsOnOneBase(t *testing.T) {
 	f := newFleet(t, 3)
 	require.Equal(t, http.StatusOK, f.replace(0, 0, configBody(1)))
@@ -299,34 +312,34 @@
 	}
 }
 
-func TestTheListReachesAllControllersAndOutlivesItsReader(t *testing.T) {
+func TestInstanceListReachesAllControllersAndSurvivesItsReader(t *testing.T) {
 	f := newFleet(t, 3)
 	f.platform.set(worker("i-1", fleetwire.InstanceReady))
-	f.eventually("the first list", f.everywhere(showsWorker("i-1", fleetwire.InstanceReady)))
-	f.eventually("a holder of the role", f.hasReader) // the first list is read by the recorded holder, without its grants
+	f.eventually("the first list at every controller", f.everywhere(showsWorker("i-1", fleetwire.InstanceReady)))
+	f.eventually("a holder of the reader's role", f.hasReader) // the recorded holder reads the first list before it holds the lease
 	first := f.reader()
 
 	f.crash(first)
 	f.platform.set(worker("i-1", fleetwire.InstanceDraining))
-	took := f.eventually("the draining worker", f.everywhere(showsWorker("i-1", fleetwire.InstanceDraining)))
-	t.Logf("a list by another reader after a crash: %v", took)
+	took := f.eventually("the draining worker at every controller", f.everywhere(showsWorker("i-1", fleetwire.InstanceDraining)))
+	t.Logf("a list from another reader %v after a crash", took)
 
-	f.eventually("another holder of the role", f.hasReader)
+	f.eventually("another holder of the reader's role", f.hasReader)
 	second := f.reader()
 	f.restart(first)
-	f.eventually("the list at the one that is back", f.everywhere(showsWorker("i-1", fleetwire.InstanceDraining)))
+	f.eventually("the list at the restarted controller", f.everywhere(showsWorker("i-1", fleetwire.InstanceDraining)))
 	f.stop(second)
 	f.platform.set(worker("i-2", fleetwire.InstanceReady))
-	took = f.eventually("the new worker", f.everywhere(showsWorker("i-2", fleetwire.InstanceReady)))
-	t.Logf("a list by another reader after a SIGTERM: %v", took)
+	took = f.eventually("the new worker at every controller", f.everywhere(showsWorker("i-2", fleetwire.InstanceReady)))
+	t.Logf("a list from another reader %v after a SIGTERM", took)
 }
 
-func TestOneControllerOfThreeIsNoMajority(t *testing.T) {
+func TestOneControllerOfThreeHasNoQuorum(t *testing.T) {
 	f := newFleet(t, 3)
 	require.Equal(t, http.StatusOK, f.replace(0, 0, configBody(1)))
 	f.crash(1)
 	f.crash(2)
-	f.eventually("out of touch", func() bool { return !hasQuorum(f.running[0].process.node) })
+	f.eventually("the loss of the quorum", func() bool { return !hasQuorum(f.running[0].process.node) })
 	request, err := http.NewRequest(http.MethodPost, "http://"+f.settings[0].Listen.Control+pathReplace, strings.NewReader(configBody(2)))
 	require.NoError(t, err)
 	request.Header.Set(headerBase, "1")
@@ -339,35 +352,35 @@
 	require.Equal(t, configBody(2), f.read(1))
 }
 
-func TestARemovedMachineIsReplacedByOneAtANewAddress(t *testing.T) {
+func TestRemovedMachineIsReplacedByOneAtANewAddress(t *testing.T) {
 	f := newFleet(t, 3)
 	f.platform.set(worker("i-1", fleetwire.InstanceReady))
 	require.Equal(t, http.StatusOK, f.replace(0, 0, configBody(1)))
 	f.crash(0)
-	added := f.replacement()
+	added := f.addReplacement()
 	f.start(added)
 	took := f.eventually("the new replica", func() bool { return f.isReplica(added) })
-	t.Logf("a replacement is in the set after %v", took)
-	f.eventually("configuration and list at the new one", func() bool {
+	t.Logf("the replacement joined the replica set after %v", took)
+	f.eventually("the configuration and the list at the replacement", func() bool {
 		c := f.running[added].process.controller
 		return hasVersion(1)(c) && showsWorker("i-1", fleetwire.InstanceReady)(c)
 	})
 	f.crash(1)
-	require.Equal(t, http.StatusOK, f.replace(added, 1, configBody(2)), "with one founder and the new one")
+	require.Equal(t, http.StatusOK, f.replace(added, 1, configBody(2)), "with one founder and the replacement")
 	f.platform.set(worker("i-2", fleetwire.InstanceReady))
-	f.eventually("a new list", f.everywhere(showsWorker("i-2", fleetwire.InstanceReady)))
+	f.eventually("the new list at every controller", f.everywhere(showsWorker("i-2", fleetwire.InstanceReady)))
 }
 
-func TestAWipedMachineIsTakenInAnew(t *testing.T) {
+func TestWipedMachineRejoinsAsANewReplica(t *testing.T) {
 	f := newFleet(t, 3)
 	require.Equal(t, http.StatusOK, f.replace(0, 0, configBody(1)))
 	f.crash(2)
 	require.NoError(t, os.RemoveAll(f.settings[2].DataDir))
 	f.restart(2)
-	took := f.eventually("the wiped one as a new replica", func() bool {
+	took := f.eventually("the wiped machine as a new replica", func() bool {
 		return f.isReplica(2) && hasVersion(1)(f.running[2].process.controller)
 	})
-	t.Logf("a wiped machine is in the set after %v", took)
+	t.Logf("the wiped machine joined the replica set after %v", took)
 	f.crash(0)
 	require.Equal(t, http.StatusOK, f.replace(2, 1, configBody(2)))
 	require.Equal(t, configBody(2), f.read(1))
@@ -376,31 +389,31 @@
 func TestFiveControllersWithThreeReplicas(t *testing.T) {
 	f := newFleet(t, 5)
 	f.platform.set(worker("i-1", fleetwire.InstanceReady))
-	require.Equal(t, http.StatusOK, f.replace(4, 0, configBody(1)), "by one that is no replica")
-	took := f.eventually("the configuration everywhere", f.everywhere(hasVersion(1)))
-	t.Logf("the configuration was everywhere %v after the acknowledgement", took)
-	f.eventually("the list everywhere", f.everywhere(showsWorker("i-1", fleetwire.InstanceReady)))
+	require.Equal(t, http.StatusOK, f.replace(4, 0, configBody(1)), "sent to a controller that is not a replica")
+	took := f.eventually("the configuration at every controller", f.everywhere(hasVersion(1)))
+	t.Logf("the configuration was at every controller %v after the acknowledgement", took)
+	f.eventually("the list at every controller", f.everywhere(showsWorker("i-1", fleetwire.InstanceReady)))
 	require.Equal(t, http.StatusOK, f.replace(0, 1, configBody(2)))
-	took = f.eventually("the next configuration everywhere", f.everywhere(hasVersion(2)))
-	t.Logf("the next configuration was everywhere %v after the acknowledgement", took)
+	took = f.eventually("the next configuration at every controller", f.everywhere(hasVersion(2)))
+	t.Logf("the next configuration was at every controller %v after the acknowledgement", took)
 }
 
-func TestAllKilledAtOnceComeBackWithWhatWasAcknowledged(t *testing.T) {
+func TestAcknowledgedChangesSurviveACrashOfAllControllers(t *testing.T) {
 	f := newFleet(t, 3)
 	f.platform.set(worker("i-1", fleetwire.InstanceReady))
 	require.Equal(t, http.StatusOK, f.replace(0, 0, configBody(1)))
 	require.Equal(t, http.StatusOK, f.replace(1, 1, configBody(2)))
-	f.eventually("the list everywhere", f.everywhere(showsWorker("i-1", fleetwire.InstanceReady)))
+	f.eventually("the list at every controller", f.everywhere(showsWorker("i-1", fleetwire.InstanceReady)))
 	for i := range 3 {
 		f.crash(i)
 	}
 	for i := range 3 {
 		f.restart(i)
 	}
-	took := f.eventually("the configuration everywhere", f.everywhere(hasVersion(2)))
-	t.Logf("the configuration was back after %v", took)
-	took = f.eventually("the list everywhere", f.everywhere(showsWorker("i-1", fleetwire.InstanceReady)))
-	t.Logf("the list was back %v later", took)
-	require.Equal(t, http.StatusOK, f.replace(2, 1, configBody(2)), "sent again")
+	took := f.eventually("the configuration at every controller", f.everywhere(hasVersion(2)))
+	t.Logf("the configuration was restored after %v", took)
+	took = f.eventually("the list at every controller", f.everywhere(showsWorker("i-1", fleetwire.InstanceReady)))
+	t.Logf("the list was restored %v later", took)
+	require.Equal(t, http.StatusOK, f.replace(2, 1, configBody(2)), "resent without a change")
 	require.Equal(t, http.StatusOK, f.replace(2, 2, configBody(3)))
 }
--- a/internal/controller/simulation_checks_test.go
+++ b/internal/controller/simulation_checks_test.go
@@ -13,79 +13,85 @@
 	"weldscale/internal/fleetwire"
 )
 
-// Bounds of the rules, as the small sites have them.
+// Time bounds that a site must meet, for small sites.
 const (
-	simPropagation = 2 * time.Second
-	simAck         = 4 * time.Second
-	simCatchUp     = 4 * time.Second
-	sampleEvery    = 10 * time.Millisecond
+	simPropagationBound = 2 * time.Second
+	simAckBound         = 4 * time.Second
+	simCatchUpBound     = 4 * time.Second
+	sampleInterval      = 10 * time.Millisecond
 )
 
-// simChecks look at all that happens, from where no program can. The first violation ends the play.
+// simChecks checks the whole site against its guarantees, with knowledge that no single process has. The first violation ends the
+// simulation.
 type simChecks struct {
 	site *simSite
 
-	mutex     sync.Mutex
-	violation string
-	found     chan struct{} // closed with the first violation
-	chain     []digest      // the changes that were taken, in order
-	history   []simCall
-	acks      []simAcked        // in the order of their times
-	bodies    map[string]digest // of the changes that were sent
-	actors    map[uint64]string
-	highest   map[string]uint64 // token that was held, by role
+	mutex         sync.Mutex
+	violation     string
+	violated      chan struct{} // closed at the first violation
+	committed     []digest      // committed changes, in order
+	history       []simCall
+	acks          []simAcknowledgement // in the order of their times
+	digestByBody  map[string]digest    // digests of the changes that were sent
+	holderByToken map[uint64]string    // controller that sent orders to workers under a token
+	highestToken  map[string]uint64    // highest token under which a role was held, by role
 }
 
-// simAcked is an acknowledgement as the operator saw it.
-type simAcked struct {
+// simAcknowledgement is an acknowledgement of a change as an operator received it.
+type simAcknowledgement struct {
 	at     time.Time
 	change digest
 }
 
-// simCall is a call of an operator, as it saw it.
+// simCall is a call of an operator with the result that it received.
 type simCall struct {
 	begun, ended time.Time
-	change       digest // taken, refused or read
-	verdict      simVerdict
+	change       digest // the change that was committed, rejected or read
+	result       simResult
 }
 
-type simVerdict int
+// simResult is the result of an operator's call. Zero means that there was no definite answer.
+type simResult int
 
 const (
-	simTaken simVerdict = iota + 1
-	simRefused
+	simCommitted simResult = iota + 1
+	simRejected
 	simRead
 )
 
 func newSimChecks(site *simSite) *simChecks {
-	return &simChecks{site: site, found: make(chan struct{}), bodies: map[string]digest{}, actors: map[uint64]string{}, highest: map[string]uint64{}}
+	return &simChecks{
+		site: site, violated: make(chan struct{}), digestByBody: map[string]digest{}, holderByToken: map[uint64]string{}, highestToken: map[string]uint64{},
+	}
 }
 
+// failf records a violation. Only the first one is kept.
 func (c *simChecks) failf(format string, arguments ...any) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.fail(format, arguments...)
+	c.failLocked(format, arguments...)
 }
 
-// fail needs the lock.
-func (c *simChecks) fail(format string, arguments ...any) {
+// failLocked is failf for callers that hold the lock.
+func (c *simChecks) failLocked(format string, arguments ...any) {
 	if c.violation == "" {
 		c.violation = fmt.Sprintf(format, arguments...)
-		close(c.found)
+		close(c.violated)
 	}
 }
 
-func (c *simChecks) failed() string {
+// firstViolation returns the first violation, or an empty string.
+func (c *simChecks) firstViolation() string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.violation
 }
 
-// follow looks at each state that a controller takes for chosen.
-func (c *simChecks) follow(ctx context.Context, program *process) {
+// checkStates checks each chosen state that a controller learns until ctx is done.
+func (c *simChecks) checkStates(ctx context.Context, program *process) {
 	for {
 		changed := program.node.Changed()
-		c.chosen(program.controller.self.Address, program.node.Latest())
+		c.checkChosen(program.controller.self.Address, program.node.Latest())
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -94,75 +100,77 @@
 	}
 }
 
-// chosen checks that a state extends, or is part of, all that was chosen before.
-func (c *simChecks) chosen(by string, state register.State) {
+// checkChosen checks that the changes of a chosen state extend the known sequence of changes or are a part of it.
+func (c *simChecks) checkChosen(by string, state register.State) {
 	decoded, err := decodeState(state.Data)
 	if err != nil {
-		c.failf("%s holds a state that can't be read: %v", by, err)
+		c.failf("%s holds a state that could not be decoded: %v", by, err)
 		return
 	}
 	var changes []digest
 	for one := range slices.Chunk(decoded.Digests, digestBytes) {
 		changes = append(changes, digest(one))
 	}
-	before := int(decoded.Changes) - len(changes) // changes whose digests are kept no more
+	dropped := int(decoded.Changes) - len(changes) // changes whose digests are no longer stored
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if before < 0 || before > len(c.chain) {
-		c.fail("%s holds %d changes and %d digests, %d are known", by, decoded.Changes, len(changes), len(c.chain))
+	if dropped < 0 || dropped > len(c.committed) {
+		c.failLocked("%s holds %d changes and %d digests, but %d changes are known", by, decoded.Changes, len(changes), len(c.committed))
 		return
 	}
 	for i, one := range changes {
-		switch at := before + i; {
-		case at == len(c.chain):
-			c.chain = append(c.chain, one)
-		case c.chain[at] != one:
-			c.fail("%s holds another change %d than was chosen", by, at+1)
+		switch at := dropped + i; {
+		case at == len(c.committed):
+			c.committed = append(c.committed, one)
+		case c.committed[at] != one:
+			c.failLocked("%s holds a change %d that differs from the chosen one", by, at+1)
 			return
 		}
 	}
 }
 
-// place returns the number of a change in the chain, from 1; 0 if it isn't there. It needs the lock.
-func (c *simChecks) place(change digest) int { return 1 + slices.Index(c.chain, change) }
+// position returns the position of a change in the sequence of committed changes, counted from 1, or 0 if it was not committed. The
+// caller must hold the lock.
+func (c *simChecks) position(change digest) int { return 1 + slices.Index(c.committed, change) }
 
-// called notes the end of a call of an operator.
-func (c *simChecks) called(call simCall) {
+// recordCall records an operator's call that has just ended.
+func (c *simChecks) recordCall(call simCall) {
 	call.ended = time.Now()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.history = append(c.history, call)
-	if call.verdict == simTaken {
-		c.acks = append(c.acks, simAcked{at: call.ended, change: call.change})
+	if call.result == simCommitted {
+		c.acks = append(c.acks, simAcknowledgement{at: call.ended, change: call.change})
 	}
-	if call.verdict == simRefused && c.place(call.change) > 0 {
-		c.fail("change %d was taken and is refused", c.place(call.change))
+	if call.result == simRejected && c.position(call.change) > 0 {
+		c.failLocked("change %d was committed and then rejected", c.position(call.change))
 	}
 }
 
-// followed checks a step of a follower: it never goes back.
-func (c *simChecks) followed(name string, before fleetwire.Version, after *watch.Snapshot) {
+// checkFollowerStep checks that the versions of a follower never decrease.
+func (c *simChecks) checkFollowerStep(name string, before fleetwire.Version, after *watch.Snapshot) {
 	if after.Version.ConfigRevision < before.ConfigRevision || after.Version.Instances.Less(before.Instances) {
 		c.failf("%s went back from %v to %v", name, before, after.Version)
 	}
 }
 
-// ordered checks who gives orders: a token is one holder's, and none is used after a higher one.
-func (c *simChecks) ordered(w *simWorker, holder string, token uint64) {
+// checkOrder checks the fencing token of an order to a worker: each token belongs to one holder, and no token is used after a
+// higher one.
+func (c *simChecks) checkOrder(w *simWorker, holder string, token uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if actor, used := c.actors[token]; used && actor != holder {
-		c.fail("%s and %s order workers under token %d", actor, holder, token)
+	if first, used := c.holderByToken[token]; used && first != holder {
+		c.failLocked("%s and %s both send orders to workers under token %d", first, holder, token)
 	}
-	c.actors[token] = holder
+	c.holderByToken[token] = holder
 	if token < w.token {
-		c.fail("%s orders a worker under token %d after %d", holder, token, w.token)
+		c.failLocked("%s sends an order to a worker under token %d after token %d", holder, token, w.token)
 	}
 }
 
-// sample looks at the whole site now and then until the context is done.
+// sample checks the whole site at each sampleInterval until ctx is done.
 func (c *simChecks) sample(ctx context.Context) {
-	ticker := time.NewTicker(sampleEvery)
+	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -171,17 +179,17 @@
 			return
 		}
 		for _, role := range roles {
-			c.holders(role)
+			c.checkHolders(role)
 		}
-		c.disks()
-		c.freshness()
+		c.checkDisks()
+		c.checkFreshness()
 	}
 }
 
-// holders checks that no two hold a role at one moment, and that tokens rise.
-func (c *simChecks) holders(role string) {
+// checkHolders checks that a role has at most one holder at any time, and that the tokens of its holders never decrease.
+func (c *simChecks) checkHolders(role string) {
 	var names []string
-	for _, m := range c.site.present() {
+	for _, m := range c.site.currentCores() {
 		program := m.program()
 		if program == nil {
 			continue
@@ -192,39 +200,41 @@
 		}
 		names = append(names, m.settings.NodeName)
 		c.mutex.Lock()
-		if token < c.highest[role] {
-			c.fail("%s holds %s under token %d after %d", m.settings.NodeName, role, token, c.highest[role])
+		if token < c.highestToken[role] {
+			c.failLocked("%s holds %s under token %d after token %d", m.settings.NodeName, role, token, c.highestToken[role])
 		}
-		c.highest[role] = max(c.highest[role], token)
+		c.highestToken[role] = max(c.highestToken[role], token)
 		c.mutex.Unlock()
 	}
 	if len(names) > 1 {
-		c.failf("%v hold %s at once", names, role)
+		c.failf("%v hold %s at the same time", names, role)
 	}
 }
 
-// disks checks that a majority of the disks of the set exist.
-func (c *simChecks) disks() {
-	newest := c.site.newest()
+// checkDisks checks that the disks of a majority of the replicas still exist. Otherwise the simulated faults exceed what the site
+// tolerates.
+func (c *simChecks) checkDisks() {
+	newest := c.site.newestState()
 	if len(newest.Replicas) == 0 {
 		return
 	}
 	disks := c.site.existingDisks()
-	existing := existingOf(newest.Replicas, disks)
+	existing := countExisting(newest.Replicas, disks)
 	if 2*existing <= len(newest.Replicas) {
-		c.failf("%d of the %d disks of the set exist: %v, %v", existing, len(newest.Replicas), newest.Replicas, disks)
+		c.failf("%d of %d disks of the replicas exist: %v, %v", existing, len(newest.Replicas), newest.Replicas, disks)
 	}
 }
 
-// freshness checks that a follower that counts itself in touch has what was acknowledged some time before.
-func (c *simChecks) freshness() {
+// checkFreshness checks that each follower with recent quorum contact has all changes that were acknowledged longer ago than the
+// propagation bound.
+func (c *simChecks) checkFreshness() {
 	now := time.Now()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	wanted := 0
+	required := 0
 	for _, ack := range c.acks {
-		if now.Sub(ack.at) > simPropagation {
-			wanted = max(wanted, c.place(ack.change))
+		if now.Sub(ack.at) > simPropagationBound {
+			required = max(required, c.position(ack.change))
 		}
 	}
 	for _, m := range c.site.frontends {
@@ -232,24 +242,24 @@
 		if follower == nil || follower.QuorumAge() > watch.DefaultMaxQuorumAge {
 			continue
 		}
-		if snapshot := follower.Current(); snapshot != nil && int(snapshot.Version.ConfigRevision) < wanted {
-			c.fail("%s follows a hub in touch and has change %d; %d was acknowledged %v ago", m.machine.IP(),
-				snapshot.Version.ConfigRevision, wanted, simPropagation)
+		if snapshot := follower.Current(); snapshot != nil && int(snapshot.Version.ConfigRevision) < required {
+			c.failLocked("%s has recent quorum contact but only change %d; change %d was acknowledged more than %v ago", m.machine.IP(),
+				snapshot.Version.ConfigRevision, required, simPropagationBound)
 		}
 	}
 }
 
-// linearizable checks the history against the chain, which is the order of the changes: a call that began after the end of
-// another one saw its effect, and what was refused never took place.
-func (c *simChecks) linearizable() {
+// checkLinearizable checks the history of calls against the sequence of committed changes. A call that began after the end of
+// another one must see its effect, and a rejected change must never be committed.
+func (c *simChecks) checkLinearizable() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	byEnd := slices.Clone(c.history)
 	slices.SortFunc(byEnd, func(a, b simCall) int { return a.ended.Compare(b.ended) })
-	first := map[digest]time.Time{} // when a change was first sent
+	firstSent := map[digest]time.Time{} // when a change was first sent
 	for _, call := range c.history {
-		if begun, sent := first[call.change]; call.verdict != simRead && (!sent || call.begun.Before(begun)) {
-			first[call.change] = call.begun
+		if begun, sent := firstSent[call.change]; call.result != simRead && (!sent || call.begun.Before(begun)) {
+			firstSent[call.change] = call.begun
 		}
 	}
 	byBegin := slices.Clone(c.history)
@@ -257,44 +267,45 @@
 	seen, next := 0, 0
 	for _, call := range byBegin {
 		for next < len(byEnd) && byEnd[next].ended.Before(call.begun) {
-			if byEnd[next].verdict != simRefused {
-				seen = max(seen, c.place(byEnd[next].change))
+			if byEnd[next].result != simRejected {
+				seen = max(seen, c.position(byEnd[next].change))
 			}
 			next++
 		}
-		at := c.place(call.change)
+		at := c.position(call.change)
 		switch {
-		case call.verdict == simRefused && at > 0:
-			c.fail("change %d was refused at %v", at, call.ended.Sub(c.site.began))
-		case call.verdict == simTaken && at == 0:
-			c.fail("a change acknowledged at %v is lost", call.ended.Sub(c.site.began))
-		case call.verdict == simTaken && at <= seen && first[call.change].Equal(call.begun):
-			c.fail("change %d was acknowledged after change %d, and first sent later", at, seen)
-		case call.verdict == simRead && at < seen:
-			c.fail("a read from %v to %v gave change %d after %d", call.begun.Sub(c.site.began), call.ended.Sub(c.site.began), at, seen)
+		case call.result == simRejected && at > 0:
+			c.failLocked("change %d was committed although it was rejected at %v", at, call.ended.Sub(c.site.startedAt))
+		case call.result == simCommitted && at == 0:
+			c.failLocked("a change acknowledged at %v is lost", call.ended.Sub(c.site.startedAt))
+		case call.result == simCommitted && at <= seen && firstSent[call.change].Equal(call.begun):
+			c.failLocked("change %d was first sent after change %d was seen, but precedes it", at, seen)
+		case call.result == simRead && at < seen:
+			c.failLocked("a read from %v to %v returned change %d after change %d was seen",
+				call.begun.Sub(c.site.startedAt), call.ended.Sub(c.site.startedAt), at, seen)
 		}
 	}
 }
 
-// settled returns what is not yet as it is to be once troubles have ended: the set holds each machine's disk, each disk holds
-// the newest state, and someone holds each role.
-func (c *simChecks) settled() string {
-	newest := c.site.newest()
+// unsettled returns what is missing for the site to be settled after the faults, or an empty string. In a settled site the replica
+// set contains each machine's disk, each disk holds the newest state, and each role has a holder.
+func (c *simChecks) unsettled() string {
+	newest := c.site.newestState()
 	held := map[string]bool{}
-	for _, m := range c.site.present() {
+	for _, m := range c.site.currentCores() {
 		program := m.program()
 		if program == nil {
-			return m.settings.NodeName + " does not run"
+			return m.settings.NodeName + " is not running"
 		}
 		if !program.node.Formed() {
-			return fmt.Sprintf("%s does not know a whole set: %v", m.settings.NodeName, program.node.Latest().Replicas)
+			return fmt.Sprintf("%s does not know a fully formed replica set: %v", m.settings.NodeName, program.node.Latest().Replicas)
 		}
 		id, accepted := m.diskState()
 		if !slices.ContainsFunc(newest.Replicas, func(r register.Replica) bool { return r.ID == id }) {
-			return fmt.Sprintf("%s with disk %s is not in the set %v", m.settings.NodeName, id, newest.Replicas)
+			return fmt.Sprintf("%s with disk %s is not in the replica set %v", m.settings.NodeName, id, newest.Replicas)
 		}
 		if accepted.Value.Revision != newest.Revision || !bytes.Equal(accepted.Value.Data, newest.Data) {
-			return fmt.Sprintf("%s has revision %d on its disk, the newest is %d", m.settings.NodeName, accepted.Value.Revision,
+			return fmt.Sprintf("%s has revision %d on its disk, but the newest is %d", m.settings.NodeName, accepted.Value.Revision,
 				newest.Revision)
 		}
 		for _, role := range program.controller.heldRoles() {
@@ -307,20 +318,20 @@
 	return ""
 }
 
-// read notes a configuration that was read. It is told by its bytes, which are each change's own.
-func (c *simChecks) read(begun time.Time, body []byte) {
+// recordRead records a configuration that was read. Its bytes identify the change, since they differ for each change.
+func (c *simChecks) recordRead(begun time.Time, body []byte) {
 	c.mutex.Lock()
-	change, known := c.bodies[string(body)]
+	change, known := c.digestByBody[string(body)]
 	if !known {
-		c.fail("a configuration was read that nobody sent")
+		c.failLocked("a configuration was read that no operator sent")
 	}
 	c.mutex.Unlock()
-	c.called(simCall{begun: begun, change: change, verdict: simRead})
+	c.recordCall(simCall{begun: begun, change: change, result: simRead})
 }
 
-// sending notes a change that is about to be sent.
-func (c *simChecks) sending(wanted change) {
+// recordSent records a change that is about to be sent.
+func (c *simChecks) recordSent(requested change) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.bodies[string(wanted.Body)] = wanted.Digest
+	c.digestByBody[string(requested.Body)] = requested.Digest
 }
--- a/internal/controller/simulation_operator_test.go
+++ b/internal/controller/simulation_operator_test.go
@@ -16,32 +16,33 @@
 	"weldscale/internal/pause"
 )
 
-// Patience of the operators.
+// Timing of the operators.
 const (
-	operatorPatience = time.Second // with one controller
-	operatorGivesUp  = 14 * time.Second
-	shortestRest     = 50 * time.Millisecond
-	longestRest      = 1500 * time.Millisecond
-	burstChanges     = 25
+	operatorCallTimeout = time.Second // bounds one call to a controller
+	operatorGiveUpAfter = 14 * time.Second
+	minRest             = 50 * time.Millisecond
+	maxRest             = 1500 * time.Millisecond
+	burstChanges        = 25
 )
 
-// simOperator sends changes and reads, as PROTOCOL has operators do it: what got no clear answer is sent again unchanged, to
-// any controller.
+// simOperator sends changes and reads as PROTOCOL requires of operators: a change without a definite answer is sent again unchanged
+// to any controller.
 type simOperator struct {
-	site    *simSite
-	name    string
-	random  *rand.Rand
-	http    *http.Transport
-	sent    int
-	version int64       // that it takes for the current one
-	old     []change    // acknowledged to it
-	losing  float64     // share of the answers that don't reach it
-	avoid   *simMachine // is not called; nil: all are
+	site           *simSite
+	name           string
+	random         *rand.Rand
+	http           *http.Transport
+	sent           int
+	version        int64       // version that the operator takes for the current one
+	acknowledged   []change    // changes that were acknowledged to this operator
+	answerLossRate float64     // share of the answers that are lost
+	avoid          *simMachine // machine that is not called, if any
 }
 
+// newOperator adds an operator on a machine of its own.
 func (s *simSite) newOperator(name string, ip string, seed uint64) *simOperator {
 	machine := s.network.AddMachine(ip)
-	s.outer = append(s.outer, machine)
+	s.external = append(s.external, machine)
 	return &simOperator{
 		site:   s,
 		name:   name,
@@ -50,19 +51,19 @@
 	}
 }
 
-// work sends changes and reads until the context is done.
-func (o *simOperator) work(ctx context.Context) {
+// run sends changes and reads until ctx is done.
+func (o *simOperator) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		rest := shortestRest + time.Duration(o.random.Int64N(int64(longestRest-shortestRest)))
+		rest := minRest + time.Duration(o.random.Int64N(int64(maxRest-minRest)))
 		if !pause.For(ctx, rest) {
 			return
 		}
-		o.losing = 0.4 * o.random.Float64()
+		o.answerLossRate = 0.4 * o.random.Float64()
 		switch draw := o.random.Float64(); {
 		case draw < 0.3:
 			o.read(ctx)
-		case draw < 0.4 && len(o.old) > 0:
-			o.post(ctx, o.old[o.random.IntN(len(o.old))], true)
+		case draw < 0.4 && len(o.acknowledged) > 0:
+			o.post(ctx, o.acknowledged[o.random.IntN(len(o.acknowledged))], true)
 		case draw < 0.45:
 			for range burstChanges {
 				o.change(ctx)
@@ -73,108 +74,112 @@
 	}
 }
 
-// change sends a change on top of the version that the operator knows. It reports whether it was acknowledged.
+// change sends a change on top of the version that the operator knows. It reports whether the change was acknowledged.
 func (o *simOperator) change(ctx context.Context) bool {
-	verdict := o.send(ctx, o.version+1+int64(o.random.IntN(2)))
-	if verdict == simRefused {
+	result := o.send(ctx, o.version+1+int64(o.random.IntN(2)))
+	if result == simRejected {
 		o.read(ctx)
 	}
-	return verdict == simTaken
+	return result == simCommitted
 }
 
-// send sends a new change of a version on top of the one that the operator knows.
-func (o *simOperator) send(ctx context.Context, version int64) simVerdict {
+// send sends a new change to a version, on top of the version that the operator knows.
+func (o *simOperator) send(ctx context.Context, version int64) simResult {
 	o.sent++
-	wanted := newChange(o.version, version, []byte(simConfig(version, o.mark())))
-	verdict := o.post(ctx, wanted, false)
-	if verdict == simTaken {
+	requested := newChange(o.version, version, []byte(simConfig(version, o.marker())))
+	result := o.post(ctx, requested, false)
+	if result == simCommitted {
 		o.version = version
-		o.old = append(o.old, wanted)
+		o.acknowledged = append(o.acknowledged, requested)
 	}
-	return verdict
+	return result
 }
 
-// mark is in each change of the operator another one.
-func (o *simOperator) mark() string { return fmt.Sprintf("%s%d", o.name, o.sent) }
+// marker returns a text that is different in each change of the operator.
+func (o *simOperator) marker() string { return fmt.Sprintf("%s%d", o.name, o.sent) }
 
-// post sends a change until its answer is clear or the operator gives up, which returns 0.
-func (o *simOperator) post(ctx context.Context, wanted change, again bool) simVerdict {
+// post sends a change until there is a definite answer. It returns 0 if the operator gives up.
+func (o *simOperator) post(ctx context.Context, requested change, resent bool) simResult {
 	begun := time.Now()
-	o.site.checks.sending(wanted)
-	for try := 0; time.Since(begun) < operatorGivesUp && ctx.Err() == nil; try++ {
+	o.site.checks.recordSent(requested)
+	for attempt := 0; time.Since(begun) < operatorGiveUpAfter && ctx.Err() == nil; attempt++ {
 		target := o.target()
-		status, _ := o.call(ctx, http.MethodPost, target, pathReplace, wanted.Base, wanted.Body)
-		verdict := verdictOf(status)
-		if verdict != 0 {
-			o.site.logf("%s: %s answers %d to change %x on %d (sent again: %v)", o.name, target, status, wanted.Digest[:3], wanted.Base, again || try > 0)
-			o.site.checks.called(simCall{begun: begun, change: wanted.Digest, verdict: verdict})
-			if verdict == simTaken {
-				o.tellAck()
+		status, _ := o.call(ctx, http.MethodPost, target, pathReplace, requested.Base, requested.Body)
+		result := resultOf(status)
+		if result != 0 {
+			o.site.logf("%s: %s answered with status %d to change %x on version %d (resent: %v)",
+				o.name, target, status, requested.Digest[:3], requested.Base, resent || attempt > 0)
+			o.site.checks.recordCall(simCall{begun: begun, change: requested.Digest, result: result})
+			if result == simCommitted {
+				o.signalAck()
 			}
-			return verdict
+			return result
 		}
-		backOff(ctx, try)
+		backOff(ctx, attempt)
 	}
-	o.site.logf("%s: no clear answer to change %x on %d", o.name, wanted.Digest[:3], wanted.Base)
+	o.site.logf("%s: no definite answer to change %x on version %d", o.name, requested.Digest[:3], requested.Base)
 	return 0
 }
 
-// backOff waits for a time that grows with the tries.
-func backOff(ctx context.Context, try int) {
+// backOff waits for a time that grows with the attempts up to a bound.
+func backOff(ctx context.Context, attempt int) {
 	const steps, step = 5, 50 * time.Millisecond
-	pause.For(ctx, time.Duration(1+min(try, steps))*step)
+	pause.For(ctx, time.Duration(1+min(attempt, steps))*step)
 }
 
-func verdictOf(status int) simVerdict {
+// resultOf returns the result that an HTTP status stands for, or 0 if the status leaves it open.
+func resultOf(status int) simResult {
 	switch {
 	case status == http.StatusOK:
-		return simTaken
+		return simCommitted
 	case status/100 == 4 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests:
-		return simRefused
+		return simRejected
 	}
 	return 0
 }
 
-// tellAck lets a trouble strike that waits for an acknowledgement.
-func (o *simOperator) tellAck() {
+// signalAck signals an acknowledgement to a fault that waits for one.
+func (o *simOperator) signalAck() {
 	select {
 	case o.site.acked <- struct{}{}:
 	default:
 	}
 }
 
-// read reads the newest configuration and takes its version for the current one.
+// read reads the current configuration and remembers its version.
 func (o *simOperator) read(ctx context.Context) {
 	begun := time.Now()
-	for try := 0; time.Since(begun) < operatorGivesUp && ctx.Err() == nil; try++ {
+	for attempt := 0; time.Since(begun) < operatorGiveUpAfter && ctx.Err() == nil; attempt++ {
 		sent := time.Now()
 		status, body := o.call(ctx, http.MethodGet, o.target(), pathRead, 0, nil)
 		if status == http.StatusOK {
-			o.took(sent, body)
+			o.handleRead(sent, body)
 			return
 		}
-		backOff(ctx, try)
+		backOff(ctx, attempt)
 	}
 }
 
-func (o *simOperator) took(sent time.Time, body []byte) {
+// handleRead records a configuration that was read and remembers its version.
+func (o *simOperator) handleRead(sent time.Time, body []byte) {
 	config, err := fleetconfig.Parse(body)
 	if err != nil {
 		o.site.checks.failf("a configuration that was read is invalid: %v", err)
 		return
 	}
 	o.version = config.Version
-	o.site.checks.read(sent, body)
+	o.site.checks.recordRead(sent, body)
 }
 
+// target returns the address of a random controller other than the avoided one.
 func (o *simOperator) target() string {
-	cores := lo.Without(o.site.present(), o.avoid)
+	cores := lo.Without(o.site.currentCores(), o.avoid)
 	return cores[o.random.IntN(len(cores))].control()
 }
 
-// call returns the status of the answer, or 0 without one.
+// call makes one call. It returns the status and body of the answer, or 0 and nil if there is none.
 func (o *simOperator) call(ctx context.Context, method, target, path string, base int64, body []byte) (int, []byte) {
-	ctx, cancel := context.WithTimeout(ctx, operatorPatience)
+	ctx, cancel := context.WithTimeout(ctx, operatorCallTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+target+path, bytes.NewReader(body))
 	if err != nil {
@@ -187,16 +192,17 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	answer, err := io.ReadAll(response.Body)
-	if err != nil || o.random.Float64() < o.losing {
+	if err != nil || o.random.Float64() < o.answerLossRate {
 		return 0, nil
 	}
 	return response.StatusCode, answer
 }
 
-// simConfig is a configuration with an engine, for the orders to workers, and a mark of its own.
-func simConfig(version int64, mark string) string {
+// simConfig returns a configuration with an engine, which makes the stages role send orders to workers, and with a service named by
+// marker.
+func simConfig(version int64, marker string) string {
 	return fmt.Sprintf(`{"Version":%d,"Routes":[],"Services":[{"Name":"%s","HealthCheck":"/h","MaxConnections":9,"Protocol":"h1","Tls":false,`+
 		`"Engine":{"Slots":8,"KvTokens":1000,"KvTokenBytes":10,"LinkMbps":1000.0,"stride":1,"HandleTtlS":5.0,"SwitchS":1.9,`+
 		`"Models":[{"Name":"m"}]}},{"Name":"%s","HealthCheck":"/h","MaxConnections":9,"Protocol":"h1","Tls":false}],`+
-		`"Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":4194304,"HeaderTimeoutMs":3000,"IdleTimeoutMs":15000}}`, version, simService, mark)
+		`"Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":4194304,"HeaderTimeoutMs":3000,"IdleTimeoutMs":15000}}`, version, simService, marker)
 }
--- a/internal/controller/simulation_scenes_test.go
+++ b/internal/controller/simulation_scenes_test.go
@@ -15,35 +15,35 @@
 	"weldscale/coordination/sim/live"
 )
 
-// simScene plays one story on a site that has begun its work and has taken one change.
-func simScene(t *testing.T, tolerance int, act func(s *simSite, operator *simOperator)) {
+// runScenario runs a scenario on a site that has formed, has committed one change and has settled.
+func runScenario(t *testing.T, tolerance int, scenario func(s *simSite, operator *simOperator)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimSite(t, 1, tolerance)
-		defer s.verdict()
+		defer s.failOnViolation()
 		defer s.shutDown()
-		sampling, stopSampling := context.WithCancel(s.ended)
+		sampling, stopSampling := context.WithCancel(s.ctx)
 		defer stopSampling()
 		go s.checks.sample(sampling)
-		s.await(simFormWithin, "formed", s.formed)
-		operator := s.newOperator("a", simOperators, 1)
+		s.await(simFormTimeout, "formed", s.unformed)
+		operator := s.newOperator("a", simOperatorIP, 1)
 		s.mustChange(operator)
-		s.await(simCatchUp, "in order", s.checks.settled)
-		act(s, operator)
-		s.checks.linearizable()
+		s.await(simCatchUpBound, "the settled state", s.checks.unsettled)
+		scenario(s, operator)
+		s.checks.checkLinearizable()
 	})
 }
 
-// mustChange has a change acknowledged within the bound.
+// mustChange sends a change and records a violation if it is not acknowledged within the bound.
 func (s *simSite) mustChange(operator *simOperator) {
 	begun := time.Now()
-	if !operator.change(s.ended) || time.Since(begun) > simAck {
+	if !operator.change(s.ctx) || time.Since(begun) > simAckBound {
 		s.checks.failf("a change took %v", time.Since(begun))
 	}
 }
 
-// everywhere tells which frontend does not have a version yet.
-func (s *simSite) everywhere(version int64) func() string {
+// frontendWithout returns a function that returns a frontend without the version, or an empty string if all have it.
+func (s *simSite) frontendWithout(version int64) func() string {
 	return func() string {
 		for _, m := range s.frontends {
 			snapshot := m.follower.Load().Current()
@@ -55,27 +55,29 @@
 	}
 }
 
-const simCutFor = 20 * time.Second
+// partitionDuration is the duration of the partitions in scenarios.
+const partitionDuration = 20 * time.Second
 
-// What a controller that is cut off for twenty seconds says: nothing, or that it can't tell. The others go on, and their watchers
-// get what they confirm within the bound. Once the cut heals it has the newest state, on its disk, too.
-func TestACutControllerNeitherServesNorConfirms(t *testing.T) {
-	for name, cut := range map[string]func(*simSite, *simMachine) func(){
-		"from all": (*simSite).cutFromAll, "from the core": (*simSite).cutFromCores,
-		"hears nobody": (*simSite).cutInbound, "nobody hears it": (*simSite).cutOutbound,
+// A controller in a partition of twenty seconds must give no answer, or answer with 503. The other controllers continue, and their
+// watchers get acknowledged changes within the bound. After the partition the controller must have the newest state, also on its
+// disk.
+func TestPartitionedControllerNeitherServesNorConfirms(t *testing.T) {
+	for name, partition := range map[string]func(*simSite, *simMachine) func(){
+		"from all": (*simSite).partitionFromAll, "from the controllers": (*simSite).partitionFromCores,
+		"no inbound traffic": (*simSite).blockInbound, "no outbound traffic": (*simSite).blockOutbound,
 	} {
 		for _, tolerance := range []int{1, 2} {
 			t.Run(fmt.Sprintf("%s/%d", name, 2*tolerance+1), func(t *testing.T) {
 				t.Parallel()
-				simScene(t, tolerance, func(s *simSite, operator *simOperator) {
-					for _, hit := range s.present() {
-						heal := cut(s, hit)
-						s.workBesideCut(operator, hit)
+				runScenario(t, tolerance, func(s *simSite, operator *simOperator) {
+					for _, target := range s.currentCores() {
+						heal := partition(s, target)
+						s.changeDuringPartition(operator, target)
 						heal()
-						s.await(simCatchUp, "in order", s.checks.settled)
-						status, body := operator.call(s.ended, http.MethodGet, hit.control(), pathRead, 0, nil)
+						s.await(simCatchUpBound, "the settled state", s.checks.unsettled)
+						status, body := operator.call(s.ctx, http.MethodGet, target.control(), pathRead, 0, nil)
 						require.Equal(t, http.StatusOK, status)
-						operator.took(time.Now(), body)
+						operator.handleRead(time.Now(), body)
 					}
 				})
 			})
@@ -83,56 +85,58 @@
 	}
 }
 
-// workBesideCut has changes made at the others while one is cut off, and asks that one all the time.
-func (s *simSite) workBesideCut(operator *simOperator, hit *simMachine) {
-	const inTouchFor = maxQuorumAge + heartbeatInterval
+// changeDuringPartition sends changes to the other controllers while one is partitioned, and calls that one all the time. The
+// partitioned controller may still answer for contactGrace.
+func (s *simSite) changeDuringPartition(operator *simOperator, target *simMachine) {
+	const contactGrace = maxQuorumAge + heartbeatInterval
 	begun := time.Now()
-	asker := s.newOperator("b", "10.7.0.9", 2)
-	for time.Since(begun) < simCutFor {
-		operator.avoid = hit
+	reader := s.newOperator("b", "10.7.0.9", 2)
+	for time.Since(begun) < partitionDuration {
+		operator.avoid = target
 		s.mustChange(operator)
-		s.await(simPropagation, "the change everywhere", s.everywhere(operator.version))
-		read, body := asker.call(s.ended, http.MethodGet, hit.control(), pathRead, 0, nil)
+		s.await(simPropagationBound, "the change at every frontend", s.frontendWithout(operator.version))
+		read, body := reader.call(s.ctx, http.MethodGet, target.control(), pathRead, 0, nil)
 		if read == http.StatusOK {
-			asker.took(time.Now().Add(-operatorPatience), body)
+			reader.handleRead(time.Now().Add(-operatorCallTimeout), body)
 		}
-		wanted := newChange(operator.version, operator.version+1, []byte(simConfig(operator.version+1, "at-the-cut-one")))
-		changed, _ := asker.call(s.ended, http.MethodPost, hit.control(), pathReplace, wanted.Base, wanted.Body)
-		if time.Since(begun) > inTouchFor && (read != 0 && read != http.StatusServiceUnavailable ||
+		requested := newChange(operator.version, operator.version+1, []byte(simConfig(operator.version+1, "at-the-cut-one")))
+		changed, _ := reader.call(s.ctx, http.MethodPost, target.control(), pathReplace, requested.Base, requested.Body)
+		if time.Since(begun) > contactGrace && (read != 0 && read != http.StatusServiceUnavailable ||
 			changed != 0 && changed != http.StatusServiceUnavailable) {
-			s.checks.failf("%s, cut off for %v, answers a read with %d and a change with %d", hit.settings.NodeName, time.Since(begun),
+			s.checks.failf("%s, partitioned for %v, answers a read with %d and a change with %d", target.settings.NodeName, time.Since(begun),
 				read, changed)
 		}
 	}
 	operator.avoid = nil
 }
 
-// Two operators race for each version, lose most answers and send again what they can, also when newer versions stand on top.
-func TestTwoOperatorsNeverShareANumber(t *testing.T) {
+// Guards against committing two changes on one base version, and against rejecting a resent change that was committed. Two
+// operators race for each version, lose most answers and resend acknowledged changes, also after newer ones.
+func TestRacingOperatorsNeverCommitTheSameVersion(t *testing.T) {
 	t.Parallel()
 	const rounds = 60
 	for _, tolerance := range []int{1, 2} {
-		simScene(t, tolerance, func(s *simSite, first *simOperator) {
+		runScenario(t, tolerance, func(s *simSite, first *simOperator) {
 			second := s.newOperator("b", "10.7.0.9", 2)
 			operators := []*simOperator{first, second}
 			for range rounds {
 				second.version = first.version
-				verdicts := s.race(operators)
-				taken, refused := 0, 0
-				for i, verdict := range verdicts {
-					switch verdict {
-					case simTaken:
-						taken++
+				results := s.race(operators)
+				committed, rejected := 0, 0
+				for i, result := range results {
+					switch result {
+					case simCommitted:
+						committed++
 						first.version = operators[i].version
-					case simRefused:
-						refused++
+					case simRejected:
+						rejected++
 					}
 				}
-				require.Equal(t, []int{1, 1}, []int{taken, refused}, s.story())
+				require.Equal(t, []int{1, 1}, []int{committed, rejected}, s.eventLog())
 				for _, operator := range operators {
-					for _, old := range operator.old {
+					for _, earlier := range operator.acknowledged {
 						if operator.random.Float64() < 0.1 {
-							require.Equal(t, simTaken, operator.post(s.ended, old, true), "sent again")
+							require.Equal(t, simCommitted, operator.post(s.ctx, earlier, true), "resent after it was acknowledged")
 						}
 					}
 				}
@@ -141,161 +145,163 @@
 	}
 }
 
-// race has each operator send a change on top of one version at the same moment.
-func (s *simSite) race(operators []*simOperator) []simVerdict {
-	verdicts := make([]simVerdict, len(operators))
+// race makes all operators send a change on top of one version at the same time.
+func (s *simSite) race(operators []*simOperator) []simResult {
+	results := make([]simResult, len(operators))
 	var racing sync.WaitGroup
 	for i, operator := range operators {
-		operator.losing = 0.6
-		racing.Go(func() { verdicts[i] = operator.send(s.ended, operator.version+1) })
+		operator.answerLossRate = 0.6
+		racing.Go(func() { results[i] = operator.send(s.ctx, operator.version+1) })
 	}
 	racing.Wait()
-	return verdicts
+	return results
 }
 
-// A replica misses all changes behind a cut, and nothing is changed after it: its disk has to get them all the same, since the next
-// loss may come then.
-func TestAReplicaThatMissedChangesHasThemOnItsDisk(t *testing.T) {
+// A replica misses changes in a partition, and no change follows that would bring it up to date. Guards against leaving its disk
+// behind: if another disk is lost then, the changes could be gone.
+func TestReplicaStoresMissedChangesAfterAPartition(t *testing.T) {
 	t.Parallel()
 	for _, tolerance := range []int{1, 2} {
-		simScene(t, tolerance, func(s *simSite, operator *simOperator) {
-			hit := s.present()[0]
-			heal := s.cutFromAll(hit)
-			operator.avoid = hit
+		runScenario(t, tolerance, func(s *simSite, operator *simOperator) {
+			target := s.currentCores()[0]
+			heal := s.partitionFromAll(target)
+			operator.avoid = target
 			for range 3 {
 				s.mustChange(operator)
 			}
-			time.Sleep(simCatchUp) // roles that it held move on
+			time.Sleep(simCatchUpBound) // the roles that it held move to other controllers
 			heal()
-			s.await(simCatchUp, "in order", s.checks.settled)
+			s.await(simCatchUpBound, "the settled state", s.checks.unsettled)
 		})
 	}
 }
 
-// manyChanges is how many changes pass a machine by.
-var manyChanges = flag.Int("sim.changes", 500, "changes that pass while a machine is away")
+// missedChanges is the number of changes that a machine misses.
+var missedChanges = flag.Int("sim.changes", 500, "number of changes while a machine is without power")
 
-// Hundreds of changes pass while one machine is without power and another is restarted in the middle. Both catch up within the
-// bound, and what is kept does not grow with the number of changes.
-func TestHundredsOfChangesPassAMachineBy(t *testing.T) {
+// Hundreds of changes are committed while one machine is without power, and another machine restarts halfway through. Both must
+// catch up within the bound, and the stored state must not grow with the number of changes.
+func TestMachineCatchesUpAfterHundredsOfMissedChanges(t *testing.T) {
 	t.Parallel()
-	changes := *manyChanges
-	simScene(t, 1, func(s *simSite, operator *simOperator) {
-		away, restarted := s.present()[1], s.present()[2]
-		s.endCore(away, (*live.Machine).LosePower)
+	changes := *missedChanges
+	runScenario(t, 1, func(s *simSite, operator *simOperator) {
+		away, restarted := s.currentCores()[1], s.currentCores()[2]
+		s.crashCore(away, (*live.Machine).LosePower)
 		operator.avoid = away
-		kept := map[int]int{}
+		diskSize := map[int]int{} // by the number of the change
 		for i := range changes {
 			s.mustChange(operator)
 			switch i {
 			case changes / 4, changes - 1:
-				kept[i] = restarted.machine.Disk().Size()
+				diskSize[i] = restarted.machine.Disk().Size()
 			case changes / 2:
 				s.kill(restarted)()
-				s.await(simCatchUp, "the restarted one", func() string {
-					if program := restarted.program(); program == nil || program.node.Latest().Revision < s.newest().Revision {
+				s.await(simCatchUpBound, "the newest state at the restarted machine", func() string {
+					if program := restarted.program(); program == nil || program.node.Latest().Revision < s.newestState().Revision {
 						return "behind"
 					}
 					return ""
 				})
 			}
 		}
-		grown := kept[changes-1] - kept[changes/4]
-		require.LessOrEqual(t, grown, digestBytes*min(changes, maxDigests)+1<<10, "the digests alone grow, up to their bound")
+		growth := diskSize[changes-1] - diskSize[changes/4]
+		require.LessOrEqual(t, growth, digestBytes*min(changes, maxDigests)+1<<10, "only the digests may grow, up to their bound")
 		s.startCore(away)
-		took := s.await(simCatchUp, "in order", s.checks.settled)
-		t.Logf("after %d changes the one that was away is in order in %v; a disk has %d bytes", changes, took, away.machine.Disk().Size())
+		took := s.await(simCatchUpBound, "the settled state", s.checks.unsettled)
+		t.Logf("after %d changes the site settled in %v; the disk of the machine that missed them has %d bytes",
+			changes, took, away.machine.Disk().Size())
 	})
 }
 
-// One of three misses a change behind a cut; one of the two that know it loses its disk, and the other is dark. The empty disk is no
-// contact: with it, the one that missed the change would hand out the old state.
-func TestAnEmptyDiskIsNoContact(t *testing.T) {
+// Guards against serving an outdated state. One of three replicas misses a change in a partition. Of the other two, one loses its
+// disk and one its power. The empty replica must not count for a quorum: with it, the first replica would serve the old state.
+func TestEmptyReplicaDoesNotCountAsQuorumContact(t *testing.T) {
 	t.Parallel()
-	simScene(t, 1, func(s *simSite, operator *simOperator) {
-		behind, wiped, dark := s.present()[0], s.present()[1], s.present()[2]
-		heal := s.cutFromCores(behind)
+	runScenario(t, 1, func(s *simSite, operator *simOperator) {
+		behind, wiped, unpowered := s.currentCores()[0], s.currentCores()[1], s.currentCores()[2]
+		heal := s.partitionFromCores(behind)
 		operator.avoid = behind
 		s.mustChange(operator)
-		s.endCore(wiped, (*live.Machine).Wipe)
-		s.endCore(dark, (*live.Machine).LosePower)
-		s.darkenFrontends()() // these begin anew, and know nothing
+		s.crashCore(wiped, (*live.Machine).Wipe)
+		s.crashCore(unpowered, (*live.Machine).LosePower)
+		s.powerOffFrontends()() // the followers restart without any state
 		heal()
 		s.startCore(wiped)
-		time.Sleep(simCutFor)
-		if age := behind.program().node.QuorumAge(); age < simCutFor {
-			s.checks.failf("contact %v ago, with nobody who knows the set", age)
+		time.Sleep(partitionDuration)
+		if age := behind.program().node.QuorumAge(); age < partitionDuration {
+			s.checks.failf("quorum contact %v ago, although no reachable replica knows the set", age)
 		}
-		status, _ := operator.call(s.ended, http.MethodGet, behind.control(), pathRead, 0, nil)
+		status, _ := operator.call(s.ctx, http.MethodGet, behind.control(), pathRead, 0, nil)
 		require.NotEqual(t, http.StatusOK, status)
-		s.startCore(dark)
-		s.await(simSettleWithin, "in order", s.checks.settled)
+		s.startCore(unpowered)
+		s.await(simSettleTimeout, "the settled state", s.checks.unsettled)
 	})
 }
 
-// Over slow paths an answer is old when it comes: contact is as old as the question.
-func TestContactIsAsOldAsItsQuestion(t *testing.T) {
+// Over slow paths a reply is already old when it arrives. Guards against counting the age of the quorum contact from the reply
+// instead of from the request.
+func TestQuorumAgeCountsFromTheRequest(t *testing.T) {
 	t.Parallel()
-	simScene(t, 1, func(s *simSite, operator *simOperator) {
-		hit := s.present()[0]
-		defer s.slowPaths(hit)()
-		node := hit.program().node
-		time.Sleep(simCatchUp)
-		for begun := time.Now(); time.Since(begun) < simCatchUp; time.Sleep(sampleEvery) {
-			if age := node.QuorumAge(); age < 2*slowPath {
-				s.checks.failf("contact %v ago, over paths of %v and back", age, slowPath)
+	runScenario(t, 1, func(s *simSite, operator *simOperator) {
+		target := s.currentCores()[0]
+		defer s.slowPaths(target)()
+		node := target.program().node
+		time.Sleep(simCatchUpBound)
+		for begun := time.Now(); time.Since(begun) < simCatchUpBound; time.Sleep(sampleInterval) {
+			if age := node.QuorumAge(); age < 2*slowPathDelay {
+				s.checks.failf("quorum contact %v ago, over paths with a delay of %v each way", age, slowPathDelay)
 				return
 			}
 		}
 	})
 }
 
-// A controller that starts behind a cut has had no contact, however short its life is.
-func TestAStartBehindACutIsNoContact(t *testing.T) {
+// A controller that starts in a partition has had no quorum contact, even right after its start.
+func TestControllerStartedInAPartitionHasNoQuorum(t *testing.T) {
 	t.Parallel()
-	simScene(t, 1, func(s *simSite, operator *simOperator) {
-		hit := s.present()[0]
-		defer s.cutFromCores(hit)()
-		s.kill(hit)()
-		s.await(simCatchUp, "started", func() string {
-			if hit.program() == nil {
-				return "not yet"
+	runScenario(t, 1, func(s *simSite, operator *simOperator) {
+		target := s.currentCores()[0]
+		defer s.partitionFromCores(target)()
+		s.kill(target)()
+		s.await(simCatchUpBound, "started", func() string {
+			if target.program() == nil {
+				return "its process"
 			}
 			return ""
 		})
-		node := hit.program().node
-		for begun := time.Now(); time.Since(begun) < maxQuorumAge; time.Sleep(sampleEvery) {
+		node := target.program().node
+		for begun := time.Now(); time.Since(begun) < maxQuorumAge; time.Sleep(sampleInterval) {
 			if hasQuorum(node) {
-				s.checks.failf("in touch %v after a start behind a cut", time.Since(begun))
+				s.checks.failf("quorum contact %v after a start in a partition", time.Since(begun))
 				return
 			}
 		}
 	})
 }
 
-// Nine controllers, over paths that take up to 150 ms one way and change each second: the list of workers stays fresh at
-// each of them, and the role of its reader is held nearly all the time and moves seldom.
+// Nine controllers run over paths whose delays change each second and reach 150 ms one way. The list of workers must stay fresh at
+// each of them, and the reader's role must be held nearly all the time and rarely move.
 func TestNineControllersKeepTheListFresh(t *testing.T) {
 	t.Parallel()
 	const (
 		tolerance  = 4
-		spans      = 20 * time.Second
-		slowest    = 150 * time.Millisecond // there and back within the bound of a heartbeat's call
-		oldestList = 2 * time.Second        // what DrainMs leaves beside the way to the routers
+		duration   = 20 * time.Second
+		slowest    = 150 * time.Millisecond // a round trip stays within callTimeout
+		maxListAge = 2 * time.Second        // the part of DrainMs that the delivery to the routers leaves
 	)
-	simScene(t, tolerance, func(s *simSite, _ *simOperator) {
+	runScenario(t, tolerance, func(s *simSite, _ *simOperator) {
 		tokens := map[uint64]bool{}
-		vacant, looks, oldest := 0, 0, time.Duration(0)
-		for begun := time.Now(); time.Since(begun) < spans; {
-			s.varyPaths(slowest)
-			for second := time.Now(); time.Since(second) < time.Second; time.Sleep(simLookEvery) {
-				oldest = max(oldest, s.oldestList())
-				if oldest > oldestList {
+		vacant, samples, oldest := 0, 0, time.Duration(0)
+		for begun := time.Now(); time.Since(begun) < duration; {
+			s.randomizePathDelays(slowest)
+			for second := time.Now(); time.Since(second) < time.Second; time.Sleep(simPollInterval) {
+				oldest = max(oldest, s.maxListAge())
+				if oldest > maxListAge {
 					s.checks.failf("a list is %v old", oldest)
 					return
 				}
-				token := s.holderOf(roleReader)
-				looks++
+				token := s.heldToken(roleReader)
+				samples++
 				if token == 0 {
 					vacant++
 				} else {
@@ -303,34 +309,36 @@
 				}
 			}
 		}
-		t.Logf("%d tokens, vacant in %d of %d looks, the oldest list was %v old", len(tokens), vacant, looks, oldest)
+		t.Logf("%d tokens, vacant in %d of %d samples, the oldest list was %v old",
+			len(tokens), vacant, samples, oldest)
 		require.LessOrEqual(t, len(tokens), 3)
-		require.Less(t, 10*vacant, looks)
+		require.Less(t, 10*vacant, samples)
 	})
 }
 
-// varyPaths draws the delays of all paths between controllers anew.
-func (s *simSite) varyPaths(slowest time.Duration) {
-	for _, from := range s.present() {
-		for _, to := range s.present() {
+// randomizePathDelays sets the delay of each path between controllers to a random value.
+func (s *simSite) randomizePathDelays(slowest time.Duration) {
+	for _, from := range s.currentCores() {
+		for _, to := range s.currentCores() {
 			if from != to {
-				s.network.Slow(from.machine.IP(), to.machine.IP(), s.between(0, slowest))
+				s.network.Slow(from.machine.IP(), to.machine.IP(), s.randomDuration(0, slowest))
 			}
 		}
 	}
 }
 
-func (s *simSite) oldestList() (oldest time.Duration) {
-	for _, m := range s.present() {
+// maxListAge returns the age of the oldest list that a controller holds.
+func (s *simSite) maxListAge() (oldest time.Duration) {
+	for _, m := range s.currentCores() {
 		_, age := m.program().controller.lists.versionAndAge(time.Now())
 		oldest = max(oldest, milliseconds(age))
 	}
 	return oldest
 }
 
-// holderOf returns the token under which a role is held, or 0.
-func (s *simSite) holderOf(role string) uint64 {
-	for _, m := range s.present() {
+// heldToken returns the token under which a role is held, or 0 if it has no holder.
+func (s *simSite) heldToken(role string) uint64 {
+	for _, m := range s.currentCores() {
 		if token, held := m.program().controller.leases.holds(role); held {
 			return token
 		}
@@ -338,18 +346,18 @@
 	return 0
 }
 
-// A machine whose disk is lost again and again is another replica each time, and in the set soon after.
-func TestEachDiskIsAnotherReplica(t *testing.T) {
+// A machine that loses its disk repeatedly must get a new replica ID each time and soon be part of the replica set.
+func TestWipedDiskGetsANewReplicaIdentity(t *testing.T) {
 	t.Parallel()
-	simScene(t, 1, func(s *simSite, operator *simOperator) {
-		hit := s.present()[0]
+	runScenario(t, 1, func(s *simSite, operator *simOperator) {
+		target := s.currentCores()[0]
 		seen := map[string]bool{}
 		for range 4 {
-			id, _ := hit.diskState()
-			require.False(t, seen[id], "the identity %s again", id)
+			id, _ := target.diskState()
+			require.False(t, seen[id], "replica ID %s was used again", id)
 			seen[id] = true
-			s.wipe(hit)()
-			s.await(simCatchUp, "in order", s.checks.settled)
+			s.wipe(target)()
+			s.await(simCatchUpBound, "the settled state", s.checks.unsettled)
 			s.mustChange(operator)
 		}
 	})
--- a/internal/controller/simulation_site_test.go
+++ b/internal/controller/simulation_site_test.go
@@ -25,102 +25,105 @@
 	"weldscale/internal/settings"
 )
 
-// Addresses of a simulated site.
+// Addresses and sizes of a simulated site.
 const (
 	simControlPort = "7000"
-	simPlatform    = "10.8.0.1"
-	simOperators   = "10.7.0.1"
+	simPlatformIP  = "10.8.0.1"
+	simOperatorIP  = "10.7.0.1"
 	simService     = "engine"
-	simWorkers     = 6
-	simSeeds       = 3
+	simWorkerCount = 6
+	simSeedCount   = 3
 )
 
 var simInternalPorts = [2]int{8000, 8001}
 
-// simSeedLag is how much later than the machines the list of seeds is.
+// simSeedLag is how long a removed machine stays in the list of seeds.
 const simSeedLag = 3 * time.Second
 
-// seeds returns the control addresses that a settings file names now: those of the oldest core machines, as they were a while ago.
+// seeds returns the control addresses that a settings file lists now: those of the oldest core machines. A removed machine stays in
+// the list for simSeedLag.
 func (s *simSite) seeds() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var seeds []string
 	for _, m := range s.cores {
-		if gone := m.removed && time.Since(m.removedAt) > simSeedLag; !gone && len(seeds) < simSeeds {
+		if gone := m.removed && time.Since(m.removedAt) > simSeedLag; !gone && len(seeds) < simSeedCount {
 			seeds = append(seeds, m.settings.Listen.Control)
 		}
 	}
 	return seeds
 }
 
-// simMachine is a machine of the simulated site, with the program that runs on it.
+// simMachine is a core or frontend machine of the simulated site with the program that runs on it.
 type simMachine struct {
 	machine  *live.Machine
 	settings settings.Settings
 	removed  bool
-	// removedAt is when it was removed for good.
+	// removedAt is the time at which the machine was removed for good.
 	removedAt time.Time
-	life      atomic.Pointer[simLife] // of the program of a core machine; nil while none runs
+	run       atomic.Pointer[simRun] // run of a core machine's program; nil while none runs
 	follower  atomic.Pointer[watch.Follower]
-	crash     context.CancelFunc // of the follower of a frontend
+	crash     context.CancelFunc // ends the follower of a frontend machine
 }
 
-// simLife is one life of the program of a core machine.
-type simLife struct {
+// simRun is one run of the program on a core machine, from its start to its end.
+type simRun struct {
 	process *live.Process
 	program atomic.Pointer[process] // nil until it is open
-	signal  context.CancelFunc      // SIGTERM
-	crashed context.Context         // done once the machine has ended it
+	signal  context.CancelFunc      // acts like SIGTERM
+	crashed context.Context         // done once the process has crashed
 	crash   context.CancelFunc
 	stopped chan struct{}
 }
 
+// control returns the address for operators.
 func (m *simMachine) control() string { return m.settings.Listen.Control }
 
-// program returns the program that runs, or nil.
+// program returns the running controller process, or nil.
 func (m *simMachine) program() *process {
-	if life := m.life.Load(); life != nil {
-		return life.program.Load()
+	if run := m.run.Load(); run != nil {
+		return run.program.Load()
 	}
 	return nil
 }
 
-// simSite is a deployment of the program in service on simulated machines: controllers, a follower on each frontend machine, the
-// platform, its workers, and two operators.
+// simSite is a deployment of the real controllers on simulated machines. It also has a follower on each frontend machine, the
+// platform, its workers and the operators.
 type simSite struct {
 	t         *testing.T
 	random    *rand.Rand
 	network   *live.Network
 	tolerance int
-	began     time.Time
+	startedAt time.Time
 	checks    *simChecks
 
-	power     sync.Mutex // orders starts and ends
+	lifecycle sync.Mutex // serializes starts and ends of processes
 	mutex     sync.Mutex
 	cores     []*simMachine
 	frontends []*simMachine
-	outer     []*live.Machine // of the platform, its workers and the operators
+	external  []*live.Machine // machines of the platform, its workers and the operators
 	events    []string
-	running   sync.WaitGroup // parts of programs that have been ended
+	running   sync.WaitGroup // goroutines of programs and scenarios, including those of ended programs
 
-	platform *simPlatformList
-	acked    chan struct{} // told of acknowledgements, if anyone waits
-	ended    context.Context
-	end      context.CancelFunc
+	platform *simPlatformAPI
+	acked    chan struct{}   // receives a value per acknowledgement if a fault waits for one
+	ctx      context.Context // done when the site shuts down
+	cancel   context.CancelFunc
 }
 
+// newSimSite starts a site that tolerates the loss of the given number of machines.
 func newSimSite(t *testing.T, seed uint64, tolerance int) *simSite {
 	s := &simSite{
 		t:         t,
 		random:    rand.New(rand.NewPCG(seed, 3)),
 		network:   live.NewNetwork(seed),
 		tolerance: tolerance,
-		began:     time.Now(),
+		startedAt: time.Now(),
 		acked:     make(chan struct{}),
 	}
-	s.ended, s.end = context.WithCancel(context.Background())
+	s.ctx, s.cancel = context.WithCancel(context.Background())
 	s.checks = newSimChecks(s)
-	s.startOuter()
+	s.startExternalMachines()
 	for range 2*tolerance + 1 {
 		s.addCore(true)
 	}
@@ -136,42 +139,47 @@
 	return s
 }
 
-// logf notes an event for the story that a failure tells.
+// logf adds an event to the log that is printed after a failure.
 func (s *simSite) logf(format string, arguments ...any) {
-	line := fmt.Sprintf("%8.3f ", time.Since(s.began).Seconds()) + fmt.Sprintf(format, arguments...)
+	line := fmt.Sprintf("%8.3f ", time.Since(s.startedAt).Seconds()) + fmt.Sprintf(format, arguments...)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.events = append(s.events, line)
 }
 
-func (s *simSite) story() string {
+// eventLog returns the latest events.
+func (s *simSite) eventLog() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	const longest = 400
-	return strings.Join(s.events[max(0, len(s.events)-longest):], "\n")
+	const maxEvents = 400
+	return strings.Join(s.events[max(0, len(s.events)-maxEvents):], "\n")
 }
 
-// chance, number and between draw what befalls the site.
+// chance returns true with the given probability.
 func (s *simSite) chance(probability float64) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.random.Float64() < probability
 }
 
-func (s *simSite) number(below int) int {
+// randomInt returns a random number from 0 to below-1.
+func (s *simSite) randomInt(below int) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.random.IntN(below)
 }
 
-func (s *simSite) between(shortest, longest time.Duration) time.Duration {
+// randomDuration returns a random duration from shortest to longest.
+func (s *simSite) randomDuration(shortest, longest time.Duration) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return shortest + time.Duration(s.random.Int64N(int64(longest-shortest)+1))
 }
 
+// simCoreIP returns the address of a core machine.
 func simCoreIP(number int) string { return fmt.Sprintf("10.0.0.%d", number+1) }
 
+// addCore adds a core machine at the next address. Nothing runs on it yet.
 func (s *simSite) addCore(bootstrap bool) *simMachine {
 	ip := simCoreIP(len(s.cores))
 	added := &simMachine{machine: s.network.AddMachine(ip)}
@@ -185,7 +193,7 @@
 		Bootstrap:      bootstrap,
 		FaultTolerance: settings.FaultTolerance{Machines: s.tolerance},
 		Bounds:         settings.DefaultBounds(),
-		Cloud:          settings.Cloud{Address: simPlatform + ":80"},
+		Cloud:          settings.Cloud{Address: simPlatformIP + ":80"},
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -193,87 +201,90 @@
 	return added
 }
 
-// startCore starts the program of a core machine, with the settings of the moment, unless it runs.
+// startCore starts the program on a core machine with the current settings. It does nothing if the program runs, the machine
+// was removed, or the site shuts down.
 func (s *simSite) startCore(m *simMachine) {
-	s.power.Lock()
-	defer s.power.Unlock()
-	if m.removed || m.life.Load() != nil || s.ended.Err() != nil {
+	s.lifecycle.Lock()
+	defer s.lifecycle.Unlock()
+	if m.removed || m.run.Load() != nil || s.ctx.Err() != nil {
 		return
 	}
-	life := &simLife{process: m.machine.Start(), stopped: make(chan struct{})}
+	run := &simRun{process: m.machine.Start(), stopped: make(chan struct{})}
 	signalled, signal := context.WithCancel(context.Background())
-	life.signal = signal
-	life.crashed, life.crash = context.WithCancel(context.Background())
-	m.life.Store(life)
+	run.signal = signal
+	run.crashed, run.crash = context.WithCancel(context.Background())
+	m.run.Store(run)
 	m.settings.Seeds = s.seeds()
 	current := m.settings
 	m.settings.Bootstrap = false
-	s.running.Go(func() { s.runCore(signalled, m, life, &current) })
+	s.running.Go(func() { s.runCore(signalled, m, run, &current) })
 }
 
-// runCore runs one life of a program. One that can't start is started again.
-func (s *simSite) runCore(signalled context.Context, m *simMachine, life *simLife, current *settings.Settings) {
-	defer close(life.stopped)
-	on := host{
-		listen: life.process.Listen,
-		dial:   life.process.Dial,
-		files:  func() (store.Files, error) { return life.process.Files(), nil },
+// runCore runs the program until it ends. If the program fails to start, it is started again later.
+func (s *simSite) runCore(signalled context.Context, m *simMachine, run *simRun, current *settings.Settings) {
+	defer close(run.stopped)
+	machine := host{
+		listen: run.process.Listen,
+		dial:   run.process.Dial,
+		files:  func() (store.Files, error) { return run.process.Files(), nil },
 	}
-	opened, err := open(context.Background(), current, on, zap.NewNop())
+	opened, err := open(context.Background(), current, machine, zap.NewNop())
 	if err != nil {
-		s.logf("%s does not start: %v", current.NodeName, err)
-		if life.crashed.Err() == nil {
-			s.endCore(m, (*live.Machine).Kill)
-			s.startLater(m)
+		s.logf("%s failed to start: %v", current.NodeName, err)
+		if run.crashed.Err() == nil {
+			s.crashCore(m, (*live.Machine).Kill)
+			s.restartLater(m)
 		}
 		return
 	}
-	life.program.Store(opened)
-	stop := context.AfterFunc(life.crashed, opened.stop)
+	run.program.Store(opened)
+	stop := context.AfterFunc(run.crashed, opened.stop)
 	defer stop()
-	s.logf("%s starts, disk %s", current.NodeName, opened.node.ID())
-	_ = opened.run(signalled, func(ctx context.Context) { s.checks.follow(ctx, opened) })
+	s.logf("%s started with disk %s", current.NodeName, opened.node.ID())
+	_ = opened.run(signalled, func(ctx context.Context) { s.checks.checkStates(ctx, opened) })
 }
 
-func (s *simSite) startLater(m *simMachine) {
-	time.AfterFunc(restartPause, func() { s.startCore(m) })
+// restartLater starts the program on a core machine after restartDelay.
+func (s *simSite) restartLater(m *simMachine) {
+	time.AfterFunc(restartDelay, func() { s.startCore(m) })
 }
 
-// restartPause is how long a machine waits before it starts a process that has ended.
-const restartPause = 300 * time.Millisecond
-
-// endCore ends the program of a core machine without a word to it.
-func (s *simSite) endCore(m *simMachine, by func(*live.Machine)) {
-	s.power.Lock()
-	defer s.power.Unlock()
-	by(m.machine)
-	if life := m.life.Swap(nil); life != nil {
-		life.crash()
-		life.signal()
+// restartDelay is the time before a machine restarts a program that failed to start.
+const restartDelay = 300 * time.Millisecond
+
+// crashCore ends the program on a core machine abruptly, in the given way.
+func (s *simSite) crashCore(m *simMachine, crash func(*live.Machine)) {
+	s.lifecycle.Lock()
+	defer s.lifecycle.Unlock()
+	crash(m.machine)
+	if run := m.run.Swap(nil); run != nil {
+		run.crash()
+		run.signal()
 	}
 }
 
-// terminate ends the program of a core machine as SIGTERM does, and kills it after a while.
+// terminate ends the program on a core machine as SIGTERM does. It kills the program after terminationGrace.
 func (s *simSite) terminate(m *simMachine) {
-	if life := m.life.Load(); life != nil {
-		life.signal()
+	if run := m.run.Load(); run != nil {
+		run.signal()
 		select {
-		case <-life.stopped:
-		case <-time.After(simGrace):
+		case <-run.stopped:
+		case <-time.After(terminationGrace):
 		}
 	}
-	s.endCore(m, (*live.Machine).Kill)
+	s.crashCore(m, (*live.Machine).Kill)
 }
 
-const simGrace = 8 * time.Second
+// terminationGrace is how long a terminated program may run before it is killed.
+const terminationGrace = 8 * time.Second
 
-// startFrontend starts a follower on a frontend machine, unless one runs.
+// startFrontend starts a follower on a frontend machine. It does nothing if one runs.
 func (s *simSite) startFrontend(m *simMachine) {
 	if m.follower.Load() != nil {
 		return
 	}
-	life := m.machine.Start()
-	client := transport.NewClientWithDial(life.Dial)
+	process := m.machine.Start()
+	client := transport.NewClientWithDial(process.Dial)
 	var last fleetwire.Version
 	follower := watch.NewFollower(watch.FollowerOptions{
 		Self: fleetwire.Member{Name: m.machine.IP(), Address: m.machine.IP() + ":1", Role: fleetwire.RoleAgent, Zone: "z"},
@@ -282,7 +293,7 @@
 		},
 		Client: client,
 		OnChange: func(snapshot *watch.Snapshot) {
-			s.checks.followed(m.machine.IP(), last, snapshot)
+			s.checks.checkFollowerStep(m.machine.IP(), last, snapshot)
 			last = snapshot.Version
 		},
 	})
@@ -295,18 +306,18 @@
 	})
 }
 
-// endFrontend ends the follower of a frontend machine.
-func (s *simSite) endFrontend(m *simMachine, by func(*live.Machine)) {
-	by(m.machine)
+// crashFrontend ends the follower on a frontend machine abruptly, in the given way.
+func (s *simSite) crashFrontend(m *simMachine, crash func(*live.Machine)) {
+	crash(m.machine)
 	if m.follower.Swap(nil) != nil {
 		m.crash()
 	}
 }
 
-// outerMachine adds a machine that nothing befalls and serves HTTP on it.
-func (s *simSite) outerMachine(ip string, handler http.Handler) {
+// addExternalMachine adds a machine without faults and serves HTTP on it.
+func (s *simSite) addExternalMachine(ip string, handler http.Handler) {
 	machine := s.network.AddMachine(ip)
-	s.outer = append(s.outer, machine)
+	s.external = append(s.external, machine)
 	listener, err := machine.Start().Listen(ip + ":80")
 	if err != nil {
 		s.t.Fatal(err)
@@ -315,57 +326,59 @@
 	s.running.Go(func() { _ = server.Serve(listener) })
 }
 
-func (s *simSite) startOuter() {
-	s.platform = &simPlatformList{}
-	s.outerMachine(simPlatform, s.platform)
-	for i := range simWorkers {
+// startExternalMachines starts the platform and its workers.
+func (s *simSite) startExternalMachines() {
+	s.platform = &simPlatformAPI{}
+	s.addExternalMachine(simPlatformIP, s.platform)
+	for i := range simWorkerCount {
 		w := &simWorker{site: s, ip: fmt.Sprintf("10.9.0.%d", i+1), stage: fleetwire.StageDecode}
 		s.platform.workers = append(s.platform.workers, w)
-		s.outerMachine(w.ip, w)
+		s.addExternalMachine(w.ip, w)
 	}
 }
 
-// shutDown ends all programs and waits for what they leave behind.
+// shutDown ends all programs and waits until their goroutines have ended.
 func (s *simSite) shutDown() {
-	s.end()
+	s.cancel()
 	for _, m := range s.cores {
 		m.machine.Disk().Resume()
-		s.endCore(m, (*live.Machine).Kill)
+		s.crashCore(m, (*live.Machine).Kill)
 	}
 	for _, m := range s.frontends {
-		s.endFrontend(m, (*live.Machine).Kill)
+		s.crashFrontend(m, (*live.Machine).Kill)
 	}
-	for _, machine := range s.outer {
+	for _, machine := range s.external {
 		machine.Kill()
 	}
 	s.running.Wait()
-	time.Sleep(time.Minute) // virtual: net/http's own goroutines end by time
+	time.Sleep(time.Minute) // virtual time; goroutines of net/http end by timeout
 }
 
-// present returns the core machines that have not been removed.
-func (s *simSite) present() []*simMachine {
+// currentCores returns the core machines that have not been removed.
+func (s *simSite) currentCores() []*simMachine {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return slices.DeleteFunc(slices.Clone(s.cores), func(m *simMachine) bool { return m.removed })
 }
 
-// newestValue returns the newest chosen value with its former set, as the disks have it: register.State shows the set alone.
-func (s *simSite) newestValue() register.Value {
-	revision := s.newest().Revision
-	var found register.Value
-	for _, m := range s.present() {
+// newestChosenValue returns the newest chosen value with its previous replica set. It reads the disks, because register.State has
+// only the current set.
+func (s *simSite) newestChosenValue() register.Value {
+	revision := s.newestState().Revision
+	var newest register.Value
+	for _, m := range s.currentCores() {
 		_, accepted := m.diskState()
-		if accepted.Value.Revision <= revision && accepted.Value.Revision >= found.Revision && len(accepted.Value.Replicas) > 0 {
-			found = accepted.Value
+		if accepted.Value.Revision <= revision && accepted.Value.Revision >= newest.Revision && len(accepted.Value.Replicas) > 0 {
+			newest = accepted.Value
 		}
 	}
-	return found
+	return newest
 }
 
-// existingDisks returns the identities of the disks of the machines that are there.
+// existingDisks returns the replica IDs on the disks of the current core machines.
 func (s *simSite) existingDisks() map[string]bool {
 	existing := map[string]bool{}
-	for _, m := range s.present() {
+	for _, m := range s.currentCores() {
 		if id, _ := m.diskState(); id != "" {
 			existing[id] = true
 		}
@@ -373,15 +386,15 @@
 	return existing
 }
 
-// existingOf counts the replicas whose disks are among those that exist.
-func existingOf(replicas []register.Replica, existing map[string]bool) int {
+// countExisting returns the number of replicas whose disks exist.
+func countExisting(replicas []register.Replica, existing map[string]bool) int {
 	return lo.CountBy(replicas, func(r register.Replica) bool { return existing[r.ID] })
 }
 
-// newest returns the newest state that any controller knows to be chosen.
-func (s *simSite) newest() register.State {
+// newestState returns the newest chosen state that any running controller knows.
+func (s *simSite) newestState() register.State {
 	var newest register.State
-	for _, m := range s.present() {
+	for _, m := range s.currentCores() {
 		program := m.program()
 		if program == nil {
 			continue
@@ -393,7 +406,7 @@
 	return newest
 }
 
-// diskState loads what a machine would find on its disk if it started now.
+// diskState returns the replica ID and the accepted value that the program would load from the disk if it started now.
 func (m *simMachine) diskState() (id string, accepted register.Accepted) {
 	acceptor, err := register.NewDisk(m.machine.Disk().Snapshot()).Load(m.settings.InternalAddress())
 	if err != nil || acceptor == nil {
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -11,32 +11,33 @@
 	"weldscale/coordination/sim/simtest"
 )
 
-// Spans of a play.
+// Durations of a simulation and bounds of its waits.
 const (
-	simChaosSpan    = 60 * time.Second
-	simFormWithin   = 4 * time.Second
-	simSettleWithin = 8 * time.Second
-	simLookEvery    = 20 * time.Millisecond
+	simFaultSpan     = 60 * time.Second
+	simFormTimeout   = 4 * time.Second
+	simSettleTimeout = 8 * time.Second
+	simPollInterval  = 20 * time.Millisecond
 )
 
-// await lets time pass until something holds, and complains if that takes too long. what returns what is missing.
+// await waits until missing returns an empty string, which says what is still missing otherwise. It records a violation if that
+// takes longer than bound. It returns the time that passed, and returns early after a violation.
 func (s *simSite) await(bound time.Duration, what string, missing func() string) time.Duration {
 	begun := time.Now()
 	for time.Since(begun) < bound {
-		if s.checks.failed() != "" || missing() == "" {
+		if s.checks.firstViolation() != "" || missing() == "" {
 			return time.Since(begun)
 		}
-		time.Sleep(simLookEvery)
+		time.Sleep(simPollInterval)
 	}
 	if text := missing(); text != "" {
-		s.checks.failf("not within %v: %s: %s", bound, what, text)
+		s.checks.failf("not reached within %v: %s: missing: %s", bound, what, text)
 	}
 	return time.Since(begun)
 }
 
-// formed tells what is missing until the site has begun its work.
-func (s *simSite) formed() string {
-	for _, m := range s.present() {
+// unformed returns the name of a core machine without a formed replica set, or an empty string.
+func (s *simSite) unformed() string {
+	for _, m := range s.currentCores() {
 		if program := m.program(); program == nil || !program.node.Formed() {
 			return m.settings.NodeName
 		}
@@ -44,92 +45,94 @@
 	return ""
 }
 
-// verdict fails the test with the story if anything was violated.
-func (s *simSite) verdict() {
+// failOnViolation fails the test and prints the event log if a check was violated.
+func (s *simSite) failOnViolation() {
 	s.t.Helper()
-	if violation := s.checks.failed(); violation != "" {
-		s.t.Fatalf("%s\n%s", violation, s.story())
+	if violation := s.checks.firstViolation(); violation != "" {
+		s.t.Fatalf("%s\n%s", violation, s.eventLog())
 	}
 }
 
-// play has troubles befall a site while two operators work, and checks that it is in order soon after their end.
-func (s *simSite) play(seed uint64, span time.Duration, kinds []simTrouble) {
-	sampling, stopSampling := context.WithCancel(s.ended)
+// runWithFaults injects faults into a site while two operators send changes. It checks that the site settles soon after the last
+// fault.
+func (s *simSite) runWithFaults(seed uint64, duration time.Duration, faults []simFault) {
+	sampling, stopSampling := context.WithCancel(s.ctx)
 	defer stopSampling()
 	go s.checks.sample(sampling)
-	s.await(simFormWithin, "formed", s.formed)
+	s.await(simFormTimeout, "formed", s.unformed)
 	operators := []*simOperator{s.newOperator("a", "10.7.0.1", seed), s.newOperator("b", "10.7.0.2", seed)}
-	working, stopWorking := context.WithCancel(s.ended)
-	defer stopWorking()
-	worked := make(chan struct{}, len(operators))
+	operatorContext, stopOperators := context.WithCancel(s.ctx)
+	defer stopOperators()
+	operatorDone := make(chan struct{}, len(operators))
 	for _, operator := range operators {
 		go func() {
-			operator.work(working)
-			worked <- struct{}{}
+			operator.run(operatorContext)
+			operatorDone <- struct{}{}
 		}()
 	}
-	troubled, stopTroubles := context.WithTimeout(s.ended, span)
-	defer stopTroubles()
-	stopAtViolation := make(chan struct{})
+	faultContext, stopFaults := context.WithTimeout(s.ctx, duration)
+	defer stopFaults()
+	faultsEnded := make(chan struct{})
 	go func() {
 		select {
-		case <-s.checks.found:
-			stopTroubles()
-		case <-stopAtViolation:
+		case <-s.checks.violated:
+			stopFaults()
+		case <-faultsEnded:
 		}
 	}()
-	s.befall(troubled, kinds)
-	close(stopAtViolation)
-	s.startAll(s.present())()
-	s.logf("all troubles have ended")
-	s.await(simSettleWithin, "in order", s.checks.settled)
-	stopWorking()
+	s.injectFaults(faultContext, faults)
+	close(faultsEnded)
+	s.startAll(s.currentCores())()
+	s.logf("all faults have ended")
+	s.await(simSettleTimeout, "the settled state", s.checks.unsettled)
+	stopOperators()
 	for range operators {
-		<-worked
+		<-operatorDone
 	}
-	s.finish(operators[0])
+	s.checkAfterFaults(operators[0])
 }
 
-// finish checks that a change is acknowledged in time and reaches everyone, and then the whole history.
-func (s *simSite) finish(operator *simOperator) {
-	operator.losing = 0
-	operator.read(s.ended)
+// checkAfterFaults checks that a change is acknowledged in time and reaches every frontend, and then checks the whole history.
+func (s *simSite) checkAfterFaults(operator *simOperator) {
+	operator.answerLossRate = 0
+	operator.read(s.ctx)
 	begun := time.Now()
-	acknowledged := operator.change(s.ended)
-	for !acknowledged && time.Since(begun) < simAck {
-		acknowledged = operator.change(s.ended) // one whose operator has left may have come between
+	acknowledged := operator.change(s.ctx)
+	for !acknowledged && time.Since(begun) < simAckBound {
+		acknowledged = operator.change(s.ctx) // a change that an operator gave up on may have been committed in between
 	}
-	if !acknowledged || time.Since(begun) > simAck {
-		s.checks.failf("a change of a site in order took %v", time.Since(begun))
+	if !acknowledged || time.Since(begun) > simAckBound {
+		s.checks.failf("a change at a settled site took %v", time.Since(begun))
 	}
-	s.await(simPropagation, "the change everywhere", s.everywhere(operator.version))
-	operator.read(s.ended)
-	s.checks.linearizable()
+	s.await(simPropagationBound, "the change at every frontend", s.frontendWithout(operator.version))
+	operator.read(s.ctx)
+	s.checks.checkLinearizable()
 }
 
-func playSimulation(t *testing.T, seed uint64, tolerance int, kinds []simTrouble) *simSite {
-	var played *simSite
+// runSimulation runs a site with random faults and returns it.
+func runSimulation(t *testing.T, seed uint64, tolerance int, faults []simFault) *simSite {
+	var finished *simSite
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimSite(t, seed, tolerance)
-		defer s.verdict()
+		defer s.failOnViolation()
 		defer s.shutDown()
-		s.play(seed, simChaosSpan, kinds)
-		played = s
+		s.runWithFaults(seed, simFaultSpan, faults)
+		finished = s
 	})
-	return played
+	return finished
 }
 
-func TestTheProgramInServiceKeepsItsPromisesThroughChaos(t *testing.T) {
+func TestControllersStayConsistentUnderRandomFaults(t *testing.T) {
 	for name, tolerance := range map[string]int{"three": 1, "five": 2} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			taken, sent := 0, 0
+			committed, sent := 0, 0
 			simtest.Run(t, simtest.Seeds{Fixed: 4, Fresh: 2}, func(t *testing.T, seed uint64) {
-				s := playSimulation(t, seed, tolerance, simTroubles)
-				taken, sent = taken+len(s.checks.chain), sent+len(s.checks.bodies)
+				s := runSimulation(t, seed, tolerance, simFaults)
+				committed, sent = committed+len(s.checks.committed), sent+len(s.checks.digestByBody)
 			})
-			t.Logf("%d of %d changes taken", taken, sent)
-			require.Greater(t, 3*taken, sent)
+			t.Logf("%d of %d changes were committed", committed, sent)
+			require.Greater(t, 3*committed, sent)
 		})
 	}
 }
--- a/internal/controller/simulation_troubles_test.go
+++ b/internal/controller/simulation_troubles_test.go
@@ -12,142 +12,147 @@
 	"weldscale/internal/pause"
 )
 
-// Spans of the troubles.
+// Durations of the faults and of the pauses between them.
 const (
-	longestRestBetween = 4 * time.Second
-	longestOutage      = 5 * time.Second
-	longestCut         = 30 * time.Second
-	longestAckWait     = 5 * time.Second
-	longestAckStrike   = 400 * time.Millisecond
-	flapSpan           = 700 * time.Millisecond
-	mostCores          = 12
-	slowStep           = 60 * time.Millisecond
-	slowPath           = 150 * time.Millisecond
+	maxPauseBetweenFaults = 4 * time.Second
+	maxOutage             = 5 * time.Second
+	maxPartition          = 30 * time.Second
+	maxAckWait            = 5 * time.Second
+	maxDelayAfterAck      = 400 * time.Millisecond
+	maxFlapPhase          = 700 * time.Millisecond
+	maxCores              = 12
+	slowDiskDelay         = 60 * time.Millisecond
+	slowPathDelay         = 150 * time.Millisecond
 )
 
-// simTrouble has something befall a site, and returns what ends it.
-type simTrouble struct {
-	name   string
-	strike func(s *simSite, hit *simMachine) (end func())
-	// longest bounds how long it lasts; 0: longestOutage.
-	longest time.Duration
-}
-
-// simTroubles are drawn alike.
-var simTroubles = []simTrouble{
-	{name: "kill", strike: (*simSite).kill},
-	{name: "power", strike: (*simSite).losePower},
-	{name: "all cores killed", strike: (*simSite).killCores},
-	{name: "all cores without power", strike: (*simSite).darkenCores},
-	{name: "everything without power", strike: (*simSite).darkenAll},
-	{name: "disk lost", strike: (*simSite).wipe},
-	{name: "disks lost, all others without power", strike: (*simSite).wipeAndDarken},
-	{name: "behind, then the disk of another is lost", strike: (*simSite).wipeBesideCut, longest: longestCut},
-	{name: "replaced", strike: (*simSite).replace},
-	{name: "replaced by plan", strike: (*simSite).replaceByPlan},
-	{name: "stopped and started", strike: (*simSite).restart},
-	{name: "cut off from all", strike: (*simSite).cutFromAll, longest: longestCut},
-	{name: "cut off from all", strike: (*simSite).cutFromAll, longest: longestCut},
-	{name: "cut off from the core", strike: (*simSite).cutFromCores, longest: longestCut},
-	{name: "heard, not hearing", strike: (*simSite).cutInbound, longest: longestCut},
-	{name: "hearing, not heard", strike: (*simSite).cutOutbound, longest: longestCut},
-	{name: "two halves", strike: (*simSite).split, longest: longestCut},
-	{name: "flapping", strike: (*simSite).flap, longest: longestCut},
-	{name: "slow paths", strike: (*simSite).slowPaths},
-	{name: "disk full", strike: (*simSite).fillDisk},
-	{name: "disk failing", strike: (*simSite).failDisk},
-	{name: "disk stalled", strike: (*simSite).stallDisk},
-	{name: "disk slow", strike: (*simSite).slowDisk},
-	{name: "planned leaving in a cut", strike: (*simSite).leaveInCut, longest: longestCut},
-}
-
-// simEnd ends a trouble at its time.
-type simEnd struct {
+// simFault is a kind of fault.
+type simFault struct {
+	name string
+	// inject injects the fault. It returns the function that ends the fault, or nil if nothing remains to be ended.
+	inject func(s *simSite, target *simMachine) (end func())
+	// maxDuration bounds the duration of the fault. Zero stands for maxOutage.
+	maxDuration time.Duration
+}
+
+// simFaults lists the faults that are drawn with equal probability. A kind that is listed twice is drawn twice as often.
+var simFaults = []simFault{
+	{name: "kill", inject: (*simSite).kill},
+	{name: "power", inject: (*simSite).losePower},
+	{name: "all controllers killed", inject: (*simSite).killCores},
+	{name: "power loss of all controllers", inject: (*simSite).powerOffCores},
+	{name: "power loss of all machines", inject: (*simSite).powerOffAll},
+	{name: "disk lost", inject: (*simSite).wipe},
+	{name: "disks lost, power loss of all others", inject: (*simSite).wipeAndPowerOff},
+	{name: "partitioned, then the disk of another is lost", inject: (*simSite).wipeDuringPartition, maxDuration: maxPartition},
+	{name: "replaced", inject: (*simSite).replace},
+	{name: "planned replacement", inject: (*simSite).replacePlanned},
+	{name: "stopped and started", inject: (*simSite).restart},
+	{name: "partitioned from all", inject: (*simSite).partitionFromAll, maxDuration: maxPartition},
+	{name: "partitioned from all", inject: (*simSite).partitionFromAll, maxDuration: maxPartition},
+	{name: "partitioned from the controllers", inject: (*simSite).partitionFromCores, maxDuration: maxPartition},
+	{name: "inbound blocked", inject: (*simSite).blockInbound, maxDuration: maxPartition},
+	{name: "outbound blocked", inject: (*simSite).blockOutbound, maxDuration: maxPartition},
+	{name: "two halves", inject: (*simSite).splitCores, maxDuration: maxPartition},
+	{name: "flapping", inject: (*simSite).flap, maxDuration: maxPartition},
+	{name: "slow paths", inject: (*simSite).slowPaths},
+	{name: "disk full", inject: (*simSite).fillDisk},
+	{name: "disk failing", inject: (*simSite).failDisk},
+	{name: "disk stalled", inject: (*simSite).stallDisk},
+	{name: "disk slow", inject: (*simSite).slowDisk},
+	{name: "planned stop during a partition", inject: (*simSite).leaveDuringPartition, maxDuration: maxPartition},
+}
+
+// simRecovery is the scheduled end of a fault.
+type simRecovery struct {
 	at  time.Time
 	act func()
 }
 
-// befall has troubles strike until the context is done, some right after an acknowledgement, and then ends all of them.
-func (s *simSite) befall(ctx context.Context, kinds []simTrouble) {
-	var ends []simEnd
-	strikeAt := time.Now()
+// injectFaults injects random faults until ctx is done, some of them right after an acknowledgement. It then ends all of them.
+func (s *simSite) injectFaults(ctx context.Context, faults []simFault) {
+	var recoveries []simRecovery
+	injectAt := time.Now()
 	for {
-		next := strikeAt
-		for _, end := range ends {
-			if end.at.Before(next) {
-				next = end.at
+		next := injectAt
+		for _, recovery := range recoveries {
+			if recovery.at.Before(next) {
+				next = recovery.at
 			}
 		}
-		alive := pause.For(ctx, max(0, time.Until(next)))
-		ends = s.endDue(ends, !alive)
-		if !alive {
+		running := pause.For(ctx, max(0, time.Until(next)))
+		recoveries = s.recoverDue(recoveries, !running)
+		if !running {
 			return
 		}
-		if time.Now().Before(strikeAt) {
+		if time.Now().Before(injectAt) {
 			continue
 		}
 		if s.chance(0.4) {
 			s.awaitAck(ctx)
 		}
-		if end, lasting := s.strike(kinds[s.number(len(kinds))]); lasting {
-			ends = append(ends, end)
+		if recovery, lasting := s.injectFault(faults[s.randomInt(len(faults))]); lasting {
+			recoveries = append(recoveries, recovery)
 		}
-		strikeAt = time.Now().Add(s.between(0, longestRestBetween))
+		injectAt = time.Now().Add(s.randomDuration(0, maxPauseBetweenFaults))
 	}
 }
 
-// endDue ends the troubles whose time has come, or all, and returns the others.
-func (s *simSite) endDue(ends []simEnd, all bool) []simEnd {
-	var left []simEnd
-	for _, end := range ends {
-		if all || !end.at.After(time.Now()) {
-			end.act()
+// recoverDue ends the faults that are due, or all of them, and returns the remaining ones.
+func (s *simSite) recoverDue(recoveries []simRecovery, all bool) []simRecovery {
+	var remaining []simRecovery
+	for _, recovery := range recoveries {
+		if all || !recovery.at.After(time.Now()) {
+			recovery.act()
 		} else {
-			left = append(left, end)
+			remaining = append(remaining, recovery)
 		}
 	}
-	return left
+	return remaining
 }
 
-func (s *simSite) strike(trouble simTrouble) (simEnd, bool) {
-	cores := s.present()
-	hit := cores[s.number(len(cores))]
-	s.logf("-- %s: %s", trouble.name, hit.settings.NodeName)
-	act := trouble.strike(s, hit)
+// injectFault injects a fault on a random machine. It reports whether the fault lasts until its recovery.
+func (s *simSite) injectFault(fault simFault) (simRecovery, bool) {
+	cores := s.currentCores()
+	target := cores[s.randomInt(len(cores))]
+	s.logf("-- %s: %s", fault.name, target.settings.NodeName)
+	act := fault.inject(s, target)
 	if act == nil {
-		return simEnd{}, false
+		return simRecovery{}, false
 	}
-	longest := trouble.longest
-	if longest == 0 {
-		longest = longestOutage
+	maxDuration := fault.maxDuration
+	if maxDuration == 0 {
+		maxDuration = maxOutage
 	}
-	return simEnd{at: time.Now().Add(s.between(0, longest)), act: func() {
-		s.logf("-- end of %s: %s", trouble.name, hit.settings.NodeName)
+	return simRecovery{at: time.Now().Add(s.randomDuration(0, maxDuration)), act: func() {
+		s.logf("-- end of %s: %s", fault.name, target.settings.NodeName)
 		act()
 	}}, true
 }
 
-// awaitAck waits for an acknowledgement, and a moment after it.
+// awaitAck waits for an acknowledgement and for a short random time after it.
 func (s *simSite) awaitAck(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, longestAckWait)
+	ctx, cancel := context.WithTimeout(ctx, maxAckWait)
 	defer cancel()
 	select {
 	case <-s.acked:
-		pause.For(ctx, s.between(0, longestAckStrike))
+		pause.For(ctx, s.randomDuration(0, maxDelayAfterAck))
 	case <-ctx.Done():
 	}
 }
 
-func (s *simSite) kill(hit *simMachine) func() {
-	s.endCore(hit, (*live.Machine).Kill)
-	return func() { s.startCore(hit) }
+// kill kills the process of a machine.
+func (s *simSite) kill(target *simMachine) func() {
+	s.crashCore(target, (*live.Machine).Kill)
+	return func() { s.startCore(target) }
 }
 
-func (s *simSite) losePower(hit *simMachine) func() {
-	s.endCore(hit, (*live.Machine).LosePower)
-	return func() { s.startCore(hit) }
+// losePower cuts the power of a machine.
+func (s *simSite) losePower(target *simMachine) func() {
+	s.crashCore(target, (*live.Machine).LosePower)
+	return func() { s.startCore(target) }
 }
 
+// startAll returns a function that starts the machines.
 func (s *simSite) startAll(cores []*simMachine) func() {
 	return func() {
 		for _, m := range cores {
@@ -156,34 +161,37 @@
 	}
 }
 
+// killCores kills the processes of all core machines.
 func (s *simSite) killCores(*simMachine) func() {
-	cores := s.present()
+	cores := s.currentCores()
 	for _, m := range cores {
-		s.endCore(m, (*live.Machine).Kill)
+		s.crashCore(m, (*live.Machine).Kill)
 	}
 	return s.startAll(cores)
 }
 
-func (s *simSite) darkenCores(*simMachine) func() {
-	cores := s.present()
+// powerOffCores cuts the power of all core machines.
+func (s *simSite) powerOffCores(*simMachine) func() {
+	cores := s.currentCores()
 	for _, m := range cores {
-		s.endCore(m, (*live.Machine).LosePower)
+		s.crashCore(m, (*live.Machine).LosePower)
 	}
 	return s.startAll(cores)
 }
 
-func (s *simSite) darkenAll(hit *simMachine) func() {
-	startCores, startFrontends := s.darkenCores(hit), s.darkenFrontends()
+// powerOffAll cuts the power of all core and frontend machines.
+func (s *simSite) powerOffAll(target *simMachine) func() {
+	startCores, startFrontends := s.powerOffCores(target), s.powerOffFrontends()
 	return func() {
 		startCores()
 		startFrontends()
 	}
 }
 
-// darkenFrontends takes the power of all frontend machines, and returns what gives it back.
-func (s *simSite) darkenFrontends() func() {
+// powerOffFrontends cuts the power of all frontend machines and returns the function that restores it.
+func (s *simSite) powerOffFrontends() func() {
 	for _, m := range s.frontends {
-		s.endFrontend(m, (*live.Machine).LosePower)
+		s.crashFrontend(m, (*live.Machine).LosePower)
 	}
 	return func() {
 		for _, m := range s.frontends {
@@ -192,99 +200,103 @@
 	}
 }
 
-// mayLose reports whether so many more disks may be lost: no more are than the site bears, as far as the set has not yet got
-// others in their place, and a majority of each set is left.
-func (s *simSite) mayLose(count int) bool {
-	newest := s.newestValue()
+// canLoseDisks reports whether the site tolerates the loss of count more disks. In the current set of replicas and in the previous
+// one, no more disks than the tolerance may be missing, and a majority must remain. A lost disk no longer counts once the set has a
+// replacement for it.
+func (s *simSite) canLoseDisks(count int) bool {
+	newest := s.newestChosenValue()
 	existing := s.existingDisks()
 	for _, set := range [][]register.Replica{newest.Replicas, newest.Previous} {
-		here := existingOf(set, existing)
-		missing := len(set) - here
-		if len(set) > 0 && (missing+count > s.tolerance || 2*(here-count) <= len(set)) {
+		remaining := countExisting(set, existing)
+		missing := len(set) - remaining
+		if len(set) > 0 && (missing+count > s.tolerance || 2*(remaining-count) <= len(set)) {
 			return false
 		}
 	}
 	return len(newest.Replicas) > 0
 }
 
-func (s *simSite) wipe(hit *simMachine) func() {
-	if !s.mayLose(1) {
+// wipe destroys the disk of a machine if the site tolerates it.
+func (s *simSite) wipe(target *simMachine) func() {
+	if !s.canLoseDisks(1) {
 		return nil
 	}
-	s.logf("disk of %s is lost", hit.settings.NodeName)
-	s.endCore(hit, (*live.Machine).Wipe)
-	return func() { s.startCore(hit) }
+	s.logf("disk of %s is lost", target.settings.NodeName)
+	s.crashCore(target, (*live.Machine).Wipe)
+	return func() { s.startCore(target) }
 }
 
-// wipeAndDarken has as many disks lost as the site bears while all other machines lose power.
-func (s *simSite) wipeAndDarken(hit *simMachine) func() {
-	if !s.mayLose(s.tolerance) {
+// wipeAndPowerOff destroys as many disks as the site tolerates and cuts the power of all other machines.
+func (s *simSite) wipeAndPowerOff(target *simMachine) func() {
+	if !s.canLoseDisks(s.tolerance) {
 		return nil
 	}
-	cores := s.present()
-	first := slices.Index(cores, hit)
+	cores := s.currentCores()
+	first := slices.Index(cores, target)
 	for i := range cores {
 		m := cores[(first+i)%len(cores)]
 		if i < s.tolerance {
 			s.logf("disk of %s is lost", m.settings.NodeName)
-			s.endCore(m, (*live.Machine).Wipe)
+			s.crashCore(m, (*live.Machine).Wipe)
 		} else {
-			s.endCore(m, (*live.Machine).LosePower)
+			s.crashCore(m, (*live.Machine).LosePower)
 		}
 	}
-	startFrontends := s.darkenFrontends()
+	startFrontends := s.powerOffFrontends()
 	return func() {
 		s.startAll(cores)()
 		startFrontends()
 	}
 }
 
-// wipeBesideCut has a machine miss changes behind a cut; then another loses its disk and the rest are dark for a while.
-func (s *simSite) wipeBesideCut(hit *simMachine) func() {
-	heal := s.cutFromCores(hit)
-	pause.For(s.ended, s.between(time.Second, longestOutage))
-	others := lo.Without(s.present(), hit)
-	if !s.mayLose(1) || len(others) == 0 {
+// wipeDuringPartition makes a machine miss changes in a partition. Then another machine loses its disk and restarts, and the rest
+// are without power until the fault ends.
+func (s *simSite) wipeDuringPartition(target *simMachine) func() {
+	heal := s.partitionFromCores(target)
+	pause.For(s.ctx, s.randomDuration(time.Second, maxOutage))
+	others := lo.Without(s.currentCores(), target)
+	if !s.canLoseDisks(1) || len(others) == 0 {
 		return heal
 	}
 	s.logf("disk of %s is lost", others[0].settings.NodeName)
-	s.endCore(others[0], (*live.Machine).Wipe)
+	s.crashCore(others[0], (*live.Machine).Wipe)
 	for _, m := range others[1:] {
-		s.endCore(m, (*live.Machine).LosePower)
+		s.crashCore(m, (*live.Machine).LosePower)
 	}
 	s.startCore(others[0])
 	heal()
 	return s.startAll(others)
 }
 
-// replace removes a machine for good; an empty one comes a second later at another address.
-func (s *simSite) replace(hit *simMachine) func() {
-	if !s.mayLose(1) || len(s.cores) >= mostCores {
+// replace removes a machine for good. A new one with an empty disk starts a second later at another address.
+func (s *simSite) replace(target *simMachine) func() {
+	if !s.canLoseDisks(1) || len(s.cores) >= maxCores {
 		return nil
 	}
-	s.endCore(hit, (*live.Machine).Wipe)
-	s.remove(hit)
-	pause.For(s.ended, time.Second)
+	s.crashCore(target, (*live.Machine).Wipe)
+	s.remove(target)
+	pause.For(s.ctx, time.Second)
 	s.startCore(s.addCore(false))
 	return nil
 }
 
-// replaceByPlan starts a new machine first, and then stops the one that it replaces for good.
-func (s *simSite) replaceByPlan(hit *simMachine) func() {
-	if len(s.cores) >= mostCores {
+// replacePlanned starts a new machine first, and then stops and removes the one that it replaces.
+func (s *simSite) replacePlanned(target *simMachine) func() {
+	if len(s.cores) >= maxCores {
 		return nil
 	}
 	s.startCore(s.addCore(false))
-	pause.For(s.ended, s.between(200*time.Millisecond, 2*time.Second))
-	if !s.mayLose(1) {
-		return nil // others are lost by now: it stays
+	pause.For(s.ctx, s.randomDuration(200*time.Millisecond, 2*time.Second))
+	if !s.canLoseDisks(1) {
+		return nil // too many other disks are lost by now, so this machine stays
 	}
-	s.terminate(hit)
-	s.endCore(hit, (*live.Machine).Wipe)
-	s.remove(hit)
+	s.terminate(target)
+	s.crashCore(target, (*live.Machine).Wipe)
+	s.remove(target)
 	return nil
 }
 
+// remove marks a machine as removed for good.
 func (s *simSite) remove(m *simMachine) {
 	s.logf("%s is removed", m.settings.NodeName)
 	s.mutex.Lock()
@@ -293,13 +305,14 @@
 	m.removedAt = time.Now()
 }
 
-func (s *simSite) restart(hit *simMachine) func() {
-	s.terminate(hit)
-	return func() { s.startCore(hit) }
+// restart terminates the process of a machine and starts it again at the end of the fault.
+func (s *simSite) restart(target *simMachine) func() {
+	s.terminate(target)
+	return func() { s.startCore(target) }
 }
 
-// cut holds up what goes between two groups, each way or one way.
-func (s *simSite) cut(from, to []string, bothWays bool) func() {
+// block blocks the traffic from one group of addresses to another, or in both directions.
+func (s *simSite) block(from, to []string, bothWays bool) func() {
 	change := func(act func(from, to string)) {
 		for _, a := range from {
 			for _, b := range to {
@@ -317,54 +330,59 @@
 	return func() { change(s.network.Heal) }
 }
 
+// addressesOf returns the IP addresses of machines.
 func addressesOf(machines []*simMachine) []string {
 	return lo.Map(machines, func(m *simMachine, _ int) string { return m.machine.IP() })
 }
 
-// inner are the addresses of all machines of the system, and those of the platform and its workers.
-func (s *simSite) inner() []string {
-	inner := append(addressesOf(s.present()), addressesOf(s.frontends)...)
-	inner = append(inner, simPlatform)
-	return append(inner, lo.Map(s.platform.workers, func(w *simWorker, _ int) string { return w.ip })...)
+// systemAddresses returns the addresses of the core and frontend machines, the platform and its workers.
+func (s *simSite) systemAddresses() []string {
+	addresses := append(addressesOf(s.currentCores()), addressesOf(s.frontends)...)
+	addresses = append(addresses, simPlatformIP)
+	return append(addresses, lo.Map(s.platform.workers, func(w *simWorker, _ int) string { return w.ip })...)
 }
 
-func (s *simSite) cutFromAll(hit *simMachine) func() {
-	return s.cut([]string{hit.machine.IP()}, s.inner(), true)
+// partitionFromAll blocks all traffic of a core machine with the rest of the system.
+func (s *simSite) partitionFromAll(target *simMachine) func() {
+	return s.block([]string{target.machine.IP()}, s.systemAddresses(), true)
 }
 
-func (s *simSite) cutFromCores(hit *simMachine) func() {
-	return s.cut([]string{hit.machine.IP()}, addressesOf(s.present()), true)
+// partitionFromCores blocks the traffic between a core machine and the other core machines.
+func (s *simSite) partitionFromCores(target *simMachine) func() {
+	return s.block([]string{target.machine.IP()}, addressesOf(s.currentCores()), true)
 }
 
-func (s *simSite) cutInbound(hit *simMachine) func() {
-	return s.cut(addressesOf(s.present()), []string{hit.machine.IP()}, false)
+// blockInbound blocks the traffic from the other core machines to one of them.
+func (s *simSite) blockInbound(target *simMachine) func() {
+	return s.block(addressesOf(s.currentCores()), []string{target.machine.IP()}, false)
 }
 
-func (s *simSite) cutOutbound(hit *simMachine) func() {
-	return s.cut([]string{hit.machine.IP()}, addressesOf(s.present()), false)
+// blockOutbound blocks the traffic from one core machine to the others.
+func (s *simSite) blockOutbound(target *simMachine) func() {
+	return s.block([]string{target.machine.IP()}, addressesOf(s.currentCores()), false)
 }
 
-// split cuts the core into two halves, which all others reach.
-func (s *simSite) split(*simMachine) func() {
-	cores := addressesOf(s.present())
+// splitCores blocks the traffic between two halves of the core machines. All other machines still reach both halves.
+func (s *simSite) splitCores(*simMachine) func() {
+	cores := addressesOf(s.currentCores())
 	s.mutex.Lock()
 	s.random.Shuffle(len(cores), func(i, j int) { cores[i], cores[j] = cores[j], cores[i] })
 	s.mutex.Unlock()
 	half := len(cores) / 2
-	return s.cut(cores[:half], cores[half:], true)
+	return s.block(cores[:half], cores[half:], true)
 }
 
-// flap cuts a machine off and joins it again, by turns.
-func (s *simSite) flap(hit *simMachine) func() {
-	ctx, stop := context.WithCancel(s.ended)
+// flap partitions a machine from the other core machines and reconnects it, in turns of random length.
+func (s *simSite) flap(target *simMachine) func() {
+	ctx, stop := context.WithCancel(s.ctx)
 	flapped := make(chan struct{})
 	go func() {
 		defer close(flapped)
 		for ctx.Err() == nil {
-			heal := s.cutFromCores(hit)
-			pause.For(ctx, s.between(0, flapSpan))
+			heal := s.partitionFromCores(target)
+			pause.For(ctx, s.randomDuration(0, maxFlapPhase))
 			heal()
-			pause.For(ctx, s.between(0, flapSpan))
+			pause.For(ctx, s.randomDuration(0, maxFlapPhase))
 		}
 	}()
 	return func() {
@@ -373,47 +391,52 @@
 	}
 }
 
-func (s *simSite) slowPaths(hit *simMachine) func() {
+// slowPaths delays the traffic between a core machine and the others.
+func (s *simSite) slowPaths(target *simMachine) func() {
 	change := func(by time.Duration) {
-		for _, other := range addressesOf(s.present()) {
-			s.network.Slow(hit.machine.IP(), other, by)
-			s.network.Slow(other, hit.machine.IP(), by)
+		for _, other := range addressesOf(s.currentCores()) {
+			s.network.Slow(target.machine.IP(), other, by)
+			s.network.Slow(other, target.machine.IP(), by)
 		}
 	}
-	change(slowPath)
+	change(slowPathDelay)
 	return func() { change(0) }
 }
 
-func (s *simSite) fillDisk(hit *simMachine) func() {
-	hit.machine.Disk().Full(true)
-	return func() { hit.machine.Disk().Full(false) }
+// fillDisk makes the writes of a machine fail for lack of space.
+func (s *simSite) fillDisk(target *simMachine) func() {
+	target.machine.Disk().Full(true)
+	return func() { target.machine.Disk().Full(false) }
 }
 
-func (s *simSite) failDisk(hit *simMachine) func() {
-	hit.machine.Disk().Failing(true)
-	return func() { hit.machine.Disk().Failing(false) }
+// failDisk makes the syncs of a machine's disk fail.
+func (s *simSite) failDisk(target *simMachine) func() {
+	target.machine.Disk().Failing(true)
+	return func() { target.machine.Disk().Failing(false) }
 }
 
-func (s *simSite) stallDisk(hit *simMachine) func() {
-	hit.machine.Disk().Stall()
-	return hit.machine.Disk().Resume
+// stallDisk blocks the disk operations of a machine.
+func (s *simSite) stallDisk(target *simMachine) func() {
+	target.machine.Disk().Stall()
+	return target.machine.Disk().Resume
 }
 
-func (s *simSite) slowDisk(hit *simMachine) func() {
-	hit.machine.Disk().Slow(slowStep)
-	return func() { hit.machine.Disk().Slow(0) }
+// slowDisk delays the disk operations of a machine.
+func (s *simSite) slowDisk(target *simMachine) func() {
+	target.machine.Disk().Slow(slowDiskDelay)
+	return func() { target.machine.Disk().Slow(0) }
 }
 
-// leaveInCut stops a machine as planned work does while another is cut off.
-func (s *simSite) leaveInCut(hit *simMachine) func() {
-	others := lo.Without(s.present(), hit)
+// leaveDuringPartition terminates the process of a machine, as planned maintenance does, while another machine is partitioned.
+func (s *simSite) leaveDuringPartition(target *simMachine) func() {
+	others := lo.Without(s.currentCores(), target)
 	if len(others) == 0 {
 		return nil
 	}
-	heal := s.cutFromAll(others[s.number(len(others))])
-	s.terminate(hit)
+	heal := s.partitionFromAll(others[s.randomInt(len(others))])
+	s.terminate(target)
 	return func() {
 		heal()
-		s.startCore(hit)
+		s.startCore(target)
 	}
 }
--- a/internal/controller/simulation_workers_test.go
+++ b/internal/controller/simulation_workers_test.go
@@ -9,10 +9,10 @@
 	"weldscale/internal/fleetwire"
 )
 
-// simPlatformList is the platform: it tells the list of workers.
-type simPlatformList struct{ workers []*simWorker }
+// simPlatformAPI simulates the platform's API, which returns the list of workers.
+type simPlatformAPI struct{ workers []*simWorker }
 
-func (p *simPlatformList) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (p *simPlatformAPI) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	var list []map[string]any
 	for _, worker := range p.workers {
 		list = append(list, worker.entry())
@@ -20,7 +20,7 @@
 	_ = json.NewEncoder(w).Encode(map[string]any{"Instances": list, "NextPageToken": nil})
 }
 
-// simWorker takes orders of stages and checks who gives them.
+// simWorker simulates a worker that changes its stage by orders. It checks the holder and the fencing token of each order.
 type simWorker struct {
 	site *simSite
 	ip   string
@@ -32,6 +32,7 @@
 	holder   string
 }
 
+// entry returns the worker's entry in the list of the platform.
 func (w *simWorker) entry() map[string]any {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -58,7 +59,7 @@
 		answer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	w.site.checks.ordered(w, order.Holder, order.FenceToken)
+	w.site.checks.checkOrder(w, order.Holder, order.FenceToken)
 	w.token, w.holder = order.FenceToken, order.Holder
 	w.stage = order.Stage
 	w.sequence++
