--- a/coordination/register/model_test.go
+++ b/coordination/register/model_test.go
@@ -19,101 +19,102 @@
 	"weldscale/coordination/sim"
 )
 
-// faultsOfReplicas are mistakes that the checks have to catch.
-type faultsOfReplicas struct {
-	answersBeforeSync bool
-	keepsIdentity     bool // a wiped replica comes back under its old identity
-	skipsJoint        bool // a set changes in one step, with the majority of the old one or the new one alone
+// replicaDefects are implementation errors that the checks must detect.
+type replicaDefects struct {
+	repliesBeforeSync bool
+	keepsIdentity     bool // a wiped replica restarts under its old identity
+	skipsJoint        bool // a reconfiguration takes one step, without a joint set that needs both majorities
 }
 
 const (
-	modelFounders = 3
-	modelMost     = 5 // processes
-	modelTarget   = 3
-	retryOdds     = 4 // one in so many tries again at once
-	mostHostile   = 20
-	modelSteps    = 2500
-	calmTurn      = 500 // steps
-	calmTurns     = 8   // of each node
-	maxInFlight   = 40
-	checkTimeout  = 20 * time.Second
+	modelFounders       = 3
+	modelMaxNodes       = 5 // processes
+	modelTarget         = 3
+	immediateRetryOneIn = 4  // one retry in so many has no backoff
+	maxFaultRate        = 20 // faults in a thousand steps
+	modelSteps          = 2500
+	recoveryTurnSteps   = 500 // steps in which one node alone may propose
+	recoveryTurns       = 8   // turns of each node
+	maxInFlight         = 40
+	checkTimeout        = 20 * time.Second
 )
 
-// envelope is a request or a reply on its way.
+// envelope is a request or a reply in flight.
 type envelope struct {
-	to      int // node
-	life    int // of the node that a reply goes to
-	request *Request
-	from    int // node that a reply to the request goes to
-	reply   *Reply
-	asked   *operation // that sent the request
+	to          int // index of the receiving node
+	incarnation int // incarnation of the node that gets the reply
+	request     *Request
+	from        int // index of the node that sent the request
+	reply       *Reply
+	operation   *operation // operation that sent the request
 }
 
 // modelNode is a process with a disk.
 type modelNode struct {
-	at      int
-	address string
-	id      string
-	lives   int
+	at          int
+	address     string
+	id          string
+	incarnation int
 
-	machine *sim.Machine // for its disk
-	disk    Disk         // of the present life
+	machine *sim.Machine // simulates the disk
+	disk    Disk         // state of the current incarnation
 
-	up       bool
-	acceptor *Acceptor
-	chosen   Accepted
-	ballots  *BallotGenerator
-	step     *Step // waits for the disk
-	stepOf   envelope
+	up           bool
+	acceptor     *Acceptor
+	chosen       Accepted
+	ballots      *BallotGenerator
+	step         *Step    // waiting for the disk
+	stepEnvelope envelope // request of step
 
 	operation *operation
 }
 
-// operation is an append, a read or a step of the set under way.
+// operation is an append, a read or a step of a reconfiguration in progress.
 type operation struct {
-	proposer *Proposer
-	reader   *Reader
-	record   int // index into the history; -1 for a step of the set
-}
-
-// record is an operation as its client saw it.
-type record struct {
-	client         int
-	called, ended  int64
-	id             string // empty for a read
-	seen           string
-	finished, void bool // void: it failed for certain, or it is a read without an answer
-}
-
-type world struct {
-	draw      func(n int) int
-	disks     *sim.World
-	founders  []Replica
-	hostility int  // of a thousand steps, those that are faults
-	keeps     bool // nodes write chosen values that they were not asked to accept
-	faults    faultsOfReplicas
-	nodes     []*modelNode
-	flying    []envelope
-	history   []record
-	clock     int64
-	proposers uint64
-	names     int
-	wipes     int
-	calm      bool // no more faults, and one proposer at a time
-	turn      int  // whose turn it is then
-
-	accepts map[Ballot]map[string]bool
-	values  map[Ballot]Value
-	chosen  []Accepted // all ballots that were chosen, in the order of the moments
-	newest  Accepted
-	broken  string
-}
-
-func newWorld(draw func(n int) int, faults faultsOfReplicas) *world {
-	w := &world{draw: draw, faults: faults, accepts: map[Ballot]map[string]bool{}, values: map[Ballot]Value{}}
+	proposer     *Proposer
+	reader       *Reader
+	historyIndex int // index into the history, or -1 for a reconfiguration
+}
+
+// historyEntry is an operation as observed by its client.
+type historyEntry struct {
+	client             int
+	called, ended      int64
+	id                 string // empty for a read
+	result             string
+	finished, excluded bool // excluded: it certainly had no effect, or it is a read without a result
+}
+
+// modelWorld is a simulated register with its nodes, disks and network, and the checks on it.
+type modelWorld struct {
+	draw          func(n int) int
+	disks         *sim.World
+	founders      []Replica
+	faultRate     int  // faults in a thousand steps
+	catchesUp     bool // nodes write chosen values that they did not accept
+	defects       replicaDefects
+	nodes         []*modelNode
+	inFlight      []envelope
+	history       []historyEntry
+	clock         int64
+	proposerCount uint64
+	diskCount     int
+	wipeCount     int
+	recovering    bool // no faults, and one proposer at a time
+	turn          int  // index of the node that may propose while recovering
+
+	acceptedBy map[Ballot]map[string]bool // identities that have accepted the value of a ballot
+	values     map[Ballot]Value
+	chosen     []Accepted // all chosen values, in the order in which they were chosen
+	newest     Accepted   // chosen value with the highest ballot
+	violation  string     // rule that was violated, empty if none
+}
+
+func newModelWorld(draw func(n int) int, defects replicaDefects) *modelWorld {
+	w := &modelWorld{draw: draw, defects: defects, acceptedBy: map[Ballot]map[string]bool{}, values: map[Ballot]Value{}}
 	w.disks = sim.New(uint64(draw(math.MaxInt)))
-	w.hostility = 1 + draw(mostHostile)
-	for at := range modelFounders + draw(modelMost-modelFounders+1) {
+	w.faultRate = 1 + draw(maxFaultRate)
+	for at := range modelFounders + draw(modelMaxNodes-modelFounders+1) {
 		address := fmt.Sprintf("node%d", at)
 		n := &modelNode{at: at, address: address, machine: w.disks.AddMachine(address)}
 		n.id = w.newID()
@@ -130,24 +131,24 @@
 	return w
 }
 
-func (w *world) newID() string {
-	w.names++
-	return fmt.Sprintf("disk%d", w.names)
+func (w *modelWorld) newID() string {
+	w.diskCount++
+	return fmt.Sprintf("disk%d", w.diskCount)
 }
 
-func (w *world) start(n *modelNode) {
+func (w *modelWorld) start(n *modelNode) {
 	n.disk = NewDisk(n.files())
 	acceptor, err := n.disk.Load(n.address)
 	if acceptor == nil && err == nil {
-		acceptor, err = n.disk.Initialize(n.id, n.address, w.firstSet(n))
+		acceptor, err = n.disk.Initialize(n.id, n.address, w.founderSet(n))
 	}
 	if err != nil {
-		return // the disk is full or fails
+		return // the disk is full or failed
 	}
 	n.up = true
-	n.lives++
-	w.proposers++
-	n.ballots = NewBallotGenerator(w.proposers)
+	n.incarnation++
+	w.proposerCount++
+	n.ballots = NewBallotGenerator(w.proposerCount)
 	n.chosen = Accepted{}
 	n.step, n.operation = nil, nil
 	n.acceptor = acceptor
@@ -155,12 +156,12 @@
 	if accepted.Ballot == genesisBallot {
 		n.chosen = accepted
 	} else if genesisBallot.Less(accepted.Ballot) {
-		w.noteAccept(n.id, accepted) // a write that was reported as failed may have reached the disk
+		w.recordAccept(n.id, accepted) // a write that was reported as failed may have reached the disk
 	}
 }
 
-// firstSet is what an empty disk is marked with.
-func (w *world) firstSet(n *modelNode) []Replica {
+// founderSet returns the founders that are written to an empty disk.
+func (w *modelWorld) founderSet(n *modelNode) []Replica {
 	if n.id != FounderID(n.address) {
 		return nil
 	}
@@ -189,54 +190,54 @@
 	}
 }
 
-// wipe takes a disk away.
-func (w *world) wipe(n *modelNode) {
+// wipe replaces the disk of a node by an empty one.
+func (w *modelWorld) wipe(n *modelNode) {
 	n.up = false
-	w.wipes++
+	w.wipeCount++
 	n.machine.Wipe()
-	if !w.faults.keepsIdentity {
+	if !w.defects.keepsIdentity {
 		n.id = w.newID()
 	}
 }
 
-// mayWipe reports whether nothing else is lost: every disk is in the set that is chosen.
-func (w *world) mayWipe() bool {
+// allDisksInSet reports whether every disk is in the newest chosen set, so that no other disk loss is pending.
+func (w *modelWorld) allDisksInSet() bool {
 	set := w.newest.Value
 	return !set.Joint() && len(set.Replicas) == len(w.nodes) &&
 		lo.EveryBy(w.nodes, func(n *modelNode) bool { return set.HasReplica(n.id) })
 }
 
-func (w *world) node(address string) int {
+func (w *modelWorld) indexOf(address string) int {
 	return slices.IndexFunc(w.nodes, func(n *modelNode) bool { return n.address == address })
 }
 
-func (w *world) send(n *modelNode, messages []Message) {
+func (w *modelWorld) send(n *modelNode, messages []Message) {
 	for _, message := range messages {
 		request := message.Request
-		w.fly(envelope{to: w.node(message.To.Address), from: n.at, life: n.lives, request: &request, asked: n.operation})
+		w.enqueue(envelope{to: w.indexOf(message.To.Address), from: n.at, incarnation: n.incarnation, request: &request, operation: n.operation})
 	}
 }
 
-func (w *world) fly(e envelope) {
-	if len(w.flying) >= maxInFlight {
-		w.flying = slices.Delete(w.flying, 0, 1)
+func (w *modelWorld) enqueue(e envelope) {
+	if len(w.inFlight) >= maxInFlight {
+		w.inFlight = slices.Delete(w.inFlight, 0, 1)
 	}
-	w.flying = append(w.flying, e)
+	w.inFlight = append(w.inFlight, e)
 }
 
-func (w *world) deliver(e envelope) {
+func (w *modelWorld) deliver(e envelope) {
 	n := w.nodes[e.to]
 	switch {
 	case !n.up:
-	case e.reply != nil && e.reply.Kind == Query && e.asked != n.operation: // a read is given replies to its own questions only
-	case e.reply != nil && e.life == n.lives:
-		w.takeReply(n, *e.reply)
+	case e.reply != nil && e.reply.Kind == Query && e.operation != n.operation: // a Reader must get replies to its own messages only
+	case e.reply != nil && e.incarnation == n.incarnation:
+		w.handleReply(n, *e.reply)
 	case e.request != nil:
-		w.takeRequest(n, e)
+		w.handleRequest(n, e)
 	}
 }
 
-func (w *world) takeRequest(n *modelNode, e envelope) {
+func (w *modelWorld) handleRequest(n *modelNode, e envelope) {
 	request := *e.request
 	switch request.Kind {
 	case Commit:
@@ -246,10 +247,10 @@
 	case FetchChosen:
 		value := n.chosen.Value
 		reply := Reply{Kind: FetchChosen, From: n.self(), Accepted: n.chosen.Ballot, Value: &value}
-		w.fly(envelope{to: e.from, life: e.life, reply: &reply})
+		w.enqueue(envelope{to: e.from, incarnation: e.incarnation, reply: &reply})
 	default:
 		if n.step != nil {
-			w.fly(e) // it waits for the disk
+			w.enqueue(e) // it waits until the disk is free
 			return
 		}
 		step := n.acceptor.Begin(request)
@@ -257,60 +258,61 @@
 			w.reply(n, e, step.Reply)
 			return
 		}
-		n.step, n.stepOf = &step, e
-		if w.faults.answersBeforeSync {
+		n.step, n.stepEnvelope = &step, e
+		if w.defects.repliesBeforeSync {
 			n.files().LosesSyncs = true
 			w.write(n)
 		}
 	}
 }
 
-func (w *world) reply(n *modelNode, to envelope, reply Reply) {
+func (w *modelWorld) reply(n *modelNode, to envelope, reply Reply) {
 	reply.Chosen = n.chosen.Ballot
-	w.fly(envelope{to: to.from, life: to.life, reply: &reply, asked: to.asked})
+	w.enqueue(envelope{to: to.from, incarnation: to.incarnation, reply: &reply, operation: to.operation})
 }
 
-// write lets the disk of a node take the write that waits.
-func (w *world) write(n *modelNode) {
+// write performs the pending write of a node.
+func (w *modelWorld) write(n *modelNode) {
 	step := *n.step
 	n.step = nil
 	if refusal := n.disk.Write(step.Write); refusal != NoRefusal {
-		w.reply(n, n.stepOf, n.acceptor.Abandon(step, refusal))
+		w.reply(n, n.stepEnvelope, n.acceptor.Abandon(step, refusal))
 		return
 	}
 	reply := n.acceptor.Finish(step)
 	if step.Write.Accepted != nil {
-		w.noteAccept(n.id, *step.Write.Accepted)
+		w.recordAccept(n.id, *step.Write.Accepted)
 	}
-	w.reply(n, n.stepOf, reply)
+	w.reply(n, n.stepEnvelope, reply)
 }
 
-// keep has a node write the chosen value that it knows, whatever it has promised.
-func (w *world) keep(n *modelNode) {
+// catchUp begins to write the chosen value that a node knows to its disk, whatever the node has promised.
+func (w *modelWorld) catchUp(n *modelNode) {
 	if step := n.acceptor.Learn(n.chosen); step.Write != nil {
-		n.step, n.stepOf = &step, envelope{to: n.at, from: n.at, life: n.lives}
+		n.step, n.stepEnvelope = &step, envelope{to: n.at, from: n.at, incarnation: n.incarnation}
 	}
 }
 
-// noteAccept keeps what is chosen and checks that one value follows another.
-func (w *world) noteAccept(id string, accepted Accepted) {
-	if w.accepts[accepted.Ballot] == nil {
-		w.accepts[accepted.Ballot] = map[string]bool{}
+// recordAccept records that an identity has accepted a value. If the value is now chosen, recordAccept checks that there is
+// one value for each revision and that each extends the earlier ones.
+func (w *modelWorld) recordAccept(id string, accepted Accepted) {
+	if w.acceptedBy[accepted.Ballot] == nil {
+		w.acceptedBy[accepted.Ballot] = map[string]bool{}
 	}
-	w.accepts[accepted.Ballot][id] = true
-	if !accepted.Value.Quorum(func(id string) bool { return w.accepts[accepted.Ballot][id] }) {
+	w.acceptedBy[accepted.Ballot][id] = true
+	if !accepted.Value.Quorum(func(id string) bool { return w.acceptedBy[accepted.Ballot][id] }) {
 		return
 	}
 	for _, other := range w.chosen {
 		if other.Value.Revision == accepted.Value.Revision && other.Value.Origin != accepted.Value.Origin {
-			w.broken = fmt.Sprintf("two values chosen as revision %d", other.Value.Revision)
+			w.violation = fmt.Sprintf("two values chosen as revision %d", other.Value.Revision)
 		}
 		older, newer := other.Value, accepted.Value
 		if newer.Revision < older.Revision {
 			older, newer = newer, older
 		}
 		if !bytes.HasPrefix(newer.Data, older.Data) {
-			w.broken = fmt.Sprintf("%q was chosen as well as %q", newer.Data, older.Data)
+			w.violation = fmt.Sprintf("chosen data %q does not extend chosen data %q", newer.Data, older.Data)
 		}
 	}
 	w.chosen = append(w.chosen, accepted)
@@ -319,7 +321,7 @@
 	}
 }
 
-func (w *world) takeReply(n *modelNode, reply Reply) {
+func (w *modelWorld) handleReply(n *modelNode, reply Reply) {
 	n.ballots.Observe(reply.Promised)
 	if reply.Kind == FetchChosen && reply.Value != nil {
 		n.learn(Accepted{Ballot: reply.Accepted, Value: *reply.Value})
@@ -334,7 +336,7 @@
 	}
 }
 
-func (w *world) onReader(n *modelNode, output Output) {
+func (w *modelWorld) onReader(n *modelNode, output Output) {
 	w.send(n, output.Messages)
 	if output.Done {
 		n.learn(n.operation.reader.Known())
@@ -342,7 +344,7 @@
 	}
 }
 
-func (w *world) onProposer(n *modelNode, output Output) {
+func (w *modelWorld) onProposer(n *modelNode, output Output) {
 	if !output.Done && n.operation.proposer.Learn(n.chosen) && w.draw(2) == 0 {
 		output = n.operation.proposer.Retry()
 	}
@@ -352,35 +354,35 @@
 		n.learn(result)
 		w.finish(n, result.Value)
 	}
-	if output.Retry && (w.calm || w.draw(retryOdds) == 0) {
+	if output.Retry && (w.recovering || w.draw(immediateRetryOneIn) == 0) {
 		w.onProposer(n, n.operation.proposer.Retry())
 	}
 }
 
-func (w *world) finish(n *modelNode, value Value) {
-	if at := n.operation.record; at >= 0 {
+func (w *modelWorld) finish(n *modelNode, value Value) {
+	if at := n.operation.historyIndex; at >= 0 {
 		r := &w.history[at]
-		r.finished, r.ended, r.seen = true, w.tick(), string(value.Data)
-		if r.id != "" && !strings.Contains(r.seen, r.id) {
-			w.broken = fmt.Sprintf("%s acknowledged without it: %s", r.id, r.seen)
+		r.finished, r.ended, r.result = true, w.tick(), string(value.Data)
+		if r.id != "" && !strings.Contains(r.result, r.id) {
+			w.violation = fmt.Sprintf("append of %s was acknowledged, but the value lacks it: %s", r.id, r.result)
 		}
 	}
 	n.operation = nil
 }
 
-func (w *world) tick() int64 {
+func (w *modelWorld) tick() int64 {
 	w.clock++
 	return w.clock
 }
 
-// abandon ends an operation without an answer.
-func (w *world) abandon(n *modelNode) {
+// abandon ends an operation without a result.
+func (w *modelWorld) abandon(n *modelNode) {
 	if n.operation == nil {
 		return
 	}
-	if at := n.operation.record; at >= 0 {
+	if at := n.operation.historyIndex; at >= 0 {
 		p := n.operation.proposer
-		w.history[at].void = w.history[at].id == "" || p != nil && !p.InDoubt()
+		w.history[at].excluded = w.history[at].id == "" || p != nil && !p.InDoubt()
 	}
 	n.operation = nil
 }
@@ -394,28 +396,28 @@
 	}
 }
 
-func (w *world) startAppend(n *modelNode) {
+func (w *modelWorld) startAppend(n *modelNode) {
 	id := fmt.Sprintf("<%d>", len(w.history))
-	w.history = append(w.history, record{client: n.at, called: w.tick(), id: id})
+	w.history = append(w.history, historyEntry{client: n.at, called: w.tick(), id: id})
 	w.propose(n, appendOnce(id), len(w.history)-1)
 }
 
-func (w *world) propose(n *modelNode, change Change, record int) {
+func (w *modelWorld) propose(n *modelNode, change Change, historyIndex int) {
 	p := NewProposer(n.self(), n.ballots, n.known(), n.chosen.Ballot, change)
-	n.operation = &operation{proposer: p, record: record}
+	n.operation = &operation{proposer: p, historyIndex: historyIndex}
 	w.onProposer(n, p.Start())
 }
 
-func (w *world) startRead(n *modelNode) {
-	w.history = append(w.history, record{client: n.at, called: w.tick()})
-	n.operation = &operation{reader: NewReader(n.self(), n.known()), record: len(w.history) - 1}
+func (w *modelWorld) startRead(n *modelNode) {
+	w.history = append(w.history, historyEntry{client: n.at, called: w.tick()})
+	n.operation = &operation{reader: NewReader(n.self(), n.known()), historyIndex: len(w.history) - 1}
 	w.onReader(n, n.operation.reader.Start())
 }
 
-func (w *world) startUpkeep(n *modelNode) {
+func (w *modelWorld) startUpkeep(n *modelNode) {
 	if len(n.chosen.Value.Replicas) == 0 {
 		other := w.draw(len(w.nodes))
-		w.fly(envelope{to: other, from: n.at, life: n.lives, request: &Request{Kind: FetchChosen, From: n.self()}})
+		w.enqueue(envelope{to: other, from: n.at, incarnation: n.incarnation, request: &Request{Kind: FetchChosen, From: n.self()}})
 		if len(n.known().Value.Replicas) > 0 {
 			w.propose(n, Unchanged, -1)
 		}
@@ -425,40 +427,40 @@
 		SilentFor: w.silence, RemoveAfter: time.Second}
 	w.propose(n, func(value Value) (Value, error) {
 		next := plan.Next(value)
-		if w.faults.skipsJoint {
+		if w.defects.skipsJoint {
 			next.Previous = nil
 		}
 		return next, nil
 	}, -1)
 }
 
-func (w *world) silence(replica Replica) time.Duration {
-	if w.nodes[w.node(replica.Address)].up {
+func (w *modelWorld) silence(replica Replica) time.Duration {
+	if w.nodes[w.indexOf(replica.Address)].up {
 		return 0
 	}
 	return time.Minute
 }
 
-// act takes one step at random.
-func (w *world) act() {
+// step performs one random step.
+func (w *modelWorld) step() {
 	n := w.nodes[w.draw(len(w.nodes))]
 	choice := w.draw(1000)
-	if choice < w.hostility {
-		w.fault(n)
+	if choice < w.faultRate {
+		w.injectFault(n)
 		return
 	}
-	if w.calm && n.at != w.turn && choice >= 850 && n.up {
+	if w.recovering && n.at != w.turn && choice >= 850 && n.up {
 		w.abandon(n)
 		return
 	}
 	switch {
 	case choice < 600:
-		w.network()
+		w.deliverRandom()
 	case choice < 850:
 		if n.up && n.step != nil {
 			w.write(n)
-		} else if n.up && w.keeps {
-			w.keep(n)
+		} else if n.up && w.catchesUp {
+			w.catchUp(n)
 		}
 	case choice < 870:
 		if n.operation != nil && n.operation.proposer != nil {
@@ -481,8 +483,8 @@
 	}
 }
 
-func (w *world) startClient(n *modelNode) {
-	if len(w.history) >= 40 || w.calm {
+func (w *modelWorld) startClient(n *modelNode) {
+	if len(w.history) >= 40 || w.recovering {
 		return
 	}
 	if w.draw(2) == 0 {
@@ -492,24 +494,24 @@
 	}
 }
 
-// network delivers a message, any of those in flight; at times it loses it or delivers it again.
-func (w *world) network() {
-	if len(w.flying) == 0 {
+// deliverRandom delivers a random message in flight. Sometimes it drops the message, or keeps it to be delivered again.
+func (w *modelWorld) deliverRandom() {
+	if len(w.inFlight) == 0 {
 		return
 	}
-	at := w.draw(len(w.flying))
-	e := w.flying[at]
+	at := w.draw(len(w.inFlight))
+	e := w.inFlight[at]
 	fate := w.draw(20)
-	if fate != 0 || w.calm {
-		w.flying = slices.Delete(w.flying, at, at+1)
+	if fate != 0 || w.recovering {
+		w.inFlight = slices.Delete(w.inFlight, at, at+1)
 	}
-	if fate != 1 || w.calm {
+	if fate != 1 || w.recovering {
 		w.deliver(e)
 	}
 }
 
-func (w *world) fault(n *modelNode) {
-	if w.calm {
+func (w *modelWorld) injectFault(n *modelNode) {
+	if w.recovering {
 		return
 	}
 	switch w.draw(6) {
@@ -517,7 +519,7 @@
 		w.abandon(n)
 		n.crash()
 	case 2:
-		if w.mayWipe() {
+		if w.allDisksInSet() {
 			w.abandon(n)
 			w.wipe(n)
 		}
@@ -530,42 +532,42 @@
 	}
 }
 
-// run plays faults, then a calm time in which the register has to work.
-func (w *world) run() error {
+// run performs the steps with faults, repairs the disks and checks the history.
+func (w *modelWorld) run() error {
 	for range modelSteps {
-		if w.act(); w.broken != "" {
-			return eris.New(w.broken)
+		if w.step(); w.violation != "" {
+			return eris.New(w.violation)
 		}
 	}
-	w.calm = true
+	w.recovering = true
 	for _, n := range w.nodes {
 		n.machine.Disk().Heal()
 	}
 	return w.check()
 }
 
-// recover plays a calm time and checks that all disks come back into the set.
-func (w *world) recover() error {
-	for step := range calmTurn * calmTurns * len(w.nodes) {
-		w.turn = step / calmTurn % len(w.nodes)
-		if w.act(); w.broken != "" {
-			return eris.New(w.broken)
+// runRecovery performs steps without faults and checks that all disks rejoin the set and learn the newest value.
+func (w *modelWorld) runRecovery() error {
+	for step := range recoveryTurnSteps * recoveryTurns * len(w.nodes) {
+		w.turn = step / recoveryTurnSteps % len(w.nodes)
+		if w.step(); w.violation != "" {
+			return eris.New(w.violation)
 		}
-		if w.mayWipe() && lo.EveryBy(w.nodes, func(n *modelNode) bool { return n.chosen.Value.Revision == w.newest.Value.Revision }) {
+		if w.allDisksInSet() && lo.EveryBy(w.nodes, func(n *modelNode) bool { return n.chosen.Value.Revision == w.newest.Value.Revision }) {
 			return nil
 		}
 	}
-	return eris.Errorf("not recovered: %+v", w.newest.Value)
+	return eris.Errorf("the set has not recovered: %+v", w.newest.Value)
 }
 
-// check looks for an order of the history in which each operation takes effect at once.
-func (w *world) check() error {
+// check verifies that the history is linearizable.
+func (w *modelWorld) check() error {
 	var operations []porcupine.Operation
 	for client, r := range w.history {
-		if r.void || r.id == "" && !r.finished {
+		if r.excluded || r.id == "" && !r.finished {
 			continue
 		}
-		operation := porcupine.Operation{ClientId: client, Input: r.id, Output: r.seen, Call: r.called, Return: r.ended}
+		operation := porcupine.Operation{ClientId: client, Input: r.id, Output: r.result, Call: r.called, Return: r.ended}
 		if !r.finished {
 			operation.Return = math.MaxInt64
 		}
@@ -581,47 +583,48 @@
 		},
 	}
 	if porcupine.CheckOperationsTimeout(model, operations, checkTimeout) == porcupine.Illegal {
-		return eris.Errorf("not linearizable: %+v", w.history)
+		return eris.Errorf("the history is not linearizable: %+v", w.history)
 	}
 	return nil
 }
 
 func TestModelIsLinearizableUnderFaults(t *testing.T) {
-	var finished, lost, plays int
+	var finished, lost, runs int
 	rapid.Check(t, func(t *rapid.T) {
-		// One seed in place of each draw: plays are long, and a seed reproduces them.
+		// Rapid draws a single seed instead of each random number: runs are long, and the seed reproduces them.
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		w := newWorld(random.IntN, faultsOfReplicas{})
-		w.keeps = true
+		w := newModelWorld(random.IntN, replicaDefects{})
+		w.catchesUp = true
 		require.NoError(t, w.run())
-		require.NoError(t, w.recover())
-		finished += lo.CountBy(w.history, func(r record) bool { return r.finished })
-		lost += w.wipes
-		plays++
+		require.NoError(t, w.runRecovery())
+		finished += lo.CountBy(w.history, func(r historyEntry) bool { return r.finished })
+		lost += w.wipeCount
+		runs++
 	})
-	t.Logf("%d plays: %d operations answered, %d disks lost", plays, finished, lost)
+	t.Logf("%d runs: %d operations finished, %d disks lost", runs, finished, lost)
 	require.Positive(t, lost)
-	require.Greater(t, finished, plays)
+	require.Greater(t, finished, runs)
 }
 
-// TestModelOnSeedsThatFailed plays seeds in which replicas come back with writes that their disks had reported as failed.
-func TestModelOnSeedsThatFailed(t *testing.T) {
+// TestModelOnRegressionSeeds repeats runs that failed once. In them, replicas restart with writes that their disks had reported as
+// failed.
+func TestModelOnRegressionSeeds(t *testing.T) {
 	for name, seed := range map[string]uint64{
-		"a majority holds a value only since such a start": 0x11b9,
-		"a promise was made while such a write was hidden": 0x70c,
+		"a majority holds a value only after such a restart": 0x11b9,
+		"a promise was made before such a write reappeared":  0x70c,
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(rand.New(rand.NewPCG(seed, 0)).IntN, faultsOfReplicas{})
+			w := newModelWorld(rand.New(rand.NewPCG(seed, 0)).IntN, replicaDefects{})
 			require.NoError(t, w.run())
-			require.NoError(t, w.recover())
+			require.NoError(t, w.runRecovery())
 		})
 	}
 }
 
-// caught reports after how many plays the checks find a mistake.
-func caught(faults faultsOfReplicas, first, most uint64) (uint64, error) {
+// firstDetectingSeed returns the first seed with which the checks detect the defect, with the error, or most if there is none.
+func firstDetectingSeed(defects replicaDefects, first, most uint64) (uint64, error) {
 	for seed := first; seed < most; seed++ {
-		w := newWorld(rand.New(rand.NewPCG(seed, 1)).IntN, faults)
+		w := newModelWorld(rand.New(rand.NewPCG(seed, 1)).IntN, defects)
 		if err := w.run(); err != nil {
 			return seed, err
 		}
@@ -629,20 +632,20 @@
 	return most, nil
 }
 
-func TestModelCatchesBrokenReplicas(t *testing.T) {
+func TestModelDetectsDefectiveReplicas(t *testing.T) {
 	const most = 2000
-	for name, broken := range map[string]struct {
-		faults faultsOfReplicas
-		first  uint64 // where a longer search found one, to save time
+	for name, test := range map[string]struct {
+		defects replicaDefects
+		first   uint64 // seed to start at, which saves time: a longer search found a failure from here on
 	}{
-		"answers before its sync":       {faults: faultsOfReplicas{answersBeforeSync: true}},
-		"keeps its identity when wiped": {faults: faultsOfReplicas{keepsIdentity: true}},
-		"changes its set in one step":   {faults: faultsOfReplicas{skipsJoint: true}, first: 700},
+		"replies before the sync":       {defects: replicaDefects{repliesBeforeSync: true}},
+		"keeps its identity when wiped": {defects: replicaDefects{keepsIdentity: true}},
+		"reconfigures in one step":      {defects: replicaDefects{skipsJoint: true}, first: 700},
 	} {
 		t.Run(name, func(t *testing.T) {
-			seed, err := caught(broken.faults, broken.first, most)
+			seed, err := firstDetectingSeed(test.defects, test.first, most)
 			require.Error(t, err)
-			t.Logf("caught by play %d: %.200s", seed, err.Error())
+			t.Logf("detected with seed %d: %.200s", seed, err.Error())
 		})
 	}
 }
--- a/internal/controller/hints.go
+++ b/internal/controller/hints.go
@@ -21,7 +21,7 @@
 	started time.Time
 
 	mutex  sync.Mutex
-	keeper *handoff.Keeper[fleetwire.ListVersion, struct{}]
+	keeper *handoff.Store[fleetwire.ListVersion, struct{}]
 }
 
 func newHints() *hints {
@@ -32,7 +32,7 @@
 func (h *hints) add(address string, version fleetwire.ListVersion) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.keeper.Keep(time.Since(h.started), address, handoff.Hint[fleetwire.ListVersion, struct{}]{Key: listKey, Version: version})
+	h.keeper.Add(time.Since(h.started), address, handoff.Hint[fleetwire.ListVersion, struct{}]{Key: listKey, Version: version})
 }
 
 // takeMissed reports whether a controller that is reachable again and holds the given list has missed a newer one. It removes
@@ -40,8 +40,8 @@
 func (h *hints) takeMissed(address string, held fleetwire.ListVersion) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.keeper.Holds(address, listKey, held)
-	missed := len(h.keeper.For(time.Since(h.started), address)) > 0
-	h.keeper.Forget(address) // another failed delivery adds a new hint
+	h.keeper.MarkDelivered(address, listKey, held)
+	missed := len(h.keeper.HintsFor(time.Since(h.started), address)) > 0
+	h.keeper.RemovePeer(address) // another failed delivery adds a new hint
 	return missed
 }
