--- a/coordination/handoff/handoff_test.go
+++ b/coordination/handoff/handoff_test.go
@@ -170,7 +170,7 @@
 func (p *publisher) send(peer string, message hint) {
 	p.process.Call(peer, message, time.Second, func(_ any, err error) {
 		if err != nil {
-			p.store.Add(p.process.Steady(), peer, message)
+			p.store.Add(p.process.Monotonic(), peer, message)
 		} else {
 			p.store.MarkDelivered(peer, message.Key, message.Version)
 		}
@@ -188,7 +188,7 @@
 		world.AddMachine("teller").Start(func(process *sim.Process) {
 			sender = &publisher{process: process, store: New[number, string](largeLimits)}
 			process.OnMessage(func(from string, _ any) {
-				for _, message := range sender.store.HintsFor(process.Steady(), from) {
+				for _, message := range sender.store.HintsFor(process.Monotonic(), from) {
 					sender.send(from, message)
 				}
 			})
--- a/coordination/register/model_test.go
+++ b/coordination/register/model_test.go
@@ -260,7 +260,7 @@
 		}
 		n.step, n.stepEnvelope = &step, e
 		if w.defects.repliesBeforeSync {
-			n.files().LosesSyncs = true
+			n.files().IgnoreSyncs = true
 			w.write(n)
 		}
 	}
@@ -526,7 +526,7 @@
 	case 3:
 		n.files().Full = !n.files().Full
 	case 4:
-		n.files().Failing = !n.files().Failing
+		n.files().FailSyncs = !n.files().FailSyncs
 	default:
 		w.abandon(n)
 	}
@@ -541,7 +541,7 @@
 	}
 	w.recovering = true
 	for _, n := range w.nodes {
-		n.machine.Disk().Heal()
+		n.machine.Disk().ClearFaults()
 	}
 	return w.check()
 }
--- a/internal/controller/simulation_faults_test.go
+++ b/internal/controller/simulation_faults_test.go
@@ -395,8 +395,8 @@
 func (s *simSite) slowPaths(target *simMachine) func() {
 	change := func(by time.Duration) {
 		for _, other := range addressesOf(s.currentCores()) {
-			s.network.Slow(target.machine.IP(), other, by)
-			s.network.Slow(other, target.machine.IP(), by)
+			s.network.SetExtraDelay(target.machine.IP(), other, by)
+			s.network.SetExtraDelay(other, target.machine.IP(), by)
 		}
 	}
 	change(slowPathDelay)
@@ -405,14 +405,14 @@
 
 // fillDisk makes the writes of a machine fail for lack of space.
 func (s *simSite) fillDisk(target *simMachine) func() {
-	target.machine.Disk().Full(true)
-	return func() { target.machine.Disk().Full(false) }
+	target.machine.Disk().SetFull(true)
+	return func() { target.machine.Disk().SetFull(false) }
 }
 
 // failDisk makes the syncs of a machine's disk fail.
 func (s *simSite) failDisk(target *simMachine) func() {
-	target.machine.Disk().Failing(true)
-	return func() { target.machine.Disk().Failing(false) }
+	target.machine.Disk().SetFailSyncs(true)
+	return func() { target.machine.Disk().SetFailSyncs(false) }
 }
 
 // stallDisk blocks the disk operations of a machine.
@@ -423,8 +423,8 @@
 
 // slowDisk delays the disk operations of a machine.
 func (s *simSite) slowDisk(target *simMachine) func() {
-	target.machine.Disk().Slow(slowDiskDelay)
-	return func() { target.machine.Disk().Slow(0) }
+	target.machine.Disk().SetExtraLatency(slowDiskDelay)
+	return func() { target.machine.Disk().SetExtraLatency(0) }
 }
 
 // leaveDuringPartition terminates the process of a machine, as planned maintenance does, while another machine is partitioned.
--- a/internal/controller/simulation_scenarios_test.go
+++ b/internal/controller/simulation_scenarios_test.go
@@ -321,7 +321,7 @@
 	for _, from := range s.currentCores() {
 		for _, to := range s.currentCores() {
 			if from != to {
-				s.network.Slow(from.machine.IP(), to.machine.IP(), s.randomDuration(0, slowest))
+				s.network.SetExtraDelay(from.machine.IP(), to.machine.IP(), s.randomDuration(0, slowest))
 			}
 		}
 	}
