--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -150,11 +150,11 @@
 func TestAgentConnectsToControllersThatStartLater(t *testing.T) {
 	c := startController(t)
 	current := settingsFor(t, c)
-	address := c.server.Listener.Addr().String()
+	controllerAddress := c.server.Listener.Addr().String()
 	c.server.Close()
 	agent := startAgent(t, current)
 	snapshots := follow(t, agent.address)
-	listener, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", controllerAddress)
 	require.NoError(t, err)
 	mux := http.NewServeMux()
 	c.hub.Register(mux)
