--- a/cmd/weldscale/check.go
+++ b/cmd/weldscale/check.go
@@ -26,7 +26,7 @@
 		return err
 	}
 	if bytes.HasPrefix(bytes.TrimSpace(text), []byte("{")) {
-		conf, err := load(func(key string) string { return map[string]string{"GW_CONFIG": c.File}[key] })
+		conf, err := loadConfig(func(key string) string { return map[string]string{"GW_CONFIG": c.File}[key] })
 		if err != nil {
 			return err
 		}
--- a/cmd/weldscale/config.go
+++ b/cmd/weldscale/config.go
@@ -20,14 +20,15 @@
 	"weldscale/internal/wire"
 )
 
-// This file owns the reading of the configuration. The settings are one type, read by one parser: the nested
-// JSON is flattened into the lines that the simulator sends. It must fail with one plain line.
+// This file reads the platform's configuration. The settings use the parser of the simulator's settings: the nested JSON is
+// flattened into the simulator's path=value lines. Every error is a single line.
 
+// config is the platform's configuration, or its replacement from the scheduler block of the operator's file.
 type config struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
-	Mgmt      string `json:"mgmt"` // the second address; "": none
+	Mgmt      string `json:"mgmt"` // the management address, or "" for none
 	Seed      string `json:"seed"`
 	Limits    struct {
 		Cores    float64 `json:"cores"`
@@ -37,8 +38,8 @@
 	Known    json.RawMessage `json:"known"`
 	Settings json.RawMessage `json:"settings"`
 
-	file           operator.File // the operator's
-	passed         int           // descriptor of the clients' listening socket; -1: we open our own
+	file           operator.File // the operator's file, or its defaults
+	listenFD       int           // descriptor of the clients' listening socket, or -1 to open one
 	engine         engine.Config
 	classes        []string
 	reports        *jobs.LoadReportParser
@@ -46,9 +47,9 @@
 	idleLimit      time.Duration
 }
 
-// load reads the file that GW_CONFIG names. The other variables stand in for what it leaves out and never win
-// over it: the file can be replaced while the program runs, its environment can't.
-func load(getenv func(string) string) (*config, error) {
+// loadConfig reads the file that GW_CONFIG names. The other environment variables supply values that the file omits. They
+// never override the file, because the file can be replaced while the program runs and the environment can't.
+func loadConfig(getenv func(string) string) (*config, error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
 		return nil, errors.New("config: GW_CONFIG is not set")
@@ -66,9 +67,9 @@
 			*field = getenv(name)
 		}
 	}
-	c.passed = -1
+	c.listenFD = -1
 	if text := getenv("GW_PASSED_SOCKET"); text != "" {
-		if c.passed, err = strconv.Atoi(text); err != nil || c.passed < 3 {
+		if c.listenFD, err = strconv.Atoi(text); err != nil || c.listenFD < 3 {
 			return nil, fmt.Errorf("config: GW_PASSED_SOCKET: %q is not the number of a passed descriptor", text)
 		}
 	}
@@ -93,6 +94,7 @@
 	return c, c.readSettings()
 }
 
+// readSettings parses the settings and the values that the simulator's settings do not contain.
 func (c *config) readSettings() error {
 	values, err := flatten(c.Settings)
 	if err != nil {
@@ -106,10 +108,11 @@
 	if c.engine.Settings, layout, err = wire.ParseSettings([]byte(text.String())); err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
-	if err := c.engine.Settings.Check(); err != nil { // said with the other faults, before anything starts
+	if err := c.engine.Settings.Check(); err != nil { // reported before any component starts
 		return fmt.Errorf("config: %w", err)
 	}
-	// Names that requests, lists and reports bear are taken as they stand: the simulator's form has other letters for some.
+	// Names that occur in requests, worker lists and load reports are taken from the JSON unchanged, because flattening
+	// replaces some of their characters.
 	var named struct {
 		Zones   any
 		Kinds   any
@@ -121,18 +124,18 @@
 	}
 	names := func(v any) (out []string) {
 		list, ok := v.([]any)
-		if !ok && word(v) != "" { // in one word, as the simulator has it
-			return strings.Split(word(v), ",")
+		if !ok && valueText(v) != "" { // one string, in the form of the simulator
+			return strings.Split(valueText(v), ",")
 		}
 		for _, v := range list {
-			out = append(out, word(v))
+			out = append(out, valueText(v))
 		}
 		return out
 	}
 	c.engine.Zones, c.engine.Kinds = names(named.Zones), names(named.Kinds)
 	for i := range c.engine.Settings.Classes {
 		key := "classes." + strconv.Itoa(i) + ".name"
-		switch name := word(named.Classes[i].Name); {
+		switch name := valueText(named.Classes[i].Name); {
 		case name == "":
 			return fmt.Errorf("config: settings: %s: missing", key)
 		case slices.Contains(c.classes, name):
@@ -143,8 +146,8 @@
 	}
 	for key, to := range map[string]*time.Duration{"limits.connect_timeout_us": &c.connectTimeout, "limits.conn_idle_us": &c.idleLimit} {
 		us, err := strconv.ParseInt(values[key], 10, 64)
-		if err != nil || us <= 0 || us > maxSpan.Microseconds() {
-			return fmt.Errorf("config: settings: %s: %q is no span in microseconds from 1 to %d", key, values[key], maxSpan.Microseconds())
+		if err != nil || us <= 0 || us > maxTimeout.Microseconds() {
+			return fmt.Errorf("config: settings: %s: %q is not a number of microseconds from 1 to %d", key, values[key], maxTimeout.Microseconds())
 		}
 		*to = time.Duration(us) * time.Microsecond
 	}
@@ -152,13 +155,13 @@
 	return nil
 }
 
-// maxSpan bounds the spans of the settings that are ours to keep.
-const maxSpan = 24 * time.Hour
+// maxTimeout bounds the timeouts among the settings that this package enforces.
+const maxTimeout = 24 * time.Hour
 
-// flatten turns nested JSON into the path=value form of the simulator's settings.
+// flatten converts nested JSON into the paths and values of the simulator's settings.
 func flatten(text []byte) (map[string]string, error) {
 	dec := json.NewDecoder(bytes.NewReader(text))
-	dec.UseNumber() // figures keep the form they have
+	dec.UseNumber() // numbers keep their notation
 	var v map[string]any
 	if err := dec.Decode(&v); err != nil {
 		return nil, err
@@ -168,8 +171,10 @@
 	return out, nil
 }
 
-var plain = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
+// separatorReplacer replaces the separators of the simulator's settings.
+var separatorReplacer = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
 
+// flattenInto adds v to out under path. A list of objects becomes numbered paths and a count, any other list one value.
 func flattenInto(out map[string]string, path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -197,25 +202,26 @@
 	}
 }
 
-func scalar(v any) string { return plain.Replace(word(v)) }
+// scalar returns the text of a value, without separators.
+func scalar(v any) string { return separatorReplacer.Replace(valueText(v)) }
 
-// word is a value as it stands.
-func word(v any) string {
+// valueText returns the text of a JSON value, or "" for null.
+func valueText(v any) string {
 	if v == nil {
 		return ""
 	}
 	return fmt.Sprint(v)
 }
 
-// nobody is a class that no request can name: where the operator's file stands alone, the platform's service is there
-// and has no workers, no route and no jobs.
-var nobody = decide.Settings{Nodes: 1, Zones: 1, MaxAttempts: 1, ColdFrom: 1, OverloadMultiple: 1, OverloadSpan: 1,
+// placeholderSettings configures the platform's service if the scheduler runs from the operator's file alone. That service
+// then has no workers and no route. Its only class has no name, so no request can select it.
+var placeholderSettings = decide.Settings{Nodes: 1, Zones: 1, MaxAttempts: 1, ColdFrom: 1, OverloadMultiple: 1, OverloadSpan: 1,
 	Classes: []decide.Class{{Aim: 1e6, Deadline: 1e6, Kind: -1}}}
 
-// fromFile makes a configuration of an operator's file alone, by its scheduler block.
-func fromFile(path string) (*config, error) {
+// loadOperatorFile returns a configuration from an operator's file with a scheduler block, without a platform.
+func loadOperatorFile(path string) (*config, error) {
 	f, err := operator.Read(path, 192<<20)
-	if err == nil && f.Scheduler != nil { // once more, for the memory that it has
+	if err == nil && f.Scheduler != nil { // read again, because defaults depend on the configured memory
 		f, err = operator.Read(path, f.Scheduler.MemoryMB<<20)
 	}
 	if err != nil {
@@ -224,8 +230,8 @@
 	if f.Scheduler == nil {
 		return nil, fmt.Errorf("config: GW_CONFIG is not set, and %s has no scheduler block to stand in for it", path)
 	}
-	c := &config{Name: f.Scheduler.Name, Listen: f.Scheduler.Listen, Known: json.RawMessage("{}"), file: f, passed: -1,
-		engine: engine.Config{Settings: nobody, Seed: rand.Uint64()}, connectTimeout: time.Second, idleLimit: 10 * time.Second, reports: reports}
+	c := &config{Name: f.Scheduler.Name, Listen: f.Scheduler.Listen, Known: json.RawMessage("{}"), file: f, listenFD: -1,
+		engine: engine.Config{Settings: placeholderSettings, Seed: rand.Uint64()}, connectTimeout: time.Second, idleLimit: 10 * time.Second, reports: serviceReports}
 	c.Limits.MemoryMB, c.Limits.Sockets = f.Scheduler.MemoryMB, f.Scheduler.Sockets
 	return c, nil
 }
--- a/cmd/weldscale/config_test.go
+++ b/cmd/weldscale/config_test.go
@@ -58,7 +58,7 @@
 	} {
 		path := filepath.Join(t.TempDir(), "config.json")
 		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(good, c.old, c.new, 1)), 0o600))
-		conf, err := load(func(key string) string {
+		conf, err := loadConfig(func(key string) string {
 			return map[string]string{"GW_CONFIG": path, "GW_NAME": "other", "GW_DISCOVERY": "127.0.0.1:2"}[key]
 		})
 		if c.want == "-" {
@@ -79,7 +79,7 @@
 		assert.Contains(t, err.Error(), c.want, name)
 		assert.NotContains(t, err.Error(), "\n", name)
 	}
-	_, err := load(func(string) string { return "" })
+	_, err := loadConfig(func(string) string { return "" })
 	assert.EqualError(t, err, "config: GW_CONFIG is not set")
 }
 
@@ -93,7 +93,7 @@
 		text, err := json.Marshal(site)
 		require.NoError(t, err)
 		require.NoError(t, os.WriteFile(path, text, 0o600))
-		c, err := load(func(env string) string { return map[string]string{"GW_CONFIG": path}[env] })
+		c, err := loadConfig(func(env string) string { return map[string]string{"GW_CONFIG": path}[env] })
 		if err != nil {
 			assert.NotContains(t, err.Error(), "\n", name)
 			assert.Contains(t, err.Error(), strings.TrimSuffix(key, "_us"), "%s: %v", name, value)
--- a/cmd/weldscale/control.go
+++ b/cmd/weldscale/control.go
@@ -107,8 +107,8 @@
 func (c *control) drain(w http.ResponseWriter, _ *http.Request) {
 	n := 0
 	c.s.loop.Do(func() {
-		slog.Info("stopping", "signal", "control socket", "open", c.s.inHand())
-		n = c.s.inHand()
+		slog.Info("stopping", "signal", "control socket", "open", c.s.openRequests())
+		n = c.s.openRequests()
 		c.s.stop()
 	})
 	fmt.Fprintf(w, "stopping; %d requests in hand are answered first\n", n)
@@ -131,7 +131,7 @@
 		return
 	}
 	slog.Info("log level", "to", to)
-	c.s.loop.Do(c.s.trace)
+	c.s.loop.Do(c.s.updateTrace)
 	fmt.Fprintln(w, "the log's level is", to)
 }
 
--- a/cmd/weldscale/fleet.go
+++ b/cmd/weldscale/fleet.go
@@ -26,15 +26,15 @@
 // This file ties a scheduler to its fleet: the link, and the budgets that its services' limits name. Without a fleet block
 // nothing of it is made. Terms of a fleet hold from the start on; a reload leaves them as they are.
 
-type fleetPart struct {
+type fleetMember struct {
 	conf     *operator.Fleet
 	link     *fleet.Link
 	budgets  *fleet.Budgets
 	evidence *fleet.Evidence // nil: the file does not want it
 }
 
-// joinFleet makes a scheduler's part in its fleet; nil where the file names none.
-func joinFleet(c *config) (*fleetPart, error) {
+// newFleetMember makes a scheduler's part in its fleet; nil where the file names none.
+func newFleetMember(c *config) (*fleetMember, error) {
 	f := c.file.Fleet
 	if f == nil {
 		return nil, nil
@@ -49,7 +49,7 @@
 			return nil, fmt.Errorf("%s: %d bytes; allowed is a key of 16, 24 or 32", f.KeyFile, n)
 		}
 	}
-	part := &fleetPart{conf: f}
+	part := &fleetMember{conf: f}
 	life := rand.Uint64()
 	// The link takes messages from its first moment on, and the budgets send by it.
 	part.budgets = fleet.NewBudgets(c.Name, life, func(to string, data []byte) error { return part.link.Send(to, data) })
@@ -85,12 +85,12 @@
 
 // watch ties a service's engine to the evidence on its workers: what it sees goes into it, and whom it speaks against the
 // module is told of as by peers; what follows stays its decision. It ends with the service.
-func (p *fleetPart) watch(v *service, loop *engine.Loop) {
+func (p *fleetMember) watch(v *service, loop *engine.Loop) {
 	if p == nil || p.evidence == nil {
 		return
 	}
 	name := v.conf.Name
-	v.e.OnOutcome = func(worker string, job bool, s decide.Status) {
+	v.engine.OnOutcome = func(worker string, job bool, s decide.Status) {
 		switch {
 		case s == decide.Served && job:
 			p.evidence.Saw(name, worker, evidence.Fine)
@@ -104,11 +104,11 @@
 	}
 	var weigh func()
 	weigh = func() {
-		if v.gone {
+		if v.removed {
 			return
 		}
-		for _, worker := range p.evidence.Round(name, v.e.ReadyWorkers()) {
-			v.e.AddPeerEvidence(worker)
+		for _, worker := range p.evidence.Round(name, v.engine.ReadyWorkers()) {
+			v.engine.AddPeerEvidence(worker)
 		}
 		loop.After(weighEvery, weigh)
 	}
@@ -119,7 +119,7 @@
 const leastChunks = 8
 
 // terms are those of a budget of that kind.
-func (p *fleetPart) terms(k pool.FleetKind, budget float64) share.Config {
+func (p *fleetMember) terms(k pool.FleetKind, budget float64) share.Config {
 	f := p.conf
 	c := share.Config{Budget: budget, Floor: f.Floor * budget / float64(f.Members), Members: f.Members, Keepers: f.Keepers,
 		Chunks: min(fleet.MaxChunks, leastChunks*f.Members), Term: time.Duration(f.Term) * time.Microsecond, Drift: f.Drift, Burst: f.Burst}
@@ -131,7 +131,7 @@
 
 // share gives a service's pool its parts of what its limits name. A budget begins with its first service and stays: what it
 // has given out must not be given again.
-func (p *fleetPart) share(conf operator.Service, to *pool.Pool) error {
+func (p *fleetMember) share(conf operator.Service, to *pool.Pool) error {
 	limits := append([]pool.Limits{conf.Limits}, conf.ClassLimits()...)
 	if p == nil {
 		if slices.ContainsFunc(limits, func(l pool.Limits) bool { return max(l.FleetRate, l.FleetOpen, l.FleetRetries) > 0 }) {
@@ -175,7 +175,7 @@
 }
 
 // close leaves the fleet.
-func (p *fleetPart) close() {
+func (p *fleetMember) close() {
 	if p != nil {
 		p.budgets.Stop()
 		p.link.Stop()
@@ -183,7 +183,7 @@
 }
 
 // text is what an operator is shown.
-func (p *fleetPart) text() string {
+func (p *fleetMember) text() string {
 	if p == nil {
 		return "this scheduler is in no fleet: its file has no fleet block\n"
 	}
--- a/cmd/weldscale/main.go
+++ b/cmd/weldscale/main.go
@@ -1,5 +1,5 @@
-// Command weldscale is a job scheduler: it takes jobs from clients over HTTP and pushes each to a worker as the
-// decision module says. Without a command it serves. This file owns the command line.
+// Command weldscale is a job scheduler. It accepts jobs from clients over HTTP and pushes each to a worker that package
+// decide chooses. Without a command it runs "serve". This file defines the command line.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	"weldscale/internal/logs"
 )
 
-// cli is the command line.
+// cli holds the flags and commands of the command line.
 type cli struct {
 	LogLevel  string `help:"What the log holds: debug, info, warn or error." enum:"debug,info,warn,error" default:"info"`
 	LogFormat string `help:"auto is text on a terminal and json elsewhere." enum:"auto,text,json" default:"auto"`
@@ -49,7 +49,7 @@
 func (versionCmd) Run() error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return fmt.Errorf("this build does not say what it was made of")
+		return fmt.Errorf("the binary contains no build information")
 	}
 	revision := "unknown"
 	for _, s := range info.Settings {
@@ -61,15 +61,15 @@
 	return nil
 }
 
-// parser makes the command line's parser.
-func parser(args *cli) *kong.Kong {
+// newParser returns the parser of the command line.
+func newParser(args *cli) *kong.Kong {
 	return kong.Must(args, kong.Name("weldscale"), kong.Description("A job scheduler. Without a command it serves, by the "+
 		"configuration that GW_CONFIG names."), kong.ShortUsageOnError())
 }
 
 func main() {
 	var args cli
-	k := parser(&args)
+	k := newParser(&args)
 	kongplete.Complete(k)
 	parsed, err := k.Parse(os.Args[1:])
 	if err != nil {
@@ -79,7 +79,7 @@
 		fail(err)
 	}
 	ctx := context.Background()
-	if name := parsed.Command(); name != "serve" { // which has its own way with signals
+	if name := parsed.Command(); name != "serve" { // serve installs its own signal handlers
 		var stop func()
 		ctx, stop = signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 		defer stop()
@@ -90,7 +90,7 @@
 	}
 }
 
-// fail says what is wrong, one line for each fault, and ends the program.
+// fail prints err to standard error, one line per error, and exits with status 1.
 func fail(err error) {
 	for line := range strings.Lines(err.Error()) {
 		fmt.Fprintln(os.Stderr, "weldscale:", strings.TrimSuffix(line, "\n"))
--- a/cmd/weldscale/moments_clients_test.go
+++ b/cmd/weldscale/moments_clients_test.go
@@ -21,7 +21,7 @@
 
 // open is how many requests are in hand.
 func (b *bench) open() (n int) {
-	b.onLoop(func() { n = b.s.inHand() })
+	b.onLoop(func() { n = b.s.openRequests() })
 	return n
 }
 
@@ -75,7 +75,7 @@
 		away(c)
 		b.settled()
 		b.onLoop(func() {
-			assert.Equal(t, 1, b.s.e.Counts.Outcomes[decide.NotSent]+b.s.e.Counts.Outcomes[decide.Cancelled], "the attempt is over while the dial is under way")
+			assert.Equal(t, 1, b.s.engine.Counts.Outcomes[decide.NotSent]+b.s.engine.Counts.Outcomes[decide.Cancelled], "the attempt is over while the dial is under way")
 		})
 		stops.Free("dial")
 		status, _ := b.ask("next", "view", patience)
@@ -150,7 +150,7 @@
 			shop := func() (open, engine, begun int) {
 				b.onLoop(func() {
 					v := b.s.services["shop"]
-					open, engine, begun = v.jobs.Pool.Open(), v.e.OpenRequests(), v.jobs.Pool.Counts.Begun
+					open, engine, begun = v.jobs.Pool.Open(), v.engine.OpenRequests(), v.jobs.Pool.Counts.Begun
 				})
 				return
 			}
@@ -197,8 +197,8 @@
 	free()
 	b.settled()
 	b.onLoop(func() {
-		assert.Equal(t, n, b.s.e.Counts.Hangups)
-		assert.Zero(t, b.s.e.Counts.Pushes)
+		assert.Equal(t, n, b.s.engine.Counts.Hangups)
+		assert.Zero(t, b.s.engine.Counts.Pushes)
 	})
 	stops.Free("probe")
 	status, _ := b.ask("next", "view", patience)
@@ -249,7 +249,7 @@
 			assert.Equal(t, 200, status)
 			assert.Equal(t, []string{"both", "next"}, w.IDs())
 			b.onLoop(func() {
-				n := b.s.e.Counts
+				n := b.s.engine.Counts
 				assert.Equal(t, n.Accepted, n.Served+n.Hangups+n.Refused+n.Failed)
 				assert.Zero(t, n.Refused+n.Failed)
 			})
@@ -413,10 +413,10 @@
 			require.NoError(t, holds.Send(standin.Job("holds", "view", 8*time.Second, "x")))
 			require.Eventually(t, func() bool { return len(w.IDs()) == 1 }, patience, time.Millisecond)
 			require.NoError(t, gone.Send(standin.Job("gone", "view", 8*time.Second, "x")))
-			require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.e.Counts.Pushes == 2 }); return is }, patience, time.Millisecond)
+			require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.engine.Counts.Pushes == 2 }); return is }, patience, time.Millisecond)
 			away(gone)
 			require.Eventually(t, func() bool { return b.open() == 1 }, patience, time.Millisecond)
-			b.onLoop(func() { assert.Equal(t, 1, b.s.e.Counts.Outcomes[decide.NotSent]) })
+			b.onLoop(func() { assert.Equal(t, 1, b.s.engine.Counts.Outcomes[decide.NotSent]) })
 			close(release)
 			status, _, err := holds.Answer(patience)
 			require.NoError(t, err)
--- a/cmd/weldscale/moments_discovery_test.go
+++ b/cmd/weldscale/moments_discovery_test.go
@@ -51,11 +51,11 @@
 			if name != "twice running" {
 				b.onLoop(func() {
 					// In the turn that gave it up; on a slow machine it has been answered, and the watch renewed, by now.
-					assert.GreaterOrEqual(t, b.s.e.Counts.ListCalls, silent[0]+1)
+					assert.GreaterOrEqual(t, b.s.engine.Counts.ListCalls, silent[0]+1)
 				})
 			}
 			require.Eventually(t, func() (is bool) {
-				b.onLoop(func() { is = b.s.e.ReadyWorkers() == 1 })
+				b.onLoop(func() { is = b.s.engine.ReadyWorkers() == 1 })
 				return is
 			}, patience, time.Millisecond)
 			assert.Contains(t, b.discovery.Calls()[silent[0]], "hold_ms=1", "answered at once")
@@ -95,10 +95,10 @@
 	})
 	b := startBenchAt(t, d, known)
 	require.Eventually(t, func() (is bool) {
-		b.onLoop(func() { is = b.s.e.ReadyWorkers() == 0 })
+		b.onLoop(func() { is = b.s.engine.ReadyWorkers() == 0 })
 		return is
 	}, patience, time.Millisecond)
-	b.onLoop(func() { assert.Equal(t, 2, b.s.e.Counts.ListFailed) })
+	b.onLoop(func() { assert.Equal(t, 2, b.s.engine.Counts.ListFailed) })
 }
 
 // Changes up to a version older than ours bring nothing back to life: the whole list is asked for.
@@ -117,7 +117,7 @@
 	calls := b.calls(3)
 	assert.Equal(t, "", calls[2], "the whole list")
 	require.Eventually(t, func() bool { return len(b.discovery.Calls()) >= 4 }, patience, time.Millisecond)
-	b.onLoop(func() { assert.Equal(t, 1, b.s.e.ReadyWorkers(), "the drain stands") })
+	b.onLoop(func() { assert.Equal(t, 1, b.s.engine.ReadyWorkers(), "the drain stands") })
 }
 
 // pushed has the lists pushed: the discovery is an agent's.
@@ -164,8 +164,8 @@
 				require.Eventually(t, func() (is bool) {
 					b.onLoop(func() {
 						at := ""
-						b.s.e.EachReadyAddr(func(addr string) { at = addr })
-						is = b.s.e.ReadyWorkers() == n && at == on
+						b.s.engine.EachReadyAddr(func(addr string) { at = addr })
+						is = b.s.engine.ReadyWorkers() == n && at == on
 					})
 					return is
 				}, patience, time.Millisecond)
@@ -216,7 +216,7 @@
 	}
 	down.Store(false)
 	d.Set(a.Entry("DRAINING"))
-	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.e.ReadyWorkers() == 1 }); return is }, patience, time.Millisecond)
+	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.engine.ReadyWorkers() == 1 }); return is }, patience, time.Millisecond)
 	for i := range 5 {
 		status, _ := b.ask(fmt.Sprint(i), "view", patience)
 		assert.Equal(t, 200, status)
@@ -235,7 +235,7 @@
 	require.Eventually(t, func() bool { return len(second.Calls()) > 2 }, patience, time.Millisecond)
 	assert.Equal(t, []string{"", ""}, second.Calls()[:2], "the whole list, until it has come")
 	second.Set(z.Entry("DRAINING"))
-	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.e.ReadyWorkers() == 0 }); return is }, patience, time.Millisecond)
+	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.engine.ReadyWorkers() == 0 }); return is }, patience, time.Millisecond)
 }
 
 // A whole list that is asked for while a call is open is asked for once that has ended.
@@ -294,7 +294,7 @@
 			close(let)
 			at := <-ended
 			d.Set(a.Entry("DRAINING"))
-			require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.e.ReadyWorkers() == 1 }); return is }, patience, time.Millisecond)
+			require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.engine.ReadyWorkers() == 1 }); return is }, patience, time.Millisecond)
 			assert.Less(t, d.CalledAt()[2].Sub(at), 10*time.Second)
 		})
 	}
@@ -307,7 +307,7 @@
 	b := startBench(t, a.Entry("SERVING"))
 	b.calls(2)
 	b.discovery.Down(true)
-	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.e.Counts.ListFailed > 0 }); return is }, patience, time.Millisecond)
+	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.engine.Counts.ListFailed > 0 }); return is }, patience, time.Millisecond)
 	second := startDiscovery(t, z.Entry("SERVING"))
 	moved := time.Now()
 	b.onLoop(func() { b.s.discovery.Move(second.Addr()) })
--- a/cmd/weldscale/moments_stop_test.go
+++ b/cmd/weldscale/moments_stop_test.go
@@ -52,8 +52,8 @@
 		c = b.call()
 	}
 	require.NoError(t, c.Send(standin.Job("last", "view", 8*time.Second, "x")))
-	within := time.Since(began) < graceFor-50*time.Millisecond
-	time.Sleep(time.Until(began.Add(graceFor + 50*time.Millisecond))) // the loop comes late to the end of the grace
+	within := time.Since(began) < gracePeriod-50*time.Millisecond
+	time.Sleep(time.Until(began.Add(gracePeriod + 50*time.Millisecond))) // the loop comes late to the end of the grace
 	close(let)
 	status, _, err := c.Answer(patience)
 	if within {
@@ -113,7 +113,7 @@
 	require.NoError(t, hanging.Send(standin.Job("hangs", "send", 25*time.Second, "x")))
 	require.Eventually(t, func() bool { return len(w.IDs()) == 1 }, patience, time.Millisecond)
 	b.discovery.Set(w.Entry("DRAINING"))
-	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.e.ReadyWorkers() == 0 }); return is }, patience, time.Millisecond)
+	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.engine.ReadyWorkers() == 0 }); return is }, patience, time.Millisecond)
 	require.NoError(t, waiting.Send(standin.Job("waits", "send", 25*time.Second, "x")))
 	b.arrived(2)
 	began := time.Now()
--- a/cmd/weldscale/moments_test.go
+++ b/cmd/weldscale/moments_test.go
@@ -44,7 +44,7 @@
 // arrived waits until the loop has taken a request.
 func (b *bench) arrived(n int) {
 	require.Eventually(b.t, func() (is bool) {
-		b.onLoop(func() { is = b.s.e.Counts.Accepted >= n })
+		b.onLoop(func() { is = b.s.engine.Counts.Accepted >= n })
 		return is
 	}, patience, time.Millisecond)
 }
--- a/cmd/weldscale/moments_workers_test.go
+++ b/cmd/weldscale/moments_workers_test.go
@@ -87,7 +87,7 @@
 				}
 				assert.Equal(t, "200 made of "+id, fmt.Sprint(status, " ", body))
 			}
-			b.onLoop(func() { assert.Zero(t, b.s.e.Avoided()) })
+			b.onLoop(func() { assert.Zero(t, b.s.engine.Avoided()) })
 		})
 	}
 }
@@ -160,7 +160,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			assert.NotEqual(t, on["spoilt"], on["next"])
-			b.onLoop(func() { assert.Zero(t, b.s.e.Avoided()) })
+			b.onLoop(func() { assert.Zero(t, b.s.engine.Avoided()) })
 		})
 	}
 }
--- a/cmd/weldscale/operate.go
+++ b/cmd/weldscale/operate.go
@@ -34,7 +34,7 @@
 }
 
 // ready reports whether the scheduler can serve now and will go on to.
-func (s *scheduler) ready() bool { return s.stopping.IsZero() && (s.e.Ready() || s.anyReady()) }
+func (s *scheduler) ready() bool { return s.stopping.IsZero() && (s.engine.Ready() || s.anyReady()) }
 
 // Figures implements mgmt.Control.
 func (o operate) Figures() (f mgmt.Figures, err error) {
@@ -51,12 +51,12 @@
 
 // parts are all of them: the platform's, those that the operator's file names and those that leave.
 func (s *scheduler) parts() []part {
-	all := []part{{s.e, s.overlay, s.c.classes}}
+	all := []part{{s.engine, s.overlay, s.config.classes}}
 	for _, v := range s.services {
-		all = append(all, part{v.e, v.overlay, v.conf.ClassNames()})
+		all = append(all, part{v.engine, v.overlay, v.conf.ClassNames()})
 	}
-	for _, v := range s.leaving {
-		all = append(all, part{v.e, v.overlay, v.conf.ClassNames()})
+	for _, v := range s.draining {
+		all = append(all, part{v.engine, v.overlay, v.conf.ClassNames()})
 	}
 	return all
 }
@@ -81,20 +81,20 @@
 // SetOut implements mgmt.Control.
 func (o operate) SetOut(worker string, out bool) error {
 	known := false
-	if err := o.soon(func() { known = o.s.setOut(worker, out) }); err != nil {
+	if err := o.soon(func() { known = o.s.setOffline(worker, out) }); err != nil {
 		return err
 	}
 	if !known {
 		return mgmt.ErrUnknown
 	}
-	if o.s.up != nil {
-		return o.s.up.bind(worker, out)
+	if o.s.upgrade != nil {
+		return o.s.upgrade.bind(worker, out)
 	}
 	return nil
 }
 
 // out are the workers that are out, of all services, in order.
-func (s *scheduler) out() []string {
+func (s *scheduler) offlineWorkers() []string {
 	var names []string
 	for _, p := range s.parts() {
 		names = append(names, p.overlay.Offline()...)
@@ -104,14 +104,14 @@
 }
 
 // restore takes out whoever was out before, in every service, listed or not.
-func (s *scheduler) restore(names []string) {
+func (s *scheduler) restoreOffline(names []string) {
 	for _, p := range s.parts() {
 		p.overlay.RestoreOffline(names)
 	}
 }
 
 // setOut takes a worker out of every service that lists it, or puts it back.
-func (s *scheduler) setOut(worker string, out bool) bool {
+func (s *scheduler) setOffline(worker string, out bool) bool {
 	known := false
 	for _, p := range s.parts() {
 		known = p.overlay.SetOffline(worker, out) || known
--- a/cmd/weldscale/operate_test.go
+++ b/cmd/weldscale/operate_test.go
@@ -22,7 +22,7 @@
 // operator makes a call of the second address.
 func (b *bench) operator(method, path string) (int, string) {
 	client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
-	req, err := http.NewRequest(method, "http://"+b.s.second.Addr()+path, nil)
+	req, err := http.NewRequest(method, "http://"+b.s.management.Addr()+path, nil)
 	require.NoError(b.t, err)
 	resp, err := client.Do(req)
 	require.NoError(b.t, err)
@@ -85,7 +85,7 @@
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
 	b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, withSecond)
 	for i := range 3 * 16 {
-		c, err := net.Dial("tcp", b.s.second.Addr())
+		c, err := net.Dial("tcp", b.s.management.Addr())
 		require.NoError(t, err)
 		defer c.Close()
 		if i%2 == 0 {
@@ -153,7 +153,7 @@
 	assert.Equal(t, []int{1, 0, 1, 0, 0, 1}, []int{f.Served["view"], f.Served["send"], f.Refused["view"], f.Refused["send"], f.Failed["view"], f.Failed["send"]})
 	assert.Equal(t, 4, f.Attempts)
 	b.s.loop.Do(func() {
-		c := &b.s.e.Counts
-		assert.Equal(t, c.Accepted, c.Served+c.Refused+c.Failed+c.Hangups+b.s.e.OpenRequests())
+		c := &b.s.engine.Counts
+		assert.Equal(t, c.Accepted, c.Served+c.Refused+c.Failed+c.Hangups+b.s.engine.OpenRequests())
 	})
 }
--- a/cmd/weldscale/reference.go
+++ b/cmd/weldscale/reference.go
@@ -31,7 +31,7 @@
 func reference() string {
 	var b strings.Builder
 	b.WriteString("# Reference\n\nMade by `weldscale reference`; a test holds this page against the code.\n\n## Commands\n")
-	k := parser(&cli{})
+	k := newParser(&cli{})
 	flags := func(list []*kong.Flag) {
 		if len(list) == 0 {
 			return
--- a/cmd/weldscale/rules_test.go
+++ b/cmd/weldscale/rules_test.go
@@ -61,7 +61,7 @@
 	b := &bench{t: t, end: make(chan struct{}), discovery: startDiscovery(t, entries...)}
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeConfig(t, path, standin.Site{Discovery: b.discovery.Addr(), Known: b.discovery.Known()})
-	c, err := load(func(key string) string { return map[string]string{"GW_CONFIG": path}[key] })
+	c, err := loadConfig(func(key string) string { return map[string]string{"GW_CONFIG": path}[key] })
 	require.NoError(t, err)
 	c.file = operator.Default(c.Limits.MemoryMB << 20)
 	for _, f := range change {
@@ -122,7 +122,7 @@
 	close(release)
 	assert.Equal(t, 200, <-answered)
 	<-b.end
-	assert.Zero(t, b.s.e.OpenRequests())
+	assert.Zero(t, b.s.engine.OpenRequests())
 }
 
 // The door of a stopping scheduler once stayed open as long as anyone still came, and what it then took was lost at
@@ -176,7 +176,7 @@
 	b.discovery.Set(a.Entry("DRAINING"))
 	require.Eventually(t, func() bool {
 		told := make(chan int)
-		b.s.loop.Post(func() { n := 0; b.s.e.EachReadyAddr(func(string) { n++ }); told <- n })
+		b.s.loop.Post(func() { n := 0; b.s.engine.EachReadyAddr(func(string) { n++ }); told <- n })
 		return <-told == 1
 	}, patience, time.Millisecond)
 	before := len(a.IDs())
--- a/cmd/weldscale/serve.go
+++ b/cmd/weldscale/serve.go
@@ -23,38 +23,39 @@
 	"weldscale/internal/pool"
 )
 
-// This file owns the scheduler as a program: the wiring of its parts, the process's limits and its signals. It must
-// hold no behaviour that a part could hold.
+// This file wires the components of the scheduler and handles the process's limits and signals. Behaviour that a component
+// could implement does not belong here.
 
 const (
-	// openFor is how long the door stays open: the front learns of the stop only by and by. It closes whoever still
-	// comes, or those who never stop coming would have requests taken that the end then cuts short.
-	openFor = 600 * time.Millisecond
-	// graceFor is how long after the signal requests may come that have to be answered, if only by a refusal.
-	graceFor = 700 * time.Millisecond
-	// waitFor is how much longer the door stays open for those that wait to be accepted, where there is time.
-	waitFor = time.Second
-	// longestWait and endMargin: the platform kills no sooner than the longest deadline, at most longestWait, and graceFor
-	// after the signal. So long before that what is still in hand gets its last answer.
-	longestWait = 3 * time.Second
-	endMargin   = 250 * time.Millisecond
-	// lastWords is how long the last answers have to leave.
-	lastWords = 100 * time.Millisecond
-	// unsentFor is how long after the signal answers that clients take slowly may hold up the end.
-	unsentFor = 3500 * time.Millisecond
+	// acceptPeriod is how long after the signal new requests are still served, because the front end learns of the stop
+	// with a delay. New requests are refused afterwards. Otherwise a client that keeps sending would have requests accepted
+	// that the exit then cuts off.
+	acceptPeriod = 600 * time.Millisecond
+	// gracePeriod is how long after the signal arriving requests must still be answered, if only with a refusal.
+	gracePeriod = 700 * time.Millisecond
+	// backlogPeriod is how much longer the listener stays open for connections that wait to be accepted, if time permits.
+	backlogPeriod = time.Second
+	// The platform kills the process no sooner than the longest deadline, at most maxDeadline, plus gracePeriod after the
+	// signal. Open requests are given up killMargin before that.
+	maxDeadline = 3 * time.Second
+	killMargin  = 250 * time.Millisecond
+	// flushDelay is the time for the last answers to be transmitted.
+	flushDelay = 100 * time.Millisecond
+	// unsentPeriod is how long after the signal answers that clients read slowly may delay the exit.
+	unsentPeriod = 3500 * time.Millisecond
 )
 
-// serveCmd is the scheduler; it is what runs where no command is given.
+// serveCmd runs the scheduler. It is the default command.
 type serveCmd struct {
 	Config string `help:"The operator's file, in HCL; see deploy/weldscale.hcl. None is needed." placeholder:"FILE"`
 }
 
-// read reads the platform's configuration and the operator's file.
+// read reads the platform's configuration, if there is one, and the operator's file.
 func (c serveCmd) read() (*config, error) {
 	if os.Getenv("GW_CONFIG") == "" && c.Config != "" {
-		return fromFile(c.Config)
+		return loadOperatorFile(c.Config)
 	}
-	conf, err := load(os.Getenv)
+	conf, err := loadConfig(os.Getenv)
 	if err != nil {
 		return nil, err
 	}
@@ -67,8 +68,8 @@
 
 // Run implements the command.
 func (c serveCmd) Run() error {
-	// First of all, since unheard they would end the program. A reload that is asked for while one waits is the
-	// same one, but must not take the place of a stop.
+	// The handlers are installed first, because the default action of these signals ends the program. A reload request is
+	// merged with one that is already pending. It has its own channel so that it can't displace a stop.
 	hups, signals := make(chan os.Signal, 1), make(chan os.Signal, 4)
 	signal.Notify(hups, syscall.SIGHUP)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1)
@@ -76,9 +77,9 @@
 	if err != nil {
 		return err
 	}
-	// One core is ours. The second P lets the loop go on while the first waits in the poller's system call.
+	// The process has one core. The second P lets the loop run while the first is blocked in the poller's system call.
 	runtime.GOMAXPROCS(2)
-	debug.SetGCPercent(400) // live state is small; the limit below bounds what that lets pile up
+	debug.SetGCPercent(400) // the live heap is small, and divideLimits sets a memory limit that bounds the garbage
 	s, err := start(conf)
 	if err != nil {
 		return err
@@ -103,21 +104,22 @@
 				if got == syscall.SIGUSR1 {
 					slog.Info("counters", "counts", s.server.Stats())
 				} else {
-					slog.Info("stopping", "signal", got.String(), "open", s.inHand())
+					slog.Info("stopping", "signal", got.String(), "open", s.openRequests())
 					s.stop()
 				}
 			})
 		}
 	}()
-	s.loop.Post(s.trace)
+	s.loop.Post(s.updateTrace)
 	s.loop.Run()
 	s.fleet.close()
-	slog.Info("stopped", "open", s.inHand(), "counts", s.server.Stats())
+	slog.Info("stopped", "open", s.openRequests(), "counts", s.server.Stats())
 	return nil
 }
 
-// trace follows each request in the log while its level is debug. The engines ask no more than whether there is a trace.
-func (s *scheduler) trace() {
+// updateTrace makes the engines log the events of each request if the log level is debug. An engine only checks whether its
+// Trace is nil.
+func (s *scheduler) updateTrace() {
 	set := func(name string, e *engine.Engine) {
 		e.Trace = nil
 		if logs.Debug() {
@@ -126,37 +128,37 @@
 			}
 		}
 	}
-	set("", s.e)
+	set("", s.engine)
 	for name, v := range s.services {
-		set(name, v.e)
+		set(name, v.engine)
 	}
 }
 
-// scheduler is the parts, wired.
+// scheduler holds the components of a running scheduler. All fields belong to the loop.
 type scheduler struct {
-	c         *config // in force
-	loop      *engine.Loop
-	e         *engine.Engine
-	driver    *net.Driver
-	server    *jobs.Server
-	overlay   *jobs.Overlay         // of workers taken out by hand
-	second    *net.ManagementServer // nil: the platform names no second address
-	up        *upgrade              // nil: the platform passes no listening socket
-	workers   *jobs.Workers
-	discovery *jobs.Discovery
-	services  map[string]*service // that the operator's file names
-	leaving   []*service          // that it named before and that have requests in hand
-	open      *pool.Budget        // of requests in hand
-	clock     *pool.Clock         // of the loop's time
-	fleet     *fleetPart          // nil: the file names no fleet
-	metrics   *metrics.Set        // nil: none are kept
-	stopping  time.Time           // when the stop began
-	shut      bool                // what comes is refused
-	closed    bool                // the door is
-	calledOff bool                // what was in hand has had its last answer
+	config         *config // in force
+	loop           *engine.Loop
+	engine         *engine.Engine // of the platform's service
+	driver         *net.Driver
+	server         *jobs.Server
+	overlay        *jobs.Overlay         // workers that an operator has taken offline
+	management     *net.ManagementServer // nil if no management address is configured
+	upgrade        *upgrade              // nil if the platform passes no listening socket
+	workers        *jobs.Workers
+	discovery      *jobs.Discovery
+	services       map[string]*service // services of the operator's file, by name
+	draining       []*service          // removed services that still have open requests
+	openBudget     *pool.Budget        // limits the open requests of all services
+	laneClock      *pool.Clock         // divides the loop's time among the services
+	fleet          *fleetMember        // nil if the file has no fleet block
+	metrics        *metrics.Set        // nil if metrics are off
+	stopping       time.Time           // start of the shutdown, or zero
+	refusing       bool                // new requests are refused
+	listenerClosed bool
+	gaveUp         bool // all open requests have been given up
 }
 
-// start wires the parts and listens. Nothing is served before the loop runs.
+// start creates the components and listens. Requests are served only once the loop runs.
 func start(c *config) (*scheduler, error) {
 	s := &scheduler{}
 	loop := engine.NewLoop()
@@ -179,14 +181,14 @@
 		Cadence: jobs.Cadence{Nodes: c.engine.Settings.Nodes, AskWithin: time.Duration(c.engine.Settings.AskWithin) * time.Microsecond}}
 	discovery.FromAgent = !c.engine.Settings.MustAsk
 	workers := &jobs.Workers{Engine: e, Dialer: driver, Reports: c.reports, Host: "app.svc", Pace: c.file.Workers}
-	workers.RetainResponses = c.passed >= 0
+	workers.RetainResponses = c.listenFD >= 0
 	server.Main.Workers = workers
 	overlay := jobs.NewOverlay(e)
 	e.SetBackends(workers, discovery)
 	if err := discovery.LoadKnown(c.Known); err != nil {
 		return nil, err
 	}
-	*s = scheduler{c: c, loop: loop, e: e, driver: driver, server: server, workers: workers, discovery: discovery, overlay: overlay, clock: &pool.Clock{}}
+	*s = scheduler{config: c, loop: loop, engine: e, driver: driver, server: server, workers: workers, discovery: discovery, overlay: overlay, laneClock: &pool.Clock{}}
 	server.Stats = func() string {
 		return fmt.Sprintf("%s %s goroutines=%d log_dropped=%d%s", &e.Counts, server.Pace.Counts(), runtime.NumGoroutine(),
 			logs.Dropped(), s.serviceStats())
@@ -200,10 +202,10 @@
 		server.Metrics = s.metrics.Text
 		e.Meter = s.metrics.Service("", c.classes, engine.StatusNames[:])
 	}
-	if s.fleet, err = joinFleet(c); err != nil {
+	if s.fleet, err = newFleetMember(c); err != nil {
 		return nil, err
 	}
-	if err := s.apply(c.file); err != nil {
+	if err := s.applyServices(c.file); err != nil {
 		s.fleet.close()
 		return nil, err
 	}
@@ -211,42 +213,42 @@
 		s.fleet.close()
 		return nil, err
 	}
-	s.shareLimits()
-	if s.up != nil {
-		discovery.OnUpdate = s.up.tell
+	s.divideLimits()
+	if s.upgrade != nil {
+		discovery.OnUpdate = s.upgrade.tell
 	}
 	if discovery.FromAgent && c.Discovery != "" {
 		discovery.Watch(true)
 	}
 	if c.Mgmt != "" {
 		driver.ReserveForManagement()
-		s.second, err = net.ListenManagement(c.Mgmt, operate{s})
+		s.management, err = net.ListenManagement(c.Mgmt, operate{s})
 	}
 	return s, err
 }
 
-// listen opens the door for clients, or goes on at the one that the platform passes.
+// listen opens the clients' listening socket, or uses the one that the platform passes.
 func (s *scheduler) listen() error {
-	if s.c.passed < 0 {
-		return s.driver.Listen(s.c.Listen)
+	if s.config.listenFD < 0 {
+		return s.driver.Listen(s.config.Listen)
 	}
-	if err := s.joinOthers(); err != nil {
+	if err := s.joinProcesses(); err != nil {
 		return err
 	}
-	return s.driver.ListenOn(s.c.passed)
+	return s.driver.ListenOn(s.config.listenFD)
 }
 
-// reload puts a new configuration in force, as far as a running scheduler can: where discovery is and the
-// limits. Everything in hand goes on. One that can't be used changes nothing.
+// reload applies the parts of a new configuration that can change at run time: the address of discovery, the limits and the
+// operator's file. Open requests continue. If err is not nil or the configuration is not usable, nothing changes.
 func (s *scheduler) reload(c *config, err error) error {
 	if err != nil {
 		slog.Error("new configuration not taken", "why", err)
 		return err
 	}
-	old := s.c
+	old := s.config
 	limits := old.Limits
 	old.Limits = c.Limits
-	if err := s.apply(c.file); err != nil {
+	if err := s.applyServices(c.file); err != nil {
 		old.Limits = limits
 		slog.Error("new configuration not taken", "why", err)
 		return err
@@ -254,84 +256,87 @@
 	slog.Info("new configuration", "discovery", c.Discovery, "restart_needed", c.Name != old.Name ||
 		c.Listen != old.Listen || !reflect.DeepEqual(c.engine.Settings, old.engine.Settings))
 	old.Discovery, old.Limits, old.file = c.Discovery, c.Limits, c.file
-	s.shareLimits()
+	s.divideLimits()
 	s.server.Pace.SetLimits(c.file.SlowPeers)
 	s.workers.Pace = c.file.Workers
 	s.discovery.Move(c.Discovery)
-	s.trace()
+	s.updateTrace()
 	return nil
 }
 
-// stop serves for openFor, then answers what was taken, then ends the loop.
+// stop starts the shutdown: the scheduler serves for acceptPeriod, then answers the open requests, then stops the loop.
+// If another process can take over, connections are handed over instead. Later calls have no effect.
 func (s *scheduler) stop() {
 	if s.stopping.IsZero() {
 		s.stopping = time.Now()
-		if s.passOn() {
+		if s.startHandover() {
 			return
 		}
 		s.server.StartClosing()
-		s.stopped()
+		s.continueStop()
 	}
 }
 
-// stopped takes the next step of a stop: from openFor on what comes is refused; from graceFor on nothing is taken in but what
-// is here already, read or not; before the platform kills, what is in hand is given up; then comes the end.
-func (s *scheduler) stopped() {
-	since, last := time.Since(s.stopping), s.lastCall()
-	if !s.shut && since >= min(openFor, last) {
-		s.shut = true
+// continueStop performs the next step of the shutdown and reschedules itself. After acceptPeriod it refuses new requests.
+// After gracePeriod it closes the listener, so that only requests on accepted connections remain, read or unread. Shortly
+// before the platform kills the process, it gives up the open requests. Then it stops the loop.
+func (s *scheduler) continueStop() {
+	since, last := time.Since(s.stopping), s.giveUpDelay()
+	if !s.refusing && since >= min(acceptPeriod, last) {
+		s.refusing = true
 		s.server.RefuseNew()
 	}
-	if !s.closed && since >= graceFor && (!s.driver.HasPendingClients() || since >= max(graceFor+lastWords, min(graceFor+waitFor, last))) {
-		s.closed = true
+	if !s.listenerClosed && since >= gracePeriod && (!s.driver.HasPendingClients() || since >= max(gracePeriod+flushDelay, min(gracePeriod+backlogPeriod, last))) {
+		s.listenerClosed = true
 		s.driver.StopListening()
 	}
 	unread := 0
-	if s.closed {
+	if s.listenerClosed {
 		unread = s.server.CloseIdle()
 	}
-	if !s.calledOff && since >= last {
-		s.calledOff = true
+	if !s.gaveUp && since >= last {
+		s.gaveUp = true
 		for _, e := range s.engines() {
 			e.GiveUpAll()
 		}
 	}
-	if !s.closed || s.inHand() > 0 || (unread > 0 || s.driver.Unsent() > 0) && since < min(unsentFor, last+lastWords) {
-		s.loop.After(20*time.Millisecond, s.stopped)
+	if !s.listenerClosed || s.openRequests() > 0 || (unread > 0 || s.driver.Unsent() > 0) && since < min(unsentPeriod, last+flushDelay) {
+		s.loop.After(20*time.Millisecond, s.continueStop)
 		return
 	}
-	// The last answers are with the system; the exit must not overtake their way there. What was accepted last may come to
-	// be read meanwhile.
-	words := min(lastWords, max(0, last+endMargin/2-since))
-	s.loop.After(words, func() {
-		if words > 0 && since < unsentFor && (s.inHand() > 0 || s.server.CloseIdle() > 0) {
-			s.stopped()
+	// The kernel still has to transmit the last answers before the process exits. A connection that was accepted late may
+	// deliver a request in the meantime.
+	delay := min(flushDelay, max(0, last+killMargin/2-since))
+	s.loop.After(delay, func() {
+		if delay > 0 && since < unsentPeriod && (s.openRequests() > 0 || s.server.CloseIdle() > 0) {
+			s.continueStop()
 			return
 		}
 		s.loop.Stop()
 	})
 }
 
-// lastCall is when after the signal what is still in hand is given up. Without a platform nobody kills.
-func (s *scheduler) lastCall() time.Duration {
-	if s.c.Discovery == "" {
+// giveUpDelay returns the time from the signal until open requests are given up. Without a platform, nothing kills the
+// process, so the delay is a day.
+func (s *scheduler) giveUpDelay() time.Duration {
+	if s.config.Discovery == "" {
 		return 24 * time.Hour
 	}
 	longest := decide.Time(0)
 	for _, e := range s.engines() {
 		longest = max(longest, e.LongestDeadline())
 	}
-	return min(time.Duration(longest)*time.Microsecond, longestWait) + graceFor - endMargin
+	return min(time.Duration(longest)*time.Microsecond, maxDeadline) + gracePeriod - killMargin
 }
 
-// engines are those of all services, with those that leave.
+// engines returns the engines of all services, including the draining ones.
 func (s *scheduler) engines() []*engine.Engine {
-	all := []*engine.Engine{s.e}
+	all := []*engine.Engine{s.engine}
 	for _, v := range s.services {
-		all = append(all, v.e)
+		all = append(all, v.engine)
 	}
-	for _, v := range s.leaving {
-		all = append(all, v.e)
+	for _, v := range s.draining {
+		all = append(all, v.engine)
 	}
 	return all
 }
--- a/cmd/weldscale/services.go
+++ b/cmd/weldscale/services.go
@@ -19,30 +19,32 @@
 	"weldscale/internal/route"
 )
 
-// This file owns the life of the services that the operator's file names: each is built whole before anything changes,
-// runs on while its terms allow, and leaves once its last request has its answer. It must never touch a request.
+// This file creates, updates and removes the services that the operator's file names. New services are built completely
+// before anything changes. A removed service is closed once its last request has been answered. Requests are not handled
+// here.
 
-// service is one that runs.
+// service is a running service of the operator's file.
 type service struct {
 	conf    operator.Service
 	jobs    *jobs.Service
-	e       *engine.Engine
-	share   *pool.Share
-	lane    *pool.Lane
+	engine  *engine.Engine
+	share   *pool.Share // of the open requests of all services
+	lane    *pool.Lane  // of the loop's time
 	overlay *jobs.Overlay
-	dials   *net.Dialer    // of its connections to workers
-	list    *member.Static // of workers that the file names itself
-	stop    func()         // of its membership
-	gone    bool           // nothing more is asked of it
+	dialer  *net.Dialer    // for connections to workers
+	list    *member.Static // the workers, unless they come from discovery
+	stop    func()         // stops updates of the worker list
+	removed bool           // set once the service has been closed
 }
 
-// reports are the figures of PROTOCOL, in the order in which a service's workers are asked for them.
-var reports = &jobs.LoadReportParser{Fields: []string{"inflight", "util", "x0"}, Make: func(v []float32) (r decide.Report) {
+// serviceReports parses the load reports of the services in the operator's file. The fields are those of the protocol, in the
+// order in which workers are asked for them.
+var serviceReports = &jobs.LoadReportParser{Fields: []string{"inflight", "util", "x0"}, Make: func(v []float32) (r decide.Report) {
 	for i, f := range []struct {
 		has decide.Fields
 		to  *float64
 	}{{decide.HasInFlight, &r.InFlight}, {decide.HasUtil, &r.Util}, {decide.HasFreeSlots, &r.FreeSlots}} {
-		if v[i] == v[i] { // not missing
+		if v[i] == v[i] { // missing values are NaN
 			r.Has |= f.has
 			*f.to = float64(v[i])
 		}
@@ -50,16 +52,16 @@
 	return r
 }}
 
-// build makes a service that takes nothing yet. Its workers are asked for by begin.
-func (s *scheduler) build(conf operator.Service) (*service, error) {
-	e, err := engine.New(s.loop, engine.Config{Settings: conf.Settings(), Seed: s.c.engine.Seed})
+// buildService creates a service that serves no requests yet. startService fetches its workers.
+func (s *scheduler) buildService(conf operator.Service) (*service, error) {
+	e, err := engine.New(s.loop, engine.Config{Settings: conf.Settings(), Seed: s.config.engine.Seed})
 	if err != nil {
 		return nil, fmt.Errorf("service %q: %w", conf.Name, err)
 	}
-	dials := s.driver.Dialer(conf.Connections)
-	v := &service{conf: conf, e: e, dials: dials, jobs: jobs.NewService(conf.Name, e, conf.ClassNames()), stop: func() {}}
+	dialer := s.driver.Dialer(conf.Connections)
+	v := &service{conf: conf, engine: e, dialer: dialer, jobs: jobs.NewService(conf.Name, e, conf.ClassNames()), stop: func() {}}
 	v.overlay = jobs.NewOverlay(e)
-	workers := &jobs.Workers{Engine: e, Dialer: dials, Reports: reports, Host: conf.Name, Service: conf.Name, Pace: s.c.file.Workers, RetainResponses: s.c.passed >= 0}
+	workers := &jobs.Workers{Engine: e, Dialer: dialer, Reports: serviceReports, Host: conf.Name, Service: conf.Name, Pace: s.config.file.Workers, RetainResponses: s.config.listenFD >= 0}
 	v.jobs.Workers = workers
 	switch {
 	case conf.Discovery != "":
@@ -80,48 +82,48 @@
 	return v, nil
 }
 
-// entries is the list that a service's block names.
-func entries(conf operator.Service) (out []engine.Entry) {
+// listEntries returns the worker list of a service's block.
+func listEntries(conf operator.Service) (out []engine.Entry) {
 	for _, w := range conf.Workers {
 		out = append(out, engine.Entry{Name: w.Name, Addr: w.Address, State: decide.Ready, Weight: 1})
 	}
 	return out
 }
 
-// begin gives a service its parts of what all share, and its workers.
-func (s *scheduler) begin(v *service) {
-	v.overlay.RestoreOffline(s.out()) // who is out is out of a new service too
-	v.share, v.lane = s.open.Share(v.conf.Reserve), s.clock.Lane(s.loop.Now(), v.conf.Weight)
+// startService allocates the service's shares of the common limits and fetches its workers.
+func (s *scheduler) startService(v *service) {
+	v.overlay.RestoreOffline(s.offlineWorkers()) // offline workers are offline in a new service too
+	v.share, v.lane = s.openBudget.Share(v.conf.Reserve), s.laneClock.Lane(s.loop.Now(), v.conf.Weight)
 	p := pool.New(v.conf.Name, v.conf.Limits, v.conf.ClassLimits(), v.share, v.lane)
-	if err := s.fleet.share(v.conf, p); err != nil { // its terms were checked with the file
+	if err := s.fleet.share(v.conf, p); err != nil { // the limits themselves were checked with the file
 		slog.Error("no part of the fleet's limits", "service", v.conf.Name, "why", err)
 	}
-	s.account(v.jobs, v.e, p, v.lane)
+	s.attachPool(v.jobs, v.engine, p, v.lane)
 	s.fleet.watch(v, s.loop)
 	if s.metrics != nil {
-		v.e.Meter = s.metrics.Service(v.conf.Name, v.conf.ClassNames(), engine.StatusNames[:])
+		v.engine.Meter = s.metrics.Service(v.conf.Name, v.conf.ClassNames(), engine.StatusNames[:])
 	}
 	switch {
 	case v.conf.Discovery != "":
-		v.e.Announce(decide.ListCached, nil) // the module asks from here on
+		v.engine.Announce(decide.ListCached, nil) // from now on the dispatcher requests the list
 	case v.conf.File != "":
 		v.list.Reload()
 	default:
-		v.list.Set(entries(v.conf))
+		v.list.Set(listEntries(v.conf))
 	}
 }
 
-// account ties an engine to a pool's account.
-func (s *scheduler) account(v *jobs.Service, e *engine.Engine, p *pool.Pool, lane *pool.Lane) {
+// attachPool makes a service and its engine charge their use to a pool and a lane.
+func (s *scheduler) attachPool(v *jobs.Service, e *engine.Engine, p *pool.Pool, lane *pool.Lane) {
 	v.Pool = p
 	e.MayRetry = func(class int) bool { return p.Retry(s.loop.Now(), class) }
 	e.OnBusy = func(span time.Duration) { lane.Used(s.loop.Now(), span.Microseconds()) }
 }
 
-// apply puts the services of an operator's file in force. New ones are all built first; one that can't be leaves all as
-// it was. One whose workers' place and classes are the same runs on under its new limits; the others are replaced.
-// Requests in hand end where they are.
-func (s *scheduler) apply(file operator.File) error {
+// applyServices puts the services of an operator's file in force. It builds all new services first, and if one of them
+// fails, nothing changes. A service whose worker source and classes are unchanged continues with its new limits; the others
+// are replaced. Open requests finish in the service that accepted them.
+func (s *scheduler) applyServices(file operator.File) error {
 	next := map[string]*service{}
 	var built []*service
 	var faults []error
@@ -130,7 +132,7 @@
 			next[conf.Name] = old
 			continue
 		}
-		v, err := s.build(conf)
+		v, err := s.buildService(conf)
 		if err != nil {
 			faults = append(faults, err)
 			continue
@@ -144,15 +146,15 @@
 		}
 		return errors.Join(faults...)
 	}
-	// A request in hand holds a client's descriptor, and its attempt and probes some more.
-	total := cmp.Or(file.Open, s.c.Limits.Sockets/3)
-	if s.open == nil {
-		s.open = pool.NewBudget(total)
+	// An open request uses the descriptor of its client's connection and more for its attempt and probes.
+	total := cmp.Or(file.Open, s.config.Limits.Sockets/3)
+	if s.openBudget == nil {
+		s.openBudget = pool.NewBudget(total)
 	}
-	s.open.SetTotal(total)
+	s.openBudget.SetTotal(total)
 	for name, old := range s.services {
 		if next[name] != old {
-			s.leaving = append(s.leaving, old)
+			s.draining = append(s.draining, old)
 			old.share.Reserve(0)
 			old.lane.Close()
 		}
@@ -160,33 +162,33 @@
 	for _, conf := range file.Services {
 		v := next[conf.Name]
 		if slices.Contains(built, v) {
-			s.begin(v)
+			s.startService(v)
 			continue
 		}
 		v.jobs.Pool.SetLimits(conf.Limits, conf.ClassLimits())
 		v.share.Reserve(conf.Reserve)
 		v.lane.SetWeight(conf.Weight)
-		v.dials.SetLimit(conf.Connections)
+		v.dialer.SetLimit(conf.Connections)
 		if conf.File == "" && conf.Discovery == "" && !slices.Equal(conf.Workers, v.conf.Workers) {
-			v.list.Set(entries(conf))
+			v.list.Set(listEntries(conf))
 		}
 		v.conf = conf
 	}
 	s.services = next
-	s.routes(file)
-	s.left()
+	s.setRoutes(file)
+	s.removeDrained()
 	return nil
 }
 
-// routes swaps the table.
-func (s *scheduler) routes(file operator.File) {
+// setRoutes replaces the routing table.
+func (s *scheduler) setRoutes(file operator.File) {
 	if len(file.Services) == 0 {
-		s.server.Route = nil // all is the platform's
+		s.server.Route = nil // every request goes to the platform's service
 		return
 	}
 	if main := s.server.Main; main.Pool == nil {
-		lane := s.clock.Lane(s.loop.Now(), 1)
-		s.account(main, s.e, pool.New("", pool.Limits{}, make([]pool.Limits, len(main.Classes)), s.open.Share(0), lane), lane)
+		lane := s.laneClock.Lane(s.loop.Now(), 1)
+		s.attachPool(main, s.engine, pool.New("", pool.Limits{}, make([]pool.Limits, len(main.Classes)), s.openBudget.Share(0), lane), lane)
 	}
 	table, services := file.Routes, s.services
 	s.server.Route = func(r route.Request) (*jobs.Service, route.Miss) {
@@ -201,24 +203,24 @@
 	}
 }
 
-// left ends services that are no longer named once nothing of theirs is in hand.
-func (s *scheduler) left() {
-	s.leaving = slices.DeleteFunc(s.leaving, func(v *service) bool {
-		if v.e.OpenRequests() > 0 {
+// removeDrained closes draining services without open requests, and reschedules itself while others remain.
+func (s *scheduler) removeDrained() {
+	s.draining = slices.DeleteFunc(s.draining, func(v *service) bool {
+		if v.engine.OpenRequests() > 0 {
 			return false
 		}
 		v.stop()
-		v.gone = true
-		v.e.Announce(decide.ListFull, nil) // no worker of it is asked for anything any more
+		v.removed = true
+		v.engine.Announce(decide.ListFull, nil) // an empty list stops probes of its workers
 		return true
 	})
-	if len(s.leaving) > 0 {
-		s.loop.After(100*time.Millisecond, s.left)
+	if len(s.draining) > 0 {
+		s.loop.After(100*time.Millisecond, s.removeDrained)
 	}
 }
 
-// inHand is how many requests of all services wait for their answer.
-func (s *scheduler) inHand() int {
+// openRequests returns the number of requests of all services without a final answer.
+func (s *scheduler) openRequests() int {
 	n := 0
 	for _, e := range s.engines() {
 		n += e.OpenRequests()
@@ -226,7 +228,7 @@
 	return n
 }
 
-// serviceStats is a line of counters for each service, in order of names.
+// serviceStats returns a line of counters for each service, sorted by name.
 func (s *scheduler) serviceStats() string {
 	var b strings.Builder
 	var names []string
@@ -236,12 +238,12 @@
 	slices.Sort(names)
 	for _, name := range names {
 		v := s.services[name]
-		fmt.Fprintf(&b, "\n%s %s", v.line(name, v.jobs.Pool), &v.e.Counts)
+		fmt.Fprintf(&b, "\n%s %s", v.line(name, v.jobs.Pool), &v.engine.Counts)
 	}
 	return b.String()
 }
 
-// line is the counters of a service's account.
+// line formats the counters of a service's pool. A nil pool counts as empty.
 func (v *service) line(name string, p *pool.Pool) string {
 	var c pool.Counts
 	open := 0
@@ -252,10 +254,10 @@
 		name, open, c.Begun, c.OverRate, c.OverFleet, c.OverOpen, c.OverBytes, c.OverShared, c.OverTime, c.RetriesDenied)
 }
 
-// anyReady reports whether a service that the operator's file names has had a worker to serve with.
+// anyReady reports whether any service of the operator's file has ever had a ready worker.
 func (s *scheduler) anyReady() bool {
 	for _, v := range s.services {
-		if v.e.Ready() {
+		if v.engine.Ready() {
 			return true
 		}
 	}
--- a/cmd/weldscale/services_test.go
+++ b/cmd/weldscale/services_test.go
@@ -58,7 +58,7 @@
 
 // apply puts a file in force, as a reload does.
 func (b *bench) apply(f operator.File) (err error) {
-	b.s.loop.Do(func() { err = b.s.apply(f) })
+	b.s.loop.Do(func() { err = b.s.applyServices(f) })
 	return err
 }
 
@@ -127,7 +127,7 @@
 	}
 	all.Wait()
 	assert.Len(t, well.IDs(), 30)
-	b.s.loop.Do(func() { assert.Zero(t, b.s.inHand()) })
+	b.s.loop.Do(func() { assert.Zero(t, b.s.openRequests()) })
 }
 
 // Services come, change and go while requests are in hand: what was taken ends where it is, what is new goes by the
@@ -169,11 +169,11 @@
 	require.NoError(t, b.apply(readFile(t, block("desks", "", other))))
 	status, _, _ = b.to("shop.example.org", "/api/1", "4", "view", patience)
 	assert.Equal(t, 421, status)
-	b.s.loop.Do(func() { assert.Equal(t, 1, b.s.inHand()) })
+	b.s.loop.Do(func() { assert.Equal(t, 1, b.s.openRequests()) })
 	close(release)
 	assert.Equal(t, 200, <-answered)
 	require.Eventually(t, func() (left bool) {
-		b.s.loop.Do(func() { left = len(b.s.leaving) == 0 })
+		b.s.loop.Do(func() { left = len(b.s.draining) == 0 })
 		return left
 	}, patience, 10*time.Millisecond)
 }
@@ -193,7 +193,7 @@
 	text := strings.Replace(block("shop", ""), "workers {\n", fmt.Sprintf("workers {\n file = %q\n", path), 1)
 	b := startBenchWith(t, nil, func(c *config) { c.file = readFile(t, text) })
 	names := func() (out []string) {
-		b.s.loop.Do(func() { b.s.services["shop"].e.EachReadyAddr(func(addr string) { out = append(out, addr) }) })
+		b.s.loop.Do(func() { b.s.services["shop"].engine.EachReadyAddr(func(addr string) { out = append(out, addr) }) })
 		return out
 	}
 	require.Eventually(t, func() bool { return slices.Equal(names(), []string{a.Addr()}) }, patience, time.Millisecond)
--- a/cmd/weldscale/slow_test.go
+++ b/cmd/weldscale/slow_test.go
@@ -91,7 +91,7 @@
 	unsent := func() (n int) { b.s.loop.Do(func() { n = b.s.driver.Unsent() }); return n }
 	require.Eventually(t, func() bool { return unsent() == 1 }, patience, time.Millisecond, "a part waits here")
 	b.s.loop.Post(b.s.stop)
-	require.Eventually(t, func() (closed bool) { b.s.loop.Do(func() { closed = b.s.closed }); return closed }, patience, time.Millisecond)
+	require.Eventually(t, func() (closed bool) { b.s.loop.Do(func() { closed = b.s.listenerClosed }); return closed }, patience, time.Millisecond)
 	got, err := io.ReadAll(c)
 	require.NoError(t, err)
 	assert.Greater(t, len(got), size)
--- a/cmd/weldscale/upgrade.go
+++ b/cmd/weldscale/upgrade.go
@@ -50,18 +50,18 @@
 }
 
 // joinOthers takes this process's place among those of the scheduler, and takes over what the eldest knows.
-func (s *scheduler) joinOthers() error {
+func (s *scheduler) joinProcesses() error {
 	u := &upgrade{s: s, dir: os.TempDir(), began: time.Now().UnixMicro(), waiting: map[uint64]chan struct{}{},
 		ends: map[*handover.Link]bool{}}
 	if err := s.driver.EnableHandover(); err != nil {
 		return err
 	}
-	out, err := handover.Saved(u.dir, s.c.Name)
+	out, err := handover.Saved(u.dir, s.config.Name)
 	if err != nil {
 		slog.Warn("workers taken out earlier can't be read: none are out", "why", err)
 	}
-	s.up = u
-	if u.node, err = handover.Open(u.dir, s.c.Name, u); err != nil {
+	s.upgrade = u
+	if u.node, err = handover.Open(u.dir, s.config.Name, u); err != nil {
 		return err
 	}
 	slog.SetDefault(slog.Default().With("process", u.node.Process)) // two may write to one log
@@ -75,10 +75,10 @@
 		if err := json.Unmarshal(elder.Learnt, &l); err != nil {
 			slog.Warn("what the other process has learnt can't be read", "why", err)
 		}
-		s.e.RestoreLearned(l)
+		s.engine.RestoreLearned(l)
 		slog.Info("beside another process", "other", elder.Process, "out", out, "list", s.discovery.Index())
 	}
-	s.restore(out)
+	s.restoreOffline(out)
 	return nil
 }
 
@@ -100,11 +100,11 @@
 	h := handover.Hello{Started: u.began}
 	u.s.loop.DoUrgent(callWait, func() {
 		var err error
-		if h.Learnt, err = json.Marshal(u.s.e.LearnedState()); err != nil {
+		if h.Learnt, err = json.Marshal(u.s.engine.LearnedState()); err != nil {
 			slog.Warn("what was learnt can't be passed on", "why", err)
 			h.Learnt = json.RawMessage("{}")
 		}
-		h.Open, h.Out, h.List = u.s.driver.OpenDescriptors(), u.s.out(), u.s.overlay.Snapshot(u.s.discovery.Index())
+		h.Open, h.Out, h.List = u.s.driver.OpenDescriptors(), u.s.offlineWorkers(), u.s.overlay.Snapshot(u.s.discovery.Index())
 	})
 	return h
 }
@@ -114,7 +114,7 @@
 	u.mu.Lock()
 	u.links = append(u.links, l)
 	u.mu.Unlock()
-	go u.s.loop.Post(u.s.shareLimits)
+	go u.s.loop.Post(u.s.divideLimits)
 }
 
 // Gone implements handover.Handler.
@@ -123,7 +123,7 @@
 	u.links = slices.DeleteFunc(u.links, func(m *handover.Link) bool { return m == l })
 	delete(u.ends, l)
 	u.mu.Unlock()
-	u.s.loop.Post(u.s.shareLimits)
+	u.s.loop.Post(u.s.divideLimits)
 }
 
 func (u *upgrade) others() []*handover.Link {
@@ -147,12 +147,12 @@
 
 // shareLimits puts this process's part of the memory and the descriptors in force: half of them while another lives, or
 // what it has open, if that is more; the whole otherwise.
-func (s *scheduler) shareLimits() {
-	memory, descriptors := int64(s.c.Limits.MemoryMB)<<20*6/10, s.c.Limits.Sockets
-	if s.up != nil {
-		for _, l := range s.up.others() {
+func (s *scheduler) divideLimits() {
+	memory, descriptors := int64(s.config.Limits.MemoryMB)<<20*6/10, s.config.Limits.Sockets
+	if s.upgrade != nil {
+		for _, l := range s.upgrade.others() {
 			memory /= 2
-			if l.Other.Started < s.up.began { // the elder keeps what it has
+			if l.Other.Started < s.upgrade.began { // the elder keeps what it has
 				descriptors -= min(max(descriptors/2, l.Other.Open+32), descriptors*3/4)
 			} else {
 				descriptors = min(max(descriptors/2, s.driver.OpenDescriptors()+32), descriptors*3/4)
@@ -168,7 +168,7 @@
 	loop := u.s.loop
 	switch m.Kind {
 	case handover.KindOut:
-		if loop.DoUrgent(callWait, func() { u.s.setOut(m.Worker, m.Away) }) {
+		if loop.DoUrgent(callWait, func() { u.s.setOffline(m.Worker, m.Away) }) {
 			l.Say(handover.Message{Kind: handover.KindDone, Number: m.Number})
 		}
 	case handover.KindDone:
@@ -266,12 +266,12 @@
 		}
 	}
 	var names []string
-	if !u.s.loop.DoUrgent(bindWait, func() { names = u.s.out() }) {
+	if !u.s.loop.DoUrgent(bindWait, func() { names = u.s.offlineWorkers() }) {
 		return nil // the call is in force; the file follows with the next one
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if err := handover.Save(u.dir, u.s.c.Name, names); err != nil {
+	if err := handover.Save(u.dir, u.s.config.Name, names); err != nil {
 		return fmt.Errorf("taken out, but not kept for another process: %w", err)
 	}
 	return nil
@@ -286,18 +286,18 @@
 
 // passOn begins to pass connections on to the process that takes our place, and reports whether there is one. No other is to
 // pass any to us: what came as we end would be lost.
-func (s *scheduler) passOn() bool {
-	if s.up == nil {
+func (s *scheduler) startHandover() bool {
+	if s.upgrade == nil {
 		return false
 	}
-	for _, l := range s.up.others() {
+	for _, l := range s.upgrade.others() {
 		l.Say(handover.Message{Kind: handover.KindStops})
 	}
-	if s.up.successor() == nil {
+	if s.upgrade.successor() == nil {
 		return false
 	}
 	s.driver.LeaveSharedListener()
-	s.up.pass()
+	s.upgrade.pass()
 	return true
 }
 
@@ -306,10 +306,10 @@
 	s := u.s
 	to := u.successor()
 	if to == nil || time.Since(s.stopping) > passFor { // as where there never was one
-		slog.Warn("connections left at the stop", "other_lives", to != nil, "peers", s.server.Pace.Counts().Peers, "open", s.inHand(),
+		slog.Warn("connections left at the stop", "other_lives", to != nil, "peers", s.server.Pace.Counts().Peers, "open", s.openRequests(),
 			"clients", u.clients, "jobs", u.jobs)
 		s.server.StartClosing()
-		s.stopped()
+		s.continueStop()
 		return
 	}
 	s.driver.WithReadsPaused(func() {
@@ -324,9 +324,9 @@
 			s.server.HandOverJobs(u.giveJob(to))
 			left = s.server.Pace.Counts().Peers
 		}
-		if left == 0 && s.inHand() == 0 && s.driver.Unsent() == 0 {
+		if left == 0 && s.openRequests() == 0 && s.driver.Unsent() == 0 {
 			slog.Info("all passed on", "clients", u.clients, "jobs", u.jobs, "again", u.failed, "took", time.Since(s.stopping))
-			s.loop.After(lastWords, s.loop.Stop)
+			s.loop.After(flushDelay, s.loop.Stop)
 			return
 		}
 		s.loop.After(passEvery, u.pass)
