--- a/cmd/weldscale/fleet.go
+++ b/cmd/weldscale/fleet.go
@@ -23,17 +23,19 @@
 	"weldscale/internal/share"
 )
 
-// This file ties a scheduler to its fleet: the link, and the budgets that its services' limits name. Without a fleet block
-// nothing of it is made. Terms of a fleet hold from the start on; a reload leaves them as they are.
+// This file connects a scheduler to its fleet: the link to the other members, the shared budgets of its services and the
+// shared evidence about workers. Without a fleet block none of it is created. The fleet's settings are fixed at the start; a
+// reload does not change them.
 
+// fleetMember is the scheduler's membership in a fleet. A nil *fleetMember is a scheduler without a fleet.
 type fleetMember struct {
 	conf     *operator.Fleet
 	link     *fleet.Link
 	budgets  *fleet.Budgets
-	evidence *fleet.Evidence // nil: the file does not want it
+	evidence *fleet.Evidence // nil if the file does not enable it
 }
 
-// newFleetMember makes a scheduler's part in its fleet; nil where the file names none.
+// newFleetMember joins the fleet of the operator's file. It returns nil if the file has no fleet block.
 func newFleetMember(c *config) (*fleetMember, error) {
 	f := c.file.Fleet
 	if f == nil {
@@ -46,45 +48,46 @@
 			return nil, err
 		}
 		if n := len(key); n != 16 && n != 24 && n != 32 {
-			return nil, fmt.Errorf("%s: %d bytes; allowed is a key of 16, 24 or 32", f.KeyFile, n)
+			return nil, fmt.Errorf("%s: the key has %d bytes; allowed are 16, 24 or 32", f.KeyFile, n)
 		}
 	}
-	part := &fleetMember{conf: f}
+	member := &fleetMember{conf: f}
 	life := rand.Uint64()
-	// The link takes messages from its first moment on, and the budgets send by it.
-	part.budgets = fleet.NewBudgets(c.Name, life, func(to string, data []byte) error { return part.link.Send(to, data) })
+	// The link delivers messages as soon as it has started, and the budgets send through it. So the budgets are created first.
+	member.budgets = fleet.NewBudgets(c.Name, life, func(to string, data []byte) error { return member.link.Send(to, data) })
 	if f.Evidence {
-		part.evidence = fleet.NewEvidence(c.Name, f.Zone, life, f.Members, func() *fleet.Link { return part.link })
+		member.evidence = fleet.NewEvidence(c.Name, f.Zone, life, f.Members, func() *fleet.Link { return member.link })
 	}
-	take := func(from string, data []byte) (passOn bool) {
-		if part.evidence != nil {
-			if mine, news := part.evidence.Take(from, data); mine {
-				return news
+	receive := func(from string, data []byte) (relay bool) {
+		if member.evidence != nil {
+			if isEvidence, isNew := member.evidence.Take(from, data); isEvidence {
+				return isNew
 			}
 		}
-		part.budgets.Take(from, data)
+		member.budgets.Take(from, data)
 		return false
 	}
 	joined := func() {
-		if part.evidence != nil {
-			part.evidence.Repeat()
+		if member.evidence != nil {
+			member.evidence.Repeat()
 		}
 	}
 	link, err := fleet.Start(fleet.Config{Fleet: f.Name, Name: c.Name, Life: life, Zone: f.Zone, Bind: f.Bind, Via: f.Via, Join: f.Join, Key: key,
-		Members: f.Members, Take: take, Joined: joined})
+		Members: f.Members, Take: receive, Joined: joined})
 	if err != nil {
 		return nil, err
 	}
-	part.link = link
+	member.link = link
 	slog.Info("in a fleet", "fleet", f.Name, "name", c.Name, "bind", f.Bind, "keeper", slices.Contains(f.Keepers, c.Name))
-	return part, nil
+	return member, nil
 }
 
-// weighEvery is how often the evidence on workers is weighed.
-const weighEvery = 100 * time.Millisecond
+// evidenceInterval is the time between evaluations of the evidence about workers.
+const evidenceInterval = 100 * time.Millisecond
 
-// watch ties a service's engine to the evidence on its workers: what it sees goes into it, and whom it speaks against the
-// module is told of as by peers; what follows stays its decision. It ends with the service.
+// watch connects a service's engine to the evidence about its workers. Outcomes of the engine are added to the evidence, and
+// workers with enough evidence against them are reported to the dispatcher as peer evidence. The dispatcher decides whether
+// to avoid them. The evaluation ends when the service is closed.
 func (p *fleetMember) watch(v *service, loop *engine.Loop) {
 	if p == nil || p.evidence == nil {
 		return
@@ -102,40 +105,40 @@
 			p.evidence.Saw(name, worker, evidence.Lost)
 		}
 	}
-	var weigh func()
-	weigh = func() {
+	var evaluate func()
+	evaluate = func() {
 		if v.removed {
 			return
 		}
 		for _, worker := range p.evidence.Round(name, v.engine.ReadyWorkers()) {
 			v.engine.AddPeerEvidence(worker)
 		}
-		loop.After(weighEvery, weigh)
+		loop.After(evidenceInterval, evaluate)
 	}
-	loop.After(weighEvery, weigh)
+	loop.After(evidenceInterval, evaluate)
 }
 
-// leastChunks is how many pieces of a budget there are for each member, so that an even part can be had nearly whole.
-const leastChunks = 8
+// chunksPerMember is the number of chunks of a budget per member, so that an even share can be allocated almost completely.
+const chunksPerMember = 8
 
-// terms are those of a budget of that kind.
-func (p *fleetMember) terms(k pool.FleetKind, budget float64) share.Config {
+// shareConfig returns the configuration of a budget of kind k.
+func (p *fleetMember) shareConfig(k pool.FleetKind, budget float64) share.Config {
 	f := p.conf
 	c := share.Config{Budget: budget, Floor: f.Floor * budget / float64(f.Members), Members: f.Members, Keepers: f.Keepers,
-		Chunks: min(fleet.MaxChunks, leastChunks*f.Members), Term: time.Duration(f.Term) * time.Microsecond, Drift: f.Drift, Burst: f.Burst}
+		Chunks: min(fleet.MaxChunks, chunksPerMember*f.Members), Term: time.Duration(f.Term) * time.Microsecond, Drift: f.Drift, Burst: f.Burst}
 	if k == pool.FleetOpen {
 		c.Burst, c.Use = 0, time.Duration(f.Use)*time.Microsecond
 	}
 	return c
 }
 
-// share gives a service's pool its parts of what its limits name. A budget begins with its first service and stays: what it
-// has given out must not be given again.
+// share connects a service's pool to the fleet's budgets that its limits name. A budget is created with the first service that
+// uses it and is never removed, because grants that it has issued must not be issued again.
 func (p *fleetMember) share(conf operator.Service, to *pool.Pool) error {
 	limits := append([]pool.Limits{conf.Limits}, conf.ClassLimits()...)
 	if p == nil {
 		if slices.ContainsFunc(limits, func(l pool.Limits) bool { return max(l.FleetRate, l.FleetOpen, l.FleetRetries) > 0 }) {
-			return errors.New("the fleet block came with a reload: it needs a restart, and until then the fleet's limits are not kept")
+			return errors.New("the fleet block was added by a reload and takes effect after a restart; until then the fleet's limits are not enforced")
 		}
 		return nil
 	}
@@ -150,16 +153,16 @@
 		if i > 0 {
 			name += "/" + conf.Classes[i-1].Name
 		}
-		for k, of := range []struct {
+		for k, limit := range []struct {
 			suffix string
 			budget float64
 		}{{"", l.FleetRate}, {" open", l.FleetOpen}, {" retries", l.FleetRetries}} {
-			if of.budget <= 0 || math.IsInf(of.budget, 0) {
+			if limit.budget <= 0 || math.IsInf(limit.budget, 0) {
 				continue
 			}
-			names[key{pool.FleetKind(k), i - 1}] = name + of.suffix
-			if _, known := p.budgets.Standing()[name+of.suffix]; !known {
-				err = cmp.Or(err, p.budgets.Add(name+of.suffix, p.terms(pool.FleetKind(k), of.budget)))
+			names[key{pool.FleetKind(k), i - 1}] = name + limit.suffix
+			if _, known := p.budgets.Standing()[name+limit.suffix]; !known {
+				err = cmp.Or(err, p.budgets.Add(name+limit.suffix, p.shareConfig(pool.FleetKind(k), limit.budget)))
 			}
 			if pool.FleetKind(k) == pool.FleetOpen {
 				to.Longest = pool.Time(p.conf.Use)
@@ -174,7 +177,7 @@
 	return err
 }
 
-// close leaves the fleet.
+// close stops the budgets and leaves the fleet.
 func (p *fleetMember) close() {
 	if p != nil {
 		p.budgets.Stop()
@@ -182,7 +185,7 @@
 	}
 }
 
-// text is what an operator is shown.
+// text returns the state of the membership and the budgets, for the fleet command.
 func (p *fleetMember) text() string {
 	if p == nil {
 		return "this scheduler is in no fleet: its file has no fleet block\n"
