--- a/cmd/weldscale/operate.go
+++ b/cmd/weldscale/operate.go
@@ -88,7 +88,7 @@
 		return mgmt.ErrUnknown
 	}
 	if o.s.upgrade != nil {
-		return o.s.upgrade.bind(worker, out)
+		return o.s.upgrade.propagateOffline(worker, out)
 	}
 	return nil
 }
--- a/cmd/weldscale/serve.go
+++ b/cmd/weldscale/serve.go
@@ -215,7 +215,7 @@
 	}
 	s.divideLimits()
 	if s.upgrade != nil {
-		discovery.OnUpdate = s.upgrade.tell
+		discovery.OnUpdate = s.upgrade.relayList
 	}
 	if discovery.FromAgent && c.Discovery != "" {
 		discovery.Watch(true)
--- a/cmd/weldscale/upgrade.go
+++ b/cmd/weldscale/upgrade.go
@@ -18,62 +18,62 @@
 	"weldscale/internal/jobs"
 )
 
-// This file owns what two processes of this scheduler do for one another while one takes the other's place. It is at work
-// only where the platform passes the clients' listening socket. It must never end a connection that the other could take,
-// nor keep the stop waiting for the other.
+// This file implements the cooperation of several processes of one scheduler while a new process replaces an old one. It is
+// active only if the platform passes the clients' listening socket. It must not close a connection that another process could
+// take over, and must not delay the shutdown to wait for another process.
 
 const (
-	passEvery = 20 * time.Millisecond
-	// jobsFrom is how long after the signal jobs in hand are answered where they are; those that are left then are passed
-	// on, since a job of many seconds would be cut off.
-	jobsFrom = 1500 * time.Millisecond
-	// passFor is how long after the signal a stopping process goes on passing connections; what is left then ends as
-	// it does where no other process is there.
-	passFor  = 3300 * time.Millisecond
-	bindWait = 200 * time.Millisecond // for another process to have a worker out too
+	handoverInterval = 20 * time.Millisecond
+	// jobHandoverDelay is how long after the signal open jobs finish in this process. The remaining ones are handed over,
+	// because a job of many seconds would be cut off.
+	jobHandoverDelay = 1500 * time.Millisecond
+	// handoverPeriod is how long after the signal a stopping process hands over connections. The remaining ones are shut down
+	// as without another process.
+	handoverPeriod = 3300 * time.Millisecond
+	offlineTimeout = 200 * time.Millisecond // for other processes to acknowledge that a worker is offline
 )
 
-// upgrade is the links to the other processes. The loop owns it but for waiting.
+// upgrade holds the links to the other processes. mu guards links, stopping and acks; the counts at the end belong to the loop.
 type upgrade struct {
-	s     *scheduler
-	dir   string
-	node  *handover.Node
-	began int64
-	links []*handover.Link
-	ends  map[*handover.Link]bool // that have said so
+	s        *scheduler
+	dir      string
+	node     *handover.Node
+	started  int64 // Unix time in microseconds
+	links    []*handover.Link
+	stopping map[*handover.Link]bool // processes that have announced their own stop
 
-	number  atomic.Uint64
-	mu      sync.Mutex
-	waiting map[uint64]chan struct{} // for others' word that a worker is out
+	number atomic.Uint64 // of the last request for an acknowledgement
+	mu     sync.Mutex
+	acks   map[uint64]chan struct{} // closed when the request of that number is acknowledged
 
-	clients, jobs, failed int // connections passed on, with a job in hand, and that the other did not take at once
+	clients, jobs, failed int // idle connections and jobs handed over, and connections that could not be sent at once
 }
 
-// joinOthers takes this process's place among those of the scheduler, and takes over what the eldest knows.
+// joinProcesses links this process to the others of the scheduler and takes over the state of the oldest one.
 func (s *scheduler) joinProcesses() error {
-	u := &upgrade{s: s, dir: os.TempDir(), began: time.Now().UnixMicro(), waiting: map[uint64]chan struct{}{},
-		ends: map[*handover.Link]bool{}}
+	u := &upgrade{s: s, dir: os.TempDir(), started: time.Now().UnixMicro(), acks: map[uint64]chan struct{}{},
+		stopping: map[*handover.Link]bool{}}
 	if err := s.driver.EnableHandover(); err != nil {
 		return err
 	}
 	out, err := handover.Saved(u.dir, s.config.Name)
 	if err != nil {
-		slog.Warn("workers taken out earlier can't be read: none are out", "why", err)
+		slog.Warn("workers taken out earlier can't be read: all workers are online", "why", err)
 	}
 	s.upgrade = u
 	if u.node, err = handover.Open(u.dir, s.config.Name, u); err != nil {
 		return err
 	}
-	slog.SetDefault(slog.Default().With("process", u.node.Process)) // two may write to one log
-	// Nothing else runs yet but what waits for the loop.
+	slog.SetDefault(slog.Default().With("process", u.node.Process)) // two processes may write to one log
+	// The loop does not run yet, so its state may be changed here.
 	if elder := u.elder(); elder != nil {
 		out = elder.Out
 		if err := s.discovery.LoadKnown(elder.List); err != nil {
-			slog.Warn("the other process's list can't be read", "why", err)
+			slog.Warn("the worker list of the other process can't be read", "why", err)
 		}
 		var l engine.LearnedState
 		if err := json.Unmarshal(elder.Learnt, &l); err != nil {
-			slog.Warn("what the other process has learnt can't be read", "why", err)
+			slog.Warn("the learned state of the other process can't be read", "why", err)
 		}
 		s.engine.RestoreLearned(l)
 		slog.Info("beside another process", "other", elder.Process, "out", out, "list", s.discovery.Index())
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// elder is the process that has been there longest, of those that we linked to at our start.
+// elder returns the oldest of the linked processes, or nil without one.
 func (u *upgrade) elder() *handover.Hello {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -97,11 +97,11 @@
 
 // Hello implements handover.Handler.
 func (u *upgrade) Hello() handover.Hello {
-	h := handover.Hello{Started: u.began}
+	h := handover.Hello{Started: u.started}
 	u.s.loop.DoUrgent(callWait, func() {
 		var err error
 		if h.Learnt, err = json.Marshal(u.s.engine.LearnedState()); err != nil {
-			slog.Warn("what was learnt can't be passed on", "why", err)
+			slog.Warn("the learned state can't be sent to another process", "why", err)
 			h.Learnt = json.RawMessage("{}")
 		}
 		h.Open, h.Out, h.List = u.s.driver.OpenDescriptors(), u.s.offlineWorkers(), u.s.overlay.Snapshot(u.s.discovery.Index())
@@ -121,38 +121,39 @@
 func (u *upgrade) Gone(l *handover.Link) {
 	u.mu.Lock()
 	u.links = slices.DeleteFunc(u.links, func(m *handover.Link) bool { return m == l })
-	delete(u.ends, l)
+	delete(u.stopping, l)
 	u.mu.Unlock()
 	u.s.loop.Post(u.s.divideLimits)
 }
 
+// others returns the links to the other processes.
 func (u *upgrade) others() []*handover.Link {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return slices.Clone(u.links)
 }
 
-// successor is the youngest process that started after us and does not end itself.
+// successor returns the link to the newest process that started after this one and is not stopping, or nil.
 func (u *upgrade) successor() *handover.Link {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var youngest *handover.Link
 	for _, l := range u.links {
-		if l.Other.Started > u.began && !u.ends[l] && (youngest == nil || l.Other.Started > youngest.Other.Started) {
+		if l.Other.Started > u.started && !u.stopping[l] && (youngest == nil || l.Other.Started > youngest.Other.Started) {
 			youngest = l
 		}
 	}
 	return youngest
 }
 
-// shareLimits puts this process's part of the memory and the descriptors in force: half of them while another lives, or
-// what it has open, if that is more; the whole otherwise.
+// divideLimits sets this process's share of the memory and the descriptors. The memory is halved for each other process. The
+// descriptors are divided in half, except that the older process keeps what it has open, up to three quarters.
 func (s *scheduler) divideLimits() {
 	memory, descriptors := int64(s.config.Limits.MemoryMB)<<20*6/10, s.config.Limits.Sockets
 	if s.upgrade != nil {
 		for _, l := range s.upgrade.others() {
 			memory /= 2
-			if l.Other.Started < s.upgrade.began { // the elder keeps what it has
+			if l.Other.Started < s.upgrade.started { // the older process keeps its open descriptors
 				descriptors -= min(max(descriptors/2, l.Other.Open+32), descriptors*3/4)
 			} else {
 				descriptors = min(max(descriptors/2, s.driver.OpenDescriptors()+32), descriptors*3/4)
@@ -173,19 +174,19 @@
 		}
 	case handover.KindDone:
 		u.mu.Lock()
-		if done := u.waiting[m.Number]; done != nil {
-			delete(u.waiting, m.Number)
+		if done := u.acks[m.Number]; done != nil {
+			delete(u.acks, m.Number)
 			close(done)
 		}
 		u.mu.Unlock()
 	case handover.KindStops:
 		u.mu.Lock()
-		u.ends[l] = true
+		u.stopping[l] = true
 		u.mu.Unlock()
 	case handover.KindList:
 		loop.DoUrgent(callWait, func() {
 			if err := u.s.discovery.ApplyRelayed(m.Index, m.List); err != nil {
-				slog.Warn("another process's news can't be read", "why", err)
+				slog.Warn("a worker list update of another process can't be read", "why", err)
 			}
 		})
 	case handover.KindClient:
@@ -197,21 +198,22 @@
 	case handover.KindJob:
 		p := new(jobs.HandoverJob)
 		if err := json.Unmarshal(m.Job, p); err != nil || len(fds) == 0 {
-			slog.Error("another process's job can't be read", "why", err, "descriptors", len(fds))
+			slog.Error("a job of another process can't be read", "why", err, "descriptors", len(fds))
 			break
 		}
 		got := fds
 		fds = nil
 		loop.Post(func() { u.adopt(p, got) })
 	default:
-		slog.Warn("another process says what this one does not know", "kind", m.Kind)
+		slog.Warn("message of an unknown kind from another process", "kind", m.Kind)
 	}
 	for _, fd := range fds {
 		unix.Close(fd)
 	}
 }
 
-// adopt goes on with a job of another process: the client's connection comes first, a worker's second.
+// adopt continues a job of another process. The first descriptor is the client's connection. The second, if present, is the
+// connection of the attempt to its worker.
 func (u *upgrade) adopt(p *jobs.HandoverJob, fds []int) {
 	s := u.s
 	v := s.server.Main
@@ -226,7 +228,7 @@
 		}
 	}
 	s.driver.Adopt(fds[0], func(c jobs.Conn) {
-		if c == nil { // the client has gone: so does the attempt
+		if c == nil { // the client has disconnected, so the attempt ends too
 			closeWorker()
 			return
 		}
@@ -240,20 +242,21 @@
 	})
 }
 
-// bind has a worker out, or back, in the other processes too, and keeps it for those to come. A process that does not
-// answer hangs and sends nothing; it hears of this before anything else once it goes on.
-func (u *upgrade) bind(worker string, out bool) error {
+// propagateOffline takes a worker offline, or back online, in the other processes and saves the offline workers for later
+// processes. A process that does not acknowledge in time hangs, so it sends nothing to the worker. It handles this message
+// first when it continues.
+func (u *upgrade) propagateOffline(worker string, out bool) error {
 	var all []chan struct{}
 	for _, l := range u.others() {
 		n, done := u.number.Add(1), make(chan struct{})
 		u.mu.Lock()
-		u.waiting[n] = done
+		u.acks[n] = done
 		u.mu.Unlock()
 		l.Say(handover.Message{Kind: handover.KindOut, Number: n, Worker: worker, Away: out})
 		all = append(all, done)
-		defer func() { u.mu.Lock(); delete(u.waiting, n); u.mu.Unlock() }()
+		defer func() { u.mu.Lock(); delete(u.acks, n); u.mu.Unlock() }()
 	}
-	late := time.After(bindWait)
+	late := time.After(offlineTimeout)
 	for _, done := range all {
 		select {
 		case <-done:
@@ -266,26 +269,26 @@
 		}
 	}
 	var names []string
-	if !u.s.loop.DoUrgent(bindWait, func() { names = u.s.offlineWorkers() }) {
-		return nil // the call is in force; the file follows with the next one
+	if !u.s.loop.DoUrgent(offlineTimeout, func() { names = u.s.offlineWorkers() }) {
+		return nil // the change is in force, and the next call writes the file
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if err := handover.Save(u.dir, u.s.config.Name, names); err != nil {
-		return fmt.Errorf("taken out, but not kept for another process: %w", err)
+		return fmt.Errorf("the change is in force, but could not be saved for later processes: %w", err)
 	}
 	return nil
 }
 
-// tell passes on news of the worker list.
-func (u *upgrade) tell(index int64, list []byte) {
+// relayList sends an update of the worker list to the other processes.
+func (u *upgrade) relayList(index int64, list []byte) {
 	for _, l := range u.others() {
 		l.Say(handover.Message{Kind: handover.KindList, Index: index, List: list})
 	}
 }
 
-// passOn begins to pass connections on to the process that takes our place, and reports whether there is one. No other is to
-// pass any to us: what came as we end would be lost.
+// startHandover starts to hand connections over to the successor and reports whether there is one. It announces the stop to
+// the other processes, because connections that they handed over to a stopping process would be lost.
 func (s *scheduler) startHandover() bool {
 	if s.upgrade == nil {
 		return false
@@ -297,15 +300,15 @@
 		return false
 	}
 	s.driver.LeaveSharedListener()
-	s.upgrade.pass()
+	s.upgrade.handOver()
 	return true
 }
 
-// pass gives away what can be given, again and again until nothing is left or there is no time.
-func (u *upgrade) pass() {
+// handOver hands over all connections that can be and reschedules itself until none is left or handoverPeriod has passed.
+func (u *upgrade) handOver() {
 	s := u.s
 	to := u.successor()
-	if to == nil || time.Since(s.stopping) > passFor { // as where there never was one
+	if to == nil || time.Since(s.stopping) > handoverPeriod { // continue as without a successor
 		slog.Warn("connections left at the stop", "other_lives", to != nil, "peers", s.server.Pace.Counts().Peers, "open", s.openRequests(),
 			"clients", u.clients, "jobs", u.jobs)
 		s.server.StartClosing()
@@ -314,14 +317,14 @@
 	}
 	s.driver.WithReadsPaused(func() {
 		left := s.server.HandOverIdle(func(c jobs.Conn) bool {
-			ok := u.give(to, handover.Message{Kind: handover.KindClient}, c)
+			ok := u.send(to, handover.Message{Kind: handover.KindClient}, c)
 			if ok {
 				u.clients++
 			}
 			return ok
 		})
-		if time.Since(s.stopping) > jobsFrom {
-			s.server.HandOverJobs(u.giveJob(to))
+		if time.Since(s.stopping) > jobHandoverDelay {
+			s.server.HandOverJobs(u.sendJob(to))
 			left = s.server.Pace.Counts().Peers
 		}
 		if left == 0 && s.openRequests() == 0 && s.driver.Unsent() == 0 {
@@ -329,23 +332,23 @@
 			s.loop.After(flushDelay, s.loop.Stop)
 			return
 		}
-		s.loop.After(passEvery, u.pass)
+		s.loop.After(handoverInterval, u.handOver)
 	})
 }
 
-// giveJob passes a client's connection with its job, and the attempt's.
-func (u *upgrade) giveJob(to *handover.Link) func(*jobs.HandoverJob, jobs.Conn, jobs.Conn) bool {
+// sendJob returns a function that hands over a job with its client's connection and that of its attempt, if there is one.
+func (u *upgrade) sendJob(to *handover.Link) func(*jobs.HandoverJob, jobs.Conn, jobs.Conn) bool {
 	return func(p *jobs.HandoverJob, client, worker jobs.Conn) bool {
 		text, err := json.Marshal(p)
 		if err != nil {
-			slog.Error("a job can't be passed on", "why", err)
+			slog.Error("a job can't be handed over", "why", err)
 			return false
 		}
 		conns := []jobs.Conn{client}
 		if worker != nil {
 			conns = append(conns, worker)
 		}
-		ok := u.give(to, handover.Message{Kind: handover.KindJob, Job: text}, conns...)
+		ok := u.send(to, handover.Message{Kind: handover.KindJob, Job: text}, conns...)
 		if ok {
 			u.jobs++
 		}
@@ -353,8 +356,9 @@
 	}
 }
 
-// give passes connections, all or none. Those that the other does not take at once stay ours.
-func (u *upgrade) give(to *handover.Link, m handover.Message, conns ...jobs.Conn) bool {
+// send sends a message with copies of the connections' descriptors, all or none. If the link can't send at once, it reports
+// false and the connections stay in this process.
+func (u *upgrade) send(to *handover.Link, m handover.Message, conns ...jobs.Conn) bool {
 	var fds []int
 	defer func() {
 		for _, fd := range fds {
