--- a/cmd/weldscale/control.go
+++ b/cmd/weldscale/control.go
@@ -19,20 +19,22 @@
 	"weldscale/internal/mgmt"
 )
 
-// This file owns the control socket, by which the operator speaks to a running scheduler, and the commands that do. It
-// is there only where the operator's file names a path, and for the owner alone. It must never wait for the loop
-// without end, nor take a request of a client.
+// This file implements the control socket, through which an operator controls a running scheduler, and the commands that use
+// it. The socket is opened only if the operator's file names a path, and only its owner may connect. It serves no client
+// requests.
 
-const controlWait = 10 * time.Second
+// controlTimeout limits a command's wait for its answer, and the time to read a request's header.
+const controlTimeout = 10 * time.Second
 
-// control serves the socket.
+// control serves the control socket.
 type control struct {
 	s    *scheduler
 	read func() (*config, error)
 	srv  *http.Server
 }
 
-// listenControl opens the socket. One that is left from a scheduler that has ended is replaced; one that answers is not.
+// listenControl opens the control socket. It replaces a stale socket of a scheduler that has ended. It returns an error if a
+// program still accepts connections at the path.
 func listenControl(path string) (net.Listener, error) {
 	if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
 		c.Close()
@@ -46,7 +48,7 @@
 			return nil, fmt.Errorf("control socket: %w", err)
 		}
 	}
-	old := syscall.Umask(0o177) // from its first moment it is the owner's alone
+	old := syscall.Umask(0o177) // the socket must never be accessible to other users
 	defer syscall.Umask(old)
 	ln, err := net.Listen("unix", path)
 	if err != nil {
@@ -55,7 +57,7 @@
 	return ln, nil
 }
 
-// startControl serves the socket until the program ends.
+// startControl opens the control socket and serves it until close is called.
 func startControl(s *scheduler, path string, read func() (*config, error)) (*control, error) {
 	ln, err := listenControl(path)
 	if err != nil {
@@ -69,7 +71,7 @@
 	mux.HandleFunc("POST /drain", c.drain)
 	mux.HandleFunc("POST /level", c.level)
 	mux.HandleFunc("/control/", c.operate)
-	c.srv = &http.Server{Handler: mux, ReadHeaderTimeout: controlWait}
+	c.srv = &http.Server{Handler: mux, ReadHeaderTimeout: controlTimeout}
 	go func() {
 		if err := c.srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 			slog.Error("control socket closed", "why", err)
@@ -78,7 +80,7 @@
 	return c, nil
 }
 
-// close ends the socket and takes its path away.
+// close closes the socket and removes its path.
 func (c *control) close() {
 	if c != nil {
 		c.srv.Close()
@@ -91,7 +93,7 @@
 	fmt.Fprintln(w, text)
 }
 
-// fleet never asks the loop: it may be what is looked for.
+// fleet does not use the loop, so it also works while the loop hangs.
 func (c *control) fleet(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, c.s.fleet.text()) }
 
 func (c *control) reload(w http.ResponseWriter, _ *http.Request) {
@@ -114,11 +116,11 @@
 	fmt.Fprintf(w, "stopping; %d requests in hand are answered first\n", n)
 }
 
-// operate answers the calls of the second address here too.
+// operate serves the calls of the management address on the control socket.
 func (c *control) operate(w http.ResponseWriter, r *http.Request) {
 	request, reply := mgmt.Read(r.Method, r.URL.EscapedPath())
 	if request != nil {
-		reply = request.Do(operate{c.s})
+		reply = request.Do(operations{c.s})
 	}
 	w.WriteHeader(reply.Status)
 	fmt.Fprintln(w, reply.Text)
@@ -135,14 +137,14 @@
 	fmt.Fprintln(w, "the log's level is", to)
 }
 
-// remote is what the commands that speak to a running scheduler share.
+// remote holds the argument that all commands for a running scheduler share.
 type remote struct {
 	Socket string `arg:"" help:"The control socket, as the control block of the operator's file names it. For ready, counters, offline and online also the second address, HOST:PORT." placeholder:"PATH"`
 }
 
-// call asks the scheduler and prints its answer.
+// call sends a request to the scheduler and prints the answer.
 func (r remote) call(ctx context.Context, method, path string) error {
-	client := &http.Client{Timeout: controlWait, Transport: &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
+	client := &http.Client{Timeout: controlTimeout, Transport: &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		if host, _, err := net.SplitHostPort(r.Socket); err == nil && !strings.Contains(host, "/") {
 			return (&net.Dialer{}).DialContext(ctx, "tcp", r.Socket)
 		}
--- a/cmd/weldscale/operate.go
+++ b/cmd/weldscale/operate.go
@@ -10,68 +10,68 @@
 	"weldscale/internal/mgmt"
 )
 
-// This file owns what those who operate the scheduler have it do, whichever way they reach it: the second address, the
-// control socket and its commands. It must never wait for the loop longer than callWait.
+// This file implements the operations of package mgmt, for the management address and for the control socket. A call waits at
+// most operationTimeout for the loop.
 
-// callWait is how long a call may wait for the loop: its answer is due within a second.
-const callWait = 700 * time.Millisecond
+// operationTimeout is how long a call may wait for the loop. Its answer is due within a second.
+const operationTimeout = 700 * time.Millisecond
 
-// operate implements mgmt.Control.
-type operate struct{ s *scheduler }
+// operations implements mgmt.Control.
+type operations struct{ s *scheduler }
 
-// soon has f run on the loop.
-func (o operate) soon(f func()) error {
-	if !o.s.loop.DoUrgent(callWait, f) {
+// do runs f on the loop, ahead of queued work. It returns mgmt.ErrLate if the loop does not reach f in time.
+func (o operations) do(f func()) error {
+	if !o.s.loop.DoUrgent(operationTimeout, f) {
 		return mgmt.ErrLate
 	}
 	return nil
 }
 
 // Ready implements mgmt.Control.
-func (o operate) Ready() (ready bool, err error) {
-	err = o.soon(func() { ready = o.s.ready() })
+func (o operations) Ready() (ready bool, err error) {
+	err = o.do(func() { ready = o.s.ready() })
 	return ready, err
 }
 
-// ready reports whether the scheduler can serve now and will go on to.
+// ready reports whether the scheduler can serve and is not shutting down.
 func (s *scheduler) ready() bool { return s.stopping.IsZero() && (s.engine.Ready() || s.anyReady()) }
 
 // Figures implements mgmt.Control.
-func (o operate) Figures() (f mgmt.Figures, err error) {
-	err = o.soon(func() { f = o.s.figures() })
+func (o operations) Figures() (f mgmt.Figures, err error) {
+	err = o.do(func() { f = o.s.figures() })
 	return f, err
 }
 
-// part is one service's engine, with what stands over its list and the names of its classes.
-type part struct {
-	e       *engine.Engine
+// serviceView is the engine of one service, with its overlay and the names of its classes.
+type serviceView struct {
+	engine  *engine.Engine
 	overlay *jobs.Overlay
 	classes []string
 }
 
-// parts are all of them: the platform's, those that the operator's file names and those that leave.
-func (s *scheduler) parts() []part {
-	all := []part{{s.engine, s.overlay, s.config.classes}}
+// serviceViews returns all services: the platform's, those of the operator's file and the draining ones.
+func (s *scheduler) serviceViews() []serviceView {
+	all := []serviceView{{s.engine, s.overlay, s.config.classes}}
 	for _, v := range s.services {
-		all = append(all, part{v.engine, v.overlay, v.conf.ClassNames()})
+		all = append(all, serviceView{v.engine, v.overlay, v.conf.ClassNames()})
 	}
 	for _, v := range s.draining {
-		all = append(all, part{v.engine, v.overlay, v.conf.ClassNames()})
+		all = append(all, serviceView{v.engine, v.overlay, v.conf.ClassNames()})
 	}
 	return all
 }
 
-// figures are one consistent reading: the loop does nothing else meanwhile.
+// figures returns consistent totals of all services. It must be called on the loop.
 func (s *scheduler) figures() mgmt.Figures {
 	f := mgmt.Figures{Served: map[string]int{}, Refused: map[string]int{}, Failed: map[string]int{}}
-	for _, p := range s.parts() {
+	for _, p := range s.serviceViews() {
 		for i, class := range p.classes {
 			for outcome, by := range []map[string]int{f.Served, f.Refused, f.Failed} {
-				by[class] += p.e.Counts.Ended[outcome][i]
+				by[class] += p.engine.Counts.Ended[outcome][i]
 			}
 		}
-		f.Attempts += p.e.Counts.Written
-		f.InFlight += p.e.OpenRequests()
+		f.Attempts += p.engine.Counts.Written
+		f.InFlight += p.engine.OpenRequests()
 		f.WorkersKnown += p.overlay.KnownWorkers()
 		f.WorkersExcluded += p.overlay.ExcludedWorkers()
 	}
@@ -79,9 +79,9 @@
 }
 
 // SetOut implements mgmt.Control.
-func (o operate) SetOut(worker string, out bool) error {
+func (o operations) SetOut(worker string, out bool) error {
 	known := false
-	if err := o.soon(func() { known = o.s.setOffline(worker, out) }); err != nil {
+	if err := o.do(func() { known = o.s.setOffline(worker, out) }); err != nil {
 		return err
 	}
 	if !known {
@@ -93,27 +93,28 @@
 	return nil
 }
 
-// out are the workers that are out, of all services, in order.
+// offlineWorkers returns the sorted names of the offline workers of all services.
 func (s *scheduler) offlineWorkers() []string {
 	var names []string
-	for _, p := range s.parts() {
+	for _, p := range s.serviceViews() {
 		names = append(names, p.overlay.Offline()...)
 	}
 	slices.Sort(names)
 	return slices.Compact(names)
 }
 
-// restore takes out whoever was out before, in every service, listed or not.
+// restoreOffline takes workers offline in every service, whether they are listed or not.
 func (s *scheduler) restoreOffline(names []string) {
-	for _, p := range s.parts() {
+	for _, p := range s.serviceViews() {
 		p.overlay.RestoreOffline(names)
 	}
 }
 
-// setOut takes a worker out of every service that lists it, or puts it back.
+// setOffline takes a worker offline in every service that lists it, or puts it back online. It reports whether any service
+// knows the worker.
 func (s *scheduler) setOffline(worker string, out bool) bool {
 	known := false
-	for _, p := range s.parts() {
+	for _, p := range s.serviceViews() {
 		known = p.overlay.SetOffline(worker, out) || known
 	}
 	slog.Info("worker by hand", "worker", worker, "out", out, "known", known)
--- a/cmd/weldscale/serve.go
+++ b/cmd/weldscale/serve.go
@@ -222,7 +222,7 @@
 	}
 	if c.Mgmt != "" {
 		driver.ReserveForManagement()
-		s.management, err = net.ListenManagement(c.Mgmt, operate{s})
+		s.management, err = net.ListenManagement(c.Mgmt, operations{s})
 	}
 	return s, err
 }
--- a/cmd/weldscale/upgrade.go
+++ b/cmd/weldscale/upgrade.go
@@ -98,7 +98,7 @@
 // Hello implements handover.Handler.
 func (u *upgrade) Hello() handover.Hello {
 	h := handover.Hello{Started: u.started}
-	u.s.loop.DoUrgent(callWait, func() {
+	u.s.loop.DoUrgent(operationTimeout, func() {
 		var err error
 		if h.Learnt, err = json.Marshal(u.s.engine.LearnedState()); err != nil {
 			slog.Warn("the learned state can't be sent to another process", "why", err)
@@ -169,7 +169,7 @@
 	loop := u.s.loop
 	switch m.Kind {
 	case handover.KindOut:
-		if loop.DoUrgent(callWait, func() { u.s.setOffline(m.Worker, m.Away) }) {
+		if loop.DoUrgent(operationTimeout, func() { u.s.setOffline(m.Worker, m.Away) }) {
 			l.Say(handover.Message{Kind: handover.KindDone, Number: m.Number})
 		}
 	case handover.KindDone:
@@ -184,7 +184,7 @@
 		u.stopping[l] = true
 		u.mu.Unlock()
 	case handover.KindList:
-		loop.DoUrgent(callWait, func() {
+		loop.DoUrgent(operationTimeout, func() {
 			if err := u.s.discovery.ApplyRelayed(m.Index, m.List); err != nil {
 				slog.Warn("a worker list update of another process can't be read", "why", err)
 			}
