--- a/cmd/weldscale/early.go
+++ b/cmd/weldscale/early.go
@@ -2,11 +2,11 @@
 
 package main
 
-// This file owns the moment before the handlers of signals stand. A signal that came then ended the program by the system's
-// default. Until Go's Notify asks for them, from before any of our code runs: a reload is passed over, since the configuration
-// is read after the handlers stand, and a stop ends the program at once and well, since nothing can have been taken. To hold
-// signals back would not do: Go lets those of them through that end a program. It must touch no other signal, and no command
-// but the scheduler itself.
+// This file handles signals that arrive before signal.Notify has been called. The system's default action for them would end
+// the program as if it had crashed. A C constructor, which runs before any Go code, sets other actions. SIGHUP and SIGUSR1 are
+// ignored; no reload is lost, because the configuration is read after the handlers are installed. SIGTERM and SIGINT exit with
+// status 0, because no request can have been accepted yet. Blocking the signals would not work: the Go runtime unblocks those
+// that end a program. Other signals and other commands than serve are not affected.
 
 /*
 #include <signal.h>
@@ -14,7 +14,7 @@
 #include <string.h>
 #include <unistd.h>
 
-// Go calls it in place of dying of a signal that nobody has asked for.
+// For a signal that no Notify covers, the Go runtime calls this handler instead of ending the program.
 static void weldscale_end(int sig) { _exit(0); }
 
 __attribute__((constructor)) static void weldscale_early_signals(int argc, char **argv) {
