--- a/cmd/weldscale/check.go
+++ b/cmd/weldscale/check.go
@@ -11,9 +11,9 @@
 	operator "weldscale/internal/config"
 )
 
-// This file owns the check of a file before it is put in force. It must never start anything.
+// This file implements the check command, which validates a configuration file without starting anything.
 
-// checkCmd is the command.
+// checkCmd checks a file.
 type checkCmd struct {
 	File     string `arg:"" help:"An operator's file (HCL), or the platform's configuration (JSON)." placeholder:"FILE"`
 	MemoryMB int    `help:"The memory of the scheduler that the operator's file is for, in MB." default:"192"`
@@ -39,7 +39,7 @@
 	return showFile(os.Stdout, &f, c.MemoryMB<<20)
 }
 
-// show prints what a platform's configuration says.
+// show prints the values of a platform's configuration.
 func (c *config) show(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	s := c.engine.Settings
@@ -48,7 +48,7 @@
 	return t.Flush()
 }
 
-// showFile prints what holds by an operator's file, the defaults marked.
+// showFile prints the settings in force with an operator's file and marks the defaults.
 func showFile(w io.Writer, f *operator.File, memory int) error {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	for _, s := range operator.Settings {
--- a/cmd/weldscale/reference.go
+++ b/cmd/weldscale/reference.go
@@ -13,8 +13,8 @@
 	"weldscale/internal/pace"
 )
 
-// This file owns the reference page: every command, flag, setting and counter, made from the code that has them, so that
-// none can be missing. A test holds docs/REFERENCE.md against it.
+// This file generates the reference page of all commands, flags, settings and counters from their definitions. A test compares
+// docs/REFERENCE.md with it.
 
 // referenceCmd prints the page.
 type referenceCmd struct{}
@@ -25,9 +25,10 @@
 	return nil
 }
 
+// tableCell returns s for use in a table cell in Markdown.
 func tableCell(s string) string { return strings.ReplaceAll(strings.TrimSpace(s), "|", "\\|") }
 
-// reference is the page in Markdown.
+// reference returns the page in Markdown.
 func reference() string {
 	var b strings.Builder
 	b.WriteString("# Reference\n\nMade by `weldscale reference`; a test holds this page against the code.\n\n## Commands\n")
@@ -74,7 +75,7 @@
 	return b.String()
 }
 
-// counterNames are the names of all counters, in the order in which they are printed.
+// counterNames returns the names of all counters in the order in which they are printed.
 func counterNames() []string {
 	var all engine.Counts
 	for i := range all.Outcomes {
