--- a/cmd/weldscale/demo.go
+++ b/cmd/weldscale/demo.go
@@ -20,10 +20,10 @@
 	"weldscale/internal/standin"
 )
 
-// This file owns the demo: a scheduler in a process of its own between stand-ins, troubles on the way, and what came of
-// it. Everything is on loopback addresses and ends with it.
+// This file implements the demo command. It runs a scheduler in a separate process with stand-in workers, discovery and
+// clients, injects faults and reports the results. Everything listens on loopback addresses and ends with the command.
 
-// demoCmd is the command.
+// demoCmd runs the demo.
 type demoCmd struct {
 	For  time.Duration `help:"How long the clients come." default:"20s"`
 	Rate float64       `help:"Jobs a second." default:"200"`
@@ -31,7 +31,7 @@
 	Log  bool          `help:"Show the scheduler's log."`
 }
 
-// demoClass is a class of the demo's jobs.
+// demoClass is a class of jobs in the demo, with its share of the rate and the running time and body size of its jobs.
 type demoClass struct {
 	standin.Class
 	share float64
@@ -39,6 +39,7 @@
 	body  int
 }
 
+// within returns the time within which an answer is in time.
 func (c demoClass) within() time.Duration { return c.Aim + time.Duration(c.Stretch*float64(c.run)) }
 
 var demoClasses = []demoClass{
@@ -47,25 +48,25 @@
 	{standin.Class{Name: "press-send", Effect: "non_idempotent", Aim: 500 * time.Millisecond, Deadline: 10 * time.Second, Worth: 8, Stretch: 1.75}, 0.1, 150 * time.Millisecond, 500},
 }
 
-// demoSpeeds are those of the dozen workers, as a print shop's fleet may be.
+// demoSpeeds are the relative speeds of the twelve workers, similar to a print shop's fleet.
 var demoSpeeds = []float64{2, 2, 2, 1.9, 1.3, 1.2, 1.1, 0.9, 0.9, 0.8, 0.8, 0.7}
 
 const (
-	demoSlots = 4
-	demoWarms = 6 * time.Second
-	drainSlot = 300*time.Millisecond + 50*time.Millisecond // after the word of it nothing new may come
-	coldSpan  = 1500 * time.Millisecond
-	coldTimes = 4.0 // sent more than this many times what it can do for coldSpan, a cold worker falls over
+	demoSlots   = 4
+	demoWarmUp  = 6 * time.Second
+	drainGrace  = 300*time.Millisecond + 50*time.Millisecond // no new job may reach a worker this long after discovery announced its drain
+	coldWindow  = 1500 * time.Millisecond
+	maxColdLoad = 4.0 // a cold worker fails if it gets more than this multiple of its capacity over coldWindow
 )
 
-// demo is one that runs.
+// demo is a running demo.
 type demo struct {
 	demoCmd
-	workers []*standin.Worker
-	list    *standin.Discovery
-	addr    string
-	drained time.Time // when discovery had told of it
-	cold    time.Time // when a worker began anew
+	workers   []*standin.Worker
+	list      *standin.Discovery
+	addr      string
+	drainedAt time.Time // when discovery announced the drain
+	coldSince time.Time // when a worker restarted cold
 }
 
 // Run implements the command.
@@ -77,7 +78,7 @@
 	var entries []standin.Entry
 	for i, speed := range demoSpeeds {
 		w, err := standin.StartWorker(standin.WorkerConfig{Name: fmt.Sprintf("box%02d", i+1), Slots: demoSlots, Queue: 8, Speed: speed,
-			Cold: 0.3, Warms: demoWarms, Refresh: 20 * time.Millisecond, TellsStart: true})
+			Cold: 0.3, Warms: demoWarmUp, Refresh: 20 * time.Millisecond, TellsStart: true})
 		if err != nil {
 			return err
 		}
@@ -90,22 +91,22 @@
 		return err
 	}
 	defer d.list.Close()
-	stop, err := d.scheduler(ctx)
+	stop, err := d.startScheduler(ctx)
 	if err != nil {
 		return err
 	}
 	defer stop()
 	fmt.Printf("A scheduler at %s, %d workers, %.0f jobs a second for %v. Try it yourself meanwhile:\n\n", d.addr, len(d.workers), c.Rate, c.For)
 	fmt.Printf("  curl -i -d sheet -H 'X-Call-Id: mine-1' -H 'X-Call-Class: proof-view' -H 'X-Budget: 2000m' 'http://%s/api/1?run=40ms'\n\n", d.addr)
-	tallies := d.play(ctx)
+	tallies := d.run(ctx)
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
 	return d.report(tallies)
 }
 
-// scheduler starts this program once more, as a scheduler.
-func (d *demo) scheduler(ctx context.Context) (stop func(), err error) {
+// startScheduler starts this program as a scheduler in another process and waits until it is ready.
+func (d *demo) startScheduler(ctx context.Context) (stop func(), err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -116,7 +117,7 @@
 	if err != nil {
 		return nil, err
 	}
-	site := standin.Site{Name: "demo", Listen: d.addr, Discovery: d.list.Addr(), Known: d.list.Known(), ColdSpan: demoWarms}
+	site := standin.Site{Name: "demo", Listen: d.addr, Discovery: d.list.Addr(), Known: d.list.Known(), ColdSpan: demoWarmUp}
 	for _, c := range demoClasses {
 		site.Classes = append(site.Classes, c.Class)
 	}
@@ -155,27 +156,28 @@
 	}
 }
 
-// trouble is something that happens to a worker.
-type trouble struct {
-	at   float64 // of the whole time
-	what string
-	do   func()
+// fault is a fault or another change of a worker.
+type fault struct {
+	at          float64 // as a fraction of the demo's duration
+	description string
+	inject      func()
 }
 
-// troubles of the demo: one drains, one falls silent and comes back, one runs slowly, one begins anew and cold.
-func (d *demo) troubles() []trouble {
+// faults returns the faults of the demo, in order: one worker restarts cold, one drains, one stops responding and is restarted,
+// and one runs slowly for a while.
+func (d *demo) faults() []fault {
 	cold, drains, silent, slow := d.workers[0], d.workers[4], d.workers[1], d.workers[7]
-	return []trouble{
-		{0.25, "box01 begins anew, cold", func() { d.cold = time.Now(); cold.Restart(); d.list.Set(cold.Entry("SERVING")) }},
-		{0.40, "box05 drains", func() { d.list.Set(drains.Entry("DRAINING")); d.drained = time.Now() }},
+	return []fault{
+		{0.25, "box01 begins anew, cold", func() { d.coldSince = time.Now(); cold.Restart(); d.list.Set(cold.Entry("SERVING")) }},
+		{0.40, "box05 drains", func() { d.list.Set(drains.Entry("DRAINING")); d.drainedAt = time.Now() }},
 		{0.50, "box02 falls silent", silent.Silence},
 		{0.60, "box08 runs five times slower", func() { slow.Slow(5) }},
 		{0.75, "box02 is back, cold, and box08 quick again", func() { silent.Restart(); d.list.Set(silent.Entry("SERVING")); slow.Slow(1) }},
 	}
 }
 
-// play sends the jobs of each class and lets the troubles come.
-func (d *demo) play(ctx context.Context) []*standin.Tally {
+// run sends the jobs of each class and injects the faults. It returns the tallies in the order of demoClasses.
+func (d *demo) run(ctx context.Context) []*standin.Tally {
 	tallies := make([]*standin.Tally, len(demoClasses))
 	var all sync.WaitGroup
 	for i, c := range demoClasses {
@@ -185,22 +187,22 @@
 					Within: c.within()}}}.Run(ctx)
 		})
 	}
-	say := func(text string) { fmt.Println(text) }
+	report := func(text string) { fmt.Println(text) }
 	var bar *progressbar.ProgressBar
 	if term.IsTerminal(int(os.Stderr.Fd())) {
 		bar = progressbar.NewOptions64(d.For.Milliseconds(), progressbar.OptionSetWriter(os.Stderr), progressbar.OptionSetWidth(30),
 			progressbar.OptionSetPredictTime(false), progressbar.OptionClearOnFinish())
-		say = func(text string) { bar.Describe(text) }
+		report = func(text string) { bar.Describe(text) }
 	}
-	began, next := time.Now(), d.troubles()
+	began, next := time.Now(), d.faults()
 	for range time.Tick(100 * time.Millisecond) {
 		past := time.Since(began)
 		if bar != nil {
 			_ = bar.Set64(min(past, d.For).Milliseconds())
 		}
 		for len(next) > 0 && past.Seconds() >= next[0].at*d.For.Seconds() {
-			next[0].do()
-			say(fmt.Sprintf("%5.1f s  %s", past.Seconds(), next[0].what))
+			next[0].inject()
+			report(fmt.Sprintf("%5.1f s  %s", past.Seconds(), next[0].description))
 			next = next[1:]
 		}
 		if past >= d.For || ctx.Err() != nil {
@@ -214,23 +216,23 @@
 	return tallies
 }
 
-// report prints how it went, by class, by worker and by rule. A rule that was broken is an error.
+// report prints the results by class, by worker and by rule. A broken rule is an error.
 func (d *demo) report(tallies []*standin.Tally) error {
 	out := table.NewWriter()
 	out.SetOutputMirror(os.Stdout)
 	out.SetStyle(table.StyleLight)
 	out.AppendHeader(table.Row{"class", "jobs", "in time", "worth in time", "served", "tried again", "refused", "failed", "broken", "p50 ms", "p99 ms"})
-	again := d.again()
-	asked, earned := 0.0, 0.0
+	retried := d.retriedJobs()
+	offered, earned := 0.0, 0.0
 	for i, t := range tallies {
 		c := demoClasses[i]
 		worth := c.Worth * c.run.Seconds()
-		asked += worth * float64(t.Sent)
+		offered += worth * float64(t.Sent)
 		earned += worth * float64(t.InTime)
 		out.AppendRow(table.Row{c.Name, t.Sent, fmt.Sprintf("%.3f", t.InTimeShare()), fmt.Sprintf("%.0f of %.0f", worth*float64(t.InTime), worth*float64(t.Sent)),
-			t.Served, again[c.Name], t.Refused, t.Failed, t.Broken, fmt.Sprintf("%.1f", t.Quantile(50).Seconds()*1e3), fmt.Sprintf("%.1f", t.Quantile(99).Seconds()*1e3)})
+			t.Served, retried[c.Name], t.Refused, t.Failed, t.Broken, fmt.Sprintf("%.1f", t.Quantile(50).Seconds()*1e3), fmt.Sprintf("%.1f", t.Quantile(99).Seconds()*1e3)})
 	}
-	out.AppendFooter(table.Row{"all", "", "", fmt.Sprintf("%.3f", earned/max(asked, 1e-9))})
+	out.AppendFooter(table.Row{"all", "", "", fmt.Sprintf("%.3f", earned/max(offered, 1e-9))})
 	out.Render()
 
 	out = table.NewWriter()
@@ -247,29 +249,29 @@
 		out.AppendRow(table.Row{w.Name(), demoSpeeds[i], len(seen), full, w.Probes()})
 	}
 	out.Render()
-	return d.rules(tallies)
+	return d.checkRules(tallies)
 }
 
-// again is how many jobs of each class reached a further worker.
-func (d *demo) again() map[string]int {
+// retriedJobs returns, by class, the number of jobs that reached a worker more than once.
+func (d *demo) retriedJobs() map[string]int {
 	reached := map[string]int{}
-	again := map[string]int{}
+	retried := map[string]int{}
 	for _, w := range d.workers {
 		for _, s := range w.Seen() {
 			if reached[s.ID]++; reached[s.ID] == 2 {
 				for _, c := range demoClasses {
 					if strings.HasPrefix(s.ID, c.Name) {
-						again[c.Name]++
+						retried[c.Name]++
 					}
 				}
 			}
 		}
 	}
-	return again
+	return retried
 }
 
-// rules says what each rule saw.
-func (d *demo) rules(tallies []*standin.Tally) error {
+// checkRules prints a line for each rule and returns an error if one was broken.
+func (d *demo) checkRules(tallies []*standin.Tally) error {
 	lost, wrong, jobs := 0, 0, 0
 	for _, t := range tallies {
 		lost += t.Broken
@@ -295,23 +297,24 @@
 	}
 	late := 0
 	for _, s := range d.workers[4].Seen() {
-		if !d.drained.IsZero() && s.At.After(d.drained.Add(drainSlot)) {
+		if !d.drainedAt.IsZero() && s.At.After(d.drainedAt.Add(drainGrace)) {
 			late++
 		}
 	}
-	most := d.coldMost()
+	coldRatio := d.maxColdRatio()
 	fmt.Printf("no request lost:      %d jobs, %d without an answer, %d with another's\n", jobs, lost, wrong)
 	fmt.Printf("no effect twice:      %d press-send jobs reached a worker, %d of them more than once\n", once, twice)
-	fmt.Printf("drains obeyed:        %d jobs came to box05 later than %v after the word\n", late, drainSlot)
-	fmt.Printf("cold workers spared:  box01 got at most %.1f times what it could do, over %v (%.0f allowed)\n", most, coldSpan, coldTimes)
-	if lost+wrong+twice+late > 0 || most > coldTimes {
+	fmt.Printf("drains obeyed:        %d jobs came to box05 later than %v after the word\n", late, drainGrace)
+	fmt.Printf("cold workers spared:  box01 got at most %.1f times what it could do, over %v (%.0f allowed)\n", coldRatio, coldWindow, maxColdLoad)
+	if lost+wrong+twice+late > 0 || coldRatio > maxColdLoad {
 		return errors.New("demo: a rule was broken")
 	}
 	return nil
 }
 
-// coldMost is how many times its present capacity the worker that began anew was sent, at most, over coldSpan.
-func (d *demo) coldMost() float64 {
+// maxColdRatio returns the largest ratio, over coldWindow, of the work sent to the restarted worker to its capacity at that
+// time.
+func (d *demo) maxColdRatio() float64 {
 	most := 0.0
 	seen := d.workers[0].Seen()
 	work := func(id string) float64 {
@@ -323,18 +326,18 @@
 		return 0
 	}
 	for i, first := range seen {
-		age := first.At.Sub(d.cold)
-		if d.cold.IsZero() || age < 0 || age > demoWarms {
+		age := first.At.Sub(d.coldSince)
+		if d.coldSince.IsZero() || age < 0 || age > demoWarmUp {
 			continue
 		}
 		sent := 0.0
 		for _, s := range seen[i:] {
-			if s.At.Sub(first.At) < coldSpan {
+			if s.At.Sub(first.At) < coldWindow {
 				sent += work(s.ID)
 			}
 		}
-		warmth := 0.3 + 0.7*age.Seconds()/demoWarms.Seconds()
-		most = max(most, sent/(warmth*demoSpeeds[0]*demoSlots*coldSpan.Seconds()))
+		warmth := 0.3 + 0.7*age.Seconds()/demoWarmUp.Seconds()
+		most = max(most, sent/(warmth*demoSpeeds[0]*demoSlots*coldWindow.Seconds()))
 	}
 	return most
 }
--- a/cmd/weldscale/experiment.go
+++ b/cmd/weldscale/experiment.go
@@ -25,16 +25,17 @@
 	"weldscale/internal/emulator"
 )
 
-// This file owns the experiment command: a matrix of scripts, sizes, ages of reports, policies and seeds, played over all
-// cores, each cell once whatever happens in between, and what can be said of the differences.
+// This file implements the experiment command. It runs a matrix of scripts, sizes, report intervals, policies and seeds on all
+// cores and compares the policies. Each result is stored when its run ends, so that an interrupted experiment continues with
+// the remaining cells.
 
-// experimentCmd is the command.
+// experimentCmd runs an experiment.
 type experimentCmd struct {
 	File string `arg:"" help:"The experiment, such as deploy/experiments/sizes.hcl." type:"existingfile" placeholder:"FILE"`
 	Out  string `help:"Where each cell's result is written as it is done; those that are there already are not played again. By default beside FILE, ending in .jsonl." placeholder:"FILE" type:"path"`
 }
 
-// matrix is what a file asks for.
+// matrix is the content of an experiment file.
 type matrix struct {
 	scripts    map[string]*emulator.Script
 	names      []string
@@ -45,7 +46,7 @@
 	seeds      int
 }
 
-// cell is one run.
+// cell identifies one run.
 type cell struct {
 	Script     string  `json:"script"`
 	Scale      float64 `json:"scale"`
@@ -55,7 +56,7 @@
 	Seed       uint64  `json:"seed"`
 }
 
-// outcome is a cell with its result.
+// outcome is the result of a cell, as stored in the output file.
 type outcome struct {
 	cell
 	Boxes  int     `json:"boxes"`
@@ -67,7 +68,7 @@
 	Took   float64 `json:"took_s"`
 }
 
-// readMatrix reads an experiment. Scripts are looked for beside it.
+// readMatrix reads an experiment file. The paths of scripts are relative to its directory.
 func readMatrix(path string) (*matrix, error) {
 	var l struct {
 		Experiment *struct {
@@ -125,7 +126,7 @@
 	return m, errors.Join(r.Err(), errors.Join(faults...))
 }
 
-// cells lists the matrix, the small ones first.
+// cells returns all cells of the matrix, ordered by scale as in the file.
 func (m *matrix) cells() (out []cell) {
 	for _, scale := range m.scales {
 		for _, schedulers := range m.schedulers {
@@ -143,14 +144,15 @@
 	return out
 }
 
-// script is a cell's script: as many times the boxes and the rate, the schedulers and the age of reports where given.
+// script returns a cell's script. The number of boxes and the rate are multiplied by the scale; the number of schedulers and the
+// report interval are replaced if the cell sets them.
 func (m *matrix) script(c cell) *emulator.Script {
 	s := *m.scripts[c.Script]
 	s.Boxes = nil
 	for _, k := range m.scripts[c.Script].Boxes {
-		grown := *k
-		grown.Count = max(1, int(float64(k.Count)*c.Scale+0.5))
-		s.Boxes = append(s.Boxes, &grown)
+		scaled := *k
+		scaled.Count = max(1, int(float64(k.Count)*c.Scale+0.5))
+		s.Boxes = append(s.Boxes, &scaled)
 	}
 	s.Rate *= c.Scale
 	if c.Schedulers > 0 {
@@ -178,16 +180,16 @@
 		return err
 	}
 	defer f.Close()
-	if err := endLine(f); err != nil {
+	if err := terminateLastLine(f); err != nil {
 		return err
 	}
-	var todo []cell
+	var remaining []cell
 	for _, x := range m.cells() {
 		if _, ok := done[x]; !ok {
-			todo = append(todo, x)
+			remaining = append(remaining, x)
 		}
 	}
-	fmt.Printf("%d cells, %d of them done before\n", len(m.cells()), len(m.cells())-len(todo))
+	fmt.Printf("%d cells, %d of them done before\n", len(m.cells()), len(m.cells())-len(remaining))
 	var mu sync.Mutex
 	var faults []error
 	var all sync.WaitGroup
@@ -195,7 +197,7 @@
 	for range runtime.GOMAXPROCS(0) {
 		all.Go(func() {
 			for x := range next {
-				o, err := m.play(x)
+				o, err := m.run(x)
 				mu.Lock()
 				if err == nil {
 					done[x] = o
@@ -209,7 +211,7 @@
 			}
 		})
 	}
-	for _, x := range todo {
+	for _, x := range remaining {
 		select {
 		case next <- x:
 		case <-ctx.Done():
@@ -225,8 +227,9 @@
 	return nil
 }
 
-// endLine ends the last line of a file where a stop has cut it short: the next one must not be written behind it.
-func endLine(f *os.File) error {
+// terminateLastLine appends a newline if an interrupted run has left the last line incomplete. Otherwise the next result would be
+// appended to that line.
+func terminateLastLine(f *os.File) error {
 	info, err := f.Stat()
 	if err != nil || info.Size() == 0 {
 		return err
@@ -241,6 +244,7 @@
 	return err
 }
 
+// readOutcomes reads the stored results. A missing file has none.
 func readOutcomes(path string) (map[cell]outcome, error) {
 	done := map[cell]outcome{}
 	f, err := os.Open(path)
@@ -254,18 +258,18 @@
 	lines := bufio.NewScanner(f)
 	for lines.Scan() {
 		var o outcome
-		if json.Unmarshal(lines.Bytes(), &o) == nil { // half a line is what a stop may leave: that cell is played again
+		if json.Unmarshal(lines.Bytes(), &o) == nil { // an interrupted run may leave an incomplete line; its cell runs again
 			done[o.cell] = o
 		}
 	}
 	return done, lines.Err()
 }
 
-// play plays a cell, with the checker beside it.
-func (m *matrix) play(c cell) (outcome, error) {
+// run executes a cell and checks its event log.
+func (m *matrix) run(c cell) (outcome, error) {
 	r := rehearsal{Script: c.Script, Policy: c.Policy, Seed: c.Seed}
 	s := m.script(c)
-	rehearseCmd{}.play(&r, s)
+	rehearseCmd{}.run(&r, s)
 	if r.err != nil {
 		return outcome{}, fmt.Errorf("%+v: %w", c, r.err)
 	}
@@ -277,18 +281,19 @@
 		len(r.Found), r.Took.Seconds()}, nil
 }
 
-// row is the cells that differ only by their seed.
+// row aggregates the cells that differ only by their seed.
 type row struct {
 	cell
-	boxes               int
-	mean, half          float64 // worth in time, with the half of its 95% interval
-	probes, cross, took float64
-	broken              int
-	less, lessHalf      float64 // what the module has more, pair by pair, where this is another policy
+	boxes                int
+	mean, half           float64 // mean worth in time and half of its 95% confidence interval
+	probes, cross, took  float64
+	broken               int
+	deficit, deficitHalf float64 // mean paired difference to the module and half of its interval; NaN for the module
 }
 
-// interval is the mean and half the 95% interval of it, by Student's t.
-func interval(v []float64) (mean, half float64) {
+// confidenceInterval returns the mean and half of its 95% confidence interval by Student's t-distribution. With fewer than two
+// values, half is NaN.
+func confidenceInterval(v []float64) (mean, half float64) {
 	mean = stat.Mean(v, nil)
 	if len(v) < 2 {
 		return mean, math.NaN()
@@ -297,13 +302,14 @@
 	return mean, t.Quantile(0.975) * stat.StdDev(v, nil) / math.Sqrt(float64(len(v)))
 }
 
+// rows aggregates the results in the order of cells.
 func (m *matrix) rows(done map[cell]outcome) (out []row) {
 	for _, c := range m.cells() {
 		if c.Seed != 1 {
 			continue
 		}
 		r := row{cell: c}
-		var worth, less []float64
+		var worth, deficits []float64
 		for seed := range m.seeds {
 			x := c
 			x.Seed = uint64(seed + 1)
@@ -313,19 +319,20 @@
 			r.broken += o.Broken
 			x.Policy = "module"
 			if own, ok := done[x]; ok && c.Policy != "module" {
-				less = append(less, own.InTime-o.InTime)
+				deficits = append(deficits, own.InTime-o.InTime)
 			}
 		}
-		r.mean, r.half = interval(worth)
-		r.less, r.lessHalf = math.NaN(), math.NaN()
-		if len(less) > 0 {
-			r.less, r.lessHalf = interval(less)
+		r.mean, r.half = confidenceInterval(worth)
+		r.deficit, r.deficitHalf = math.NaN(), math.NaN()
+		if len(deficits) > 0 {
+			r.deficit, r.deficitHalf = confidenceInterval(deficits)
 		}
 		out = append(out, r)
 	}
 	return out
 }
 
+// showRows prints the rows as a table.
 func showRows(rows []row) {
 	out := table.NewWriter()
 	out.SetOutputMirror(os.Stdout)
@@ -342,7 +349,7 @@
 		return fmt.Sprintf("%.3f ± %.3f", v, half)
 	}
 	for _, r := range rows {
-		out.AppendRow(table.Row{r.Script, r.boxes, r.Schedulers, r.RefreshMS, r.Policy, form(r.mean, r.half), form(r.less, r.lessHalf),
+		out.AppendRow(table.Row{r.Script, r.boxes, r.Schedulers, r.RefreshMS, r.Policy, form(r.mean, r.half), form(r.deficit, r.deficitHalf),
 			fmt.Sprintf("%.2f", r.probes), fmt.Sprintf("%.0f", 100*r.cross), r.broken, fmt.Sprintf("%.2f", r.took)})
 	}
 	out.Render()
--- a/cmd/weldscale/experiment_test.go
+++ b/cmd/weldscale/experiment_test.go
@@ -41,14 +41,14 @@
 	require.Len(t, rows, 4)
 	assert.Equal(t, 8, rows[0].boxes)
 	assert.Equal(t, 15, rows[2].boxes)
-	assert.True(t, math.IsNaN(rows[0].less) && !math.IsNaN(rows[1].less))
+	assert.True(t, math.IsNaN(rows[0].deficit) && !math.IsNaN(rows[1].deficit))
 }
 
 func TestInterval(t *testing.T) {
-	mean, half := interval([]float64{1, 2, 3})
+	mean, half := confidenceInterval([]float64{1, 2, 3})
 	assert.InDelta(t, 2, mean, 1e-9)
 	assert.InDelta(t, 4.3027/math.Sqrt(3), half, 1e-3)
-	_, half = interval([]float64{1})
+	_, half = confidenceInterval([]float64{1})
 	assert.True(t, math.IsNaN(half))
 }
 
--- a/cmd/weldscale/load.go
+++ b/cmd/weldscale/load.go
@@ -15,9 +15,9 @@
 	"weldscale/internal/standin"
 )
 
-// This file owns the load command: jobs to any running scheduler, and what became of them.
+// This file implements the load command, which sends jobs to a running scheduler and reports how they ended.
 
-// loadCmd is the command.
+// loadCmd generates load.
 type loadCmd struct {
 	Target  string        `arg:"" help:"Where the scheduler listens." placeholder:"HOST:PORT"`
 	Host    string        `help:"The Host field, where services go by it." placeholder:"NAME"`
@@ -40,7 +40,7 @@
 	Against string        `help:"Figures of an earlier run, by --json, to compare with." placeholder:"FILE" type:"path"`
 }
 
-// figures is what a run is written down as. Times are in milliseconds.
+// figures holds the results of a run, as written by --json. Latencies are in milliseconds.
 type figures struct {
 	Sent    int     `json:"sent"`
 	Served  int     `json:"served"`
@@ -57,7 +57,8 @@
 	Max     float64 `json:"max_ms"`
 }
 
-func figuresOf(t *standin.Tally) figures {
+// newFigures returns the results of a tally.
+func newFigures(t *standin.Tally) figures {
 	ms := func(q float64) float64 { return t.Quantile(q).Seconds() * 1e3 }
 	return figures{t.Sent, t.Served, t.Refused, t.Failed, t.Broken, t.Wrong, t.InTimeShare(), float64(t.Served) / t.Took.Seconds(),
 		ms(50), ms(90), ms(99), ms(99.9), ms(100)}
@@ -71,25 +72,25 @@
 	if c.Senders < 0 || c.Readers < 0 || c.Senders+c.Readers > 0 && c.Slow <= 0 {
 		return errors.New("load: --slow-senders and --slow-readers can't be below 0, and --slow-rate must be above it")
 	}
-	var before *figures
-	if c.Against != "" { // read first: a run is not to be lost for it
+	var previous *figures
+	if c.Against != "" { // read before the run, so that an unreadable file does not cost its results
 		text, err := os.ReadFile(c.Against)
 		if err != nil {
 			return err
 		}
-		before = new(figures)
-		if err := json.Unmarshal(text, before); err != nil {
+		previous = new(figures)
+		if err := json.Unmarshal(text, previous); err != nil {
 			return fmt.Errorf("%s: %w", c.Against, err)
 		}
 	}
 	name := fmt.Sprintf("load%x-", time.Now().UnixNano())
-	slow := c.slow(ctx, name)
+	reportSlow := c.startSlow(ctx, name)
 	t := standin.Load{Target: c.Target, Host: c.Host, Seed: c.Seed, Name: name, For: c.For, Rate: c.Rate,
 		Clients: c.Clients, Kinds: []standin.Kind{{Class: c.Class, Share: 1, Body: c.Body, Budget: c.Budget, Within: c.Within,
 			Task: standin.Task{Run: c.Job, Slots: c.Slots, Size: c.Answer}}}}.Run(ctx)
-	f := figuresOf(t)
-	show(f, before)
-	slow()
+	f := newFigures(t)
+	showFigures(f, previous)
+	reportSlow()
 	for why, n := range t.Why {
 		fmt.Printf("%d ended as: %s\n", n, why)
 	}
@@ -108,16 +109,16 @@
 	return nil
 }
 
-// slow starts the slow clients; the function that it returns waits for their end and says how it was.
-func (c loadCmd) slow(ctx context.Context, name string) func() {
+// startSlow starts the slow clients. The returned function waits until they have ended and prints their tallies.
+func (c loadCmd) startSlow(ctx context.Context, name string) func() {
 	ctx, stop := context.WithTimeout(ctx, c.For)
 	kind := standin.Kind{Class: c.Class, Budget: c.Budget, Body: max(c.Body, 60000), Task: standin.Task{Run: c.Job, Slots: c.Slots, Size: c.Answer}}
 	readers := kind
 	readers.Body, readers.Task.Size = c.Body, max(c.Answer, 60000)
-	crowds := []standin.Slow{{Name: name + "s", Peers: c.Senders, Kind: kind, Send: c.Slow}, {Name: name + "r", Peers: c.Readers, Kind: readers, Read: c.Slow}}
-	tallies := make([]*standin.SlowTally, len(crowds))
+	groups := []standin.Slow{{Name: name + "s", Peers: c.Senders, Kind: kind, Send: c.Slow}, {Name: name + "r", Peers: c.Readers, Kind: readers, Read: c.Slow}}
+	tallies := make([]*standin.SlowTally, len(groups))
 	var all sync.WaitGroup
-	for i, s := range crowds {
+	for i, s := range groups {
 		if s.Peers > 0 {
 			s.Target, s.Over = c.Target, time.Second
 			all.Go(func() { tallies[i] = s.Run(ctx) })
@@ -134,18 +135,19 @@
 	}
 }
 
-func show(f figures, before *figures) {
+// showFigures prints the results as a table, with those of a previous run if it is not nil.
+func showFigures(f figures, previous *figures) {
 	out := table.NewWriter()
 	out.SetOutputMirror(os.Stdout)
 	out.SetStyle(table.StyleLight)
 	head := table.Row{"", "now"}
-	if before != nil {
+	if previous != nil {
 		head = append(head, "before", "now / before")
 	}
 	out.AppendHeader(head)
 	row := func(name, form string, now, was float64) {
 		r := table.Row{name, fmt.Sprintf(form, now)}
-		if before != nil {
+		if previous != nil {
 			r = append(r, fmt.Sprintf(form, was))
 			if was != 0 {
 				r = append(r, fmt.Sprintf("%.2f", now/was))
@@ -154,8 +156,8 @@
 		out.AppendRow(r)
 	}
 	b := figures{}
-	if before != nil {
-		b = *before
+	if previous != nil {
+		b = *previous
 	}
 	row("sent", "%.0f", float64(f.Sent), float64(b.Sent))
 	row("served", "%.0f", float64(f.Served), float64(b.Served))
@@ -173,6 +175,7 @@
 	out.Render()
 }
 
+// writeHDR writes a histogram as an HdrHistogram log with one interval.
 func writeHDR(path string, h *hdrhistogram.Histogram) (err error) {
 	f, err := os.Create(path)
 	if err != nil {
--- a/cmd/weldscale/rehearse.go
+++ b/cmd/weldscale/rehearse.go
@@ -18,9 +18,9 @@
 	"weldscale/internal/emulator"
 )
 
-// This file owns the rehearse command: scripts played in simulated time, and what came of them.
+// This file implements the rehearse command, which runs scripts in simulated time and reports the results.
 
-// rehearseCmd is the command.
+// rehearseCmd runs scripts in the emulator.
 type rehearseCmd struct {
 	Scripts []string `arg:"" help:"Scripts, such as those in deploy/rehearsals." placeholder:"SCRIPT" type:"existingfile"`
 	Seed    uint64   `help:"The same script and seed give the same run." default:"1"`
@@ -31,20 +31,20 @@
 	Windows bool     `help:"Show each run in windows of five seconds."`
 }
 
-// rehearsal is one run and what the checker found in its log.
+// rehearsal is one run of a script, with the rule violations that the checker found in its log.
 type rehearsal struct {
 	Script string           `json:"script"`
 	Policy string           `json:"policy"`
 	Seed   uint64           `json:"seed"`
 	Result *emulator.Result `json:"result"`
-	// Troubles are those of the script, for plots.
+	// Troubles are the faults of the script, for plots.
 	Troubles []emulator.Trouble `json:"troubles"`
 	Found    emulator.Findings  `json:"found"`
 	Took     time.Duration      `json:"took_ns"`
 	err      error
 }
 
-// samples is how many pictures of a run the JSON holds.
+// samples is the number of samples of a run in the JSON.
 const samples = 240
 
 // Run implements the command.
@@ -57,7 +57,7 @@
 		return errors.New("rehearse: --seeds must be at least 1, and --log takes one script, one seed and one policy")
 	}
 	var scripts []*emulator.Script
-	for _, path := range c.Scripts { // all of them first: nothing is played by half
+	for _, path := range c.Scripts { // all are read first, so that a bad script is found before any run starts
 		s, err := emulator.Read(path)
 		if err != nil {
 			return err
@@ -76,7 +76,7 @@
 			cores <- struct{}{}
 			defer func() { <-cores }()
 			if r.err = ctx.Err(); r.err == nil {
-				c.play(r, scripts[i/per])
+				c.run(r, scripts[i/per])
 			}
 		})
 	}
@@ -86,7 +86,7 @@
 		if r.err != nil {
 			return fmt.Errorf("%s, seed %d: %w", r.Script, r.Seed, r.err)
 		}
-		if r.Policy == "module" { // the others are there to be held against it
+		if r.Policy == "module" { // the other policies serve only for comparison
 			broken += len(r.Found)
 		}
 	}
@@ -101,13 +101,13 @@
 		}
 	}
 	if broken > 0 {
-		return fmt.Errorf("rehearse: %d times a rule was broken", broken)
+		return fmt.Errorf("rehearse: rules were broken %d times", broken)
 	}
 	return nil
 }
 
-// play plays one run; the checker reads its log as it is written.
-func (c rehearseCmd) play(r *rehearsal, s *emulator.Script) {
+// run executes one run. The checker reads its event log while it is written.
+func (c rehearseCmd) run(r *rehearsal, s *emulator.Script) {
 	began := time.Now()
 	read, write := io.Pipe()
 	var out io.Writer = write
@@ -124,7 +124,7 @@
 	go func() {
 		var err error
 		r.Found, err = emulator.Check(s, read)
-		read.CloseWithError(err) // the run must not wait for a checker that has given up
+		read.CloseWithError(err) // after an error of the checker, the run must not block on writes
 		checked <- err
 	}()
 	x, err := emulator.NewWith(r.Policy, s, r.Seed, out)
@@ -140,6 +140,7 @@
 	r.Took = time.Since(began)
 }
 
+// show prints the results of all runs, the windows if asked for, and the first violations of each run.
 func (c rehearseCmd) show(runs []rehearsal) {
 	out := table.NewWriter()
 	out.SetOutputMirror(os.Stdout)
