--- a/cmd/weldscale/operate.go
+++ b/cmd/weldscale/operate.go
@@ -79,16 +79,16 @@
 }
 
 // SetOut implements mgmt.Control.
-func (o operations) SetOut(worker string, out bool) error {
+func (o operations) SetOut(worker string, offline bool) error {
 	known := false
-	if err := o.do(func() { known = o.s.setOffline(worker, out) }); err != nil {
+	if err := o.do(func() { known = o.s.setOffline(worker, offline) }); err != nil {
 		return err
 	}
 	if !known {
 		return mgmt.ErrUnknown
 	}
 	if o.s.upgrade != nil {
-		return o.s.upgrade.propagateOffline(worker, out)
+		return o.s.upgrade.propagateOffline(worker, offline)
 	}
 	return nil
 }
@@ -112,11 +112,11 @@
 
 // setOffline takes a worker offline in every service that lists it, or puts it back online. It reports whether any service
 // knows the worker.
-func (s *scheduler) setOffline(worker string, out bool) bool {
+func (s *scheduler) setOffline(worker string, offline bool) bool {
 	known := false
 	for _, p := range s.serviceViews() {
-		known = p.overlay.SetOffline(worker, out) || known
+		known = p.overlay.SetOffline(worker, offline) || known
 	}
-	slog.Info("worker by hand", "worker", worker, "out", out, "known", known)
+	slog.Info("worker by hand", "worker", worker, "out", offline, "known", known)
 	return known
 }
--- a/cmd/weldscale/serve.go
+++ b/cmd/weldscale/serve.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// scheduler holds the components of a running scheduler. All fields belong to the loop.
+// scheduler holds the components of a running scheduler.
 type scheduler struct {
 	config         *config // in force
 	loop           *engine.Loop
--- a/cmd/weldscale/upgrade.go
+++ b/cmd/weldscale/upgrade.go
@@ -56,7 +56,7 @@
 	if err := s.driver.EnableHandover(); err != nil {
 		return err
 	}
-	out, err := handover.Saved(u.dir, s.config.Name)
+	offline, err := handover.Saved(u.dir, s.config.Name)
 	if err != nil {
 		slog.Warn("workers taken out earlier can't be read: all workers are online", "why", err)
 	}
@@ -66,24 +66,24 @@
 	}
 	slog.SetDefault(slog.Default().With("process", u.node.Process)) // two processes may write to one log
 	// The loop does not run yet, so its state may be changed here.
-	if elder := u.elder(); elder != nil {
-		out = elder.Out
-		if err := s.discovery.LoadKnown(elder.List); err != nil {
+	if oldest := u.oldest(); oldest != nil {
+		offline = oldest.Out
+		if err := s.discovery.LoadKnown(oldest.List); err != nil {
 			slog.Warn("the worker list of the other process can't be read", "why", err)
 		}
 		var l engine.LearnedState
-		if err := json.Unmarshal(elder.Learnt, &l); err != nil {
+		if err := json.Unmarshal(oldest.Learnt, &l); err != nil {
 			slog.Warn("the learned state of the other process can't be read", "why", err)
 		}
 		s.engine.RestoreLearned(l)
-		slog.Info("beside another process", "other", elder.Process, "out", out, "list", s.discovery.Index())
+		slog.Info("beside another process", "other", oldest.Process, "out", offline, "list", s.discovery.Index())
 	}
-	s.restoreOffline(out)
+	s.restoreOffline(offline)
 	return nil
 }
 
-// elder returns the oldest of the linked processes, or nil without one.
-func (u *upgrade) elder() *handover.Hello {
+// oldest returns the oldest of the linked processes, or nil without one.
+func (u *upgrade) oldest() *handover.Hello {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var eldest *handover.Hello
@@ -245,26 +245,26 @@
 // propagateOffline takes a worker offline, or back online, in the other processes and saves the offline workers for later
 // processes. A process that does not acknowledge in time hangs, so it sends nothing to the worker. It handles this message
 // first when it continues.
-func (u *upgrade) propagateOffline(worker string, out bool) error {
-	var all []chan struct{}
+func (u *upgrade) propagateOffline(worker string, offline bool) error {
+	var pending []chan struct{}
 	for _, l := range u.others() {
 		n, done := u.number.Add(1), make(chan struct{})
 		u.mu.Lock()
 		u.acks[n] = done
 		u.mu.Unlock()
-		l.Say(handover.Message{Kind: handover.KindOut, Number: n, Worker: worker, Away: out})
-		all = append(all, done)
+		l.Say(handover.Message{Kind: handover.KindOut, Number: n, Worker: worker, Away: offline})
+		pending = append(pending, done)
 		defer func() { u.mu.Lock(); delete(u.acks, n); u.mu.Unlock() }()
 	}
-	late := time.After(offlineTimeout)
-	for _, done := range all {
+	timeout := time.After(offlineTimeout)
+	for _, done := range pending {
 		select {
 		case <-done:
-		case <-late:
-			slog.Warn("another process does not say that it has a worker out", "worker", worker, "out", out)
-			late = nil
+		case <-timeout:
+			slog.Warn("another process does not say that it has a worker out", "worker", worker, "out", offline)
+			timeout = nil
 		}
-		if late == nil {
+		if timeout == nil {
 			break
 		}
 	}
@@ -275,7 +275,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if err := handover.Save(u.dir, u.s.config.Name, names); err != nil {
-		return fmt.Errorf("the change is in force, but could not be saved for later processes: %w", err)
+		return fmt.Errorf("taken out, but not kept for another process: %w", err)
 	}
 	return nil
 }
