--- a/cmd/weldscale/fleet.go
+++ b/cmd/weldscale/fleet.go
@@ -58,20 +58,20 @@
 	}
 	take := func(from string, data []byte) (passOn bool) {
 		if part.evidence != nil {
-			if mine, news := part.evidence.Take(from, data); mine {
+			if mine, news := part.evidence.HandleMessage(from, data); mine {
 				return news
 			}
 		}
-		part.budgets.Take(from, data)
+		part.budgets.HandleMessage(from, data)
 		return false
 	}
 	joined := func() {
 		if part.evidence != nil {
-			part.evidence.Repeat()
+			part.evidence.ResendAll()
 		}
 	}
-	link, err := fleet.Start(fleet.Config{Fleet: f.Name, Name: c.Name, Life: life, Zone: f.Zone, Bind: f.Bind, Via: f.Via, Join: f.Join, Key: key,
-		Members: f.Members, Take: take, Joined: joined})
+	link, err := fleet.Start(fleet.Config{Fleet: f.Name, Name: c.Name, Incarnation: life, Zone: f.Zone, Bind: f.Bind, Relay: f.Via, Join: f.Join, Key: key,
+		MaxMembers: f.Members, OnMessage: take, OnJoin: joined})
 	if err != nil {
 		return nil, err
 	}
@@ -93,13 +93,13 @@
 	v.e.OnOutcome = func(worker string, job bool, s decide.Status) {
 		switch {
 		case s == decide.Served && job:
-			p.evidence.Saw(name, worker, evidence.Fine)
+			p.evidence.Record(name, worker, evidence.Succeeded)
 		case s == decide.Error && job || s == decide.Reset && job:
-			p.evidence.Saw(name, worker, evidence.Failed)
+			p.evidence.Record(name, worker, evidence.Failed)
 		case s == decide.TimedOut && job:
-			p.evidence.Saw(name, worker, evidence.Late)
+			p.evidence.Record(name, worker, evidence.TimedOut)
 		case s == decide.TimedOut || s == decide.ConnectFailed:
-			p.evidence.Saw(name, worker, evidence.Lost)
+			p.evidence.Record(name, worker, evidence.Unreachable)
 		}
 	}
 	var weigh func()
@@ -107,7 +107,7 @@
 		if v.gone {
 			return
 		}
-		for _, worker := range p.evidence.Round(name, v.e.ReadyWorkers()) {
+		for _, worker := range p.evidence.Tick(name, v.e.ReadyWorkers()) {
 			v.e.AddPeerEvidence(worker)
 		}
 		loop.After(weighEvery, weigh)
@@ -121,10 +121,10 @@
 // terms are those of a budget of that kind.
 func (p *fleetPart) terms(k pool.FleetKind, budget float64) share.Config {
 	f := p.conf
-	c := share.Config{Budget: budget, Floor: f.Floor * budget / float64(f.Members), Members: f.Members, Keepers: f.Keepers,
-		Chunks: min(fleet.MaxChunks, leastChunks*f.Members), Term: time.Duration(f.Term) * time.Microsecond, Drift: f.Drift, Burst: f.Burst}
+	c := share.Config{Budget: budget, Floor: f.Floor * budget / float64(f.Members), MaxMembers: f.Members, Voters: f.Keepers,
+		Chunks: min(fleet.MaxChunks, leastChunks*f.Members), LeaseDuration: time.Duration(f.Term) * time.Microsecond, Drift: f.Drift, Burst: f.Burst}
 	if k == pool.FleetOpen {
-		c.Burst, c.Use = 0, time.Duration(f.Use)*time.Microsecond
+		c.Burst, c.MaxUse = 0, time.Duration(f.Use)*time.Microsecond
 	}
 	return c
 }
@@ -158,7 +158,7 @@
 				continue
 			}
 			names[key{pool.FleetKind(k), i - 1}] = name + of.suffix
-			if _, known := p.budgets.Standing()[name+of.suffix]; !known {
+			if _, known := p.budgets.Status()[name+of.suffix]; !known {
 				err = cmp.Or(err, p.budgets.Add(name+of.suffix, p.terms(pool.FleetKind(k), of.budget)))
 			}
 			if pool.FleetKind(k) == pool.FleetOpen {
@@ -189,21 +189,21 @@
 	}
 	var b strings.Builder
 	c := p.link.Counts()
-	fmt.Fprintf(&b, "fleet=%s sent=%d taken=%d bad=%d too_many=%d stranger=%d\n", p.conf.Name, c.Sent, c.Taken, c.Bad, c.TooMany, c.Stranger)
-	w := p.link.Wire()
+	fmt.Fprintf(&b, "fleet=%s sent=%d taken=%d bad=%d too_many=%d stranger=%d\n", p.conf.Name, c.Sent, c.Received, c.Malformed, c.OverLimit, c.UnknownSender)
+	w := p.link.Traffic()
 	fmt.Fprintf(&b, "wire bytes_in=%d bytes_out=%d dropped_in=%d dropped_out=%d\n", w.BytesIn, w.BytesOut, w.DroppedIn, w.DroppedOut)
 	for _, m := range p.link.Members() {
-		fmt.Fprintf(&b, "member=%s zone=%q address=%s life=%x heard_ms=%d\n", m.Name, m.Zone, m.Address, m.Life, m.Heard.Milliseconds())
+		fmt.Fprintf(&b, "member=%s zone=%q address=%s life=%x heard_ms=%d\n", m.Name, m.Zone, m.Address, m.Incarnation, m.LastMessageAge.Milliseconds())
 	}
 	if p.evidence != nil {
-		names, bad := p.evidence.Against()
+		names, bad := p.evidence.Suspects()
 		fmt.Fprintf(&b, "evidence against=%s bad=%d\n", strings.Join(names, ","), bad)
 	}
-	all := p.budgets.Standing()
+	all := p.budgets.Status()
 	for _, name := range slices.Sorted(maps.Keys(all)) {
 		s := all[name]
-		fmt.Fprintf(&b, "budget=%q part=%.3f floor=%.3f of=%.3f spent=%.0f denied=%d bad=%d keeper=%v\n", name, s.Part, s.Floor, s.Budget,
-			s.Spent, s.Denied, s.Bad, s.Keeper)
+		fmt.Fprintf(&b, "budget=%q part=%.3f floor=%.3f of=%.3f spent=%.0f denied=%d bad=%d keeper=%v\n", name, s.Share, s.Floor, s.Budget,
+			s.Spent, s.Denied, s.Malformed, s.Voter)
 	}
 	return b.String()
 }
--- a/cmd/weldscale/services.go
+++ b/cmd/weldscale/services.go
@@ -67,7 +67,7 @@
 		e.SetBackends(workers, d)
 		v.stop = d.Close
 	case conf.File != "":
-		f, err := member.Watch(e, conf.Name, conf.File, operator.ListPause)
+		f, err := member.WatchFile(e, conf.Name, conf.File, operator.ListPause)
 		if err != nil {
 			return nil, fmt.Errorf("service %q: %w", conf.Name, err)
 		}
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -39,7 +39,7 @@
 	started time.Time
 
 	mutex   sync.Mutex
-	books   map[bookKey]*evidence.Book
+	books   map[bookKey]*evidence.Aggregator
 	pending []pendingReport // reports to forward, oldest first
 }
 
@@ -53,7 +53,7 @@
 }
 
 func newReports(started time.Time) *reports {
-	return &reports{started: started, books: map[bookKey]*evidence.Book{}}
+	return &reports{started: started, books: map[bookKey]*evidence.Aggregator{}}
 }
 
 // now returns the monotonic time since the start.
@@ -90,24 +90,24 @@
 	if !listed {
 		return false
 	}
-	return v.book(bookKey{received.Zone, service}).Take(now, evidence.Report{
-		From:   received.Router,
-		Zone:   received.Zone,
-		Worker: received.Seen.Worker,
-		Life:   received.Seen.Life,
-		Seq:    received.Seen.Sequence,
-		Age:    milliseconds(received.Seen.AgeMs),
-		Kind:   evidence.Kind(received.Seen.Kind),
+	return v.book(bookKey{received.Zone, service}).Receive(now, evidence.Report{
+		From:        received.Router,
+		Zone:        received.Zone,
+		Worker:      received.Seen.Worker,
+		Incarnation: received.Seen.Life,
+		Seq:         received.Seen.Sequence,
+		Age:         milliseconds(received.Seen.AgeMs),
+		Kind:        evidence.Kind(received.Seen.Kind),
 	})
 }
 
 // book returns the evidence for a zone and service, and creates it if needed. The caller must hold the lock.
-func (v *reports) book(key bookKey) *evidence.Book {
+func (v *reports) book(key bookKey) *evidence.Aggregator {
 	known := v.books[key]
 	if known == nil {
-		known, _ = evidence.NewBook(evidence.Config{
-			Members: maxRouters, Workers: maxWorkers, Span: reportSpan, Every: reportRepeatInterval,
-			Latest: 10, Bad: minComplaintShare, Liars: faultyRouterShare, Most: maxAvoidedShare,
+		known, _ = evidence.NewAggregator(evidence.Config{
+			MaxMembers: maxRouters, MaxWorkers: maxWorkers, MaxAge: reportSpan, MinRepeatInterval: reportRepeatInterval,
+			SampleSize: 10, MinComplaintShare: minComplaintShare, FaultyMemberShare: faultyRouterShare, MaxSuspectShare: maxAvoidedShare,
 		}, "", key.zone, 0)
 		v.books[key] = known
 	}
@@ -145,12 +145,12 @@
 		if key.zone != zone {
 			continue
 		}
-		complained := book.Complained(now)
+		complained := book.WithComplaints(now)
 		if len(complained) == 0 {
 			continue
 		}
 		avoided := map[string]bool{}
-		for _, worker := range book.Bad(now, workerCount(services(), key.service), routers) {
+		for _, worker := range book.Suspects(now, workerCount(services(), key.service), routers) {
 			avoided[worker] = true
 		}
 		for _, worker := range complained {
--- a/internal/controller/reports_test.go
+++ b/internal/controller/reports_test.go
@@ -60,11 +60,11 @@
 			v.recordObservations(testRouter(i, "a"), testObservation("w1", evidence.Failed, 1), services)
 		}
 		require.Equal(t, []fleetwire.Doubt{{Worker: "w1"}}, v.doubts("a", constantServices(services), routers), "three complaints are too few")
-		v.recordObservations(testRouter(3, "a"), testObservation("w1", evidence.Late, 1), services)
+		v.recordObservations(testRouter(3, "a"), testObservation("w1", evidence.TimedOut, 1), services)
 		require.Equal(t, []string{"w1"}, avoidedWorkers(v.doubts("a", constantServices(services), routers)))
 		require.Empty(t, v.doubts("b", constantServices(services), routers), "the worker may serve another zone well")
 		for i := 4; i < 20; i++ {
-			v.recordObservations(testRouter(i, "a"), testObservation("w1", evidence.Fine, 1), services)
+			v.recordObservations(testRouter(i, "a"), testObservation("w1", evidence.Succeeded, 1), services)
 		}
 		require.Empty(t, avoidedWorkers(v.doubts("a", constantServices(services), routers)), "most routers report success")
 		time.Sleep(reportSpan)
@@ -137,7 +137,7 @@
 		return reply
 	}
 	poll(0, 0, testObservation("w1", evidence.Failed, 1))
-	poll(1, 1, testObservation("w1", evidence.Lost, 1))
+	poll(1, 1, testObservation("w1", evidence.Unreachable, 1))
 	f.eventually("the third controller to report the worker", func() bool {
 		doubts := poll(2, 2, nil).Doubts
 		return len(doubts) == 1 && doubts[0] == fleetwire.Doubt{Worker: "w1", Avoid: true}
--- a/internal/evidence/evidence.go
+++ b/internal/evidence/evidence.go
@@ -15,40 +15,40 @@
 // Kind is one thing seen of a worker.
 type Kind int
 
-// What is seen. A job that ended well is Fine; the others speak against the worker.
+// What is seen. A job that ended well is Succeeded; the others speak against the worker.
 const (
-	Fine Kind = iota
+	Succeeded Kind = iota
 	Failed
-	Late
-	Lost
+	TimedOut
+	Unreachable
 	kinds
 )
 
 // Config is how evidence is weighed. All members should have the same.
 type Config struct {
-	// Members is how many schedulers may live at most; what is kept of others is bounded by it.
-	Members int
-	// Workers bounds the workers of which anything is kept.
-	Workers int
-	// Span is how old evidence may be. Where the module's first terms of ejection are over sooner, they don't all come back to
+	// MaxMembers is how many schedulers may live at most; what is kept of others is bounded by it.
+	MaxMembers int
+	// MaxWorkers bounds the workers of which anything is kept.
+	MaxWorkers int
+	// MaxAge is how old evidence may be. Where the module's first terms of ejection are over sooner, they don't all come back to
 	// a worker at once, since it is still spoken against.
-	Span time.Duration
-	// Every is how often a member speaks of the same worker at most.
-	Every time.Duration
-	// Latest is how many members' latest tries count at least, the newest first: a worker that begins to fail, or is well
+	MaxAge time.Duration
+	// MinRepeatInterval is how often a member speaks of the same worker at most.
+	MinRepeatInterval time.Duration
+	// SampleSize is how many members' latest tries count at least, the newest first: a worker that begins to fail, or is well
 	// again, is not judged by what was before.
-	Latest int
-	// Bad is the share of those that must speak against a worker.
-	Bad float64
-	// Liars is the share of the members who may say what is not so: more must complain before it counts. Two always must.
-	Liars float64
-	// Most is the share of the workers that are named at most. Who complains of more is ill itself and not believed.
-	Most float64
+	SampleSize int
+	// MinComplaintShare is the share of those that must speak against a worker.
+	MinComplaintShare float64
+	// FaultyMemberShare is the share of the members who may say what is not so: more must complain before it counts. Two always must.
+	FaultyMemberShare float64
+	// MaxSuspectShare is the share of the workers that are named at most. Who complains of more is ill itself and not believed.
+	MaxSuspectShare float64
 }
 
-// Usual is what holds for a fleet of so many.
-func Usual(members int) Config {
-	return Config{Members: members, Workers: 4096, Span: 15 * time.Second, Every: 500 * time.Millisecond, Latest: 10, Bad: 0.5, Liars: 0.04, Most: 0.4}
+// DefaultConfig is what holds for a fleet of so many.
+func DefaultConfig(members int) Config {
+	return Config{MaxMembers: members, MaxWorkers: 4096, MaxAge: 15 * time.Second, MinRepeatInterval: 500 * time.Millisecond, SampleSize: 10, MinComplaintShare: 0.5, FaultyMemberShare: 0.04, MaxSuspectShare: 0.4}
 }
 
 // Check names the field at fault and what is allowed.
@@ -57,10 +57,10 @@
 		bad  bool
 		text string
 	}{
-		{c.Members < 1 || c.Workers < 1 || c.Latest < 1, "Members, Workers and Latest must be at least 1"},
-		{c.Span <= 0 || c.Every <= 0 || c.Every > c.Span, "Every must be more than 0, and Span at least that"},
-		{!(c.Bad > 0 && c.Bad <= 1) || !(c.Most > 0 && c.Most <= 1), "Bad and Most must be more than 0, and 1 at most"},
-		{!(c.Liars >= 0 && c.Liars < 0.5), "Liars must be 0 to 0.5"},
+		{c.MaxMembers < 1 || c.MaxWorkers < 1 || c.SampleSize < 1, "Members, Workers and Latest must be at least 1"},
+		{c.MaxAge <= 0 || c.MinRepeatInterval <= 0 || c.MinRepeatInterval > c.MaxAge, "Every must be more than 0, and Span at least that"},
+		{!(c.MinComplaintShare > 0 && c.MinComplaintShare <= 1) || !(c.MaxSuspectShare > 0 && c.MaxSuspectShare <= 1), "Bad and Most must be more than 0, and 1 at most"},
+		{!(c.FaultyMemberShare >= 0 && c.FaultyMemberShare < 0.5), "Liars must be 0 to 0.5"},
 	} {
 		if f.bad {
 			return fmt.Errorf("evidence: %s", f.text)
@@ -72,7 +72,7 @@
 // Report is what one member has seen last of one worker. One voice is one report, however much it has seen.
 type Report struct {
 	From, Zone, Worker string
-	Life, Seq          uint64 // a later one of the same member goes before an earlier one
+	Incarnation, Seq   uint64 // a later one of the same member goes before an earlier one
 	Age                time.Duration
 	Kind               Kind
 }
@@ -91,8 +91,8 @@
 	at time.Duration // when it was seen, by our clock
 }
 
-// Book is a member's evidence.
-type Book struct {
+// Aggregator is a member's evidence.
+type Aggregator struct {
 	c          Config
 	name, zone string
 	life, seq  uint64
@@ -101,22 +101,22 @@
 	Dropped    int                          // reports that made no sense or found no room
 }
 
-// NewBook is an empty one of a member in a zone. life tells its starts apart.
-func NewBook(c Config, name, zone string, life uint64) (*Book, error) {
+// NewAggregator is an empty one of a member in a zone. life tells its starts apart.
+func NewAggregator(c Config, name, zone string, life uint64) (*Aggregator, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
-	return &Book{c: c, name: name, zone: zone, life: life, own: map[string]*own{}, heard: map[string]map[string]*heard{}}, nil
+	return &Aggregator{c: c, name: name, zone: zone, life: life, own: map[string]*own{}, heard: map[string]map[string]*heard{}}, nil
 }
 
-// Saw takes in what this member has seen itself.
-func (b *Book) Saw(now time.Duration, worker string, k Kind) {
+// Record takes in what this member has seen itself.
+func (b *Aggregator) Record(now time.Duration, worker string, k Kind) {
 	o := b.own[worker]
 	if o == nil {
-		if len(b.own) >= b.c.Workers {
+		if len(b.own) >= b.c.MaxWorkers {
 			b.forget(now)
 		}
-		if len(b.own) >= b.c.Workers {
+		if len(b.own) >= b.c.MaxWorkers {
 			b.Dropped++
 			return
 		}
@@ -127,39 +127,39 @@
 }
 
 // forget makes room.
-func (b *Book) forget(now time.Duration) {
+func (b *Aggregator) forget(now time.Duration) {
 	for name, o := range b.own {
-		if now-o.at >= b.c.Span {
+		if now-o.at >= b.c.MaxAge {
 			delete(b.own, name)
 		}
 	}
 }
 
-// Stalled drops what this member has seen: after a stall of its own, what looked late or lost says nothing of workers.
-func (b *Book) Stalled() { b.own = map[string]*own{} }
+// DiscardOwn drops what this member has seen: after a stall of its own, what looked late or lost says nothing of workers.
+func (b *Aggregator) DiscardOwn() { b.own = map[string]*own{} }
 
-// Repeat has Due return each standing report once more, for a member that was not there when it was sent.
-func (b *Book) Repeat() {
+// ResendAll has Due return each standing report once more, for a member that was not there when it was sent.
+func (b *Aggregator) ResendAll() {
 	for _, o := range b.own {
 		o.spoke = false
 	}
 }
 
-// Take takes in another member's report and reports whether it is news, which is worth passing on.
-func (b *Book) Take(now time.Duration, r Report) bool {
+// Receive takes in another member's report and reports whether it is news, which is worth passing on.
+func (b *Aggregator) Receive(now time.Duration, r Report) bool {
 	if r.From == "" || r.Worker == "" || r.Age < 0 || r.Kind < 0 || r.Kind >= kinds {
 		b.Dropped++
 		return false
 	}
-	if r.From == b.name || r.Age >= b.c.Span {
+	if r.From == b.name || r.Age >= b.c.MaxAge {
 		return false
 	}
 	of := b.heard[r.Worker]
 	if of == nil {
-		if len(b.heard) >= b.c.Workers {
+		if len(b.heard) >= b.c.MaxWorkers {
 			b.expire(now)
 		}
-		if len(b.heard) >= b.c.Workers {
+		if len(b.heard) >= b.c.MaxWorkers {
 			b.Dropped++
 			return false
 		}
@@ -167,12 +167,12 @@
 		b.heard[r.Worker] = of
 	}
 	old := of[r.From]
-	if old != nil && old.r.Life == r.Life && old.r.Seq >= r.Seq {
+	if old != nil && old.r.Incarnation == r.Incarnation && old.r.Seq >= r.Seq {
 		return false
 	}
-	if old == nil && len(of) >= b.c.Members {
+	if old == nil && len(of) >= b.c.MaxMembers {
 		b.expire(now)
-		if len(of) >= b.c.Members {
+		if len(of) >= b.c.MaxMembers {
 			b.Dropped++
 			return false
 		}
@@ -183,10 +183,10 @@
 }
 
 // expire forgets what is too old.
-func (b *Book) expire(now time.Duration) {
+func (b *Aggregator) expire(now time.Duration) {
 	for worker, of := range b.heard {
 		for from, h := range of {
-			if now-h.at >= b.c.Span {
+			if now-h.at >= b.c.MaxAge {
 				delete(of, from)
 			}
 		}
@@ -196,13 +196,13 @@
 	}
 }
 
-// Due are the reports to send now: of workers that this member's latest try speaks against, and of those that others complain
+// DueReports are the reports to send now: of workers that this member's latest try speaks against, and of those that others complain
 // of, since who has fared well there is to be heard too.
-func (b *Book) Due(now time.Duration) (out []Report) {
+func (b *Aggregator) DueReports(now time.Duration) (out []Report) {
 	b.expire(now)
 	for worker, o := range b.own {
-		if o.spoke && (o.saidAt == o.at || o.saidKind == o.kind && now-o.said < b.c.Every) || now-o.at >= b.c.Span ||
-			o.kind == Fine && !b.complained(worker) {
+		if o.spoke && (o.saidAt == o.at || o.saidKind == o.kind && now-o.said < b.c.MinRepeatInterval) || now-o.at >= b.c.MaxAge ||
+			o.kind == Succeeded && !b.complained(worker) {
 			continue
 		}
 		o.said, o.saidAt, o.saidKind, o.spoke = now, o.at, o.kind, true
@@ -213,8 +213,8 @@
 	return out
 }
 
-// Complained names the workers that some member's latest try speaks against, in order.
-func (b *Book) Complained(now time.Duration) (names []string) {
+// WithComplaints names the workers that some member's latest try speaks against, in order.
+func (b *Aggregator) WithComplaints(now time.Duration) (names []string) {
 	b.expire(now)
 	for worker := range b.heard {
 		if b.complained(worker) {
@@ -225,9 +225,9 @@
 	return names
 }
 
-func (b *Book) complained(worker string) bool {
+func (b *Aggregator) complained(worker string) bool {
 	for _, h := range b.heard[worker] {
-		if h.r.Kind != Fine {
+		if h.r.Kind != Succeeded {
 			return true
 		}
 	}
@@ -241,11 +241,11 @@
 	bad  bool
 }
 
-// Bad names the workers that the evidence of this member's zone speaks against, the worst first. known is how many workers
+// Suspects names the workers that the evidence of this member's zone speaks against, the worst first. known is how many workers
 // there are, and zone how many members of this zone live.
-func (b *Book) Bad(now time.Duration, known, zone int) (names []string) {
+func (b *Aggregator) Suspects(now time.Duration, known, zone int) (names []string) {
 	b.expire(now)
-	most := int(b.c.Most * float64(known))
+	most := int(b.c.MaxSuspectShare * float64(known))
 	all, complaints := map[string][]voice{}, map[string]int{} // complaints by member, ourselves too
 	hear := func(worker string, v voice) {
 		all[worker] = append(all[worker], v)
@@ -254,30 +254,30 @@
 		}
 	}
 	for worker, o := range b.own {
-		if now-o.at < b.c.Span {
-			hear(worker, voice{b.name, o.at, o.kind != Fine})
+		if now-o.at < b.c.MaxAge {
+			hear(worker, voice{b.name, o.at, o.kind != Succeeded})
 		}
 	}
 	for worker, of := range b.heard {
 		for from, h := range of {
 			if h.r.Zone == b.zone {
-				hear(worker, voice{from, h.at, h.r.Kind != Fine})
+				hear(worker, voice{from, h.at, h.r.Kind != Succeeded})
 			}
 		}
 	}
-	need := max(2, int(math.Ceil(b.c.Liars*float64(zone)))+1)
+	need := max(2, int(math.Ceil(b.c.FaultyMemberShare*float64(zone)))+1)
 	shares := map[string]float64{}
 	for worker, voices := range all {
 		voices = slices.DeleteFunc(voices, func(v voice) bool { return complaints[v.from] > most }) // it is ill itself, or cut off
 		slices.SortFunc(voices, func(x, y voice) int { return cmp.Or(cmp.Compare(y.at, x.at), cmp.Compare(x.from, y.from)) })
-		voices = voices[:min(len(voices), max(b.c.Latest, 2*need))]
+		voices = voices[:min(len(voices), max(b.c.SampleSize, 2*need))]
 		bad := 0
 		for _, v := range voices {
 			if v.bad {
 				bad++
 			}
 		}
-		if bad >= need && float64(bad) >= b.c.Bad*float64(len(voices)) {
+		if bad >= need && float64(bad) >= b.c.MinComplaintShare*float64(len(voices)) {
 			names = append(names, worker)
 			shares[worker] = float64(bad) / float64(len(voices))
 		}
--- a/internal/evidence/evidence_test.go
+++ b/internal/evidence/evidence_test.go
@@ -13,15 +13,15 @@
 
 const second = time.Second
 
-func book(t require.TestingT, members int, name, zone string) *Book {
-	b, err := NewBook(Usual(members), name, zone, 1)
+func book(t require.TestingT, members int, name, zone string) *Aggregator {
+	b, err := NewAggregator(DefaultConfig(members), name, zone, 1)
 	require.NoError(t, err)
 	return b
 }
 
 // report is one of a member whose latest try at a worker was bad or not.
 func report(from, worker string, seq uint64, age time.Duration, bad bool) Report {
-	r := Report{From: from, Zone: "here", Worker: worker, Life: 1, Seq: seq, Age: age}
+	r := Report{From: from, Zone: "here", Worker: worker, Incarnation: 1, Seq: seq, Age: age}
 	if bad {
 		r.Kind = Failed
 	}
@@ -66,13 +66,13 @@
 				for _, w := range workers {
 					r := report(fmt.Sprint("s", n), w, 1, s.age, s.bad)
 					r.Zone = c.zone
-					require.True(t, b.Take(2*second, r))
+					require.True(t, b.Receive(2*second, r))
 				}
 			}
 		}
-		names := b.Bad(2*second, 40, 100)
+		names := b.Suspects(2*second, 40, 100)
 		assert.Equal(t, c.bad, len(names) == 1, "%s: %v", name, names)
-		assert.Empty(t, b.Bad(b.c.Span+2*second, 40, 100), "%s: all of it is too old", name)
+		assert.Empty(t, b.Suspects(b.c.MaxAge+2*second, 40, 100), "%s: all of it is too old", name)
 	}
 }
 
@@ -80,59 +80,59 @@
 // nobody says the same again.
 func TestOwnEvidence(t *testing.T) {
 	b := book(t, 2, "me", "here")
-	b.Saw(0, "w", Late)
-	b.Saw(0, "good", Fine)
-	due := b.Due(second)
+	b.Record(0, "w", TimedOut)
+	b.Record(0, "good", Succeeded)
+	due := b.DueReports(second)
 	require.Len(t, due, 1, "of a good one there is nothing to say")
-	assert.Equal(t, Report{"me", "here", "w", 1, 1, second, Late}, due[0])
-	assert.Empty(t, b.Due(9*second), "nothing new")
-	b.Repeat()
-	assert.Len(t, b.Due(9*second), 1, "once more, for a member that has joined")
-	assert.Empty(t, b.Due(9*second), "and only once")
-	b.Saw(second, "w", Failed)
-	assert.Len(t, b.Due(second+1), 1, "another kind")
-	b.Saw(second+2, "w", Failed)
-	assert.Empty(t, b.Due(second+2), "the same so soon")
-	assert.Len(t, b.Due(second+2+b.c.Every), 1)
-	assert.Empty(t, b.Bad(second, 10, 2), "one is not enough")
-	b.Take(second, report("s", "w", 1, 0, true))
-	b.Take(second, report("s", "good", 1, 0, true))
-	assert.Equal(t, []string{"w"}, b.Bad(second, 10, 2))
-	due = b.Due(2 * second)
+	assert.Equal(t, Report{"me", "here", "w", 1, 1, second, TimedOut}, due[0])
+	assert.Empty(t, b.DueReports(9*second), "nothing new")
+	b.ResendAll()
+	assert.Len(t, b.DueReports(9*second), 1, "once more, for a member that has joined")
+	assert.Empty(t, b.DueReports(9*second), "and only once")
+	b.Record(second, "w", Failed)
+	assert.Len(t, b.DueReports(second+1), 1, "another kind")
+	b.Record(second+2, "w", Failed)
+	assert.Empty(t, b.DueReports(second+2), "the same so soon")
+	assert.Len(t, b.DueReports(second+2+b.c.MinRepeatInterval), 1)
+	assert.Empty(t, b.Suspects(second, 10, 2), "one is not enough")
+	b.Receive(second, report("s", "w", 1, 0, true))
+	b.Receive(second, report("s", "good", 1, 0, true))
+	assert.Equal(t, []string{"w"}, b.Suspects(second, 10, 2))
+	due = b.DueReports(2 * second)
 	require.Len(t, due, 1, "the good one too")
-	assert.Equal(t, Fine, due[0].Kind)
-	assert.Empty(t, b.Bad(second, 2, 2), "no more than a part of the workers: of two, none")
-	b.Stalled()
-	assert.Empty(t, b.Bad(second, 10, 2))
-	b.Saw(second, "w", Lost)
-	assert.Equal(t, []string{"w"}, b.Bad(second, 10, 2))
-	assert.Empty(t, b.Bad(second+b.c.Span, 10, 2))
-	assert.Empty(t, b.Due(second+b.c.Span))
+	assert.Equal(t, Succeeded, due[0].Kind)
+	assert.Empty(t, b.Suspects(second, 2, 2), "no more than a part of the workers: of two, none")
+	b.DiscardOwn()
+	assert.Empty(t, b.Suspects(second, 10, 2))
+	b.Record(second, "w", Unreachable)
+	assert.Equal(t, []string{"w"}, b.Suspects(second, 10, 2))
+	assert.Empty(t, b.Suspects(second+b.c.MaxAge, 10, 2))
+	assert.Empty(t, b.DueReports(second+b.c.MaxAge))
 }
 
 // What makes no sense or finds no room changes nothing.
 func TestBounds(t *testing.T) {
-	c := Usual(2)
-	c.Workers = 2
-	b, err := NewBook(c, "me", "here", 1)
+	c := DefaultConfig(2)
+	c.MaxWorkers = 2
+	b, err := NewAggregator(c, "me", "here", 1)
 	require.NoError(t, err)
 	for _, r := range []Report{{}, {From: "s", Worker: "w", Kind: -1}, {From: "s", Worker: "w", Kind: kinds}, {From: "s", Worker: "w", Age: -1}} {
-		assert.False(t, b.Take(0, r))
+		assert.False(t, b.Receive(0, r))
 	}
 	for i := range 9 {
-		b.Take(0, report(fmt.Sprint("s", i), "w", 1, 0, true))
-		b.Saw(0, fmt.Sprint("w", i), Fine)
-		b.Take(0, report("s0", fmt.Sprint("w", i), 1, 0, true))
+		b.Receive(0, report(fmt.Sprint("s", i), "w", 1, 0, true))
+		b.Record(0, fmt.Sprint("w", i), Succeeded)
+		b.Receive(0, report("s0", fmt.Sprint("w", i), 1, 0, true))
 	}
 	assert.Len(t, b.heard["w"], 2)
 	assert.Len(t, b.heard, 2)
 	assert.Len(t, b.own, 2)
 	assert.Positive(t, b.Dropped)
-	later := 3 * c.Span
-	b.Saw(later, "new", Fine)
-	assert.True(t, b.Take(later, report("s", "new", 1, 0, true)), "old ones make room")
-	for _, c := range []Config{{}, {Members: 1, Workers: 1, Latest: 1, Span: 1, Every: 2, Bad: 0.5, Most: 0.5}} {
-		_, err := NewBook(c, "me", "", 1)
+	later := 3 * c.MaxAge
+	b.Record(later, "new", Succeeded)
+	assert.True(t, b.Receive(later, report("s", "new", 1, 0, true)), "old ones make room")
+	for _, c := range []Config{{}, {MaxMembers: 1, MaxWorkers: 1, SampleSize: 1, MaxAge: 1, MinRepeatInterval: 2, MinComplaintShare: 0.5, MaxSuspectShare: 0.5}} {
+		_, err := NewAggregator(c, "me", "", 1)
 		assert.Error(t, err)
 	}
 }
@@ -165,16 +165,16 @@
 			order = append(order, all[:len(all)/2]...)
 			rng.Shuffle(len(order), func(a, c int) { order[a], order[c] = order[c], order[a] })
 			for k, r := range order {
-				b.Take(3*second, r)
+				b.Receive(3*second, r)
 				if k%97 == 0 { // nor on the way there
-					for _, name := range b.Bad(3*second, workers, members) {
+					for _, name := range b.Suspects(3*second, workers, members) {
 						if name != "w0" {
 							t.Fatal(name)
 						}
 					}
 				}
 			}
-			said[i] = b.Bad(4*second, workers, members)
+			said[i] = b.Suspects(4*second, workers, members)
 		}
 		if fmt.Sprint(said[0]) != fmt.Sprint(said[1]) {
 			t.Fatalf("%v and %v", said[0], said[1])
@@ -188,17 +188,17 @@
 }
 
 func TestComplainedNamesThoseSpokenAgainst(t *testing.T) {
-	b, err := NewBook(Usual(5), "a", "z", 1)
+	b, err := NewAggregator(DefaultConfig(5), "a", "z", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Take(0, Report{From: "b", Zone: "z", Worker: "w2", Seq: 1, Kind: Failed})
-	b.Take(0, Report{From: "b", Zone: "z", Worker: "w1", Seq: 2, Kind: Late})
-	b.Take(0, Report{From: "b", Zone: "z", Worker: "w3", Seq: 3, Kind: Fine})
-	if names := b.Complained(time.Second); len(names) != 2 || names[0] != "w1" || names[1] != "w2" {
+	b.Receive(0, Report{From: "b", Zone: "z", Worker: "w2", Seq: 1, Kind: Failed})
+	b.Receive(0, Report{From: "b", Zone: "z", Worker: "w1", Seq: 2, Kind: TimedOut})
+	b.Receive(0, Report{From: "b", Zone: "z", Worker: "w3", Seq: 3, Kind: Succeeded})
+	if names := b.WithComplaints(time.Second); len(names) != 2 || names[0] != "w1" || names[1] != "w2" {
 		t.Fatal(names)
 	}
-	if names := b.Complained(time.Minute); names != nil {
+	if names := b.WithComplaints(time.Minute); names != nil {
 		t.Fatal("old complaints:", names)
 	}
 }
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -137,8 +137,8 @@
 	got := make(chan string, 1000)
 	var members []*fleet.Link
 	for _, name := range []string{"a", "b"} {
-		l, err := fleet.Start(fleet.Config{Fleet: "f", Name: name, Bind: binds[name], Join: []string{binds["a"]}, Via: hub.Addr(), Members: 2,
-			Take: func(from string, data []byte) bool {
+		l, err := fleet.Start(fleet.Config{Fleet: "f", Name: name, Bind: binds[name], Join: []string{binds["a"]}, Relay: hub.Addr(), MaxMembers: 2,
+			OnMessage: func(from string, data []byte) bool {
 				select {
 				case got <- from + string(data):
 				default:
@@ -174,7 +174,7 @@
 	assert.True(t, heard(b, "a", "bx"), "the other direction")
 	end()
 	assert.Eventually(t, func() bool { return heard(a, "b", "ax") }, patience, time.Millisecond)
-	assert.Positive(t, b.Wire().BytesIn)
+	assert.Positive(t, b.Traffic().BytesIn)
 	assert.Positive(t, links.Passed("a").Lost)
 }
 
--- a/internal/faults/relay.go
+++ b/internal/faults/relay.go
@@ -229,7 +229,7 @@
 	h.done.Go(func() {
 		h.accept(func(c net.Conn) {
 			c.SetReadDeadline(time.Now().Add(dialFor))
-			to, from, err := fleet.ReadHeading(c)
+			to, from, err := fleet.ReadRelayHeader(c)
 			if err != nil || names[to] == "" {
 				reset(c)
 				return
@@ -262,7 +262,7 @@
 			continue
 		}
 		rest := bytes.NewReader(buf[:n])
-		to, from, err := fleet.ReadHeading(rest)
+		to, from, err := fleet.ReadRelayHeader(rest)
 		if err != nil || h.names[to] == "" || h.names[from] == "" {
 			continue
 		}
--- a/internal/fleet/budget.go
+++ b/internal/fleet/budget.go
@@ -29,7 +29,7 @@
 type budget struct {
 	c      share.Config
 	holder *share.Holder
-	keeper *share.Keeper // nil: this member is none
+	keeper *share.Voter // nil: this member is none
 	spent  float64
 	denied int
 }
@@ -80,9 +80,9 @@
 		return err
 	}
 	v := &budget{c: c, holder: h}
-	for _, k := range c.Keepers {
+	for _, k := range c.Voters {
 		if k == b.name {
-			if v.keeper, err = share.NewKeeper(c, b.name, b.now()); err != nil {
+			if v.keeper, err = share.NewVoter(c, b.name, b.now()); err != nil {
 				return err
 			}
 		}
@@ -101,22 +101,22 @@
 func (b *Budgets) rounds(name string, v *budget) {
 	for {
 		b.mu.Lock()
-		a := v.holder.Round(b.now())
+		a := v.holder.BeginRound(b.now())
 		b.mu.Unlock()
-		text, _ := json.Marshal(letter{Budget: name, Ask: &askLetter{a.Life, a.Round, bits(a.Want), bits(a.Free), a.Short, a.More}})
-		for _, k := range v.c.Keepers {
+		text, _ := json.Marshal(letter{Budget: name, Ask: &askLetter{a.Incarnation, a.Round, bits(a.Wanted), bits(a.Released), a.Shortfall, a.UnmetDemand}})
+		for _, k := range v.c.Voters {
 			b.send(k, text) // one that can't be reached does not answer
 		}
 		select {
 		case <-b.stop:
 			return
-		case <-time.After(v.c.Term / 4):
+		case <-time.After(v.c.LeaseDuration / 4):
 		}
 	}
 }
 
-// Take takes in a message of a member. What makes no sense is counted, and changes nothing.
-func (b *Budgets) Take(from string, data []byte) {
+// HandleMessage takes in a message of a member. What makes no sense is counted, and changes nothing.
+func (b *Budgets) HandleMessage(from string, data []byte) {
 	var in letter
 	err := json.Unmarshal(data, &in)
 	b.mu.Lock()
@@ -128,14 +128,14 @@
 	}
 	if in.Ask == nil {
 		a := in.Answer
-		v.holder.Take(b.now(), share.Answer{Keeper: from, Life: a.Life, Round: a.Round, Yes: list(a.Yes), Open: list(a.Open), Short: a.Short, More: a.More, Ask: a.Ask})
+		v.holder.HandleReply(b.now(), share.VoteReply{Voter: from, Incarnation: a.Life, Round: a.Round, Granted: list(a.Yes), Available: list(a.Open), Shortfall: a.Short, UnmetDemand: a.More, Requesters: a.Ask})
 		b.mu.Unlock()
 		return
 	}
 	q := in.Ask
-	a := v.keeper.Ask(b.now(), share.Ask{From: from, Life: q.Life, Round: q.Round, Want: list(q.Want), Free: list(q.Free), Short: q.Short, More: q.More})
+	a := v.keeper.HandleRequest(b.now(), share.VoteRequest{From: from, Incarnation: q.Life, Round: q.Round, Wanted: list(q.Want), Released: list(q.Free), Shortfall: q.Short, UnmetDemand: q.More})
 	b.mu.Unlock()
-	text, _ := json.Marshal(letter{Budget: in.Budget, Answer: &answerLetter{a.Life, a.Round, bits(a.Yes), bits(a.Open), a.Short, a.More, a.Ask}})
+	text, _ := json.Marshal(letter{Budget: in.Budget, Answer: &answerLetter{a.Incarnation, a.Round, bits(a.Granted), bits(a.Available), a.Shortfall, a.UnmetDemand, a.Requesters}})
 	b.send(from, text)
 }
 
@@ -163,21 +163,21 @@
 	}
 }
 
-// Standing is a budget as this member has it.
-type Standing struct {
-	Part, Floor, Budget float64
-	Spent               float64
-	Denied, Bad         int
-	Keeper              bool
+// BudgetStatus is a budget as this member has it.
+type BudgetStatus struct {
+	Share, Floor, Budget float64
+	Spent                float64
+	Denied, Malformed    int
+	Voter                bool
 }
 
-// Standing tells of each budget.
-func (b *Budgets) Standing() map[string]Standing {
+// Status tells of each budget.
+func (b *Budgets) Status() map[string]BudgetStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := map[string]Standing{}
+	out := map[string]BudgetStatus{}
 	for name, v := range b.all {
-		out[name] = Standing{v.holder.Part(b.now()), v.c.Floor, v.c.Budget, v.spent, v.denied, b.bad, v.keeper != nil}
+		out[name] = BudgetStatus{v.holder.Share(b.now()), v.c.Floor, v.c.Budget, v.spent, v.denied, b.bad, v.keeper != nil}
 	}
 	return out
 }
--- a/internal/fleet/evidence.go
+++ b/internal/fleet/evidence.go
@@ -24,7 +24,7 @@
 	begun      time.Time
 
 	mu    sync.Mutex
-	books map[string]*evidence.Book
+	books map[string]*evidence.Aggregator
 	last  time.Duration // the latest round, of whichever service
 	bad   int
 	names map[string][]string // by service: whom the evidence speaks against, as last weighed
@@ -48,29 +48,29 @@
 
 // NewEvidence are no books yet. link is asked once messages go out.
 func NewEvidence(name, zone string, life uint64, members int, link func() *Link) *Evidence {
-	return &Evidence{name: name, zone: zone, life: life, c: evidence.Usual(members), link: link, begun: time.Now(),
-		books: map[string]*evidence.Book{}, names: map[string][]string{}}
+	return &Evidence{name: name, zone: zone, life: life, c: evidence.DefaultConfig(members), link: link, begun: time.Now(),
+		books: map[string]*evidence.Aggregator{}, names: map[string][]string{}}
 }
 
-func (v *Evidence) book(service string) *evidence.Book {
+func (v *Evidence) book(service string) *evidence.Aggregator {
 	b := v.books[service]
 	if b == nil {
-		b, _ = evidence.NewBook(v.c, v.name, v.zone, v.life) // the usual ones are in order
+		b, _ = evidence.NewAggregator(v.c, v.name, v.zone, v.life) // the usual ones are in order
 		v.books[service] = b
 	}
 	return b
 }
 
-// Saw takes in what became of a job, or of a probe, at a worker of a service.
-func (v *Evidence) Saw(service, worker string, k evidence.Kind) {
+// Record takes in what became of a job, or of a probe, at a worker of a service.
+func (v *Evidence) Record(service, worker string, k evidence.Kind) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.book(service).Saw(time.Since(v.begun), worker, k)
+	v.book(service).Record(time.Since(v.begun), worker, k)
 }
 
-// Round says what is due and returns whom the evidence speaks against. It is called several times a second; known is how
+// Tick says what is due and returns whom the evidence speaks against. It is called several times a second; known is how
 // many workers the service has.
-func (v *Evidence) Round(service string, known int) []string {
+func (v *Evidence) Tick(service string, known int) []string {
 	link := v.link()
 	members := 0
 	for _, m := range link.Members() {
@@ -82,33 +82,33 @@
 	now := time.Since(v.begun)
 	if now-v.last > stalled { // the first act after a stall looks at the clock
 		for _, b := range v.books {
-			b.Stalled()
+			b.DiscardOwn()
 		}
 	}
 	v.last = now
 	b := v.book(service)
-	due := b.Due(now)
-	names := b.Bad(now, known, members)
+	due := b.DueReports(now)
+	names := b.Suspects(now, known, members)
 	v.names[service] = names
 	v.mu.Unlock()
 	for _, r := range due {
-		text, _ := json.Marshal(evidenceMessage{service, r.Zone, r.Worker, r.Life, r.Seq, r.Age.Milliseconds(), int(r.Kind)})
-		link.Spread(service+"/"+r.Worker, append([]byte{evidenceMark}, text...))
+		text, _ := json.Marshal(evidenceMessage{service, r.Zone, r.Worker, r.Incarnation, r.Seq, r.Age.Milliseconds(), int(r.Kind)})
+		link.Broadcast(service+"/"+r.Worker, append([]byte{evidenceMark}, text...))
 	}
 	return names
 }
 
-// Repeat sends each standing report once more with the next rounds, for a member that has joined since.
-func (v *Evidence) Repeat() {
+// ResendAll sends each standing report once more with the next rounds, for a member that has joined since.
+func (v *Evidence) ResendAll() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, b := range v.books {
-		b.Repeat()
+		b.ResendAll()
 	}
 }
 
-// Take takes in a message of a member if it is evidence, and reports whether it is and whether it is to be passed on.
-func (v *Evidence) Take(from string, data []byte) (mine, news bool) {
+// HandleMessage takes in a message of a member if it is evidence, and reports whether it is and whether it is to be passed on.
+func (v *Evidence) HandleMessage(from string, data []byte) (mine, news bool) {
 	if len(data) == 0 || data[0] != evidenceMark {
 		return false, false
 	}
@@ -121,15 +121,15 @@
 		v.bad++
 		return true, false
 	}
-	r := evidence.Report{From: from, Zone: in.Zone, Worker: in.Worker, Life: in.Life, Seq: in.Seq,
+	r := evidence.Report{From: from, Zone: in.Zone, Worker: in.Worker, Incarnation: in.Life, Seq: in.Seq,
 		Age: time.Duration(in.AgeMS) * time.Millisecond, Kind: evidence.Kind(in.Kind)}
-	return true, b.Take(time.Since(v.begun), r)
+	return true, b.Receive(time.Since(v.begun), r)
 }
 
 const maxWorker = 256
 
-// Against names the workers that the evidence speaks against, as service/worker, and counts the messages without sense.
-func (v *Evidence) Against() (names []string, bad int) {
+// Suspects names the workers that the evidence speaks against, as service/worker, and counts the messages without sense.
+func (v *Evidence) Suspects() (names []string, bad int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for service, list := range v.names {
@@ -161,9 +161,9 @@
 // mostGossip bounds the messages that wait to be passed on; the oldest go.
 const mostGossip = 1024
 
-// Spread tells all members something, by and by; a later message of that key takes the place of one that is still on its way
+// Broadcast tells all members something, by and by; a later message of that key takes the place of one that is still on its way
 // out of here.
-func (l *Link) Spread(key string, data []byte) {
+func (l *Link) Broadcast(key string, data []byte) {
 	if len(data) <= maxMessage {
 		l.pass(l.c.Name+" "+key, l.headed(data))
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -25,24 +25,24 @@
 	Fleet string
 	// Name is the member's own, the same after a restart.
 	Name string
-	// Life tells one start of that name from another.
-	Life uint64
-	Zone string
+	// Incarnation tells one start of that name from another.
+	Incarnation uint64
+	Zone        string
 	// Bind is the address and port for both UDP and TCP, and the one that others reach it by.
 	Bind string
-	// Via is a relay that everything goes by, as rehearsals of faults want it; "": straight.
-	Via string
+	// Relay is a relay that everything goes by, as rehearsals of faults want it; "": straight.
+	Relay string
 	// Join are addresses of members; any living one will do.
 	Join []string
 	// Key encrypts what is said: 16, 24 or 32 bytes, or none.
 	Key []byte
-	// Members is how many there may be at most.
-	Members int
-	// Take is given each message of a member, on one of several goroutines, and reports whether one that came by gossip is
+	// MaxMembers is how many there may be at most.
+	MaxMembers int
+	// OnMessage is given each message of a member, on one of several goroutines, and reports whether one that came by gossip is
 	// to be passed on. It must not keep data.
-	Take func(from string, data []byte) (passOn bool)
-	// Joined, if set, is called as a member is found to be alive. It must neither wait nor ask the link anything.
-	Joined func()
+	OnMessage func(from string, data []byte) (passOn bool)
+	// OnJoin, if set, is called as a member is found to be alive. It must neither wait nor ask the link anything.
+	OnJoin func()
 }
 
 // Bounds on what comes in.
@@ -65,12 +65,12 @@
 // Member is a member as this one sees it.
 type Member struct {
 	Name, Zone, Address string
-	Life                uint64
-	Heard               time.Duration // ago; 0 for oneself and one that has said nothing
+	Incarnation         uint64
+	LastMessageAge      time.Duration // ago; 0 for oneself and one that has said nothing
 }
 
 // Counts is what went in and out.
-type Counts struct{ Sent, Taken, Bad, TooMany, Stranger int }
+type Counts struct{ Sent, Received, Malformed, OverLimit, UnknownSender int }
 
 // Link is one member's part in the fleet.
 type Link struct {
@@ -99,7 +99,7 @@
 
 // Start binds and joins. That no other member answers is no fault: it goes on trying.
 func Start(c Config) (*Link, error) {
-	if c.Name == "" || len(c.Name) > maxName || c.Fleet == "" || c.Members < 1 {
+	if c.Name == "" || len(c.Name) > maxName || c.Fleet == "" || c.MaxMembers < 1 {
 		return nil, fmt.Errorf("fleet: name, fleet or members missing or out of range")
 	}
 	l := &Link{c: c, stop: make(chan struct{}), senders: map[string]*sender{}}
@@ -111,7 +111,7 @@
 		return 1
 	}
 	var err error
-	if l.wire, err = listen(c.Bind, c.Via, bytesBase+bytesEach*c.Members); err != nil {
+	if l.wire, err = listen(c.Bind, c.Relay, bytesBase+bytesEach*c.MaxMembers); err != nil {
 		return nil, fmt.Errorf("fleet: bind %q: %w", c.Bind, err)
 	}
 	m := memberlist.DefaultLANConfig()
@@ -165,7 +165,7 @@
 		return fmt.Errorf("fleet: a message of %d bytes; allowed are %d", len(data), maxMessage)
 	}
 	if to == l.c.Name {
-		l.c.Take(to, data)
+		l.c.OnMessage(to, data)
 		return nil
 	}
 	for _, m := range l.list.Load().Members() {
@@ -192,9 +192,9 @@
 	for _, m := range l.list.Load().Members() {
 		var v meta
 		json.Unmarshal(m.Meta, &v) // one that says nothing of itself has neither
-		member := Member{Name: m.Name, Zone: v.Zone, Address: m.Address(), Life: v.Life}
+		member := Member{Name: m.Name, Zone: v.Zone, Address: m.Address(), Incarnation: v.Life}
 		if s := l.senders[m.Name]; s != nil {
-			member.Heard = time.Since(s.heard)
+			member.LastMessageAge = time.Since(s.heard)
 		}
 		out = append(out, member)
 	}
@@ -209,15 +209,15 @@
 	return l.counts
 }
 
-// Wire is what went through the sockets so far.
-func (l *Link) Wire() Wire { return l.wire.Wire() }
+// Traffic is what went through the sockets so far.
+func (l *Link) Traffic() Traffic { return l.wire.Wire() }
 
 // sender names who sent a message, if it may be taken.
 func (l *Link) sender(b []byte) (from string, data []byte, ok bool) {
 	if len(b) < 2 || b[0] != version || len(b) < 2+int(b[1]) || b[1] == 0 || int(b[1]) > maxName || len(b) > 2+maxName+maxMessage {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.counts.Bad++
+		l.counts.Malformed++
 		return "", nil, false
 	}
 	from, data = string(b[2:2+b[1]]), b[2+b[1]:]
@@ -226,20 +226,20 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !member {
-		l.counts.Stranger++
+		l.counts.UnknownSender++
 		return "", nil, false
 	}
 	s := l.senders[from]
 	if s == nil {
-		if len(l.senders) >= l.c.Members {
+		if len(l.senders) >= l.c.MaxMembers {
 			for name, old := range l.senders { // who has been silent for long may come back as new
 				if time.Since(old.heard) > time.Minute {
 					delete(l.senders, name)
 				}
 			}
 		}
-		if len(l.senders) >= l.c.Members {
-			l.counts.TooMany++
+		if len(l.senders) >= l.c.MaxMembers {
+			l.counts.OverLimit++
 			return "", nil, false
 		}
 		s = &sender{limit: rate.NewLimiter(messageRate, messageOnce)}
@@ -247,10 +247,10 @@
 	}
 	s.heard = time.Now()
 	if !s.limit.Allow() {
-		l.counts.TooMany++
+		l.counts.OverLimit++
 		return "", nil, false
 	}
-	l.counts.Taken++
+	l.counts.Received++
 	return from, data, true
 }
 
@@ -258,7 +258,7 @@
 type delegate struct{ l *Link }
 
 func (d delegate) NodeMeta(limit int) []byte {
-	b, _ := json.Marshal(meta{d.l.c.Zone, d.l.c.Life})
+	b, _ := json.Marshal(meta{d.l.c.Zone, d.l.c.Incarnation})
 	if len(b) > limit {
 		return nil
 	}
@@ -266,7 +266,7 @@
 }
 
 func (d delegate) NotifyMsg(b []byte) {
-	if from, data, ok := d.l.sender(b); ok && d.l.c.Take(from, data) {
+	if from, data, ok := d.l.sender(b); ok && d.l.c.OnMessage(from, data) {
 		d.l.passOn(b)
 	}
 }
@@ -285,8 +285,8 @@
 type events struct{ l *Link }
 
 func (e events) NotifyJoin(member *memberlist.Node) {
-	if e.l.c.Joined != nil && member.Name != e.l.c.Name {
-		e.l.c.Joined()
+	if e.l.c.OnJoin != nil && member.Name != e.l.c.Name {
+		e.l.c.OnJoin()
 	}
 }
 
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -24,10 +24,10 @@
 }
 
 func start(t *testing.T, c Config) *Link {
-	if c.Take == nil {
-		c.Take = func(string, []byte) bool { return false }
+	if c.OnMessage == nil {
+		c.OnMessage = func(string, []byte) bool { return false }
 	}
-	c.Members = 3
+	c.MaxMembers = 3
 	l, err := Start(c)
 	require.NoError(t, err)
 	t.Cleanup(l.Stop)
@@ -38,14 +38,14 @@
 func TestWhoIsIn(t *testing.T) {
 	a, b, c, d := free(t), free(t), free(t), free(t)
 	heard := make(chan string, 10)
-	one := start(t, Config{Fleet: "print", Name: "a", Bind: a, Join: []string{b}, Life: 7, Zone: "murun",
-		Take: func(from string, data []byte) bool { heard <- from + " " + string(data); return false }})
+	one := start(t, Config{Fleet: "print", Name: "a", Bind: a, Join: []string{b}, Incarnation: 7, Zone: "murun",
+		OnMessage: func(from string, data []byte) bool { heard <- from + " " + string(data); return false }})
 	start(t, Config{Fleet: "other", Name: "x", Bind: c, Join: []string{a}})
 	start(t, Config{Fleet: "print", Name: "y", Bind: d, Join: []string{a}, Key: make([]byte, 16)})
 	assert.Len(t, one.Members(), 1, "nobody answers at the start")
 	two := start(t, Config{Fleet: "print", Name: "b", Bind: b}) // a finds it by itself
 	require.Eventually(t, func() bool { return len(one.Members()) == 2 && len(two.Members()) == 2 }, patience, 20*time.Millisecond)
-	assert.Equal(t, Member{Name: "a", Zone: "murun", Address: a, Life: 7}, two.Members()[0])
+	assert.Equal(t, Member{Name: "a", Zone: "murun", Address: a, Incarnation: 7}, two.Members()[0])
 	require.Eventually(t, func() bool {
 		require.NoError(t, two.Send("a", []byte("hello")))
 		select {
@@ -65,19 +65,19 @@
 func TestAMemberThatJoinsLateHearsStandingEvidence(t *testing.T) {
 	const service, worker, known = "shop", "bad", 5
 	first, firstEvidence := startWithEvidence(t, "a", Config{Bind: free(t)})
-	firstEvidence.Round(service, known)
-	firstEvidence.Saw(service, worker, evidence.Failed)
+	firstEvidence.Tick(service, known)
+	firstEvidence.Record(service, worker, evidence.Failed)
 	for range 3 {
-		firstEvidence.Round(service, known) // said to nobody
+		firstEvidence.Tick(service, known) // said to nobody
 	}
 	first.gossip.Reset() // as after its last transmission
 
 	_, secondEvidence := startWithEvidence(t, "b", Config{Bind: free(t), Join: []string{first.c.Bind}})
-	secondEvidence.Round(service, known)
-	secondEvidence.Saw(service, worker, evidence.Failed)
+	secondEvidence.Tick(service, known)
+	secondEvidence.Record(service, worker, evidence.Failed)
 	require.Eventually(t, func() bool {
-		firstEvidence.Round(service, known)
-		return slices.Equal([]string{worker}, secondEvidence.Round(service, known))
+		firstEvidence.Tick(service, known)
+		return slices.Equal([]string{worker}, secondEvidence.Tick(service, known))
 	}, patience, 10*time.Millisecond, "two complaints are enough, and the second member has only its own")
 }
 
@@ -86,9 +86,9 @@
 	var link *Link
 	const life = 1
 	books := NewEvidence(name, "", life, 3, func() *Link { return link })
-	c.Fleet, c.Name, c.Life, c.Joined = "print", name, life, books.Repeat
-	c.Take = func(from string, data []byte) bool {
-		_, news := books.Take(from, data)
+	c.Fleet, c.Name, c.Incarnation, c.OnJoin = "print", name, life, books.ResendAll
+	c.OnMessage = func(from string, data []byte) bool {
+		_, news := books.HandleMessage(from, data)
 		return news
 	}
 	link = start(t, c)
@@ -108,20 +108,20 @@
 		l.sender([]byte{1, 1, 'a', 'x'})
 	}
 	c := l.Counts()
-	assert.Equal(t, 6, c.Bad)
-	assert.Equal(t, 1, c.Stranger)
-	assert.LessOrEqual(t, c.Taken, 10000-c.TooMany)
-	assert.Greater(t, c.TooMany, 5000)
+	assert.Equal(t, 6, c.Malformed)
+	assert.Equal(t, 1, c.UnknownSender)
+	assert.LessOrEqual(t, c.Received, 10000-c.OverLimit)
+	assert.Greater(t, c.OverLimit, 5000)
 	b := NewBudgets("a", 1, func(string, []byte) error { return nil })
-	require.NoError(t, b.Add("shop", share.Config{Budget: 10, Members: 1, Chunks: 4, Keepers: []string{"a"}, Term: time.Hour, Burst: 1}))
+	require.NoError(t, b.Add("shop", share.Config{Budget: 10, MaxMembers: 1, Chunks: 4, Voters: []string{"a"}, LeaseDuration: time.Hour, Burst: 1}))
 	defer b.Stop()
-	assert.Error(t, b.Add("shop", share.Config{Budget: 10, Members: 1, Chunks: 4, Keepers: []string{"a"}, Term: time.Hour, Burst: 1}))
+	assert.Error(t, b.Add("shop", share.Config{Budget: 10, MaxMembers: 1, Chunks: 4, Voters: []string{"a"}, LeaseDuration: time.Hour, Burst: 1}))
 	for _, text := range []string{"", "{", `{"b":"other","q":{}}`, `{"b":"shop"}`, `{"b":"shop","q":{"w":7}}`} {
-		b.Take("z", []byte(text))
+		b.HandleMessage("z", []byte(text))
 	}
-	b.Take("z", []byte(`{"b":"shop","a":{"l":1,"r":1,"y":"//////8="}}`)) // of no keeper
-	assert.Equal(t, 5, b.Standing()["shop"].Bad)
-	assert.Zero(t, b.Standing()["shop"].Part)
+	b.HandleMessage("z", []byte(`{"b":"shop","a":{"l":1,"r":1,"y":"//////8="}}`)) // of no keeper
+	assert.Equal(t, 5, b.Status()["shop"].Malformed)
+	assert.Zero(t, b.Status()["shop"].Share)
 	assert.Equal(t, []int{0, 9, 1023}, list(bits([]int{0, 9, 1023})))
 	assert.LessOrEqual(t, len(list(make([]byte, 1<<20))), MaxChunks)
 }
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -26,8 +26,8 @@
 	waitingInbox = 256 // datagrams that wait for memberlist
 )
 
-// Wire counts what went through the sockets.
-type Wire struct {
+// Traffic counts what went through the sockets.
+type Traffic struct {
 	BytesIn, BytesOut     int64 // of datagrams and streams
 	DroppedIn, DroppedOut int64 // datagrams beyond the rate or the size, and streams beyond the number
 }
@@ -46,7 +46,7 @@
 	done    sync.WaitGroup
 
 	mu   sync.Mutex
-	wire Wire
+	wire Traffic
 	open int // streams of others
 }
 
@@ -70,14 +70,14 @@
 	return t, nil
 }
 
-func (t *transport) count(f func(*Wire)) {
+func (t *transport) count(f func(*Traffic)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f(&t.wire)
 }
 
 // Wire is the counts so far.
-func (t *transport) Wire() Wire {
+func (t *transport) Wire() Traffic {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.wire
@@ -95,15 +95,15 @@
 			continue // such as a port that was unreachable: it says nothing of this socket
 		}
 		if n > maxDatagram || n == 0 || !t.in.AllowN(now, n) {
-			t.count(func(w *Wire) { w.DroppedIn++ })
+			t.count(func(w *Traffic) { w.DroppedIn++ })
 			continue
 		}
 		p := &memberlist.Packet{Buf: append([]byte(nil), buf[:n]...), From: from, Timestamp: now}
 		select {
 		case t.packets <- p:
-			t.count(func(w *Wire) { w.BytesIn += int64(n) })
+			t.count(func(w *Traffic) { w.BytesIn += int64(n) })
 		default:
-			t.count(func(w *Wire) { w.DroppedIn++ })
+			t.count(func(w *Traffic) { w.DroppedIn++ })
 		}
 	}
 }
@@ -158,13 +158,13 @@
 	}
 	n, err := s.Conn.Read(b[:min(len(b), s.left)])
 	s.left -= n
-	s.t.count(func(w *Wire) { w.BytesIn += int64(n) })
+	s.t.count(func(w *Traffic) { w.BytesIn += int64(n) })
 	return n, err
 }
 
 func (s *stream) Write(b []byte) (int, error) {
 	n, err := s.Conn.Write(b)
-	s.t.count(func(w *Wire) { w.BytesOut += int64(n) })
+	s.t.count(func(w *Traffic) { w.BytesOut += int64(n) })
 	return n, err
 }
 
@@ -179,15 +179,15 @@
 	return s.Conn.Close()
 }
 
-// Heading is what stands before a datagram or a stream to a relay: where it is to go and whom it is of, each a byte for the
+// RelayHeader is what stands before a datagram or a stream to a relay: where it is to go and whom it is of, each a byte for the
 // length and a text.
-func Heading(to, from string) []byte {
+func RelayHeader(to, from string) []byte {
 	b := append([]byte{byte(len(to))}, to...)
 	return append(append(b, byte(len(from))), from...)
 }
 
-// ReadHeading reads it from the start of a stream.
-func ReadHeading(r io.Reader) (to, from string, err error) {
+// ReadRelayHeader reads it from the start of a stream.
+func ReadRelayHeader(r io.Reader) (to, from string, err error) {
 	var texts [2]string
 	for i := range texts {
 		var n [1]byte
@@ -216,12 +216,12 @@
 func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
 	now := time.Now()
 	if !t.out.AllowN(now, len(b)) {
-		t.count(func(w *Wire) { w.DroppedOut++ })
+		t.count(func(w *Traffic) { w.DroppedOut++ })
 		return now, nil // as lost on the way
 	}
-	t.count(func(w *Wire) { w.BytesOut += int64(len(b)) })
+	t.count(func(w *Traffic) { w.BytesOut += int64(len(b)) })
 	if t.via != "" {
-		b, addr = append(Heading(addr, t.bind), b...), t.via
+		b, addr = append(RelayHeader(addr, t.bind), b...), t.via
 	}
 	to, err := net.ResolveUDPAddr("udp", addr)
 	if err == nil {
@@ -245,7 +245,7 @@
 	}
 	c.SetDeadline(time.Now().Add(streamFor))
 	if t.via != "" {
-		if _, err := c.Write(Heading(addr, t.bind)); err != nil {
+		if _, err := c.Write(RelayHeader(addr, t.bind)); err != nil {
 			c.Close()
 			return nil, err
 		}
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -56,8 +56,8 @@
 	stop    sync.Once
 }
 
-// Watch starts to watch the file. One that can't be read now is an error; later it is a line in the log.
-func Watch(e *engine.Engine, service, path string, pause time.Duration) (*File, error) {
+// WatchFile starts to watch the file. One that can't be read now is an error; later it is a line in the log.
+func WatchFile(e *engine.Engine, service, path string, pause time.Duration) (*File, error) {
 	f := &File{Static: Static{Engine: e}, path: path, service: service, pause: pause}
 	list, err := f.read()
 	if err != nil {
--- a/internal/router/observations.go
+++ b/internal/router/observations.go
@@ -33,14 +33,14 @@
 	incarnation uint64
 
 	mutex         sync.Mutex
-	book          *evidence.Book
+	book          *evidence.Aggregator
 	doubtSequence uint64
 	suspectedAt   map[string]time.Duration // when each suspected worker was last passed to Options.OnSuspects
 }
 
 func newObservations() *observations {
-	book, _ := evidence.NewBook(evidence.Config{
-		Members: maxReporters, Workers: maxWorkers, Span: observationSpan, Every: observationInterval, Latest: 1, Bad: 1, Most: 1,
+	book, _ := evidence.NewAggregator(evidence.Config{
+		MaxMembers: maxReporters, MaxWorkers: maxWorkers, MaxAge: observationSpan, MinRepeatInterval: observationInterval, SampleSize: 1, MinComplaintShare: 1, MaxSuspectShare: 1,
 	}, "", "", 0)
 	return &observations{started: time.Now(), incarnation: rand.Uint64(), book: book, suspectedAt: map[string]time.Duration{}}
 }
@@ -53,20 +53,20 @@
 	}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.book.Saw(time.Since(o.started), worker, kind)
+	o.book.Record(time.Since(o.started), worker, kind)
 }
 
 // evidenceKind returns what a result shows about the worker. It returns false if it shows nothing.
 func evidenceKind(result placement.Result) (evidence.Kind, bool) {
 	switch result {
 	case placement.ResultServed:
-		return evidence.Fine, true
+		return evidence.Succeeded, true
 	case placement.ResultFailed, placement.ResultConnectionBroken:
 		return evidence.Failed, true
 	case placement.ResultTimedOut:
-		return evidence.Late, true
+		return evidence.TimedOut, true
 	case placement.ResultConnectFailed:
-		return evidence.Lost, true
+		return evidence.Unreachable, true
 	default:
 		return 0, false
 	}
@@ -76,7 +76,7 @@
 func (o *observations) addTo(request *fleetwire.WatchRequest) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	reports := o.book.Due(time.Since(o.started))
+	reports := o.book.DueReports(time.Since(o.started))
 	for _, report := range reports[:min(len(reports), maxObservationsPerPoll)] {
 		request.Observations = append(request.Observations, fleetwire.Observation{
 			Worker:   report.Worker,
@@ -97,7 +97,7 @@
 	var suspects []string
 	for _, doubt := range doubts {
 		o.doubtSequence++
-		o.book.Take(now, evidence.Report{From: otherRouters, Worker: doubt.Worker, Seq: o.doubtSequence, Kind: evidence.Failed})
+		o.book.Receive(now, evidence.Report{From: otherRouters, Worker: doubt.Worker, Seq: o.doubtSequence, Kind: evidence.Failed})
 		if !doubt.Avoid {
 			continue
 		}
--- a/internal/router/observations_test.go
+++ b/internal/router/observations_test.go
@@ -35,11 +35,11 @@
 		o.record("left", placement.ResultCancelled)
 		o.record("serves", placement.ResultServed)
 		require.Equal(t, map[string]evidence.Kind{
-			"fails": evidence.Failed, "breaks": evidence.Failed, "hangs": evidence.Late, "gone": evidence.Lost,
+			"fails": evidence.Failed, "breaks": evidence.Failed, "hangs": evidence.TimedOut, "gone": evidence.Unreachable,
 		}, polledKinds(o))
 		require.Empty(t, polledKinds(o), "there are no new observations")
 		require.Empty(t, o.newSuspects([]fleetwire.Doubt{{Worker: "serves"}}))
-		require.Equal(t, map[string]evidence.Kind{"serves": evidence.Fine}, polledKinds(o))
+		require.Equal(t, map[string]evidence.Kind{"serves": evidence.Succeeded}, polledKinds(o))
 		time.Sleep(observationSpan)
 		require.Empty(t, polledKinds(o))
 	})
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -19,20 +19,20 @@
 	// Floor is what a member may always spend, whoever it hears; Floor x Members is taken off the budget before it is cut.
 	// Of a rate it saves up one unit at least, or it would never be enough for one.
 	Floor float64
-	// Members is how many schedulers may live at most; the operator answers for it.
-	Members int
+	// MaxMembers is how many schedulers may live at most; the operator answers for it.
+	MaxMembers int
 	// Chunks is how many pieces the rest is cut into.
 	Chunks int
-	// Keepers are the names of the members that vote, an odd number.
-	Keepers []string
-	// Term is how long a holder may spend a chunk after it asked for it, by its own clock.
-	Term time.Duration
+	// Voters are the names of the members that vote, an odd number.
+	Voters []string
+	// LeaseDuration is how long a holder may spend a chunk after it asked for it, by its own clock.
+	LeaseDuration time.Duration
 	// Drift bounds how much faster or slower than real time a clock runs, as a part: 0.01 is one in a hundred.
 	Drift float64
 	// Burst is how many seconds of a rate may be spent at once; 0 for a count.
 	Burst float64
-	// Use is the longest that a unit of a count stays in use after it was taken; 0 for a rate.
-	Use time.Duration
+	// MaxUse is the longest that a unit of a count stays in use after it was taken; 0 for a rate.
+	MaxUse time.Duration
 }
 
 // maxChunks bounds a message and a member's memory.
@@ -45,20 +45,20 @@
 		text string
 	}{
 		{!(c.Budget > 0 && c.Budget < 1e12), "Budget must be more than 0"},
-		{!(c.Floor >= 0) || c.Members < 1, "Floor must not be negative, and Members at least 1"},
-		{c.Floor*float64(c.Members) > c.Budget, "Floor x Members must not be more than Budget"},
+		{!(c.Floor >= 0) || c.MaxMembers < 1, "Floor must not be negative, and Members at least 1"},
+		{c.Floor*float64(c.MaxMembers) > c.Budget, "Floor x Members must not be more than Budget"},
 		{c.Chunks < 1 || c.Chunks > maxChunks, fmt.Sprintf("Chunks must be 1 to %d", maxChunks)},
-		{len(c.Keepers)%2 == 0, "Keepers must be an odd number of names"},
-		{c.Term <= 0, "Term must be more than 0"},
+		{len(c.Voters)%2 == 0, "Keepers must be an odd number of names"},
+		{c.LeaseDuration <= 0, "Term must be more than 0"},
 		{!(c.Drift >= 0 && c.Drift < 0.5), "Drift must be 0 to 0.5"},
-		{!(c.Burst >= 0) || c.Use < 0 || (c.Burst == 0) == (c.Use == 0), "one of Burst (a rate) and Use (a count) must be more than 0"},
+		{!(c.Burst >= 0) || c.MaxUse < 0 || (c.Burst == 0) == (c.MaxUse == 0), "one of Burst (a rate) and Use (a count) must be more than 0"},
 	} {
 		if f.bad {
 			return fmt.Errorf("share: %s", f.text)
 		}
 	}
-	for i, k := range c.Keepers {
-		if k == "" || slices.Contains(c.Keepers[:i], k) {
+	for i, k := range c.Voters {
+		if k == "" || slices.Contains(c.Voters[:i], k) {
 			return fmt.Errorf("share: Keepers must be different names")
 		}
 	}
@@ -66,40 +66,42 @@
 }
 
 // chunk is the size of one.
-func (c *Config) chunk() float64 { return (c.Budget - c.Floor*float64(c.Members)) / float64(c.Chunks) }
+func (c *Config) chunk() float64 {
+	return (c.Budget - c.Floor*float64(c.MaxMembers)) / float64(c.Chunks)
+}
 
 // guard is how long a keeper is bound by a vote, by its own clock: the term on a clock as slow as may be, seen on one as fast
 // as may be, and as long as what was taken in the last moment of the term stays in use.
 func (c *Config) guard() time.Duration {
-	return time.Duration(float64(c.Term+c.Use)*(1+c.Drift)/(1-c.Drift)) + time.Millisecond
+	return time.Duration(float64(c.LeaseDuration+c.MaxUse)*(1+c.Drift)/(1-c.Drift)) + time.Millisecond
 }
 
-// Ask is what a holder says to a keeper: the chunks it wants votes for, held ones included, and those it gives back. Round
+// VoteRequest is what a holder says to a keeper: the chunks it wants votes for, held ones included, and those it gives back. Round
 // numbers its asks; an answer counts for the round it names only.
-type Ask struct {
-	From        string
-	Life, Round uint64
-	Want, Free  []int
-	Short       int // chunks it lacks of an even part
-	More        int // chunks it would take in all
+type VoteRequest struct {
+	From               string
+	Incarnation, Round uint64
+	Wanted, Released   []int
+	Shortfall          int // chunks it lacks of an even part
+	UnmetDemand        int // chunks it would take in all
 }
 
-// Answer is what a keeper says: the chunks of that round it votes for, those that are free as far as it knows, how many
+// VoteReply is what a keeper says: the chunks of that round it votes for, those that are free as far as it knows, how many
 // others lack of an even part and would take in all, and how many members ask.
-type Answer struct {
-	Keeper      string
-	Life, Round uint64
-	Yes         []int
-	Open        []int // at most openMost
-	Short, More int
-	Ask         int
+type VoteReply struct {
+	Voter                  string
+	Incarnation, Round     uint64
+	Granted                []int
+	Available              []int // at most openMost
+	Shortfall, UnmetDemand int
+	Requesters             int
 }
 
 // openMost bounds an answer.
 const openMost = 64
 
-// Keeper gives votes. It remembers nothing over a restart: it is silent for as long as an earlier life's votes may bind.
-type Keeper struct {
+// Voter gives votes. It remembers nothing over a restart: it is silent for as long as an earlier life's votes may bind.
+type Voter struct {
 	c      Config
 	name   string
 	mute   time.Duration // until then no vote
@@ -119,67 +121,67 @@
 	at          time.Duration
 }
 
-// NewKeeper begins at a moment of its own steady clock; moments never go backwards.
-func NewKeeper(c Config, name string, now time.Duration) (*Keeper, error) {
+// NewVoter begins at a moment of its own steady clock; moments never go backwards.
+func NewVoter(c Config, name string, now time.Duration) (*Voter, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
-	if !slices.Contains(c.Keepers, name) {
+	if !slices.Contains(c.Voters, name) {
 		return nil, fmt.Errorf("share: %q is no keeper", name)
 	}
-	return &Keeper{c: c, name: name, mute: now + c.guard(), votes: make([]vote, c.Chunks), askers: map[string]asker{}}, nil
+	return &Voter{c: c, name: name, mute: now + c.guard(), votes: make([]vote, c.Chunks), askers: map[string]asker{}}, nil
 }
 
-// Ask takes in an ask and gives the answer. What is out of range is passed over.
-func (k *Keeper) Ask(now time.Duration, a Ask) Answer {
-	out := Answer{Keeper: k.name, Life: a.Life, Round: a.Round}
-	for _, i := range a.Free {
+// HandleRequest takes in an ask and gives the answer. What is out of range is passed over.
+func (k *Voter) HandleRequest(now time.Duration, a VoteRequest) VoteReply {
+	out := VoteReply{Voter: k.name, Incarnation: a.Incarnation, Round: a.Round}
+	for _, i := range a.Released {
 		// A late ask of an earlier round must not give back what a later one has asked for again.
-		if k.valid(i) && k.votes[i].holder == a.From && k.votes[i].life == a.Life && k.votes[i].round <= a.Round {
+		if k.valid(i) && k.votes[i].holder == a.From && k.votes[i].life == a.Incarnation && k.votes[i].round <= a.Round {
 			k.votes[i].until = min(k.votes[i].until, now)
 		}
 	}
 	for name, b := range k.askers {
-		if now-b.at > 2*k.c.Term {
+		if now-b.at > 2*k.c.LeaseDuration {
 			delete(k.askers, name)
 		}
 	}
-	if _, known := k.askers[a.From]; known || len(k.askers) < k.c.Members {
-		k.askers[a.From] = asker{max(0, min(a.Short, k.c.Chunks)), max(0, min(a.More, k.c.Chunks)), now}
+	if _, known := k.askers[a.From]; known || len(k.askers) < k.c.MaxMembers {
+		k.askers[a.From] = asker{max(0, min(a.Shortfall, k.c.Chunks)), max(0, min(a.UnmetDemand, k.c.Chunks)), now}
 	}
-	out.Ask = len(k.askers)
+	out.Requesters = len(k.askers)
 	for name, b := range k.askers {
 		if name != a.From {
-			out.Short += b.short
-			out.More += b.more
+			out.Shortfall += b.short
+			out.UnmetDemand += b.more
 		}
 	}
 	if now < k.mute {
 		return out
 	}
-	for _, i := range a.Want {
+	for _, i := range a.Wanted {
 		if !k.valid(i) {
 			continue
 		}
 		v := &k.votes[i]
-		mine := v.holder == a.From && v.life == a.Life
+		mine := v.holder == a.From && v.life == a.Incarnation
 		if v.until > now && !mine || mine && v.round > a.Round {
 			continue
 		}
-		*v = vote{a.From, a.Life, a.Round, max(v.until, now+k.c.guard())}
-		out.Yes = append(out.Yes, i)
+		*v = vote{a.From, a.Incarnation, a.Round, max(v.until, now+k.c.guard())}
+		out.Granted = append(out.Granted, i)
 	}
 	// Each answer begins elsewhere, so that those who ask at once do not all go for the same chunks.
 	for n := range k.votes {
 		i := (n + int(a.Round*7+uint64(len(a.From)*13)) + int(hash(a.From))) % len(k.votes)
-		if len(out.Open) < openMost && k.votes[i].until <= now {
-			out.Open = append(out.Open, i)
+		if len(out.Available) < openMost && k.votes[i].until <= now {
+			out.Available = append(out.Available, i)
 		}
 	}
 	return out
 }
 
-func (k *Keeper) valid(i int) bool { return i >= 0 && i < len(k.votes) }
+func (k *Voter) valid(i int) bool { return i >= 0 && i < len(k.votes) }
 
 // hash spreads names; it guards nothing.
 func hash(s string) (h uint32) {
@@ -234,8 +236,10 @@
 		seed: life ^ uint64(hash(name))}, nil
 }
 
-// Part is what may be spent just now: units a second, or units at once.
-func (h *Holder) Part(now time.Duration) float64 { return h.c.Floor + float64(h.held(now))*h.c.chunk() }
+// Share is what may be spent just now: units a second, or units at once.
+func (h *Holder) Share(now time.Duration) float64 {
+	return h.c.Floor + float64(h.held(now))*h.c.chunk()
+}
 
 func (h *Holder) held(now time.Duration) (n int) {
 	for _, until := range h.until {
@@ -250,7 +254,7 @@
 func (h *Holder) Spend(now time.Duration, units float64) bool {
 	h.want += units
 	if h.c.Burst == 0 {
-		if h.inUse+units > h.Part(now)+1e-9 {
+		if h.inUse+units > h.Share(now)+1e-9 {
 			return false
 		}
 		h.inUse += units
@@ -305,8 +309,8 @@
 	yield  = 4 // part of what is beyond an even part that goes at once: all of it would swing
 )
 
-// Round begins a round: the ask for every keeper. Once in a third of a term is often enough to keep what is held.
-func (h *Holder) Round(now time.Duration) Ask {
+// BeginRound begins a round: the ask for every keeper. Once in a third of a term is often enough to keep what is held.
+func (h *Holder) BeginRound(now time.Duration) VoteRequest {
 	if h.c.Burst > 0 {
 		h.save(now)
 	}
@@ -334,7 +338,7 @@
 	}
 	h.round++
 	last := &h.rounds[(h.round-1)%keptRounds]
-	a := Ask{From: h.name, Life: h.life, Round: h.round}
+	a := VoteRequest{From: h.name, Incarnation: h.life, Round: h.round}
 	r := round{n: h.round, sent: now, voters: map[string]bool{}}
 	inUse := int(math.Ceil((h.inUse - h.c.Floor) / size))
 	for i := range h.until {
@@ -344,53 +348,53 @@
 			r.want = append(r.want, i)
 		default: // given back: it is not ours from this moment on
 			h.until[i], h.tokens[i] = 0, 0
-			a.Free = append(a.Free, i)
+			a.Released = append(a.Released, i)
 		}
 	}
 	for _, i := range last.want { // votes that came to nothing would keep it from others
-		if now >= h.until[i] && !slices.Contains(a.Free, i) {
-			a.Free = append(a.Free, i)
+		if now >= h.until[i] && !slices.Contains(a.Released, i) {
+			a.Released = append(a.Released, i)
 		}
 	}
-	a.Short, a.More = max(0, min(wanted, even)-len(r.want)), max(0, wanted-len(r.want))
+	a.Shortfall, a.UnmetDemand = max(0, min(wanted, even)-len(r.want)), max(0, wanted-len(r.want))
 	for n := goal - len(r.want); n > 0 && len(h.open) > 0; n-- {
 		h.seed = h.seed*6364136223846793005 + 1442695040888963407
 		at := int(h.seed>>33) % len(h.open)
-		if i := h.open[at]; now >= h.until[i] && !slices.Contains(r.want, i) && !slices.Contains(a.Free, i) {
+		if i := h.open[at]; now >= h.until[i] && !slices.Contains(r.want, i) && !slices.Contains(a.Released, i) {
 			r.want = append(r.want, i)
 		}
 		h.open = slices.Delete(h.open, at, at+1)
 	}
 	r.yes = make([]int, len(r.want))
-	a.Want = slices.Clone(r.want)
+	a.Wanted = slices.Clone(r.want)
 	h.rounds[h.round%keptRounds] = r
 	h.open, h.short, h.more, h.askers = h.open[:0], 0, 0, 0
 	return a
 }
 
-// Take takes in a keeper's answer. One of an old round, of another life or from no keeper changes nothing.
-func (h *Holder) Take(now time.Duration, a Answer) {
+// HandleReply takes in a keeper's answer. One of an old round, of another life or from no keeper changes nothing.
+func (h *Holder) HandleReply(now time.Duration, a VoteReply) {
 	r := &h.rounds[a.Round%keptRounds]
-	if a.Life != h.life || a.Round == 0 || r.n != a.Round || r.voters[a.Keeper] || !slices.Contains(h.c.Keepers, a.Keeper) {
+	if a.Incarnation != h.life || a.Round == 0 || r.n != a.Round || r.voters[a.Voter] || !slices.Contains(h.c.Voters, a.Voter) {
 		return
 	}
-	r.voters[a.Keeper] = true
-	h.more = max(h.more, a.More)
-	h.short, h.askers = max(h.short, max(0, a.Short)), max(h.askers, min(a.Ask, h.c.Members))
-	for _, i := range a.Open {
+	r.voters[a.Voter] = true
+	h.more = max(h.more, a.UnmetDemand)
+	h.short, h.askers = max(h.short, max(0, a.Shortfall)), max(h.askers, min(a.Requesters, h.c.MaxMembers))
+	for _, i := range a.Available {
 		if i >= 0 && i < h.c.Chunks && len(h.open) < openMost && !slices.Contains(h.open, i) {
 			h.open = append(h.open, i)
 		}
 	}
 	for n, i := range r.want {
-		if !slices.Contains(a.Yes, i) {
+		if !slices.Contains(a.Granted, i) {
 			continue
 		}
-		if r.yes[n]++; r.yes[n] != len(h.c.Keepers)/2+1 {
+		if r.yes[n]++; r.yes[n] != len(h.c.Voters)/2+1 {
 			continue
 		}
 		// The term counts from the ask: the votes were given later than that.
-		if until := r.sent + h.c.Term; until > now && until > h.until[i] && !h.given(i, r.n) {
+		if until := r.sent + h.c.LeaseDuration; until > now && until > h.until[i] && !h.given(i, r.n) {
 			if h.until[i] <= now {
 				h.tokens[i] = 0
 			}
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -14,13 +14,13 @@
 const ms = time.Millisecond
 
 func rate(members, chunks int) Config {
-	return Config{Budget: 400, Floor: 40 / float64(members), Members: members, Chunks: chunks, Keepers: []string{"k0", "k1", "k2"},
-		Term: 2 * time.Second, Drift: 0.02, Burst: 0.5}
+	return Config{Budget: 400, Floor: 40 / float64(members), MaxMembers: members, Chunks: chunks, Voters: []string{"k0", "k1", "k2"},
+		LeaseDuration: 2 * time.Second, Drift: 0.02, Burst: 0.5}
 }
 
 func count(members, chunks int) Config {
 	c := rate(members, chunks)
-	c.Burst, c.Use = 0, 1500*ms
+	c.Burst, c.MaxUse = 0, 1500*ms
 	return c
 }
 
@@ -45,7 +45,7 @@
 }
 
 type keeper struct {
-	*Keeper
+	*Voter
 	pace float64
 	cut  bool
 }
@@ -53,8 +53,8 @@
 type letter struct {
 	at     time.Duration
 	to     int // keeper of an ask, holder of an answer
-	ask    *Ask
-	answer *Answer
+	ask    *VoteRequest
+	answer *VoteReply
 }
 
 type spend struct {
@@ -67,10 +67,10 @@
 
 func newFleet(t require.TestingT, c Config, n int, pace func(int) float64) *fleet {
 	f := &fleet{t: t, c: c}
-	for i, name := range c.Keepers {
-		k, err := NewKeeper(c, name, 0)
+	for i, name := range c.Voters {
+		k, err := NewVoter(c, name, 0)
 		require.NoError(t, err)
-		f.keepers = append(f.keepers, &keeper{Keeper: k, pace: pace(-1 - i)})
+		f.keepers = append(f.keepers, &keeper{Voter: k, pace: pace(-1 - i)})
 	}
 	for i := range n {
 		f.holders = append(f.holders, &member{pace: pace(i)})
@@ -94,7 +94,7 @@
 	if m.stall {
 		return
 	}
-	a := m.Round(clock(f.now, m.pace))
+	a := m.BeginRound(clock(f.now, m.pace))
 	for k := range f.keepers {
 		if d := late(); d >= 0 {
 			f.mail = append(f.mail, letter{at: f.now + d, to: k, ask: &a})
@@ -118,14 +118,14 @@
 			if k.cut || f.holders[from].cut {
 				continue
 			}
-			out := k.Ask(clock(f.now, k.pace), *l.ask)
+			out := k.HandleRequest(clock(f.now, k.pace), *l.ask)
 			if d := late(); d >= 0 {
 				f.mail = append(f.mail, letter{at: f.now + d, to: from, answer: &out})
 			}
 			continue
 		}
 		if m := f.holders[l.to]; !m.cut && !m.stall {
-			m.Take(clock(f.now, m.pace), *l.answer)
+			m.HandleReply(clock(f.now, m.pace), *l.answer)
 		}
 	}
 }
@@ -136,8 +136,8 @@
 		return false
 	}
 	f.spent = append(f.spent, spend{f.now, units, m.Holder})
-	if f.c.Use > 0 {
-		f.uses = append(f.uses, spend{f.now + time.Duration(float64(f.c.Use)*0.98), units, m.Holder})
+	if f.c.MaxUse > 0 {
+		f.uses = append(f.uses, spend{f.now + time.Duration(float64(f.c.MaxUse)*0.98), units, m.Holder})
 	}
 	return true
 }
@@ -159,7 +159,7 @@
 		}
 	}
 	const slack = 1.05 // of clocks that run too fast
-	if f.c.Use > 0 {
+	if f.c.MaxUse > 0 {
 		sum := 0.0
 		f.uses = slices.DeleteFunc(f.uses, func(s spend) bool {
 			if s.at <= f.now {
@@ -177,7 +177,7 @@
 	for n := len(f.spent) - 1; n >= 0 && f.spent[n].at > f.now-window; n-- {
 		sum += f.spent[n].units
 	}
-	require.LessOrEqual(f.t, sum, slack*f.c.Budget*(window.Seconds()+f.c.Burst)+float64(f.c.Members), "in a second")
+	require.LessOrEqual(f.t, sum, slack*f.c.Budget*(window.Seconds()+f.c.Burst)+float64(f.c.MaxMembers), "in a second")
 }
 
 // Whatever is lost, doubled, late, cut off, stalled or restarted, the parts add up to no more than the budget, and what is
@@ -218,9 +218,9 @@
 					case 3:
 						k := f.keepers[dice(len(f.keepers))]
 						if k.cut = !k.cut; k.cut {
-							n, err := NewKeeper(c, k.name, clock(f.now, k.pace))
+							n, err := NewVoter(c, k.name, clock(f.now, k.pace))
 							require.NoError(t, err)
-							k.Keeper = n
+							k.Voter = n
 						}
 					case 4:
 						if len(f.mail) > 0 { // one comes twice
@@ -252,7 +252,7 @@
 // calm plays rounds without faults, each holder with its demand, and returns the part of the budget that is held at the end.
 func (f *fleet) calm(rounds int, demand func(int) float64) float64 {
 	soon := func() time.Duration { return 5 * ms }
-	every := f.c.Term / 4
+	every := f.c.LeaseDuration / 4
 	for range rounds {
 		for step := range 10 {
 			f.now += every / 10
@@ -273,7 +273,7 @@
 	sum := 0.0
 	for i, m := range f.holders {
 		if demand(i) > 0 {
-			sum += m.Part(clock(f.now, m.pace))
+			sum += m.Share(clock(f.now, m.pace))
 		}
 	}
 	return sum / f.c.Budget
@@ -297,7 +297,7 @@
 	f.calm(30, all)
 	held := func(from, to int) (sum float64) {
 		for _, m := range f.holders[from:to] {
-			sum += m.Part(clock(f.now, m.pace))
+			sum += m.Share(clock(f.now, m.pace))
 		}
 		return sum
 	}
@@ -306,7 +306,7 @@
 	f.holders[3].cut, f.holders[4].cut = false, false
 	f.calm(40, all)
 	for i, m := range f.holders {
-		assert.Greater(t, m.Part(clock(f.now, m.pace)), 3*f.c.Floor, "holder %d starves", i)
+		assert.Greater(t, m.Share(clock(f.now, m.pace)), 3*f.c.Floor, "holder %d starves", i)
 	}
 }
 
@@ -315,21 +315,21 @@
 	f := newFleet(t, rate(2, 10), 2, func(int) float64 { return 1 })
 	f.calm(30, func(i int) float64 { return 400 * float64(1-i) })
 	m := f.holders[0]
-	require.Greater(t, m.Part(f.now), 300.0)
-	f.now += f.c.Term
-	assert.Equal(t, f.c.Floor, m.Part(f.now), "after a stall")
+	require.Greater(t, m.Share(f.now), 300.0)
+	f.now += f.c.LeaseDuration
+	assert.Equal(t, f.c.Floor, m.Share(f.now), "after a stall")
 	before := len(f.spent)
 	for f.spend(0, 1) {
 	}
 	assert.LessOrEqual(t, float64(len(f.spent)-before), f.c.Floor*f.c.Burst+1)
 	f.calm(30, func(i int) float64 { return 400 * float64(1-i) })
 	f.start(0)
-	assert.Equal(t, f.c.Floor, f.holders[0].Part(f.now), "a restart mints nothing")
+	assert.Equal(t, f.c.Floor, f.holders[0].Share(f.now), "a restart mints nothing")
 	assert.False(t, f.spend(0, 1), "nor has it saved up anything")
-	k, err := NewKeeper(f.c, "k0", f.now)
+	k, err := NewVoter(f.c, "k0", f.now)
 	require.NoError(t, err)
-	assert.Empty(t, k.Ask(f.now+f.c.Term, Ask{From: "h1", Life: 9, Round: 1, Want: []int{1}}).Yes, "a keeper that forgot is silent")
-	assert.Equal(t, []int{1}, k.Ask(f.now+f.c.guard(), Ask{From: "h1", Life: 9, Round: 1, Want: []int{1, -1, 10, 1 << 40}}).Yes)
+	assert.Empty(t, k.HandleRequest(f.now+f.c.LeaseDuration, VoteRequest{From: "h1", Incarnation: 9, Round: 1, Wanted: []int{1}}).Granted, "a keeper that forgot is silent")
+	assert.Equal(t, []int{1}, k.HandleRequest(f.now+f.c.guard(), VoteRequest{From: "h1", Incarnation: 9, Round: 1, Wanted: []int{1, -1, 10, 1 << 40}}).Granted)
 }
 
 // What no sound member says changes nothing.
@@ -338,26 +338,26 @@
 	h, err := NewHolder(c, "h0", 1, 0)
 	require.NoError(t, err)
 	h.Spend(0, 100)
-	a := h.Round(time.Second)
-	for _, bad := range []Answer{
-		{Keeper: "k0", Life: 2, Round: a.Round, Open: []int{1}},
-		{Keeper: "stranger", Life: 1, Round: a.Round, Open: []int{1}},
-		{Keeper: "k0", Life: 1, Round: 1 << 63, Open: []int{1}},
-		{Keeper: "k0", Life: 1, Round: 0, Yes: []int{1}},
-		{Keeper: "k0", Life: 1, Round: a.Round, Yes: []int{-1, 99, 1 << 40}, Open: []int{-5, 1 << 40}, Short: -3, Ask: 1 << 40},
+	a := h.BeginRound(time.Second)
+	for _, bad := range []VoteReply{
+		{Voter: "k0", Incarnation: 2, Round: a.Round, Available: []int{1}},
+		{Voter: "stranger", Incarnation: 1, Round: a.Round, Available: []int{1}},
+		{Voter: "k0", Incarnation: 1, Round: 1 << 63, Available: []int{1}},
+		{Voter: "k0", Incarnation: 1, Round: 0, Granted: []int{1}},
+		{Voter: "k0", Incarnation: 1, Round: a.Round, Granted: []int{-1, 99, 1 << 40}, Available: []int{-5, 1 << 40}, Shortfall: -3, Requesters: 1 << 40},
 	} {
-		h.Take(time.Second, bad)
+		h.HandleReply(time.Second, bad)
 	}
 	assert.Empty(t, h.open)
-	assert.LessOrEqual(t, h.askers, c.Members)
-	assert.Equal(t, c.Floor, h.Part(time.Second))
-	k, err := NewKeeper(c, "k0", 0)
+	assert.LessOrEqual(t, h.askers, c.MaxMembers)
+	assert.Equal(t, c.Floor, h.Share(time.Second))
+	k, err := NewVoter(c, "k0", 0)
 	require.NoError(t, err)
 	for i := range 100 { // a table that members fill is bounded by their number
-		k.Ask(c.guard(), Ask{From: fmt.Sprint("liar", i), Life: 1, Round: 1, Short: 1 << 40, Free: []int{-1, 1 << 40}})
+		k.HandleRequest(c.guard(), VoteRequest{From: fmt.Sprint("liar", i), Incarnation: 1, Round: 1, Shortfall: 1 << 40, Released: []int{-1, 1 << 40}})
 	}
-	assert.LessOrEqual(t, len(k.askers), c.Members)
-	assert.LessOrEqual(t, k.Ask(c.guard(), Ask{From: "h0"}).Short, c.Members*c.Chunks)
+	assert.LessOrEqual(t, len(k.askers), c.MaxMembers)
+	assert.LessOrEqual(t, k.HandleRequest(c.guard(), VoteRequest{From: "h0"}).Shortfall, c.MaxMembers*c.Chunks)
 }
 
 func TestConfigFaults(t *testing.T) {
@@ -365,11 +365,11 @@
 		"Budget":          func(c *Config) { c.Budget = 0 },
 		"Floor x Members": func(c *Config) { c.Floor = 300 },
 		"Chunks":          func(c *Config) { c.Chunks = maxChunks + 1 },
-		"odd number":      func(c *Config) { c.Keepers = c.Keepers[:2] },
-		"different names": func(c *Config) { c.Keepers = []string{"a", "b", "a"} },
-		"Term":            func(c *Config) { c.Term = 0 },
+		"odd number":      func(c *Config) { c.Voters = c.Voters[:2] },
+		"different names": func(c *Config) { c.Voters = []string{"a", "b", "a"} },
+		"Term":            func(c *Config) { c.LeaseDuration = 0 },
 		"Drift":           func(c *Config) { c.Drift = 0.5 },
-		"one of Burst":    func(c *Config) { c.Use = time.Second },
+		"one of Burst":    func(c *Config) { c.MaxUse = time.Second },
 	} {
 		c := rate(2, 4)
 		change(&c)
