--- a/internal/evidence/evidence.go
+++ b/internal/evidence/evidence.go
@@ -1,7 +1,9 @@
-// Package evidence weighs what the schedulers of a fleet have seen last of each worker: a job that ended well, an error, one
-// that did not end in time or a probe that was lost, by whom and how long ago. It owns what this member has seen and what others say they have, and names
-// the workers that the whole of it speaks against. It must never read a clock, use a socket, or decide who gets a job: the
-// module that decides is told as by peers, and has its own bounds. docs/design/shared-state.md has the reasons.
+// Package evidence combines the latest observations of workers by the schedulers of a fleet, such as failed requests and lost
+// probes, and names the workers that enough members complain about. It does not decide which worker gets a job: the decision
+// module treats a suspected worker as reported by peers and has its own bounds.
+//
+// The package contains no clock and no socket. Times are readings of one monotonic clock of the process. The reasons for the
+// design are in docs/design/shared-state.md.
 package evidence
 
 import (
@@ -12,55 +14,58 @@
 	"time"
 )
 
-// Kind is one thing seen of a worker.
+// Kind is the kind of an observation of a worker.
 type Kind int
 
-// What is seen. A job that ended well is Succeeded; the others speak against the worker.
+// The kinds of observations. All but Succeeded are complaints about the worker.
 const (
-	Succeeded Kind = iota
-	Failed
-	TimedOut
-	Unreachable
-	kinds
+	Succeeded   Kind = iota // a job ended well
+	Failed                  // a job ended with an error
+	TimedOut                // a job did not end in time
+	Unreachable             // a probe was lost or a connection failed
+	kindCount
 )
 
-// Config is how evidence is weighed. All members should have the same.
+// Config configures an Aggregator. All members should use the same values.
 type Config struct {
-	// MaxMembers is how many schedulers may live at most; what is kept of others is bounded by it.
+	// MaxMembers is the maximum number of schedulers that run at once. It bounds the reports that are kept of other members.
 	MaxMembers int
-	// MaxWorkers bounds the workers of which anything is kept.
+	// MaxWorkers bounds the workers on which observations are kept.
 	MaxWorkers int
-	// MaxAge is how old evidence may be. Where the module's first terms of ejection are over sooner, they don't all come back to
-	// a worker at once, since it is still spoken against.
+	// MaxAge is how long an observation counts. If the first ejections by the decision modules end sooner, the schedulers do not
+	// all return to the worker at once, because the evidence against it still counts.
 	MaxAge time.Duration
-	// MinRepeatInterval is how often a member speaks of the same worker at most.
+	// MinRepeatInterval is the minimum time before a member reports the same kind of observation of a worker again.
 	MinRepeatInterval time.Duration
-	// SampleSize is how many members' latest tries count at least, the newest first: a worker that begins to fail, or is well
-	// again, is not judged by what was before.
+	// SampleSize is how many members' latest observations of a worker are considered, the newest first. More are considered if
+	// FaultyMemberShare requires it. Older ones are left out so that a worker that starts to fail, or recovers, is not judged by
+	// its former state.
 	SampleSize int
-	// MinComplaintShare is the share of those that must speak against a worker.
+	// MinComplaintShare is the share of the considered observations that must be complaints before a worker is suspected.
 	MinComplaintShare float64
-	// FaultyMemberShare is the share of the members who may say what is not so: more must complain before it counts. Two always must.
+	// FaultyMemberShare is the share of the members that may report wrongly. More members than that must complain about a worker
+	// before it is suspected, and at least two.
 	FaultyMemberShare float64
-	// MaxSuspectShare is the share of the workers that are named at most. Who complains of more is ill itself and not believed.
+	// MaxSuspectShare is the maximum share of the workers that are suspected. A member that complains about more workers is
+	// itself considered faulty and is ignored.
 	MaxSuspectShare float64
 }
 
-// DefaultConfig is what holds for a fleet of so many.
+// DefaultConfig returns the configuration for a fleet of at most the given number of members.
 func DefaultConfig(members int) Config {
 	return Config{MaxMembers: members, MaxWorkers: 4096, MaxAge: 15 * time.Second, MinRepeatInterval: 500 * time.Millisecond, SampleSize: 10, MinComplaintShare: 0.5, FaultyMemberShare: 0.04, MaxSuspectShare: 0.4}
 }
 
-// Check names the field at fault and what is allowed.
+// Check returns an error that names the first invalid field and the allowed values.
 func (c *Config) Check() error {
 	for _, f := range []struct {
 		bad  bool
 		text string
 	}{
-		{c.MaxMembers < 1 || c.MaxWorkers < 1 || c.SampleSize < 1, "Members, Workers and Latest must be at least 1"},
-		{c.MaxAge <= 0 || c.MinRepeatInterval <= 0 || c.MinRepeatInterval > c.MaxAge, "Every must be more than 0, and Span at least that"},
-		{!(c.MinComplaintShare > 0 && c.MinComplaintShare <= 1) || !(c.MaxSuspectShare > 0 && c.MaxSuspectShare <= 1), "Bad and Most must be more than 0, and 1 at most"},
-		{!(c.FaultyMemberShare >= 0 && c.FaultyMemberShare < 0.5), "Liars must be 0 to 0.5"},
+		{c.MaxMembers < 1 || c.MaxWorkers < 1 || c.SampleSize < 1, "MaxMembers, MaxWorkers and SampleSize must be at least 1"},
+		{c.MaxAge <= 0 || c.MinRepeatInterval <= 0 || c.MinRepeatInterval > c.MaxAge, "MinRepeatInterval must be more than 0, and MaxAge must not be less than it"},
+		{!(c.MinComplaintShare > 0 && c.MinComplaintShare <= 1) || !(c.MaxSuspectShare > 0 && c.MaxSuspectShare <= 1), "MinComplaintShare and MaxSuspectShare must be more than 0 and at most 1"},
+		{!(c.FaultyMemberShare >= 0 && c.FaultyMemberShare < 0.5), "FaultyMemberShare must be at least 0 and less than 0.5"},
 	} {
 		if f.bad {
 			return fmt.Errorf("evidence: %s", f.text)
@@ -69,155 +74,159 @@
 	return nil
 }
 
-// Report is what one member has seen last of one worker. One voice is one report, however much it has seen.
+// Report is the latest observation of one worker by one member. A member has one report per worker, however many jobs it sent
+// there.
 type Report struct {
 	From, Zone, Worker string
-	Incarnation, Seq   uint64 // a later one of the same member goes before an earlier one
+	Incarnation, Seq   uint64 // a higher Seq replaces a lower one of the same member and incarnation
 	Age                time.Duration
 	Kind               Kind
 }
 
-type own struct {
-	kind     Kind
-	at       time.Duration
-	saidKind Kind
-	said     time.Duration
-	saidAt   time.Duration // of what was said
-	spoke    bool
+// observation is this member's latest observation of a worker, with the state of its report.
+type observation struct {
+	kind               Kind
+	at                 time.Duration
+	reportedKind       Kind
+	reportedAt         time.Duration
+	reportedObservedAt time.Duration // time of the observation that was reported
+	reported           bool
 }
 
-type heard struct {
-	r  Report
-	at time.Duration // when it was seen, by our clock
+// receivedReport is a report of another member.
+type receivedReport struct {
+	report     Report
+	observedAt time.Duration // by the clock of this process
 }
 
-// Aggregator is a member's evidence.
+// Aggregator holds this member's observations and the reports of other members. It is not safe for concurrent use.
 type Aggregator struct {
-	c          Config
-	name, zone string
-	life, seq  uint64
-	own        map[string]*own
-	heard      map[string]map[string]*heard // by worker, by member
-	Dropped    int                          // reports that made no sense or found no room
+	c                Config
+	name, zone       string
+	incarnation, seq uint64
+	own              map[string]*observation               // by worker
+	received         map[string]map[string]*receivedReport // by worker and member
+	Dropped          int                                   // reports that were invalid or exceeded a bound
 }
 
-// NewAggregator is an empty one of a member in a zone. life tells its starts apart.
-func NewAggregator(c Config, name, zone string, life uint64) (*Aggregator, error) {
+// NewAggregator returns an empty aggregator for a member in a zone. The incarnation must differ for each start of the member.
+func NewAggregator(c Config, name, zone string, incarnation uint64) (*Aggregator, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
-	return &Aggregator{c: c, name: name, zone: zone, life: life, own: map[string]*own{}, heard: map[string]map[string]*heard{}}, nil
+	return &Aggregator{c: c, name: name, zone: zone, incarnation: incarnation, own: map[string]*observation{}, received: map[string]map[string]*receivedReport{}}, nil
 }
 
-// Record takes in what this member has seen itself.
-func (b *Aggregator) Record(now time.Duration, worker string, k Kind) {
-	o := b.own[worker]
+// Record records an observation of a worker by this member.
+func (a *Aggregator) Record(now time.Duration, worker string, k Kind) {
+	o := a.own[worker]
 	if o == nil {
-		if len(b.own) >= b.c.MaxWorkers {
-			b.forget(now)
+		if len(a.own) >= a.c.MaxWorkers {
+			a.expireOwn(now)
 		}
-		if len(b.own) >= b.c.MaxWorkers {
-			b.Dropped++
+		if len(a.own) >= a.c.MaxWorkers {
+			a.Dropped++
 			return
 		}
-		o = &own{}
-		b.own[worker] = o
+		o = &observation{}
+		a.own[worker] = o
 	}
 	o.kind, o.at = k, now
 }
 
-// forget makes room.
-func (b *Aggregator) forget(now time.Duration) {
-	for name, o := range b.own {
-		if now-o.at >= b.c.MaxAge {
-			delete(b.own, name)
+// expireOwn removes this member's observations that are too old.
+func (a *Aggregator) expireOwn(now time.Duration) {
+	for name, o := range a.own {
+		if now-o.at >= a.c.MaxAge {
+			delete(a.own, name)
 		}
 	}
 }
 
-// DiscardOwn drops what this member has seen: after a stall of its own, what looked late or lost says nothing of workers.
-func (b *Aggregator) DiscardOwn() { b.own = map[string]*own{} }
+// DiscardOwn discards this member's observations. It is for use after this process has stalled, when timeouts and lost probes say
+// nothing about the workers.
+func (a *Aggregator) DiscardOwn() { a.own = map[string]*observation{} }
 
-// ResendAll has Due return each standing report once more, for a member that was not there when it was sent.
-func (b *Aggregator) ResendAll() {
-	for _, o := range b.own {
-		o.spoke = false
+// ResendAll makes DueReports return all current reports once more, for a member that has joined since they were sent.
+func (a *Aggregator) ResendAll() {
+	for _, o := range a.own {
+		o.reported = false
 	}
 }
 
-// Receive takes in another member's report and reports whether it is news, which is worth passing on.
-func (b *Aggregator) Receive(now time.Duration, r Report) bool {
-	if r.From == "" || r.Worker == "" || r.Age < 0 || r.Kind < 0 || r.Kind >= kinds {
-		b.Dropped++
+// Receive processes a report of another member. It returns whether the report is new and should be forwarded.
+func (a *Aggregator) Receive(now time.Duration, r Report) bool {
+	if r.From == "" || r.Worker == "" || r.Age < 0 || r.Kind < 0 || r.Kind >= kindCount {
+		a.Dropped++
 		return false
 	}
-	if r.From == b.name || r.Age >= b.c.MaxAge {
+	if r.From == a.name || r.Age >= a.c.MaxAge {
 		return false
 	}
-	of := b.heard[r.Worker]
-	if of == nil {
-		if len(b.heard) >= b.c.MaxWorkers {
-			b.expire(now)
+	reports := a.received[r.Worker]
+	if reports == nil {
+		if len(a.received) >= a.c.MaxWorkers {
+			a.expireReceived(now)
 		}
-		if len(b.heard) >= b.c.MaxWorkers {
-			b.Dropped++
+		if len(a.received) >= a.c.MaxWorkers {
+			a.Dropped++
 			return false
 		}
-		of = map[string]*heard{}
-		b.heard[r.Worker] = of
+		reports = map[string]*receivedReport{}
+		a.received[r.Worker] = reports
 	}
-	old := of[r.From]
-	if old != nil && old.r.Incarnation == r.Incarnation && old.r.Seq >= r.Seq {
+	previous := reports[r.From]
+	if previous != nil && previous.report.Incarnation == r.Incarnation && previous.report.Seq >= r.Seq {
 		return false
 	}
-	if old == nil && len(of) >= b.c.MaxMembers {
-		b.expire(now)
-		if len(of) >= b.c.MaxMembers {
-			b.Dropped++
+	if previous == nil && len(reports) >= a.c.MaxMembers {
+		a.expireReceived(now)
+		if len(reports) >= a.c.MaxMembers {
+			a.Dropped++
 			return false
 		}
-		b.heard[r.Worker] = of
+		a.received[r.Worker] = reports
 	}
-	of[r.From] = &heard{r, now - r.Age}
+	reports[r.From] = &receivedReport{r, now - r.Age}
 	return true
 }
 
-// expire forgets what is too old.
-func (b *Aggregator) expire(now time.Duration) {
-	for worker, of := range b.heard {
-		for from, h := range of {
-			if now-h.at >= b.c.MaxAge {
-				delete(of, from)
+// expireReceived removes the reports that are too old.
+func (a *Aggregator) expireReceived(now time.Duration) {
+	for worker, reports := range a.received {
+		for from, received := range reports {
+			if now-received.observedAt >= a.c.MaxAge {
+				delete(reports, from)
 			}
 		}
-		if len(of) == 0 {
-			delete(b.heard, worker)
+		if len(reports) == 0 {
+			delete(a.received, worker)
 		}
 	}
 }
 
-// DueReports are the reports to send now: of workers that this member's latest try speaks against, and of those that others complain
-// of, since who has fared well there is to be heard too.
-func (b *Aggregator) DueReports(now time.Duration) (out []Report) {
-	b.expire(now)
-	for worker, o := range b.own {
-		if o.spoke && (o.saidAt == o.at || o.saidKind == o.kind && now-o.said < b.c.MinRepeatInterval) || now-o.at >= b.c.MaxAge ||
-			o.kind == Succeeded && !b.complained(worker) {
+// DueReports returns the reports to send now, sorted by worker. Successes are reported only for workers that other members
+// complain about, as evidence to the contrary.
+func (a *Aggregator) DueReports(now time.Duration) (out []Report) {
+	a.expireReceived(now)
+	for worker, o := range a.own {
+		if o.reported && (o.reportedObservedAt == o.at || o.reportedKind == o.kind && now-o.reportedAt < a.c.MinRepeatInterval) || now-o.at >= a.c.MaxAge ||
+			o.kind == Succeeded && !a.hasComplaint(worker) {
 			continue
 		}
-		o.said, o.saidAt, o.saidKind, o.spoke = now, o.at, o.kind, true
-		b.seq++
-		out = append(out, Report{b.name, b.zone, worker, b.life, b.seq, now - o.at, o.kind})
+		o.reportedAt, o.reportedObservedAt, o.reportedKind, o.reported = now, o.at, o.kind, true
+		a.seq++
+		out = append(out, Report{a.name, a.zone, worker, a.incarnation, a.seq, now - o.at, o.kind})
 	}
 	slices.SortFunc(out, func(x, y Report) int { return cmp.Compare(x.Worker, y.Worker) })
 	return out
 }
 
-// WithComplaints names the workers that some member's latest try speaks against, in order.
-func (b *Aggregator) WithComplaints(now time.Duration) (names []string) {
-	b.expire(now)
-	for worker := range b.heard {
-		if b.complained(worker) {
+// WithComplaints returns the workers that the latest report of at least one other member complains about, sorted by name.
+func (a *Aggregator) WithComplaints(now time.Duration) (names []string) {
+	a.expireReceived(now)
+	for worker := range a.received {
+		if a.hasComplaint(worker) {
 			names = append(names, worker)
 		}
 	}
@@ -225,63 +234,67 @@
 	return names
 }
 
-func (b *Aggregator) complained(worker string) bool {
-	for _, h := range b.heard[worker] {
-		if h.r.Kind != Succeeded {
+// hasComplaint reports whether another member complains about a worker.
+func (a *Aggregator) hasComplaint(worker string) bool {
+	for _, received := range a.received[worker] {
+		if received.report.Kind != Succeeded {
 			return true
 		}
 	}
 	return false
 }
 
-// voice is one member's latest try at a worker.
-type voice struct {
-	from string
-	at   time.Duration
-	bad  bool
+// vote is a member's latest observation of a worker, as Suspects counts it.
+type vote struct {
+	member    string
+	at        time.Duration
+	complaint bool
 }
 
-// Suspects names the workers that the evidence of this member's zone speaks against, the worst first. known is how many workers
-// there are, and zone how many members of this zone live.
-func (b *Aggregator) Suspects(now time.Duration, known, zone int) (names []string) {
-	b.expire(now)
-	most := int(b.c.MaxSuspectShare * float64(known))
-	all, complaints := map[string][]voice{}, map[string]int{} // complaints by member, ourselves too
-	hear := func(worker string, v voice) {
-		all[worker] = append(all[worker], v)
-		if v.bad {
-			complaints[v.from]++
+// Suspects returns the workers that the members of this member's zone suspect, those with the highest share of complaints first.
+// knownWorkers is the number of all workers, and zoneMembers the number of live members in the zone.
+func (a *Aggregator) Suspects(now time.Duration, knownWorkers, zoneMembers int) (names []string) {
+	a.expireReceived(now)
+	maxSuspects := int(a.c.MaxSuspectShare * float64(knownWorkers))
+	votesOn, complaintsBy := map[string][]vote{}, map[string]int{} // by worker; by member, this one included
+	add := func(worker string, v vote) {
+		votesOn[worker] = append(votesOn[worker], v)
+		if v.complaint {
+			complaintsBy[v.member]++
 		}
 	}
-	for worker, o := range b.own {
-		if now-o.at < b.c.MaxAge {
-			hear(worker, voice{b.name, o.at, o.kind != Succeeded})
+	for worker, o := range a.own {
+		if now-o.at < a.c.MaxAge {
+			add(worker, vote{a.name, o.at, o.kind != Succeeded})
 		}
 	}
-	for worker, of := range b.heard {
-		for from, h := range of {
-			if h.r.Zone == b.zone {
-				hear(worker, voice{from, h.at, h.r.Kind != Succeeded})
+	for worker, reports := range a.received {
+		for from, received := range reports {
+			if received.report.Zone == a.zone {
+				add(worker, vote{from, received.observedAt, received.report.Kind != Succeeded})
 			}
 		}
 	}
-	need := max(2, int(math.Ceil(b.c.FaultyMemberShare*float64(zone)))+1)
-	shares := map[string]float64{}
-	for worker, voices := range all {
-		voices = slices.DeleteFunc(voices, func(v voice) bool { return complaints[v.from] > most }) // it is ill itself, or cut off
-		slices.SortFunc(voices, func(x, y voice) int { return cmp.Or(cmp.Compare(y.at, x.at), cmp.Compare(x.from, y.from)) })
-		voices = voices[:min(len(voices), max(b.c.SampleSize, 2*need))]
-		bad := 0
-		for _, v := range voices {
-			if v.bad {
-				bad++
+	required := max(2, int(math.Ceil(a.c.FaultyMemberShare*float64(zoneMembers)))+1)
+	complaintShares := map[string]float64{}
+	for worker, votes := range votesOn {
+		// A member that complains about too many workers is faulty or partitioned itself.
+		votes = slices.DeleteFunc(votes, func(v vote) bool { return complaintsBy[v.member] > maxSuspects })
+		slices.SortFunc(votes, func(x, y vote) int { return cmp.Or(cmp.Compare(y.at, x.at), cmp.Compare(x.member, y.member)) })
+		votes = votes[:min(len(votes), max(a.c.SampleSize, 2*required))]
+		complaints := 0
+		for _, v := range votes {
+			if v.complaint {
+				complaints++
 			}
 		}
-		if bad >= need && float64(bad) >= b.c.MinComplaintShare*float64(len(voices)) {
+		if complaints >= required && float64(complaints) >= a.c.MinComplaintShare*float64(len(votes)) {
 			names = append(names, worker)
-			shares[worker] = float64(bad) / float64(len(voices))
+			complaintShares[worker] = float64(complaints) / float64(len(votes))
 		}
 	}
-	slices.SortFunc(names, func(x, y string) int { return cmp.Or(cmp.Compare(shares[y], shares[x]), cmp.Compare(x, y)) })
-	return names[:min(len(names), most)]
+	slices.SortFunc(names, func(x, y string) int {
+		return cmp.Or(cmp.Compare(complaintShares[y], complaintShares[x]), cmp.Compare(x, y))
+	})
+	return names[:min(len(names), maxSuspects)]
 }
--- a/internal/evidence/evidence_test.go
+++ b/internal/evidence/evidence_test.go
@@ -13,47 +13,47 @@
 
 const second = time.Second
 
-func book(t require.TestingT, members int, name, zone string) *Aggregator {
-	b, err := NewAggregator(DefaultConfig(members), name, zone, 1)
+func newTestAggregator(t require.TestingT, members int, name, zone string) *Aggregator {
+	a, err := NewAggregator(DefaultConfig(members), name, zone, 1)
 	require.NoError(t, err)
-	return b
+	return a
 }
 
-// report is one of a member whose latest try at a worker was bad or not.
-func report(from, worker string, seq uint64, age time.Duration, bad bool) Report {
+// newReport returns a member's report on a worker, either a complaint or a success.
+func newReport(from, worker string, seq uint64, age time.Duration, complaint bool) Report {
 	r := Report{From: from, Zone: "here", Worker: worker, Incarnation: 1, Seq: seq, Age: age}
-	if bad {
+	if complaint {
 		r.Kind = Failed
 	}
 	return r
 }
 
-// Whom the evidence speaks against, of 40 workers and 100 members, by what they say of one worker.
-func TestWhomItSpeaksAgainst(t *testing.T) {
-	type said struct {
-		members int
-		age     time.Duration
-		bad     bool
+// Checks when a worker is suspected, by the reports of 100 members on it and its 39 fellow workers.
+func TestSuspects(t *testing.T) {
+	type reports struct {
+		members   int // negative: these members also complain about 20 other workers
+		age       time.Duration
+		complaint bool
 	}
 	for name, c := range map[string]struct {
-		said []said
-		zone string
-		bad  bool
+		reports   []reports
+		zone      string
+		suspected bool
 	}{
-		"nobody complains":                     {[]said{{50, 0, false}}, "here", false},
-		"one":                                  {[]said{{1, 0, true}}, "here", false},
-		"as many as may lie":                   {[]said{{4, 0, true}}, "here", false},
-		"one more, and nobody else has tried":  {[]said{{5, 0, true}}, "here", true},
-		"more, and the others fare well":       {[]said{{6, 0, true}, {20, 0, false}}, "here", false},
-		"it begins to fail":                    {[]said{{90, second, false}, {6, 0, true}}, "here", true},
-		"it is well again":                     {[]said{{90, second, true}, {6, 0, false}}, "here", false},
-		"it fails four in five":                {[]said{{40, 0, true}, {10, second, false}}, "here", true},
-		"those of another zone fare badly":     {[]said{{40, 0, true}}, "there", false},
-		"ill ones, who complain of everything": {[]said{{-30, 0, true}}, "here", false},
+		"no complaint":                          {[]reports{{50, 0, false}}, "here", false},
+		"one":                                   {[]reports{{1, 0, true}}, "here", false},
+		"no more than the faulty member share":  {[]reports{{4, 0, true}}, "here", false},
+		"one more, without other observations":  {[]reports{{5, 0, true}}, "here", true},
+		"outweighed by successes":               {[]reports{{6, 0, true}, {20, 0, false}}, "here", false},
+		"starts to fail":                        {[]reports{{90, second, false}, {6, 0, true}}, "here", true},
+		"has recovered":                         {[]reports{{90, second, true}, {6, 0, false}}, "here", false},
+		"fails four jobs in five":               {[]reports{{40, 0, true}, {10, second, false}}, "here", true},
+		"complaints from another zone":          {[]reports{{40, 0, true}}, "there", false},
+		"members that complain of many workers": {[]reports{{-30, 0, true}}, "here", false},
 	} {
-		b := book(t, 100, "me", "here")
+		a := newTestAggregator(t, 100, "me", "here")
 		n := 0
-		for _, s := range c.said {
+		for _, s := range c.reports {
 			workers := []string{"w"}
 			if s.members < 0 {
 				s.members = -s.members
@@ -64,141 +64,141 @@
 			for range s.members {
 				n++
 				for _, w := range workers {
-					r := report(fmt.Sprint("s", n), w, 1, s.age, s.bad)
+					r := newReport(fmt.Sprint("s", n), w, 1, s.age, s.complaint)
 					r.Zone = c.zone
-					require.True(t, b.Receive(2*second, r))
+					require.True(t, a.Receive(2*second, r))
 				}
 			}
 		}
-		names := b.Suspects(2*second, 40, 100)
-		assert.Equal(t, c.bad, len(names) == 1, "%s: %v", name, names)
-		assert.Empty(t, b.Suspects(b.c.MaxAge+2*second, 40, 100), "%s: all of it is too old", name)
+		names := a.Suspects(2*second, 40, 100)
+		assert.Equal(t, c.suspected, len(names) == 1, "%s: %v", name, names)
+		assert.Empty(t, a.Suspects(a.c.MaxAge+2*second, 40, 100), "%s: all reports are too old", name)
 	}
 }
 
-// Own evidence counts like another's, and ends by its age and with a stall. Who has fared well speaks up once others complain, and
-// nobody says the same again.
-func TestOwnEvidence(t *testing.T) {
-	b := book(t, 2, "me", "here")
-	b.Record(0, "w", TimedOut)
-	b.Record(0, "good", Succeeded)
-	due := b.DueReports(second)
-	require.Len(t, due, 1, "of a good one there is nothing to say")
+// Checks that this member's observations count like those of others until they are too old or discarded, that successes are
+// reported only once others complain, and that no report is repeated without need.
+func TestOwnObservations(t *testing.T) {
+	a := newTestAggregator(t, 2, "me", "here")
+	a.Record(0, "w", TimedOut)
+	a.Record(0, "good", Succeeded)
+	due := a.DueReports(second)
+	require.Len(t, due, 1, "a success without complaints is not reported")
 	assert.Equal(t, Report{"me", "here", "w", 1, 1, second, TimedOut}, due[0])
-	assert.Empty(t, b.DueReports(9*second), "nothing new")
-	b.ResendAll()
-	assert.Len(t, b.DueReports(9*second), 1, "once more, for a member that has joined")
-	assert.Empty(t, b.DueReports(9*second), "and only once")
-	b.Record(second, "w", Failed)
-	assert.Len(t, b.DueReports(second+1), 1, "another kind")
-	b.Record(second+2, "w", Failed)
-	assert.Empty(t, b.DueReports(second+2), "the same so soon")
-	assert.Len(t, b.DueReports(second+2+b.c.MinRepeatInterval), 1)
-	assert.Empty(t, b.Suspects(second, 10, 2), "one is not enough")
-	b.Receive(second, report("s", "w", 1, 0, true))
-	b.Receive(second, report("s", "good", 1, 0, true))
-	assert.Equal(t, []string{"w"}, b.Suspects(second, 10, 2))
-	due = b.DueReports(2 * second)
-	require.Len(t, due, 1, "the good one too")
+	assert.Empty(t, a.DueReports(9*second), "no new observation")
+	a.ResendAll()
+	assert.Len(t, a.DueReports(9*second), 1, "after ResendAll")
+	assert.Empty(t, a.DueReports(9*second), "only once after ResendAll")
+	a.Record(second, "w", Failed)
+	assert.Len(t, a.DueReports(second+1), 1, "another kind")
+	a.Record(second+2, "w", Failed)
+	assert.Empty(t, a.DueReports(second+2), "the same kind within MinRepeatInterval")
+	assert.Len(t, a.DueReports(second+2+a.c.MinRepeatInterval), 1)
+	assert.Empty(t, a.Suspects(second, 10, 2), "a single complaint is not enough")
+	a.Receive(second, newReport("s", "w", 1, 0, true))
+	a.Receive(second, newReport("s", "good", 1, 0, true))
+	assert.Equal(t, []string{"w"}, a.Suspects(second, 10, 2))
+	due = a.DueReports(2 * second)
+	require.Len(t, due, 1, "the success, since another member complains")
 	assert.Equal(t, Succeeded, due[0].Kind)
-	assert.Empty(t, b.Suspects(second, 2, 2), "no more than a part of the workers: of two, none")
-	b.DiscardOwn()
-	assert.Empty(t, b.Suspects(second, 10, 2))
-	b.Record(second, "w", Unreachable)
-	assert.Equal(t, []string{"w"}, b.Suspects(second, 10, 2))
-	assert.Empty(t, b.Suspects(second+b.c.MaxAge, 10, 2))
-	assert.Empty(t, b.DueReports(second+b.c.MaxAge))
+	assert.Empty(t, a.Suspects(second, 2, 2), "MaxSuspectShare allows none of two workers")
+	a.DiscardOwn()
+	assert.Empty(t, a.Suspects(second, 10, 2))
+	a.Record(second, "w", Unreachable)
+	assert.Equal(t, []string{"w"}, a.Suspects(second, 10, 2))
+	assert.Empty(t, a.Suspects(second+a.c.MaxAge, 10, 2))
+	assert.Empty(t, a.DueReports(second+a.c.MaxAge))
 }
 
-// What makes no sense or finds no room changes nothing.
+// Checks that invalid reports and those beyond the bounds are dropped, and that expired ones make room.
 func TestBounds(t *testing.T) {
 	c := DefaultConfig(2)
 	c.MaxWorkers = 2
-	b, err := NewAggregator(c, "me", "here", 1)
+	a, err := NewAggregator(c, "me", "here", 1)
 	require.NoError(t, err)
-	for _, r := range []Report{{}, {From: "s", Worker: "w", Kind: -1}, {From: "s", Worker: "w", Kind: kinds}, {From: "s", Worker: "w", Age: -1}} {
-		assert.False(t, b.Receive(0, r))
+	for _, r := range []Report{{}, {From: "s", Worker: "w", Kind: -1}, {From: "s", Worker: "w", Kind: kindCount}, {From: "s", Worker: "w", Age: -1}} {
+		assert.False(t, a.Receive(0, r))
 	}
 	for i := range 9 {
-		b.Receive(0, report(fmt.Sprint("s", i), "w", 1, 0, true))
-		b.Record(0, fmt.Sprint("w", i), Succeeded)
-		b.Receive(0, report("s0", fmt.Sprint("w", i), 1, 0, true))
+		a.Receive(0, newReport(fmt.Sprint("s", i), "w", 1, 0, true))
+		a.Record(0, fmt.Sprint("w", i), Succeeded)
+		a.Receive(0, newReport("s0", fmt.Sprint("w", i), 1, 0, true))
 	}
-	assert.Len(t, b.heard["w"], 2)
-	assert.Len(t, b.heard, 2)
-	assert.Len(t, b.own, 2)
-	assert.Positive(t, b.Dropped)
+	assert.Len(t, a.received["w"], 2)
+	assert.Len(t, a.received, 2)
+	assert.Len(t, a.own, 2)
+	assert.Positive(t, a.Dropped)
 	later := 3 * c.MaxAge
-	b.Record(later, "new", Succeeded)
-	assert.True(t, b.Receive(later, report("s", "new", 1, 0, true)), "old ones make room")
+	a.Record(later, "new", Succeeded)
+	assert.True(t, a.Receive(later, newReport("s", "new", 1, 0, true)), "expired reports make room")
 	for _, c := range []Config{{}, {MaxMembers: 1, MaxWorkers: 1, SampleSize: 1, MaxAge: 1, MinRepeatInterval: 2, MinComplaintShare: 0.5, MaxSuspectShare: 0.5}} {
 		_, err := NewAggregator(c, "me", "", 1)
 		assert.Error(t, err)
 	}
 }
 
-// Lost, doubled, late and out of order: members who have heard the latest of each say the same. Liars, as many as may lie, have
-// no good worker named whatever they say and however often.
-func TestLiarsAndOrder(t *testing.T) {
+// Checks that members with the same reports suspect the same workers, in whatever order the reports arrive and however often. As
+// many faulty members as the configuration allows must not get a good worker suspected.
+func TestFaultyMembersAndReordering(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.IntRange(5, 60).Draw(t, "members")
-		liars := rapid.IntRange(0, max(1, members/25)).Draw(t, "liars")
+		faulty := rapid.IntRange(0, max(1, members/25)).Draw(t, "liars")
 		seed := rapid.Uint64().Draw(t, "seed")
 		rng := rand.New(rand.NewPCG(seed, 1))
 		const workers = 10
 		var all []Report
 		for m := range members {
 			for w := range workers {
-				if m < liars && w > 3 { // a liar that names too many is not believed anyway
+				if m < faulty && w > 3 { // a member that complains about more workers is ignored anyway
 					continue
 				}
 				for seq := range uint64(3) {
-					bad := m < liars || w == 0 && (seq < 2 || rng.Float64() < 0.8) // worker 0 fails all but one in five
-					all = append(all, report(fmt.Sprint("s", m), fmt.Sprint("w", w), seq+1, time.Duration(2-seq)*second, bad))
+					complaint := m < faulty || w == 0 && (seq < 2 || rng.Float64() < 0.8) // worker 0 fails four jobs in five
+					all = append(all, newReport(fmt.Sprint("s", m), fmt.Sprint("w", w), seq+1, time.Duration(2-seq)*second, complaint))
 				}
 			}
 		}
-		var said [2][]string
-		for i := range said {
-			b := book(t, members, "me", "here")
+		var suspects [2][]string
+		for i := range suspects {
+			a := newTestAggregator(t, members, "me", "here")
 			order := append([]Report(nil), all...)
 			order = append(order, all[:len(all)/2]...)
 			rng.Shuffle(len(order), func(a, c int) { order[a], order[c] = order[c], order[a] })
 			for k, r := range order {
-				b.Receive(3*second, r)
-				if k%97 == 0 { // nor on the way there
-					for _, name := range b.Suspects(3*second, workers, members) {
+				a.Receive(3*second, r)
+				if k%97 == 0 { // checks intermediate states too
+					for _, name := range a.Suspects(3*second, workers, members) {
 						if name != "w0" {
 							t.Fatal(name)
 						}
 					}
 				}
 			}
-			said[i] = b.Suspects(4*second, workers, members)
+			suspects[i] = a.Suspects(4*second, workers, members)
 		}
-		if fmt.Sprint(said[0]) != fmt.Sprint(said[1]) {
-			t.Fatalf("%v and %v", said[0], said[1])
+		if fmt.Sprint(suspects[0]) != fmt.Sprint(suspects[1]) {
+			t.Fatalf("suspects differ by the order of reports: %v and %v", suspects[0], suspects[1])
 		}
-		for _, name := range said[0] {
+		for _, name := range suspects[0] {
 			if name != "w0" {
-				t.Fatalf("%v by %d liars of %d", said[0], liars, members)
+				t.Fatalf("suspects are %v with %d faulty members of %d", suspects[0], faulty, members)
 			}
 		}
 	})
 }
 
-func TestComplainedNamesThoseSpokenAgainst(t *testing.T) {
-	b, err := NewAggregator(DefaultConfig(5), "a", "z", 1)
+func TestWithComplaints(t *testing.T) {
+	a, err := NewAggregator(DefaultConfig(5), "a", "z", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Receive(0, Report{From: "b", Zone: "z", Worker: "w2", Seq: 1, Kind: Failed})
-	b.Receive(0, Report{From: "b", Zone: "z", Worker: "w1", Seq: 2, Kind: TimedOut})
-	b.Receive(0, Report{From: "b", Zone: "z", Worker: "w3", Seq: 3, Kind: Succeeded})
-	if names := b.WithComplaints(time.Second); len(names) != 2 || names[0] != "w1" || names[1] != "w2" {
+	a.Receive(0, Report{From: "b", Zone: "z", Worker: "w2", Seq: 1, Kind: Failed})
+	a.Receive(0, Report{From: "b", Zone: "z", Worker: "w1", Seq: 2, Kind: TimedOut})
+	a.Receive(0, Report{From: "b", Zone: "z", Worker: "w3", Seq: 3, Kind: Succeeded})
+	if names := a.WithComplaints(time.Second); len(names) != 2 || names[0] != "w1" || names[1] != "w2" {
 		t.Fatal(names)
 	}
-	if names := b.WithComplaints(time.Minute); names != nil {
-		t.Fatal("old complaints:", names)
+	if names := a.WithComplaints(time.Minute); names != nil {
+		t.Fatal("expired complaints:", names)
 	}
 }
--- a/internal/fleet/budget.go
+++ b/internal/fleet/budget.go
@@ -9,39 +9,40 @@
 	"weldscale/internal/share"
 )
 
-// This file drives the budgets of internal/share over a link: it carries asks and answers, and reads the clock. What a
-// member may spend is share's decision.
+// This file runs the protocol of package share over a Link: it sends and receives its messages and supplies the clock. Package
+// share decides what a member may spend.
 
-// Budgets are all budgets of one member. Its methods may be called from any goroutine and never wait for the network.
+// Budgets holds all budgets of one member. Its methods are safe for concurrent use and do not wait for the network.
 type Budgets struct {
-	name  string
-	life  uint64
-	begun time.Time // its clock is the time since; it never steps
-	send  func(to string, data []byte) error
+	name        string
+	incarnation uint64
+	started     time.Time // package share gets the monotonic time since then
+	send        func(to string, data []byte) error
 
-	mu   sync.Mutex
-	all  map[string]*budget
-	bad  int
-	stop chan struct{}
-	done sync.WaitGroup
+	mu         sync.Mutex
+	budgets    map[string]*budget
+	malformed  int
+	stop       chan struct{}
+	goroutines sync.WaitGroup
 }
 
 type budget struct {
-	c      share.Config
+	config share.Config
 	holder *share.Holder
-	keeper *share.Voter // nil: this member is none
+	voter  *share.Voter // nil if this member does not vote
 	spent  float64
 	denied int
 }
 
-// letter is what members send each other. Chunks are bits of a text: a list of them would not fit a datagram.
-type letter struct {
-	Budget string        `json:"b"`
-	Ask    *askLetter    `json:"q,omitempty"`
-	Answer *answerLetter `json:"a,omitempty"`
+// budgetMessage is a message between members. Chunks are encoded as a bitmap, since a list of them would not fit a datagram.
+type budgetMessage struct {
+	Budget string              `json:"b"`
+	Ask    *voteRequestMessage `json:"q,omitempty"`
+	Answer *voteReplyMessage   `json:"a,omitempty"`
 }
 
-type askLetter struct {
+// voteRequestMessage is the encoding of a share.VoteRequest.
+type voteRequestMessage struct {
 	Life  uint64 `json:"l"`
 	Round uint64 `json:"r"`
 	Want  []byte `json:"w,omitempty"`
@@ -50,7 +51,8 @@
 	More  int    `json:"m,omitempty"`
 }
 
-type answerLetter struct {
+// voteReplyMessage is the encoding of a share.VoteReply.
+type voteReplyMessage struct {
 	Life  uint64 `json:"l"`
 	Round uint64 `json:"r"`
 	Yes   []byte `json:"y,omitempty"`
@@ -60,97 +62,98 @@
 	Ask   int    `json:"n,omitempty"`
 }
 
-// MaxChunks is how many chunks a budget may have here: three sets of them fit a datagram.
+// MaxChunks is the maximum number of chunks of a budget. Three bitmaps of that many chunks fit a datagram.
 const MaxChunks = 1024
 
-// NewBudgets are none yet. send is a Link's Send.
-func NewBudgets(name string, life uint64, send func(string, []byte) error) *Budgets {
-	return &Budgets{name: name, life: life, begun: time.Now(), send: send, all: map[string]*budget{}, stop: make(chan struct{})}
+// NewBudgets returns a member without budgets. send is usually the method Send of a Link.
+func NewBudgets(name string, incarnation uint64, send func(string, []byte) error) *Budgets {
+	return &Budgets{name: name, incarnation: incarnation, started: time.Now(), send: send, budgets: map[string]*budget{}, stop: make(chan struct{})}
 }
 
-func (b *Budgets) now() time.Duration { return time.Since(b.begun) }
+func (b *Budgets) now() time.Duration { return time.Since(b.started) }
 
-// Add begins a budget with its floor. All members must add it with the same terms.
+// Add adds a budget, of which this member may spend its floor at first, and starts to request more of it. All members must add
+// the budget with the same configuration.
 func (b *Budgets) Add(name string, c share.Config) error {
 	if c.Chunks > MaxChunks {
-		return fmt.Errorf("fleet: budget %q: %d chunks; allowed are %d", name, c.Chunks, MaxChunks)
+		return fmt.Errorf("fleet: budget %q has %d chunks, more than the maximum of %d", name, c.Chunks, MaxChunks)
 	}
-	h, err := share.NewHolder(c, b.name, b.life, b.now())
+	h, err := share.NewHolder(c, b.name, b.incarnation, b.now())
 	if err != nil {
 		return err
 	}
-	v := &budget{c: c, holder: h}
-	for _, k := range c.Voters {
-		if k == b.name {
-			if v.keeper, err = share.NewVoter(c, b.name, b.now()); err != nil {
+	added := &budget{config: c, holder: h}
+	for _, voter := range c.Voters {
+		if voter == b.name {
+			if added.voter, err = share.NewVoter(c, b.name, b.now()); err != nil {
 				return err
 			}
 		}
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.all[name] != nil {
-		return fmt.Errorf("fleet: budget %q stands twice", name)
+	if b.budgets[name] != nil {
+		return fmt.Errorf("fleet: budget %q exists already", name)
 	}
-	b.all[name] = v
-	b.done.Go(func() { b.rounds(name, v) })
+	b.budgets[name] = added
+	b.goroutines.Go(func() { b.runRounds(name, added) })
 	return nil
 }
 
-// rounds asks the keepers again and again.
-func (b *Budgets) rounds(name string, v *budget) {
+// runRounds sends requests for a budget to the voters, four times per lease duration, until Stop.
+func (b *Budgets) runRounds(name string, of *budget) {
 	for {
 		b.mu.Lock()
-		a := v.holder.BeginRound(b.now())
+		request := of.holder.BeginRound(b.now())
 		b.mu.Unlock()
-		text, _ := json.Marshal(letter{Budget: name, Ask: &askLetter{a.Incarnation, a.Round, bits(a.Wanted), bits(a.Released), a.Shortfall, a.UnmetDemand}})
-		for _, k := range v.c.Voters {
-			b.send(k, text) // one that can't be reached does not answer
+		text, _ := json.Marshal(budgetMessage{Budget: name, Ask: &voteRequestMessage{request.Incarnation, request.Round, encodeChunks(request.Wanted), encodeChunks(request.Released), request.Shortfall, request.UnmetDemand}})
+		for _, voter := range of.config.Voters {
+			b.send(voter, text) // a failed send counts as no reply
 		}
 		select {
 		case <-b.stop:
 			return
-		case <-time.After(v.c.LeaseDuration / 4):
+		case <-time.After(of.config.LeaseDuration / 4):
 		}
 	}
 }
 
-// HandleMessage takes in a message of a member. What makes no sense is counted, and changes nothing.
+// HandleMessage processes a message of a member. It ignores and counts malformed messages.
 func (b *Budgets) HandleMessage(from string, data []byte) {
-	var in letter
-	err := json.Unmarshal(data, &in)
+	var message budgetMessage
+	err := json.Unmarshal(data, &message)
 	b.mu.Lock()
-	v := b.all[in.Budget]
-	if err != nil || v == nil || in.Ask == nil && in.Answer == nil || in.Ask != nil && v.keeper == nil {
-		b.bad++
+	of := b.budgets[message.Budget]
+	if err != nil || of == nil || message.Ask == nil && message.Answer == nil || message.Ask != nil && of.voter == nil {
+		b.malformed++
 		b.mu.Unlock()
 		return
 	}
-	if in.Ask == nil {
-		a := in.Answer
-		v.holder.HandleReply(b.now(), share.VoteReply{Voter: from, Incarnation: a.Life, Round: a.Round, Granted: list(a.Yes), Available: list(a.Open), Shortfall: a.Short, UnmetDemand: a.More, Requesters: a.Ask})
+	if message.Ask == nil {
+		reply := message.Answer
+		of.holder.HandleReply(b.now(), share.VoteReply{Voter: from, Incarnation: reply.Life, Round: reply.Round, Granted: decodeChunks(reply.Yes), Available: decodeChunks(reply.Open), Shortfall: reply.Short, UnmetDemand: reply.More, Requesters: reply.Ask})
 		b.mu.Unlock()
 		return
 	}
-	q := in.Ask
-	a := v.keeper.HandleRequest(b.now(), share.VoteRequest{From: from, Incarnation: q.Life, Round: q.Round, Wanted: list(q.Want), Released: list(q.Free), Shortfall: q.Short, UnmetDemand: q.More})
+	request := message.Ask
+	reply := of.voter.HandleRequest(b.now(), share.VoteRequest{From: from, Incarnation: request.Life, Round: request.Round, Wanted: decodeChunks(request.Want), Released: decodeChunks(request.Free), Shortfall: request.Short, UnmetDemand: request.More})
 	b.mu.Unlock()
-	text, _ := json.Marshal(letter{Budget: in.Budget, Answer: &answerLetter{a.Incarnation, a.Round, bits(a.Granted), bits(a.Available), a.Shortfall, a.UnmetDemand, a.Requesters}})
+	text, _ := json.Marshal(budgetMessage{Budget: message.Budget, Answer: &voteReplyMessage{reply.Incarnation, reply.Round, encodeChunks(reply.Granted), encodeChunks(reply.Available), reply.Shortfall, reply.UnmetDemand, reply.Requesters}})
 	b.send(from, text)
 }
 
-// Spend takes units of a budget if they are there. There is none of an unknown one.
+// Spend takes units of a budget if they are available, and reports whether it did. It returns false for an unknown budget.
 func (b *Budgets) Spend(name string, units float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	v := b.all[name]
-	if v == nil || !v.holder.Spend(b.now(), units) {
-		if v != nil {
-			v.denied++
+	of := b.budgets[name]
+	if of == nil || !of.holder.Spend(b.now(), units) {
+		if of != nil {
+			of.denied++
 		}
 		return false
 	}
-	v.spent += units
+	of.spent += units
 	return true
 }
 
@@ -158,38 +161,38 @@
 func (b *Budgets) Return(name string, units float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if v := b.all[name]; v != nil {
-		v.holder.Return(units)
+	if of := b.budgets[name]; of != nil {
+		of.holder.Return(units)
 	}
 }
 
-// BudgetStatus is a budget as this member has it.
+// BudgetStatus is the state of a budget at this member.
 type BudgetStatus struct {
-	Share, Floor, Budget float64
-	Spent                float64
-	Denied, Malformed    int
-	Voter                bool
+	Share, Floor, Budget float64 // what this member may spend now, what it may always spend, and the budget of the fleet
+	Spent                float64 // units since the start
+	Denied, Malformed    int     // denied calls of Spend, and malformed messages of all budgets
+	Voter                bool    // whether this member votes
 }
 
-// Status tells of each budget.
+// Status returns the state of each budget by its name.
 func (b *Budgets) Status() map[string]BudgetStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[string]BudgetStatus{}
-	for name, v := range b.all {
-		out[name] = BudgetStatus{v.holder.Share(b.now()), v.c.Floor, v.c.Budget, v.spent, v.denied, b.bad, v.keeper != nil}
+	for name, of := range b.budgets {
+		out[name] = BudgetStatus{of.holder.Share(b.now()), of.config.Floor, of.config.Budget, of.spent, of.denied, b.malformed, of.voter != nil}
 	}
 	return out
 }
 
-// Stop ends the asking; what is held runs out by itself.
+// Stop stops sending requests and waits for the rounds to end. Leases that are held expire.
 func (b *Budgets) Stop() {
 	close(b.stop)
-	b.done.Wait()
+	b.goroutines.Wait()
 }
 
-// bits and list write a set of chunks as bits, and read it.
-func bits(chunks []int) (out []byte) {
+// encodeChunks returns a set of chunks as a bitmap.
+func encodeChunks(chunks []int) (out []byte) {
 	for _, i := range chunks {
 		for len(out) <= i/8 {
 			out = append(out, 0)
@@ -199,7 +202,8 @@
 	return out
 }
 
-func list(set []byte) (out []int) {
+// decodeChunks returns the chunks of a bitmap. It ignores those from MaxChunks on.
+func decodeChunks(set []byte) (out []int) {
 	for i := range 8 * min(len(set), MaxChunks/8) {
 		if set[i/8]>>(i%8)&1 == 1 {
 			out = append(out, i)
--- a/internal/fleet/evidence.go
+++ b/internal/fleet/evidence.go
@@ -12,28 +12,29 @@
 	"weldscale/internal/evidence"
 )
 
-// This file spreads evidence on workers over a link: each report goes by the members' gossip, and each member passes on what
-// is news to it. What it weighs is evidence's decision, and who gets a job the module's.
+// This file exchanges evidence on workers over a Link: reports are broadcast by gossip, and each member forwards those that are
+// new to it. Package evidence decides which workers are suspected, and the decision module which worker gets a job.
 
-// Evidence is one member's books, one for each service. Its methods may be called from any goroutine and never wait.
+// Evidence holds one member's evidence on the workers of each service. Its methods are safe for concurrent use and do not wait for
+// the network.
 type Evidence struct {
-	name, zone string
-	life       uint64
-	c          evidence.Config
-	link       func() *Link
-	begun      time.Time
-
-	mu    sync.Mutex
-	books map[string]*evidence.Aggregator
-	last  time.Duration // the latest round, of whichever service
-	bad   int
-	names map[string][]string // by service: whom the evidence speaks against, as last weighed
+	name, zone  string
+	incarnation uint64
+	config      evidence.Config
+	link        func() *Link
+	started     time.Time
+
+	mu          sync.Mutex
+	aggregators map[string]*evidence.Aggregator // by service
+	lastTick    time.Duration                   // of any service
+	malformed   int
+	suspects    map[string][]string // by service, as of its last tick
 }
 
-// stalled is how far apart two rounds are after a stall; they come several times a second.
-const stalled = time.Second
+// stallThreshold is the time between two ticks that counts as a stall of this process. Ticks normally come several times a second.
+const stallThreshold = time.Second
 
-// evidenceMark is the first byte of its messages; those of budgets begin with a brace.
+// evidenceMark is the first byte of a message of evidence. Messages of budgets start with a brace.
 const evidenceMark = 'E'
 
 type evidenceMessage struct {
@@ -46,108 +47,113 @@
 	Kind    int    `json:"k"`
 }
 
-// NewEvidence are no books yet. link is asked once messages go out.
-func NewEvidence(name, zone string, life uint64, members int, link func() *Link) *Evidence {
-	return &Evidence{name: name, zone: zone, life: life, c: evidence.DefaultConfig(members), link: link, begun: time.Now(),
-		books: map[string]*evidence.Aggregator{}, names: map[string][]string{}}
+// NewEvidence returns a member without evidence, in a fleet of at most the given number of members. link is called whenever the
+// link is needed, not before the first Tick.
+func NewEvidence(name, zone string, incarnation uint64, members int, link func() *Link) *Evidence {
+	return &Evidence{name: name, zone: zone, incarnation: incarnation, config: evidence.DefaultConfig(members), link: link, started: time.Now(),
+		aggregators: map[string]*evidence.Aggregator{}, suspects: map[string][]string{}}
 }
 
-func (v *Evidence) book(service string) *evidence.Aggregator {
-	b := v.books[service]
-	if b == nil {
-		b, _ = evidence.NewAggregator(v.c, v.name, v.zone, v.life) // the usual ones are in order
-		v.books[service] = b
+// aggregator returns the evidence of a service, and creates it if needed. The caller must hold the lock.
+func (v *Evidence) aggregator(service string) *evidence.Aggregator {
+	a := v.aggregators[service]
+	if a == nil {
+		a, _ = evidence.NewAggregator(v.config, v.name, v.zone, v.incarnation) // the default configuration is valid
+		v.aggregators[service] = a
 	}
-	return b
+	return a
 }
 
-// Record takes in what became of a job, or of a probe, at a worker of a service.
+// Record records the outcome of a job or a probe at a worker of a service.
 func (v *Evidence) Record(service, worker string, k evidence.Kind) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.book(service).Record(time.Since(v.begun), worker, k)
+	v.aggregator(service).Record(time.Since(v.started), worker, k)
 }
 
-// Tick says what is due and returns whom the evidence speaks against. It is called several times a second; known is how
-// many workers the service has.
-func (v *Evidence) Tick(service string, known int) []string {
+// Tick broadcasts the reports of a service that are due, and returns the suspected workers. It must be called several times a
+// second. knownWorkers is the number of workers of the service.
+func (v *Evidence) Tick(service string, knownWorkers int) []string {
 	link := v.link()
-	members := 0
+	zoneMembers := 0
 	for _, m := range link.Members() {
 		if m.Zone == v.zone {
-			members++
+			zoneMembers++
 		}
 	}
 	v.mu.Lock()
-	now := time.Since(v.begun)
-	if now-v.last > stalled { // the first act after a stall looks at the clock
-		for _, b := range v.books {
-			b.DiscardOwn()
+	now := time.Since(v.started)
+	if now-v.lastTick > stallThreshold {
+		for _, a := range v.aggregators {
+			a.DiscardOwn()
 		}
 	}
-	v.last = now
-	b := v.book(service)
-	due := b.DueReports(now)
-	names := b.Suspects(now, known, members)
-	v.names[service] = names
+	v.lastTick = now
+	a := v.aggregator(service)
+	due := a.DueReports(now)
+	suspects := a.Suspects(now, knownWorkers, zoneMembers)
+	v.suspects[service] = suspects
 	v.mu.Unlock()
 	for _, r := range due {
 		text, _ := json.Marshal(evidenceMessage{service, r.Zone, r.Worker, r.Incarnation, r.Seq, r.Age.Milliseconds(), int(r.Kind)})
 		link.Broadcast(service+"/"+r.Worker, append([]byte{evidenceMark}, text...))
 	}
-	return names
+	return suspects
 }
 
-// ResendAll sends each standing report once more with the next rounds, for a member that has joined since.
+// ResendAll makes the next ticks broadcast all current reports once more, for a member that has joined since they were sent.
 func (v *Evidence) ResendAll() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for _, b := range v.books {
-		b.ResendAll()
+	for _, a := range v.aggregators {
+		a.ResendAll()
 	}
 }
 
-// HandleMessage takes in a message of a member if it is evidence, and reports whether it is and whether it is to be passed on.
-func (v *Evidence) HandleMessage(from string, data []byte) (mine, news bool) {
+// HandleMessage processes a message of a member if it contains evidence. It returns whether it does, and whether the message is
+// new and should be forwarded.
+func (v *Evidence) HandleMessage(from string, data []byte) (isEvidence, forward bool) {
 	if len(data) == 0 || data[0] != evidenceMark {
 		return false, false
 	}
-	var in evidenceMessage
-	err := json.Unmarshal(data[1:], &in)
+	var message evidenceMessage
+	err := json.Unmarshal(data[1:], &message)
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	b := v.books[in.Service]
-	if err != nil || b == nil || len(in.Worker) > maxWorker || in.AgeMS < 0 || in.AgeMS > time.Hour.Milliseconds() {
-		v.bad++
+	a := v.aggregators[message.Service]
+	if err != nil || a == nil || len(message.Worker) > maxWorkerName || message.AgeMS < 0 || message.AgeMS > time.Hour.Milliseconds() {
+		v.malformed++
 		return true, false
 	}
-	r := evidence.Report{From: from, Zone: in.Zone, Worker: in.Worker, Incarnation: in.Life, Seq: in.Seq,
-		Age: time.Duration(in.AgeMS) * time.Millisecond, Kind: evidence.Kind(in.Kind)}
-	return true, b.Receive(time.Since(v.begun), r)
+	r := evidence.Report{From: from, Zone: message.Zone, Worker: message.Worker, Incarnation: message.Life, Seq: message.Seq,
+		Age: time.Duration(message.AgeMS) * time.Millisecond, Kind: evidence.Kind(message.Kind)}
+	return true, a.Receive(time.Since(v.started), r)
 }
 
-const maxWorker = 256
+// maxWorkerName bounds the name of a worker in a message, in bytes.
+const maxWorkerName = 256
 
-// Suspects names the workers that the evidence speaks against, as service/worker, and counts the messages without sense.
-func (v *Evidence) Suspects() (names []string, bad int) {
+// Suspects returns the suspected workers as sorted service/worker names, and the number of messages that were malformed or exceeded
+// a bound.
+func (v *Evidence) Suspects() (names []string, malformed int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for service, list := range v.names {
-		for _, w := range list {
+	for service, suspects := range v.suspects {
+		for _, w := range suspects {
 			names = append(names, service+"/"+w)
 		}
 	}
-	for _, b := range v.books {
-		bad += b.Dropped
+	for _, a := range v.aggregators {
+		malformed += a.Dropped
 	}
 	slices.Sort(names)
-	return names, bad + v.bad
+	return names, malformed + v.malformed
 }
 
-// gossip is a message that memberlist passes to a few others at a time. A later one of the same member and key takes its place.
+// gossip is a message that memberlist sends to a few other members at a time. It replaces a queued one with the same key.
 type gossip struct {
-	key string
-	b   []byte
+	key  string
+	data []byte
 }
 
 func (g *gossip) Invalidates(o memberlist.Broadcast) bool {
@@ -155,31 +161,32 @@
 	return ok && other.key == g.key
 }
 func (g *gossip) Name() string    { return g.key }
-func (g *gossip) Message() []byte { return g.b }
+func (g *gossip) Message() []byte { return g.data }
 func (g *gossip) Finished()       {}
 
-// mostGossip bounds the messages that wait to be passed on; the oldest go.
-const mostGossip = 1024
+// maxQueuedGossip bounds the queue of gossip. The oldest messages are dropped.
+const maxQueuedGossip = 1024
 
-// Broadcast tells all members something, by and by; a later message of that key takes the place of one that is still on its way
-// out of here.
+// Broadcast sends a message to all members by gossip. It replaces a message of this member with the same key that is still queued.
+// Messages that are too large are dropped.
 func (l *Link) Broadcast(key string, data []byte) {
 	if len(data) <= maxMessage {
-		l.pass(l.c.Name+" "+key, l.headed(data))
+		l.enqueue(l.c.Name+" "+key, l.withSender(data))
 	}
 }
 
-func (l *Link) pass(key string, b []byte) {
+// enqueue adds a message with its sender's name to the queue of gossip.
+func (l *Link) enqueue(key string, b []byte) {
 	l.gossip.QueueBroadcast(&gossip{key, b})
-	l.gossip.Prune(mostGossip)
+	l.gossip.Prune(maxQueuedGossip)
 }
 
-// passOn hands on a message of another member, which was news here.
-func (l *Link) passOn(b []byte) {
-	// The key is that of the sender's own: who and what, without the figures.
+// forward queues a message of another member for gossip. The key is the same as at the sender, so that a newer report of that
+// member on the same worker replaces it.
+func (l *Link) forward(b []byte) {
 	from, data := string(b[2:2+b[1]]), b[2+b[1]:]
-	var in evidenceMessage
-	if len(data) > 0 && json.Unmarshal(data[1:], &in) == nil {
-		l.pass(strings.Join([]string{from, in.Service + "/" + in.Worker}, " "), slices.Clone(b))
+	var message evidenceMessage
+	if len(data) > 0 && json.Unmarshal(data[1:], &message) == nil {
+		l.enqueue(strings.Join([]string{from, message.Service + "/" + message.Worker}, " "), slices.Clone(b))
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet is the link between the schedulers of one fleet: who is a member, and small messages between members. It
-// owns those sockets (UDP and TCP on one address, under memberlist) and bounds what goes through them. It must never decide anything,
-// nor have a member's word name a worker; what a message means is its taker's matter. Without a fleet block none of it
-// exists.
+// Package fleet connects the schedulers of one fleet: it keeps the list of live members by gossip and carries small messages
+// between them. It owns the sockets, UDP and TCP on one address below memberlist, and bounds the traffic. It does not interpret
+// the budgets and the evidence that members exchange; packages share and evidence do. It is used only if the scheduler's file has
+// a fleet block.
 package fleet
 
 import (
@@ -19,68 +19,66 @@
 	"golang.org/x/time/rate"
 )
 
-// Config is a member's place in its fleet.
+// Config configures a member of a fleet.
 type Config struct {
-	// Fleet names the fleet: members of another one are never let in.
+	// Fleet is the name of the fleet. Members of other fleets cannot join.
 	Fleet string
-	// Name is the member's own, the same after a restart.
+	// Name is the name of this member. It stays the same after a restart.
 	Name string
-	// Incarnation tells one start of that name from another.
+	// Incarnation differs for each start of the member.
 	Incarnation uint64
 	Zone        string
-	// Bind is the address and port for both UDP and TCP, and the one that others reach it by.
+	// Bind is the address and port of both sockets. Other members use the same address.
 	Bind string
-	// Relay is a relay that everything goes by, as rehearsals of faults want it; "": straight.
+	// Relay is the address of a relay for all traffic, which fault tests use. If it is "", members connect directly.
 	Relay string
-	// Join are addresses of members; any living one will do.
+	// Join are addresses of members. One live member among them is enough to join.
 	Join []string
-	// Key encrypts what is said: 16, 24 or 32 bytes, or none.
+	// Key encrypts the traffic. It has 16, 24 or 32 bytes, or none for no encryption.
 	Key []byte
-	// MaxMembers is how many there may be at most.
+	// MaxMembers is the maximum number of members that run at once.
 	MaxMembers int
-	// OnMessage is given each message of a member, on one of several goroutines, and reports whether one that came by gossip is
-	// to be passed on. It must not keep data.
-	OnMessage func(from string, data []byte) (passOn bool)
-	// OnJoin, if set, is called as a member is found to be alive. It must neither wait nor ask the link anything.
+	// OnMessage is called with each message of a member, from several goroutines, and returns whether a message that came by
+	// gossip should be forwarded. It must not keep data.
+	OnMessage func(from string, data []byte) (forward bool)
+	// OnJoin, if set, is called when another member is found to be alive. It must neither wait nor call the link.
 	OnJoin func()
 }
 
-// Bounds on what comes in.
 const (
-	maxName     = 64
-	maxMessage  = 1200 // fits a datagram with all that goes around it
-	messageRate = 60   // a second from one member
-	messageOnce = 120  // at once
-	rejoinEvery = 2 * time.Second
-	leaveFor    = time.Second
-	version     = 1
-	// bytesBase and bytesEach are the datagrams that are borne each way, in bytes a second: of the list's own talk, and for
-	// each member, whose asks and answers come to a keeper twice a second.
-	bytesBase, bytesEach = 64 << 10, 4 << 10
-	// gossipEvery is how often what is to be passed on goes out, to three members; where there is nothing nothing goes. Some
-	// four of these bring news to a hundred.
-	gossipEvery = 50 * time.Millisecond
+	maxName        = 64
+	maxMessage     = 1200 // fits a datagram with all headers
+	messageRate    = 60   // per second from one member
+	messageBurst   = 120
+	rejoinInterval = 2 * time.Second
+	leaveTimeout   = time.Second
+	version        = 1
+	// baseByteRate and memberByteRate limit the datagrams in each direction, in bytes per second: baseByteRate for the traffic of
+	// memberlist, and memberByteRate for each member, whose vote requests reach a voter twice a second.
+	baseByteRate, memberByteRate = 64 << 10, 4 << 10
+	// gossipInterval is how often queued gossip is sent, to three members. A message reaches a hundred members in about four
+	// intervals. Nothing is sent if the queue is empty.
+	gossipInterval = 50 * time.Millisecond
 )
 
-// Member is a member as this one sees it.
+// Member is a member as this one knows it.
 type Member struct {
 	Name, Zone, Address string
 	Incarnation         uint64
-	LastMessageAge      time.Duration // ago; 0 for oneself and one that has said nothing
+	LastMessageAge      time.Duration // 0 for this member and for one that has sent no message
 }
 
-// Counts is what went in and out.
+// Counts are the numbers of messages by what became of them.
 type Counts struct{ Sent, Received, Malformed, OverLimit, UnknownSender int }
 
-// Link is one member's part in the fleet.
+// Link is a running member of a fleet. Its methods are safe for concurrent use.
 type Link struct {
-	c    Config
-	list atomic.Pointer[memberlist.Memberlist] // nil until it is made: it takes messages before that
-	wire *transport
-	// gossip is what this member passes to others, a few at a time.
-	gossip memberlist.TransmitLimitedQueue
-	stop   chan struct{}
-	done   sync.WaitGroup
+	c          Config
+	list       atomic.Pointer[memberlist.Memberlist] // nil until Start has created it; messages may arrive before
+	transport  *transport
+	gossip     memberlist.TransmitLimitedQueue
+	stop       chan struct{}
+	goroutines sync.WaitGroup
 
 	mu      sync.Mutex
 	counts  Counts
@@ -88,19 +86,20 @@
 }
 
 type sender struct {
-	limit *rate.Limiter
-	heard time.Time
+	limit         *rate.Limiter
+	lastMessageAt time.Time
 }
 
+// meta is what a member announces about itself by memberlist.
 type meta struct {
 	Zone string `json:"zone"`
 	Life uint64 `json:"life"`
 }
 
-// Start binds and joins. That no other member answers is no fault: it goes on trying.
+// Start binds the sockets and joins the fleet. It succeeds even if no other member replies; the link keeps trying to join.
 func Start(c Config) (*Link, error) {
 	if c.Name == "" || len(c.Name) > maxName || c.Fleet == "" || c.MaxMembers < 1 {
-		return nil, fmt.Errorf("fleet: name, fleet or members missing or out of range")
+		return nil, fmt.Errorf("fleet: name, fleet or maximum number of members is missing or out of range")
 	}
 	l := &Link{c: c, stop: make(chan struct{}), senders: map[string]*sender{}}
 	l.gossip.RetransmitMult = 2
@@ -111,27 +110,28 @@
 		return 1
 	}
 	var err error
-	if l.wire, err = listen(c.Bind, c.Relay, bytesBase+bytesEach*c.MaxMembers); err != nil {
+	if l.transport, err = listen(c.Bind, c.Relay, baseByteRate+memberByteRate*c.MaxMembers); err != nil {
 		return nil, fmt.Errorf("fleet: bind %q: %w", c.Bind, err)
 	}
 	m := memberlist.DefaultLANConfig()
-	m.Name, m.Label, m.Transport = c.Name, c.Fleet, l.wire
-	m.GossipInterval = gossipEvery
+	m.Name, m.Label, m.Transport = c.Name, c.Fleet, l.transport
+	m.GossipInterval = gossipInterval
 	m.SecretKey = c.Key
 	m.Delegate, m.Events, m.Conflict = delegate{l}, events{l}, nil
-	m.Logger = log.New(io.Discard, "", 0) // what matters is counted, and told by Members
-	m.DeadNodeReclaimTime = time.Second   // a restart may come back on another address
+	m.Logger = log.New(io.Discard, "", 0) // Counts and Members show what operators need
+	m.DeadNodeReclaimTime = time.Second   // a restarted member may have another address
 	list, err := memberlist.Create(m)
 	if err != nil {
-		l.wire.Shutdown()
+		l.transport.Shutdown()
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
 	l.list.Store(list)
-	l.done.Go(l.rejoin)
+	l.goroutines.Go(l.rejoin)
 	return l, nil
 }
 
-// rejoin keeps asking the addresses that stand for nobody alive: at the start, after a split, after a restart of all.
+// rejoin tries to join the configured addresses that belong to no live member. This covers the first join, the end of a network
+// partition and a restart of all members.
 func (l *Link) rejoin() {
 	for {
 		known := map[string]bool{l.c.Bind: true}
@@ -140,29 +140,30 @@
 		}
 		for _, addr := range l.c.Join {
 			if !known[addr] {
-				l.list.Load().Join([]string{addr}) // it is tried again if nobody answers
+				l.list.Load().Join([]string{addr}) // a failed join is tried again in the next interval
 			}
 		}
 		select {
 		case <-l.stop:
 			return
-		case <-time.After(rejoinEvery):
+		case <-time.After(rejoinInterval):
 		}
 	}
 }
 
-// Stop leaves the fleet, so that others need not find out.
+// Stop leaves the fleet and closes the sockets. It announces the departure, so that the other members need not detect it.
 func (l *Link) Stop() {
 	close(l.stop)
-	l.done.Wait()
-	l.list.Load().Leave(leaveFor)
+	l.goroutines.Wait()
+	l.list.Load().Leave(leaveTimeout)
 	l.list.Load().Shutdown()
 }
 
-// Send tells a member something, if it is one; whether it arrives is not known. Oneself is told at once.
+// Send sends a message to a member. A nil error does not mean that the message arrives. Messages to this member itself are passed
+// to OnMessage before Send returns.
 func (l *Link) Send(to string, data []byte) error {
 	if len(data) > maxMessage {
-		return fmt.Errorf("fleet: a message of %d bytes; allowed are %d", len(data), maxMessage)
+		return fmt.Errorf("fleet: message of %d bytes is larger than the maximum of %d", len(data), maxMessage)
 	}
 	if to == l.c.Name {
 		l.c.OnMessage(to, data)
@@ -173,28 +174,28 @@
 			l.mu.Lock()
 			l.counts.Sent++
 			l.mu.Unlock()
-			return l.list.Load().SendBestEffort(m, l.headed(data))
+			return l.list.Load().SendBestEffort(m, l.withSender(data))
 		}
 	}
 	return fmt.Errorf("fleet: no member %q", to)
 }
 
-// headed is a message with its sender's name.
-func (l *Link) headed(data []byte) []byte {
+// withSender returns a message with a header that contains the version and the name of this member.
+func (l *Link) withSender(data []byte) []byte {
 	head := append([]byte{version, byte(len(l.c.Name))}, l.c.Name...)
 	return append(head, data...)
 }
 
-// Members are all that are alive as far as this one knows, by name.
+// Members returns the members that this one considers alive, itself included, sorted by name.
 func (l *Link) Members() (out []Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, m := range l.list.Load().Members() {
-		var v meta
-		json.Unmarshal(m.Meta, &v) // one that says nothing of itself has neither
-		member := Member{Name: m.Name, Zone: v.Zone, Address: m.Address(), Incarnation: v.Life}
+		var announced meta
+		json.Unmarshal(m.Meta, &announced) // without valid metadata, the zone and the incarnation are unknown
+		member := Member{Name: m.Name, Zone: announced.Zone, Address: m.Address(), Incarnation: announced.Life}
 		if s := l.senders[m.Name]; s != nil {
-			member.LastMessageAge = time.Since(s.heard)
+			member.LastMessageAge = time.Since(s.lastMessageAt)
 		}
 		out = append(out, member)
 	}
@@ -202,18 +203,19 @@
 	return out
 }
 
-// Counts are the figures so far.
+// Counts returns the counts since the start.
 func (l *Link) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.counts
 }
 
-// Traffic is what went through the sockets so far.
-func (l *Link) Traffic() Traffic { return l.wire.Wire() }
+// Traffic returns the traffic through the sockets since the start.
+func (l *Link) Traffic() Traffic { return l.transport.Traffic() }
 
-// sender names who sent a message, if it may be taken.
-func (l *Link) sender(b []byte) (from string, data []byte, ok bool) {
+// acceptMessage splits a message into the name of its sender and its data, and reports whether it may be processed: it must be
+// well-formed, its sender a member and the sender's rate within the limit.
+func (l *Link) acceptMessage(b []byte) (from string, data []byte, ok bool) {
 	if len(b) < 2 || b[0] != version || len(b) < 2+int(b[1]) || b[1] == 0 || int(b[1]) > maxName || len(b) > 2+maxName+maxMessage {
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -222,18 +224,18 @@
 	}
 	from, data = string(b[2:2+b[1]]), b[2+b[1]:]
 	list := l.list.Load()
-	member := list != nil && slices.ContainsFunc(list.Members(), func(m *memberlist.Node) bool { return m.Name == from })
+	isMember := list != nil && slices.ContainsFunc(list.Members(), func(m *memberlist.Node) bool { return m.Name == from })
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !member {
+	if !isMember {
 		l.counts.UnknownSender++
 		return "", nil, false
 	}
 	s := l.senders[from]
 	if s == nil {
 		if len(l.senders) >= l.c.MaxMembers {
-			for name, old := range l.senders { // who has been silent for long may come back as new
-				if time.Since(old.heard) > time.Minute {
+			for name, old := range l.senders { // a sender that is removed here gets a new limiter with its next message
+				if time.Since(old.lastMessageAt) > time.Minute {
 					delete(l.senders, name)
 				}
 			}
@@ -242,10 +244,10 @@
 			l.counts.OverLimit++
 			return "", nil, false
 		}
-		s = &sender{limit: rate.NewLimiter(messageRate, messageOnce)}
+		s = &sender{limit: rate.NewLimiter(messageRate, messageBurst)}
 		l.senders[from] = s
 	}
-	s.heard = time.Now()
+	s.lastMessageAt = time.Now()
 	if !s.limit.Allow() {
 		l.counts.OverLimit++
 		return "", nil, false
@@ -254,7 +256,7 @@
 	return from, data, true
 }
 
-// delegate is what memberlist asks for.
+// delegate implements memberlist.Delegate.
 type delegate struct{ l *Link }
 
 func (d delegate) NodeMeta(limit int) []byte {
@@ -266,8 +268,8 @@
 }
 
 func (d delegate) NotifyMsg(b []byte) {
-	if from, data, ok := d.l.sender(b); ok && d.l.c.OnMessage(from, data) {
-		d.l.passOn(b)
+	if from, data, ok := d.l.acceptMessage(b); ok && d.l.c.OnMessage(from, data) {
+		d.l.forward(b)
 	}
 }
 
@@ -275,13 +277,13 @@
 	return d.l.gossip.GetBroadcasts(overhead, limit)
 }
 
-// LocalState is empty: nothing here is exchanged whole.
+// LocalState returns nothing: members exchange no full state beyond the list of members.
 func (delegate) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState takes nothing.
+// MergeRemoteState ignores the state, because LocalState sends none.
 func (delegate) MergeRemoteState([]byte, bool) {}
 
-// events is told by memberlist who comes and goes.
+// events implements memberlist.EventDelegate.
 type events struct{ l *Link }
 
 func (e events) NotifyJoin(member *memberlist.Node) {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -13,10 +13,10 @@
 	"weldscale/internal/share"
 )
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-// free is an address of a loopback host of its own, so that members do not meet at ports.
-func free(t *testing.T) string {
+// freeAddress returns a loopback address with a free port.
+func freeAddress(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
@@ -34,78 +34,79 @@
 	return l
 }
 
-// Members find each other by any that lives; those of another fleet, or with another key, stay out.
-func TestWhoIsIn(t *testing.T) {
-	a, b, c, d := free(t), free(t), free(t), free(t)
-	heard := make(chan string, 10)
+// Checks that members find each other by the address of any live member and exchange messages, and that members with another
+// fleet name or key cannot join.
+func TestMembership(t *testing.T) {
+	a, b, c, d := freeAddress(t), freeAddress(t), freeAddress(t), freeAddress(t)
+	received := make(chan string, 10)
 	one := start(t, Config{Fleet: "print", Name: "a", Bind: a, Join: []string{b}, Incarnation: 7, Zone: "murun",
-		OnMessage: func(from string, data []byte) bool { heard <- from + " " + string(data); return false }})
+		OnMessage: func(from string, data []byte) bool { received <- from + " " + string(data); return false }})
 	start(t, Config{Fleet: "other", Name: "x", Bind: c, Join: []string{a}})
 	start(t, Config{Fleet: "print", Name: "y", Bind: d, Join: []string{a}, Key: make([]byte, 16)})
-	assert.Len(t, one.Members(), 1, "nobody answers at the start")
-	two := start(t, Config{Fleet: "print", Name: "b", Bind: b}) // a finds it by itself
-	require.Eventually(t, func() bool { return len(one.Members()) == 2 && len(two.Members()) == 2 }, patience, 20*time.Millisecond)
+	assert.Len(t, one.Members(), 1, "no other member of the fleet runs")
+	two := start(t, Config{Fleet: "print", Name: "b", Bind: b}) // member a joins it
+	require.Eventually(t, func() bool { return len(one.Members()) == 2 && len(two.Members()) == 2 }, testTimeout, 20*time.Millisecond)
 	assert.Equal(t, Member{Name: "a", Zone: "murun", Address: a, Incarnation: 7}, two.Members()[0])
 	require.Eventually(t, func() bool {
 		require.NoError(t, two.Send("a", []byte("hello")))
 		select {
-		case got := <-heard:
+		case got := <-received:
 			return assert.Equal(t, "b hello", got)
 		case <-time.After(100 * time.Millisecond):
 			return false
 		}
-	}, patience, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 	assert.Error(t, two.Send("x", []byte("hello")))
 	assert.Error(t, two.Send("a", make([]byte, maxMessage+1)))
 	assert.Len(t, one.Members(), 2)
 }
 
-// What was seen of a worker before a member joined reaches that member too: nobody tries the worker again meanwhile, so nothing
-// new would be said of it.
-func TestAMemberThatJoinsLateHearsStandingEvidence(t *testing.T) {
-	const service, worker, known = "shop", "bad", 5
-	first, firstEvidence := startWithEvidence(t, "a", Config{Bind: free(t)})
-	firstEvidence.Tick(service, known)
+// Checks that a member receives the reports on a worker that were sent before it joined. They would otherwise never reach it: the
+// members avoid the suspected worker, so they make no new observations of it.
+func TestJoiningMemberReceivesEarlierReports(t *testing.T) {
+	const service, worker, knownWorkers = "shop", "bad", 5
+	first, firstEvidence := startWithEvidence(t, "a", Config{Bind: freeAddress(t)})
+	firstEvidence.Tick(service, knownWorkers)
 	firstEvidence.Record(service, worker, evidence.Failed)
 	for range 3 {
-		firstEvidence.Tick(service, known) // said to nobody
+		firstEvidence.Tick(service, knownWorkers) // broadcasts the report while there is no other member
 	}
-	first.gossip.Reset() // as after its last transmission
+	first.gossip.Reset() // empties the queue, as after the last transmission of the report
 
-	_, secondEvidence := startWithEvidence(t, "b", Config{Bind: free(t), Join: []string{first.c.Bind}})
-	secondEvidence.Tick(service, known)
+	_, secondEvidence := startWithEvidence(t, "b", Config{Bind: freeAddress(t), Join: []string{first.c.Bind}})
+	secondEvidence.Tick(service, knownWorkers)
 	secondEvidence.Record(service, worker, evidence.Failed)
 	require.Eventually(t, func() bool {
-		firstEvidence.Tick(service, known)
-		return slices.Equal([]string{worker}, secondEvidence.Tick(service, known))
-	}, patience, 10*time.Millisecond, "two complaints are enough, and the second member has only its own")
+		firstEvidence.Tick(service, knownWorkers)
+		return slices.Equal([]string{worker}, secondEvidence.Tick(service, knownWorkers))
+	}, testTimeout, 10*time.Millisecond, "the second member suspects the worker only with the first member's complaint")
 }
 
-// startWithEvidence starts a member whose evidence goes over its link.
+// startWithEvidence starts a member that exchanges evidence over its link.
 func startWithEvidence(t *testing.T, name string, c Config) (*Link, *Evidence) {
 	var link *Link
-	const life = 1
-	books := NewEvidence(name, "", life, 3, func() *Link { return link })
-	c.Fleet, c.Name, c.Incarnation, c.OnJoin = "print", name, life, books.ResendAll
+	const incarnation = 1
+	observations := NewEvidence(name, "", incarnation, 3, func() *Link { return link })
+	c.Fleet, c.Name, c.Incarnation, c.OnJoin = "print", name, incarnation, observations.ResendAll
 	c.OnMessage = func(from string, data []byte) bool {
-		_, news := books.HandleMessage(from, data)
-		return news
+		_, forward := observations.HandleMessage(from, data)
+		return forward
 	}
 	link = start(t, c)
-	return link, books
+	return link, observations
 }
 
-// A message that makes no sense, of nobody or of one who shouts is dropped and counted.
-func TestPoison(t *testing.T) {
-	l := start(t, Config{Fleet: "print", Name: "a", Bind: free(t)})
+// Checks that malformed messages, messages of unknown senders and messages beyond the rate limit are dropped and counted.
+func TestInvalidMessagesAreDropped(t *testing.T) {
+	l := start(t, Config{Fleet: "print", Name: "a", Bind: freeAddress(t)})
 	for _, b := range [][]byte{nil, {1}, {2, 1, 'a'}, {1, 0}, {1, 200, 'a'}, append([]byte{1, 1, 'a'}, make([]byte, 60<<10)...)} {
-		_, _, ok := l.sender(b)
+		_, _, ok := l.acceptMessage(b)
 		assert.False(t, ok)
 	}
-	_, _, ok := l.sender([]byte{1, 1, 'z', 'x'})
+	_, _, ok := l.acceptMessage([]byte{1, 1, 'z', 'x'})
 	assert.False(t, ok)
 	for range 10000 {
-		l.sender([]byte{1, 1, 'a', 'x'})
+		l.acceptMessage([]byte{1, 1, 'a', 'x'})
 	}
 	c := l.Counts()
 	assert.Equal(t, 6, c.Malformed)
@@ -119,9 +120,9 @@
 	for _, text := range []string{"", "{", `{"b":"other","q":{}}`, `{"b":"shop"}`, `{"b":"shop","q":{"w":7}}`} {
 		b.HandleMessage("z", []byte(text))
 	}
-	b.HandleMessage("z", []byte(`{"b":"shop","a":{"l":1,"r":1,"y":"//////8="}}`)) // of no keeper
+	b.HandleMessage("z", []byte(`{"b":"shop","a":{"l":1,"r":1,"y":"//////8="}}`)) // the sender is not a voter
 	assert.Equal(t, 5, b.Status()["shop"].Malformed)
 	assert.Zero(t, b.Status()["shop"].Share)
-	assert.Equal(t, []int{0, 9, 1023}, list(bits([]int{0, 9, 1023})))
-	assert.LessOrEqual(t, len(list(make([]byte, 1<<20))), MaxChunks)
+	assert.Equal(t, []int{0, 9, 1023}, decodeChunks(encodeChunks([]int{0, 9, 1023})))
+	assert.LessOrEqual(t, len(decodeChunks(make([]byte, 1<<20))), MaxChunks)
 }
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -12,52 +12,52 @@
 	"golang.org/x/time/rate"
 )
 
-// This file owns the sockets under memberlist: one address for datagrams and streams, bounds on what goes through them, and
-// the way by a relay that rehearsals of faults take. It must never read what it carries.
+// This file contains the sockets below memberlist: one address for datagrams and streams, bounds on the traffic, and the relay
+// that fault tests use. It does not read the content of the traffic.
 
-// Bounds on the sockets. What is beyond them is dropped and counted; memberlist takes datagrams for lost, and asks again.
+// Bounds on the sockets. Traffic beyond them is dropped and counted. memberlist treats dropped datagrams as lost and sends again.
 const (
-	maxDatagram  = 2 << 10   // memberlist keeps to 1,400 bytes; a sealed and labeled one is somewhat longer
-	bytesOnce    = 256 << 10 // of datagrams at once, each way
-	maxStreams   = 16        // that others have open here at once
-	maxStream    = 4 << 20   // bytes of one: the state of 1,024 members is a tenth of that
-	streamFor    = 15 * time.Second
-	maxAddress   = 64
-	waitingInbox = 256 // datagrams that wait for memberlist
+	maxDatagram      = 2 << 10   // memberlist sends up to 1,400 bytes; encryption and the label add some
+	byteBurst        = 256 << 10 // bytes of datagrams at once, in each direction
+	maxStreams       = 16        // concurrent streams that other members opened
+	maxStreamBytes   = 4 << 20   // the state of 1,024 members takes a tenth of that
+	streamTimeout    = 15 * time.Second
+	maxAddress       = 64
+	maxQueuedPackets = 256 // datagrams that wait for memberlist
 )
 
 // Traffic counts what went through the sockets.
 type Traffic struct {
 	BytesIn, BytesOut     int64 // of datagrams and streams
-	DroppedIn, DroppedOut int64 // datagrams beyond the rate or the size, and streams beyond the number
+	DroppedIn, DroppedOut int64 // datagrams beyond the rate or the size, and streams beyond maxStreams
 }
 
-// transport is memberlist.Transport.
+// transport implements memberlist.Transport.
 type transport struct {
-	bind    string
-	via     string // a relay; "": straight
-	udp     *net.UDPConn
-	tcp     net.Listener
-	packets chan *memberlist.Packet
-	streams chan net.Conn
-	in, out *rate.Limiter // bytes of datagrams
-	stop    chan struct{}
-	once    sync.Once
-	done    sync.WaitGroup
+	bind       string
+	relay      string // "" for direct connections
+	udp        *net.UDPConn
+	tcp        net.Listener
+	packets    chan *memberlist.Packet
+	streams    chan net.Conn
+	in, out    *rate.Limiter // bytes of datagrams
+	stop       chan struct{}
+	once       sync.Once
+	goroutines sync.WaitGroup
 
-	mu   sync.Mutex
-	wire Traffic
-	open int // streams of others
+	mu          sync.Mutex
+	traffic     Traffic
+	openStreams int // that other members opened
 }
 
-// listen opens both sockets. bytes is the rate of datagrams that is borne each way, a second.
-func listen(bind, via string, bytes int) (*transport, error) {
+// listen opens both sockets. byteRate limits the datagrams in each direction, in bytes per second.
+func listen(bind, relay string, byteRate int) (*transport, error) {
 	addr, err := net.ResolveUDPAddr("udp", bind)
 	if err != nil {
 		return nil, err
 	}
-	t := &transport{bind: bind, via: via, packets: make(chan *memberlist.Packet, waitingInbox), streams: make(chan net.Conn),
-		in: rate.NewLimiter(rate.Limit(bytes), bytesOnce), out: rate.NewLimiter(rate.Limit(bytes), bytesOnce), stop: make(chan struct{})}
+	t := &transport{bind: bind, relay: relay, packets: make(chan *memberlist.Packet, maxQueuedPackets), streams: make(chan net.Conn),
+		in: rate.NewLimiter(rate.Limit(byteRate), byteBurst), out: rate.NewLimiter(rate.Limit(byteRate), byteBurst), stop: make(chan struct{})}
 	if t.tcp, err = net.Listen("tcp", bind); err != nil {
 		return nil, err
 	}
@@ -65,22 +65,22 @@
 		t.tcp.Close()
 		return nil, err
 	}
-	t.done.Go(t.readPackets)
-	t.done.Go(t.accept)
+	t.goroutines.Go(t.readPackets)
+	t.goroutines.Go(t.accept)
 	return t, nil
 }
 
-func (t *transport) count(f func(*Traffic)) {
+func (t *transport) count(update func(*Traffic)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	f(&t.wire)
+	update(&t.traffic)
 }
 
-// Wire is the counts so far.
-func (t *transport) Wire() Traffic {
+// Traffic returns the counts since the start.
+func (t *transport) Traffic() Traffic {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.wire
+	return t.traffic
 }
 
 func (t *transport) readPackets() {
@@ -92,18 +92,18 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // such as a port that was unreachable: it says nothing of this socket
+			continue // an error such as an unreachable port of a peer does not concern this socket
 		}
 		if n > maxDatagram || n == 0 || !t.in.AllowN(now, n) {
-			t.count(func(w *Traffic) { w.DroppedIn++ })
+			t.count(func(traffic *Traffic) { traffic.DroppedIn++ })
 			continue
 		}
 		p := &memberlist.Packet{Buf: append([]byte(nil), buf[:n]...), From: from, Timestamp: now}
 		select {
 		case t.packets <- p:
-			t.count(func(w *Traffic) { w.BytesIn += int64(n) })
+			t.count(func(traffic *Traffic) { traffic.BytesIn += int64(n) })
 		default:
-			t.count(func(w *Traffic) { w.DroppedIn++ })
+			t.count(func(traffic *Traffic) { traffic.DroppedIn++ })
 		}
 	}
 }
@@ -115,7 +115,7 @@
 			return
 		}
 		if err != nil {
-			select { // descriptors run short, or so
+			select { // the process may be out of file descriptors for a while
 			case <-time.After(50 * time.Millisecond):
 				continue
 			case <-t.stop:
@@ -123,87 +123,87 @@
 			}
 		}
 		t.mu.Lock()
-		full := t.open >= maxStreams
+		full := t.openStreams >= maxStreams
 		if full {
-			t.wire.DroppedIn++
+			t.traffic.DroppedIn++
 		} else {
-			t.open++
+			t.openStreams++
 		}
 		t.mu.Unlock()
 		if full {
 			c.Close()
 			continue
 		}
-		c.SetDeadline(time.Now().Add(streamFor))
+		c.SetDeadline(time.Now().Add(streamTimeout))
 		select {
-		case t.streams <- &stream{Conn: c, t: t, theirs: true, left: maxStream}:
+		case t.streams <- &stream{Conn: c, t: t, inbound: true, remaining: maxStreamBytes}:
 		case <-t.stop:
 			c.Close()
 		}
 	}
 }
 
-// stream is a bounded connection.
+// stream is a connection that returns an error after maxStreamBytes have been read, and counts its traffic.
 type stream struct {
 	net.Conn
-	t      *transport
-	theirs bool
-	left   int
-	once   sync.Once
+	t         *transport
+	inbound   bool // opened by another member
+	remaining int  // bytes that may still be read
+	once      sync.Once
 }
 
 func (s *stream) Read(b []byte) (int, error) {
-	if s.left <= 0 {
-		return 0, fmt.Errorf("fleet: a stream of more than %d bytes", maxStream)
+	if s.remaining <= 0 {
+		return 0, fmt.Errorf("fleet: stream is larger than the maximum of %d bytes", maxStreamBytes)
 	}
-	n, err := s.Conn.Read(b[:min(len(b), s.left)])
-	s.left -= n
-	s.t.count(func(w *Traffic) { w.BytesIn += int64(n) })
+	n, err := s.Conn.Read(b[:min(len(b), s.remaining)])
+	s.remaining -= n
+	s.t.count(func(traffic *Traffic) { traffic.BytesIn += int64(n) })
 	return n, err
 }
 
 func (s *stream) Write(b []byte) (int, error) {
 	n, err := s.Conn.Write(b)
-	s.t.count(func(w *Traffic) { w.BytesOut += int64(n) })
+	s.t.count(func(traffic *Traffic) { traffic.BytesOut += int64(n) })
 	return n, err
 }
 
 func (s *stream) Close() error {
 	s.once.Do(func() {
-		if s.theirs {
+		if s.inbound {
 			s.t.mu.Lock()
-			s.t.open--
+			s.t.openStreams--
 			s.t.mu.Unlock()
 		}
 	})
 	return s.Conn.Close()
 }
 
-// RelayHeader is what stands before a datagram or a stream to a relay: where it is to go and whom it is of, each a byte for the
-// length and a text.
+// RelayHeader returns the header of a datagram or a stream to a relay. It contains the addresses of the receiver and the sender,
+// each with a length byte before it.
 func RelayHeader(to, from string) []byte {
 	b := append([]byte{byte(len(to))}, to...)
 	return append(append(b, byte(len(from))), from...)
 }
 
-// ReadRelayHeader reads it from the start of a stream.
+// ReadRelayHeader reads the header that RelayHeader returns.
 func ReadRelayHeader(r io.Reader) (to, from string, err error) {
-	var texts [2]string
-	for i := range texts {
+	var addresses [2]string
+	for i := range addresses {
 		var n [1]byte
 		if _, err := io.ReadFull(r, n[:]); err != nil {
 			return "", "", err
 		}
 		if n[0] > maxAddress {
-			return "", "", fmt.Errorf("fleet: a heading with an address of %d bytes", n[0])
+			return "", "", fmt.Errorf("fleet: relay header has an address of %d bytes, more than the maximum of %d", n[0], maxAddress)
 		}
 		b := make([]byte, n[0])
 		if _, err := io.ReadFull(r, b); err != nil {
 			return "", "", err
 		}
-		texts[i] = string(b)
+		addresses[i] = string(b)
 	}
-	return texts[0], texts[1], nil
+	return addresses[0], addresses[1], nil
 }
 
 // FinalAdvertiseAddr implements memberlist.Transport.
@@ -216,12 +216,12 @@
 func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
 	now := time.Now()
 	if !t.out.AllowN(now, len(b)) {
-		t.count(func(w *Traffic) { w.DroppedOut++ })
-		return now, nil // as lost on the way
+		t.count(func(traffic *Traffic) { traffic.DroppedOut++ })
+		return now, nil // memberlist treats the datagram as lost in the network
 	}
-	t.count(func(w *Traffic) { w.BytesOut += int64(len(b)) })
-	if t.via != "" {
-		b, addr = append(RelayHeader(addr, t.bind), b...), t.via
+	t.count(func(traffic *Traffic) { traffic.BytesOut += int64(len(b)) })
+	if t.relay != "" {
+		b, addr = append(RelayHeader(addr, t.bind), b...), t.relay
 	}
 	to, err := net.ResolveUDPAddr("udp", addr)
 	if err == nil {
@@ -236,21 +236,21 @@
 // DialTimeout implements memberlist.Transport.
 func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	to := addr
-	if t.via != "" {
-		to = t.via
+	if t.relay != "" {
+		to = t.relay
 	}
 	c, err := net.DialTimeout("tcp", to, timeout)
 	if err != nil {
 		return nil, err
 	}
-	c.SetDeadline(time.Now().Add(streamFor))
-	if t.via != "" {
+	c.SetDeadline(time.Now().Add(streamTimeout))
+	if t.relay != "" {
 		if _, err := c.Write(RelayHeader(addr, t.bind)); err != nil {
 			c.Close()
 			return nil, err
 		}
 	}
-	return &stream{Conn: c, t: t, left: maxStream}, nil
+	return &stream{Conn: c, t: t, remaining: maxStreamBytes}, nil
 }
 
 // StreamCh implements memberlist.Transport.
@@ -262,7 +262,7 @@
 		close(t.stop)
 		t.udp.Close()
 		t.tcp.Close()
-		t.done.Wait()
+		t.goroutines.Wait()
 	})
 	return nil
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,7 +1,6 @@
-// Package member gives an engine its workers from places other than a discovery service: from the operator's file
-// itself, or from a file of their own that is watched. Both stand behind engine.Directory, as discovery does. It owns
-// the watch on that file. It must never touch the loop's state but by Post, and a file that can't be read changes
-// nothing.
+// Package member provides an engine with its list of workers from the operator's file, or from a separate file that it watches.
+// Both implement engine.Directory, as service discovery does. The package changes the engine's state only on the engine's loop. A
+// watched file that cannot be read or parsed leaves the list unchanged.
 package member
 
 import (
@@ -18,19 +17,19 @@
 	"weldscale/internal/jobs"
 )
 
-// Static is a list that stands until Set.
+// Static is a list of workers that changes only by Set.
 type Static struct {
-	Engine *engine.Engine
-	list   []engine.Entry
+	Engine  *engine.Engine
+	workers []engine.Entry
 }
 
-// Set takes another list. Only for code on the loop.
-func (s *Static) Set(list []engine.Entry) {
-	s.list = list
+// Set replaces the list. It must be called on the engine's loop.
+func (s *Static) Set(workers []engine.Entry) {
+	s.workers = workers
 	s.Reload()
 }
 
-// Watch implements engine.Directory: there is nothing to wait for.
+// Watch implements engine.Directory. The list is available at once.
 func (s *Static) Watch(on bool) {
 	if on {
 		s.Reload()
@@ -39,35 +38,35 @@
 
 // Reload implements engine.Directory.
 func (s *Static) Reload() {
-	s.Engine.Defer(func() { s.Engine.Announce(decide.ListFull, s.list) })
+	s.Engine.Defer(func() { s.Engine.Announce(decide.ListFull, s.workers) })
 }
 
-// maxFile bounds a list's file.
-const maxFile = 1 << 20
+// maxFileSize bounds the size of a file of workers, in bytes.
+const maxFileSize = 1 << 20
 
-// File is a list in a file, in the form in which discovery answers. It is read at first, and again whenever it has
-// changed and then stayed as it is for the pause.
+// File is a list of workers in a file, in the format of the discovery service's replies. The file is read again after it has
+// changed and has then stayed unchanged for settleTime.
 type File struct {
 	Static
-	path    string
-	service string
-	pause   time.Duration
-	watcher *fsnotify.Watcher
-	stop    sync.Once
+	path       string
+	service    string
+	settleTime time.Duration
+	watcher    *fsnotify.Watcher
+	closeOnce  sync.Once
 }
 
-// WatchFile starts to watch the file. One that can't be read now is an error; later it is a line in the log.
-func WatchFile(e *engine.Engine, service, path string, pause time.Duration) (*File, error) {
-	f := &File{Static: Static{Engine: e}, path: path, service: service, pause: pause}
-	list, err := f.read()
+// WatchFile reads the file and starts to watch it. It returns an error if the file cannot be read. Later read errors are logged.
+func WatchFile(e *engine.Engine, service, path string, settleTime time.Duration) (*File, error) {
+	f := &File{Static: Static{Engine: e}, path: path, service: service, settleTime: settleTime}
+	workers, err := f.read()
 	if err != nil {
 		return nil, err
 	}
-	f.list = list
+	f.workers = workers
 	if f.watcher, err = fsnotify.NewWatcher(); err != nil {
 		return nil, err
 	}
-	// The folder, not the file: most writers put a new file in its place.
+	// The directory is watched instead of the file, because most writers replace the file by a new one.
 	if err := f.watcher.Add(filepath.Dir(path)); err != nil {
 		f.watcher.Close()
 		return nil, err
@@ -76,13 +75,13 @@
 	return f, nil
 }
 
-// Close ends the watch.
-func (f *File) Close() { f.stop.Do(func() { f.watcher.Close() }) }
+// Close stops watching the file.
+func (f *File) Close() { f.closeOnce.Do(func() { f.watcher.Close() }) }
 
 func (f *File) read() ([]engine.Entry, error) {
 	if info, err := os.Stat(f.path); err != nil {
 		return nil, err
-	} else if info.Size() > maxFile {
+	} else if info.Size() > maxFileSize {
 		return nil, &os.PathError{Op: "read", Path: f.path, Err: os.ErrInvalid}
 	}
 	text, err := os.ReadFile(f.path)
@@ -92,30 +91,31 @@
 	return jobs.ReadList(text)
 }
 
+// run reads the file after changes, until Close.
 func (f *File) run() {
-	still := time.NewTimer(time.Hour)
-	still.Stop()
+	settled := time.NewTimer(time.Hour)
+	settled.Stop()
 	for {
 		select {
-		case ev, ok := <-f.watcher.Events:
+		case event, ok := <-f.watcher.Events:
 			if !ok {
 				return
 			}
-			if filepath.Clean(ev.Name) == filepath.Clean(f.path) {
-				still.Reset(f.pause)
+			if filepath.Clean(event.Name) == filepath.Clean(f.path) {
+				settled.Reset(f.settleTime)
 			}
 		case err, ok := <-f.watcher.Errors:
 			if !ok {
 				return
 			}
 			slog.Error("watch of a worker file", "service", f.service, "why", err)
-		case <-still.C:
-			list, err := f.read()
+		case <-settled.C:
+			workers, err := f.read()
 			if err != nil {
 				slog.Error("worker file not taken", "service", f.service, "why", err)
 				continue
 			}
-			f.Engine.Post(func() { f.Set(list) })
+			f.Engine.Post(func() { f.Set(workers) })
 		}
 	}
 }
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -1,8 +1,10 @@
-// Package share decides how much of a fleet-wide budget one scheduler may spend just now. A budget is cut into chunks; a
-// chunk may be spent by one holder at a time, who has it by the votes of a majority of the keepers, for a term. It owns
-// the votes, the terms and what is left to spend. It must never read a clock, use a socket or a disk, or trust that a
-// message came once, in order or at all: whatever is lost, doubled or late, the chunks that may be spent add up to no
-// more than the budget. docs/design/shared-state.md has the reasons.
+// Package share divides a fleet-wide budget among the schedulers of a fleet. The budget is cut into chunks, and a holder may
+// spend a chunk only while it has a lease on it, which takes the votes of a majority of the voters. No two holders have a lease
+// on the same chunk at once, so what all holders may spend never adds up to more than the budget, even if messages are lost,
+// duplicated, delayed or reordered.
+//
+// The package contains no clock, socket or disk. Times are readings of one monotonic clock of the process. The reasons for the
+// design are in docs/design/shared-state.md.
 package share
 
 import (
@@ -12,46 +14,47 @@
 	"time"
 )
 
-// Config is one budget of a fleet. All members must have the same, or their parts don't add up.
+// Config describes one budget of a fleet. All members must use the same values, or their shares do not add up to the budget.
 type Config struct {
-	// Budget is units a second for a rate, or units at once for a count.
+	// Budget is the number of units per second of a rate, or of units in use at once of a count.
 	Budget float64
-	// Floor is what a member may always spend, whoever it hears; Floor x Members is taken off the budget before it is cut.
-	// Of a rate it saves up one unit at least, or it would never be enough for one.
+	// Floor is what a member may always spend, even if it reaches no other member. Floor x MaxMembers is taken off the budget
+	// before the rest is cut into chunks. The floor of a rate accumulates up to at least one unit, since a smaller floor would
+	// never allow a request.
 	Floor float64
-	// MaxMembers is how many schedulers may live at most; the operator answers for it.
+	// MaxMembers is the maximum number of schedulers that run at once. The operator must ensure that there are not more.
 	MaxMembers int
-	// Chunks is how many pieces the rest is cut into.
+	// Chunks is the number of equal pieces into which the budget is cut after the floors are taken off.
 	Chunks int
-	// Voters are the names of the members that vote, an odd number.
+	// Voters are the names of the members that vote, an odd number. Operators configure them as keepers.
 	Voters []string
-	// LeaseDuration is how long a holder may spend a chunk after it asked for it, by its own clock.
+	// LeaseDuration is how long a holder may spend a chunk after it sent the request for it, by its own clock.
 	LeaseDuration time.Duration
-	// Drift bounds how much faster or slower than real time a clock runs, as a part: 0.01 is one in a hundred.
+	// Drift bounds how much faster or slower than real time a clock runs, as a fraction: 0.01 is one in a hundred.
 	Drift float64
-	// Burst is how many seconds of a rate may be spent at once; 0 for a count.
+	// Burst is how many seconds of a rate may be spent at once. It is 0 for a count.
 	Burst float64
-	// MaxUse is the longest that a unit of a count stays in use after it was taken; 0 for a rate.
+	// MaxUse is the longest time that a unit of a count stays in use after it was spent. It is 0 for a rate.
 	MaxUse time.Duration
 }
 
-// maxChunks bounds a message and a member's memory.
+// maxChunks bounds the size of a message and the memory of a member.
 const maxChunks = 4096
 
-// Check names the field at fault and what is allowed.
+// Check returns an error that names the first invalid field and the allowed values.
 func (c *Config) Check() error {
 	for _, f := range []struct {
 		bad  bool
 		text string
 	}{
 		{!(c.Budget > 0 && c.Budget < 1e12), "Budget must be more than 0"},
-		{!(c.Floor >= 0) || c.MaxMembers < 1, "Floor must not be negative, and Members at least 1"},
-		{c.Floor*float64(c.MaxMembers) > c.Budget, "Floor x Members must not be more than Budget"},
+		{!(c.Floor >= 0) || c.MaxMembers < 1, "Floor must not be negative, and MaxMembers must be at least 1"},
+		{c.Floor*float64(c.MaxMembers) > c.Budget, "Floor x MaxMembers must not be more than Budget"},
 		{c.Chunks < 1 || c.Chunks > maxChunks, fmt.Sprintf("Chunks must be 1 to %d", maxChunks)},
-		{len(c.Voters)%2 == 0, "Keepers must be an odd number of names"},
-		{c.LeaseDuration <= 0, "Term must be more than 0"},
-		{!(c.Drift >= 0 && c.Drift < 0.5), "Drift must be 0 to 0.5"},
-		{!(c.Burst >= 0) || c.MaxUse < 0 || (c.Burst == 0) == (c.MaxUse == 0), "one of Burst (a rate) and Use (a count) must be more than 0"},
+		{len(c.Voters)%2 == 0, "Voters must be an odd number of names"},
+		{c.LeaseDuration <= 0, "LeaseDuration must be more than 0"},
+		{!(c.Drift >= 0 && c.Drift < 0.5), "Drift must be at least 0 and less than 0.5"},
+		{!(c.Burst >= 0) || c.MaxUse < 0 || (c.Burst == 0) == (c.MaxUse == 0), "one of Burst (a rate) and MaxUse (a count) must be more than 0"},
 	} {
 		if f.bad {
 			return fmt.Errorf("share: %s", f.text)
@@ -59,200 +62,204 @@
 	}
 	for i, k := range c.Voters {
 		if k == "" || slices.Contains(c.Voters[:i], k) {
-			return fmt.Errorf("share: Keepers must be different names")
+			return fmt.Errorf("share: Voters must be different names")
 		}
 	}
 	return nil
 }
 
-// chunk is the size of one.
-func (c *Config) chunk() float64 {
+// chunkSize returns the number of units in a chunk.
+func (c *Config) chunkSize() float64 {
 	return (c.Budget - c.Floor*float64(c.MaxMembers)) / float64(c.Chunks)
 }
 
-// guard is how long a keeper is bound by a vote, by its own clock: the term on a clock as slow as may be, seen on one as fast
-// as may be, and as long as what was taken in the last moment of the term stays in use.
-func (c *Config) guard() time.Duration {
+// voteDuration returns how long a vote binds a voter, by the voter's clock. It covers a lease that is measured by the slowest
+// allowed clock while the voter's clock is the fastest allowed one, and then the use of units that were spent at the end of the
+// lease.
+func (c *Config) voteDuration() time.Duration {
 	return time.Duration(float64(c.LeaseDuration+c.MaxUse)*(1+c.Drift)/(1-c.Drift)) + time.Millisecond
 }
 
-// VoteRequest is what a holder says to a keeper: the chunks it wants votes for, held ones included, and those it gives back. Round
-// numbers its asks; an answer counts for the round it names only.
+// VoteRequest is what a holder sends to every voter in a round. Wanted are the chunks that it asks votes for, those it holds
+// included, and Released those that it gives back. Round numbers the holder's requests; a reply counts only for the round that
+// it names.
 type VoteRequest struct {
 	From               string
 	Incarnation, Round uint64
 	Wanted, Released   []int
-	Shortfall          int // chunks it lacks of an even part
-	UnmetDemand        int // chunks it would take in all
+	Shortfall          int // chunks that the holder lacks to an even share
+	UnmetDemand        int // chunks that the holder would use beyond those it has
 }
 
-// VoteReply is what a keeper says: the chunks of that round it votes for, those that are free as far as it knows, how many
-// others lack of an even part and would take in all, and how many members ask.
+// VoteReply is a voter's reply to a VoteRequest. It contains the chunks that it votes for, chunks that no vote binds, the sums of
+// what the other holders lack to an even share and of their unmet demand, and the number of holders that send requests.
 type VoteReply struct {
 	Voter                  string
 	Incarnation, Round     uint64
 	Granted                []int
-	Available              []int // at most openMost
+	Available              []int // at most maxAvailable
 	Shortfall, UnmetDemand int
 	Requesters             int
 }
 
-// openMost bounds an answer.
-const openMost = 64
+// maxAvailable bounds the available chunks in a reply.
+const maxAvailable = 64
 
-// Voter gives votes. It remembers nothing over a restart: it is silent for as long as an earlier life's votes may bind.
+// Voter grants votes to holders. It keeps them in memory only. After a start it therefore grants nothing until the votes of its
+// previous run have expired. It is not safe for concurrent use.
 type Voter struct {
-	c      Config
-	name   string
-	mute   time.Duration // until then no vote
-	votes  []vote
-	askers map[string]asker
+	c          Config
+	name       string
+	mutedUntil time.Duration // no vote is granted before
+	votes      []vote        // by chunk
+	requesters map[string]requester
 }
 
 type vote struct {
-	holder string
-	life   uint64
-	round  uint64
-	until  time.Duration
+	holder      string
+	incarnation uint64
+	round       uint64
+	expiresAt   time.Duration
 }
 
-type asker struct {
-	short, more int
-	at          time.Duration
+type requester struct {
+	shortfall, unmetDemand int
+	lastRequestAt          time.Duration
 }
 
-// NewVoter begins at a moment of its own steady clock; moments never go backwards.
+// NewVoter returns the voter with the given name. now is the reading of a monotonic clock, as in all calls of its methods.
 func NewVoter(c Config, name string, now time.Duration) (*Voter, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
 	if !slices.Contains(c.Voters, name) {
-		return nil, fmt.Errorf("share: %q is no keeper", name)
+		return nil, fmt.Errorf("share: %q is not one of the voters", name)
 	}
-	return &Voter{c: c, name: name, mute: now + c.guard(), votes: make([]vote, c.Chunks), askers: map[string]asker{}}, nil
+	return &Voter{c: c, name: name, mutedUntil: now + c.voteDuration(), votes: make([]vote, c.Chunks), requesters: map[string]requester{}}, nil
 }
 
-// HandleRequest takes in an ask and gives the answer. What is out of range is passed over.
-func (k *Voter) HandleRequest(now time.Duration, a VoteRequest) VoteReply {
-	out := VoteReply{Voter: k.name, Incarnation: a.Incarnation, Round: a.Round}
-	for _, i := range a.Released {
-		// A late ask of an earlier round must not give back what a later one has asked for again.
-		if k.valid(i) && k.votes[i].holder == a.From && k.votes[i].life == a.Incarnation && k.votes[i].round <= a.Round {
-			k.votes[i].until = min(k.votes[i].until, now)
+// HandleRequest processes a holder's request and returns the reply. It ignores chunks that are out of range.
+func (v *Voter) HandleRequest(now time.Duration, request VoteRequest) VoteReply {
+	reply := VoteReply{Voter: v.name, Incarnation: request.Incarnation, Round: request.Round}
+	for _, i := range request.Released {
+		// A delayed request of an earlier round must not release what a later one has requested again.
+		if v.isChunk(i) && v.votes[i].holder == request.From && v.votes[i].incarnation == request.Incarnation && v.votes[i].round <= request.Round {
+			v.votes[i].expiresAt = min(v.votes[i].expiresAt, now)
 		}
 	}
-	for name, b := range k.askers {
-		if now-b.at > 2*k.c.LeaseDuration {
-			delete(k.askers, name)
+	for name, other := range v.requesters {
+		if now-other.lastRequestAt > 2*v.c.LeaseDuration {
+			delete(v.requesters, name)
 		}
 	}
-	if _, known := k.askers[a.From]; known || len(k.askers) < k.c.MaxMembers {
-		k.askers[a.From] = asker{max(0, min(a.Shortfall, k.c.Chunks)), max(0, min(a.UnmetDemand, k.c.Chunks)), now}
+	if _, known := v.requesters[request.From]; known || len(v.requesters) < v.c.MaxMembers {
+		v.requesters[request.From] = requester{max(0, min(request.Shortfall, v.c.Chunks)), max(0, min(request.UnmetDemand, v.c.Chunks)), now}
 	}
-	out.Requesters = len(k.askers)
-	for name, b := range k.askers {
-		if name != a.From {
-			out.Shortfall += b.short
-			out.UnmetDemand += b.more
+	reply.Requesters = len(v.requesters)
+	for name, other := range v.requesters {
+		if name != request.From {
+			reply.Shortfall += other.shortfall
+			reply.UnmetDemand += other.unmetDemand
 		}
 	}
-	if now < k.mute {
-		return out
+	if now < v.mutedUntil {
+		return reply
 	}
-	for _, i := range a.Wanted {
-		if !k.valid(i) {
+	for _, i := range request.Wanted {
+		if !v.isChunk(i) {
 			continue
 		}
-		v := &k.votes[i]
-		mine := v.holder == a.From && v.life == a.Incarnation
-		if v.until > now && !mine || mine && v.round > a.Round {
+		current := &v.votes[i]
+		sameHolder := current.holder == request.From && current.incarnation == request.Incarnation
+		if current.expiresAt > now && !sameHolder || sameHolder && current.round > request.Round {
 			continue
 		}
-		*v = vote{a.From, a.Incarnation, a.Round, max(v.until, now+k.c.guard())}
-		out.Granted = append(out.Granted, i)
-	}
-	// Each answer begins elsewhere, so that those who ask at once do not all go for the same chunks.
-	for n := range k.votes {
-		i := (n + int(a.Round*7+uint64(len(a.From)*13)) + int(hash(a.From))) % len(k.votes)
-		if len(out.Available) < openMost && k.votes[i].until <= now {
-			out.Available = append(out.Available, i)
+		*current = vote{request.From, request.Incarnation, request.Round, max(current.expiresAt, now+v.c.voteDuration())}
+		reply.Granted = append(reply.Granted, i)
+	}
+	// The list starts at another chunk in each reply, so that concurrent requesters do not all want the same chunks.
+	for n := range v.votes {
+		i := (n + int(request.Round*7+uint64(len(request.From)*13)) + int(hashName(request.From))) % len(v.votes)
+		if len(reply.Available) < maxAvailable && v.votes[i].expiresAt <= now {
+			reply.Available = append(reply.Available, i)
 		}
 	}
-	return out
+	return reply
 }
 
-func (k *Voter) valid(i int) bool { return i >= 0 && i < len(k.votes) }
+func (v *Voter) isChunk(i int) bool { return i >= 0 && i < len(v.votes) }
 
-// hash spreads names; it guards nothing.
-func hash(s string) (h uint32) {
+// hashName returns a hash of a name that spreads load. It is not cryptographic.
+func hashName(s string) (h uint32) {
 	for _, b := range []byte(s) {
 		h = h*31 + uint32(b)
 	}
 	return h >> 4
 }
 
-// Holder is one scheduler's view of a budget: what it may spend, and what to ask for.
+// Holder is one scheduler's state of a budget: what it may spend, and which chunks to request. It is not safe for concurrent use.
 type Holder struct {
-	c      Config
-	name   string
-	life   uint64 // another one for each start: votes for an earlier life are not ours
-	round  uint64
-	rounds [keptRounds]round
-	until  []time.Duration // of each chunk: it may be spent before that moment
-	tokens []float64       // of a rate: what each chunk has saved up
-	at     time.Duration   // when that was reckoned
-	floor  float64         // tokens of the floor
-	inUse  float64         // of a count
-	want   float64         // units that were asked of it since the last round, beyond its part too
-	since  time.Duration
-	open   []int // chunks that keepers said are free
-	demand float64
-	short  int // what others lack of an even part, as keepers said
-	more   int // what they would take in all
-	askers int
-	seed   uint64
+	c                 Config
+	name              string
+	incarnation       uint64 // differs for each start: votes for an earlier incarnation do not count
+	round             uint64
+	rounds            [recentRounds]round
+	leaseEnds         []time.Duration // by chunk, which may be spent before that time
+	tokens            []float64       // of a rate: accumulated by each chunk
+	refilledAt        time.Duration   // when the tokens were last updated
+	floorTokens       float64         // of a rate: accumulated by the floor
+	inUse             float64         // units of a count in use
+	requestedUnits    float64         // units that Spend was asked for since the last round, denied ones included
+	roundStartedAt    time.Duration
+	available         []int // chunks that voters reported as available
+	demand            float64
+	othersShortfall   int // chunks that other holders lack to an even share, as voters reported
+	othersUnmetDemand int // chunks that other holders would use beyond those they have
+	requesters        int
+	randomState       uint64
 }
 
-// keptRounds is how many rounds back an answer still counts.
-const keptRounds = 4
+// recentRounds is the number of rounds, the current one included, whose replies still count.
+const recentRounds = 4
 
 type round struct {
-	n      uint64
-	sent   time.Duration
-	want   []int
-	yes    []int           // votes for each of want
-	voters map[string]bool // one answer each
+	number uint64
+	sentAt time.Duration
+	wanted []int
+	votes  []int           // number of votes for each entry of wanted
+	voters map[string]bool // voters that have replied, since only the first reply of each counts
 }
 
-// NewHolder begins with its floor. A life is a number that no earlier start of that name had: a random one will do.
-func NewHolder(c Config, name string, life uint64, now time.Duration) (*Holder, error) {
+// NewHolder returns a holder that may spend its floor only. No earlier start under the same name may have used the same
+// incarnation; a random number is sufficient.
+func NewHolder(c Config, name string, incarnation uint64, now time.Duration) (*Holder, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
 	if name == "" {
-		return nil, fmt.Errorf("share: a holder needs a name")
+		return nil, fmt.Errorf("share: the holder's name is empty")
 	}
-	return &Holder{c: c, name: name, life: life, until: make([]time.Duration, c.Chunks), tokens: make([]float64, c.Chunks), at: now, since: now,
-		seed: life ^ uint64(hash(name))}, nil
+	return &Holder{c: c, name: name, incarnation: incarnation, leaseEnds: make([]time.Duration, c.Chunks), tokens: make([]float64, c.Chunks), refilledAt: now, roundStartedAt: now,
+		randomState: incarnation ^ uint64(hashName(name))}, nil
 }
 
-// Share is what may be spent just now: units a second, or units at once.
+// Share returns what this holder may spend now: units per second of a rate, or units in use at once of a count.
 func (h *Holder) Share(now time.Duration) float64 {
-	return h.c.Floor + float64(h.held(now))*h.c.chunk()
+	return h.c.Floor + float64(h.heldChunks(now))*h.c.chunkSize()
 }
 
-func (h *Holder) held(now time.Duration) (n int) {
-	for _, until := range h.until {
-		if now < until {
+func (h *Holder) heldChunks(now time.Duration) (n int) {
+	for _, leaseEnd := range h.leaseEnds {
+		if now < leaseEnd {
 			n++
 		}
 	}
 	return n
 }
 
-// Spend takes units if they are there. Units of a count come back by Return.
+// Spend takes units if they are available, and reports whether it did. Units of a count must be given back by Return.
 func (h *Holder) Spend(now time.Duration, units float64) bool {
-	h.want += units
+	h.requestedUnits += units
 	if h.c.Burst == 0 {
 		if h.inUse+units > h.Share(now)+1e-9 {
 			return false
@@ -260,156 +267,165 @@
 		h.inUse += units
 		return true
 	}
-	h.save(now)
-	left := h.floor
-	for i, t := range h.tokens {
-		if now < h.until[i] {
-			left += t
+	h.refill(now)
+	available := h.floorTokens
+	for i, tokens := range h.tokens {
+		if now < h.leaseEnds[i] {
+			available += tokens
 		}
 	}
-	if left+1e-9 < units {
+	if available+1e-9 < units {
 		return false
 	}
 	for i := range h.tokens {
-		if now < h.until[i] {
-			take := min(units, h.tokens[i])
-			h.tokens[i] -= take
-			units -= take
+		if now < h.leaseEnds[i] {
+			taken := min(units, h.tokens[i])
+			h.tokens[i] -= taken
+			units -= taken
 		}
 	}
-	h.floor -= min(units, h.floor)
+	h.floorTokens -= min(units, h.floorTokens)
 	return true
 }
 
 // Return gives back units of a count.
 func (h *Holder) Return(units float64) { h.inUse = max(0, h.inUse-units) }
 
-// save adds what time brought. A chunk saves only while it is held: its last holder may have spent all of it just before.
-func (h *Holder) save(now time.Duration) {
-	size := h.c.chunk()
+// refill adds the tokens of the time since the last refill. A chunk accumulates tokens only while it is held, because its
+// previous holder may have spent all of it just before.
+func (h *Holder) refill(now time.Duration) {
+	size := h.c.chunkSize()
 	for i := range h.tokens {
-		if now >= h.until[i] {
+		if now >= h.leaseEnds[i] {
 			h.tokens[i] = 0
 			continue
 		}
-		h.tokens[i] = min(size*h.c.Burst, h.tokens[i]+size*(now-h.at).Seconds())
+		h.tokens[i] = min(size*h.c.Burst, h.tokens[i]+size*(now-h.refilledAt).Seconds())
 	}
-	most := h.c.Floor * h.c.Burst
+	maxFloorTokens := h.c.Floor * h.c.Burst
 	if h.c.Floor > 0 {
-		most = max(1, most)
+		maxFloorTokens = max(1, maxFloorTokens)
 	}
-	h.floor = min(most, h.floor+h.c.Floor*(now-h.at).Seconds())
-	h.at = max(h.at, now)
+	h.floorTokens = min(maxFloorTokens, h.floorTokens+h.c.Floor*(now-h.refilledAt).Seconds())
+	h.refilledAt = max(h.refilledAt, now)
 }
 
 const (
-	spare = 1.25 // of its demand that a holder keeps, so that it need not ask for each job
-	// newest is the weight of a round in the mean demand: a round sees few jobs, and its peaks would hoard chunks.
-	newest = 0.25
-	yield  = 4 // part of what is beyond an even part that goes at once: all of it would swing
+	headroom = 1.25 // multiple of its demand that a holder keeps, so that it need not request chunks for each job
+	// demandWeight is the weight of the latest round in the mean demand. A round sees few jobs, and a holder that followed its
+	// peaks would hoard chunks.
+	demandWeight = 0.25
+	// releaseDivisor sets the part of the chunks beyond an even share that a holder releases in a round. Shares would oscillate
+	// if it released all of them at once.
+	releaseDivisor = 4
 )
 
-// BeginRound begins a round: the ask for every keeper. Once in a third of a term is often enough to keep what is held.
+// BeginRound starts a round and returns the request to send to every voter. Three rounds per LeaseDuration are enough to keep the
+// chunks that are held.
 func (h *Holder) BeginRound(now time.Duration) VoteRequest {
 	if h.c.Burst > 0 {
-		h.save(now)
+		h.refill(now)
 	}
-	if span := (now - h.since).Seconds(); span > 0 {
-		came := h.want / span
+	if span := (now - h.roundStartedAt).Seconds(); span > 0 {
+		roundDemand := h.requestedUnits / span
 		if h.c.Burst == 0 {
-			came = h.inUse + h.want // those in use, and as many again as came meanwhile
+			roundDemand = h.inUse + h.requestedUnits // allows for as many new units as were requested during the round
 		}
-		h.demand += newest * (came - h.demand)
-		h.want, h.since = 0, now
-	}
-	size := max(h.c.chunk(), 1e-12)
-	ahead := spare
-	if h.more > 0 && len(h.open) == 0 { // what is kept to spare is wanted elsewhere
-		ahead = 1
-	}
-	wanted := max(0, min(h.c.Chunks, int(math.Ceil((h.demand*ahead-h.c.Floor)/size))))
-	even := max(1, h.c.Chunks/max(1, h.askers))
-	goal, held := wanted, h.held(now)
-	if h.short > 0 { // others lack an even part: nobody takes more than that, and where nothing is free some comes back
-		goal = min(wanted, max(held, even))
-		if held > even && len(h.open) == 0 {
-			goal = min(wanted, held-max(1, min(h.short, (held-even)/yield)))
+		h.demand += demandWeight * (roundDemand - h.demand)
+		h.requestedUnits, h.roundStartedAt = 0, now
+	}
+	size := max(h.c.chunkSize(), 1e-12)
+	factor := headroom
+	if h.othersUnmetDemand > 0 && len(h.available) == 0 { // others need the headroom
+		factor = 1
+	}
+	needed := max(0, min(h.c.Chunks, int(math.Ceil((h.demand*factor-h.c.Floor)/size))))
+	evenShare := max(1, h.c.Chunks/max(1, h.requesters))
+	target, held := needed, h.heldChunks(now)
+	// If others lack an even share, no holder grows beyond one. If no chunk is available either, holders with more release some.
+	if h.othersShortfall > 0 {
+		target = min(needed, max(held, evenShare))
+		if held > evenShare && len(h.available) == 0 {
+			target = min(needed, held-max(1, min(h.othersShortfall, (held-evenShare)/releaseDivisor)))
 		}
 	}
 	h.round++
-	last := &h.rounds[(h.round-1)%keptRounds]
-	a := VoteRequest{From: h.name, Incarnation: h.life, Round: h.round}
-	r := round{n: h.round, sent: now, voters: map[string]bool{}}
-	inUse := int(math.Ceil((h.inUse - h.c.Floor) / size))
-	for i := range h.until {
+	previous := &h.rounds[(h.round-1)%recentRounds]
+	request := VoteRequest{From: h.name, Incarnation: h.incarnation, Round: h.round}
+	r := round{number: h.round, sentAt: now, voters: map[string]bool{}}
+	inUseChunks := int(math.Ceil((h.inUse - h.c.Floor) / size))
+	for i := range h.leaseEnds {
 		switch {
-		case now >= h.until[i]:
-		case len(r.want) < goal || h.c.Burst == 0 && len(r.want) < inUse:
-			r.want = append(r.want, i)
-		default: // given back: it is not ours from this moment on
-			h.until[i], h.tokens[i] = 0, 0
-			a.Released = append(a.Released, i)
+		case now >= h.leaseEnds[i]:
+		case len(r.wanted) < target || h.c.Burst == 0 && len(r.wanted) < inUseChunks:
+			r.wanted = append(r.wanted, i)
+		default: // the holder must not spend a released chunk, so the lease ends now
+			h.leaseEnds[i], h.tokens[i] = 0, 0
+			request.Released = append(request.Released, i)
 		}
 	}
-	for _, i := range last.want { // votes that came to nothing would keep it from others
-		if now >= h.until[i] && !slices.Contains(a.Released, i) {
-			a.Released = append(a.Released, i)
+	// Chunks without a majority in the previous round are released, because single votes would block other holders.
+	for _, i := range previous.wanted {
+		if now >= h.leaseEnds[i] && !slices.Contains(request.Released, i) {
+			request.Released = append(request.Released, i)
 		}
 	}
-	a.Shortfall, a.UnmetDemand = max(0, min(wanted, even)-len(r.want)), max(0, wanted-len(r.want))
-	for n := goal - len(r.want); n > 0 && len(h.open) > 0; n-- {
-		h.seed = h.seed*6364136223846793005 + 1442695040888963407
-		at := int(h.seed>>33) % len(h.open)
-		if i := h.open[at]; now >= h.until[i] && !slices.Contains(r.want, i) && !slices.Contains(a.Released, i) {
-			r.want = append(r.want, i)
+	request.Shortfall, request.UnmetDemand = max(0, min(needed, evenShare)-len(r.wanted)), max(0, needed-len(r.wanted))
+	for n := target - len(r.wanted); n > 0 && len(h.available) > 0; n-- {
+		h.randomState = h.randomState*6364136223846793005 + 1442695040888963407
+		at := int(h.randomState>>33) % len(h.available)
+		if i := h.available[at]; now >= h.leaseEnds[i] && !slices.Contains(r.wanted, i) && !slices.Contains(request.Released, i) {
+			r.wanted = append(r.wanted, i)
 		}
-		h.open = slices.Delete(h.open, at, at+1)
+		h.available = slices.Delete(h.available, at, at+1)
 	}
-	r.yes = make([]int, len(r.want))
-	a.Wanted = slices.Clone(r.want)
-	h.rounds[h.round%keptRounds] = r
-	h.open, h.short, h.more, h.askers = h.open[:0], 0, 0, 0
-	return a
+	r.votes = make([]int, len(r.wanted))
+	request.Wanted = slices.Clone(r.wanted)
+	h.rounds[h.round%recentRounds] = r
+	h.available, h.othersShortfall, h.othersUnmetDemand, h.requesters = h.available[:0], 0, 0, 0
+	return request
 }
 
-// HandleReply takes in a keeper's answer. One of an old round, of another life or from no keeper changes nothing.
-func (h *Holder) HandleReply(now time.Duration, a VoteReply) {
-	r := &h.rounds[a.Round%keptRounds]
-	if a.Incarnation != h.life || a.Round == 0 || r.n != a.Round || r.voters[a.Voter] || !slices.Contains(h.c.Voters, a.Voter) {
+// HandleReply processes a voter's reply. It ignores replies to old rounds or to another incarnation, and those of members that
+// are not voters.
+func (h *Holder) HandleReply(now time.Duration, reply VoteReply) {
+	r := &h.rounds[reply.Round%recentRounds]
+	if reply.Incarnation != h.incarnation || reply.Round == 0 || r.number != reply.Round || r.voters[reply.Voter] || !slices.Contains(h.c.Voters, reply.Voter) {
 		return
 	}
-	r.voters[a.Voter] = true
-	h.more = max(h.more, a.UnmetDemand)
-	h.short, h.askers = max(h.short, max(0, a.Shortfall)), max(h.askers, min(a.Requesters, h.c.MaxMembers))
-	for _, i := range a.Available {
-		if i >= 0 && i < h.c.Chunks && len(h.open) < openMost && !slices.Contains(h.open, i) {
-			h.open = append(h.open, i)
+	r.voters[reply.Voter] = true
+	h.othersUnmetDemand = max(h.othersUnmetDemand, reply.UnmetDemand)
+	h.othersShortfall, h.requesters = max(h.othersShortfall, max(0, reply.Shortfall)), max(h.requesters, min(reply.Requesters, h.c.MaxMembers))
+	for _, i := range reply.Available {
+		if i >= 0 && i < h.c.Chunks && len(h.available) < maxAvailable && !slices.Contains(h.available, i) {
+			h.available = append(h.available, i)
 		}
 	}
-	for n, i := range r.want {
-		if !slices.Contains(a.Granted, i) {
+	for n, i := range r.wanted {
+		if !slices.Contains(reply.Granted, i) {
 			continue
 		}
-		if r.yes[n]++; r.yes[n] != len(h.c.Voters)/2+1 {
+		if r.votes[n]++; r.votes[n] != len(h.c.Voters)/2+1 {
 			continue
 		}
-		// The term counts from the ask: the votes were given later than that.
-		if until := r.sent + h.c.LeaseDuration; until > now && until > h.until[i] && !h.given(i, r.n) {
-			if h.until[i] <= now {
+		// The lease starts when the request was sent, which is before any vote was granted.
+		if leaseEnd := r.sentAt + h.c.LeaseDuration; leaseEnd > now && leaseEnd > h.leaseEnds[i] && !h.droppedAfter(i, r.number) {
+			if h.leaseEnds[i] <= now {
 				h.tokens[i] = 0
 			}
-			h.until[i] = until
+			h.leaseEnds[i] = leaseEnd
 		}
 	}
 	if h.c.Burst > 0 {
-		h.save(now)
+		h.refill(now)
 	}
 }
 
-// given reports whether a later round did not ask for i: then the votes for it may be with another one by now.
-func (h *Holder) given(i int, after uint64) bool {
-	for n := after + 1; n <= h.round; n++ {
-		if r := &h.rounds[n%keptRounds]; r.n != n || !slices.Contains(r.want, i) {
+// droppedAfter reports whether a round later than the given one did not request chunk i. The voters may have granted it to
+// another holder since.
+func (h *Holder) droppedAfter(i int, roundNumber uint64) bool {
+	for n := roundNumber + 1; n <= h.round; n++ {
+		if r := &h.rounds[n%recentRounds]; r.number != n || !slices.Contains(r.wanted, i) {
 			return true
 		}
 	}
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -13,380 +13,392 @@
 
 const ms = time.Millisecond
 
-func rate(members, chunks int) Config {
+// rateConfig returns the configuration of a budget that is a rate.
+func rateConfig(members, chunks int) Config {
 	return Config{Budget: 400, Floor: 40 / float64(members), MaxMembers: members, Chunks: chunks, Voters: []string{"k0", "k1", "k2"},
 		LeaseDuration: 2 * time.Second, Drift: 0.02, Burst: 0.5}
 }
 
-func count(members, chunks int) Config {
-	c := rate(members, chunks)
+// countConfig returns the configuration of a budget that is a count.
+func countConfig(members, chunks int) Config {
+	c := rateConfig(members, chunks)
 	c.Burst, c.MaxUse = 0, 1500*ms
 	return c
 }
 
-// A fleet in simulated time: every message may be lost, doubled or late, every clock runs at its own pace.
-type fleet struct {
-	t       require.TestingT
-	c       Config
-	now     time.Duration // true time
-	holders []*member
-	keepers []*keeper
-	mail    []letter
-	lives   uint64
-	spent   []spend
-	uses    []spend // of a count: until when, at the latest
+// simulation runs holders and voters in simulated time. Messages may be lost, duplicated and delayed, and each member's clock runs
+// at its own rate.
+type simulation struct {
+	t               require.TestingT
+	c               Config
+	now             time.Duration // true time
+	holders         []*simulatedHolder
+	voters          []*simulatedVoter
+	messages        []message // in transit
+	lastIncarnation uint64
+	spent           []spending
+	inUse           []spending // of a count: at is when the use ends at the latest
 }
 
-type member struct {
+type simulatedHolder struct {
 	*Holder
-	pace  float64
-	cut   bool
-	stall bool
+	clockRate   float64
+	partitioned bool
+	stalled     bool
 }
 
-type keeper struct {
+type simulatedVoter struct {
 	*Voter
-	pace float64
-	cut  bool
+	clockRate   float64
+	partitioned bool
 }
 
-type letter struct {
-	at     time.Duration
-	to     int // keeper of an ask, holder of an answer
-	ask    *VoteRequest
-	answer *VoteReply
+type message struct {
+	at      time.Duration // when it arrives
+	to      int           // index of the voter of a request, or of the holder of a reply
+	request *VoteRequest
+	reply   *VoteReply
 }
 
-type spend struct {
+type spending struct {
 	at    time.Duration
 	units float64
 	by    *Holder
 }
 
-func clock(now time.Duration, pace float64) time.Duration { return time.Duration(float64(now) * pace) }
+// clock returns the reading of a member's clock at a true time.
+func clock(now time.Duration, clockRate float64) time.Duration {
+	return time.Duration(float64(now) * clockRate)
+}
 
-func newFleet(t require.TestingT, c Config, n int, pace func(int) float64) *fleet {
-	f := &fleet{t: t, c: c}
+// newSimulation returns a simulation with n holders. clockRate returns the clock rate of a holder by its index, and of the voters
+// by the indexes -1, -2 and so on.
+func newSimulation(t require.TestingT, c Config, n int, clockRate func(int) float64) *simulation {
+	f := &simulation{t: t, c: c}
 	for i, name := range c.Voters {
-		k, err := NewVoter(c, name, 0)
+		voter, err := NewVoter(c, name, 0)
 		require.NoError(t, err)
-		f.keepers = append(f.keepers, &keeper{Voter: k, pace: pace(-1 - i)})
+		f.voters = append(f.voters, &simulatedVoter{Voter: voter, clockRate: clockRate(-1 - i)})
 	}
 	for i := range n {
-		f.holders = append(f.holders, &member{pace: pace(i)})
-		f.start(i)
+		f.holders = append(f.holders, &simulatedHolder{clockRate: clockRate(i)})
+		f.startHolder(i)
 	}
 	return f
 }
 
-// start is a start of a holder, or a restart: it knows nothing.
-func (f *fleet) start(i int) {
-	f.lives++
+// startHolder starts or restarts a holder, which loses its state.
+func (f *simulation) startHolder(i int) {
+	f.lastIncarnation++
 	m := f.holders[i]
-	h, err := NewHolder(f.c, fmt.Sprint("h", i), f.lives, clock(f.now, m.pace))
+	h, err := NewHolder(f.c, fmt.Sprint("h", i), f.lastIncarnation, clock(f.now, m.clockRate))
 	require.NoError(f.t, err)
 	m.Holder = h
 }
 
-// round has one holder ask every keeper; late is how long each letter takes, negative: it is lost.
-func (f *fleet) round(i int, late func() time.Duration) {
+// beginRound sends the requests of one holder to all voters. delay returns the delay of each message, or a negative value if the
+// message is lost.
+func (f *simulation) beginRound(i int, delay func() time.Duration) {
 	m := f.holders[i]
-	if m.stall {
+	if m.stalled {
 		return
 	}
-	a := m.BeginRound(clock(f.now, m.pace))
-	for k := range f.keepers {
-		if d := late(); d >= 0 {
-			f.mail = append(f.mail, letter{at: f.now + d, to: k, ask: &a})
+	request := m.BeginRound(clock(f.now, m.clockRate))
+	for k := range f.voters {
+		if d := delay(); d >= 0 {
+			f.messages = append(f.messages, message{at: f.now + d, to: k, request: &request})
 		}
 	}
 }
 
-// deliver hands over what is due, in any order that its times give.
-func (f *fleet) deliver(late func() time.Duration) {
+// deliver delivers the messages that are due, and sends the replies with the given delay.
+func (f *simulation) deliver(delay func() time.Duration) {
 	for {
-		i := slices.IndexFunc(f.mail, func(l letter) bool { return l.at <= f.now })
+		i := slices.IndexFunc(f.messages, func(l message) bool { return l.at <= f.now })
 		if i < 0 {
 			return
 		}
-		l := f.mail[i]
-		f.mail = slices.Delete(f.mail, i, i+1)
-		if l.ask != nil {
-			k := f.keepers[l.to]
+		l := f.messages[i]
+		f.messages = slices.Delete(f.messages, i, i+1)
+		if l.request != nil {
+			k := f.voters[l.to]
 			from := 0
-			fmt.Sscanf(l.ask.From, "h%d", &from)
-			if k.cut || f.holders[from].cut {
+			fmt.Sscanf(l.request.From, "h%d", &from)
+			if k.partitioned || f.holders[from].partitioned {
 				continue
 			}
-			out := k.HandleRequest(clock(f.now, k.pace), *l.ask)
-			if d := late(); d >= 0 {
-				f.mail = append(f.mail, letter{at: f.now + d, to: from, answer: &out})
+			reply := k.HandleRequest(clock(f.now, k.clockRate), *l.request)
+			if d := delay(); d >= 0 {
+				f.messages = append(f.messages, message{at: f.now + d, to: from, reply: &reply})
 			}
 			continue
 		}
-		if m := f.holders[l.to]; !m.cut && !m.stall {
-			m.HandleReply(clock(f.now, m.pace), *l.answer)
+		if m := f.holders[l.to]; !m.partitioned && !m.stalled {
+			m.HandleReply(clock(f.now, m.clockRate), *l.reply)
 		}
 	}
 }
 
-func (f *fleet) spend(i int, units float64) bool {
+func (f *simulation) spend(i int, units float64) bool {
 	m := f.holders[i]
-	if m.stall || !m.Spend(clock(f.now, m.pace), units) {
+	if m.stalled || !m.Spend(clock(f.now, m.clockRate), units) {
 		return false
 	}
-	f.spent = append(f.spent, spend{f.now, units, m.Holder})
+	f.spent = append(f.spent, spending{f.now, units, m.Holder})
 	if f.c.MaxUse > 0 {
-		f.uses = append(f.uses, spend{f.now + time.Duration(float64(f.c.MaxUse)*0.98), units, m.Holder})
+		f.inUse = append(f.inUse, spending{f.now + time.Duration(float64(f.c.MaxUse)*0.98), units, m.Holder})
 	}
 	return true
 }
 
-// check holds the promise against the truth: no chunk with two, nothing spent beyond the budget.
-func (f *fleet) check() {
+// checkInvariants checks in true time that no chunk has two holders, and that no more than the budget is spent.
+func (f *simulation) checkInvariants() {
 	for i := range f.c.Chunks {
-		by := 0
+		holders := 0
 		for _, m := range f.holders {
-			if clock(f.now, m.pace) < m.until[i] {
-				by++
+			if clock(f.now, m.clockRate) < m.leaseEnds[i] {
+				holders++
 			}
 		}
-		require.LessOrEqual(f.t, by, 1, "chunk %d may be spent by two", i)
+		require.LessOrEqual(f.t, holders, 1, "chunk %d has more than one holder", i)
 	}
 	for _, m := range f.holders {
 		for i, tokens := range m.tokens {
-			require.GreaterOrEqual(f.t, tokens, 0.0, "chunk %d", i)
+			require.GreaterOrEqual(f.t, tokens, 0.0, "tokens of chunk %d", i)
 		}
 	}
-	const slack = 1.05 // of clocks that run too fast
+	const tolerance = 1.05 // for clocks that run too fast
 	if f.c.MaxUse > 0 {
 		sum := 0.0
-		f.uses = slices.DeleteFunc(f.uses, func(s spend) bool {
+		f.inUse = slices.DeleteFunc(f.inUse, func(s spending) bool {
 			if s.at <= f.now {
 				s.by.Return(s.units)
 			}
 			return s.at <= f.now
 		})
-		for _, s := range f.uses {
+		for _, s := range f.inUse {
 			sum += s.units
 		}
-		require.LessOrEqual(f.t, sum, f.c.Budget+1e-6, "in use at once")
+		require.LessOrEqual(f.t, sum, f.c.Budget+1e-6, "units in use at once")
 		return
 	}
 	sum, window := 0.0, time.Second
 	for n := len(f.spent) - 1; n >= 0 && f.spent[n].at > f.now-window; n-- {
 		sum += f.spent[n].units
 	}
-	require.LessOrEqual(f.t, sum, slack*f.c.Budget*(window.Seconds()+f.c.Burst)+float64(f.c.MaxMembers), "in a second")
+	require.LessOrEqual(f.t, sum, tolerance*f.c.Budget*(window.Seconds()+f.c.Burst)+float64(f.c.MaxMembers), "units spent in one second")
 }
 
-// Whatever is lost, doubled, late, cut off, stalled or restarted, the parts add up to no more than the budget, and what is
-// spent to no more than it and its burst; and once all is well the whole of it is used again.
-func TestNeverMoreThanTheBudget(t *testing.T) {
-	for name, c := range map[string]Config{"rate": rate(5, 24), "count": count(5, 24)} {
+// Checks that the shares never add up to more than the budget, and that no more than the budget and its burst is spent, under
+// message loss, duplication, delay, partitions, stalls and restarts. Without faults, nearly the whole budget must be held again.
+func TestSharesNeverExceedBudget(t *testing.T) {
+	for name, c := range map[string]Config{"rate": rateConfig(5, 24), "count": countConfig(5, 24)} {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				f := newFleet(t, c, 5, func(i int) float64 {
+				f := newSimulation(t, c, 5, func(i int) float64 {
 					return 1 + rapid.Float64Range(-c.Drift, c.Drift).Draw(t, "pace")
 				})
-				chance := rapid.Uint64().Draw(t, "seed")
-				dice := func(n int) int {
-					chance = chance*6364136223846793005 + 1442695040888963407
-					return int(chance>>33) % n
+				randomState := rapid.Uint64().Draw(t, "seed")
+				random := func(n int) int {
+					randomState = randomState*6364136223846793005 + 1442695040888963407
+					return int(randomState>>33) % n
 				}
-				late := func() time.Duration {
-					switch dice(12) {
+				delay := func() time.Duration {
+					switch random(12) {
 					case 0:
 						return -1
 					case 1:
-						return time.Duration(dice(4000)) * ms
+						return time.Duration(random(4000)) * ms
 					}
-					return time.Duration(dice(80)) * ms
+					return time.Duration(random(80)) * ms
 				}
 				steps := rapid.IntRange(50, 250).Draw(t, "steps")
 				for range steps {
-					f.now += time.Duration(dice(60)) * ms
-					f.deliver(late)
-					i := dice(len(f.holders))
-					switch m := f.holders[i]; dice(30) {
+					f.now += time.Duration(random(60)) * ms
+					f.deliver(delay)
+					i := random(len(f.holders))
+					switch m := f.holders[i]; random(30) {
 					case 0:
-						m.cut = !m.cut
+						m.partitioned = !m.partitioned
 					case 1:
-						m.stall = !m.stall
-					case 2: // killed and started again: what it had in use runs on
-						f.start(i)
+						m.stalled = !m.stalled
+					case 2: // a crash and restart: units that it spent before stay in use
+						f.startHolder(i)
 					case 3:
-						k := f.keepers[dice(len(f.keepers))]
-						if k.cut = !k.cut; k.cut {
-							n, err := NewVoter(c, k.name, clock(f.now, k.pace))
+						k := f.voters[random(len(f.voters))]
+						if k.partitioned = !k.partitioned; k.partitioned {
+							restarted, err := NewVoter(c, k.name, clock(f.now, k.clockRate))
 							require.NoError(t, err)
-							k.Voter = n
+							k.Voter = restarted
 						}
 					case 4:
-						if len(f.mail) > 0 { // one comes twice
-							l := f.mail[dice(len(f.mail))]
-							l.at += time.Duration(dice(3000)) * ms
-							f.mail = append(f.mail, l)
+						if len(f.messages) > 0 { // duplicates a message
+							l := f.messages[random(len(f.messages))]
+							l.at += time.Duration(random(3000)) * ms
+							f.messages = append(f.messages, l)
 						}
 					case 5, 6, 7, 8, 9, 10:
-						f.round(i, late)
+						f.beginRound(i, delay)
 					default:
-						for range dice(40) {
+						for range random(40) {
 							f.spend(i, 1)
 						}
 					}
-					f.check()
+					f.checkInvariants()
 				}
 				for _, m := range f.holders {
-					m.cut, m.stall = false, false
+					m.partitioned, m.stalled = false, false
 				}
-				for _, k := range f.keepers {
-					k.cut = false
+				for _, k := range f.voters {
+					k.partitioned = false
 				}
-				assert.GreaterOrEqual(t, f.calm(40, func(int) float64 { return 2 * c.Budget / 5 }), 0.9)
+				assert.GreaterOrEqual(t, f.runWithoutFaults(40, func(int) float64 { return 2 * c.Budget / 5 }), 0.9)
 			})
 		})
 	}
 }
 
-// calm plays rounds without faults, each holder with its demand, and returns the part of the budget that is held at the end.
-func (f *fleet) calm(rounds int, demand func(int) float64) float64 {
-	soon := func() time.Duration { return 5 * ms }
-	every := f.c.LeaseDuration / 4
+// runWithoutFaults runs rounds in which each holder spends at its demand, in units per second. It returns the fraction of the
+// budget that the holders with demand have at the end.
+func (f *simulation) runWithoutFaults(rounds int, demand func(int) float64) float64 {
+	delay := func() time.Duration { return 5 * ms }
+	interval := f.c.LeaseDuration / 4
 	for range rounds {
 		for step := range 10 {
-			f.now += every / 10
-			f.deliver(soon)
+			f.now += interval / 10
+			f.deliver(delay)
 			for i := range f.holders {
 				if i%10 == step {
-					f.round(i, soon)
+					f.beginRound(i, delay)
 				}
-				for units := demand(i) * every.Seconds() / 10; units > 0; units-- {
+				for units := demand(i) * interval.Seconds() / 10; units > 0; units-- {
 					f.spend(i, min(1, units))
 				}
 			}
 		}
 		if len(f.holders) < 50 {
-			f.check()
+			f.checkInvariants()
 		}
 	}
 	sum := 0.0
 	for i, m := range f.holders {
 		if demand(i) > 0 {
-			sum += m.Share(clock(f.now, m.pace))
+			sum += m.Share(clock(f.now, m.clockRate))
 		}
 	}
 	return sum / f.c.Budget
 }
 
-// Parts go to where the demand is, nobody who asks gets nothing, and a holder that dies or is cut off leaves its floor
-// to itself and the rest to the others.
-func TestPartsFollowDemand(t *testing.T) {
-	f := newFleet(t, rate(10, 100), 10, func(int) float64 { return 1 })
-	all := func(i int) float64 { return 80 }
-	assert.GreaterOrEqual(t, f.calm(40, all), 0.95, "all ask for twice the budget")
-	assert.GreaterOrEqual(t, f.calm(60, func(i int) float64 {
+// Checks that shares follow the demand and that no holder with demand starves. Holders that are partitioned keep their floor, and
+// the others get the rest of the budget.
+func TestSharesFollowDemand(t *testing.T) {
+	f := newSimulation(t, rateConfig(10, 100), 10, func(int) float64 { return 1 })
+	equal := func(i int) float64 { return 80 }
+	assert.GreaterOrEqual(t, f.runWithoutFaults(40, equal), 0.95, "the demand is twice the budget")
+	assert.GreaterOrEqual(t, f.runWithoutFaults(60, func(i int) float64 {
 		if i == 3 {
 			return 600
 		}
 		return 0.0
-	}), 0.9, "one asks for all")
+	}), 0.9, "only one holder has demand")
 	for i := range f.holders {
-		f.holders[i].cut = i == 3 || i == 4
+		f.holders[i].partitioned = i == 3 || i == 4
 	}
-	f.calm(30, all)
-	held := func(from, to int) (sum float64) {
+	f.runWithoutFaults(30, equal)
+	sumOfShares := func(from, to int) (sum float64) {
 		for _, m := range f.holders[from:to] {
-			sum += m.Share(clock(f.now, m.pace))
+			sum += m.Share(clock(f.now, m.clockRate))
 		}
 		return sum
 	}
-	assert.Equal(t, 2*f.c.Floor, held(3, 5), "what hears nobody goes on with its floor")
-	assert.GreaterOrEqual(t, held(0, 3)+held(5, 10), 0.95*(f.c.Budget-2*f.c.Floor))
-	f.holders[3].cut, f.holders[4].cut = false, false
-	f.calm(40, all)
+	assert.Equal(t, 2*f.c.Floor, sumOfShares(3, 5), "partitioned holders keep their floor")
+	assert.GreaterOrEqual(t, sumOfShares(0, 3)+sumOfShares(5, 10), 0.95*(f.c.Budget-2*f.c.Floor))
+	f.holders[3].partitioned, f.holders[4].partitioned = false, false
+	f.runWithoutFaults(40, equal)
 	for i, m := range f.holders {
-		assert.Greater(t, m.Share(clock(f.now, m.pace)), 3*f.c.Floor, "holder %d starves", i)
+		assert.Greater(t, m.Share(clock(f.now, m.clockRate)), 3*f.c.Floor, "share of holder %d", i)
 	}
 }
 
-// A stall of any length, a restart, a keeper that forgot: the first act afterwards looks at the clock.
-func TestNothingIsSpentAfterItsTerm(t *testing.T) {
-	f := newFleet(t, rate(2, 10), 2, func(int) float64 { return 1 })
-	f.calm(30, func(i int) float64 { return 400 * float64(1-i) })
+// Checks that leases have expired after a stall of the holder, that a restarted holder has its floor only, and that a restarted
+// voter grants nothing until the votes of its previous run have expired.
+func TestExpiredLeasesAreNotSpent(t *testing.T) {
+	f := newSimulation(t, rateConfig(2, 10), 2, func(int) float64 { return 1 })
+	f.runWithoutFaults(30, func(i int) float64 { return 400 * float64(1-i) })
 	m := f.holders[0]
 	require.Greater(t, m.Share(f.now), 300.0)
 	f.now += f.c.LeaseDuration
-	assert.Equal(t, f.c.Floor, m.Share(f.now), "after a stall")
+	assert.Equal(t, f.c.Floor, m.Share(f.now), "share after a stall")
 	before := len(f.spent)
 	for f.spend(0, 1) {
 	}
 	assert.LessOrEqual(t, float64(len(f.spent)-before), f.c.Floor*f.c.Burst+1)
-	f.calm(30, func(i int) float64 { return 400 * float64(1-i) })
-	f.start(0)
-	assert.Equal(t, f.c.Floor, f.holders[0].Share(f.now), "a restart mints nothing")
-	assert.False(t, f.spend(0, 1), "nor has it saved up anything")
-	k, err := NewVoter(f.c, "k0", f.now)
+	f.runWithoutFaults(30, func(i int) float64 { return 400 * float64(1-i) })
+	f.startHolder(0)
+	assert.Equal(t, f.c.Floor, f.holders[0].Share(f.now), "share after a restart")
+	assert.False(t, f.spend(0, 1), "a restarted holder has no tokens")
+	voter, err := NewVoter(f.c, "k0", f.now)
 	require.NoError(t, err)
-	assert.Empty(t, k.HandleRequest(f.now+f.c.LeaseDuration, VoteRequest{From: "h1", Incarnation: 9, Round: 1, Wanted: []int{1}}).Granted, "a keeper that forgot is silent")
-	assert.Equal(t, []int{1}, k.HandleRequest(f.now+f.c.guard(), VoteRequest{From: "h1", Incarnation: 9, Round: 1, Wanted: []int{1, -1, 10, 1 << 40}}).Granted)
+	assert.Empty(t, voter.HandleRequest(f.now+f.c.LeaseDuration, VoteRequest{From: "h1", Incarnation: 9, Round: 1, Wanted: []int{1}}).Granted, "a restarted voter grants nothing at first")
+	assert.Equal(t, []int{1}, voter.HandleRequest(f.now+f.c.voteDuration(), VoteRequest{From: "h1", Incarnation: 9, Round: 1, Wanted: []int{1, -1, 10, 1 << 40}}).Granted)
 }
 
-// What no sound member says changes nothing.
-func TestPoisonedMessages(t *testing.T) {
-	c := rate(3, 10)
+// Checks that invalid messages change nothing, and that the memory and the figures of a voter stay bounded.
+func TestInvalidMessagesAreIgnored(t *testing.T) {
+	c := rateConfig(3, 10)
 	h, err := NewHolder(c, "h0", 1, 0)
 	require.NoError(t, err)
 	h.Spend(0, 100)
-	a := h.BeginRound(time.Second)
-	for _, bad := range []VoteReply{
-		{Voter: "k0", Incarnation: 2, Round: a.Round, Available: []int{1}},
-		{Voter: "stranger", Incarnation: 1, Round: a.Round, Available: []int{1}},
+	request := h.BeginRound(time.Second)
+	for _, invalid := range []VoteReply{
+		{Voter: "k0", Incarnation: 2, Round: request.Round, Available: []int{1}},
+		{Voter: "stranger", Incarnation: 1, Round: request.Round, Available: []int{1}},
 		{Voter: "k0", Incarnation: 1, Round: 1 << 63, Available: []int{1}},
 		{Voter: "k0", Incarnation: 1, Round: 0, Granted: []int{1}},
-		{Voter: "k0", Incarnation: 1, Round: a.Round, Granted: []int{-1, 99, 1 << 40}, Available: []int{-5, 1 << 40}, Shortfall: -3, Requesters: 1 << 40},
+		{Voter: "k0", Incarnation: 1, Round: request.Round, Granted: []int{-1, 99, 1 << 40}, Available: []int{-5, 1 << 40}, Shortfall: -3, Requesters: 1 << 40},
 	} {
-		h.HandleReply(time.Second, bad)
+		h.HandleReply(time.Second, invalid)
 	}
-	assert.Empty(t, h.open)
-	assert.LessOrEqual(t, h.askers, c.MaxMembers)
+	assert.Empty(t, h.available)
+	assert.LessOrEqual(t, h.requesters, c.MaxMembers)
 	assert.Equal(t, c.Floor, h.Share(time.Second))
-	k, err := NewVoter(c, "k0", 0)
+	voter, err := NewVoter(c, "k0", 0)
 	require.NoError(t, err)
-	for i := range 100 { // a table that members fill is bounded by their number
-		k.HandleRequest(c.guard(), VoteRequest{From: fmt.Sprint("liar", i), Incarnation: 1, Round: 1, Shortfall: 1 << 40, Released: []int{-1, 1 << 40}})
+	for i := range 100 {
+		voter.HandleRequest(c.voteDuration(), VoteRequest{From: fmt.Sprint("liar", i), Incarnation: 1, Round: 1, Shortfall: 1 << 40, Released: []int{-1, 1 << 40}})
 	}
-	assert.LessOrEqual(t, len(k.askers), c.MaxMembers)
-	assert.LessOrEqual(t, k.HandleRequest(c.guard(), VoteRequest{From: "h0"}).Shortfall, c.MaxMembers*c.Chunks)
+	assert.LessOrEqual(t, len(voter.requesters), c.MaxMembers)
+	assert.LessOrEqual(t, voter.HandleRequest(c.voteDuration(), VoteRequest{From: "h0"}).Shortfall, c.MaxMembers*c.Chunks)
 }
 
-func TestConfigFaults(t *testing.T) {
+func TestCheckNamesInvalidFields(t *testing.T) {
 	for want, change := range map[string]func(*Config){
-		"Budget":          func(c *Config) { c.Budget = 0 },
-		"Floor x Members": func(c *Config) { c.Floor = 300 },
-		"Chunks":          func(c *Config) { c.Chunks = maxChunks + 1 },
-		"odd number":      func(c *Config) { c.Voters = c.Voters[:2] },
-		"different names": func(c *Config) { c.Voters = []string{"a", "b", "a"} },
-		"Term":            func(c *Config) { c.LeaseDuration = 0 },
-		"Drift":           func(c *Config) { c.Drift = 0.5 },
-		"one of Burst":    func(c *Config) { c.MaxUse = time.Second },
+		"Budget":             func(c *Config) { c.Budget = 0 },
+		"Floor x MaxMembers": func(c *Config) { c.Floor = 300 },
+		"Chunks":             func(c *Config) { c.Chunks = maxChunks + 1 },
+		"odd number":         func(c *Config) { c.Voters = c.Voters[:2] },
+		"different names":    func(c *Config) { c.Voters = []string{"a", "b", "a"} },
+		"LeaseDuration":      func(c *Config) { c.LeaseDuration = 0 },
+		"Drift":              func(c *Config) { c.Drift = 0.5 },
+		"one of Burst":       func(c *Config) { c.MaxUse = time.Second },
 	} {
-		c := rate(2, 4)
+		c := rateConfig(2, 4)
 		change(&c)
 		assert.ErrorContains(t, c.Check(), want)
 	}
 }
 
-// Five hundred members: half of the demand at one in twenty, the whole of it twice the budget.
+// Checks that a fleet of 500 members uses nearly the whole budget if the demand is twice the budget, half of it from one member in
+// twenty.
 func TestFiveHundredMembers(t *testing.T) {
-	c := rate(500, 2000)
-	f := newFleet(t, c, 500, func(int) float64 { return 1 })
-	used := f.calm(40, func(i int) float64 {
+	c := rateConfig(500, 2000)
+	f := newSimulation(t, c, 500, func(int) float64 { return 1 })
+	heldFraction := f.runWithoutFaults(40, func(i int) float64 {
 		if i < 25 {
 			return c.Budget / 25
 		}
 		return c.Budget / 475
 	})
-	t.Logf("%.3f of the budget in hand after 40 rounds", used)
-	assert.GreaterOrEqual(t, used, 0.95)
+	t.Logf("%.3f of the budget is held after 40 rounds", heldFraction)
+	assert.GreaterOrEqual(t, heldFraction, 0.95)
 }
