--- a/internal/evidence/evidence.go
+++ b/internal/evidence/evidence.go
@@ -53,7 +53,8 @@
 
 // DefaultConfig returns the configuration for a fleet of at most the given number of members.
 func DefaultConfig(members int) Config {
-	return Config{MaxMembers: members, MaxWorkers: 4096, MaxAge: 15 * time.Second, MinRepeatInterval: 500 * time.Millisecond, SampleSize: 10, MinComplaintShare: 0.5, FaultyMemberShare: 0.04, MaxSuspectShare: 0.4}
+	return Config{MaxMembers: members, MaxWorkers: 4096, MaxAge: 15 * time.Second,
+		MinRepeatInterval: 500 * time.Millisecond, SampleSize: 10, MinComplaintShare: 0.5, FaultyMemberShare: 0.04, MaxSuspectShare: 0.4}
 }
 
 // Check returns an error that names the first invalid field and the allowed values.
@@ -63,8 +64,10 @@
 		text string
 	}{
 		{c.MaxMembers < 1 || c.MaxWorkers < 1 || c.SampleSize < 1, "MaxMembers, MaxWorkers and SampleSize must be at least 1"},
-		{c.MaxAge <= 0 || c.MinRepeatInterval <= 0 || c.MinRepeatInterval > c.MaxAge, "MinRepeatInterval must be more than 0, and MaxAge must not be less than it"},
-		{!(c.MinComplaintShare > 0 && c.MinComplaintShare <= 1) || !(c.MaxSuspectShare > 0 && c.MaxSuspectShare <= 1), "MinComplaintShare and MaxSuspectShare must be more than 0 and at most 1"},
+		{c.MaxAge <= 0 || c.MinRepeatInterval <= 0 || c.MinRepeatInterval > c.MaxAge,
+			"MinRepeatInterval must be more than 0, and MaxAge must not be less than it"},
+		{!(c.MinComplaintShare > 0 && c.MinComplaintShare <= 1) || !(c.MaxSuspectShare > 0 && c.MaxSuspectShare <= 1),
+			"MinComplaintShare and MaxSuspectShare must be more than 0 and at most 1"},
 		{!(c.FaultyMemberShare >= 0 && c.FaultyMemberShare < 0.5), "FaultyMemberShare must be at least 0 and less than 0.5"},
 	} {
 		if f.bad {
@@ -114,7 +117,8 @@
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
-	return &Aggregator{c: c, name: name, zone: zone, incarnation: incarnation, own: map[string]*observation{}, received: map[string]map[string]*receivedReport{}}, nil
+	return &Aggregator{c: c, name: name, zone: zone, incarnation: incarnation, own: map[string]*observation{},
+		received: map[string]map[string]*receivedReport{}}, nil
 }
 
 // Record records an observation of a worker by this member.
@@ -210,8 +214,8 @@
 func (a *Aggregator) DueReports(now time.Duration) (out []Report) {
 	a.expireReceived(now)
 	for worker, o := range a.own {
-		if o.reported && (o.reportedObservedAt == o.at || o.reportedKind == o.kind && now-o.reportedAt < a.c.MinRepeatInterval) || now-o.at >= a.c.MaxAge ||
-			o.kind == Succeeded && !a.hasComplaint(worker) {
+		if o.reported && (o.reportedObservedAt == o.at || o.reportedKind == o.kind && now-o.reportedAt < a.c.MinRepeatInterval) ||
+			now-o.at >= a.c.MaxAge || o.kind == Succeeded && !a.hasComplaint(worker) {
 			continue
 		}
 		o.reportedAt, o.reportedObservedAt, o.reportedKind, o.reported = now, o.at, o.kind, true
--- a/internal/evidence/evidence_test.go
+++ b/internal/evidence/evidence_test.go
@@ -28,7 +28,7 @@
 	return r
 }
 
-// Checks when a worker is suspected, by the reports of 100 members on it and its 39 fellow workers.
+// Checks when a worker is suspected, in a fleet of 100 members and 40 workers, by what the members report on it.
 func TestSuspects(t *testing.T) {
 	type reports struct {
 		members   int // negative: these members also complain about 20 other workers
@@ -116,7 +116,8 @@
 	c.MaxWorkers = 2
 	a, err := NewAggregator(c, "me", "here", 1)
 	require.NoError(t, err)
-	for _, r := range []Report{{}, {From: "s", Worker: "w", Kind: -1}, {From: "s", Worker: "w", Kind: kindCount}, {From: "s", Worker: "w", Age: -1}} {
+	for _, r := range []Report{{}, {From: "s", Worker: "w", Kind: -1}, {From: "s", Worker: "w", Kind: kindCount},
+		{From: "s", Worker: "w", Age: -1}} {
 		assert.False(t, a.Receive(0, r))
 	}
 	for i := range 9 {
@@ -131,7 +132,8 @@
 	later := 3 * c.MaxAge
 	a.Record(later, "new", Succeeded)
 	assert.True(t, a.Receive(later, newReport("s", "new", 1, 0, true)), "expired reports make room")
-	for _, c := range []Config{{}, {MaxMembers: 1, MaxWorkers: 1, SampleSize: 1, MaxAge: 1, MinRepeatInterval: 2, MinComplaintShare: 0.5, MaxSuspectShare: 0.5}} {
+	for _, c := range []Config{{}, {MaxMembers: 1, MaxWorkers: 1, SampleSize: 1, MaxAge: 1, MinRepeatInterval: 2,
+		MinComplaintShare: 0.5, MaxSuspectShare: 0.5}} {
 		_, err := NewAggregator(c, "me", "", 1)
 		assert.Error(t, err)
 	}
--- a/internal/fleet/budget.go
+++ b/internal/fleet/budget.go
@@ -67,7 +67,8 @@
 
 // NewBudgets returns a member without budgets. send is usually the method Send of a Link.
 func NewBudgets(name string, incarnation uint64, send func(string, []byte) error) *Budgets {
-	return &Budgets{name: name, incarnation: incarnation, started: time.Now(), send: send, budgets: map[string]*budget{}, stop: make(chan struct{})}
+	return &Budgets{name: name, incarnation: incarnation, started: time.Now(), send: send,
+		budgets: map[string]*budget{}, stop: make(chan struct{})}
 }
 
 func (b *Budgets) now() time.Duration { return time.Since(b.started) }
@@ -106,7 +107,8 @@
 		b.mu.Lock()
 		request := of.holder.BeginRound(b.now())
 		b.mu.Unlock()
-		text, _ := json.Marshal(budgetMessage{Budget: name, Ask: &voteRequestMessage{request.Incarnation, request.Round, encodeChunks(request.Wanted), encodeChunks(request.Released), request.Shortfall, request.UnmetDemand}})
+		text, _ := json.Marshal(budgetMessage{Budget: name, Ask: &voteRequestMessage{request.Incarnation, request.Round,
+			encodeChunks(request.Wanted), encodeChunks(request.Released), request.Shortfall, request.UnmetDemand}})
 		for _, voter := range of.config.Voters {
 			b.send(voter, text) // a failed send counts as no reply
 		}
@@ -131,14 +133,17 @@
 	}
 	if message.Ask == nil {
 		reply := message.Answer
-		of.holder.HandleReply(b.now(), share.VoteReply{Voter: from, Incarnation: reply.Life, Round: reply.Round, Granted: decodeChunks(reply.Yes), Available: decodeChunks(reply.Open), Shortfall: reply.Short, UnmetDemand: reply.More, Requesters: reply.Ask})
+		of.holder.HandleReply(b.now(), share.VoteReply{Voter: from, Incarnation: reply.Life, Round: reply.Round,
+			Granted: decodeChunks(reply.Yes), Available: decodeChunks(reply.Open), Shortfall: reply.Short, UnmetDemand: reply.More, Requesters: reply.Ask})
 		b.mu.Unlock()
 		return
 	}
 	request := message.Ask
-	reply := of.voter.HandleRequest(b.now(), share.VoteRequest{From: from, Incarnation: request.Life, Round: request.Round, Wanted: decodeChunks(request.Want), Released: decodeChunks(request.Free), Shortfall: request.Short, UnmetDemand: request.More})
+	reply := of.voter.HandleRequest(b.now(), share.VoteRequest{From: from, Incarnation: request.Life, Round: request.Round,
+		Wanted: decodeChunks(request.Want), Released: decodeChunks(request.Free), Shortfall: request.Short, UnmetDemand: request.More})
 	b.mu.Unlock()
-	text, _ := json.Marshal(budgetMessage{Budget: message.Budget, Answer: &voteReplyMessage{reply.Incarnation, reply.Round, encodeChunks(reply.Granted), encodeChunks(reply.Available), reply.Shortfall, reply.UnmetDemand, reply.Requesters}})
+	text, _ := json.Marshal(budgetMessage{Budget: message.Budget, Answer: &voteReplyMessage{reply.Incarnation, reply.Round,
+		encodeChunks(reply.Granted), encodeChunks(reply.Available), reply.Shortfall, reply.UnmetDemand, reply.Requesters}})
 	b.send(from, text)
 }
 
@@ -180,7 +185,8 @@
 	defer b.mu.Unlock()
 	out := map[string]BudgetStatus{}
 	for name, of := range b.budgets {
-		out[name] = BudgetStatus{of.holder.Share(b.now()), of.config.Floor, of.config.Budget, of.spent, of.denied, b.malformed, of.voter != nil}
+		out[name] = BudgetStatus{of.holder.Share(b.now()), of.config.Floor, of.config.Budget, of.spent,
+			of.denied, b.malformed, of.voter != nil}
 	}
 	return out
 }
--- a/internal/fleet/evidence.go
+++ b/internal/fleet/evidence.go
@@ -50,8 +50,8 @@
 // NewEvidence returns a member without evidence, in a fleet of at most the given number of members. link is called whenever the
 // link is needed, not before the first Tick.
 func NewEvidence(name, zone string, incarnation uint64, members int, link func() *Link) *Evidence {
-	return &Evidence{name: name, zone: zone, incarnation: incarnation, config: evidence.DefaultConfig(members), link: link, started: time.Now(),
-		aggregators: map[string]*evidence.Aggregator{}, suspects: map[string][]string{}}
+	return &Evidence{name: name, zone: zone, incarnation: incarnation, config: evidence.DefaultConfig(members),
+		link: link, started: time.Now(), aggregators: map[string]*evidence.Aggregator{}, suspects: map[string][]string{}}
 }
 
 // aggregator returns the evidence of a service, and creates it if needed. The caller must hold the lock.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -114,9 +114,11 @@
 	assert.LessOrEqual(t, c.Received, 10000-c.OverLimit)
 	assert.Greater(t, c.OverLimit, 5000)
 	b := NewBudgets("a", 1, func(string, []byte) error { return nil })
-	require.NoError(t, b.Add("shop", share.Config{Budget: 10, MaxMembers: 1, Chunks: 4, Voters: []string{"a"}, LeaseDuration: time.Hour, Burst: 1}))
+	require.NoError(t, b.Add("shop", share.Config{Budget: 10, MaxMembers: 1, Chunks: 4, Voters: []string{"a"},
+		LeaseDuration: time.Hour, Burst: 1}))
 	defer b.Stop()
-	assert.Error(t, b.Add("shop", share.Config{Budget: 10, MaxMembers: 1, Chunks: 4, Voters: []string{"a"}, LeaseDuration: time.Hour, Burst: 1}))
+	assert.Error(t, b.Add("shop", share.Config{Budget: 10, MaxMembers: 1, Chunks: 4, Voters: []string{"a"},
+		LeaseDuration: time.Hour, Burst: 1}))
 	for _, text := range []string{"", "{", `{"b":"other","q":{}}`, `{"b":"shop"}`, `{"b":"shop","q":{"w":7}}`} {
 		b.HandleMessage("z", []byte(text))
 	}
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -56,8 +56,9 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &transport{bind: bind, relay: relay, packets: make(chan *memberlist.Packet, maxQueuedPackets), streams: make(chan net.Conn),
-		in: rate.NewLimiter(rate.Limit(byteRate), byteBurst), out: rate.NewLimiter(rate.Limit(byteRate), byteBurst), stop: make(chan struct{})}
+	t := &transport{bind: bind, relay: relay, packets: make(chan *memberlist.Packet, maxQueuedPackets),
+		streams: make(chan net.Conn), in: rate.NewLimiter(rate.Limit(byteRate), byteBurst),
+		out: rate.NewLimiter(rate.Limit(byteRate), byteBurst), stop: make(chan struct{})}
 	if t.tcp, err = net.Listen("tcp", bind); err != nil {
 		return nil, err
 	}
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -54,7 +54,8 @@
 		{len(c.Voters)%2 == 0, "Voters must be an odd number of names"},
 		{c.LeaseDuration <= 0, "LeaseDuration must be more than 0"},
 		{!(c.Drift >= 0 && c.Drift < 0.5), "Drift must be at least 0 and less than 0.5"},
-		{!(c.Burst >= 0) || c.MaxUse < 0 || (c.Burst == 0) == (c.MaxUse == 0), "one of Burst (a rate) and MaxUse (a count) must be more than 0"},
+		{!(c.Burst >= 0) || c.MaxUse < 0 || (c.Burst == 0) == (c.MaxUse == 0),
+			"one of Burst (a rate) and MaxUse (a count) must be more than 0"},
 	} {
 		if f.bad {
 			return fmt.Errorf("share: %s", f.text)
@@ -135,7 +136,8 @@
 	if !slices.Contains(c.Voters, name) {
 		return nil, fmt.Errorf("share: %q is not one of the voters", name)
 	}
-	return &Voter{c: c, name: name, mutedUntil: now + c.voteDuration(), votes: make([]vote, c.Chunks), requesters: map[string]requester{}}, nil
+	return &Voter{c: c, name: name, mutedUntil: now + c.voteDuration(), votes: make([]vote, c.Chunks),
+		requesters: map[string]requester{}}, nil
 }
 
 // HandleRequest processes a holder's request and returns the reply. It ignores chunks that are out of range.
@@ -143,7 +145,8 @@
 	reply := VoteReply{Voter: v.name, Incarnation: request.Incarnation, Round: request.Round}
 	for _, i := range request.Released {
 		// A delayed request of an earlier round must not release what a later one has requested again.
-		if v.isChunk(i) && v.votes[i].holder == request.From && v.votes[i].incarnation == request.Incarnation && v.votes[i].round <= request.Round {
+		if v.isChunk(i) && v.votes[i].holder == request.From && v.votes[i].incarnation == request.Incarnation &&
+			v.votes[i].round <= request.Round {
 			v.votes[i].expiresAt = min(v.votes[i].expiresAt, now)
 		}
 	}
@@ -153,7 +156,8 @@
 		}
 	}
 	if _, known := v.requesters[request.From]; known || len(v.requesters) < v.c.MaxMembers {
-		v.requesters[request.From] = requester{max(0, min(request.Shortfall, v.c.Chunks)), max(0, min(request.UnmetDemand, v.c.Chunks)), now}
+		v.requesters[request.From] = requester{max(0, min(request.Shortfall, v.c.Chunks)),
+			max(0, min(request.UnmetDemand, v.c.Chunks)), now}
 	}
 	reply.Requesters = len(v.requesters)
 	for name, other := range v.requesters {
@@ -239,8 +243,8 @@
 	if name == "" {
 		return nil, fmt.Errorf("share: the holder's name is empty")
 	}
-	return &Holder{c: c, name: name, incarnation: incarnation, leaseEnds: make([]time.Duration, c.Chunks), tokens: make([]float64, c.Chunks), refilledAt: now, roundStartedAt: now,
-		randomState: incarnation ^ uint64(hashName(name))}, nil
+	return &Holder{c: c, name: name, incarnation: incarnation, leaseEnds: make([]time.Duration, c.Chunks),
+		tokens: make([]float64, c.Chunks), refilledAt: now, roundStartedAt: now, randomState: incarnation ^ uint64(hashName(name))}, nil
 }
 
 // Share returns what this holder may spend now: units per second of a rate, or units in use at once of a count.
@@ -335,11 +339,11 @@
 		h.requestedUnits, h.roundStartedAt = 0, now
 	}
 	size := max(h.c.chunkSize(), 1e-12)
-	factor := headroom
+	demandFactor := headroom
 	if h.othersUnmetDemand > 0 && len(h.available) == 0 { // others need the headroom
-		factor = 1
+		demandFactor = 1
 	}
-	needed := max(0, min(h.c.Chunks, int(math.Ceil((h.demand*factor-h.c.Floor)/size))))
+	needed := max(0, min(h.c.Chunks, int(math.Ceil((h.demand*demandFactor-h.c.Floor)/size))))
 	evenShare := max(1, h.c.Chunks/max(1, h.requesters))
 	target, held := needed, h.heldChunks(now)
 	// If others lack an even share, no holder grows beyond one. If no chunk is available either, holders with more release some.
@@ -390,12 +394,14 @@
 // are not voters.
 func (h *Holder) HandleReply(now time.Duration, reply VoteReply) {
 	r := &h.rounds[reply.Round%recentRounds]
-	if reply.Incarnation != h.incarnation || reply.Round == 0 || r.number != reply.Round || r.voters[reply.Voter] || !slices.Contains(h.c.Voters, reply.Voter) {
+	if reply.Incarnation != h.incarnation || reply.Round == 0 || r.number != reply.Round ||
+		r.voters[reply.Voter] || !slices.Contains(h.c.Voters, reply.Voter) {
 		return
 	}
 	r.voters[reply.Voter] = true
 	h.othersUnmetDemand = max(h.othersUnmetDemand, reply.UnmetDemand)
-	h.othersShortfall, h.requesters = max(h.othersShortfall, max(0, reply.Shortfall)), max(h.requesters, min(reply.Requesters, h.c.MaxMembers))
+	h.othersShortfall, h.requesters = max(h.othersShortfall, max(0, reply.Shortfall)),
+		max(h.requesters, min(reply.Requesters, h.c.MaxMembers))
 	for _, i := range reply.Available {
 		if i >= 0 && i < h.c.Chunks && len(h.available) < maxAvailable && !slices.Contains(h.available, i) {
 			h.available = append(h.available, i)
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -186,7 +186,8 @@
 	for n := len(f.spent) - 1; n >= 0 && f.spent[n].at > f.now-window; n-- {
 		sum += f.spent[n].units
 	}
-	require.LessOrEqual(f.t, sum, tolerance*f.c.Budget*(window.Seconds()+f.c.Burst)+float64(f.c.MaxMembers), "units spent in one second")
+	require.LessOrEqual(f.t, sum, tolerance*f.c.Budget*(window.Seconds()+f.c.Burst)+float64(f.c.MaxMembers),
+		"units spent in one second")
 }
 
 // Checks that the shares never add up to more than the budget, and that no more than the budget and its burst is spent, under
@@ -339,8 +340,10 @@
 	assert.False(t, f.spend(0, 1), "a restarted holder has no tokens")
 	voter, err := NewVoter(f.c, "k0", f.now)
 	require.NoError(t, err)
-	assert.Empty(t, voter.HandleRequest(f.now+f.c.LeaseDuration, VoteRequest{From: "h1", Incarnation: 9, Round: 1, Wanted: []int{1}}).Granted, "a restarted voter grants nothing at first")
-	assert.Equal(t, []int{1}, voter.HandleRequest(f.now+f.c.voteDuration(), VoteRequest{From: "h1", Incarnation: 9, Round: 1, Wanted: []int{1, -1, 10, 1 << 40}}).Granted)
+	assert.Empty(t, voter.HandleRequest(f.now+f.c.LeaseDuration, VoteRequest{From: "h1", Incarnation: 9, Round: 1,
+		Wanted: []int{1}}).Granted, "a restarted voter grants nothing at first")
+	assert.Equal(t, []int{1}, voter.HandleRequest(f.now+f.c.voteDuration(), VoteRequest{From: "h1", Incarnation: 9, Round: 1,
+		Wanted: []int{1, -1, 10, 1 << 40}}).Granted)
 }
 
 // Checks that invalid messages change nothing, and that the memory and the figures of a voter stay bounded.
@@ -355,7 +358,8 @@
 		{Voter: "stranger", Incarnation: 1, Round: request.Round, Available: []int{1}},
 		{Voter: "k0", Incarnation: 1, Round: 1 << 63, Available: []int{1}},
 		{Voter: "k0", Incarnation: 1, Round: 0, Granted: []int{1}},
-		{Voter: "k0", Incarnation: 1, Round: request.Round, Granted: []int{-1, 99, 1 << 40}, Available: []int{-5, 1 << 40}, Shortfall: -3, Requesters: 1 << 40},
+		{Voter: "k0", Incarnation: 1, Round: request.Round, Granted: []int{-1, 99, 1 << 40},
+			Available: []int{-5, 1 << 40}, Shortfall: -3, Requesters: 1 << 40},
 	} {
 		h.HandleReply(time.Second, invalid)
 	}
@@ -365,7 +369,8 @@
 	voter, err := NewVoter(c, "k0", 0)
 	require.NoError(t, err)
 	for i := range 100 {
-		voter.HandleRequest(c.voteDuration(), VoteRequest{From: fmt.Sprint("liar", i), Incarnation: 1, Round: 1, Shortfall: 1 << 40, Released: []int{-1, 1 << 40}})
+		voter.HandleRequest(c.voteDuration(), VoteRequest{From: fmt.Sprint("liar", i), Incarnation: 1, Round: 1, Shortfall: 1 << 40,
+			Released: []int{-1, 1 << 40}})
 	}
 	assert.LessOrEqual(t, len(voter.requesters), c.MaxMembers)
 	assert.LessOrEqual(t, voter.HandleRequest(c.voteDuration(), VoteRequest{From: "h0"}).Shortfall, c.MaxMembers*c.Chunks)
