--- a/coordination/register/proposer.go
+++ b/coordination/register/proposer.go
@@ -5,81 +5,83 @@
 	"slices"
 )
 
-// Change makes the next value from a chosen one. It may be called more than once in an operation, also on a value that
-// holds its own earlier work, if that was in doubt. Of its result Replicas, Previous and Data count. A result that is equal
-// in all three ends the operation with the value as it is, and so does an error, which the operation returns.
+// Change computes the next value from a chosen one. An operation may call it more than once, also on a value to which an earlier
+// call was already applied, if that proposal was in doubt. Only Replicas, Previous and Data of the result are used. If all
+// three are equal to those of the chosen value, the operation ends without a write. An error also ends the operation, which
+// returns it.
 type Change func(chosen Value) (Value, error)
 
-// Unchanged is the change of a read.
+// Unchanged is the Change of a read: it returns the chosen value.
 func Unchanged(chosen Value) (Value, error) { return chosen, nil }
 
-// Output is what a Proposer or Reader asks of its driver.
+// Output tells the driver of a Proposer or Reader what to do next.
 type Output struct {
 	Messages []Message
-	Retry    bool // call Proposer.Retry after a random back-off
-	Done     bool
+	Retry    bool // the driver calls Proposer.Retry after a random backoff
+	Done     bool // the operation has ended
 }
 
 type phase uint8
 
 const (
 	idle       phase = iota
-	preparing        // asking for promises
-	completing       // sending out again what others have left in doubt
-	accepting        // sending out the own proposal
+	preparing        // collecting promises
+	completing       // proposing the base again, because it is in doubt
+	accepting        // proposing the result of the change
 	ended
 )
 
-// Proposer brings one change to a chosen value, over as many ballots as it takes. It is pure.
+// Proposer applies one change to the chosen value, with as many ballots as needed. It is a pure state machine.
 type Proposer struct {
 	self    Replica
 	ballots *BallotGenerator
 	change  Change
 
-	base   Accepted // highest value known
-	chosen Ballot   // highest ballot known to be chosen
-	news   Accepted // a chosen value that came from elsewhere, for the next ballot
+	base    Accepted // known value with the highest ballot
+	chosen  Ballot   // highest ballot known to be chosen
+	learned Accepted // chosen value from another source, to be used by the next ballot
 
-	phase    phase
-	ballot   Ballot
-	proposal Value
-	asked    map[string]bool
-	answers  map[string]Reply
+	phase     phase
+	ballot    Ballot
+	proposal  Value
+	requested map[string]bool
+	replies   map[string]Reply
 
-	doubt  doubt
-	result Accepted
-	err    error
+	doubtful doubtfulProposals
+	result   Accepted
+	err      error
 }
 
-// doubt is what became of own proposals that were sent out and given up. A proposal that no majority has accepted under
-// its ballot may still be completed by anyone under a later one. Only a value chosen above it puts an end to that.
-type doubt struct {
-	origins  []Ballot // of the proposals; none: nothing is in doubt
-	highest  Ballot
-	revision uint64 // the lowest of theirs
+// doubtfulProposals records the proposals that this proposer sent and gave up. Another proposer may still complete such a proposal
+// under a later ballot, even if no majority accepted it under its own. Only a value chosen under a higher ballot rules that out.
+type doubtfulProposals struct {
+	origins        []Ballot // origins of the proposals; empty if none is in doubt
+	highest        Ballot   // highest ballot of the proposals
+	lowestRevision uint64   // lowest revision of the proposals
 }
 
-func (d *doubt) add(proposal *Value) {
+func (d *doubtfulProposals) add(proposal *Value) {
 	if len(d.origins) == 0 {
-		d.revision = proposal.Revision
+		d.lowestRevision = proposal.Revision
 	}
 	d.origins = append(d.origins, proposal.Origin)
 	d.highest = proposal.Origin
-	d.revision = min(d.revision, proposal.Revision)
+	d.lowestRevision = min(d.lowestRevision, proposal.Revision)
 }
 
-// pending reports whether one of the proposals may be chosen after the chosen value.
-func (d *doubt) pending(chosen *Accepted) bool {
+// pending reports whether one of the proposals may still be chosen on top of the chosen value.
+func (d *doubtfulProposals) pending(chosen *Accepted) bool {
 	return len(d.origins) > 0 && chosen.Ballot.Less(d.highest)
 }
 
-// refuted reports whether none of the proposals was or will be chosen. Above their revision, only the change can tell.
-func (d *doubt) refuted(chosen *Accepted) bool {
-	return !d.pending(chosen) && chosen.Value.Revision <= d.revision
+// ruledOut reports whether none of the proposals was or can be chosen. If the chosen revision is above the lowest of theirs, one
+// of them may be part of the chosen value, which only the change can detect.
+func (d *doubtfulProposals) ruledOut(chosen *Accepted) bool {
+	return !d.pending(chosen) && chosen.Value.Revision <= d.lowestRevision
 }
 
-// NewProposer returns an operation. Known is the highest value that the driver has, with the set to begin with; chosen is
-// the highest ballot that the driver knows to be chosen.
+// NewProposer returns the proposer of one operation. Known is the value with the highest ballot that the driver has; its replica
+// set is asked first. Chosen is the highest ballot that the driver knows to be chosen.
 func NewProposer(self Replica, ballots *BallotGenerator, known Accepted, chosen Ballot, change Change) *Proposer {
 	ballots.Observe(known.Ballot)
 	return &Proposer{self: self, ballots: ballots, base: known, chosen: chosen, change: change}
@@ -88,52 +90,52 @@
 // Start begins the first ballot.
 func (p *Proposer) Start() Output { return p.prepare() }
 
-// Retry gives the current ballot up and begins another.
+// Retry abandons the current ballot and begins another.
 func (p *Proposer) Retry() Output {
 	if p.phase == ended {
 		return Output{Done: true}
 	}
-	p.noteDoubt()
+	p.recordDoubt()
 	return p.prepare()
 }
 
-// Learn takes a chosen value that came from elsewhere. It reports whether the current ballot is in vain, so that the driver
-// had better call Retry: a higher one was chosen, or the set has moved on.
+// Learn takes a chosen value from another source. It reports whether the driver should call Retry because the current ballot is
+// obsolete: the chosen value has a higher ballot or other members.
 func (p *Proposer) Learn(chosen Accepted) bool {
-	if p.phase == ended || !p.base.Ballot.Less(chosen.Ballot) || !p.news.Ballot.Less(chosen.Ballot) {
+	if p.phase == ended || !p.base.Ballot.Less(chosen.Ballot) || !p.learned.Ballot.Less(chosen.Ballot) {
 		return false
 	}
 	p.ballots.Observe(chosen.Ballot)
-	p.news = chosen // not the base of a ballot that may be below it
+	p.learned = chosen // not yet the base: the current ballot may be below it
 	return p.ballot.Less(chosen.Ballot) || !slices.Equal(p.base.Value.Members(), chosen.Value.Members())
 }
 
-// InDoubt reports whether an own proposal may yet be chosen without this operation knowing.
-func (p *Proposer) InDoubt() bool { return len(p.doubt.origins) > 0 || p.phase == accepting }
+// InDoubt reports whether a proposal of this operation may be chosen without the operation knowing it.
+func (p *Proposer) InDoubt() bool { return len(p.doubtful.origins) > 0 || p.phase == accepting }
 
-// Result returns the end of an operation that is done: the chosen value, and the error of the change if it gave one.
+// Result returns the outcome of a finished operation: the chosen value, and the error of the change if there was one.
 func (p *Proposer) Result() (Accepted, error) { return p.result, p.err }
 
-// Deliver takes a reply. Replies to earlier ballots and doubles are ignored.
+// Deliver handles a reply. It ignores duplicates and replies to earlier ballots or phases.
 func (p *Proposer) Deliver(reply Reply) Output {
 	p.ballots.Observe(reply.Promised)
-	if reply.Ballot != p.ballot || !p.awaits(reply.Kind) || !p.asked[reply.From.ID] {
+	if reply.Ballot != p.ballot || !p.expects(reply.Kind) || !p.requested[reply.From.ID] {
 		return Output{Done: p.phase == ended}
 	}
-	if old, answered := p.answers[reply.From.ID]; answered && old.Refusal == NoRefusal {
+	if old, replied := p.replies[reply.From.ID]; replied && old.Refusal == NoRefusal {
 		return Output{}
 	}
-	p.answers[reply.From.ID] = reply
+	p.replies[reply.From.ID] = reply
 	if p.phase == preparing {
-		return p.promised(reply)
+		return p.onPromise(reply)
 	}
 	if reply.Refusal != NoRefusal {
-		return p.refused(reply, &p.proposal)
+		return p.onRefusal(reply, &p.proposal)
 	}
-	return p.accepted()
+	return p.onAccept()
 }
 
-func (p *Proposer) awaits(kind Kind) bool {
+func (p *Proposer) expects(kind Kind) bool {
 	switch p.phase {
 	case preparing:
 		return kind == Prepare
@@ -145,42 +147,42 @@
 
 func (p *Proposer) prepare() Output {
 	p.phase = preparing
-	if p.base.Ballot.Less(p.news.Ballot) {
-		p.base, p.chosen = p.news, p.news.Ballot
+	if p.base.Ballot.Less(p.learned.Ballot) {
+		p.base, p.chosen = p.learned, p.learned.Ballot
 	}
 	p.ballot = p.ballots.Next()
-	p.asked = map[string]bool{}
-	p.answers = map[string]Reply{}
-	return Output{Messages: p.ask(Request{Kind: Prepare, Known: p.base.Ballot}, p.base.Value.Members())}
+	p.requested = map[string]bool{}
+	p.replies = map[string]Reply{}
+	return Output{Messages: p.messagesTo(Request{Kind: Prepare, Known: p.base.Ballot}, p.base.Value.Members())}
 }
 
-// ask addresses a request to those who have not had it in this phase.
-func (p *Proposer) ask(request Request, replicas []Replica) []Message {
+// messagesTo returns a request for each of the replicas that has not had one in this phase.
+func (p *Proposer) messagesTo(request Request, replicas []Replica) []Message {
 	var messages []Message
 	for _, replica := range replicas {
-		if p.asked[replica.ID] {
+		if p.requested[replica.ID] {
 			continue
 		}
-		p.asked[replica.ID] = true
+		p.requested[replica.ID] = true
 		request.To, request.From, request.Ballot = replica.ID, p.self, p.ballot
 		messages = append(messages, Message{To: replica, Request: request})
 	}
 	return messages
 }
 
-func (p *Proposer) promised(reply Reply) Output {
+func (p *Proposer) onPromise(reply Reply) Output {
 	if p.chosen.Less(reply.Chosen) {
 		p.chosen = reply.Chosen
 	}
 	if reply.Refusal != NoRefusal {
-		return p.refused(reply, &p.base.Value)
+		return p.onRefusal(reply, &p.base.Value)
 	}
 	if reply.Value != nil && p.base.Ballot.Less(reply.Accepted) {
 		p.base = Accepted{Ballot: reply.Accepted, Value: *reply.Value}
 	}
-	// A newer value may have another set: its members have to promise, too.
-	messages := p.ask(Request{Kind: Prepare, Known: p.base.Ballot}, p.base.Value.Members())
-	if !p.base.Value.Quorum(p.agreed) {
+	// A newer value may have another set, whose members have to promise as well.
+	messages := p.messagesTo(Request{Kind: Prepare, Known: p.base.Ballot}, p.base.Value.Members())
+	if !p.base.Value.Quorum(p.hasAgreed) {
 		return Output{Messages: messages}
 	}
 	output := p.propose()
@@ -188,26 +190,26 @@
 	return output
 }
 
-func (p *Proposer) agreed(id string) bool {
-	answer, answered := p.answers[id]
-	return answered && answer.Refusal == NoRefusal
+func (p *Proposer) hasAgreed(id string) bool {
+	reply, replied := p.replies[id]
+	return replied && reply.Refusal == NoRefusal
 }
 
-// refused asks for another ballot if a higher one was met, or if no majority is left. The back-off before it leaves those
-// who have not answered some time: if they make a majority, this ballot goes on.
-func (p *Proposer) refused(reply Reply, value *Value) Output {
-	return Output{Retry: reply.Refusal == Superseded || p.hopeless(value)}
+// onRefusal requests a retry if a higher ballot was promised or if the refusals leave no majority. During the backoff before the
+// retry, more replies may arrive and complete a majority, and the ballot then continues.
+func (p *Proposer) onRefusal(reply Reply, value *Value) Output {
+	return Output{Retry: reply.Refusal == Superseded || p.quorumImpossible(value)}
 }
 
-// hopeless reports whether the refusals leave no majority.
-func (p *Proposer) hopeless(value *Value) bool {
+// quorumImpossible reports whether the replicas that have not refused are no majority.
+func (p *Proposer) quorumImpossible(value *Value) bool {
 	return !value.Quorum(func(id string) bool {
-		answer, answered := p.answers[id]
-		return !answered || answer.Refusal == NoRefusal
+		reply, replied := p.replies[id]
+		return !replied || reply.Refusal == NoRefusal
 	})
 }
 
-// propose decides what to send out, now that a majority of the set of the base has promised.
+// propose continues after a majority of the set of the base has promised: it completes a base in doubt or applies the change.
 func (p *Proposer) propose() Output {
 	if !p.baseIsChosen() {
 		return p.complete()
@@ -215,34 +217,35 @@
 	return p.onChosen(true)
 }
 
-// baseIsChosen reports whether a majority holds the base under its ballot, or whether someone knows it to be chosen.
+// baseIsChosen reports whether a majority has accepted the base under its ballot, or whether it is already known to be chosen.
 func (p *Proposer) baseIsChosen() bool {
-	if p.chosen == p.base.Ballot { // a higher one would say nothing of the base
+	if p.chosen == p.base.Ballot { // a higher chosen ballot does not imply that the base is chosen
 		return true
 	}
 	return p.base.Value.Quorum(func(id string) bool {
-		answer, answered := p.answers[id]
-		return answered && answer.Refusal == NoRefusal && answer.Accepted == p.base.Ballot
+		reply, replied := p.replies[id]
+		return replied && reply.Refusal == NoRefusal && reply.Accepted == p.base.Ballot
 	})
 }
 
-// onChosen goes on from a base that is chosen: with the change, if there is a promise to use for it, else with a ballot.
+// onChosen continues from a base that is chosen. If there are promises that the change can use, it proposes the changed value,
+// else it begins a new ballot.
 func (p *Proposer) onChosen(promised bool) Output {
-	if slices.Contains(p.doubt.origins, p.base.Value.Origin) {
-		return p.end(p.base, nil) // the own proposal was chosen after all
+	if slices.Contains(p.doubtful.origins, p.base.Value.Origin) {
+		return p.finish(p.base, nil) // a proposal of this operation that was in doubt has been chosen
 	}
-	if p.doubt.refuted(&p.base) {
-		p.doubt = doubt{}
+	if p.doubtful.ruledOut(&p.base) {
+		p.doubtful = doubtfulProposals{}
 	}
 	next, err := p.change(p.base.Value)
-	nothing := err != nil || sameContent(&next, &p.base.Value)
+	unchanged := err != nil || sameContent(&next, &p.base.Value)
 	switch {
-	case nothing && !p.doubt.pending(&p.base):
-		return p.end(p.base, err)
+	case unchanged && !p.doubtful.pending(&p.base):
+		return p.finish(p.base, err)
 	case !promised:
 		return p.prepare()
-	case nothing:
-		return p.complete() // chosen anew above the proposals in doubt, the base puts an end to them
+	case unchanged:
+		return p.complete() // choosing the base again, under a higher ballot, rules out the proposals in doubt
 	}
 	next.Revision = p.base.Value.Revision + 1
 	next.DataRevision = p.base.Value.DataRevision
@@ -258,7 +261,7 @@
 	return bytes.Equal(a.Data, b.Data) && slices.Equal(a.Replicas, b.Replicas) && slices.Equal(a.Previous, b.Previous)
 }
 
-// complete sends the base out again under the own ballot.
+// complete proposes the base again under the current ballot.
 func (p *Proposer) complete() Output {
 	p.proposal = p.base.Value
 	return p.accept(completing)
@@ -266,23 +269,23 @@
 
 func (p *Proposer) accept(as phase) Output {
 	p.phase = as
-	p.asked = map[string]bool{}
-	p.answers = map[string]Reply{}
+	p.requested = map[string]bool{}
+	p.replies = map[string]Reply{}
 	value := p.proposal
-	return Output{Messages: p.ask(Request{Kind: Accept, Known: p.ballot, Value: &value}, value.Members())}
+	return Output{Messages: p.messagesTo(Request{Kind: Accept, Known: p.ballot, Value: &value}, value.Members())}
 }
 
-func (p *Proposer) accepted() Output {
-	if !p.proposal.Quorum(p.agreed) {
+func (p *Proposer) onAccept() Output {
+	if !p.proposal.Quorum(p.hasAgreed) {
 		return Output{}
 	}
-	former := p.base.Value.Members()
+	previousMembers := p.base.Value.Members()
 	p.base = Accepted{Ballot: p.ballot, Value: p.proposal}
 	p.chosen = p.ballot
 	var output Output
-	commits := p.commit(former)
+	commits := p.commit(previousMembers)
 	if p.phase == accepting {
-		output = p.end(p.base, nil)
+		output = p.finish(p.base, nil)
 	} else {
 		output = p.onChosen(false)
 	}
@@ -290,24 +293,24 @@
 	return output
 }
 
-// commit tells the members of the chosen value, and those that are no longer among them.
-func (p *Proposer) commit(former []Replica) []Message {
-	p.asked = map[string]bool{}
+// commit returns the commits to the members of the chosen value and to the members of the previous one.
+func (p *Proposer) commit(previousMembers []Replica) []Message {
+	p.requested = map[string]bool{}
 	request := Request{Kind: Commit}
-	messages := p.ask(request, p.base.Value.Members())
-	return append(messages, p.ask(request, former)...)
+	messages := p.messagesTo(request, p.base.Value.Members())
+	return append(messages, p.messagesTo(request, previousMembers)...)
 }
 
-func (p *Proposer) end(result Accepted, err error) Output {
+func (p *Proposer) finish(result Accepted, err error) Output {
 	p.phase = ended
-	p.doubt = doubt{}
+	p.doubtful = doubtfulProposals{}
 	p.result, p.err = result, err
 	return Output{Done: true}
 }
 
-// noteDoubt remembers an own proposal that is given up while it may yet be chosen.
-func (p *Proposer) noteDoubt() {
+// recordDoubt records the current proposal if it is abandoned while it may still be chosen.
+func (p *Proposer) recordDoubt() {
 	if p.phase == accepting {
-		p.doubt.add(&p.proposal)
+		p.doubtful.add(&p.proposal)
 	}
 }
