--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -74,119 +74,119 @@
 // newSimulation returns a simulation with n holders. clockRate returns the clock rate of a holder by its index, and of the voters
 // by the indexes -1, -2 and so on.
 func newSimulation(t require.TestingT, c Config, n int, clockRate func(int) float64) *simulation {
-	f := &simulation{t: t, c: c}
+	sim := &simulation{t: t, c: c}
 	for i, name := range c.Voters {
 		voter, err := NewVoter(c, name, 0)
 		require.NoError(t, err)
-		f.voters = append(f.voters, &simulatedVoter{Voter: voter, clockRate: clockRate(-1 - i)})
+		sim.voters = append(sim.voters, &simulatedVoter{Voter: voter, clockRate: clockRate(-1 - i)})
 	}
 	for i := range n {
-		f.holders = append(f.holders, &simulatedHolder{clockRate: clockRate(i)})
-		f.startHolder(i)
+		sim.holders = append(sim.holders, &simulatedHolder{clockRate: clockRate(i)})
+		sim.startHolder(i)
 	}
-	return f
+	return sim
 }
 
 // startHolder starts or restarts a holder, which loses its state.
-func (f *simulation) startHolder(i int) {
-	f.lastIncarnation++
-	m := f.holders[i]
-	h, err := NewHolder(f.c, fmt.Sprint("h", i), f.lastIncarnation, clock(f.now, m.clockRate))
-	require.NoError(f.t, err)
-	m.Holder = h
+func (sim *simulation) startHolder(i int) {
+	sim.lastIncarnation++
+	holder := sim.holders[i]
+	h, err := NewHolder(sim.c, fmt.Sprint("h", i), sim.lastIncarnation, clock(sim.now, holder.clockRate))
+	require.NoError(sim.t, err)
+	holder.Holder = h
 }
 
 // beginRound sends the requests of one holder to all voters. delay returns the delay of each message, or a negative value if the
 // message is lost.
-func (f *simulation) beginRound(i int, delay func() time.Duration) {
-	m := f.holders[i]
-	if m.stalled {
+func (sim *simulation) beginRound(i int, delay func() time.Duration) {
+	holder := sim.holders[i]
+	if holder.stalled {
 		return
 	}
-	request := m.BeginRound(clock(f.now, m.clockRate))
-	for k := range f.voters {
+	request := holder.BeginRound(clock(sim.now, holder.clockRate))
+	for to := range sim.voters {
 		if d := delay(); d >= 0 {
-			f.messages = append(f.messages, message{at: f.now + d, to: k, request: &request})
+			sim.messages = append(sim.messages, message{at: sim.now + d, to: to, request: &request})
 		}
 	}
 }
 
 // deliver delivers the messages that are due, and sends the replies with the given delay.
-func (f *simulation) deliver(delay func() time.Duration) {
+func (sim *simulation) deliver(delay func() time.Duration) {
 	for {
-		i := slices.IndexFunc(f.messages, func(l message) bool { return l.at <= f.now })
+		i := slices.IndexFunc(sim.messages, func(queued message) bool { return queued.at <= sim.now })
 		if i < 0 {
 			return
 		}
-		l := f.messages[i]
-		f.messages = slices.Delete(f.messages, i, i+1)
-		if l.request != nil {
-			k := f.voters[l.to]
+		next := sim.messages[i]
+		sim.messages = slices.Delete(sim.messages, i, i+1)
+		if next.request != nil {
+			voter := sim.voters[next.to]
 			from := 0
-			fmt.Sscanf(l.request.From, "h%d", &from)
-			if k.partitioned || f.holders[from].partitioned {
+			fmt.Sscanf(next.request.From, "h%d", &from)
+			if voter.partitioned || sim.holders[from].partitioned {
 				continue
 			}
-			reply := k.HandleRequest(clock(f.now, k.clockRate), *l.request)
+			reply := voter.HandleRequest(clock(sim.now, voter.clockRate), *next.request)
 			if d := delay(); d >= 0 {
-				f.messages = append(f.messages, message{at: f.now + d, to: from, reply: &reply})
+				sim.messages = append(sim.messages, message{at: sim.now + d, to: from, reply: &reply})
 			}
 			continue
 		}
-		if m := f.holders[l.to]; !m.partitioned && !m.stalled {
-			m.HandleReply(clock(f.now, m.clockRate), *l.reply)
+		if holder := sim.holders[next.to]; !holder.partitioned && !holder.stalled {
+			holder.HandleReply(clock(sim.now, holder.clockRate), *next.reply)
 		}
 	}
 }
 
-func (f *simulation) spend(i int, units float64) bool {
-	m := f.holders[i]
-	if m.stalled || !m.Spend(clock(f.now, m.clockRate), units) {
+func (sim *simulation) spend(i int, units float64) bool {
+	holder := sim.holders[i]
+	if holder.stalled || !holder.Spend(clock(sim.now, holder.clockRate), units) {
 		return false
 	}
-	f.spent = append(f.spent, spending{f.now, units, m.Holder})
-	if f.c.MaxUse > 0 {
-		f.inUse = append(f.inUse, spending{f.now + time.Duration(float64(f.c.MaxUse)*0.98), units, m.Holder})
+	sim.spent = append(sim.spent, spending{sim.now, units, holder.Holder})
+	if sim.c.MaxUse > 0 {
+		sim.inUse = append(sim.inUse, spending{sim.now + time.Duration(float64(sim.c.MaxUse)*0.98), units, holder.Holder})
 	}
 	return true
 }
 
 // checkInvariants checks in true time that no chunk has two holders, and that no more than the budget is spent.
-func (f *simulation) checkInvariants() {
-	for i := range f.c.Chunks {
+func (sim *simulation) checkInvariants() {
+	for i := range sim.c.Chunks {
 		holders := 0
-		for _, m := range f.holders {
-			if clock(f.now, m.clockRate) < m.leaseEnds[i] {
+		for _, holder := range sim.holders {
+			if clock(sim.now, holder.clockRate) < holder.leaseEnds[i] {
 				holders++
 			}
 		}
-		require.LessOrEqual(f.t, holders, 1, "chunk %d has more than one holder", i)
+		require.LessOrEqual(sim.t, holders, 1, "chunk %d has more than one holder", i)
 	}
-	for _, m := range f.holders {
-		for i, tokens := range m.tokens {
-			require.GreaterOrEqual(f.t, tokens, 0.0, "tokens of chunk %d", i)
+	for _, holder := range sim.holders {
+		for i, tokens := range holder.tokens {
+			require.GreaterOrEqual(sim.t, tokens, 0.0, "tokens of chunk %d", i)
 		}
 	}
 	const tolerance = 1.05 // for clocks that run too fast
-	if f.c.MaxUse > 0 {
+	if sim.c.MaxUse > 0 {
 		sum := 0.0
-		f.inUse = slices.DeleteFunc(f.inUse, func(s spending) bool {
-			if s.at <= f.now {
+		sim.inUse = slices.DeleteFunc(sim.inUse, func(s spending) bool {
+			if s.at <= sim.now {
 				s.by.Return(s.units)
 			}
-			return s.at <= f.now
+			return s.at <= sim.now
 		})
-		for _, s := range f.inUse {
+		for _, s := range sim.inUse {
 			sum += s.units
 		}
-		require.LessOrEqual(f.t, sum, f.c.Budget+1e-6, "units in use at once")
+		require.LessOrEqual(sim.t, sum, sim.c.Budget+1e-6, "units in use at once")
 		return
 	}
 	sum, window := 0.0, time.Second
-	for n := len(f.spent) - 1; n >= 0 && f.spent[n].at > f.now-window; n-- {
-		sum += f.spent[n].units
+	for n := len(sim.spent) - 1; n >= 0 && sim.spent[n].at > sim.now-window; n-- {
+		sum += sim.spent[n].units
 	}
-	require.LessOrEqual(f.t, sum, tolerance*f.c.Budget*(window.Seconds()+f.c.Burst)+float64(f.c.MaxMembers),
+	require.LessOrEqual(sim.t, sum, tolerance*sim.c.Budget*(window.Seconds()+sim.c.Burst)+float64(sim.c.MaxMembers),
 		"units spent in one second")
 }
 
@@ -196,7 +196,7 @@
 	for name, c := range map[string]Config{"rate": rateConfig(5, 24), "count": countConfig(5, 24)} {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				f := newSimulation(t, c, 5, func(i int) float64 {
+				sim := newSimulation(t, c, 5, func(i int) float64 {
 					return 1 + rapid.Float64Range(-c.Drift, c.Drift).Draw(t, "pace")
 				})
 				randomState := rapid.Uint64().Draw(t, "seed")
@@ -215,45 +215,45 @@
 				}
 				steps := rapid.IntRange(50, 250).Draw(t, "steps")
 				for range steps {
-					f.now += time.Duration(random(60)) * ms
-					f.deliver(delay)
-					i := random(len(f.holders))
-					switch m := f.holders[i]; random(30) {
+					sim.now += time.Duration(random(60)) * ms
+					sim.deliver(delay)
+					i := random(len(sim.holders))
+					switch holder := sim.holders[i]; random(30) {
 					case 0:
-						m.partitioned = !m.partitioned
+						holder.partitioned = !holder.partitioned
 					case 1:
-						m.stalled = !m.stalled
+						holder.stalled = !holder.stalled
 					case 2: // a crash and restart: units that it spent before stay in use
-						f.startHolder(i)
+						sim.startHolder(i)
 					case 3:
-						k := f.voters[random(len(f.voters))]
-						if k.partitioned = !k.partitioned; k.partitioned {
-							restarted, err := NewVoter(c, k.name, clock(f.now, k.clockRate))
+						voter := sim.voters[random(len(sim.voters))]
+						if voter.partitioned = !voter.partitioned; voter.partitioned {
+							restarted, err := NewVoter(c, voter.name, clock(sim.now, voter.clockRate))
 							require.NoError(t, err)
-							k.Voter = restarted
+							voter.Voter = restarted
 						}
 					case 4:
-						if len(f.messages) > 0 { // duplicates a message
-							l := f.messages[random(len(f.messages))]
-							l.at += time.Duration(random(3000)) * ms
-							f.messages = append(f.messages, l)
+						if len(sim.messages) > 0 {
+							duplicate := sim.messages[random(len(sim.messages))]
+							duplicate.at += time.Duration(random(3000)) * ms
+							sim.messages = append(sim.messages, duplicate)
 						}
 					case 5, 6, 7, 8, 9, 10:
-						f.beginRound(i, delay)
+						sim.beginRound(i, delay)
 					default:
 						for range random(40) {
-							f.spend(i, 1)
+							sim.spend(i, 1)
 						}
 					}
-					f.checkInvariants()
+					sim.checkInvariants()
 				}
-				for _, m := range f.holders {
-					m.partitioned, m.stalled = false, false
+				for _, holder := range sim.holders {
+					holder.partitioned, holder.stalled = false, false
 				}
-				for _, k := range f.voters {
-					k.partitioned = false
+				for _, voter := range sim.voters {
+					voter.partitioned = false
 				}
-				assert.GreaterOrEqual(t, f.runWithoutFaults(40, func(int) float64 { return 2 * c.Budget / 5 }), 0.9)
+				assert.GreaterOrEqual(t, sim.runWithoutFaults(40, func(int) float64 { return 2 * c.Budget / 5 }), 0.9)
 			})
 		})
 	}
@@ -261,88 +261,88 @@
 
 // runWithoutFaults runs rounds in which each holder spends at its demand, in units per second. It returns the fraction of the
 // budget that the holders with demand have at the end.
-func (f *simulation) runWithoutFaults(rounds int, demand func(int) float64) float64 {
+func (sim *simulation) runWithoutFaults(rounds int, demand func(int) float64) float64 {
 	delay := func() time.Duration { return 5 * ms }
-	interval := f.c.LeaseDuration / 4
+	interval := sim.c.LeaseDuration / 4
 	for range rounds {
 		for step := range 10 {
-			f.now += interval / 10
-			f.deliver(delay)
-			for i := range f.holders {
+			sim.now += interval / 10
+			sim.deliver(delay)
+			for i := range sim.holders {
 				if i%10 == step {
-					f.beginRound(i, delay)
+					sim.beginRound(i, delay)
 				}
 				for units := demand(i) * interval.Seconds() / 10; units > 0; units-- {
-					f.spend(i, min(1, units))
+					sim.spend(i, min(1, units))
 				}
 			}
 		}
-		if len(f.holders) < 50 {
-			f.checkInvariants()
+		if len(sim.holders) < 50 {
+			sim.checkInvariants()
 		}
 	}
 	sum := 0.0
-	for i, m := range f.holders {
+	for i, holder := range sim.holders {
 		if demand(i) > 0 {
-			sum += m.Share(clock(f.now, m.clockRate))
+			sum += holder.Share(clock(sim.now, holder.clockRate))
 		}
 	}
-	return sum / f.c.Budget
+	return sum / sim.c.Budget
 }
 
 // Checks that shares follow the demand and that no holder with demand starves. Holders that are partitioned keep their floor, and
 // the others get the rest of the budget.
 func TestSharesFollowDemand(t *testing.T) {
-	f := newSimulation(t, rateConfig(10, 100), 10, func(int) float64 { return 1 })
+	sim := newSimulation(t, rateConfig(10, 100), 10, func(int) float64 { return 1 })
 	equal := func(i int) float64 { return 80 }
-	assert.GreaterOrEqual(t, f.runWithoutFaults(40, equal), 0.95, "the demand is twice the budget")
-	assert.GreaterOrEqual(t, f.runWithoutFaults(60, func(i int) float64 {
+	assert.GreaterOrEqual(t, sim.runWithoutFaults(40, equal), 0.95, "the demand is twice the budget")
+	assert.GreaterOrEqual(t, sim.runWithoutFaults(60, func(i int) float64 {
 		if i == 3 {
 			return 600
 		}
 		return 0.0
 	}), 0.9, "only one holder has demand")
-	for i := range f.holders {
-		f.holders[i].partitioned = i == 3 || i == 4
+	for i := range sim.holders {
+		sim.holders[i].partitioned = i == 3 || i == 4
 	}
-	f.runWithoutFaults(30, equal)
+	sim.runWithoutFaults(30, equal)
 	sumOfShares := func(from, to int) (sum float64) {
-		for _, m := range f.holders[from:to] {
-			sum += m.Share(clock(f.now, m.clockRate))
+		for _, holder := range sim.holders[from:to] {
+			sum += holder.Share(clock(sim.now, holder.clockRate))
 		}
 		return sum
 	}
-	assert.Equal(t, 2*f.c.Floor, sumOfShares(3, 5), "partitioned holders keep their floor")
-	assert.GreaterOrEqual(t, sumOfShares(0, 3)+sumOfShares(5, 10), 0.95*(f.c.Budget-2*f.c.Floor))
-	f.holders[3].partitioned, f.holders[4].partitioned = false, false
-	f.runWithoutFaults(40, equal)
-	for i, m := range f.holders {
-		assert.Greater(t, m.Share(clock(f.now, m.clockRate)), 3*f.c.Floor, "share of holder %d", i)
+	assert.Equal(t, 2*sim.c.Floor, sumOfShares(3, 5), "partitioned holders keep their floor")
+	assert.GreaterOrEqual(t, sumOfShares(0, 3)+sumOfShares(5, 10), 0.95*(sim.c.Budget-2*sim.c.Floor))
+	sim.holders[3].partitioned, sim.holders[4].partitioned = false, false
+	sim.runWithoutFaults(40, equal)
+	for i, holder := range sim.holders {
+		assert.Greater(t, holder.Share(clock(sim.now, holder.clockRate)), 3*sim.c.Floor, "share of holder %d", i)
 	}
 }
 
 // Checks that leases have expired after a stall of the holder, that a restarted holder has its floor only, and that a restarted
 // voter grants nothing until the votes of its previous run have expired.
 func TestExpiredLeasesAreNotSpent(t *testing.T) {
-	f := newSimulation(t, rateConfig(2, 10), 2, func(int) float64 { return 1 })
-	f.runWithoutFaults(30, func(i int) float64 { return 400 * float64(1-i) })
-	m := f.holders[0]
-	require.Greater(t, m.Share(f.now), 300.0)
-	f.now += f.c.LeaseDuration
-	assert.Equal(t, f.c.Floor, m.Share(f.now), "share after a stall")
-	before := len(f.spent)
-	for f.spend(0, 1) {
+	sim := newSimulation(t, rateConfig(2, 10), 2, func(int) float64 { return 1 })
+	sim.runWithoutFaults(30, func(i int) float64 { return 400 * float64(1-i) })
+	holder := sim.holders[0]
+	require.Greater(t, holder.Share(sim.now), 300.0)
+	sim.now += sim.c.LeaseDuration
+	assert.Equal(t, sim.c.Floor, holder.Share(sim.now), "share after a stall")
+	before := len(sim.spent)
+	for sim.spend(0, 1) {
 	}
-	assert.LessOrEqual(t, float64(len(f.spent)-before), f.c.Floor*f.c.Burst+1)
-	f.runWithoutFaults(30, func(i int) float64 { return 400 * float64(1-i) })
-	f.startHolder(0)
-	assert.Equal(t, f.c.Floor, f.holders[0].Share(f.now), "share after a restart")
-	assert.False(t, f.spend(0, 1), "a restarted holder has no tokens")
-	voter, err := NewVoter(f.c, "k0", f.now)
+	assert.LessOrEqual(t, float64(len(sim.spent)-before), sim.c.Floor*sim.c.Burst+1)
+	sim.runWithoutFaults(30, func(i int) float64 { return 400 * float64(1-i) })
+	sim.startHolder(0)
+	assert.Equal(t, sim.c.Floor, sim.holders[0].Share(sim.now), "share after a restart")
+	assert.False(t, sim.spend(0, 1), "a restarted holder has no tokens")
+	voter, err := NewVoter(sim.c, "k0", sim.now)
 	require.NoError(t, err)
-	assert.Empty(t, voter.HandleRequest(f.now+f.c.LeaseDuration, VoteRequest{From: "h1", Incarnation: 9, Round: 1,
+	assert.Empty(t, voter.HandleRequest(sim.now+sim.c.LeaseDuration, VoteRequest{From: "h1", Incarnation: 9, Round: 1,
 		Wanted: []int{1}}).Granted, "a restarted voter grants nothing at first")
-	assert.Equal(t, []int{1}, voter.HandleRequest(f.now+f.c.voteDuration(), VoteRequest{From: "h1", Incarnation: 9, Round: 1,
+	assert.Equal(t, []int{1}, voter.HandleRequest(sim.now+sim.c.voteDuration(), VoteRequest{From: "h1", Incarnation: 9, Round: 1,
 		Wanted: []int{1, -1, 10, 1 << 40}}).Granted)
 }
 
@@ -397,8 +397,8 @@
 // twenty.
 func TestFiveHundredMembers(t *testing.T) {
 	c := rateConfig(500, 2000)
-	f := newSimulation(t, c, 500, func(int) float64 { return 1 })
-	heldFraction := f.runWithoutFaults(40, func(i int) float64 {
+	sim := newSimulation(t, c, 500, func(int) float64 { return 1 })
+	heldFraction := sim.runWithoutFaults(40, func(i int) float64 {
 		if i < 25 {
 			return c.Budget / 25
 		}
