--- a/cmd/weldscale/control.go
+++ b/cmd/weldscale/control.go
@@ -116,7 +116,7 @@
 
 // operate answers the calls of the second address here too.
 func (c *control) operate(w http.ResponseWriter, r *http.Request) {
-	request, reply := mgmt.Read(r.Method, r.URL.EscapedPath())
+	request, reply := mgmt.ParseRequest(r.Method, r.URL.EscapedPath())
 	if request != nil {
 		reply = request.Do(operate{c.s})
 	}
--- a/cmd/weldscale/experiment.go
+++ b/cmd/weldscale/experiment.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if !r.Sound() {
+	if !r.Valid() {
 		return nil, r.Err()
 	}
 	if l.Experiment == nil {
@@ -90,7 +90,7 @@
 	r.Fields(body, settings.Field{Name: "scripts", Unit: settings.Word, To: &scripts}, settings.Field{Name: "policies", Unit: settings.Word, To: &policies},
 		settings.Field{Name: "scale", Unit: settings.Word, To: &scales}, settings.Field{Name: "schedulers", Unit: settings.Word, To: &schedulers},
 		settings.Field{Name: "refresh_ms", Unit: settings.Word, To: &refresh},
-		settings.Field{Name: "seeds", Unit: settings.Count, Least: 1, Most: 1000, To: &m.seeds})
+		settings.Field{Name: "seeds", Unit: settings.Count, Min: 1, Max: 1000, To: &m.seeds})
 	numbers := func(name, text string, most float64) (out []float64) {
 		for _, word := range strings.Fields(text) {
 			v, err := strconv.ParseFloat(word, 64)
--- a/cmd/weldscale/fleet.go
+++ b/cmd/weldscale/fleet.go
@@ -70,7 +70,7 @@
 			part.evidence.Repeat()
 		}
 	}
-	link, err := fleet.Start(fleet.Config{Fleet: f.Name, Name: c.Name, Life: life, Zone: f.Zone, Bind: f.Bind, Via: f.Via, Join: f.Join, Key: key,
+	link, err := fleet.Start(fleet.Config{Fleet: f.Name, Name: c.Name, Life: life, Zone: f.Zone, Bind: f.Bind, Via: f.Relay, Join: f.Join, Key: key,
 		Members: f.Members, Take: take, Joined: joined})
 	if err != nil {
 		return nil, err
@@ -122,9 +122,9 @@
 func (p *fleetPart) terms(k pool.FleetKind, budget float64) share.Config {
 	f := p.conf
 	c := share.Config{Budget: budget, Floor: f.Floor * budget / float64(f.Members), Members: f.Members, Keepers: f.Keepers,
-		Chunks: min(fleet.MaxChunks, leastChunks*f.Members), Term: time.Duration(f.Term) * time.Microsecond, Drift: f.Drift, Burst: f.Burst}
-	if k == pool.FleetOpen {
-		c.Burst, c.Use = 0, time.Duration(f.Use)*time.Microsecond
+		Chunks: min(fleet.MaxChunks, leastChunks*f.Members), Term: time.Duration(f.Term) * time.Microsecond, Drift: f.ClockDrift, Burst: f.Burst}
+	if k == pool.FleetInFlight {
+		c.Burst, c.Use = 0, time.Duration(f.MaxHoldTime)*time.Microsecond
 	}
 	return c
 }
@@ -134,7 +134,7 @@
 func (p *fleetPart) share(conf operator.Service, to *pool.Pool) error {
 	limits := append([]pool.Limits{conf.Limits}, conf.ClassLimits()...)
 	if p == nil {
-		if slices.ContainsFunc(limits, func(l pool.Limits) bool { return max(l.FleetRate, l.FleetOpen, l.FleetRetries) > 0 }) {
+		if slices.ContainsFunc(limits, func(l pool.Limits) bool { return max(l.FleetRate, l.FleetInFlight, l.FleetRetries) > 0 }) {
 			return errors.New("the fleet block came with a reload: it needs a restart, and until then the fleet's limits are not kept")
 		}
 		return nil
@@ -153,7 +153,7 @@
 		for k, of := range []struct {
 			suffix string
 			budget float64
-		}{{"", l.FleetRate}, {" open", l.FleetOpen}, {" retries", l.FleetRetries}} {
+		}{{"", l.FleetRate}, {" open", l.FleetInFlight}, {" retries", l.FleetRetries}} {
 			if of.budget <= 0 || math.IsInf(of.budget, 0) {
 				continue
 			}
@@ -161,16 +161,16 @@
 			if _, known := p.budgets.Standing()[name+of.suffix]; !known {
 				err = cmp.Or(err, p.budgets.Add(name+of.suffix, p.terms(pool.FleetKind(k), of.budget)))
 			}
-			if pool.FleetKind(k) == pool.FleetOpen {
-				to.Longest = pool.Time(p.conf.Use)
+			if pool.FleetKind(k) == pool.FleetInFlight {
+				to.MaxHoldTime = pool.Time(p.conf.MaxHoldTime)
 			}
 		}
 	}
-	to.Fleet = func(k pool.FleetKind, class int) bool {
+	to.TakeFleet = func(k pool.FleetKind, class int) bool {
 		name, ok := names[key{k, class}]
 		return !ok || p.budgets.Spend(name, 1)
 	}
-	to.FleetDone = func(class int) { p.budgets.Return(names[key{pool.FleetOpen, class}], 1) }
+	to.ReturnFleet = func(class int) { p.budgets.Return(names[key{pool.FleetInFlight, class}], 1) }
 	return err
 }
 
--- a/cmd/weldscale/moments_clients_test.go
+++ b/cmd/weldscale/moments_clients_test.go
@@ -150,7 +150,7 @@
 			shop := func() (open, engine, begun int) {
 				b.onLoop(func() {
 					v := b.s.services["shop"]
-					open, engine, begun = v.jobs.Pool.Open(), v.e.OpenRequests(), v.jobs.Pool.Counts.Begun
+					open, engine, begun = v.jobs.Pool.InFlight(), v.e.OpenRequests(), v.jobs.Pool.Counts.Admitted
 				})
 				return
 			}
--- a/cmd/weldscale/operate.go
+++ b/cmd/weldscale/operate.go
@@ -22,7 +22,7 @@
 // soon has f run on the loop.
 func (o operate) soon(f func()) error {
 	if !o.s.loop.DoUrgent(callWait, f) {
-		return mgmt.ErrLate
+		return mgmt.ErrTimeout
 	}
 	return nil
 }
@@ -78,14 +78,14 @@
 	return f
 }
 
-// SetOut implements mgmt.Control.
-func (o operate) SetOut(worker string, out bool) error {
+// SetOffline implements mgmt.Control.
+func (o operate) SetOffline(worker string, out bool) error {
 	known := false
 	if err := o.soon(func() { known = o.s.setOut(worker, out) }); err != nil {
 		return err
 	}
 	if !known {
-		return mgmt.ErrUnknown
+		return mgmt.ErrUnknownWorker
 	}
 	if o.s.up != nil {
 		return o.s.up.bind(worker, out)
--- a/cmd/weldscale/serve.go
+++ b/cmd/weldscale/serve.go
@@ -147,9 +147,9 @@
 	services  map[string]*service // that the operator's file names
 	leaving   []*service          // that it named before and that have requests in hand
 	open      *pool.Budget        // of requests in hand
-	clock     *pool.Clock         // of the loop's time
+	clock     *pool.TimeBudget    // of the loop's time
 	fleet     *fleetPart          // nil: the file names no fleet
-	metrics   *metrics.Set        // nil: none are kept
+	metrics   *metrics.Registry   // nil: none are kept
 	stopping  time.Time           // when the stop began
 	shut      bool                // what comes is refused
 	closed    bool                // the door is
@@ -186,7 +186,7 @@
 	if err := discovery.LoadKnown(c.Known); err != nil {
 		return nil, err
 	}
-	*s = scheduler{c: c, loop: loop, e: e, driver: driver, server: server, workers: workers, discovery: discovery, overlay: overlay, clock: &pool.Clock{}}
+	*s = scheduler{c: c, loop: loop, e: e, driver: driver, server: server, workers: workers, discovery: discovery, overlay: overlay, clock: &pool.TimeBudget{}}
 	server.Stats = func() string {
 		return fmt.Sprintf("%s %s goroutines=%d log_dropped=%d%s", &e.Counts, server.Pace.Counts(), runtime.NumGoroutine(),
 			logs.Dropped(), s.serviceStats())
--- a/cmd/weldscale/services.go
+++ b/cmd/weldscale/services.go
@@ -28,7 +28,7 @@
 	jobs    *jobs.Service
 	e       *engine.Engine
 	share   *pool.Share
-	lane    *pool.Lane
+	lane    *pool.TimeShare
 	overlay *jobs.Overlay
 	dials   *net.Dialer    // of its connections to workers
 	list    *member.Static // of workers that the file names itself
@@ -67,7 +67,7 @@
 		e.SetBackends(workers, d)
 		v.stop = d.Close
 	case conf.File != "":
-		f, err := member.Watch(e, conf.Name, conf.File, operator.ListPause)
+		f, err := member.Watch(e, conf.Name, conf.File, operator.ListSettleTime)
 		if err != nil {
 			return nil, fmt.Errorf("service %q: %w", conf.Name, err)
 		}
@@ -91,7 +91,7 @@
 // begin gives a service its parts of what all share, and its workers.
 func (s *scheduler) begin(v *service) {
 	v.overlay.RestoreOffline(s.out()) // who is out is out of a new service too
-	v.share, v.lane = s.open.Share(v.conf.Reserve), s.clock.Lane(s.loop.Now(), v.conf.Weight)
+	v.share, v.lane = s.open.Share(v.conf.Reserve), s.clock.Share(s.loop.Now(), v.conf.Weight)
 	p := pool.New(v.conf.Name, v.conf.Limits, v.conf.ClassLimits(), v.share, v.lane)
 	if err := s.fleet.share(v.conf, p); err != nil { // its terms were checked with the file
 		slog.Error("no part of the fleet's limits", "service", v.conf.Name, "why", err)
@@ -112,10 +112,10 @@
 }
 
 // account ties an engine to a pool's account.
-func (s *scheduler) account(v *jobs.Service, e *engine.Engine, p *pool.Pool, lane *pool.Lane) {
+func (s *scheduler) account(v *jobs.Service, e *engine.Engine, p *pool.Pool, lane *pool.TimeShare) {
 	v.Pool = p
-	e.MayRetry = func(class int) bool { return p.Retry(s.loop.Now(), class) }
-	e.OnBusy = func(span time.Duration) { lane.Used(s.loop.Now(), span.Microseconds()) }
+	e.MayRetry = func(class int) bool { return p.AdmitRetry(s.loop.Now(), class) }
+	e.OnBusy = func(span time.Duration) { lane.Charge(s.loop.Now(), span.Microseconds()) }
 }
 
 // apply puts the services of an operator's file in force. New ones are all built first; one that can't be leaves all as
@@ -126,7 +126,7 @@
 	var built []*service
 	var faults []error
 	for _, conf := range file.Services {
-		if old := s.services[conf.Name]; old != nil && old.conf.Same(&conf) {
+		if old := s.services[conf.Name]; old != nil && old.conf.Compatible(&conf) {
 			next[conf.Name] = old
 			continue
 		}
@@ -145,7 +145,7 @@
 		return errors.Join(faults...)
 	}
 	// A request in hand holds a client's descriptor, and its attempt and probes some more.
-	total := cmp.Or(file.Open, s.c.Limits.Sockets/3)
+	total := cmp.Or(file.InFlight, s.c.Limits.Sockets/3)
 	if s.open == nil {
 		s.open = pool.NewBudget(total)
 	}
@@ -153,7 +153,7 @@
 	for name, old := range s.services {
 		if next[name] != old {
 			s.leaving = append(s.leaving, old)
-			old.share.Reserve(0)
+			old.share.SetReserve(0)
 			old.lane.Close()
 		}
 	}
@@ -164,7 +164,7 @@
 			continue
 		}
 		v.jobs.Pool.SetLimits(conf.Limits, conf.ClassLimits())
-		v.share.Reserve(conf.Reserve)
+		v.share.SetReserve(conf.Reserve)
 		v.lane.SetWeight(conf.Weight)
 		v.dials.SetLimit(conf.Connections)
 		if conf.File == "" && conf.Discovery == "" && !slices.Equal(conf.Workers, v.conf.Workers) {
@@ -185,7 +185,7 @@
 		return
 	}
 	if main := s.server.Main; main.Pool == nil {
-		lane := s.clock.Lane(s.loop.Now(), 1)
+		lane := s.clock.Share(s.loop.Now(), 1)
 		s.account(main, s.e, pool.New("", pool.Limits{}, make([]pool.Limits, len(main.Classes)), s.open.Share(0), lane), lane)
 	}
 	table, services := file.Routes, s.services
@@ -246,10 +246,10 @@
 	var c pool.Counts
 	open := 0
 	if p != nil {
-		c, open = p.Counts, p.Open()
+		c, open = p.Counts, p.InFlight()
 	}
 	return fmt.Sprintf("service=%s open=%d begun=%d over_rate=%d over_fleet=%d over_open=%d over_bytes=%d over_shared=%d over_time=%d retries_denied=%d",
-		name, open, c.Begun, c.OverRate, c.OverFleet, c.OverOpen, c.OverBytes, c.OverShared, c.OverTime, c.RetriesDenied)
+		name, open, c.Admitted, c.OverRate, c.OverFleet, c.OverOpen, c.OverBytes, c.OverShared, c.OverTime, c.RetriesDenied)
 }
 
 // anyReady reports whether a service that the operator's file names has had a worker to serve with.
--- a/cmd/weldscale/upgrade.go
+++ b/cmd/weldscale/upgrade.go
@@ -56,7 +56,7 @@
 	if err := s.driver.EnableHandover(); err != nil {
 		return err
 	}
-	out, err := handover.Saved(u.dir, s.c.Name)
+	out, err := handover.LoadOffline(u.dir, s.c.Name)
 	if err != nil {
 		slog.Warn("workers taken out earlier can't be read: none are out", "why", err)
 	}
@@ -88,8 +88,8 @@
 	defer u.mu.Unlock()
 	var eldest *handover.Hello
 	for _, l := range u.links {
-		if eldest == nil || l.Other.Started < eldest.Started {
-			eldest = &l.Other
+		if eldest == nil || l.Peer.Started < eldest.Started {
+			eldest = &l.Peer
 		}
 	}
 	return eldest
@@ -109,16 +109,16 @@
 	return h
 }
 
-// Linked implements handover.Handler.
-func (u *upgrade) Linked(l *handover.Link) {
+// LinkUp implements handover.Handler.
+func (u *upgrade) LinkUp(l *handover.Link) {
 	u.mu.Lock()
 	u.links = append(u.links, l)
 	u.mu.Unlock()
 	go u.s.loop.Post(u.s.shareLimits)
 }
 
-// Gone implements handover.Handler.
-func (u *upgrade) Gone(l *handover.Link) {
+// LinkDown implements handover.Handler.
+func (u *upgrade) LinkDown(l *handover.Link) {
 	u.mu.Lock()
 	u.links = slices.DeleteFunc(u.links, func(m *handover.Link) bool { return m == l })
 	delete(u.ends, l)
@@ -138,7 +138,7 @@
 	defer u.mu.Unlock()
 	var youngest *handover.Link
 	for _, l := range u.links {
-		if l.Other.Started > u.began && !u.ends[l] && (youngest == nil || l.Other.Started > youngest.Other.Started) {
+		if l.Peer.Started > u.began && !u.ends[l] && (youngest == nil || l.Peer.Started > youngest.Peer.Started) {
 			youngest = l
 		}
 	}
@@ -152,8 +152,8 @@
 	if s.up != nil {
 		for _, l := range s.up.others() {
 			memory /= 2
-			if l.Other.Started < s.up.began { // the elder keeps what it has
-				descriptors -= min(max(descriptors/2, l.Other.Open+32), descriptors*3/4)
+			if l.Peer.Started < s.up.began { // the elder keeps what it has
+				descriptors -= min(max(descriptors/2, l.Peer.Open+32), descriptors*3/4)
 			} else {
 				descriptors = min(max(descriptors/2, s.driver.OpenDescriptors()+32), descriptors*3/4)
 			}
@@ -167,18 +167,18 @@
 func (u *upgrade) Message(l *handover.Link, m handover.Message, fds []int) {
 	loop := u.s.loop
 	switch m.Kind {
-	case handover.KindOut:
+	case handover.KindOffline:
 		if loop.DoUrgent(callWait, func() { u.s.setOut(m.Worker, m.Away) }) {
-			l.Say(handover.Message{Kind: handover.KindDone, Number: m.Number})
+			l.Send(handover.Message{Kind: handover.KindApplied, Number: m.Number})
 		}
-	case handover.KindDone:
+	case handover.KindApplied:
 		u.mu.Lock()
 		if done := u.waiting[m.Number]; done != nil {
 			delete(u.waiting, m.Number)
 			close(done)
 		}
 		u.mu.Unlock()
-	case handover.KindStops:
+	case handover.KindStopping:
 		u.mu.Lock()
 		u.ends[l] = true
 		u.mu.Unlock()
@@ -188,7 +188,7 @@
 				slog.Warn("another process's news can't be read", "why", err)
 			}
 		})
-	case handover.KindClient:
+	case handover.KindIdleClient:
 		if len(fds) == 1 {
 			fd := fds[0]
 			fds = nil
@@ -249,7 +249,7 @@
 		u.mu.Lock()
 		u.waiting[n] = done
 		u.mu.Unlock()
-		l.Say(handover.Message{Kind: handover.KindOut, Number: n, Worker: worker, Away: out})
+		l.Send(handover.Message{Kind: handover.KindOffline, Number: n, Worker: worker, Away: out})
 		all = append(all, done)
 		defer func() { u.mu.Lock(); delete(u.waiting, n); u.mu.Unlock() }()
 	}
@@ -271,7 +271,7 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if err := handover.Save(u.dir, u.s.c.Name, names); err != nil {
+	if err := handover.SaveOffline(u.dir, u.s.c.Name, names); err != nil {
 		return fmt.Errorf("taken out, but not kept for another process: %w", err)
 	}
 	return nil
@@ -280,7 +280,7 @@
 // tell passes on news of the worker list.
 func (u *upgrade) tell(index int64, list []byte) {
 	for _, l := range u.others() {
-		l.Say(handover.Message{Kind: handover.KindList, Index: index, List: list})
+		l.Send(handover.Message{Kind: handover.KindList, Index: index, List: list})
 	}
 }
 
@@ -291,7 +291,7 @@
 		return false
 	}
 	for _, l := range s.up.others() {
-		l.Say(handover.Message{Kind: handover.KindStops})
+		l.Send(handover.Message{Kind: handover.KindStopping})
 	}
 	if s.up.successor() == nil {
 		return false
@@ -314,7 +314,7 @@
 	}
 	s.driver.WithReadsPaused(func() {
 		left := s.server.HandOverIdle(func(c jobs.Conn) bool {
-			ok := u.give(to, handover.Message{Kind: handover.KindClient}, c)
+			ok := u.give(to, handover.Message{Kind: handover.KindIdleClient}, c)
 			if ok {
 				u.clients++
 			}
@@ -372,7 +372,7 @@
 		}
 		fds = append(fds, fd)
 	}
-	if err := to.Give(m, fds...); err != nil {
+	if err := to.SendFDs(m, fds...); err != nil {
 		u.failed++
 		return false
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -30,7 +30,7 @@
 type File struct {
 	SlowPeers pace.Limits // with the links
 	Workers   pace.Rate
-	Open      int // requests in hand of all services together; 0: a third of the descriptors
+	InFlight  int // requests in hand of all services together; 0: a third of the descriptors
 	Services  []Service
 	Metrics   bool         // /-/metrics is there
 	Scheduler *Scheduler   // what the platform\'s configuration says where there is none
@@ -69,7 +69,7 @@
 type Setting struct {
 	Block, Name string
 	Unit        unit
-	Least, Most float64 // in bytes a second, microseconds, bytes or as it is
+	Min, Max    float64 // in bytes a second, microseconds, bytes or as it is
 	Doc         string
 	at          func(*File) any // *float64, *pace.Time or *int
 }
@@ -82,7 +82,7 @@
 
 // Settings is every setting of the blocks that stand once.
 var Settings = []Setting{
-	{"shared", "open", count, 1, 1 << 20, "requests in hand of all services together; a third of the descriptors unless set", func(f *File) any { return &f.Open }},
+	{"shared", "open", count, 1, 1 << 20, "requests in hand of all services together; a third of the descriptors unless set", func(f *File) any { return &f.InFlight }},
 	{"slow_peers", "least_rate_in", rate, 1, gib, "least rate at which a client's request comes in", func(f *File) any { return &f.SlowPeers.In.Least }},
 	{"slow_peers", "least_rate_out", rate, 1, gib, "least rate at which a client takes its answer", func(f *File) any { return &f.SlowPeers.Out.Least }},
 	{"slow_peers", "grace_in", span, 1e5, hour, "how long a request may bring nothing at its start, the first one since the connection", func(f *File) any { return &f.SlowPeers.In.Grace }},
@@ -271,7 +271,7 @@
 	var fields []field
 	for _, s := range Settings {
 		if s.Block == name {
-			fields = append(fields, field{s.Name, s.Unit, s.Least, s.Most, s.at(r.file)})
+			fields = append(fields, field{s.Name, s.Unit, s.Min, s.Max, s.at(r.file)})
 		}
 	}
 	set := r.fields(b.Body, fields)
@@ -340,7 +340,7 @@
 }
 
 // Allowed is the range of the setting.
-func (s Setting) Allowed() string { return show(s.Least, s.Unit) + " to " + show(s.Most, s.Unit) }
+func (s Setting) Allowed() string { return show(s.Min, s.Unit) + " to " + show(s.Max, s.Unit) }
 
 // Value of the setting in a file.
 func (s Setting) Value(f *File) string {
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -12,19 +12,19 @@
 
 // Fleet is the fleet block.
 type Fleet struct {
-	Name    string
-	Bind    string
-	Via     string // a relay, as rehearsals of faults want it; "": straight
-	Join    []string
-	KeyFile string
-	Zone    string
-	Members int
-	Keepers []string // names of schedulers, an odd number
-	Term    float64  // microseconds
-	Floor   float64  // part of a budget that is split evenly and for good
-	Burst   float64  // seconds
-	Drift   float64
-	Use     float64 // microseconds that a job may be in hand, where fleet_open counts it
+	Name        string
+	Bind        string
+	Relay       string // a relay, as rehearsals of faults want it; "": straight
+	Join        []string
+	KeyFile     string
+	Zone        string
+	Members     int
+	Keepers     []string // names of schedulers, an odd number
+	Term        float64  // microseconds
+	Floor       float64  // part of a budget that is split evenly and for good
+	Burst       float64  // seconds
+	ClockDrift  float64
+	MaxHoldTime float64 // microseconds that a job may be in hand, where fleet_open counts it
 	// Evidence on workers is shared.
 	Evidence bool
 }
@@ -49,7 +49,7 @@
 const maxMembers = 1024
 
 func (r *reader) fleet(b *fleetBlock) {
-	f := &Fleet{Name: b.Name, Term: 2e6, Floor: 0.1, Burst: 1, Drift: 0.01, Use: 30e6}
+	f := &Fleet{Name: b.Name, Term: 2e6, Floor: 0.1, Burst: 1, ClockDrift: 0.01, MaxHoldTime: 30e6}
 	r.file.Fleet = f
 	at := hcl.Range{Filename: r.path, Start: hcl.InitialPos}
 	for _, found := range r.content.Blocks {
@@ -68,7 +68,7 @@
 	}
 	f.Bind = r.address(b.Bind)
 	if given(b.Via) {
-		f.Via = r.address(b.Via)
+		f.Relay = r.address(b.Via)
 	}
 	f.KeyFile = r.text(b.KeyFile, "the path of a file with 16, 24 or 32 bytes")
 	f.Zone = r.text(b.Zone, "the name of a zone")
@@ -76,8 +76,8 @@
 	r.optional(b.Term, span, 2e5, minute, &f.Term)
 	r.optional(b.Floor, rate0, 0, 0.9, &f.Floor)
 	r.optional(b.Burst, rate0, 0.01, 60, &f.Burst)
-	r.optional(b.Use, span, 1e6, 60*minute, &f.Use)
-	r.optional(b.Drift, rate0, 0, 0.2, &f.Drift)
+	r.optional(b.Use, span, 1e6, 60*minute, &f.MaxHoldTime)
+	r.optional(b.Drift, rate0, 0, 0.2, &f.ClockDrift)
 	switch text := r.text(b.Judge, `"yes" or "no"`); text {
 	case "", "yes":
 		f.Evidence = true
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -20,10 +20,10 @@
 
 // Field is one setting of a block and where it goes: a *float64, *int, *int64 of microseconds or *string.
 type Field struct {
-	Name        string
-	Unit        unit
-	Least, Most float64
-	To          any
+	Name     string
+	Unit     unit
+	Min, Max float64
+	To       any
 }
 
 // Reader is a file that is being read.
@@ -44,14 +44,14 @@
 	return out, nil
 }
 
-// Sound reports whether nothing is wrong so far.
-func (f *Reader) Sound() bool { return !f.r.diags.HasErrors() }
+// Valid reports whether nothing is wrong so far.
+func (f *Reader) Valid() bool { return !f.r.diags.HasErrors() }
 
 // Fields reads the settings of a body and reports which are there. Others are faults.
 func (f *Reader) Fields(body hcl.Body, fields ...Field) map[string]bool {
 	var all []field
 	for _, x := range fields {
-		all = append(all, field{x.Name, x.Unit, x.Least, x.Most, x.To})
+		all = append(all, field{x.Name, x.Unit, x.Min, x.Max, x.To})
 	}
 	return f.r.fields(body, all)
 }
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -124,7 +124,7 @@
 		r.classes(at, b, &s)
 		for _, m := range s.Rules {
 			if m.Class != "" && !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == m.Class }) {
-				r.faultAt(m.Place, "service %q has no class %q: the match would never be looked at", b.Name, m.Class)
+				r.faultAt(m.Position, "service %q has no class %q: the match would never be looked at", b.Name, m.Class)
 			}
 		}
 		rules = append(rules, s.Rules...)
@@ -197,7 +197,7 @@
 				rule.Header[strings.ToLower(name)] = value
 			}
 		}
-		rule.Place = fmt.Sprintf("%s:%d:%d", at.Filename, at.Start.Line, at.Start.Column)
+		rule.Position = fmt.Sprintf("%s:%d:%d", at.Filename, at.Start.Line, at.Start.Column)
 		out = append(out, rule)
 	}
 	return out
@@ -248,8 +248,8 @@
 
 // limitFields are the settings of a limits block, and of a class but for the retries' floor.
 func limitFields(l *pool.Limits) []field {
-	return []field{{"rate", rate0, 0.001, 1e6, &l.Rate}, {"burst", count, 1, 1e6, &l.Burst}, {"open", count, 1, 1 << 20, &l.Open},
-		{"fleet_rate", rate0, 0.001, 1e9, &l.FleetRate}, {"fleet_open", rate0, 1, 1e9, &l.FleetOpen},
+	return []field{{"rate", rate0, 0.001, 1e6, &l.Rate}, {"burst", count, 1, 1e6, &l.Burst}, {"open", count, 1, 1 << 20, &l.InFlight},
+		{"fleet_rate", rate0, 0.001, 1e9, &l.FleetRate}, {"fleet_open", rate0, 1, 1e9, &l.FleetInFlight},
 		{"fleet_retries", rate0, 0.001, 1e9, &l.FleetRetries}, {"bytes", size, 64 << 10, 64 * gib, &l.Bytes}, {"retries", rate0, 0.001, 10, &l.Retries},
 		{"retry_floor", rate0, 0.001, 1e6, &l.RetryFloor}}
 }
@@ -259,7 +259,7 @@
 	switch {
 	case l.FleetRate > 0:
 		return "fleet_rate"
-	case l.FleetOpen > 0:
+	case l.FleetInFlight > 0:
 		return "fleet_open"
 	case l.FleetRetries > 0:
 		return "fleet_retries"
@@ -340,12 +340,12 @@
 	return out
 }
 
-// Same reports whether a service runs on as it is under the other's terms: limits, weight and rules may differ.
-func (s *Service) Same(o *Service) bool {
+// Compatible reports whether a service runs on as it is under the other's terms: limits, weight and rules may differ.
+func (s *Service) Compatible(o *Service) bool {
 	return s.Discovery == o.Discovery && s.File == o.File && slices.EqualFunc(s.Classes, o.Classes, func(a, b Class) bool {
 		return a.Name == b.Name && a.Terms == b.Terms
 	})
 }
 
-// ListPause is how long a worker file must have stayed as it is before it is read: it may be written in pieces.
-const ListPause = 100 * time.Millisecond
+// ListSettleTime is how long a worker file must have stayed as it is before it is read: it may be written in pieces.
+const ListSettleTime = 100 * time.Millisecond
--- a/internal/emulator/script.go
+++ b/internal/emulator/script.go
@@ -139,7 +139,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if !r.Sound() {
+	if !r.Valid() {
 		return nil, r.Err()
 	}
 	s := &Script{For: minute, Schedulers: 5, Rate: 26, Curve: []float64{1}, RetryWait: 50 * ms, Same: 200, Cross: 6 * ms, Jitter: 0.2,
@@ -148,26 +148,26 @@
 	if l.World != nil {
 		zones, curve := "", ""
 		var words [6]string
-		r.Fields(l.World.Body, config.Field{Name: "for", Unit: config.Span, Least: 1e6, Most: 60 * minute, To: &s.For},
+		r.Fields(l.World.Body, config.Field{Name: "for", Unit: config.Span, Min: 1e6, Max: 60 * minute, To: &s.For},
 			config.Field{Name: "zones", Unit: config.Word, To: &zones}, config.Field{Name: "curve", Unit: config.Word, To: &curve},
-			config.Field{Name: "schedulers", Unit: config.Count, Least: 1, Most: 5000, To: &s.Schedulers},
-			config.Field{Name: "rate", Unit: config.Number, Least: 0.01, Most: 1e6, To: &s.Rate},
-			config.Field{Name: "retries", Unit: config.Count, Least: 0, Most: 10, To: &s.Retries},
-			config.Field{Name: "retry_wait", Unit: config.Span, Least: ms, Most: minute, To: &s.RetryWait},
-			config.Field{Name: "same", Unit: config.Span, Least: 1, Most: 1e6, To: &s.Same},
-			config.Field{Name: "cross", Unit: config.Span, Least: 1, Most: 1e6, To: &s.Cross},
-			config.Field{Name: "jitter", Unit: config.Number, Least: 0, Most: 10, To: &s.Jitter},
-			config.Field{Name: "notice", Unit: config.Span, Least: 0, Most: minute, To: &s.Notice},
-			config.Field{Name: "refresh", Unit: config.Span, Least: 0, Most: minute, To: &s.Refresh},
-			config.Field{Name: "noise", Unit: config.Number, Least: 0, Most: 1, To: &s.Noise},
-			config.Field{Name: "attempts", Unit: config.Count, Least: 1, Most: 100, To: &s.Attempts},
-			config.Field{Name: "drain_grace", Unit: config.Span, Least: 0, Most: minute, To: &s.DrainGrace},
-			config.Field{Name: "probe_work", Unit: config.Span, Least: 0, Most: 1e6, To: &s.ProbeWork},
+			config.Field{Name: "schedulers", Unit: config.Count, Min: 1, Max: 5000, To: &s.Schedulers},
+			config.Field{Name: "rate", Unit: config.Number, Min: 0.01, Max: 1e6, To: &s.Rate},
+			config.Field{Name: "retries", Unit: config.Count, Min: 0, Max: 10, To: &s.Retries},
+			config.Field{Name: "retry_wait", Unit: config.Span, Min: ms, Max: minute, To: &s.RetryWait},
+			config.Field{Name: "same", Unit: config.Span, Min: 1, Max: 1e6, To: &s.Same},
+			config.Field{Name: "cross", Unit: config.Span, Min: 1, Max: 1e6, To: &s.Cross},
+			config.Field{Name: "jitter", Unit: config.Number, Min: 0, Max: 10, To: &s.Jitter},
+			config.Field{Name: "notice", Unit: config.Span, Min: 0, Max: minute, To: &s.Notice},
+			config.Field{Name: "refresh", Unit: config.Span, Min: 0, Max: minute, To: &s.Refresh},
+			config.Field{Name: "noise", Unit: config.Number, Min: 0, Max: 1, To: &s.Noise},
+			config.Field{Name: "attempts", Unit: config.Count, Min: 1, Max: 100, To: &s.Attempts},
+			config.Field{Name: "drain_grace", Unit: config.Span, Min: 0, Max: minute, To: &s.DrainGrace},
+			config.Field{Name: "probe_work", Unit: config.Span, Min: 0, Max: 1e6, To: &s.ProbeWork},
 			config.Field{Name: "worth_by", Unit: config.Word, To: &words[0]}, config.Field{Name: "hints", Unit: config.Word, To: &words[1]},
 			config.Field{Name: "order", Unit: config.Word, To: &words[2]}, config.Field{Name: "reports", Unit: config.Word, To: &words[3]},
 			config.Field{Name: "cancels", Unit: config.Word, To: &words[4]}, config.Field{Name: "copies", Unit: config.Word, To: &words[5]},
-			config.Field{Name: "cold", Unit: config.Number, Least: 0.01, Most: 1, To: &s.Cold},
-			config.Field{Name: "warms", Unit: config.Span, Least: 0, Most: 10 * minute, To: &s.Warms})
+			config.Field{Name: "cold", Unit: config.Number, Min: 0.01, Max: 1, To: &s.Cold},
+			config.Field{Name: "warms", Unit: config.Span, Min: 0, Max: 10 * minute, To: &s.Warms})
 		for i, choice := range []struct {
 			name, usual, other string
 			to                 *bool
@@ -194,10 +194,10 @@
 	}
 	for _, b := range l.Boxes {
 		k := &BoxKind{Name: b.Name, Count: 1, Slots: 4, Queue: 24, Speed: 1}
-		r.Fields(b.Body, config.Field{Name: "count", Unit: config.Count, Least: 1, Most: 100000, To: &k.Count},
-			config.Field{Name: "slots", Unit: config.Count, Least: 1, Most: 1024, To: &k.Slots},
-			config.Field{Name: "queue", Unit: config.Count, Least: 0, Most: 100000, To: &k.Queue},
-			config.Field{Name: "speed", Unit: config.Number, Least: 0.001, Most: 1000, To: &k.Speed})
+		r.Fields(b.Body, config.Field{Name: "count", Unit: config.Count, Min: 1, Max: 100000, To: &k.Count},
+			config.Field{Name: "slots", Unit: config.Count, Min: 1, Max: 1024, To: &k.Slots},
+			config.Field{Name: "queue", Unit: config.Count, Min: 0, Max: 100000, To: &k.Queue},
+			config.Field{Name: "speed", Unit: config.Number, Min: 0.001, Max: 1000, To: &k.Speed})
 		s.Boxes = append(s.Boxes, k)
 	}
 	s.classes(r, l.Classes)
@@ -216,16 +216,16 @@
 		c := Class{Name: b.Name, Share: 1, Work: 300 * ms, Spread: 1, Slots: []int{1}, Terms: decide.Class{Aim: 500 * ms, Stretch: 2,
 			Deadline: 10e6, Worth: 1, Kind: -1, MemorySpan: 12e6}}
 		effect, slots := "", ""
-		r.Fields(b.Body, config.Field{Name: "share", Unit: config.Number, Least: 0.001, Most: 1, To: &c.Share},
-			config.Field{Name: "work", Unit: config.Span, Least: ms, Most: 10 * minute, To: &c.Work},
-			config.Field{Name: "spread", Unit: config.Number, Least: 0, Most: 10, To: &c.Spread},
+		r.Fields(b.Body, config.Field{Name: "share", Unit: config.Number, Min: 0.001, Max: 1, To: &c.Share},
+			config.Field{Name: "work", Unit: config.Span, Min: ms, Max: 10 * minute, To: &c.Work},
+			config.Field{Name: "spread", Unit: config.Number, Min: 0, Max: 10, To: &c.Spread},
 			config.Field{Name: "slots", Unit: config.Word, To: &slots}, config.Field{Name: "effect", Unit: config.Word, To: &effect},
-			config.Field{Name: "aim", Unit: config.Span, Least: ms, Most: 10 * minute, To: &c.Terms.Aim},
-			config.Field{Name: "stretch", Unit: config.Number, Least: 0, Most: 100, To: &c.Terms.Stretch},
-			config.Field{Name: "deadline", Unit: config.Span, Least: 10 * ms, Most: 10 * minute, To: &c.Terms.Deadline},
-			config.Field{Name: "late", Unit: config.Number, Least: 0, Most: 1, To: &c.Terms.LateWorth},
-			config.Field{Name: "memory", Unit: config.Span, Least: ms, Most: 60 * minute, To: &c.Terms.MemorySpan},
-			config.Field{Name: "worth", Unit: config.Number, Least: 0.001, Most: 1e6, To: &c.Terms.Worth})
+			config.Field{Name: "aim", Unit: config.Span, Min: ms, Max: 10 * minute, To: &c.Terms.Aim},
+			config.Field{Name: "stretch", Unit: config.Number, Min: 0, Max: 100, To: &c.Terms.Stretch},
+			config.Field{Name: "deadline", Unit: config.Span, Min: 10 * ms, Max: 10 * minute, To: &c.Terms.Deadline},
+			config.Field{Name: "late", Unit: config.Number, Min: 0, Max: 1, To: &c.Terms.LateWorth},
+			config.Field{Name: "memory", Unit: config.Span, Min: ms, Max: 60 * minute, To: &c.Terms.MemorySpan},
+			config.Field{Name: "worth", Unit: config.Number, Min: 0.001, Max: 1e6, To: &c.Terms.Worth})
 		kind, ok := effects[effect]
 		if !ok {
 			r.Fault(b.Body, "class %q: effect must be one of keyed, once, safe", b.Name)
@@ -259,14 +259,14 @@
 			r.Fault(b.Body, "no trouble %q; allowed: %s", b.Name, strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))
 			continue
 		}
-		set := r.Fields(b.Body, config.Field{Name: "from", Unit: config.Span, Least: 0, Most: 60 * minute, To: &t.From},
-			config.Field{Name: "for", Unit: config.Span, Least: ms, Most: 60 * minute, To: &long},
-			config.Field{Name: "part", Unit: config.Number, Least: 0.0001, Most: 1, To: &t.Part},
-			config.Field{Name: "times", Unit: config.Number, Least: 1, Most: 1000, To: &t.Times},
-			config.Field{Name: "takes", Unit: config.Number, Least: 0, Most: 0.99, To: &t.Takes},
+		set := r.Fields(b.Body, config.Field{Name: "from", Unit: config.Span, Min: 0, Max: 60 * minute, To: &t.From},
+			config.Field{Name: "for", Unit: config.Span, Min: ms, Max: 60 * minute, To: &long},
+			config.Field{Name: "part", Unit: config.Number, Min: 0.0001, Max: 1, To: &t.Part},
+			config.Field{Name: "times", Unit: config.Number, Min: 1, Max: 1000, To: &t.Times},
+			config.Field{Name: "takes", Unit: config.Number, Min: 0, Max: 0.99, To: &t.Takes},
 			config.Field{Name: "zone", Unit: config.Word, To: &t.Zone}, config.Field{Name: "class", Unit: config.Word, To: &t.Class},
-			config.Field{Name: "pause", Unit: config.Span, Least: ms, Most: minute, To: &t.Pause},
-			config.Field{Name: "every", Unit: config.Span, Least: 10 * ms, Most: 10 * minute, To: &t.Every},
+			config.Field{Name: "pause", Unit: config.Span, Min: ms, Max: minute, To: &t.Pause},
+			config.Field{Name: "every", Unit: config.Span, Min: 10 * ms, Max: 10 * minute, To: &t.Every},
 			config.Field{Name: "with_schedulers", Unit: config.Word, To: &with})
 		for _, name := range slices.Sorted(maps.Keys(set)) {
 			if name != "from" && name != "for" && !slices.Contains(takes, name) {
--- a/internal/faults/script.go
+++ b/internal/faults/script.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if !r.Sound() {
+	if !r.Valid() {
 		return nil, r.Err()
 	}
 	s := &Script{}
@@ -76,18 +76,18 @@
 		var from, hold, delay, jitter float64
 		long, every := 6e6, 2e6
 		who, toward, keep := "", "", ""
-		set := r.Fields(b.Body, config.Field{Name: "from", Unit: config.Span, Least: 0, Most: 60 * minute, To: &from},
-			config.Field{Name: "for", Unit: config.Span, Least: 1e3, Most: 60 * minute, To: &long},
-			config.Field{Name: "part", Unit: config.Number, Least: 0.0001, Most: 1, To: &t.Part},
+		set := r.Fields(b.Body, config.Field{Name: "from", Unit: config.Span, Min: 0, Max: 60 * minute, To: &from},
+			config.Field{Name: "for", Unit: config.Span, Min: 1e3, Max: 60 * minute, To: &long},
+			config.Field{Name: "part", Unit: config.Number, Min: 0.0001, Max: 1, To: &t.Part},
 			config.Field{Name: "who", Unit: config.Word, To: &who}, config.Field{Name: "toward", Unit: config.Word, To: &toward},
 			config.Field{Name: "way", Unit: config.Word, To: &t.Way}, config.Field{Name: "keep", Unit: config.Word, To: &keep},
-			config.Field{Name: "loss", Unit: config.Number, Least: 0, Most: 1, To: &t.Fault.Loss},
-			config.Field{Name: "double", Unit: config.Number, Least: 0, Most: 1, To: &t.Fault.Double},
-			config.Field{Name: "reorder", Unit: config.Number, Least: 0, Most: 1, To: &t.Fault.Reorder},
-			config.Field{Name: "hold", Unit: config.Span, Least: 0, Most: minute, To: &hold},
-			config.Field{Name: "delay", Unit: config.Span, Least: 0, Most: minute, To: &delay},
-			config.Field{Name: "jitter", Unit: config.Span, Least: 0, Most: minute, To: &jitter},
-			config.Field{Name: "every", Unit: config.Span, Least: 1e4, Most: 10 * minute, To: &every})
+			config.Field{Name: "loss", Unit: config.Number, Min: 0, Max: 1, To: &t.Fault.Loss},
+			config.Field{Name: "double", Unit: config.Number, Min: 0, Max: 1, To: &t.Fault.Double},
+			config.Field{Name: "reorder", Unit: config.Number, Min: 0, Max: 1, To: &t.Fault.Reorder},
+			config.Field{Name: "hold", Unit: config.Span, Min: 0, Max: minute, To: &hold},
+			config.Field{Name: "delay", Unit: config.Span, Min: 0, Max: minute, To: &delay},
+			config.Field{Name: "jitter", Unit: config.Span, Min: 0, Max: minute, To: &jitter},
+			config.Field{Name: "every", Unit: config.Span, Min: 1e4, Max: 10 * minute, To: &every})
 		for _, name := range slices.Sorted(maps.Keys(set)) {
 			if !slices.Contains([]string{"from", "for", "part", "who"}, name) && !slices.Contains(takes, name) {
 				r.Fault(b.Body, "trouble %q takes no %s; it takes from, for, part, who%s", b.Name, name, strings.Join(append([]string{""}, takes...), ", "))
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -20,7 +20,7 @@
 func TestMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		word := rapid.StringMatching(`[a-z"\\<é]{1,9}`)
-		m := Message{Kind: rapid.SampledFrom([]Kind{KindHello, KindOut, KindDone, KindList, KindClient, KindJob}).Draw(t, "kind"),
+		m := Message{Kind: rapid.SampledFrom([]Kind{KindHello, KindOffline, KindApplied, KindList, KindIdleClient, KindJob}).Draw(t, "kind"),
 			Number: rapid.Uint64().Draw(t, "number"), Worker: word.Draw(t, "worker"), Away: rapid.Bool().Draw(t, "away"),
 			Job:   json.RawMessage(`{"id":"x"}`),
 			Hello: &Hello{Process: word.Draw(t, "process"), Started: rapid.Int64().Draw(t, "started"), Out: rapid.SliceOfN(word, 1, 4).Draw(t, "out"), List: json.RawMessage(`{}`), Learnt: json.RawMessage(`{}`)}}
@@ -45,16 +45,16 @@
 
 func TestSaved(t *testing.T) {
 	dir := t.TempDir()
-	out, err := Saved(dir, "n0")
+	out, err := LoadOffline(dir, "n0")
 	assert.NoError(t, err, "none is no error")
 	assert.Empty(t, out)
 	for _, want := range [][]string{{"a", "b"}, {}} {
-		require.NoError(t, Save(dir, "n0", want))
-		out, err = Saved(dir, "n0")
+		require.NoError(t, SaveOffline(dir, "n0", want))
+		out, err = LoadOffline(dir, "n0")
 		assert.NoError(t, err)
 		assert.Equal(t, want, out)
 	}
-	assert.Error(t, Save(filepath.Join(dir, "nowhere"), "n0", nil))
+	assert.Error(t, SaveOffline(filepath.Join(dir, "nowhere"), "n0", nil))
 }
 
 // recorder is a handler that keeps what it hears.
@@ -68,7 +68,7 @@
 }
 
 func (r *recorder) Hello() Hello { return r.hello }
-func (r *recorder) Linked(l *Link) {
+func (r *recorder) LinkUp(l *Link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.links = append(r.links, l)
@@ -78,7 +78,7 @@
 	defer r.mu.Unlock()
 	r.heard, r.fds = append(r.heard, m), append(r.fds, fds...)
 }
-func (r *recorder) Gone(*Link) {
+func (r *recorder) LinkDown(*Link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.gone++
@@ -116,16 +116,16 @@
 	require.NoError(t, err)
 	defer second.Close()
 	require.Len(t, b.links, 1)
-	assert.Equal(t, []string{"w"}, b.links[0].Other.Out)
+	assert.Equal(t, []string{"w"}, b.links[0].Peer.Out)
 	require.Eventually(t, a.has(1, 0, 0), soon, time.Millisecond, "and not to the stranger")
-	assert.Equal(t, second.Process, a.links[0].Other.Process)
+	assert.Equal(t, second.Process, a.links[0].Peer.Process)
 
 	file, err := os.Open(dir)
 	require.NoError(t, err)
 	defer file.Close()
-	require.NoError(t, b.links[0].Give(Message{Kind: KindClient}, int(file.Fd())))
+	require.NoError(t, b.links[0].SendFDs(Message{Kind: KindIdleClient}, int(file.Fd())))
 	for i := range 50 {
-		b.links[0].Say(Message{Kind: KindDone, Number: uint64(i)})
+		b.links[0].Send(Message{Kind: KindApplied, Number: uint64(i)})
 	}
 	require.Eventually(t, a.has(1, 51, 0), soon, time.Millisecond)
 	require.Len(t, a.fds, 1)
@@ -138,7 +138,7 @@
 	passed.Close()
 	b.links[0].Close()
 	require.Eventually(t, a.has(1, 51, 1), soon, time.Millisecond)
-	assert.Error(t, b.links[0].Give(Message{Kind: KindClient}), "nobody is there")
+	assert.Error(t, b.links[0].SendFDs(Message{Kind: KindIdleClient}), "nobody is there")
 }
 
 // heldLinked holds whoever is told of a link.
@@ -147,10 +147,10 @@
 	at, let chan struct{}
 }
 
-func (h *heldLinked) Linked(l *Link) {
+func (h *heldLinked) LinkUp(l *Link) {
 	close(h.at)
 	<-h.let
-	h.recorder.Linked(l)
+	h.recorder.LinkUp(l)
 }
 
 // Whoever starts is linked only once the process that was there has it in its books: it says that it is ready then, and the
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -30,17 +30,17 @@
 type Handler interface {
 	// Hello is how this process stands, for another one.
 	Hello() Hello
-	// Linked says that another process is there.
-	Linked(l *Link)
+	// LinkUp says that another process is there.
+	LinkUp(l *Link)
 	// Message takes one; the descriptors are the handler's.
 	Message(l *Link, m Message, fds []int)
-	// Gone says that a link has ended.
-	Gone(l *Link)
+	// LinkDown says that a link has ended.
+	LinkDown(l *Link)
 }
 
 // Link is a link to another process.
 type Link struct {
-	Other Hello // as it stood at first
+	Peer Hello // as it stood at first
 
 	c       *net.UnixConn
 	raw     rawConn
@@ -143,7 +143,7 @@
 		slog.Warn("handover: no link", "why", err)
 		l.Close()
 		if linked {
-			n.handler.Gone(l)
+			n.handler.LinkDown(l)
 		}
 		return nil
 	}
@@ -176,8 +176,8 @@
 	if m.Kind != KindHello {
 		return fail(fmt.Errorf("%s before hello", m.Kind))
 	}
-	l.Other = *m.Hello
-	n.handler.Linked(l)
+	l.Peer = *m.Hello
+	n.handler.LinkUp(l)
 	linked = true
 	if first {
 		if err := say(); err != nil {
@@ -190,14 +190,14 @@
 
 // serve hands on what comes until the link ends.
 func (n *Node) serve(l *Link) {
-	go l.send()
+	go l.writeLoop()
 	b := make([]byte, MaxMessage)
 	for {
 		m, fds, err := l.read(b)
 		if err != nil {
-			slog.Info("handover: link ended", "other", l.Other.Process, "why", err)
+			slog.Info("handover: link ended", "other", l.Peer.Process, "why", err)
 			l.Close()
-			n.handler.Gone(l)
+			n.handler.LinkDown(l)
 			return
 		}
 		n.handler.Message(l, m, fds)
@@ -240,8 +240,8 @@
 	}
 }
 
-// Say sends a message without descriptors, soon. Where the other side takes none for long the link ends.
-func (l *Link) Say(m Message) {
+// Send sends a message without descriptors, soon. Where the other side takes none for long the link ends.
+func (l *Link) Send(m Message) {
 	b, err := Encode(m)
 	if err != nil {
 		slog.Warn("handover: not said", "kind", m.Kind, "why", err)
@@ -250,12 +250,12 @@
 	select {
 	case l.queue <- b:
 	default:
-		slog.Warn("handover: the other process takes nothing", "other", l.Other.Process)
+		slog.Warn("handover: the other process takes nothing", "other", l.Peer.Process)
 		l.Close()
 	}
 }
 
-func (l *Link) send() {
+func (l *Link) writeLoop() {
 	for {
 		select {
 		case b := <-l.queue:
@@ -269,9 +269,9 @@
 	}
 }
 
-// Give sends a message with descriptors at once, or not at all: nil says that they are the other side's, and copies of
+// SendFDs sends a message with descriptors at once, or not at all: nil says that they are the other side's, and copies of
 // them here may be closed.
-func (l *Link) Give(m Message, fds ...int) error {
+func (l *Link) SendFDs(m Message, fds ...int) error {
 	if !l.greeted.Load() {
 		return errors.New("hello was not said yet")
 	}
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -24,13 +24,13 @@
 
 // The kinds.
 const (
-	KindHello  Kind = "hello"  // the first on a link, both ways
-	KindOut    Kind = "out"    // a worker is taken out or put back; answered by Done
-	KindDone   Kind = "done"   // it is in force here too
-	KindList   Kind = "list"   // news of the worker list
-	KindClient Kind = "client" // with a descriptor: a client's connection between two requests
-	KindJob    Kind = "job"    // with one or two: a client's connection with its job, a worker's with the attempt
-	KindStops  Kind = "stops"  // who says it ends soon: nothing more is to be passed to it
+	KindHello      Kind = "hello"  // the first on a link, both ways
+	KindOffline    Kind = "out"    // a worker is taken out or put back; answered by Done
+	KindApplied    Kind = "done"   // it is in force here too
+	KindList       Kind = "list"   // news of the worker list
+	KindIdleClient Kind = "client" // with a descriptor: a client's connection between two requests
+	KindJob        Kind = "job"    // with one or two: a client's connection with its job, a worker's with the attempt
+	KindStopping   Kind = "stops"  // who says it ends soon: nothing more is to be passed to it
 )
 
 // Message is one packet.
@@ -76,7 +76,7 @@
 		return m, fmt.Errorf("version %d; this process speaks %d", m.Version, Version)
 	case m.Kind == KindHello && (m.Hello == nil || m.Hello.Process == ""):
 		return m, errors.New("hello without a process")
-	case m.Kind == KindOut && m.Worker == "":
+	case m.Kind == KindOffline && m.Worker == "":
 		return m, errors.New("out without a worker")
 	case m.Kind == KindJob && len(m.Job) == 0:
 		return m, errors.New("job without a job")
@@ -95,8 +95,8 @@
 // fileName is what the files of a scheduler's processes begin with, whatever its name has in it.
 func fileName(name string) string { return "weldscale-" + strings.ReplaceAll(name, "/", "_") }
 
-// Save writes the file as a whole: whoever reads it meanwhile sees the old one.
-func Save(dir, name string, out []string) error {
+// SaveOffline writes the file as a whole: whoever reads it meanwhile sees the old one.
+func SaveOffline(dir, name string, out []string) error {
 	b, err := json.Marshal(saved{Version, out})
 	if err != nil {
 		return err
@@ -108,8 +108,8 @@
 	return os.Rename(path+".new", path)
 }
 
-// Saved reads the file. None is no error.
-func Saved(dir, name string) ([]string, error) {
+// LoadOffline reads the file. None is no error.
+func LoadOffline(dir, name string) ([]string, error) {
 	b, err := os.ReadFile(savedPath(dir, name))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
--- a/internal/jobs/client.go
+++ b/internal/jobs/client.go
@@ -374,12 +374,12 @@
 		return
 	}
 	if service.Pool != nil {
-		if service.Pool.Longest > 0 {
-			job.GiveUpAt = min(job.GiveUpAt, now+service.Pool.Longest)
+		if service.Pool.MaxHoldTime > 0 {
+			job.GiveUpAt = min(job.GiveUpAt, now+service.Pool.MaxHoldTime)
 		}
 		if refusal := service.Pool.Admit(now, job.Class, len(m.Body)); refusal.Refused() {
 			service.Engine.Counts.Ended[1][job.Class]++
-			x.answer(refusal.Status, []byte(refusal.Why+"\n"), retryAfter(time.Duration(refusal.After)*time.Microsecond)...)
+			x.answer(refusal.Status, []byte(refusal.Reason+"\n"), retryAfter(time.Duration(refusal.RetryAfter)*time.Microsecond)...)
 			return
 		}
 	}
--- a/internal/jobs/pass_test.go
+++ b/internal/jobs/pass_test.go
@@ -91,17 +91,17 @@
 // been booked, which freed capacity that other jobs were using.
 func TestAdoptedJobIsBooked(t *testing.T) {
 	b := newHarness(t)
-	p := pool.New("", pool.Limits{FleetOpen: 9}, make([]pool.Limits, 2), nil, nil)
+	p := pool.New("", pool.Limits{FleetInFlight: 9}, make([]pool.Limits, 2), nil, nil)
 	open := 0
-	p.Fleet = func(k pool.FleetKind, _ int) bool { open++; return true }
-	p.FleetDone = func(int) { open-- }
+	p.TakeFleet = func(k pool.FleetKind, _ int) bool { open++; return true }
+	p.ReturnFleet = func(int) { open-- }
 	b.server.Main.Pool, b.server.Main.Workers = p, b.workers
 	for _, ending := range []string{"answered", "left"} {
 		client, worker := &fakeConn{writeAtOnce: true}, &fakeConn{writeAtOnce: true}
 		job := &HandoverJob{Class: "send", Method: "POST", Target: "/p", ID: ending, Body: []byte("hi"), KeepAlive: true,
 			Job: engine.HandoverRequest{GiveUpAt: b.engine.Now() + 9e6, Came: b.engine.Now(), Tried: []engine.HandoverAttempt{{Worker: "a", Addr: "x:1", Sent: b.engine.Now(), Out: true, MayHaveRun: true}}}}
 		b.server.Adopt(b.server.Main, job, client, worker)
-		assert.Equal(t, []int{1, 1}, []int{p.Open(), open}, ending)
+		assert.Equal(t, []int{1, 1}, []int{p.InFlight(), open}, ending)
 		if ending == "left" {
 			client.handler.Closed()
 		} else {
@@ -109,6 +109,6 @@
 			worker.handler.Data([]byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(line), line)))
 			assert.Contains(t, client.out, "200 OK")
 		}
-		assert.Equal(t, []int{0, 0}, []int{p.Open(), open}, ending)
+		assert.Equal(t, []int{0, 0}, []int{p.InFlight(), open}, ending)
 	}
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -20,8 +20,8 @@
 
 // Of each kind of line (its level and text) above debug the first few of a second are written, and then one of so many.
 const (
-	First = 5
-	Then  = 1000
+	SampleFirst      = 5
+	SampleThereafter = 1000
 )
 
 var (
@@ -52,7 +52,7 @@
 	// Who asks for debug lines follows requests, and one that lacks lines can't be followed.
 	all := zapcore.NewCore(encoder, out, zap.LevelEnablerFunc(func(l zapcore.Level) bool { return l == zapcore.DebugLevel && level.Enabled(l) }))
 	rest := zapcore.NewCore(encoder, out, zap.LevelEnablerFunc(func(l zapcore.Level) bool { return l > zapcore.DebugLevel && level.Enabled(l) }))
-	core := zapcore.NewSamplerWithOptions(rest, time.Second, First, Then,
+	core := zapcore.NewSamplerWithOptions(rest, time.Second, SampleFirst, SampleThereafter,
 		zapcore.SamplerHook(func(_ zapcore.Entry, d zapcore.SamplingDecision) {
 			if d&zapcore.LogDropped != 0 {
 				dropped.Add(1)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -19,8 +19,8 @@
 // buckets in seconds, from a probe on the same machine to a job that takes half a minute.
 var buckets = []float64{.0002, .0005, .001, .002, .005, .01, .02, .05, .1, .2, .5, 1, 2, 5, 10, 30}
 
-// Set is all that is kept.
-type Set struct {
+// Registry is all that is kept.
+type Registry struct {
 	registry                     *prometheus.Registry
 	wait, probe, attempt, answer *prometheus.HistogramVec
 	// Stats is the text of the counters: words of name=value, a line for each service.
@@ -28,12 +28,12 @@
 }
 
 // New returns an empty set.
-func New() *Set {
+func New() *Registry {
 	histogram := func(name, help string, labels ...string) *prometheus.HistogramVec {
 		return prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: "weldscale", Name: name, Help: help, Buckets: buckets},
 			append([]string{"service"}, labels...))
 	}
-	m := &Set{registry: prometheus.NewRegistry(),
+	m := &Registry{registry: prometheus.NewRegistry(),
 		wait:    histogram("wait_seconds", "From a request's arrival to its first attempt.", "class"),
 		probe:   histogram("probe_seconds", "How long probes took, by how they ended.", "outcome"),
 		attempt: histogram("attempt_seconds", "How long attempts took, by how they ended.", "class", "outcome"),
@@ -55,7 +55,7 @@
 
 // Service observes for one service.
 type Service struct {
-	m       *Set
+	m       *Registry
 	wait    []prometheus.Observer
 	probe   [decide.NotSent + 1]prometheus.Observer
 	attempt [][decide.NotSent + 1]prometheus.Observer
@@ -63,7 +63,7 @@
 }
 
 // Service returns the observers of a service; outcomes names those of attempts and probes.
-func (m *Set) Service(name string, classes []string, outcomes []string) *Service {
+func (m *Registry) Service(name string, classes []string, outcomes []string) *Service {
 	s := &Service{m: m, attempt: make([][decide.NotSent + 1]prometheus.Observer, len(classes)), answer: make([][len(answers)]prometheus.Observer, len(classes))}
 	for i, class := range classes {
 		s.wait = append(s.wait, m.wait.WithLabelValues(name, class))
@@ -99,7 +99,7 @@
 }
 
 // counters turns the text of the counters into gauges, so that no counter needs to be named twice.
-type counters struct{ m *Set }
+type counters struct{ m *Registry }
 
 // Describe implements prometheus.Collector: it is unchecked, since a service may come or go.
 func (counters) Describe(chan<- *prometheus.Desc) {}
@@ -126,7 +126,7 @@
 }
 
 // Text is all of it in Prometheus's text form. It takes a while, and is not for the loop.
-func (m *Set) Text() ([]byte, error) {
+func (m *Registry) Text() ([]byte, error) {
 	families, err := m.registry.Gather()
 	if err != nil {
 		return nil, err
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -43,18 +43,18 @@
 
 // Errors of a Control.
 var (
-	// ErrUnknown says that there is no such worker.
-	ErrUnknown = errors.New("no such worker")
-	// ErrLate says that nothing was done, since the scheduler did not get to it in time.
-	ErrLate = errors.New("not done: the scheduler did not get to it in time")
+	// ErrUnknownWorker says that there is no such worker.
+	ErrUnknownWorker = errors.New("no such worker")
+	// ErrTimeout says that nothing was done, since the scheduler did not get to it in time.
+	ErrTimeout = errors.New("not done: the scheduler did not get to it in time")
 )
 
 // Control does what calls ask for. Its methods may wait, for less than a second.
 type Control interface {
 	Ready() (bool, error)
 	Figures() (Figures, error)
-	// SetOut takes a worker out or puts it back. Without an error it is in force.
-	SetOut(worker string, out bool) error
+	// SetOffline takes a worker out or puts it back. Without an error it is in force.
+	SetOffline(worker string, out bool) error
 }
 
 // maxBody is how much a call may bring with it; no call needs any.
@@ -89,7 +89,7 @@
 	case !whole:
 		return nil, nil
 	}
-	request, no := Read(c.parser.Msg.Method, c.parser.Msg.Target)
+	request, no := ParseRequest(c.parser.Msg.Method, c.parser.Msg.Target)
 	if request == nil {
 		return nil, Answer(no.Status, no.Text)
 	}
@@ -103,8 +103,8 @@
 	JSON   bool
 }
 
-// Read reads a method and a target as a call, or says why they are none.
-func Read(method, target string) (*Request, Reply) {
+// ParseRequest reads a method and a target as a call, or says why they are none.
+func ParseRequest(method, target string) (*Request, Reply) {
 	path, _, _ := strings.Cut(target, "?")
 	r, want := &Request{}, "GET"
 	switch path {
@@ -148,14 +148,14 @@
 		}
 		return Reply{Status: 200, Text: string(text), JSON: true}
 	}
-	return reply(c.SetOut(r.Worker, r.Kind == Offline), "done")
+	return reply(c.SetOffline(r.Worker, r.Kind == Offline), "done")
 }
 
 func reply(err error, yes string) Reply {
 	switch {
 	case err == nil:
 		return Reply{Status: 200, Text: yes}
-	case errors.Is(err, ErrUnknown):
+	case errors.Is(err, ErrUnknownWorker):
 		return Reply{Status: 404, Text: err.Error()}
 	}
 	return Reply{Status: 503, Text: err.Error()}
--- a/internal/mgmt/mgmt_test.go
+++ b/internal/mgmt/mgmt_test.go
@@ -57,10 +57,10 @@
 func (f fakeControl) Figures() (Figures, error) {
 	return Figures{Served: map[string]int{"view": 0}, InFlight: 2}, f.err
 }
-func (f fakeControl) SetOut(worker string, out bool) error { f.out[worker] = out; return f.err }
+func (f fakeControl) SetOffline(worker string, out bool) error { f.out[worker] = out; return f.err }
 
 func TestAnswers(t *testing.T) {
-	for err, status := range map[error]string{nil: "200", ErrUnknown: "404", ErrLate: "503"} {
+	for err, status := range map[error]string{nil: "200", ErrUnknownWorker: "404", ErrTimeout: "503"} {
 		f := fakeControl{err, map[string]bool{}}
 		for _, kind := range []Kind{Offline, Online} {
 			answer := string((&Request{kind, "w"}).Do(f).Bytes())
@@ -69,7 +69,7 @@
 			assert.Equal(t, kind == Offline, f.out["w"])
 		}
 	}
-	assert.Contains(t, string((&Request{Kind: Ready}).Do(fakeControl{err: ErrLate}).Bytes()), "HTTP/1.1 503")
+	assert.Contains(t, string((&Request{Kind: Ready}).Do(fakeControl{err: ErrTimeout}).Bytes()), "HTTP/1.1 503")
 	text := string((&Request{Kind: Counters}).Do(fakeControl{}).Bytes())
 	_, body, _ := strings.Cut(text, "\r\n\r\n")
 	var in map[string]any
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -21,11 +21,11 @@
 	Rate float64 // requests a second that may begin
 	// FleetRate is the same for all schedulers of a fleet together; Pool.Fleet says what of it is here.
 	FleetRate float64
-	// FleetOpen is requests in hand, and FleetRetries second tries a second, of all schedulers of a fleet together.
-	FleetOpen, FleetRetries float64
-	Burst                   int // how many may begin at once; 0: those of a tenth of a second, one at least
-	Open                    int // requests in hand
-	Bytes                   int // of the requests in hand
+	// FleetInFlight is requests in hand, and FleetRetries second tries a second, of all schedulers of a fleet together.
+	FleetInFlight, FleetRetries float64
+	Burst                       int // how many may begin at once; 0: those of a tenth of a second, one at least
+	InFlight                    int // requests in hand
+	Bytes                       int // of the requests in hand
 	// Retries is how many second tries there may be for each first one, RetryFloor how many a second at least.
 	Retries    float64
 	RetryFloor float64
@@ -33,9 +33,9 @@
 
 // Verdict is the answer to a request that wants to begin. The zero Verdict lets it.
 type Verdict struct {
-	Status int  // 429 over a rate, 503 where something is used up
-	After  Time // when to come again; 0: no advice
-	Why    string
+	Status     int  // 429 over a rate, 503 where something is used up
+	RetryAfter Time // when to come again; 0: no advice
+	Reason     string
 }
 
 // Refused reports whether it may not begin.
@@ -43,7 +43,7 @@
 
 // Counts is what a pool has let begin and what not, by reason.
 type Counts struct {
-	Begun, OverRate, OverFleet, OverOpen, OverBytes, OverShared, OverTime, RetriesDenied int
+	Admitted, OverRate, OverFleet, OverOpen, OverBytes, OverShared, OverTime, RetriesDenied int
 }
 
 // gate holds one set of limits.
@@ -72,7 +72,7 @@
 // full tells whether what is in hand allows no more, before anything is booked.
 func (g *gate) full(bytes int) (why string) {
 	switch {
-	case g.limits.Open > 0 && g.open >= g.limits.Open:
+	case g.limits.InFlight > 0 && g.open >= g.limits.InFlight:
 		return "too many in hand"
 	case g.limits.Bytes > 0 && g.bytes+bytes > g.limits.Bytes:
 		return "too many bytes in hand"
@@ -104,14 +104,14 @@
 	all     gate
 	classes []gate
 	open    *Share
-	time    *Lane
+	time    *TimeShare
 
-	// Fleet, where set, takes one out of what the fleet has of a kind for a class, or for the service for class -1. It must
+	// TakeFleet, where set, takes one out of what the fleet has of a kind for a class, or for the service for class -1. It must
 	// not wait. FleetDone gives back one of FleetOpen.
-	Fleet     func(k FleetKind, class int) bool
-	FleetDone func(class int)
-	// Longest is how long a request may be in hand at most, where the fleet counts those; 0: as long as its client waits.
-	Longest Time
+	TakeFleet   func(k FleetKind, class int) bool
+	ReturnFleet func(class int)
+	// MaxHoldTime is how long a request may be in hand at most, where the fleet counts those; 0: as long as its client waits.
+	MaxHoldTime Time
 }
 
 // FleetKind is what a fleet may have limits of.
@@ -120,27 +120,27 @@
 // The kinds of Limits' fields of those names.
 const (
 	FleetRate FleetKind = iota
-	FleetOpen
+	FleetInFlight
 	FleetRetries
 )
 
 // of is the limit of that kind.
 func (l *Limits) of(k FleetKind) float64 {
-	return [...]float64{l.FleetRate, l.FleetOpen, l.FleetRetries}[k]
+	return [...]float64{l.FleetRate, l.FleetInFlight, l.FleetRetries}[k]
 }
 
 // fleet takes one of a kind for the service and for the class, as far as they have limits, or none.
 func (p *Pool) fleet(k FleetKind, class int) bool {
-	if p.Fleet == nil {
+	if p.TakeFleet == nil {
 		return true
 	}
 	all := p.all.limits.of(k) > 0
-	if all && !p.Fleet(k, -1) {
+	if all && !p.TakeFleet(k, -1) {
 		return false
 	}
-	if p.classes[class].limits.of(k) > 0 && !p.Fleet(k, class) {
-		if all && k == FleetOpen {
-			p.FleetDone(-1)
+	if p.classes[class].limits.of(k) > 0 && !p.TakeFleet(k, class) {
+		if all && k == FleetInFlight {
+			p.ReturnFleet(-1)
 		}
 		return false
 	}
@@ -149,14 +149,14 @@
 
 // fleetDone gives back what fleet took of FleetOpen.
 func (p *Pool) fleetDone(class int) {
-	if p.Fleet == nil {
+	if p.TakeFleet == nil {
 		return
 	}
-	if p.all.limits.FleetOpen > 0 {
-		p.FleetDone(-1)
+	if p.all.limits.FleetInFlight > 0 {
+		p.ReturnFleet(-1)
 	}
-	if p.classes[class].limits.FleetOpen > 0 {
-		p.FleetDone(class)
+	if p.classes[class].limits.FleetInFlight > 0 {
+		p.ReturnFleet(class)
 	}
 }
 
@@ -165,7 +165,7 @@
 
 // New returns a pool with limits for the service and for each of its classes. The shares in what all services have
 // together may be nil.
-func New(name string, all Limits, classes []Limits, open *Share, loop *Lane) *Pool {
+func New(name string, all Limits, classes []Limits, open *Share, loop *TimeShare) *Pool {
 	p := &Pool{Name: name, classes: make([]gate, len(classes)), open: open, time: loop}
 	p.all.set(all)
 	for i := range p.classes {
@@ -184,7 +184,7 @@
 }
 
 func (l Limits) withFleet(o Limits) Limits {
-	l.FleetRate, l.FleetOpen, l.FleetRetries = o.FleetRate, o.FleetOpen, o.FleetRetries
+	l.FleetRate, l.FleetInFlight, l.FleetRetries = o.FleetRate, o.FleetInFlight, o.FleetRetries
 	return l
 }
 
@@ -193,7 +193,7 @@
 	gates := [...]*gate{&p.all, &p.classes[class]}
 	for _, g := range gates {
 		if why := g.full(bytes); why != "" {
-			if g.limits.Open > 0 && g.open >= g.limits.Open {
+			if g.limits.InFlight > 0 && g.open >= g.limits.InFlight {
 				p.Counts.OverOpen++
 			} else {
 				p.Counts.OverBytes++
@@ -208,12 +208,12 @@
 		}
 	}
 	if p.time != nil {
-		if after := p.time.Late(now); after > 0 {
+		if after := p.time.Delay(now); after > 0 {
 			p.Counts.OverTime++
 			return Verdict{503, after, "its part of the time is used up"}
 		}
 	}
-	if !p.fleet(FleetOpen, class) {
+	if !p.fleet(FleetInFlight, class) {
 		p.Counts.OverFleet++
 		return Verdict{503, fleetAfter, "too many in hand in the fleet"}
 	}
@@ -222,7 +222,7 @@
 		p.Counts.OverFleet++
 		return Verdict{429, fleetAfter, "too many a second in the fleet"}
 	}
-	if p.open != nil && !p.open.Take(1) {
+	if p.open != nil && !p.open.Acquire(1) {
 		p.fleetDone(class)
 		p.Counts.OverShared++
 		return Verdict{503, second, "others need the room"}
@@ -235,7 +235,7 @@
 		g.bytes += bytes
 		g.balance = min(g.balance+g.limits.Retries, maxSaved)
 	}
-	p.Counts.Begun++
+	p.Counts.Admitted++
 	return Verdict{}
 }
 
@@ -249,7 +249,7 @@
 		g.open++
 		g.bytes += bytes
 	}
-	return Unbooked{Fleet: !p.fleet(FleetOpen, class), Shared: p.open != nil && !p.open.Take(1)}
+	return Unbooked{Fleet: !p.fleet(FleetInFlight, class), Shared: p.open != nil && !p.open.Acquire(1)}
 }
 
 // Done takes a request out of the account, with what was booked for it.
@@ -262,15 +262,15 @@
 		p.fleetDone(class)
 	}
 	if p.open != nil && !no.Shared {
-		p.open.Give(1)
+		p.open.Release(1)
 	}
 }
 
-// Open is how many requests are in hand.
-func (p *Pool) Open() int { return p.all.open }
+// InFlight is how many requests are in hand.
+func (p *Pool) InFlight() int { return p.all.open }
 
-// Retry lets a second try of a request be sent, and books it: paid for by first tries, or within the floor.
-func (p *Pool) Retry(now Time, class int) bool {
+// AdmitRetry lets a second try of a request be sent, and books it: paid for by first tries, or within the floor.
+func (p *Pool) AdmitRetry(now Time, class int) bool {
 	gates := [...]*gate{&p.all, &p.classes[class]}
 	for _, g := range gates {
 		if g.floor != nil && g.balance < whole && (g.limits.RetryFloor == 0 || g.floor.TokensAt(at(now)) < 1) {
@@ -320,12 +320,12 @@
 // Share gives a pool a part with a reserve, or as much of that as is not promised to others yet.
 func (b *Budget) Share(reserve int) *Share {
 	s := &Share{b: b}
-	s.Reserve(reserve)
+	s.SetReserve(reserve)
 	return s
 }
 
-// Reserve changes the reserve; what is in use stays so.
-func (s *Share) Reserve(n int) {
+// SetReserve changes the reserve; what is in use stays so.
+func (s *Share) SetReserve(n int) {
 	b := s.b
 	b.common -= s.above()
 	b.reserved -= s.reserve
@@ -335,12 +335,12 @@
 }
 
 // Close gives back the part, once nothing of it is in use.
-func (s *Share) Close() { s.Reserve(0) }
+func (s *Share) Close() { s.SetReserve(0) }
 
 func (s *Share) above() int { return max(0, s.used-s.reserve) }
 
-// Take takes n, or nothing where that is not to be had.
-func (s *Share) Take(n int) bool {
+// Acquire takes n, or nothing where that is not to be had.
+func (s *Share) Acquire(n int) bool {
 	more := max(0, s.used+n-s.reserve) - s.above()
 	if s.b.used+n > s.b.total || more > 0 && s.b.common+more > s.b.total-s.b.reserved {
 		return false
@@ -351,17 +351,17 @@
 	return true
 }
 
-// Give gives n back.
-func (s *Share) Give(n int) {
+// Release gives n back.
+func (s *Share) Release(n int) {
 	before := s.above()
 	s.used -= n
 	s.b.used -= n
 	s.b.common -= before - s.above()
 }
 
-// Clock shares the time of one loop among pools by weight. While the loop is not busy nobody is held back; once it is,
+// TimeBudget shares the time of one loop among pools by weight. While the loop is not busy nobody is held back; once it is,
 // a pool that has used more than its weight gives it must wait until it has paid for that.
-type Clock struct {
+type TimeBudget struct {
 	busy   float64 // microseconds of work lately, fading with Fade
 	at     Time
 	weight float64 // of all lanes
@@ -375,38 +375,38 @@
 	saveFor = float64(second / 10) // a lane that was quiet may use this much of its time at once
 )
 
-// Lane is one pool's part of a Clock.
-type Lane struct {
-	c      *Clock
+// TimeShare is one pool's part of a Clock.
+type TimeShare struct {
+	c      *TimeBudget
 	weight float64
 	saved  float64 // microseconds it may use; below 0 it is in debt
 	at     Time
 }
 
-// Lane gives a pool a part by weight.
-func (c *Clock) Lane(now Time, weight float64) *Lane {
+// Share gives a pool a part by weight.
+func (c *TimeBudget) Share(now Time, weight float64) *TimeShare {
 	c.weight += weight
-	return &Lane{c: c, weight: weight, at: now}
+	return &TimeShare{c: c, weight: weight, at: now}
 }
 
 // SetWeight changes the weight.
-func (l *Lane) SetWeight(weight float64) {
+func (l *TimeShare) SetWeight(weight float64) {
 	l.c.weight += weight - l.weight
 	l.weight = weight
 }
 
 // Close takes the lane out.
-func (l *Lane) Close() { l.SetWeight(0) }
+func (l *TimeShare) Close() { l.SetWeight(0) }
 
-// Used books that the lane has used that much time of the loop, just before now.
-func (l *Lane) Used(now, span Time) {
+// Charge books that the lane has used that much time of the loop, just before now.
+func (l *TimeShare) Charge(now, span Time) {
 	l.c.fadeTo(now)
 	l.c.busy += float64(span)
 	l.earn(now)
 	l.saved = max(l.saved-float64(span), -float64(second))
 }
 
-func (c *Clock) fadeTo(now Time) {
+func (c *TimeBudget) fadeTo(now Time) {
 	if now > c.at {
 		c.busy *= max(0, 1-float64(now-c.at)/fade)
 		c.at = now
@@ -414,12 +414,12 @@
 }
 
 // Load is the part of the time that all lanes have used lately, 0 to about 1.
-func (c *Clock) Load(now Time) float64 {
+func (c *TimeBudget) Load(now Time) float64 {
 	c.fadeTo(now)
 	return c.busy / fade
 }
 
-func (l *Lane) earn(now Time) {
+func (l *TimeShare) earn(now Time) {
 	if now > l.at && l.c.weight > 0 {
 		part := l.weight / l.c.weight
 		l.saved = min(l.saved+part*float64(now-l.at), part*saveFor)
@@ -427,8 +427,8 @@
 	}
 }
 
-// Late is how long the lane must wait until it may begin something; 0: it may now.
-func (l *Lane) Late(now Time) Time {
+// Delay is how long the lane must wait until it may begin something; 0: it may now.
+func (l *TimeShare) Delay(now Time) Time {
 	l.earn(now)
 	if l.weight == 0 || l.saved > -inDebt*l.weight/l.c.weight || l.c.Load(now) < busyAt {
 		return 0
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -18,8 +18,8 @@
 		after      Time
 	}{
 		"no limit":          {Limits{}, Limits{}, 100, 9, 100, 0, 0},
-		"open":              {Limits{Open: 3}, Limits{}, 5, 9, 3, 503, second},
-		"open of a class":   {Limits{Open: 9}, Limits{Open: 2}, 5, 9, 2, 503, second},
+		"open":              {Limits{InFlight: 3}, Limits{}, 5, 9, 3, 503, second},
+		"open of a class":   {Limits{InFlight: 9}, Limits{InFlight: 2}, 5, 9, 2, 503, second},
 		"bytes":             {Limits{Bytes: 30}, Limits{}, 5, 9, 3, 503, second},
 		"rate":              {Limits{Rate: 10, Burst: 2}, Limits{}, 5, 9, 2, 429, second / 10},
 		"rate of a class":   {Limits{}, Limits{Rate: 1}, 5, 9, 1, 429, second},
@@ -42,15 +42,15 @@
 			}
 		}
 		assert.Equal(t, c.begun, begun, name)
-		assert.Equal(t, begun, p.Open(), name)
+		assert.Equal(t, begun, p.InFlight(), name)
 		assert.Equal(t, c.status, last.Status, name)
-		assert.InDelta(t, c.after, last.After, 2, name)
+		assert.InDelta(t, c.after, last.RetryAfter, 2, name)
 		for range begun {
 			p.Done(0, c.bytes, Unbooked{})
 		}
 		assert.Zero(t, p.all.open+p.all.bytes+p.classes[0].open+p.classes[0].bytes, name)
 		if c.status == 429 {
-			assert.False(t, p.Admit(last.After+1, 0, 1).Refused(), "%s: the advice holds", name)
+			assert.False(t, p.Admit(last.RetryAfter+1, 0, 1).Refused(), "%s: the advice holds", name)
 		}
 	}
 }
@@ -59,7 +59,7 @@
 func TestRetries(t *testing.T) {
 	p := New("p", Limits{Retries: 0.2, RetryFloor: 2}, []Limits{{}}, nil, nil)
 	tries := func(now Time) (n int) {
-		for n < 1000 && p.Retry(now, 0) {
+		for n < 1000 && p.AdmitRetry(now, 0) {
 			n++
 		}
 		return n
@@ -100,16 +100,16 @@
 			switch rapid.IntRange(0, 4).Draw(t, "op") {
 			case 0, 1, 2:
 				reserved := s.used+n <= s.reserve
-				if got := s.Take(n); reserved && !got {
+				if got := s.Acquire(n); reserved && !got {
 					t.Fatalf("%d of a reserve of %d, %d in use, not to be had", n, s.reserve, s.used)
 				} else if got && inUse+n > total {
 					t.Fatalf("%d of %d in use", inUse+n, total)
 				}
 			case 3:
-				s.Give(min(n, s.used))
+				s.Release(min(n, s.used))
 			case 4:
 				if inUse == 0 { // as a reload would, once nothing of the old terms is in hand
-					s.Reserve(n)
+					s.SetReserve(n)
 				}
 			}
 			reserved, above := 0, 0
@@ -137,22 +137,22 @@
 		"idle":  {100, 100, 0.2, false},
 		"flood": {1000, 1000, 0.55, true},
 	} {
-		clock := &Clock{}
-		flood, quiet := clock.Lane(0, 1), clock.Lane(0, 1)
+		clock := &TimeBudget{}
+		flood, quiet := clock.Share(0, 1), clock.Share(0, 1)
 		var now, used Time
 		held, turned := false, 0
 		for step := range 10000 {
 			now += max(1000, c.cost) // the loop has time for one request each ms
 			if step%2 == 0 {         // the others ask for half of it at most
-				if quiet.Late(now) > 0 {
+				if quiet.Delay(now) > 0 {
 					turned++
 				} else {
-					quiet.Used(now, c.quiet*9/10)
+					quiet.Charge(now, c.quiet*9/10)
 				}
-			} else if flood.Late(now) > 0 {
+			} else if flood.Delay(now) > 0 {
 				held = true
 			} else {
-				flood.Used(now, 2*c.cost)
+				flood.Charge(now, 2*c.cost)
 				used += 2 * c.cost
 				now += c.cost
 			}
@@ -166,11 +166,11 @@
 // What is taken of the fleet's jobs in hand comes back where a later gate refuses, and at the end; a reload does not change
 // which limits the fleet keeps.
 func TestFleetLimits(t *testing.T) {
-	limits := Limits{FleetRate: 9, FleetOpen: 3, FleetRetries: 1}
-	p := New("p", limits, []Limits{{FleetOpen: 2}, {Rate: 1}}, nil, nil)
+	limits := Limits{FleetRate: 9, FleetInFlight: 3, FleetRetries: 1}
+	p := New("p", limits, []Limits{{FleetInFlight: 2}, {Rate: 1}}, nil, nil)
 	open, left := map[int]int{}, map[FleetKind]int{FleetRate: 4, FleetRetries: 1}
-	p.Fleet = func(k FleetKind, class int) bool {
-		if k == FleetOpen {
+	p.TakeFleet = func(k FleetKind, class int) bool {
+		if k == FleetInFlight {
 			most := map[int]int{-1: 3, 0: 2}[class]
 			if open[class] >= most {
 				return false
@@ -181,7 +181,7 @@
 		left[k]--
 		return left[k] >= 0
 	}
-	p.FleetDone = func(class int) { open[class]-- }
+	p.ReturnFleet = func(class int) { open[class]-- }
 	ask := func(class, status int) {
 		t.Helper()
 		assert.Equal(t, status, p.Admit(0, class, 1).Status)
@@ -202,8 +202,8 @@
 	p.Done(0, 1, Unbooked{})
 	p.Done(1, 1, Unbooked{})
 	assert.Equal(t, map[int]int{-1: 0, 0: 0}, open)
-	assert.True(t, p.Retry(0, 0))
-	assert.False(t, p.Retry(0, 0))
+	assert.True(t, p.AdmitRetry(0, 0))
+	assert.False(t, p.AdmitRetry(0, 0))
 	assert.Equal(t, 1, p.Counts.RetriesDenied)
 }
 
@@ -211,27 +211,27 @@
 func TestAdopt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := NewBudget(rapid.IntRange(0, 4).Draw(t, "total"))
-		p := New("", Limits{Open: 3, FleetOpen: 2}, []Limits{{FleetOpen: 1}}, budget.Share(0), nil)
+		p := New("", Limits{InFlight: 3, FleetInFlight: 2}, []Limits{{FleetInFlight: 1}}, budget.Share(0), nil)
 		free := map[int]int{-1: rapid.IntRange(0, 3).Draw(t, "free"), 0: rapid.IntRange(0, 3).Draw(t, "free of the class")}
 		before := map[int]int{-1: free[-1], 0: free[0]}
-		p.Fleet = func(_ FleetKind, class int) bool {
+		p.TakeFleet = func(_ FleetKind, class int) bool {
 			if free[class] == 0 {
 				return false
 			}
 			free[class]--
 			return true
 		}
-		p.FleetDone = func(class int) { free[class]++ }
+		p.ReturnFleet = func(class int) { free[class]++ }
 		var hands []Unbooked
 		for range rapid.IntRange(1, 8).Draw(t, "jobs") {
 			hands = append(hands, p.Adopt(0, 5))
 			assert.GreaterOrEqual(t, free[-1], 0)
 		}
-		assert.Equal(t, len(hands), p.Open())
+		assert.Equal(t, len(hands), p.InFlight())
 		for _, no := range hands {
 			p.Done(0, 5, no)
 		}
-		assert.Zero(t, p.Open())
+		assert.Zero(t, p.InFlight())
 		assert.Zero(t, budget.used)
 		assert.Equal(t, before, free)
 	})
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -26,8 +26,8 @@
 	Class string
 	// Header is fields that must have these values, names in lower case.
 	Header map[string]string
-	// Place is where the rule stands, for faults.
-	Place string
+	// Position is where the rule stands, for faults.
+	Position string
 }
 
 // Request is what a table looks at.
@@ -62,7 +62,7 @@
 	t := &Table{exact: map[string]*paths{}, wild: map[string]*paths{}, any: &paths{iradix.New[[]Rule]()}, rules: len(rules)}
 	var faults []error
 	fault := func(r Rule, format string, args ...any) {
-		faults = append(faults, fmt.Errorf("%s: %s", r.Place, fmt.Sprintf(format, args...)))
+		faults = append(faults, fmt.Errorf("%s: %s", r.Position, fmt.Sprintf(format, args...)))
 	}
 	for _, r := range rules {
 		r.Host = strings.ToLower(r.Host)
@@ -75,9 +75,9 @@
 		old, _ := p.tree.Get(key)
 		if i := slices.IndexFunc(old, r.same); i >= 0 {
 			if old[i].Service != r.Service {
-				fault(r, "the same match as that of service %q at %s: a request can't go to both", old[i].Service, old[i].Place)
+				fault(r, "the same match as that of service %q at %s: a request can't go to both", old[i].Service, old[i].Position)
 			} else {
-				fault(r, "the same match as at %s: it would never be looked at", old[i].Place)
+				fault(r, "the same match as at %s: it would never be looked at", old[i].Position)
 			}
 			continue
 		}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -63,7 +63,7 @@
 
 // What can't work is told when the table is made, each with its place.
 func TestFaults(t *testing.T) {
-	at := func(n int, r Rule) Rule { r.Place = fmt.Sprintf("f:%d", n); return r }
+	at := func(n int, r Rule) Rule { r.Position = fmt.Sprintf("f:%d", n); return r }
 	_, faults := New([]Rule{
 		at(1, Rule{Service: "a", Host: "x.org", Path: "/p"}),
 		at(2, Rule{Service: "b", Host: "X.org", Path: "/p/"}),
--- a/internal/router/routes.go
+++ b/internal/router/routes.go
@@ -66,10 +66,10 @@
 	rules := make([]route.Rule, len(routes))
 	for i := range routes {
 		rules[i] = route.Rule{
-			Service: strconv.Itoa(i),
-			Host:    routes[i].Hostname,
-			Path:    routes[i].PathPrefix,
-			Place:   routes[i].Name,
+			Service:  strconv.Itoa(i),
+			Host:     routes[i].Hostname,
+			Path:     routes[i].PathPrefix,
+			Position: routes[i].Name,
 		}
 	}
 	return route.New(rules)
