--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -15,15 +15,15 @@
 	"pgregory.net/rapid"
 )
 
-// What is encoded is read again as it was; anything cut short, of another version or without what its kind needs is an
-// error, never a panic.
-func TestMessages(t *testing.T) {
+// Decoding an encoded message must return the same message. Truncated packets, other versions and messages without the
+// fields that their kind requires must return an error, and arbitrary bytes must not cause a panic.
+func TestEncodeDecode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		word := rapid.StringMatching(`[a-z"\\<é]{1,9}`)
+		text := rapid.StringMatching(`[a-z"\\<é]{1,9}`)
 		m := Message{Kind: rapid.SampledFrom([]Kind{KindHello, KindOffline, KindApplied, KindList, KindIdleClient, KindJob}).Draw(t, "kind"),
-			Number: rapid.Uint64().Draw(t, "number"), Worker: word.Draw(t, "worker"), Away: rapid.Bool().Draw(t, "away"),
+			Number: rapid.Uint64().Draw(t, "number"), Worker: text.Draw(t, "worker"), Away: rapid.Bool().Draw(t, "away"),
 			Job:   json.RawMessage(`{"id":"x"}`),
-			Hello: &Hello{Process: word.Draw(t, "process"), Started: rapid.Int64().Draw(t, "started"), Out: rapid.SliceOfN(word, 1, 4).Draw(t, "out"), List: json.RawMessage(`{}`), Learnt: json.RawMessage(`{}`)}}
+			Hello: &Hello{Process: text.Draw(t, "process"), Started: rapid.Int64().Draw(t, "started"), Out: rapid.SliceOfN(text, 1, 4).Draw(t, "out"), List: json.RawMessage(`{}`), Learnt: json.RawMessage(`{}`)}}
 		b, err := Encode(m)
 		require.NoError(t, err)
 		got, err := Decode(b)
@@ -40,13 +40,13 @@
 		assert.Error(t, err, text)
 	}
 	_, err := Encode(Message{Kind: KindList, List: json.RawMessage(`"` + string(make([]byte, 0)) + string(slices.Repeat([]byte("x"), MaxMessage)) + `"`)})
-	assert.Error(t, err, "too long for a packet")
+	assert.Error(t, err, "the message exceeds MaxMessage")
 }
 
-func TestSaved(t *testing.T) {
+func TestOfflineFile(t *testing.T) {
 	dir := t.TempDir()
 	out, err := LoadOffline(dir, "n0")
-	assert.NoError(t, err, "none is no error")
+	assert.NoError(t, err, "a missing file is not an error")
 	assert.Empty(t, out)
 	for _, want := range [][]string{{"a", "b"}, {}} {
 		require.NoError(t, SaveOffline(dir, "n0", want))
@@ -57,14 +57,14 @@
 	assert.Error(t, SaveOffline(filepath.Join(dir, "nowhere"), "n0", nil))
 }
 
-// recorder is a handler that keeps what it hears.
+// recorder is a Handler that records all events.
 type recorder struct {
-	hello Hello
-	mu    sync.Mutex
-	links []*Link
-	heard []Message
-	fds   []int
-	gone  int
+	hello    Hello
+	mu       sync.Mutex
+	links    []*Link
+	messages []Message
+	fds      []int
+	closed   int
 }
 
 func (r *recorder) Hello() Hello { return r.hello }
@@ -76,104 +76,104 @@
 func (r *recorder) Message(_ *Link, m Message, fds []int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.heard, r.fds = append(r.heard, m), append(r.fds, fds...)
+	r.messages, r.fds = append(r.messages, m), append(r.fds, fds...)
 }
 func (r *recorder) LinkDown(*Link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.gone++
+	r.closed++
 }
 
-func (r *recorder) has(links, heard, gone int) func() bool {
+func (r *recorder) has(links, messages, closed int) func() bool {
 	return func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return len(r.links) == links && len(r.heard) >= heard && r.gone == gone
+		return len(r.links) == links && len(r.messages) >= messages && r.closed == closed
 	}
 }
 
-// Each process links to those that are there, in any order; a packet keeps its descriptor; one that is silent, hangs or
-// speaks another version is passed over, and the file of a dead one goes.
-func TestLinks(t *testing.T) {
-	const soon = 20 * time.Second
+// A process must link to every running process. A descriptor must arrive with its packet. Processes that do not accept or
+// use another version must not be linked, and the socket file of an ended process must be removed.
+func TestLinksBetweenProcesses(t *testing.T) {
+	const timeout = 20 * time.Second
 	dir := t.TempDir()
-	dead := filepath.Join(dir, "weldscale-n0-dead.sock")
-	require.NoError(t, os.WriteFile(dead, nil, 0o600))
+	stale := filepath.Join(dir, "weldscale-n0-dead.sock")
+	require.NoError(t, os.WriteFile(stale, nil, 0o600))
 	hung, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: filepath.Join(dir, "weldscale-n0-hung.sock"), Net: "unixpacket"})
 	require.NoError(t, err)
-	defer hung.Close() // which accepts nothing
-	a, b := &recorder{hello: Hello{Started: 1, Out: []string{"w"}}}, &recorder{hello: Hello{Started: 2}}
-	first, err := Open(dir, "n0", a)
+	defer hung.Close() // never accepts a connection
+	olderHandler, newerHandler := &recorder{hello: Hello{Started: 1, Out: []string{"w"}}}, &recorder{hello: Hello{Started: 2}}
+	older, err := Open(dir, "n0", olderHandler)
 	require.NoError(t, err)
-	defer first.Close()
-	assert.NoFileExists(t, dead)
-	assert.True(t, a.has(0, 0, 0)())
-	stranger, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: first.path, Net: "unixpacket"})
+	defer older.Close()
+	assert.NoFileExists(t, stale)
+	assert.True(t, olderHandler.has(0, 0, 0)())
+	otherVersion, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: older.path, Net: "unixpacket"})
 	require.NoError(t, err)
-	_, err = stranger.Write([]byte(`{"v":99,"kind":"hello","hello":{"process":"x"}}`))
+	_, err = otherVersion.Write([]byte(`{"v":99,"kind":"hello","hello":{"process":"x"}}`))
 	require.NoError(t, err)
-	second, err := Open(dir, "n0", b)
+	newer, err := Open(dir, "n0", newerHandler)
 	require.NoError(t, err)
-	defer second.Close()
-	require.Len(t, b.links, 1)
-	assert.Equal(t, []string{"w"}, b.links[0].Peer.Out)
-	require.Eventually(t, a.has(1, 0, 0), soon, time.Millisecond, "and not to the stranger")
-	assert.Equal(t, second.Process, a.links[0].Peer.Process)
+	defer newer.Close()
+	require.Len(t, newerHandler.links, 1)
+	assert.Equal(t, []string{"w"}, newerHandler.links[0].Peer.Out)
+	require.Eventually(t, olderHandler.has(1, 0, 0), timeout, time.Millisecond, "the process of another version must not be linked")
+	assert.Equal(t, newer.Process, olderHandler.links[0].Peer.Process)
 
 	file, err := os.Open(dir)
 	require.NoError(t, err)
 	defer file.Close()
-	require.NoError(t, b.links[0].SendFDs(Message{Kind: KindIdleClient}, int(file.Fd())))
+	require.NoError(t, newerHandler.links[0].SendFDs(Message{Kind: KindIdleClient}, int(file.Fd())))
 	for i := range 50 {
-		b.links[0].Send(Message{Kind: KindApplied, Number: uint64(i)})
+		newerHandler.links[0].Send(Message{Kind: KindApplied, Number: uint64(i)})
 	}
-	require.Eventually(t, a.has(1, 51, 0), soon, time.Millisecond)
-	require.Len(t, a.fds, 1)
-	passed := os.NewFile(uintptr(a.fds[0]), "passed")
-	same, err := passed.Stat()
+	require.Eventually(t, olderHandler.has(1, 51, 0), timeout, time.Millisecond)
+	require.Len(t, olderHandler.fds, 1)
+	received := os.NewFile(uintptr(olderHandler.fds[0]), "passed")
+	receivedInfo, err := received.Stat()
 	require.NoError(t, err)
 	info, err := file.Stat()
 	require.NoError(t, err)
-	assert.True(t, os.SameFile(info, same))
-	passed.Close()
-	b.links[0].Close()
-	require.Eventually(t, a.has(1, 51, 1), soon, time.Millisecond)
-	assert.Error(t, b.links[0].SendFDs(Message{Kind: KindIdleClient}), "nobody is there")
+	assert.True(t, os.SameFile(info, receivedInfo))
+	received.Close()
+	newerHandler.links[0].Close()
+	require.Eventually(t, olderHandler.has(1, 51, 1), timeout, time.Millisecond)
+	assert.Error(t, newerHandler.links[0].SendFDs(Message{Kind: KindIdleClient}), "the link is closed")
 }
 
-// heldLinked holds whoever is told of a link.
-type heldLinked struct {
+// blockingHandler blocks LinkUp until the test releases it.
+type blockingHandler struct {
 	recorder
-	at, let chan struct{}
+	entered, release chan struct{}
 }
 
-func (h *heldLinked) LinkUp(l *Link) {
-	close(h.at)
-	<-h.let
+func (h *blockingHandler) LinkUp(l *Link) {
+	close(h.entered)
+	<-h.release
 	h.recorder.LinkUp(l)
 }
 
-// Whoever starts is linked only once the process that was there has it in its books: it says that it is ready then, and the
-// other may be told to end in the same moment, and must know whom to pass its jobs to.
-func TestLinkedOnBothSides(t *testing.T) {
+// Open must not return before the running process has registered the link. The new process reports that it is ready once
+// Open returns, and the running process may then be asked to stop at once: it must know the process that takes its jobs.
+func TestOpenWaitsUntilPeerRegistersLink(t *testing.T) {
 	dir := t.TempDir()
-	a := &heldLinked{recorder{hello: Hello{Started: 1}}, make(chan struct{}), make(chan struct{})}
-	first, err := Open(dir, "n0", a)
+	olderHandler := &blockingHandler{recorder{hello: Hello{Started: 1}}, make(chan struct{}), make(chan struct{})}
+	older, err := Open(dir, "n0", olderHandler)
 	require.NoError(t, err)
-	defer first.Close()
-	b, opened := &recorder{hello: Hello{Started: 2}}, make(chan *Node, 1)
-	go func() { n, _ := Open(dir, "n0", b); opened <- n }()
-	<-a.at
-	select { // what is not linked yet may not take long to be so: a fifth of what a hello may
+	defer older.Close()
+	newerHandler, opened := &recorder{hello: Hello{Started: 2}}, make(chan *Node, 1)
+	go func() { n, _ := Open(dir, "n0", newerHandler); opened <- n }()
+	<-olderHandler.entered
+	select { // an Open that does not wait for the link would return within this time
 	case n := <-opened:
-		assert.Fail(t, "linked on one side alone")
+		assert.Fail(t, "Open returned before the peer had registered the link")
 		opened <- n
-	case <-time.After(helloWait / 5):
+	case <-time.After(helloTimeout / 5):
 	}
-	close(a.let)
-	second := <-opened
-	require.NotNil(t, second)
-	defer second.Close()
-	require.Len(t, b.links, 1)
-	require.Eventually(t, a.has(1, 0, 0), 20*time.Second, time.Millisecond)
+	close(olderHandler.release)
+	newer := <-opened
+	require.NotNil(t, newer)
+	defer newer.Close()
+	require.Len(t, newerHandler.links, 1)
+	require.Eventually(t, olderHandler.has(1, 0, 0), 20*time.Second, time.Millisecond)
 }
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -16,155 +16,159 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file owns the links: one Unix packet socket a process, in the directory that the processes share, and a link to
-// each other process that lives.
+// This file implements the links. Each process listens on a Unix packet socket in a shared directory and has one link to
+// every other running process.
 
 const (
-	helloWait = time.Second // a process that does not say hello by then hangs, and is not linked
-	queueSize = 256         // messages without descriptors that wait to be sent
-	maxFDs    = 2
-	maxPath   = 100 // of a socket's address
+	helloTimeout  = time.Second // for the exchange of hello messages; a process that takes longer is considered hung and is not linked
+	sendQueueSize = 256         // messages without descriptors that can wait to be sent on one link
+	maxFDs        = 2
+	maxSocketPath = 100 // in bytes; the system limits the path in a socket address to 107
 )
 
-// Handler takes what comes. Its methods are called from one goroutine a link, in the order in which the other side sent.
+// Handler receives the events of all links. The calls for one link are made one at a time, in the order in which the
+// peer sent the messages; calls for different links are concurrent.
 type Handler interface {
-	// Hello is how this process stands, for another one.
+	// Hello returns the current state of this process, which is sent to a new peer.
 	Hello() Hello
-	// LinkUp says that another process is there.
+	// LinkUp reports a new link.
 	LinkUp(l *Link)
-	// Message takes one; the descriptors are the handler's.
+	// Message delivers a message. The handler owns the descriptors and must close them.
 	Message(l *Link, m Message, fds []int)
-	// LinkDown says that a link has ended.
+	// LinkDown reports that a link has been closed. It is called once for each link that was reported by LinkUp.
 	LinkDown(l *Link)
 }
 
-// Link is a link to another process.
+// Link is a connection to another process of the same scheduler.
 type Link struct {
-	Peer Hello // as it stood at first
+	Peer Hello // the peer's state when the link was established
 
-	c       *net.UnixConn
-	raw     rawConn
-	greeted atomic.Bool // our hello is on its way: nothing goes before it
-	queue   chan []byte
-	ended   chan struct{}
-	once    sync.Once
+	conn      *net.UnixConn
+	raw       rawConn
+	helloSent atomic.Bool // our hello has been sent; no descriptors may be sent before it
+	queue     chan []byte
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
 type rawConn interface {
 	Write(func(fd uintptr) bool) error
 }
 
-// Node is this process among those of a directory.
+// Node is this process's endpoint in the shared directory.
 type Node struct {
 	Process string
 
-	ln      *net.UnixListener
-	path    string
-	handler Handler
-	dir     *os.File
+	listener *net.UnixListener
+	path     string
+	handler  Handler
+	dir      *os.File
 }
 
-// Open takes a place in the directory, for processes of the scheduler of that name, and links to all others that are there;
-// those that start later link to it. It returns once each has said hello or failed to.
+// Open creates the socket of this process in the directory and links to all running processes of the scheduler with the
+// given name. Processes that start later link to this one. Open returns once the handshake with each running process has
+// succeeded or failed. It removes the sockets of processes that are no longer running.
 func Open(dir, name string, h Handler) (*Node, error) {
-	var word [6]byte
-	_, _ = rand.Read(word[:])
-	n := &Node{Process: hex.EncodeToString(word[:]), handler: h}
+	var id [6]byte
+	_, _ = rand.Read(id[:])
+	n := &Node{Process: hex.EncodeToString(id[:]), handler: h}
 	var err error
 	if n.dir, err = os.Open(dir); err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	prefix := fileName(name) + "-"
-	others, err := filepath.Glob(filepath.Join(dir, prefix+"*.sock"))
+	prefix := filePrefix(name) + "-"
+	paths, err := filepath.Glob(filepath.Join(dir, prefix+"*.sock"))
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	n.path = filepath.Join(dir, prefix+n.Process+".sock")
-	n.ln, err = net.ListenUnix("unixpacket", &net.UnixAddr{Name: n.address(n.path), Net: "unixpacket"})
+	n.listener, err = net.ListenUnix("unixpacket", &net.UnixAddr{Name: n.address(n.path), Net: "unixpacket"})
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	n.ln.SetUnlinkOnClose(false)
-	go n.accept()
-	for _, path := range others {
+	n.listener.SetUnlinkOnClose(false)
+	go n.acceptLoop()
+	for _, path := range paths {
 		c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: n.address(path), Net: "unixpacket"})
 		if err != nil {
 			slog.Info("handover: no process behind a socket", "path", path, "why", err)
 			_ = os.Remove(path)
 			continue
 		}
-		if l := n.greet(c, false); l != nil {
+		if l := n.handshake(c, false); l != nil {
 			go n.serve(l)
 		}
 	}
 	return n, nil
 }
 
-// address is a name for the path that a socket can have, however long the path is.
+// address returns a socket address for the path. Paths that are too long are addressed through the descriptor of the
+// directory in /proc.
 func (n *Node) address(path string) string {
-	if len(path) <= maxPath {
+	if len(path) <= maxSocketPath {
 		return path
 	}
 	return fmt.Sprintf("/proc/self/fd/%d/%s", n.dir.Fd(), filepath.Base(path))
 }
 
-// Close leaves the directory; links go on.
+// Close removes the socket of this process, so that no new links are made. Existing links stay open.
 func (n *Node) Close() {
-	n.ln.Close()
+	n.listener.Close()
 	_ = os.Remove(n.path)
 	n.dir.Close()
 }
 
-func (n *Node) accept() {
+func (n *Node) acceptLoop() {
 	for {
-		c, err := n.ln.AcceptUnix()
+		c, err := n.listener.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			slog.Warn("handover: accept failed", "why", err)
-			time.Sleep(helloWait / 10)
+			time.Sleep(helloTimeout / 10)
 			continue
 		}
 		go func() {
-			if l := n.greet(c, true); l != nil {
+			if l := n.handshake(c, true); l != nil {
 				n.serve(l)
 			}
 		}()
 	}
 }
 
-// greet makes a link of a connection, once both sides have said hello. Who was there first says so last, with the link in its
-// books: the other is ready then, and the first may be told to end in the same moment.
-func (n *Node) greet(c *net.UnixConn, first bool) *Link {
-	l := &Link{c: c, queue: make(chan []byte, queueSize), ended: make(chan struct{})}
-	linked := false
+// handshake exchanges hello messages on a connection and returns the link, or nil on failure. The accepting process sends
+// its hello last, after it has registered the link: the connecting process is ready once it has that hello, and the
+// accepting process may be asked to stop at the same moment and must then know the link.
+func (n *Node) handshake(c *net.UnixConn, accepted bool) *Link {
+	l := &Link{conn: c, queue: make(chan []byte, sendQueueSize), closed: make(chan struct{})}
+	reported := false
 	fail := func(err error) *Link {
 		slog.Warn("handover: no link", "why", err)
 		l.Close()
-		if linked {
+		if reported {
 			n.handler.LinkDown(l)
 		}
 		return nil
 	}
-	_ = c.SetDeadline(time.Now().Add(helloWait))
+	_ = c.SetDeadline(time.Now().Add(helloTimeout))
 	var err error
 	if l.raw, err = c.SyscallConn(); err != nil {
 		return fail(err)
 	}
 	_ = c.SetWriteBuffer(2 * MaxMessage)
-	say := func() error {
-		mine := n.handler.Hello()
-		mine.Process = n.Process
-		b, err := Encode(Message{Kind: KindHello, Hello: &mine})
+	sendHello := func() error {
+		hello := n.handler.Hello()
+		hello.Process = n.Process
+		b, err := Encode(Message{Kind: KindHello, Hello: &hello})
 		if err == nil {
 			_, err = c.Write(b)
 		}
-		l.greeted.Store(err == nil)
+		l.helloSent.Store(err == nil)
 		return err
 	}
-	if !first {
-		if err := say(); err != nil {
+	if !accepted {
+		if err := sendHello(); err != nil {
 			return fail(err)
 		}
 	}
@@ -174,13 +178,13 @@
 		return fail(err)
 	}
 	if m.Kind != KindHello {
-		return fail(fmt.Errorf("%s before hello", m.Kind))
+		return fail(fmt.Errorf("received message kind %q before hello", m.Kind))
 	}
 	l.Peer = *m.Hello
 	n.handler.LinkUp(l)
-	linked = true
-	if first {
-		if err := say(); err != nil {
+	reported = true
+	if accepted {
+		if err := sendHello(); err != nil {
 			return fail(err)
 		}
 	}
@@ -188,7 +192,7 @@
 	return l
 }
 
-// serve hands on what comes until the link ends.
+// serve delivers the messages of a link to the handler until the link ends.
 func (n *Node) serve(l *Link) {
 	go l.writeLoop()
 	b := make([]byte, MaxMessage)
@@ -206,11 +210,11 @@
 
 func (l *Link) read(b []byte) (m Message, fds []int, err error) {
 	oob := make([]byte, unix.CmsgSpace(maxFDs*4))
-	k, oobn, flags, _, err := l.c.ReadMsgUnix(b, oob)
+	size, oobn, flags, _, err := l.conn.ReadMsgUnix(b, oob)
 	if oobn > 0 {
-		if all, err := unix.ParseSocketControlMessage(oob[:oobn]); err == nil {
-			for i := range all {
-				got, _ := unix.ParseUnixRights(&all[i])
+		if controls, err := unix.ParseSocketControlMessage(oob[:oobn]); err == nil {
+			for i := range controls {
+				got, _ := unix.ParseUnixRights(&controls[i])
 				fds = append(fds, got...)
 			}
 		}
@@ -220,12 +224,12 @@
 	}
 	switch {
 	case err != nil:
-	case k == 0:
-		err = errors.New("the other process has ended")
+	case size == 0:
+		err = errors.New("the peer has closed the link")
 	case flags&(unix.MSG_TRUNC|unix.MSG_CTRUNC) != 0:
-		err = errors.New("a message was cut short")
+		err = errors.New("received a truncated message")
 	default:
-		m, err = Decode(b[:k])
+		m, err = Decode(b[:size])
 	}
 	if err != nil {
 		closeAll(fds)
@@ -240,17 +244,18 @@
 	}
 }
 
-// Send sends a message without descriptors, soon. Where the other side takes none for long the link ends.
+// Send queues a message without descriptors and does not block. If the queue is full because the peer does not read, the
+// link is closed.
 func (l *Link) Send(m Message) {
 	b, err := Encode(m)
 	if err != nil {
-		slog.Warn("handover: not said", "kind", m.Kind, "why", err)
+		slog.Warn("handover: message not encoded", "kind", m.Kind, "why", err)
 		return
 	}
 	select {
 	case l.queue <- b:
 	default:
-		slog.Warn("handover: the other process takes nothing", "other", l.Peer.Process)
+		slog.Warn("handover: send queue full, closing the link", "other", l.Peer.Process)
 		l.Close()
 	}
 }
@@ -259,40 +264,40 @@
 	for {
 		select {
 		case b := <-l.queue:
-			if _, err := l.c.Write(b); err != nil {
+			if _, err := l.conn.Write(b); err != nil {
 				l.Close()
 				return
 			}
-		case <-l.ended:
+		case <-l.closed:
 			return
 		}
 	}
 }
 
-// SendFDs sends a message with descriptors at once, or not at all: nil says that they are the other side's, and copies of
-// them here may be closed.
+// SendFDs sends a message with descriptors without blocking. If it returns nil, the peer owns the descriptors and the
+// caller may close its copies; otherwise nothing was sent.
 func (l *Link) SendFDs(m Message, fds ...int) error {
-	if !l.greeted.Load() {
-		return errors.New("hello was not said yet")
+	if !l.helloSent.Load() {
+		return errors.New("hello has not been sent yet")
 	}
 	b, err := Encode(m)
 	if err != nil {
 		return err
 	}
-	werr := l.raw.Write(func(fd uintptr) bool {
+	writeErr := l.raw.Write(func(fd uintptr) bool {
 		err = unix.Sendmsg(int(fd), b, unix.UnixRights(fds...), nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
 		return true
 	})
-	if werr != nil {
-		return werr
+	if writeErr != nil {
+		return writeErr
 	}
 	return err
 }
 
-// Close ends the link.
+// Close closes the link. Repeated calls have no effect.
 func (l *Link) Close() {
-	l.once.Do(func() {
-		close(l.ended)
-		l.c.Close()
+	l.closeOnce.Do(func() {
+		close(l.closed)
+		l.conn.Close()
 	})
 }
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -1,7 +1,7 @@
-// Package handover is what two processes of one scheduler say to each other while one takes the other's place: what is
-// taken out by hand, news of the worker list, and connections with what is known of them. It owns the messages, the links
-// between processes and the file that outlives a process. It must never touch the loop or a scheduler's state: what comes
-// is handed to a Handler, and descriptors are passed as they are.
+// Package handover connects the processes of one scheduler during an upgrade: a new process takes over the offline
+// workers, the worker list and the open connections from an old one. The package defines the messages, the links between
+// processes and the file of offline workers. It does not access the event loop or the scheduler's state: received
+// messages go to a Handler, and descriptors are passed unchanged.
 package handover
 
 import (
@@ -13,31 +13,32 @@
 	"strings"
 )
 
-// Version is that of the messages and of the file. Processes of different versions go on as if alone.
+// Version is the version of the messages and of the file of offline workers. Processes of different versions do not link.
 const Version = 1
 
-// MaxMessage bounds a message, in bytes; a job with the longest body is about half of it.
+// MaxMessage is the maximum size of an encoded message in bytes. A job with a body of the maximum size takes about half
+// of it.
 const MaxMessage = 192 << 10
 
-// Kind says what a message is about.
+// Kind is the type of a message.
 type Kind string
 
-// The kinds.
+// The message kinds.
 const (
-	KindHello      Kind = "hello"  // the first on a link, both ways
-	KindOffline    Kind = "out"    // a worker is taken out or put back; answered by Done
-	KindApplied    Kind = "done"   // it is in force here too
-	KindList       Kind = "list"   // news of the worker list
-	KindIdleClient Kind = "client" // with a descriptor: a client's connection between two requests
-	KindJob        Kind = "job"    // with one or two: a client's connection with its job, a worker's with the attempt
-	KindStopping   Kind = "stops"  // who says it ends soon: nothing more is to be passed to it
+	KindHello      Kind = "hello"  // the first message in both directions of a link
+	KindOffline    Kind = "out"    // sets a worker offline or online; answered by KindApplied
+	KindApplied    Kind = "done"   // the KindOffline message with the same number has been applied
+	KindList       Kind = "list"   // an update of the worker list
+	KindIdleClient Kind = "client" // carries one descriptor: a client connection between two requests
+	KindJob        Kind = "job"    // carries a job and one or two descriptors: the client connection, and the worker connection of the attempt
+	KindStopping   Kind = "stops"  // the sender is stopping: it must not be given any more connections
 )
 
-// Message is one packet.
+// Message is one packet on a link.
 type Message struct {
 	Version int             `json:"v"`
 	Kind    Kind            `json:"kind"`
-	Number  uint64          `json:"number,omitempty"` // of an Out, and of the Done that answers it
+	Number  uint64          `json:"number,omitempty"` // matches a KindApplied message to the KindOffline message that it answers
 	Hello   *Hello          `json:"hello,omitempty"`
 	Worker  string          `json:"worker,omitempty"`
 	Away    bool            `json:"away,omitempty"`
@@ -46,17 +47,17 @@
 	Job     json.RawMessage `json:"job,omitempty"`
 }
 
-// Hello is how a process stands.
+// Hello describes the state of a process when a link is established.
 type Hello struct {
-	Process string          `json:"process"` // its name among the processes of one directory
-	Started int64           `json:"started"` // microseconds of Unix time; who started first is the elder
-	Open    int             `json:"open"`    // descriptors in use
-	Out     []string        `json:"out"`     // workers taken out by hand
-	List    json.RawMessage `json:"list"`    // in discovery's form
-	Learnt  json.RawMessage `json:"learnt"`  // what the decisions have learnt of the fleet
+	Process string          `json:"process"` // random ID of the process, unique in its directory
+	Started int64           `json:"started"` // start time in microseconds of Unix time; the process with the lowest value is the oldest
+	Open    int             `json:"open"`    // number of descriptors in use
+	Out     []string        `json:"out"`     // workers that an operator has set offline
+	List    json.RawMessage `json:"list"`    // the worker list in the format of the discovery service
+	Learnt  json.RawMessage `json:"learnt"`  // the engine's learned state
 }
 
-// Encode returns a message as a packet.
+// Encode returns the packet for a message. It sets the version and fails if the packet would exceed MaxMessage.
 func Encode(m Message) ([]byte, error) {
 	m.Version = Version
 	b, err := json.Marshal(m)
@@ -66,63 +67,63 @@
 	return b, err
 }
 
-// Decode reads a packet.
+// Decode parses a packet. It fails on another version and on messages without the fields that their kind requires.
 func Decode(b []byte) (m Message, err error) {
 	if err := json.Unmarshal(b, &m); err != nil {
 		return m, err
 	}
 	switch {
 	case m.Version != Version:
-		return m, fmt.Errorf("version %d; this process speaks %d", m.Version, Version)
+		return m, fmt.Errorf("unsupported message version %d; this process uses version %d", m.Version, Version)
 	case m.Kind == KindHello && (m.Hello == nil || m.Hello.Process == ""):
-		return m, errors.New("hello without a process")
+		return m, errors.New("hello message without a process ID")
 	case m.Kind == KindOffline && m.Worker == "":
-		return m, errors.New("out without a worker")
+		return m, errors.New("offline message without a worker")
 	case m.Kind == KindJob && len(m.Job) == 0:
-		return m, errors.New("job without a job")
+		return m, errors.New("job message without a job")
 	}
 	return m, nil
 }
 
-// saved is the file: what is out by hand, for a process that starts when no other lives.
-type saved struct {
+// offlineFile is the content of the file of offline workers, which a process reads at start if no other process is running.
+type offlineFile struct {
 	Version int      `json:"v"`
 	Out     []string `json:"out"`
 }
 
-func savedPath(dir, name string) string { return filepath.Join(dir, fileName(name)+".out") }
+func offlinePath(dir, name string) string { return filepath.Join(dir, filePrefix(name)+".out") }
 
-// fileName is what the files of a scheduler's processes begin with, whatever its name has in it.
-func fileName(name string) string { return "weldscale-" + strings.ReplaceAll(name, "/", "_") }
+// filePrefix returns the common prefix of the names of a scheduler's files. Slashes in the scheduler's name are replaced.
+func filePrefix(name string) string { return "weldscale-" + strings.ReplaceAll(name, "/", "_") }
 
-// SaveOffline writes the file as a whole: whoever reads it meanwhile sees the old one.
+// SaveOffline replaces the file of offline workers atomically: a concurrent reader sees the old content or the new one.
 func SaveOffline(dir, name string, out []string) error {
-	b, err := json.Marshal(saved{Version, out})
+	b, err := json.Marshal(offlineFile{Version, out})
 	if err != nil {
 		return err
 	}
-	path := savedPath(dir, name)
+	path := offlinePath(dir, name)
 	if err := os.WriteFile(path+".new", b, 0o600); err != nil {
 		return err
 	}
 	return os.Rename(path+".new", path)
 }
 
-// LoadOffline reads the file. None is no error.
+// LoadOffline reads the file of offline workers. It returns nil and no error if the file does not exist.
 func LoadOffline(dir, name string) ([]string, error) {
-	b, err := os.ReadFile(savedPath(dir, name))
+	b, err := os.ReadFile(offlinePath(dir, name))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	var s saved
-	if err := json.Unmarshal(b, &s); err != nil {
-		return nil, fmt.Errorf("%s: %w", savedPath(dir, name), err)
+	var content offlineFile
+	if err := json.Unmarshal(b, &content); err != nil {
+		return nil, fmt.Errorf("%s: %w", offlinePath(dir, name), err)
 	}
-	if s.Version != Version {
-		return nil, fmt.Errorf("%s: version %d; this process reads %d", savedPath(dir, name), s.Version, Version)
+	if content.Version != Version {
+		return nil, fmt.Errorf("%s: unsupported file version %d; this process reads version %d", offlinePath(dir, name), content.Version, Version)
 	}
-	return s.Out, nil
+	return content.Out, nil
 }
