--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,7 +1,6 @@
-// Package pool decides what a service may take of what all services share: how many requests and bytes it may have in
-// hand, how often it may begin, how much it may try again, and how much of the one loop's time it may use. It owns
-// those accounts and limits. It must never see a socket or a clock, nor choose a worker. A refusal comes at once, with
-// the time after which trying again makes sense.
+// Package pool does admission control for services that share one event loop. It limits each service's requests and bytes
+// in flight, request rate, retries and loop time. It does no I/O, reads no clock (callers pass the time) and chooses no
+// workers. Requests are refused immediately, with a time to retry after, and never queued.
 package pool
 
 import (
@@ -11,48 +10,50 @@
 	"golang.org/x/time/rate"
 )
 
-// Time is a moment or a span in whole microseconds, as in package decide.
+// Time is a point in time or a duration in microseconds, as in package decide.
 type Time = int64
 
 const second Time = 1e6
 
-// Limits are the terms of one service or of one class of it. A figure of 0 sets no limit.
+// Limits are the limits of a service or of one of its classes. A value of 0 means no limit.
 type Limits struct {
-	Rate float64 // requests a second that may begin
-	// FleetRate is the same for all schedulers of a fleet together; Pool.Fleet says what of it is here.
+	Rate float64 // admitted requests per second
+	// FleetRate is the rate for all schedulers of a fleet together. Pool.TakeFleet takes from this scheduler's part of it.
 	FleetRate float64
-	// FleetInFlight is requests in hand, and FleetRetries second tries a second, of all schedulers of a fleet together.
+	// FleetInFlight limits the requests in flight, and FleetRetries the retries per second, of all schedulers of a fleet
+	// together.
 	FleetInFlight, FleetRetries float64
-	Burst                       int // how many may begin at once; 0: those of a tenth of a second, one at least
-	InFlight                    int // requests in hand
-	Bytes                       int // of the requests in hand
-	// Retries is how many second tries there may be for each first one, RetryFloor how many a second at least.
+	Burst                       int // size of the token bucket of Rate; 0: the tokens of a tenth of a second, at least one
+	InFlight                    int // requests in flight
+	Bytes                       int // bytes of the requests in flight
+	// Retries is the number of retries allowed per admitted request. RetryFloor is the number of retries per second that is
+	// allowed in any case.
 	Retries    float64
 	RetryFloor float64
 }
 
-// Verdict is the answer to a request that wants to begin. The zero Verdict lets it.
+// Verdict is the result of Admit. The zero Verdict admits the request.
 type Verdict struct {
-	Status     int  // 429 over a rate, 503 where something is used up
-	RetryAfter Time // when to come again; 0: no advice
+	Status     int  // 429 if a rate limit is exceeded, 503 if another limit is
+	RetryAfter Time // time after which a retry makes sense; 0: unknown
 	Reason     string
 }
 
-// Refused reports whether it may not begin.
+// Refused reports whether the request was refused.
 func (v Verdict) Refused() bool { return v.Status != 0 }
 
-// Counts is what a pool has let begin and what not, by reason.
+// Counts counts the requests of a pool that were admitted, and those refused by reason.
 type Counts struct {
 	Admitted, OverRate, OverFleet, OverOpen, OverBytes, OverShared, OverTime, RetriesDenied int
 }
 
-// gate holds one set of limits.
+// gate enforces the Limits of a service or of one class.
 type gate struct {
 	limits  Limits
 	bucket  *rate.Limiter
 	open    int
 	bytes   int
-	balance float64 // second tries that first ones have paid for
+	balance float64 // retries earned by admitted requests
 	floor   *rate.Limiter
 }
 
@@ -67,10 +68,11 @@
 	}
 }
 
-func at(now Time) time.Time { return time.UnixMicro(now) }
+func toTime(now Time) time.Time { return time.UnixMicro(now) }
 
-// full tells whether what is in hand allows no more, before anything is booked.
-func (g *gate) full(bytes int) (why string) {
+// full returns why the limits on requests and bytes in flight forbid another request of that many bytes, or "". It reserves
+// nothing.
+func (g *gate) full(bytes int) (reason string) {
 	switch {
 	case g.limits.InFlight > 0 && g.open >= g.limits.InFlight:
 		return "too many in hand"
@@ -80,57 +82,60 @@
 	return ""
 }
 
-// late is how long until the rate allows one more; 0: now.
-func (g *gate) late(now Time) Time {
+// rateDelay returns the time until the rate limit allows another request; 0: now.
+func (g *gate) rateDelay(now Time) Time {
 	if g.bucket == nil {
 		return 0
 	}
-	if tokens := g.bucket.TokensAt(at(now)); tokens < 1 {
+	if tokens := g.bucket.TokensAt(toTime(now)); tokens < 1 {
 		return max(1, Time((1-tokens)/g.limits.Rate*float64(second)))
 	}
 	return 0
 }
 
-// whole is one second try that is paid for, but for the error of adding up parts.
-const whole = 1 - 1e-9
+// oneRetry is the balance needed for one retry. It is slightly below 1 because fractions added up have rounding errors.
+const oneRetry = 1 - 1e-9
 
-// maxSaved bounds the second tries that a quiet time may save up.
-const maxSaved = 100
+// maxBalance bounds the retries that can be saved up while few requests are retried.
+const maxBalance = 100
 
-// Pool is the account of one service. Its methods are called one at a time.
+// Pool tracks the usage of one service and enforces its limits. It is not safe for concurrent use.
 type Pool struct {
-	Name    string
-	Counts  Counts
-	all     gate
-	classes []gate
-	open    *Share
-	time    *TimeShare
-
-	// TakeFleet, where set, takes one out of what the fleet has of a kind for a class, or for the service for class -1. It must
-	// not wait. FleetDone gives back one of FleetOpen.
+	Name     string
+	Counts   Counts
+	all      gate
+	classes  []gate
+	open     *Share
+	loopTime *TimeShare
+
+	// TakeFleet, if set, takes one unit of a fleet limit for a class, or for the whole service if the class is -1, and
+	// reports whether one was available. It must not block. ReturnFleet returns one unit of FleetInFlight.
 	TakeFleet   func(k FleetKind, class int) bool
 	ReturnFleet func(class int)
-	// MaxHoldTime is how long a request may be in hand at most, where the fleet counts those; 0: as long as its client waits.
+	// MaxHoldTime is the maximum time that a request may be in flight if a fleet limit on requests in flight is set; 0: as
+	// long as its client waits.
 	MaxHoldTime Time
 }
 
-// FleetKind is what a fleet may have limits of.
+// FleetKind is the kind of a fleet-wide limit.
 type FleetKind int
 
-// The kinds of Limits' fields of those names.
+// The fleet-wide limits, named like the fields of Limits.
 const (
 	FleetRate FleetKind = iota
 	FleetInFlight
 	FleetRetries
 )
 
-// of is the limit of that kind.
+// of returns the fleet limit of the given kind.
 func (l *Limits) of(k FleetKind) float64 {
 	return [...]float64{l.FleetRate, l.FleetInFlight, l.FleetRetries}[k]
 }
 
-// fleet takes one of a kind for the service and for the class, as far as they have limits, or none.
-func (p *Pool) fleet(k FleetKind, class int) bool {
+// takeFleet takes one unit of a fleet limit for the service and one for the class, where these limits are set, and reports
+// whether they were available. If only the class's unit is not, the service's unit is returned if it is of FleetInFlight;
+// units of rates cannot be returned.
+func (p *Pool) takeFleet(k FleetKind, class int) bool {
 	if p.TakeFleet == nil {
 		return true
 	}
@@ -147,8 +152,8 @@
 	return true
 }
 
-// fleetDone gives back what fleet took of FleetOpen.
-func (p *Pool) fleetDone(class int) {
+// returnFleet returns the units of FleetInFlight that takeFleet took for a request.
+func (p *Pool) returnFleet(class int) {
 	if p.TakeFleet == nil {
 		return
 	}
@@ -160,13 +165,14 @@
 	}
 }
 
-// fleetAfter is when to come again after the fleet's rate was used up here: parts move within a second or so.
-const fleetAfter = second
+// fleetRetryAfter is the retry time after a fleet limit was exceeded: the schedulers' parts of it are redistributed within
+// about a second.
+const fleetRetryAfter = second
 
-// New returns a pool with limits for the service and for each of its classes. The shares in what all services have
-// together may be nil.
+// New returns a pool with limits for the service and for each of its classes. Either of the shares of the budgets common to
+// all services may be nil.
 func New(name string, all Limits, classes []Limits, open *Share, loop *TimeShare) *Pool {
-	p := &Pool{Name: name, classes: make([]gate, len(classes)), open: open, time: loop}
+	p := &Pool{Name: name, classes: make([]gate, len(classes)), open: open, loopTime: loop}
 	p.all.set(all)
 	for i := range p.classes {
 		p.classes[i].set(classes[i])
@@ -174,8 +180,8 @@
 	return p
 }
 
-// SetLimits changes the limits; what is in hand stays. The number of classes must be the same. The fleet's limits stay as they
-// began, since all schedulers must have the same ones.
+// SetLimits changes the limits; requests in flight stay admitted. The number of classes must not change. The fleet limits are
+// not changed, since all schedulers of the fleet must have the same ones.
 func (p *Pool) SetLimits(all Limits, classes []Limits) {
 	p.all.set(all.withFleet(p.all.limits))
 	for i := range p.classes {
@@ -188,250 +194,255 @@
 	return l
 }
 
-// Admit lets a request begin, and books it, or says why not. Each that began is ended with Done.
+// Admit admits a request and reserves its place, or returns why it is refused. Done must be called once for each admitted
+// request.
 func (p *Pool) Admit(now Time, class, bytes int) Verdict {
 	gates := [...]*gate{&p.all, &p.classes[class]}
 	for _, g := range gates {
-		if why := g.full(bytes); why != "" {
+		if reason := g.full(bytes); reason != "" {
 			if g.limits.InFlight > 0 && g.open >= g.limits.InFlight {
 				p.Counts.OverOpen++
 			} else {
 				p.Counts.OverBytes++
 			}
-			return Verdict{503, second, why}
+			return Verdict{503, second, reason}
 		}
 	}
 	for _, g := range gates {
-		if after := g.late(now); after > 0 {
+		if after := g.rateDelay(now); after > 0 {
 			p.Counts.OverRate++
 			return Verdict{429, after, "too many a second"}
 		}
 	}
-	if p.time != nil {
-		if after := p.time.Delay(now); after > 0 {
+	if p.loopTime != nil {
+		if after := p.loopTime.Delay(now); after > 0 {
 			p.Counts.OverTime++
 			return Verdict{503, after, "its part of the time is used up"}
 		}
 	}
-	if !p.fleet(FleetInFlight, class) {
+	if !p.takeFleet(FleetInFlight, class) {
 		p.Counts.OverFleet++
-		return Verdict{503, fleetAfter, "too many in hand in the fleet"}
+		return Verdict{503, fleetRetryAfter, "too many in hand in the fleet"}
 	}
-	if !p.fleet(FleetRate, class) {
-		p.fleetDone(class)
+	if !p.takeFleet(FleetRate, class) {
+		p.returnFleet(class)
 		p.Counts.OverFleet++
-		return Verdict{429, fleetAfter, "too many a second in the fleet"}
+		return Verdict{429, fleetRetryAfter, "too many a second in the fleet"}
 	}
 	if p.open != nil && !p.open.Acquire(1) {
-		p.fleetDone(class)
+		p.returnFleet(class)
 		p.Counts.OverShared++
 		return Verdict{503, second, "others need the room"}
 	}
 	for _, g := range gates {
 		if g.bucket != nil {
-			g.bucket.AllowN(at(now), 1)
+			g.bucket.AllowN(toTime(now), 1)
 		}
 		g.open++
 		g.bytes += bytes
-		g.balance = min(g.balance+g.limits.Retries, maxSaved)
+		g.balance = min(g.balance+g.limits.Retries, maxBalance)
 	}
 	p.Counts.Admitted++
 	return Verdict{}
 }
 
-// Unbooked is what there was no room for as a request was taken over that is in hand already; the zero value: nothing.
+// Unbooked records which reservations could not be made for an adopted request. The zero value means that all were made.
 type Unbooked struct{ Fleet, Shared bool }
 
-// Adopt takes in a request that another process of this scheduler has let in: it is not refused here, nor does it count as
-// one that comes. Where the fleet or the shared budget has no room it goes on without a place there.
-func (p *Pool) Adopt(class, bytes int) (no Unbooked) {
+// Adopt takes over a request that another process of this scheduler has admitted. The request is never refused and does not
+// count against the rate limits. If the fleet limit or the shared budget is used up, it goes on without a reservation there.
+func (p *Pool) Adopt(class, bytes int) (unbooked Unbooked) {
 	for _, g := range [...]*gate{&p.all, &p.classes[class]} {
 		g.open++
 		g.bytes += bytes
 	}
-	return Unbooked{Fleet: !p.fleet(FleetInFlight, class), Shared: p.open != nil && !p.open.Acquire(1)}
+	return Unbooked{Fleet: !p.takeFleet(FleetInFlight, class), Shared: p.open != nil && !p.open.Acquire(1)}
 }
 
-// Done takes a request out of the account, with what was booked for it.
-func (p *Pool) Done(class, bytes int, no Unbooked) {
+// Done releases the reservations of a request that has ended.
+func (p *Pool) Done(class, bytes int, unbooked Unbooked) {
 	for _, g := range [...]*gate{&p.all, &p.classes[class]} {
 		g.open--
 		g.bytes -= bytes
 	}
-	if !no.Fleet {
-		p.fleetDone(class)
+	if !unbooked.Fleet {
+		p.returnFleet(class)
 	}
-	if p.open != nil && !no.Shared {
+	if p.open != nil && !unbooked.Shared {
 		p.open.Release(1)
 	}
 }
 
-// InFlight is how many requests are in hand.
+// InFlight returns the number of requests in flight.
 func (p *Pool) InFlight() int { return p.all.open }
 
-// AdmitRetry lets a second try of a request be sent, and books it: paid for by first tries, or within the floor.
+// AdmitRetry reports whether a request may be retried and charges the retry to the balance earned by admitted requests, or to
+// the floor if the balance is used up. Without limits on retries it always returns true.
 func (p *Pool) AdmitRetry(now Time, class int) bool {
 	gates := [...]*gate{&p.all, &p.classes[class]}
 	for _, g := range gates {
-		if g.floor != nil && g.balance < whole && (g.limits.RetryFloor == 0 || g.floor.TokensAt(at(now)) < 1) {
+		if g.floor != nil && g.balance < oneRetry && (g.limits.RetryFloor == 0 || g.floor.TokensAt(toTime(now)) < 1) {
 			p.Counts.RetriesDenied++
 			return false
 		}
 	}
-	if !p.fleet(FleetRetries, class) {
+	if !p.takeFleet(FleetRetries, class) {
 		p.Counts.RetriesDenied++
 		return false
 	}
 	for _, g := range gates {
 		switch {
 		case g.floor == nil:
-		case g.balance >= whole:
+		case g.balance >= oneRetry:
 			g.balance--
 		default:
-			g.floor.AllowN(at(now), 1)
+			g.floor.AllowN(toTime(now), 1)
 		}
 	}
 	return true
 }
 
-// Budget is an amount that several pools share. Each has a reserve that is never lent, so that it is there at once;
-// what lies above the reserves is for whoever comes. A reserve that is set while others have it in use fills up as they
-// give it back.
+// Budget is an amount shared by several pools. Each pool has a reserve that other pools cannot use, so that it is always
+// available immediately; the rest is first come, first served. A reserve that is raised while others use that amount
+// becomes available as they release it.
 type Budget struct {
 	total    int
 	reserved int
-	common   int // in use above the reserves
+	common   int // amount in use above the reserves
 	used     int
 }
 
-// NewBudget returns a budget that nobody has a part in yet.
+// NewBudget returns a budget without shares.
 func NewBudget(total int) *Budget { return &Budget{total: total} }
 
-// SetTotal changes the amount; where more is in use, nothing is to be had until that has been given back.
+// SetTotal changes the total amount. If more than that is in use, Acquire fails until enough has been released.
 func (b *Budget) SetTotal(total int) { b.total = total }
 
-// Share is one pool's part in a Budget.
+// Share is a pool's share of a Budget.
 type Share struct {
-	b       *Budget
+	budget  *Budget
 	reserve int
 	used    int
 }
 
-// Share gives a pool a part with a reserve, or as much of that as is not promised to others yet.
+// Share returns a new share with the given reserve, or with as much of it as is not reserved for others.
 func (b *Budget) Share(reserve int) *Share {
-	s := &Share{b: b}
+	s := &Share{budget: b}
 	s.SetReserve(reserve)
 	return s
 }
 
-// SetReserve changes the reserve; what is in use stays so.
+// SetReserve changes the reserve to n, or to as much of it as is not reserved for others. The amount in use does not change.
 func (s *Share) SetReserve(n int) {
-	b := s.b
-	b.common -= s.above()
+	b := s.budget
+	b.common -= s.aboveReserve()
 	b.reserved -= s.reserve
 	s.reserve = max(0, min(n, b.total-b.reserved))
 	b.reserved += s.reserve
-	b.common += s.above()
+	b.common += s.aboveReserve()
 }
 
-// Close gives back the part, once nothing of it is in use.
+// Close gives up the reserve. It must be called only when nothing of the share is in use.
 func (s *Share) Close() { s.SetReserve(0) }
 
-func (s *Share) above() int { return max(0, s.used-s.reserve) }
+// aboveReserve returns the amount in use above the reserve.
+func (s *Share) aboveReserve() int { return max(0, s.used-s.reserve) }
 
-// Acquire takes n, or nothing where that is not to be had.
+// Acquire acquires n units and returns true, or returns false and acquires nothing.
 func (s *Share) Acquire(n int) bool {
-	more := max(0, s.used+n-s.reserve) - s.above()
-	if s.b.used+n > s.b.total || more > 0 && s.b.common+more > s.b.total-s.b.reserved {
+	more := max(0, s.used+n-s.reserve) - s.aboveReserve()
+	if s.budget.used+n > s.budget.total || more > 0 && s.budget.common+more > s.budget.total-s.budget.reserved {
 		return false
 	}
 	s.used += n
-	s.b.used += n
-	s.b.common += more
+	s.budget.used += n
+	s.budget.common += more
 	return true
 }
 
-// Release gives n back.
+// Release releases n units.
 func (s *Share) Release(n int) {
-	before := s.above()
+	before := s.aboveReserve()
 	s.used -= n
-	s.b.used -= n
-	s.b.common -= before - s.above()
+	s.budget.used -= n
+	s.budget.common -= before - s.aboveReserve()
 }
 
-// TimeBudget shares the time of one loop among pools by weight. While the loop is not busy nobody is held back; once it is,
-// a pool that has used more than its weight gives it must wait until it has paid for that.
+// TimeBudget divides the time of one event loop among pools by weight. While the loop is not busy no pool is delayed. Once
+// it is, a pool that has used more than its part must wait until its debt is paid off.
 type TimeBudget struct {
-	busy   float64 // microseconds of work lately, fading with Fade
+	busy   float64 // recent work in microseconds, which decays over loadWindow
 	at     Time
-	weight float64 // of all lanes
+	weight float64 // sum of the weights of all shares
 }
 
-// The terms of a Clock.
+// The parameters of a TimeBudget.
 const (
-	fade    = float64(second / 5) // the span that counts as lately
-	busyAt  = 0.7                 // of the time: from here on lanes are held to their weights
-	inDebt  = float64(second / 20)
-	saveFor = float64(second / 10) // a lane that was quiet may use this much of its time at once
+	loadWindow  = float64(second / 5)  // the time over which recent work decays
+	busyLoad    = 0.7                  // utilization above which shares are held to their weights
+	debtAllowed = float64(second / 20) // debt up to this, times a share's part, causes no delay
+	maxCredit   = float64(second / 10) // credit is capped at a share's part of this, which an idle share may then use at once
 )
 
-// TimeShare is one pool's part of a Clock.
+// TimeShare is a pool's share of a TimeBudget.
 type TimeShare struct {
-	c      *TimeBudget
+	budget *TimeBudget
 	weight float64
-	saved  float64 // microseconds it may use; below 0 it is in debt
+	credit float64 // microseconds the share may use; negative: debt
 	at     Time
 }
 
-// Share gives a pool a part by weight.
+// Share returns a new share with the given weight.
 func (c *TimeBudget) Share(now Time, weight float64) *TimeShare {
 	c.weight += weight
-	return &TimeShare{c: c, weight: weight, at: now}
+	return &TimeShare{budget: c, weight: weight, at: now}
 }
 
-// SetWeight changes the weight.
+// SetWeight changes the weight of the share.
 func (l *TimeShare) SetWeight(weight float64) {
-	l.c.weight += weight - l.weight
+	l.budget.weight += weight - l.weight
 	l.weight = weight
 }
 
-// Close takes the lane out.
+// Close removes the share's weight from the budget.
 func (l *TimeShare) Close() { l.SetWeight(0) }
 
-// Charge books that the lane has used that much time of the loop, just before now.
+// Charge records that the share has used the loop for that long, until now.
 func (l *TimeShare) Charge(now, span Time) {
-	l.c.fadeTo(now)
-	l.c.busy += float64(span)
+	l.budget.decayTo(now)
+	l.budget.busy += float64(span)
 	l.earn(now)
-	l.saved = max(l.saved-float64(span), -float64(second))
+	l.credit = max(l.credit-float64(span), -float64(second))
 }
 
-func (c *TimeBudget) fadeTo(now Time) {
+// decayTo applies the decay of the recent work up to now.
+func (c *TimeBudget) decayTo(now Time) {
 	if now > c.at {
-		c.busy *= max(0, 1-float64(now-c.at)/fade)
+		c.busy *= max(0, 1-float64(now-c.at)/loadWindow)
 		c.at = now
 	}
 }
 
-// Load is the part of the time that all lanes have used lately, 0 to about 1.
+// Load returns the recent utilization of the loop by all shares, from 0 to about 1.
 func (c *TimeBudget) Load(now Time) float64 {
-	c.fadeTo(now)
-	return c.busy / fade
+	c.decayTo(now)
+	return c.busy / loadWindow
 }
 
+// earn credits the share with its part of the time since the last call.
 func (l *TimeShare) earn(now Time) {
-	if now > l.at && l.c.weight > 0 {
-		part := l.weight / l.c.weight
-		l.saved = min(l.saved+part*float64(now-l.at), part*saveFor)
+	if now > l.at && l.budget.weight > 0 {
+		part := l.weight / l.budget.weight
+		l.credit = min(l.credit+part*float64(now-l.at), part*maxCredit)
 		l.at = now
 	}
 }
 
-// Delay is how long the lane must wait until it may begin something; 0: it may now.
+// Delay returns the time until the share may begin more work; 0: now.
 func (l *TimeShare) Delay(now Time) Time {
 	l.earn(now)
-	if l.weight == 0 || l.saved > -inDebt*l.weight/l.c.weight || l.c.Load(now) < busyAt {
+	if l.weight == 0 || l.credit > -debtAllowed*l.weight/l.budget.weight || l.budget.Load(now) < busyLoad {
 		return 0
 	}
-	return max(1, Time(-l.saved*l.c.weight/l.weight))
+	return max(1, Time(-l.credit*l.budget.weight/l.weight))
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -7,13 +7,13 @@
 	"pgregory.net/rapid"
 )
 
-// What a pool refuses, with which status and when to come again; nothing is booked for what is refused.
+// Admit must refuse requests over each limit with the right status and retry time, and reserve nothing for refused requests.
 func TestAdmit(t *testing.T) {
 	for name, c := range map[string]struct {
 		all, class Limits
-		begin      int // how many ask at once
+		requests   int // requests that arrive at the same time
 		bytes      int
-		begun      int
+		admitted   int
 		status     int
 		after      Time
 	}{
@@ -29,59 +29,59 @@
 		if name == "the share is used" {
 			b := NewBudget(13)
 			share = b.Share(4)
-			b.Share(3) // another's, which is not lent
+			b.Share(3) // the reserve of another pool, which is not available to this one
 		}
 		p := New("p", c.all, []Limits{c.class, {}}, share, nil)
-		begun := 0
+		admitted := 0
 		var last Verdict
-		for range c.begin {
+		for range c.requests {
 			if v := p.Admit(0, 0, c.bytes); !v.Refused() {
-				begun++
+				admitted++
 			} else {
 				last = v
 			}
 		}
-		assert.Equal(t, c.begun, begun, name)
-		assert.Equal(t, begun, p.InFlight(), name)
+		assert.Equal(t, c.admitted, admitted, name)
+		assert.Equal(t, admitted, p.InFlight(), name)
 		assert.Equal(t, c.status, last.Status, name)
 		assert.InDelta(t, c.after, last.RetryAfter, 2, name)
-		for range begun {
+		for range admitted {
 			p.Done(0, c.bytes, Unbooked{})
 		}
 		assert.Zero(t, p.all.open+p.all.bytes+p.classes[0].open+p.classes[0].bytes, name)
 		if c.status == 429 {
-			assert.False(t, p.Admit(last.RetryAfter+1, 0, 1).Refused(), "%s: the advice holds", name)
+			assert.False(t, p.Admit(last.RetryAfter+1, 0, 1).Refused(), "%s: a request is admitted after RetryAfter", name)
 		}
 	}
 }
 
-// Second tries are a share of first ones, with a floor; without limits there is no end to them.
+// Retries must be limited to a share of the admitted requests plus a floor per second, and be unlimited without limits.
 func TestRetries(t *testing.T) {
 	p := New("p", Limits{Retries: 0.2, RetryFloor: 2}, []Limits{{}}, nil, nil)
-	tries := func(now Time) (n int) {
+	retries := func(now Time) (n int) {
 		for n < 1000 && p.AdmitRetry(now, 0) {
 			n++
 		}
 		return n
 	}
-	assert.Equal(t, 2, tries(0), "the floor")
+	assert.Equal(t, 2, retries(0), "the floor")
 	for range 50 {
 		p.Admit(0, 0, 0)
 	}
-	assert.Equal(t, 10, tries(0))
-	assert.Equal(t, 2, tries(second))
+	assert.Equal(t, 10, retries(0))
+	assert.Equal(t, 2, retries(second))
 	for range 10000 {
 		p.Admit(second, 0, 0)
 	}
-	assert.Equal(t, maxSaved, tries(second), "a quiet time saves up only so many")
+	assert.Equal(t, maxBalance, retries(second), "the saved balance is bounded")
 	assert.Equal(t, 4, p.Counts.RetriesDenied)
 	p.SetLimits(Limits{Retries: 0.5}, []Limits{{}})
-	assert.Zero(t, tries(2*second))
+	assert.Zero(t, retries(2*second))
 	p.SetLimits(Limits{}, []Limits{{}})
-	assert.Equal(t, 1000, tries(2*second))
+	assert.Equal(t, 1000, retries(2*second))
 }
 
-// Whatever the pools do, the budget is never passed, and what is reserved for one is there at once.
+// The amount in use must never exceed the total, and a share's reserve must always be available to it immediately.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(0, 50).Draw(t, "total")
@@ -93,112 +93,113 @@
 			}
 			s := rapid.SampledFrom(shares).Draw(t, "share")
 			n := rapid.IntRange(1, 5).Draw(t, "n")
-			inUse := 0
+			used := 0
 			for _, v := range shares {
-				inUse += v.used
+				used += v.used
 			}
 			switch rapid.IntRange(0, 4).Draw(t, "op") {
 			case 0, 1, 2:
 				reserved := s.used+n <= s.reserve
 				if got := s.Acquire(n); reserved && !got {
-					t.Fatalf("%d of a reserve of %d, %d in use, not to be had", n, s.reserve, s.used)
-				} else if got && inUse+n > total {
-					t.Fatalf("%d of %d in use", inUse+n, total)
+					t.Fatalf("acquiring %d within a reserve of %d, %d in use, failed", n, s.reserve, s.used)
+				} else if got && used+n > total {
+					t.Fatalf("%d of %d in use", used+n, total)
 				}
 			case 3:
 				s.Release(min(n, s.used))
 			case 4:
-				if inUse == 0 { // as a reload would, once nothing of the old terms is in hand
+				if used == 0 { // a reload changes the reserve once nothing is in use under the old one
 					s.SetReserve(n)
 				}
 			}
 			reserved, above := 0, 0
 			for _, v := range shares {
 				reserved += v.reserve
-				above += v.above()
+				above += v.aboveReserve()
 			}
 			if b.used > total {
 				t.Fatalf("%d of %d in use", b.used, total)
 			}
 			if reserved != b.reserved || above != b.common || reserved > total {
-				t.Fatalf("books: %d reserved, %d above; %+v", reserved, above, *b)
+				t.Fatalf("the shares have %d reserved and %d above the reserves; the budget has %+v", reserved, above, *b)
 			}
 		}
 	})
 }
 
-// A lane that floods a busy loop is held to its weight; the others, and all while the loop is idle, are not held at all.
-func TestLoopTime(t *testing.T) {
+// A share that floods a busy loop must be held to its weight. Other shares, and all shares while the loop is idle, must not
+// be delayed.
+func TestTimeBudget(t *testing.T) {
 	for name, c := range map[string]struct {
-		cost, quiet Time    // of one request, of the flood and of the others
-		want        float64 // part of the time that the flood gets, at most
-		held        bool
+		cost, quiet Time    // loop time of one request of the flooding share and of the quiet one
+		want        float64 // maximum part of the time that the flooding share may use
+		limited     bool
 	}{
 		"idle":  {100, 100, 0.2, false},
 		"flood": {1000, 1000, 0.55, true},
 	} {
-		clock := &TimeBudget{}
-		flood, quiet := clock.Share(0, 1), clock.Share(0, 1)
+		budget := &TimeBudget{}
+		flooding, quiet := budget.Share(0, 1), budget.Share(0, 1)
 		var now, used Time
-		held, turned := false, 0
+		limited, delayed := false, 0
 		for step := range 10000 {
-			now += max(1000, c.cost) // the loop has time for one request each ms
-			if step%2 == 0 {         // the others ask for half of it at most
+			now += max(1000, c.cost) // the loop has time for one request per ms
+			if step%2 == 0 {         // the quiet share asks for at most half of it
 				if quiet.Delay(now) > 0 {
-					turned++
+					delayed++
 				} else {
 					quiet.Charge(now, c.quiet*9/10)
 				}
-			} else if flood.Delay(now) > 0 {
-				held = true
+			} else if flooding.Delay(now) > 0 {
+				limited = true
 			} else {
-				flood.Charge(now, 2*c.cost)
+				flooding.Charge(now, 2*c.cost)
 				used += 2 * c.cost
 				now += c.cost
 			}
 		}
-		assert.Equal(t, c.held, held, name)
-		assert.Zero(t, turned, "%s: the quiet one is never held", name)
+		assert.Equal(t, c.limited, limited, name)
+		assert.Zero(t, delayed, "%s: the quiet share is never delayed", name)
 		assert.LessOrEqual(t, float64(used)/float64(now), c.want, name)
 	}
 }
 
-// What is taken of the fleet's jobs in hand comes back where a later gate refuses, and at the end; a reload does not change
-// which limits the fleet keeps.
+// Units of FleetInFlight must be returned when a later limit refuses the request and when the request ends. SetLimits must
+// not change the fleet limits.
 func TestFleetLimits(t *testing.T) {
 	limits := Limits{FleetRate: 9, FleetInFlight: 3, FleetRetries: 1}
 	p := New("p", limits, []Limits{{FleetInFlight: 2}, {Rate: 1}}, nil, nil)
-	open, left := map[int]int{}, map[FleetKind]int{FleetRate: 4, FleetRetries: 1}
+	open, remaining := map[int]int{}, map[FleetKind]int{FleetRate: 4, FleetRetries: 1}
 	p.TakeFleet = func(k FleetKind, class int) bool {
 		if k == FleetInFlight {
-			most := map[int]int{-1: 3, 0: 2}[class]
-			if open[class] >= most {
+			limit := map[int]int{-1: 3, 0: 2}[class]
+			if open[class] >= limit {
 				return false
 			}
 			open[class]++
 			return true
 		}
-		left[k]--
-		return left[k] >= 0
+		remaining[k]--
+		return remaining[k] >= 0
 	}
 	p.ReturnFleet = func(class int) { open[class]-- }
-	ask := func(class, status int) {
+	admit := func(class, status int) {
 		t.Helper()
 		assert.Equal(t, status, p.Admit(0, class, 1).Status)
 	}
-	ask(0, 0)
-	ask(0, 0)
-	ask(0, 503)
-	assert.Equal(t, map[int]int{-1: 2, 0: 2}, open, "the service's came back")
-	ask(1, 0)
-	ask(1, 429) // by its own rate, before the fleet is asked
+	admit(0, 0)
+	admit(0, 0)
+	admit(0, 503)
+	assert.Equal(t, map[int]int{-1: 2, 0: 2}, open, "the unit of the service was returned")
+	admit(1, 0)
+	admit(1, 429) // refused by the class's own rate, before a fleet unit is taken
 	p.SetLimits(Limits{}, []Limits{{}, {}})
-	ask(1, 503)
+	admit(1, 503)
 	p.Done(0, 1, Unbooked{})
-	ask(0, 0)
+	admit(0, 0)
 	p.Done(0, 1, Unbooked{})
-	ask(0, 429)
-	assert.Equal(t, map[int]int{-1: 2, 0: 1}, open, "the rate is used up")
+	admit(0, 429)
+	assert.Equal(t, map[int]int{-1: 2, 0: 1}, open, "nothing stays taken when the fleet rate is used up")
 	p.Done(0, 1, Unbooked{})
 	p.Done(1, 1, Unbooked{})
 	assert.Equal(t, map[int]int{-1: 0, 0: 0}, open)
@@ -207,7 +208,7 @@
 	assert.Equal(t, 1, p.Counts.RetriesDenied)
 }
 
-// What another process has let in is taken in whatever the room, and given back once: just what was booked.
+// Adopt must accept requests of another process even without room, and Done must release exactly what Adopt reserved.
 func TestAdopt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := NewBudget(rapid.IntRange(0, 4).Draw(t, "total"))
@@ -222,14 +223,14 @@
 			return true
 		}
 		p.ReturnFleet = func(class int) { free[class]++ }
-		var hands []Unbooked
+		var adopted []Unbooked
 		for range rapid.IntRange(1, 8).Draw(t, "jobs") {
-			hands = append(hands, p.Adopt(0, 5))
+			adopted = append(adopted, p.Adopt(0, 5))
 			assert.GreaterOrEqual(t, free[-1], 0)
 		}
-		assert.Equal(t, len(hands), p.InFlight())
-		for _, no := range hands {
-			p.Done(0, 5, no)
+		assert.Equal(t, len(adopted), p.InFlight())
+		for _, unbooked := range adopted {
+			p.Done(0, 5, unbooked)
 		}
 		assert.Zero(t, p.InFlight())
 		assert.Zero(t, budget.used)
