--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,7 +1,6 @@
-// Package logs sets up the program's log: zap behind log/slog, text for a person at a terminal and JSON for machines, a
-// level that can be changed while the program runs, and sampling, so that bad input can't fill the log nor hide other
-// faults. It owns the default logger. It must never be asked for a line on a path that every request takes, but at
-// the debug level.
+// Package logs sets up the default slog logger with zap: text or JSON, a level that can be changed at run time, and sampling,
+// so that bad input cannot fill the log or hide other faults. Code that runs for every request must log at the debug level
+// only.
 package logs
 
 import (
@@ -18,7 +17,8 @@
 	"golang.org/x/term"
 )
 
-// Of each kind of line (its level and text) above debug the first few of a second are written, and then one of so many.
+// Sampling of messages above the debug level: for each level and message, the first SampleFirst of a second are logged, and
+// then every SampleThereafter-th.
 const (
 	SampleFirst      = 5
 	SampleThereafter = 1000
@@ -29,12 +29,12 @@
 	dropped atomic.Int64
 )
 
-// Formats are the forms of the log; auto is text where w is a terminal.
+// Formats lists the log formats. auto is text if the output is a terminal and JSON otherwise.
 var Formats = []string{"auto", "text", "json"}
 
-// Setup makes the default logger write to w. The level is debug, info, warn or error.
-func Setup(w io.Writer, to, format string) error {
-	if err := SetLevel(to); err != nil {
+// Setup makes the default slog logger write to w with the given level (debug, info, warn or error) and format.
+func Setup(w io.Writer, levelName, format string) error {
+	if err := SetLevel(levelName); err != nil {
 		return err
 	}
 	c := zap.NewProductionEncoderConfig()
@@ -48,32 +48,32 @@
 		c.EncodeTime, c.EncodeLevel = zapcore.TimeEncoderOfLayout("15:04:05.000"), zapcore.CapitalColorLevelEncoder
 		encoder = zapcore.NewConsoleEncoder(c)
 	}
-	out := zapcore.Lock(zapcore.AddSync(w))
-	// Who asks for debug lines follows requests, and one that lacks lines can't be followed.
-	all := zapcore.NewCore(encoder, out, zap.LevelEnablerFunc(func(l zapcore.Level) bool { return l == zapcore.DebugLevel && level.Enabled(l) }))
-	rest := zapcore.NewCore(encoder, out, zap.LevelEnablerFunc(func(l zapcore.Level) bool { return l > zapcore.DebugLevel && level.Enabled(l) }))
-	core := zapcore.NewSamplerWithOptions(rest, time.Second, SampleFirst, SampleThereafter,
+	output := zapcore.Lock(zapcore.AddSync(w))
+	// Debug messages are not sampled: they are used to trace requests, and a trace with gaps is useless.
+	debug := zapcore.NewCore(encoder, output, zap.LevelEnablerFunc(func(l zapcore.Level) bool { return l == zapcore.DebugLevel && level.Enabled(l) }))
+	others := zapcore.NewCore(encoder, output, zap.LevelEnablerFunc(func(l zapcore.Level) bool { return l > zapcore.DebugLevel && level.Enabled(l) }))
+	sampled := zapcore.NewSamplerWithOptions(others, time.Second, SampleFirst, SampleThereafter,
 		zapcore.SamplerHook(func(_ zapcore.Entry, d zapcore.SamplingDecision) {
 			if d&zapcore.LogDropped != 0 {
 				dropped.Add(1)
 			}
 		}))
-	slog.SetDefault(slog.New(zapslog.NewHandler(zapcore.NewTee(all, core))))
+	slog.SetDefault(slog.New(zapslog.NewHandler(zapcore.NewTee(debug, sampled))))
 	return nil
 }
 
-// SetLevel changes the level from here on.
-func SetLevel(to string) error {
-	l, err := zapcore.ParseLevel(to)
+// SetLevel changes the level of the log: debug, info, warn or error. It is safe for concurrent use.
+func SetLevel(name string) error {
+	l, err := zapcore.ParseLevel(name)
 	if err != nil || l < zapcore.DebugLevel || l > zapcore.ErrorLevel {
-		return fmt.Errorf("log level %q: allowed: debug, info, warn, error", to)
+		return fmt.Errorf("log level %q: allowed: debug, info, warn, error", name)
 	}
 	level.SetLevel(l)
 	return nil
 }
 
-// Debug reports whether lines of the debug level are written.
+// Debug reports whether debug messages are logged.
 func Debug() bool { return level.Enabled(zapcore.DebugLevel) }
 
-// Dropped is how many lines sampling has left out.
+// Dropped returns the number of messages that sampling has dropped.
 func Dropped() int64 { return dropped.Load() }
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A flood of one kind of line leaves room for others, and is counted.
+// A flood of one message must not drop other messages, and dropped messages must be counted.
 func TestSampling(t *testing.T) {
 	var out bytes.Buffer
 	require.NoError(t, Setup(&out, "info", "json"))
@@ -43,10 +43,10 @@
 	for range 500 {
 		slog.Debug("attempt")
 	}
-	assert.Equal(t, 500, strings.Count(out.String(), "attempt"), "a request that lacks lines can't be followed")
+	assert.Equal(t, 500, strings.Count(out.String(), "attempt"), "debug messages are not sampled")
 	for _, bad := range []string{"loud", "panic", "fatal"} {
 		assert.ErrorContains(t, SetLevel(bad), "allowed: debug, info, warn, error")
 	}
-	assert.True(t, Debug(), "as it was")
+	assert.True(t, Debug(), "an invalid level leaves the level unchanged")
 	require.NoError(t, SetLevel("info"))
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,5 @@
-// Package metrics keeps what Prometheus reads: histograms of what requests went through, by service, class and outcome,
-// and the counters. It owns names, labels and buckets. It must never be on a request's way with more than an
-// observation: reading it out is done beside the loop.
+// Package metrics exports Prometheus metrics: latency histograms by service, class and outcome, and the scheduler's counters.
+// Requests only record observations; metrics are gathered and encoded outside the event loop.
 package metrics
 
 import (
@@ -16,18 +15,18 @@
 	"weldscale/decide"
 )
 
-// buckets in seconds, from a probe on the same machine to a job that takes half a minute.
+// buckets are the histogram bounds in seconds, from a probe on the same machine to a job of half a minute.
 var buckets = []float64{.0002, .0005, .001, .002, .005, .01, .02, .05, .1, .2, .5, 1, 2, 5, 10, 30}
 
-// Registry is all that is kept.
+// Registry holds the metrics of a scheduler.
 type Registry struct {
 	registry                     *prometheus.Registry
 	wait, probe, attempt, answer *prometheus.HistogramVec
-	// Stats is the text of the counters: words of name=value, a line for each service.
+	// Stats returns the counters as text: space-separated name=value pairs, one line per service.
 	Stats func() string
 }
 
-// New returns an empty set.
+// New returns a Registry without services.
 func New() *Registry {
 	histogram := func(name, help string, labels ...string) *prometheus.HistogramVec {
 		return prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: "weldscale", Name: name, Help: help, Buckets: buckets},
@@ -39,11 +38,11 @@
 		attempt: histogram("attempt_seconds", "How long attempts took, by how they ended.", "class", "outcome"),
 		answer:  histogram("answer_seconds", "From a request's arrival to its final answer, by what that was.", "class", "outcome")}
 	m.registry.MustRegister(m.wait, m.probe, m.attempt, m.answer, collectors.NewGoCollector(),
-		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}), counters{m})
+		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}), statsCollector{m})
 	return m
 }
 
-// Outcomes of an answer.
+// Outcomes of a request.
 const (
 	Served = iota
 	Refused
@@ -51,27 +50,28 @@
 	Hangup
 )
 
-var answers = [...]string{"served", "refused", "failed", "hangup"}
+var answerOutcomes = [...]string{"served", "refused", "failed", "hangup"}
 
-// Service observes for one service.
+// Service records observations of one service.
 type Service struct {
 	m       *Registry
 	wait    []prometheus.Observer
 	probe   [decide.NotSent + 1]prometheus.Observer
 	attempt [][decide.NotSent + 1]prometheus.Observer
-	answer  [][len(answers)]prometheus.Observer
+	answer  [][len(answerOutcomes)]prometheus.Observer
 }
 
-// Service returns the observers of a service; outcomes names those of attempts and probes.
+// Service returns the Service with the given name. The outcomes are the label values of attempts and probes, indexed by
+// decide.Status.
 func (m *Registry) Service(name string, classes []string, outcomes []string) *Service {
-	s := &Service{m: m, attempt: make([][decide.NotSent + 1]prometheus.Observer, len(classes)), answer: make([][len(answers)]prometheus.Observer, len(classes))}
+	s := &Service{m: m, attempt: make([][decide.NotSent + 1]prometheus.Observer, len(classes)), answer: make([][len(answerOutcomes)]prometheus.Observer, len(classes))}
 	for i, class := range classes {
 		s.wait = append(s.wait, m.wait.WithLabelValues(name, class))
 		for o := range s.attempt[i] {
 			s.attempt[i][o] = m.attempt.WithLabelValues(name, class, outcomes[o])
 		}
 		for o := range s.answer[i] {
-			s.answer[i][o] = m.answer.WithLabelValues(name, class, answers[o])
+			s.answer[i][o] = m.answer.WithLabelValues(name, class, answerOutcomes[o])
 		}
 	}
 	for o := range s.probe {
@@ -82,50 +82,51 @@
 
 func seconds(t decide.Time) float64 { return float64(t) / 1e6 }
 
-// Wait takes in how long a request waited for its first attempt.
+// Wait records the time from a request's arrival to its first attempt.
 func (s *Service) Wait(class int, t decide.Time) { s.wait[class].Observe(seconds(t)) }
 
-// Probe takes in how a probe ended.
+// Probe records the outcome and duration of a probe.
 func (s *Service) Probe(o decide.Status, t decide.Time) { s.probe[o].Observe(seconds(t)) }
 
-// Attempt takes in how an attempt ended.
+// Attempt records the outcome and duration of an attempt.
 func (s *Service) Attempt(class int, o decide.Status, t decide.Time) {
 	s.attempt[class][o].Observe(seconds(t))
 }
 
-// Answer takes in the end of a request.
+// Answer records the outcome of a request and the time from its arrival to its final answer.
 func (s *Service) Answer(class, outcome int, t decide.Time) {
 	s.answer[class][outcome].Observe(seconds(t))
 }
 
-// counters turns the text of the counters into gauges, so that no counter needs to be named twice.
-type counters struct{ m *Registry }
+// statsCollector exports the counters by parsing their text form, so that no counter has to be declared here too.
+type statsCollector struct{ m *Registry }
 
-// Describe implements prometheus.Collector: it is unchecked, since a service may come or go.
-func (counters) Describe(chan<- *prometheus.Desc) {}
+// Describe implements prometheus.Collector. It describes nothing, which makes the collector unchecked: services may be added
+// and removed.
+func (statsCollector) Describe(chan<- *prometheus.Desc) {}
 
-var notName = regexp.MustCompile(`[^a-z0-9_]`)
+var invalidNameChars = regexp.MustCompile(`[^a-z0-9_]`)
 
 // Collect implements prometheus.Collector.
-func (c counters) Collect(out chan<- prometheus.Metric) {
+func (c statsCollector) Collect(out chan<- prometheus.Metric) {
 	if c.m.Stats == nil {
 		return
 	}
 	for line := range strings.Lines(c.m.Stats()) {
 		service := ""
-		for _, word := range strings.Fields(line) {
-			name, text, _ := strings.Cut(word, "=")
+		for _, pair := range strings.Fields(line) {
+			name, text, _ := strings.Cut(pair, "=")
 			if name == "service" {
 				service = text
 			} else if v, err := strconv.ParseFloat(text, 64); err == nil {
-				desc := prometheus.NewDesc("weldscale_"+notName.ReplaceAllString(name, "_"), "The counter "+name+" of /-/stats.", []string{"service"}, nil)
+				desc := prometheus.NewDesc("weldscale_"+invalidNameChars.ReplaceAllString(name, "_"), "The counter "+name+" of /-/stats.", []string{"service"}, nil)
 				out <- prometheus.MustNewConstMetric(desc, prometheus.UntypedValue, v, service)
 			}
 		}
 	}
 }
 
-// Text is all of it in Prometheus's text form. It takes a while, and is not for the loop.
+// Text returns all metrics in Prometheus's text format. It is slow and must not be called from the event loop.
 func (m *Registry) Text() ([]byte, error) {
 	families, err := m.registry.Gather()
 	if err != nil {
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -1,6 +1,6 @@
-// Package mgmt is the second address: the calls of those who operate a scheduler, as a state machine that is fed bytes,
-// and the figures that they read, as JSON. It owns paths, methods, statuses and the form of the figures. It must never
-// touch a socket, a clock or the loop's state: what a call asks for is done by a Control.
+// Package mgmt implements the HTTP API of a scheduler's management address: the parsing of requests from bytes, the
+// responses, and the counters as JSON. It does no I/O and does not access the event loop's state: a Control executes the
+// requests.
 package mgmt
 
 import (
@@ -12,10 +12,10 @@
 	"weldscale/internal/http1"
 )
 
-// Kind is what a call asks for.
+// Kind is the operation of a request.
 type Kind uint8
 
-// The calls.
+// The operations.
 const (
 	Ready    Kind = iota // GET /control/ready
 	Counters             // GET /control/counters
@@ -23,14 +23,13 @@
 	Online               // POST /control/workers/ID/online
 )
 
-// Request is one call.
+// Request is a parsed request.
 type Request struct {
 	Kind   Kind
-	Worker string // of Offline and Online
+	Worker string // the worker's name, for Offline and Online
 }
 
-// Figures are what a scheduler has done since its start, and how it stands. The JSON names are those that operators'
-// tools read.
+// Figures holds a scheduler's counters since its start and its current state. Operators' tools read the JSON names.
 type Figures struct {
 	Served          map[string]int `json:"served"`  // jobs, by class
 	Refused         map[string]int `json:"refused"` // jobs, by class
@@ -41,72 +40,72 @@
 	WorkersExcluded int            `json:"workers_excluded"`
 }
 
-// Errors of a Control.
+// Errors that a Control returns.
 var (
-	// ErrUnknownWorker says that there is no such worker.
+	// ErrUnknownWorker means that no worker has the given name.
 	ErrUnknownWorker = errors.New("no such worker")
-	// ErrTimeout says that nothing was done, since the scheduler did not get to it in time.
+	// ErrTimeout means that the operation was not executed because the scheduler was busy for too long.
 	ErrTimeout = errors.New("not done: the scheduler did not get to it in time")
 )
 
-// Control does what calls ask for. Its methods may wait, for less than a second.
+// Control executes requests. Its methods may block for less than a second.
 type Control interface {
 	Ready() (bool, error)
 	Figures() (Figures, error)
-	// SetOffline takes a worker out or puts it back. Without an error it is in force.
+	// SetOffline sets a worker offline or online. If it returns nil, the change is in effect.
 	SetOffline(worker string, out bool) error
 }
 
-// maxBody is how much a call may bring with it; no call needs any.
+// maxBody is the maximum size of a request body in bytes. No operation needs a body.
 const maxBody = 4 << 10
 
-// Call is one call on one connection.
+// Call parses the single request of a connection.
 type Call struct {
-	parser *http1.Parser
-	over   bool
+	parser       *http1.Parser
+	bodyTooLarge bool
 }
 
-// NewCall returns a call of which nothing has come.
+// NewCall returns a Call that has received no bytes.
 func NewCall() *Call {
 	c := &Call{parser: http1.NewRequestParser()}
-	n := 0
-	c.parser.OnBody = func(b []byte) { n += len(b); c.over = c.over || n > maxBody }
+	size := 0
+	c.parser.OnBody = func(b []byte) { size += len(b); c.bodyTooLarge = c.bodyTooLarge || size > maxBody }
 	return c
 }
 
-// Feed takes in bytes, in pieces of any size. Once the call is whole it returns what is asked for, or else the answer to
-// give at once; before that, neither.
+// Feed parses the next bytes of the connection, in pieces of any size. It returns the request once it is complete, an encoded
+// error response if it is invalid, or neither if more bytes are needed.
 func (c *Call) Feed(b []byte) (request *Request, answer []byte) {
-	_, whole, err := c.parser.Feed(b)
-	var fault *http1.Error
+	_, complete, err := c.parser.Feed(b)
+	var parseErr *http1.Error
 	switch {
-	case errors.As(err, &fault):
-		return nil, Answer(fault.Status, fault.Reason)
+	case errors.As(err, &parseErr):
+		return nil, Answer(parseErr.Status, parseErr.Reason)
 	case err != nil:
 		return nil, Answer(400, err.Error())
-	case c.over:
+	case c.bodyTooLarge:
 		return nil, Answer(413, "too long")
-	case !whole:
+	case !complete:
 		return nil, nil
 	}
-	request, no := ParseRequest(c.parser.Msg.Method, c.parser.Msg.Target)
+	request, errorReply := ParseRequest(c.parser.Msg.Method, c.parser.Msg.Target)
 	if request == nil {
-		return nil, Answer(no.Status, no.Text)
+		return nil, Answer(errorReply.Status, errorReply.Text)
 	}
 	return request, nil
 }
 
-// Reply is what a call is answered with.
+// Reply is the response to a request.
 type Reply struct {
 	Status int
-	Text   string // a line, or JSON
+	Text   string // the body: one line of text, or JSON
 	JSON   bool
 }
 
-// ParseRequest reads a method and a target as a call, or says why they are none.
+// ParseRequest parses a method and a request target. It returns a nil request and an error reply if they are invalid.
 func ParseRequest(method, target string) (*Request, Reply) {
 	path, _, _ := strings.Cut(target, "?")
-	r, want := &Request{}, "GET"
+	r, allowed := &Request{}, "GET"
 	switch path {
 	case "/control/ready":
 	case "/control/counters":
@@ -120,15 +119,15 @@
 		if !ok || !cut || !known || name == "" || err != nil {
 			return nil, Reply{Status: 404, Text: "unknown path"}
 		}
-		r.Kind, r.Worker, want = kind, name, "POST"
+		r.Kind, r.Worker, allowed = kind, name, "POST"
 	}
-	if method != want {
-		return nil, Reply{Status: 405, Text: "only " + want + " here"}
+	if method != allowed {
+		return nil, Reply{Status: 405, Text: "only " + allowed + " here"}
 	}
 	return r, Reply{}
 }
 
-// Do has a request carried out.
+// Do executes the request on a Control and returns the reply.
 func (r *Request) Do(c Control) Reply {
 	switch r.Kind {
 	case Ready:
@@ -151,17 +150,18 @@
 	return reply(c.SetOffline(r.Worker, r.Kind == Offline), "done")
 }
 
-func reply(err error, yes string) Reply {
+// reply returns the reply for the result of a Control's method.
+func reply(err error, success string) Reply {
 	switch {
 	case err == nil:
-		return Reply{Status: 200, Text: yes}
+		return Reply{Status: 200, Text: success}
 	case errors.Is(err, ErrUnknownWorker):
 		return Reply{Status: 404, Text: err.Error()}
 	}
 	return Reply{Status: 503, Text: err.Error()}
 }
 
-// Bytes is the reply as a whole answer, the last on its connection.
+// Bytes returns the encoded HTTP response, which closes the connection.
 func (r Reply) Bytes() []byte {
 	kind := "text/plain"
 	if r.JSON {
@@ -170,5 +170,5 @@
 	return http1.AppendResponse(nil, r.Status, false, []byte(r.Text+"\n"), http1.Field{Name: "Content-Type", Value: kind})
 }
 
-// Answer is a whole answer of one line.
+// Answer returns an encoded response with one line of text.
 func Answer(status int, text string) []byte { return Reply{Status: status, Text: text}.Bytes() }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,7 +1,6 @@
-// Package route decides which service a request belongs to: by host, path, class and header fields. It owns the table
-// and what makes one rule closer than another. A table is immutable; a new one takes its place whole, and whoever
-// still holds the old one goes on by it. It must never see a socket or a message, and never fall back on a service
-// that no rule names: what matches nothing is told so.
+// Package route maps requests to services by host, path, class and header fields. Tables are immutable: a new table replaces
+// the old one as a whole, and holders of the old one can go on using it. There is no default service: a request that
+// matches no rule is reported as a miss.
 package route
 
 import (
@@ -15,59 +14,59 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// Rule sends what matches to a service. What is left empty matches everything.
+// Rule sends matching requests to a service. Empty fields match every request.
 type Rule struct {
 	Service string
-	// Host is a name, or "*." and the end of one, which stands for one label or more before it. Case does not matter,
-	// and a port of the request is passed over.
+	// Host is a host name, or "*." and a domain, which matches hosts with one or more labels before that domain. The match
+	// ignores case and the port of the request.
 	Host string
-	// Path is a prefix of whole segments: "/api" stands for "/api" and "/api/x", not for "/apis".
+	// Path is a prefix of whole segments: "/api" matches "/api" and "/api/x" but not "/apis".
 	Path  string
 	Class string
-	// Header is fields that must have these values, names in lower case.
+	// Header maps field names in lower case to the values that they must have.
 	Header map[string]string
-	// Position is where the rule stands, for faults.
+	// Position is the rule's position in its file, for error messages.
 	Position string
 }
 
-// Request is what a table looks at.
+// Request holds the properties of a request that rules match on.
 type Request struct {
 	Host, Path, Class string
 	Header            func(name string) string
 }
 
-// Miss tells why a request matches nothing.
+// Miss is the reason why a request matches no rule.
 type Miss uint8
 
-// The misses.
+// The values of Miss.
 const (
 	Matched     Miss = iota
-	UnknownHost      // no rule is for that host
-	NoRoute          // there are rules for it, and none matches
+	UnknownHost      // no rule matches the host
+	NoRoute          // rules match the host, but none of them matches the request
 )
 
-// Table is an immutable set of rules.
+// Table is an immutable set of rules. It is safe for concurrent use.
 type Table struct {
-	exact map[string]*paths // by host
-	wild  map[string]*paths // by what stands behind "*."
-	any   *paths
-	rules int
+	exact    map[string]*paths // by host
+	wildcard map[string]*paths // by the domain after "*."
+	any      *paths
+	rules    int
 }
 
-// paths is the rules of one host, by prefix; those of one prefix with the closest first.
+// paths holds the rules of one host by path prefix. The rules of one prefix are sorted with the most specific first.
 type paths struct{ tree *iradix.Tree[[]Rule] }
 
-// New makes a table, or returns every fault of the rules.
+// New builds a table. It also returns an error for each invalid rule; these rules are not in the table.
 func New(rules []Rule) (*Table, []error) {
-	t := &Table{exact: map[string]*paths{}, wild: map[string]*paths{}, any: &paths{iradix.New[[]Rule]()}, rules: len(rules)}
-	var faults []error
-	fault := func(r Rule, format string, args ...any) {
-		faults = append(faults, fmt.Errorf("%s: %s", r.Position, fmt.Sprintf(format, args...)))
+	t := &Table{exact: map[string]*paths{}, wildcard: map[string]*paths{}, any: &paths{iradix.New[[]Rule]()}, rules: len(rules)}
+	var errs []error
+	addError := func(r Rule, format string, args ...any) {
+		errs = append(errs, fmt.Errorf("%s: %s", r.Position, fmt.Sprintf(format, args...)))
 	}
 	for _, r := range rules {
 		r.Host = strings.ToLower(r.Host)
-		if why := r.unusable(); why != "" {
-			fault(r, "%s", why)
+		if reason := r.invalidReason(); reason != "" {
+			addError(r, "%s", reason)
 			continue
 		}
 		p := t.host(r.Host)
@@ -75,33 +74,34 @@
 		old, _ := p.tree.Get(key)
 		if i := slices.IndexFunc(old, r.same); i >= 0 {
 			if old[i].Service != r.Service {
-				fault(r, "the same match as that of service %q at %s: a request can't go to both", old[i].Service, old[i].Position)
+				addError(r, "the same match as that of service %q at %s: a request can't go to both", old[i].Service, old[i].Position)
 			} else {
-				fault(r, "the same match as at %s: it would never be looked at", old[i].Position)
+				addError(r, "the same match as at %s: it would never be looked at", old[i].Position)
 			}
 			continue
 		}
 		list := append(slices.Clone(old), r)
-		slices.SortStableFunc(list, closer)
+		slices.SortStableFunc(list, compareSpecificity)
 		p.tree, _, _ = p.tree.Insert(key, list)
 	}
-	return t, faults
+	return t, errs
 }
 
-// unusable says why a rule can never match, or "".
-func (r Rule) unusable() string {
+// invalidReason returns why a rule is invalid, or "".
+func (r Rule) invalidReason() string {
 	name := strings.TrimPrefix(r.Host, "*.")
 	switch {
 	case r.Host != "" && !isHost(name):
-		return fmt.Sprintf("%q is no host; allowed is a name without a port, or \"*.\" and a name", r.Host)
+		return fmt.Sprintf("%q is not a valid host; allowed is a name without a port, or \"*.\" and a name", r.Host)
 	case r.Path != "" && (r.Path[0] != '/' || strings.ContainsAny(r.Path, "?# ")):
-		return fmt.Sprintf("%q is no path; allowed is a prefix that begins with /, without a query", r.Path)
+		return fmt.Sprintf("%q is not a valid path; allowed is a prefix that begins with /, without a query", r.Path)
 	case r.Path == "/-" || strings.HasPrefix(r.Path, "/-/"):
-		return "paths below /-/ are weldscale's own: it would never be looked at"
+		return "paths below /-/ are reserved for weldscale: the rule would never match"
 	}
 	return ""
 }
 
+// isHost reports whether s is an IP address or a host name in lower case.
 func isHost(s string) bool {
 	if _, err := netip.ParseAddr(s); err == nil {
 		return true
@@ -114,9 +114,10 @@
 	return len(s) <= 253
 }
 
-// key is a prefix without the slashes at its end: "/api/" is the same as "/api", and "/" as "".
+// key returns a path prefix without trailing slashes: "/api/" is the same as "/api", and "/" the same as "".
 func key(path string) string { return strings.TrimRight(path, "/") }
 
+// same reports whether two rules with the same host and path match the same requests.
 func (r Rule) same(o Rule) bool {
 	if r.Class != o.Class || len(r.Header) != len(o.Header) {
 		return false
@@ -129,31 +130,32 @@
 	return true
 }
 
-// closer orders the rules of one host and prefix: by class, then by how many fields they ask for. Two that ask for
-// different fields and both match are taken in the order of the file.
-func closer(a, b Rule) int {
+// compareSpecificity orders the rules of one host and prefix: rules with a class first, then by the number of header fields.
+// Rules with different fields but equally many keep their order in the file.
+func compareSpecificity(a, b Rule) int {
 	return cmp.Or(cmp.Compare(min(1, len(b.Class)), min(1, len(a.Class))), cmp.Compare(len(b.Header), len(a.Header)))
 }
 
+// host returns the paths of a host pattern, which it creates if necessary.
 func (t *Table) host(name string) *paths {
-	by := t.exact
+	hosts := t.exact
 	if rest, ok := strings.CutPrefix(name, "*."); ok {
-		by, name = t.wild, rest
+		hosts, name = t.wildcard, rest
 	} else if name == "" {
 		return t.any
 	}
-	if by[name] == nil {
-		by[name] = &paths{iradix.New[[]Rule]()}
+	if hosts[name] == nil {
+		hosts[name] = &paths{iradix.New[[]Rule]()}
 	}
-	return by[name]
+	return hosts[name]
 }
 
-// Len is how many rules the table has.
+// Len returns the number of rules that the table was built from.
 func (t *Table) Len() int { return t.rules }
 
-// Match returns the service of the closest rule: the one with the closest host, then with the longest path, then with a
-// class, then with the most fields. A host's own rules go before those of a wider one, and where none of them matches
-// the wider ones are asked.
+// Match returns the service of the most specific matching rule: by host, then the longest path, then a class, then the most
+// header fields. Rules of an exact host come before those of a wildcard, longer wildcards before shorter ones, and rules
+// without a host last. Less specific hosts are tried if no rule of a more specific one matches.
 func (t *Table) Match(r Request) (service string, miss Miss) {
 	name := hostOf(r.Host)
 	known := t.any.tree.Len() > 0
@@ -168,7 +170,7 @@
 		if !ok {
 			break
 		}
-		if p := t.wild[after]; p != nil {
+		if p := t.wildcard[after]; p != nil {
 			known = true
 			if s, ok := p.match(&r); ok {
 				return s, Matched
@@ -185,12 +187,13 @@
 	return "", UnknownHost
 }
 
+// match returns the service of the most specific matching rule of one host.
 func (p *paths) match(r *Request) (service string, ok bool) {
-	path := unsafe.Slice(unsafe.StringData(r.Path), len(r.Path)) // a view: the tree only compares it
-	// The walk goes from the shortest prefix to the longest, and the last that matches is the closest.
+	path := unsafe.Slice(unsafe.StringData(r.Path), len(r.Path)) // no copy: the tree only reads it
+	// The walk goes from the shortest prefix to the longest, so the last match is the most specific.
 	p.tree.Root().WalkPath(path, func(prefix []byte, rules []Rule) bool {
 		if len(prefix) < len(path) && path[len(prefix)] != '/' {
-			return false // it ends within a segment
+			return false // the prefix ends within a segment
 		}
 		for i := range rules {
 			if rules[i].matches(r) {
@@ -215,7 +218,7 @@
 	return true
 }
 
-// hostOf is the name in a Host field: in lower case, without a port or the dot of the root.
+// hostOf returns the host of a Host field in lower case, without the port and a trailing dot.
 func hostOf(field string) string {
 	if strings.HasPrefix(field, "[") { // an IPv6 address
 		field, _, _ = strings.Cut(field[1:], "]")
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestMatch(t *testing.T) {
-	table, faults := New([]Rule{
+	table, errs := New([]Rule{
 		{Service: "shop", Host: "shop.example.org"},
 		{Service: "proofs", Host: "Shop.example.org", Path: "/proof/"},
 		{Service: "rush", Host: "shop.example.org", Path: "/proof", Class: "rush"},
@@ -21,7 +21,7 @@
 		{Service: "press", Path: "/press"},
 		{Service: "six", Host: "fd00::1"},
 	})
-	require.Empty(t, faults)
+	require.Empty(t, errs)
 	require.Equal(t, 8, table.Len())
 	for _, c := range []struct {
 		host, path, class, beta, want string
@@ -61,10 +61,10 @@
 	assert.Equal(t, UnknownHost, miss)
 }
 
-// What can't work is told when the table is made, each with its place.
-func TestFaults(t *testing.T) {
+// New must report every invalid or conflicting rule with its position.
+func TestInvalidRules(t *testing.T) {
 	at := func(n int, r Rule) Rule { r.Position = fmt.Sprintf("f:%d", n); return r }
-	_, faults := New([]Rule{
+	_, errs := New([]Rule{
 		at(1, Rule{Service: "a", Host: "x.org", Path: "/p"}),
 		at(2, Rule{Service: "b", Host: "X.org", Path: "/p/"}),
 		at(3, Rule{Service: "a", Host: "x.org", Path: "/p"}),
@@ -74,16 +74,16 @@
 		at(7, Rule{Service: "a", Path: "/-/stats"}),
 		at(8, Rule{Service: "a", Path: "/a?b"}),
 	})
-	want := []string{"f:2: the same match as that of service \"a\" at f:1", "f:3: the same match as at f:1", "f:4: \"x.org:80\" is no host",
-		"f:5: \"*\" is no host", "f:6: \"p\" is no path", "f:7: paths below /-/", "f:8: \"/a?b\" is no path"}
-	require.Len(t, faults, len(want))
-	for i, f := range faults {
+	want := []string{"f:2: the same match as that of service \"a\" at f:1", "f:3: the same match as at f:1", "f:4: \"x.org:80\" is not a valid host",
+		"f:5: \"*\" is not a valid host", "f:6: \"p\" is not a valid path", "f:7: paths below /-/ are reserved", "f:8: \"/a?b\" is not a valid path"}
+	require.Len(t, errs, len(want))
+	for i, f := range errs {
 		assert.ErrorContains(t, f, want[i])
 	}
 }
 
-// The table against a model that looks at every rule.
-func TestAgainstAModel(t *testing.T) {
+// Match must agree with a model that checks every rule in turn.
+func TestMatchAgainstModel(t *testing.T) {
 	hosts := []string{"", "a.org", "b.a.org", "*.a.org", "*.b.a.org", "*.org"}
 	paths := []string{"", "/", "/x", "/x/", "/x/y", "/x/y/z", "/xy"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -94,20 +94,20 @@
 			if rapid.Bool().Draw(t, "field") {
 				r.Header = map[string]string{"h": rapid.SampledFrom([]string{"1", "2"}).Draw(t, "value")}
 			}
-			if _, faults := New(append(rules[:len(rules):len(rules)], r)); len(faults) == 0 {
+			if _, errs := New(append(rules[:len(rules):len(rules)], r)); len(errs) == 0 {
 				rules = append(rules, r)
 			}
 		}
-		table, faults := New(rules)
-		if len(faults) > 0 {
-			t.Fatal(faults)
+		table, errs := New(rules)
+		if len(errs) > 0 {
+			t.Fatal(errs)
 		}
 		in := Request{Host: rapid.SampledFrom([]string{"a.org", "b.a.org", "c.b.a.org", "org", "x.net"}).Draw(t, "to"),
 			Path:  rapid.SampledFrom([]string{"/", "/x", "/x/", "/x/y", "/x/yy", "/x/y/z/w", "/xyz"}).Draw(t, "at"),
 			Class: rapid.SampledFrom([]string{"", "c", "d"}).Draw(t, "of")}
 		field := rapid.SampledFrom([]string{"", "1", "2"}).Draw(t, "with")
 		in.Header = func(string) string { return field }
-		best, rank, known := "", [4]int{-1}, false
+		best, bestSpecificity, known := "", [4]int{-1}, false
 		for _, r := range rules {
 			hostRank := 0
 			if rest, ok := strings.CutPrefix(r.Host, "*"); ok && strings.HasSuffix(in.Host, rest) {
@@ -123,11 +123,11 @@
 				len(r.Header) > 0 && r.Header["h"] != field {
 				continue
 			}
-			mine := [4]int{hostRank, len(prefix), min(1, len(r.Class)), len(r.Header)}
-			for i := range mine {
-				if mine[i] != rank[i] {
-					if mine[i] > rank[i] {
-						best, rank = r.Service, mine
+			specificity := [4]int{hostRank, len(prefix), min(1, len(r.Class)), len(r.Header)}
+			for i := range specificity {
+				if specificity[i] != bestSpecificity[i] {
+					if specificity[i] > bestSpecificity[i] {
+						best, bestSpecificity = r.Service, specificity
 					}
 					break
 				}
@@ -135,7 +135,7 @@
 		}
 		got, miss := table.Match(in)
 		if got != best || (miss == UnknownHost) != !known || (miss == Matched) != (best != "") {
-			t.Fatalf("%q (%d), the model says %q, known %v: %+v of %+v", got, miss, best, known, in, rules)
+			t.Fatalf("%q (%d), the model returns %q, known %v: %+v of %+v", got, miss, best, known, in, rules)
 		}
 	})
 }
@@ -145,8 +145,8 @@
 	for i := range 10000 {
 		rules = append(rules, Rule{Service: "s", Host: fmt.Sprintf("h%d.example.org", i%100), Path: fmt.Sprintf("/api/v%d/x", i/100)})
 	}
-	table, faults := New(rules)
-	require.Empty(b, faults)
+	table, errs := New(rules)
+	require.Empty(b, errs)
 	in := Request{Host: "h42.example.org:8080", Path: "/api/v77/x/9b1f03aa5c7e2d41"}
 	b.ReportAllocs()
 	for b.Loop() {
