--- a/cmd/weldscale/services.go
+++ b/cmd/weldscale/services.go
@@ -249,7 +249,7 @@
 		c, open = p.Counts, p.InFlight()
 	}
 	return fmt.Sprintf("service=%s open=%d begun=%d over_rate=%d over_fleet=%d over_open=%d over_bytes=%d over_shared=%d over_time=%d retries_denied=%d",
-		name, open, c.Admitted, c.OverRate, c.OverFleet, c.OverOpen, c.OverBytes, c.OverShared, c.OverTime, c.RetriesDenied)
+		name, open, c.Admitted, c.OverRate, c.OverFleet, c.OverInFlight, c.OverBytes, c.OverShared, c.OverTime, c.RetriesDenied)
 }
 
 // anyReady reports whether a service that the operator's file names has had a worker to serve with.
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -44,7 +44,7 @@
 
 // Counts counts the requests of a pool that were admitted, and those refused by reason.
 type Counts struct {
-	Admitted, OverRate, OverFleet, OverOpen, OverBytes, OverShared, OverTime, RetriesDenied int
+	Admitted, OverRate, OverFleet, OverInFlight, OverBytes, OverShared, OverTime, RetriesDenied int
 }
 
 // gate enforces the Limits of a service or of one class.
@@ -201,7 +201,7 @@
 	for _, g := range gates {
 		if reason := g.full(bytes); reason != "" {
 			if g.limits.InFlight > 0 && g.open >= g.limits.InFlight {
-				p.Counts.OverOpen++
+				p.Counts.OverInFlight++
 			} else {
 				p.Counts.OverBytes++
 			}
