--- a/cmd/weldscale/experiment.go
+++ b/cmd/weldscale/experiment.go
@@ -95,7 +95,7 @@
 		for _, word := range strings.Fields(text) {
 			v, err := strconv.ParseFloat(word, 64)
 			if err != nil || !(v >= 0 && v <= most) {
-				r.Errorf(body, "%s: %q; allowed are numbers from 0 to %g with spaces between", name, word, most)
+				r.AddError(body, "%s: %q; allowed are numbers from 0 to %g with spaces between", name, word, most)
 			}
 			out = append(out, v)
 		}
@@ -104,7 +104,7 @@
 	m.scales, m.schedulers, m.refresh = numbers("scale", scales, 10000), numbers("schedulers", schedulers, 5000), numbers("refresh_ms", refresh, 60000)
 	for _, p := range strings.Fields(policies) {
 		if !slices.Contains(emulator.Policies, p) {
-			r.Errorf(body, "policies: no %q; allowed: %s", p, strings.Join(emulator.Policies, ", "))
+			r.AddError(body, "policies: no %q; allowed: %s", p, strings.Join(emulator.Policies, ", "))
 		}
 		m.policies = append(m.policies, p)
 	}
@@ -120,7 +120,7 @@
 		m.names = append(m.names, short)
 	}
 	if len(strings.Fields(scripts)) == 0 {
-		r.Errorf(body, "scripts: allowed are paths from this file, with spaces between")
+		r.AddError(body, "scripts: allowed are paths from this file, with spaces between")
 	}
 	return m, errors.Join(r.Err(), errors.Join(faults...))
 }
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -57,8 +57,8 @@
 	return f.r.fields(body, all)
 }
 
-// Errorf adds an error at the position of the body.
-func (f *Reader) Errorf(body hcl.Body, format string, args ...any) {
+// AddError adds an error at the position of the body.
+func (f *Reader) AddError(body hcl.Body, format string, args ...any) {
 	f.r.addError(body.MissingItemRange(), format, args...)
 }
 
--- a/internal/emulator/script.go
+++ b/internal/emulator/script.go
@@ -174,7 +174,7 @@
 		}{{"worth_by", "work", "request", &s.ByRequest}, {"hints", "good", "none", &s.NoHints}, {"order", "fifo", "backfill", &s.Backfill},
 			{"reports", "slots", "queue", &s.TellsQueue}, {"cancels", "queued", "all", &s.Stops}, {"copies", "one", "two", &s.SecondCopies}} {
 			if words[i] != "" && words[i] != choice.usual && words[i] != choice.other {
-				r.Errorf(l.World.Body, "%s: allowed is %q or %q", choice.name, choice.usual, choice.other)
+				r.AddError(l.World.Body, "%s: allowed is %q or %q", choice.name, choice.usual, choice.other)
 			}
 			*choice.to = words[i] == choice.other
 		}
@@ -184,7 +184,7 @@
 		for _, word := range strings.Fields(curve) {
 			v, ok := number(word)
 			if !ok {
-				r.Errorf(l.World.Body, "curve: %q is no number from 0 to 100; allowed are such, with spaces between", word)
+				r.AddError(l.World.Body, "curve: %q is no number from 0 to 100; allowed are such, with spaces between", word)
 			}
 			s.Curve = append(s.Curve, v)
 		}
@@ -204,7 +204,7 @@
 	s.troubles(r, l.Troubles)
 	if len(s.Boxes) == 0 || len(s.Classes) == 0 {
 		body := hcl.EmptyBody()
-		r.Errorf(body, "a script needs a box block and a class block at least")
+		r.AddError(body, "a script needs a box block and a class block at least")
 	}
 	return s, r.Err()
 }
@@ -228,11 +228,11 @@
 			config.Field{Name: "worth", Unit: config.Number, Min: 0.001, Max: 1e6, To: &c.Terms.Worth})
 		kind, ok := effects[effect]
 		if !ok {
-			r.Errorf(b.Body, "class %q: effect must be one of keyed, once, safe", b.Name)
+			r.AddError(b.Body, "class %q: effect must be one of keyed, once, safe", b.Name)
 		}
 		c.Terms.Effect = kind
 		if names[b.Name] {
-			r.Errorf(b.Body, "class %q stands twice", b.Name)
+			r.AddError(b.Body, "class %q stands twice", b.Name)
 		}
 		names[b.Name] = true
 		if slots != "" {
@@ -240,7 +240,7 @@
 			for _, word := range strings.Fields(slots) {
 				v, ok := number(word)
 				if !ok || v < 1 || v != float64(int(v)) {
-					r.Errorf(b.Body, "class %q: slots: %q is no whole number; allowed are such from 1, with spaces between", b.Name, word)
+					r.AddError(b.Body, "class %q: slots: %q is no whole number; allowed are such from 1, with spaces between", b.Name, word)
 				}
 				c.Slots = append(c.Slots, max(1, int(v)))
 			}
@@ -256,7 +256,7 @@
 		with := ""
 		takes, ok := kinds[b.Name]
 		if !ok {
-			r.Errorf(b.Body, "no trouble %q; allowed: %s", b.Name, strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))
+			r.AddError(b.Body, "no trouble %q; allowed: %s", b.Name, strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))
 			continue
 		}
 		set := r.Fields(b.Body, config.Field{Name: "from", Unit: config.Span, Min: 0, Max: 60 * minute, To: &t.From},
@@ -270,19 +270,19 @@
 			config.Field{Name: "with_schedulers", Unit: config.Word, To: &with})
 		for _, name := range slices.Sorted(maps.Keys(set)) {
 			if name != "from" && name != "for" && !slices.Contains(takes, name) {
-				r.Errorf(b.Body, "trouble %q takes no %s; it takes from, for, %s", b.Name, name, strings.Join(takes, ", "))
+				r.AddError(b.Body, "trouble %q takes no %s; it takes from, for, %s", b.Name, name, strings.Join(takes, ", "))
 			}
 		}
 		t.To, t.Balancer = t.From+long, with == "yes"
 		switch {
 		case t.From >= s.For:
-			r.Errorf(b.Body, "trouble %q begins after the end: the script plays for %d s", b.Name, s.For/1e6)
+			r.AddError(b.Body, "trouble %q begins after the end: the script plays for %d s", b.Name, s.For/1e6)
 		case with != "" && with != "yes" && with != "no":
-			r.Errorf(b.Body, "trouble %q: with_schedulers: allowed is \"yes\" or \"no\"", b.Name)
+			r.AddError(b.Body, "trouble %q: with_schedulers: allowed is \"yes\" or \"no\"", b.Name)
 		case b.Name == "zone_loss" && !slices.Contains(s.Zones, t.Zone):
-			r.Errorf(b.Body, "trouble %q: no zone %q; there are: %s", b.Name, t.Zone, strings.Join(s.Zones, ", "))
+			r.AddError(b.Body, "trouble %q: no zone %q; there are: %s", b.Name, t.Zone, strings.Join(s.Zones, ", "))
 		case t.Class != "" && !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == t.Class }):
-			r.Errorf(b.Body, "trouble %q: no class %q", b.Name, t.Class)
+			r.AddError(b.Body, "trouble %q: no class %q", b.Name, t.Class)
 		}
 		s.Troubles = append(s.Troubles, t)
 	}
--- a/internal/faults/script.go
+++ b/internal/faults/script.go
@@ -70,7 +70,7 @@
 		t := Trouble{Kind: b.Name, Part: 0.2, Way: "both", Keep: true}
 		takes, ok := kinds[b.Name]
 		if !ok {
-			r.Errorf(b.Body, "no trouble %q; allowed: %s", b.Name, strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))
+			r.AddError(b.Body, "no trouble %q; allowed: %s", b.Name, strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))
 			continue
 		}
 		var from, hold, delay, jitter float64
@@ -90,16 +90,16 @@
 			config.Field{Name: "every", Unit: config.Span, Min: 1e4, Max: 10 * minute, To: &every})
 		for _, name := range slices.Sorted(maps.Keys(set)) {
 			if !slices.Contains([]string{"from", "for", "part", "who"}, name) && !slices.Contains(takes, name) {
-				r.Errorf(b.Body, "trouble %q takes no %s; it takes from, for, part, who%s", b.Name, name, strings.Join(append([]string{""}, takes...), ", "))
+				r.AddError(b.Body, "trouble %q takes no %s; it takes from, for, part, who%s", b.Name, name, strings.Join(append([]string{""}, takes...), ", "))
 			}
 		}
 		switch {
 		case t.Way != "both" && t.Way != "out" && t.Way != "in":
-			r.Errorf(b.Body, "trouble %q: way: allowed is \"out\", \"in\" or \"both\"", b.Name)
+			r.AddError(b.Body, "trouble %q: way: allowed is \"out\", \"in\" or \"both\"", b.Name)
 		case keep != "" && keep != "yes" && keep != "no":
-			r.Errorf(b.Body, "trouble %q: keep: allowed is \"yes\" or \"no\"", b.Name)
+			r.AddError(b.Body, "trouble %q: keep: allowed is \"yes\" or \"no\"", b.Name)
 		case set["part"] && who != "":
-			r.Errorf(b.Body, "trouble %q: part and who: allowed is one of them", b.Name)
+			r.AddError(b.Body, "trouble %q: part and who: allowed is one of them", b.Name)
 		}
 		span := func(us float64) time.Duration { return time.Duration(us) * time.Microsecond }
 		t.From, t.To, t.Every, t.Keep = span(from), span(from+long), span(every), keep != "no"
