--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -40,9 +40,9 @@
 	Kind    Kind            `json:"kind"`
 	Number  uint64          `json:"number,omitempty"` // matches a KindApplied message to the KindOffline message that it answers
 	Hello   *Hello          `json:"hello,omitempty"`
-	Worker  string          `json:"worker,omitempty"`
-	Away    bool            `json:"away,omitempty"`
-	Index   int64           `json:"index,omitempty"`
+	Worker  string          `json:"worker,omitempty"` // for KindOffline: the name of the worker
+	Away    bool            `json:"away,omitempty"`   // for KindOffline: whether the worker is set offline or online
+	Index   int64           `json:"index,omitempty"`  // for KindList: the index of the update
 	List    json.RawMessage `json:"list,omitempty"`
 	Job     json.RawMessage `json:"job,omitempty"`
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -49,12 +49,12 @@
 
 // gate enforces the Limits of a service or of one class.
 type gate struct {
-	limits  Limits
-	bucket  *rate.Limiter
-	open    int
-	bytes   int
-	balance float64 // retries earned by admitted requests
-	floor   *rate.Limiter
+	limits   Limits
+	bucket   *rate.Limiter
+	inFlight int
+	bytes    int
+	balance  float64 // retries earned by admitted requests
+	floor    *rate.Limiter
 }
 
 func (g *gate) set(l Limits) {
@@ -74,7 +74,7 @@
 // nothing.
 func (g *gate) full(bytes int) (reason string) {
 	switch {
-	case g.limits.InFlight > 0 && g.open >= g.limits.InFlight:
+	case g.limits.InFlight > 0 && g.inFlight >= g.limits.InFlight:
 		return "too many in hand"
 	case g.limits.Bytes > 0 && g.bytes+bytes > g.limits.Bytes:
 		return "too many bytes in hand"
@@ -101,12 +101,12 @@
 
 // Pool tracks the usage of one service and enforces its limits. It is not safe for concurrent use.
 type Pool struct {
-	Name     string
-	Counts   Counts
-	all      gate
-	classes  []gate
-	open     *Share
-	loopTime *TimeShare
+	Name           string
+	Counts         Counts
+	all            gate
+	classes        []gate
+	sharedInFlight *Share
+	loopTime       *TimeShare
 
 	// TakeFleet, if set, takes one unit of a fleet limit for a class, or for the whole service if the class is -1, and
 	// reports whether one was available. It must not block. ReturnFleet returns one unit of FleetInFlight.
@@ -171,8 +171,8 @@
 
 // New returns a pool with limits for the service and for each of its classes. Either of the shares of the budgets common to
 // all services may be nil.
-func New(name string, all Limits, classes []Limits, open *Share, loop *TimeShare) *Pool {
-	p := &Pool{Name: name, classes: make([]gate, len(classes)), open: open, loopTime: loop}
+func New(name string, all Limits, classes []Limits, sharedInFlight *Share, loopTime *TimeShare) *Pool {
+	p := &Pool{Name: name, classes: make([]gate, len(classes)), sharedInFlight: sharedInFlight, loopTime: loopTime}
 	p.all.set(all)
 	for i := range p.classes {
 		p.classes[i].set(classes[i])
@@ -200,7 +200,7 @@
 	gates := [...]*gate{&p.all, &p.classes[class]}
 	for _, g := range gates {
 		if reason := g.full(bytes); reason != "" {
-			if g.limits.InFlight > 0 && g.open >= g.limits.InFlight {
+			if g.limits.InFlight > 0 && g.inFlight >= g.limits.InFlight {
 				p.Counts.OverInFlight++
 			} else {
 				p.Counts.OverBytes++
@@ -229,7 +229,7 @@
 		p.Counts.OverFleet++
 		return Verdict{429, fleetRetryAfter, "too many a second in the fleet"}
 	}
-	if p.open != nil && !p.open.Acquire(1) {
+	if p.sharedInFlight != nil && !p.sharedInFlight.Acquire(1) {
 		p.returnFleet(class)
 		p.Counts.OverShared++
 		return Verdict{503, second, "others need the room"}
@@ -238,7 +238,7 @@
 		if g.bucket != nil {
 			g.bucket.AllowN(toTime(now), 1)
 		}
-		g.open++
+		g.inFlight++
 		g.bytes += bytes
 		g.balance = min(g.balance+g.limits.Retries, maxBalance)
 	}
@@ -253,28 +253,28 @@
 // count against the rate limits. If the fleet limit or the shared budget is used up, it goes on without a reservation there.
 func (p *Pool) Adopt(class, bytes int) (unbooked Unbooked) {
 	for _, g := range [...]*gate{&p.all, &p.classes[class]} {
-		g.open++
+		g.inFlight++
 		g.bytes += bytes
 	}
-	return Unbooked{Fleet: !p.takeFleet(FleetInFlight, class), Shared: p.open != nil && !p.open.Acquire(1)}
+	return Unbooked{Fleet: !p.takeFleet(FleetInFlight, class), Shared: p.sharedInFlight != nil && !p.sharedInFlight.Acquire(1)}
 }
 
 // Done releases the reservations of a request that has ended.
 func (p *Pool) Done(class, bytes int, unbooked Unbooked) {
 	for _, g := range [...]*gate{&p.all, &p.classes[class]} {
-		g.open--
+		g.inFlight--
 		g.bytes -= bytes
 	}
 	if !unbooked.Fleet {
 		p.returnFleet(class)
 	}
-	if p.open != nil && !unbooked.Shared {
-		p.open.Release(1)
+	if p.sharedInFlight != nil && !unbooked.Shared {
+		p.sharedInFlight.Release(1)
 	}
 }
 
 // InFlight returns the number of requests in flight.
-func (p *Pool) InFlight() int { return p.all.open }
+func (p *Pool) InFlight() int { return p.all.inFlight }
 
 // AdmitRetry reports whether a request may be retried and charges the retry to the balance earned by admitted requests, or to
 // the floor if the balance is used up. Without limits on retries it always returns true.
@@ -393,56 +393,56 @@
 }
 
 // Share returns a new share with the given weight.
-func (c *TimeBudget) Share(now Time, weight float64) *TimeShare {
-	c.weight += weight
-	return &TimeShare{budget: c, weight: weight, at: now}
+func (b *TimeBudget) Share(now Time, weight float64) *TimeShare {
+	b.weight += weight
+	return &TimeShare{budget: b, weight: weight, at: now}
 }
 
 // SetWeight changes the weight of the share.
-func (l *TimeShare) SetWeight(weight float64) {
-	l.budget.weight += weight - l.weight
-	l.weight = weight
+func (s *TimeShare) SetWeight(weight float64) {
+	s.budget.weight += weight - s.weight
+	s.weight = weight
 }
 
 // Close removes the share's weight from the budget.
-func (l *TimeShare) Close() { l.SetWeight(0) }
+func (s *TimeShare) Close() { s.SetWeight(0) }
 
-// Charge records that the share has used the loop for that long, until now.
-func (l *TimeShare) Charge(now, span Time) {
-	l.budget.decayTo(now)
-	l.budget.busy += float64(span)
-	l.earn(now)
-	l.credit = max(l.credit-float64(span), -float64(second))
+// Charge records that the share used the loop for the time used, just before now.
+func (s *TimeShare) Charge(now, used Time) {
+	s.budget.decayTo(now)
+	s.budget.busy += float64(used)
+	s.earn(now)
+	s.credit = max(s.credit-float64(used), -float64(second))
 }
 
 // decayTo applies the decay of the recent work up to now.
-func (c *TimeBudget) decayTo(now Time) {
-	if now > c.at {
-		c.busy *= max(0, 1-float64(now-c.at)/loadWindow)
-		c.at = now
+func (b *TimeBudget) decayTo(now Time) {
+	if now > b.at {
+		b.busy *= max(0, 1-float64(now-b.at)/loadWindow)
+		b.at = now
 	}
 }
 
 // Load returns the recent utilization of the loop by all shares, from 0 to about 1.
-func (c *TimeBudget) Load(now Time) float64 {
-	c.decayTo(now)
-	return c.busy / loadWindow
+func (b *TimeBudget) Load(now Time) float64 {
+	b.decayTo(now)
+	return b.busy / loadWindow
 }
 
 // earn credits the share with its part of the time since the last call.
-func (l *TimeShare) earn(now Time) {
-	if now > l.at && l.budget.weight > 0 {
-		part := l.weight / l.budget.weight
-		l.credit = min(l.credit+part*float64(now-l.at), part*maxCredit)
-		l.at = now
+func (s *TimeShare) earn(now Time) {
+	if now > s.at && s.budget.weight > 0 {
+		part := s.weight / s.budget.weight
+		s.credit = min(s.credit+part*float64(now-s.at), part*maxCredit)
+		s.at = now
 	}
 }
 
 // Delay returns the time until the share may begin more work; 0: now.
-func (l *TimeShare) Delay(now Time) Time {
-	l.earn(now)
-	if l.weight == 0 || l.credit > -debtAllowed*l.weight/l.budget.weight || l.budget.Load(now) < busyLoad {
+func (s *TimeShare) Delay(now Time) Time {
+	s.earn(now)
+	if s.weight == 0 || s.credit > -debtAllowed*s.weight/s.budget.weight || s.budget.Load(now) < busyLoad {
 		return 0
 	}
-	return max(1, Time(-l.credit*l.budget.weight/l.weight))
+	return max(1, Time(-s.credit*s.budget.weight/s.weight))
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -17,16 +17,16 @@
 		status     int
 		after      Time
 	}{
-		"no limit":          {Limits{}, Limits{}, 100, 9, 100, 0, 0},
-		"open":              {Limits{InFlight: 3}, Limits{}, 5, 9, 3, 503, second},
-		"open of a class":   {Limits{InFlight: 9}, Limits{InFlight: 2}, 5, 9, 2, 503, second},
-		"bytes":             {Limits{Bytes: 30}, Limits{}, 5, 9, 3, 503, second},
-		"rate":              {Limits{Rate: 10, Burst: 2}, Limits{}, 5, 9, 2, 429, second / 10},
-		"rate of a class":   {Limits{}, Limits{Rate: 1}, 5, 9, 1, 429, second},
-		"the share is used": {Limits{}, Limits{}, 20, 9, 10, 503, second},
+		"no limit":              {Limits{}, Limits{}, 100, 9, 100, 0, 0},
+		"in flight":             {Limits{InFlight: 3}, Limits{}, 5, 9, 3, 503, second},
+		"in flight, class":      {Limits{InFlight: 9}, Limits{InFlight: 2}, 5, 9, 2, 503, second},
+		"bytes":                 {Limits{Bytes: 30}, Limits{}, 5, 9, 3, 503, second},
+		"rate":                  {Limits{Rate: 10, Burst: 2}, Limits{}, 5, 9, 2, 429, second / 10},
+		"rate, class":           {Limits{}, Limits{Rate: 1}, 5, 9, 1, 429, second},
+		"shared budget used up": {Limits{}, Limits{}, 20, 9, 10, 503, second},
 	} {
 		var share *Share
-		if name == "the share is used" {
+		if name == "shared budget used up" {
 			b := NewBudget(13)
 			share = b.Share(4)
 			b.Share(3) // the reserve of another pool, which is not available to this one
@@ -48,7 +48,7 @@
 		for range admitted {
 			p.Done(0, c.bytes, Unbooked{})
 		}
-		assert.Zero(t, p.all.open+p.all.bytes+p.classes[0].open+p.classes[0].bytes, name)
+		assert.Zero(t, p.all.inFlight+p.all.bytes+p.classes[0].inFlight+p.classes[0].bytes, name)
 		if c.status == 429 {
 			assert.False(t, p.Admit(last.RetryAfter+1, 0, 1).Refused(), "%s: a request is admitted after RetryAfter", name)
 		}
