--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -18,7 +18,7 @@
 		after      Time
 	}{
 		"no limit":              {Limits{}, Limits{}, 100, 9, 100, 0, 0},
-		"in flight":             {Limits{InFlight: 3}, Limits{}, 5, 9, 3, 503, second},
+		"open":                  {Limits{InFlight: 3}, Limits{}, 5, 9, 3, 503, second},
 		"in flight, class":      {Limits{InFlight: 9}, Limits{InFlight: 2}, 5, 9, 2, 503, second},
 		"bytes":                 {Limits{Bytes: 30}, Limits{}, 5, 9, 3, 503, second},
 		"rate":                  {Limits{Rate: 10, Burst: 2}, Limits{}, 5, 9, 2, 429, second / 10},
