--- a/coordination/systemtest/controller_test.go
+++ b/coordination/systemtest/controller_test.go
@@ -121,13 +121,8 @@
 	case register.Request:
 		c.node.serve(request, func(reply register.Reply) { answer(reply) })
 	case heartbeat:
-<<<<<<< HEAD
 		c.decider.SetVotersInDoubt(c.node.setInDoubt())
-		reply := c.decider.Receive(c.process.Steady(), request.Lease)
-=======
-		c.decider.SetDoubt(c.node.setInDoubt())
 		reply := c.decider.Receive(c.process.Monotonic(), request.Lease)
->>>>>>> 7266688a8580ef5eb7cb803f2db13170478901c9
 		c.hear(request.Revision, request.List)
 		answer(heartbeatReply{Lease: reply, Revision: c.node.chosen.Value.Revision, List: c.list})
 	case listMessage:
@@ -225,11 +220,7 @@
 			c.beating[address] = false
 			if err == nil {
 				reply := answer.(heartbeatReply)
-<<<<<<< HEAD
-				c.decider.HandleReply(now, c.process.Steady(), reply.Lease)
-=======
-				c.decider.Answered(now, c.process.Monotonic(), reply.Lease)
->>>>>>> 7266688a8580ef5eb7cb803f2db13170478901c9
+				c.decider.HandleReply(now, c.process.Monotonic(), reply.Lease)
 				c.hear(reply.Revision, reply.List)
 			}
 		})
--- a/coordination/systemtest/frontend_test.go
+++ b/coordination/systemtest/frontend_test.go
@@ -29,13 +29,8 @@
 		f.send(f.detector.Receive(process.MonotonicTime(), message.(membership.Message)))
 	})
 	// Each is told of one other; the rest travels with the heartbeats.
-<<<<<<< HEAD
-	f.detector.AddMembers(process.SteadyTime(), []membership.Member{memberOf(site.neighbour(process.Name()))})
-	process.Every(memberInterval, func() { f.send(f.detector.Tick(process.SteadyTime())) })
-=======
-	f.detector.Learn(process.MonotonicTime(), []membership.Member{memberOf(site.neighbour(process.Name()))})
+	f.detector.AddMembers(process.MonotonicTime(), []membership.Member{memberOf(site.neighbour(process.Name()))})
 	process.Every(memberInterval, func() { f.send(f.detector.Tick(process.MonotonicTime())) })
->>>>>>> 7266688a8580ef5eb7cb803f2db13170478901c9
 	f.poll()
 	return f
 }
