--- a/coordination/systemtest/controller_test.go
+++ b/coordination/systemtest/controller_test.go
@@ -16,19 +16,19 @@
 	"weldscale/internal/fleetwire"
 )
 
-// Spans of a controller.
+// Intervals and timeouts of a controller.
 const (
-	leaseBeat        = 200 * time.Millisecond
-	leaseCallTimeout = 400 * time.Millisecond
-	claimBudget      = time.Second
-	operatorBudget   = 1500 * time.Millisecond
-	readEvery        = 500 * time.Millisecond
-	longestReading   = 300 * time.Millisecond
-	pollCheck        = 20 * time.Millisecond
-	roleReader       = "reader"
+	leaseHeartbeat    = 200 * time.Millisecond
+	leaseCallTimeout  = 400 * time.Millisecond
+	claimTimeout      = time.Second
+	operatorTimeout   = 1500 * time.Millisecond
+	listReadInterval  = 500 * time.Millisecond
+	maxListReadTime   = 300 * time.Millisecond
+	pollCheckInterval = 20 * time.Millisecond
+	roleReader        = "reader"
 )
 
-// state is what the register holds: a log of changes, the last of which is the configuration, and the roles.
+// state is the data of the register: a log of changes, of which the last one is the configuration, and the record of the role.
 type state struct {
 	Log    []string
 	Reader lease.Record
@@ -54,7 +54,7 @@
 	}
 }
 
-// Messages of controllers and their clients, beside those of the packages.
+// Messages between controllers and from clients, in addition to those of the packages.
 type (
 	heartbeat struct {
 		Lease    lease.Message
@@ -70,7 +70,7 @@
 		Version fleetwire.ListVersion
 		Content string
 	}
-	// clientRequest appends an identifier to the log, or reads the log if it is empty.
+	// clientRequest appends an identifier to the log, or reads the log if the identifier is empty.
 	clientRequest struct{ Append string }
 	clientReply   struct {
 		Log   []string
@@ -78,41 +78,42 @@
 	}
 )
 
-// controller is a replica with the leases and the hub of watchers.
+// controller is a replica of the register with a lease participant and a watch hub.
 type controller struct {
-	process  *sim.Process
-	site     *site
-	node     *node
-	self     lease.Member
-	decider  *lease.Participant
-	hub      *watch.Hub
-	list     listMessage
-	readings int
-	beating  map[string]bool
-	polls    []*heldPoll
-	synced   bool
-	catching bool
+	process           *sim.Process
+	deployment        *deployment
+	node              *node
+	self              lease.Member
+	participant       *lease.Participant
+	hub               *watch.Hub
+	list              listMessage
+	readCount         int
+	heartbeatsPending map[string]bool
+	polls             []*heldPoll
+	synced            bool // the register was read once since the start
+	readPending       bool // a read for a newer revision is in progress
 }
 
+// heldPoll is a long poll that is not answered yet.
 type heldPoll struct {
-	request fleetwire.WatchRequest
-	since   time.Duration
-	answer  func(any)
+	request    fleetwire.WatchRequest
+	receivedAt time.Duration
+	answer     func(any)
 }
 
-func startController(process *sim.Process, site *site) *controller {
-	c := &controller{process: process, site: site, beating: map[string]bool{}}
+func startController(process *sim.Process, deployment *deployment) *controller {
+	c := &controller{process: process, deployment: deployment, heartbeatsPending: map[string]bool{}}
 	c.self = lease.Member{Address: process.Name(), Life: fmt.Sprint(process.Incarnation())}
-	c.decider = lease.New(c.self, []string{roleReader}, lease.DefaultTiming(), process.Monotonic(), site.bootstrap)
-	c.node = newNode(process, site)
+	c.participant = lease.New(c.self, []string{roleReader}, lease.DefaultTiming(), process.Monotonic(), deployment.bootstrap)
+	c.node = newNode(process, deployment)
 	c.hub = watch.NewHub(watch.HubOptions{QuorumAge: c.node.quorumAge})
 	c.node.onChosen = c.publish
 	process.OnCall(c.serve)
 	c.node.start()
-	process.Every(leaseBeat, c.beat)
-	process.Every(readEvery, c.readList)
-	process.Every(pollCheck, c.answerPolls)
-	process.Every(leaseBeat, c.sync)
+	process.Every(leaseHeartbeat, c.sendHeartbeats)
+	process.Every(listReadInterval, c.readList)
+	process.Every(pollCheckInterval, c.answerPolls)
+	process.Every(leaseHeartbeat, c.sync)
 	return c
 }
 
@@ -121,15 +122,15 @@
 	case register.Request:
 		c.node.serve(request, func(reply register.Reply) { answer(reply) })
 	case heartbeat:
-		c.decider.SetVotersInDoubt(c.node.setInDoubt())
-		reply := c.decider.Receive(c.process.Monotonic(), request.Lease)
-		c.hear(request.Revision, request.List)
+		c.participant.SetVotersInDoubt(c.node.replicaSetInDoubt())
+		reply := c.participant.Receive(c.process.Monotonic(), request.Lease)
+		c.handlePeerState(request.Revision, request.List)
 		answer(heartbeatReply{Lease: reply, Revision: c.node.chosen.Value.Revision, List: c.list})
 	case listMessage:
-		c.offer(request)
+		c.adoptList(request)
 		answer(listMessage{})
 	case fleetwire.WatchRequest:
-		c.polls = append(c.polls, &heldPoll{request: request, since: c.process.Monotonic(), answer: answer})
+		c.polls = append(c.polls, &heldPoll{request: request, receivedAt: c.process.Monotonic(), answer: answer})
 		c.answerPolls()
 	case clientRequest:
 		c.serveClient(request, answer)
@@ -145,7 +146,7 @@
 		answer(clientReply{Log: decodeState(chosen.Value.Data).Log})
 	}
 	if request.Append == "" {
-		c.node.read(operatorBudget, done)
+		c.node.read(operatorTimeout, done)
 		return
 	}
 	c.update(func(s state) state {
@@ -153,10 +154,10 @@
 			s.Log = append(slices.Clone(s.Log), request.Append)
 		}
 		return s
-	}, operatorBudget, done)
+	}, operatorTimeout, done)
 }
 
-func (c *controller) update(change func(state) state, budget time.Duration, done func(register.Accepted, error)) {
+func (c *controller) update(change func(state) state, timeout time.Duration, done func(register.Accepted, error)) {
 	c.node.propose(func(value register.Value) (register.Value, error) {
 		before := decodeState(value.Data)
 		after := change(before)
@@ -165,15 +166,15 @@
 		}
 		value.Data, value.Previous = after.encode(), nil
 		return value, nil
-	}, budget, done)
+	}, timeout, done)
 }
 
-// publish passes a newly chosen state on.
+// publish passes a newly chosen state to the lease participant and the hub.
 func (c *controller) publish() {
 	value := c.node.chosen.Value
 	current := decodeState(value.Data)
 	replicas := c.voters()
-	c.decider.Learn(c.process.Monotonic(), replicas, map[string]lease.Record{roleReader: current.Reader})
+	c.participant.Learn(c.process.Monotonic(), replicas, map[string]lease.Record{roleReader: current.Reader})
 	if changes := len(current.Log); changes > 0 {
 		config := &fleetwire.Config{Version: int64(changes), Routes: []fleetwire.Route{{Name: current.Log[changes-1]}}}
 		must(c.hub.PublishConfig(uint64(changes), config))
@@ -182,91 +183,92 @@
 	c.answerPolls()
 }
 
-// voters returns the addresses of the replicas, in order.
+// voters returns the sorted addresses of the replicas.
 func (c *controller) voters() []string {
 	addresses := lo.Map(c.node.chosen.Value.Replicas, func(r register.Replica, _ int) string { return r.Address })
 	return slices.Compact(slices.Sorted(slices.Values(addresses)))
 }
 
-// sync reads the register once after the start.
+// sync reads the register until one read has succeeded since the start.
 func (c *controller) sync() {
 	if !c.synced {
-		c.node.read(claimBudget, func(_ register.Accepted, err error) {
+		c.node.read(claimTimeout, func(_ register.Accepted, err error) {
 			if err == nil {
 				c.synced = true
-				c.decider.MarkSynced()
+				c.participant.MarkSynced()
 			}
 		})
 	}
 }
 
-func (c *controller) others() []string {
+func (c *controller) peerAddresses() []string {
 	replicas := lo.Map(c.node.chosen.Value.Members(), func(r register.Replica, _ int) string { return r.Address })
-	return lo.Without(lo.Uniq(append(replicas, c.site.seeds...)), c.process.Name())
+	return lo.Without(lo.Uniq(append(replicas, c.deployment.seeds...)), c.process.Name())
 }
 
-// beat sends heartbeats and takes roles that are due.
-func (c *controller) beat() {
+// sendHeartbeats sends heartbeats to the other controllers and claims vacant roles.
+func (c *controller) sendHeartbeats() {
 	now := c.process.Monotonic()
-	inTouch := c.node.quorumAge() <= watch.DefaultMaxQuorumAge
-	c.decider.SetVotersInDoubt(c.node.setInDoubt())
-	message := heartbeat{Lease: c.decider.Heartbeat(now, inTouch), Revision: c.node.chosen.Value.Revision, List: c.list}
-	for _, address := range c.others() {
-		if c.beating[address] {
+	healthy := c.node.quorumAge() <= watch.DefaultMaxQuorumAge
+	c.participant.SetVotersInDoubt(c.node.replicaSetInDoubt())
+	message := heartbeat{Lease: c.participant.Heartbeat(now, healthy), Revision: c.node.chosen.Value.Revision, List: c.list}
+	for _, address := range c.peerAddresses() {
+		if c.heartbeatsPending[address] {
 			continue
 		}
-		c.beating[address] = true
+		c.heartbeatsPending[address] = true
 		c.process.Call(address, message, leaseCallTimeout, func(answer any, err error) {
-			c.beating[address] = false
+			c.heartbeatsPending[address] = false
 			if err == nil {
 				reply := answer.(heartbeatReply)
-				c.decider.HandleReply(now, c.process.Monotonic(), reply.Lease)
-				c.hear(reply.Revision, reply.List)
+				c.participant.HandleReply(now, c.process.Monotonic(), reply.Lease)
+				c.handlePeerState(reply.Revision, reply.List)
 			}
 		})
 	}
-	for _, claim := range c.decider.Claims(now) {
-		c.take(claim)
+	for _, claim := range c.participant.Claims(now) {
+		c.claimRole(claim)
 	}
 }
 
-func (c *controller) take(claim lease.Claim) {
+func (c *controller) claimRole(claim lease.Claim) {
 	c.update(func(s state) state {
 		if s.Reader.Token == claim.Previous {
 			s.Reader = lease.Record{Holder: c.self, Token: claim.Previous + 1}
 		}
 		return s
-	}, claimBudget, func(register.Accepted, error) {})
+	}, claimTimeout, func(register.Accepted, error) {})
 }
 
-// hear takes what another controller tells.
-func (c *controller) hear(revision uint64, list listMessage) {
-	c.offer(list)
-	if revision > c.node.chosen.Value.Revision && !c.catching {
-		c.catching = true
-		c.node.read(claimBudget, func(register.Accepted, error) { c.catching = false })
+// handlePeerState adopts the list of another controller, and reads the register if that controller knows a newer revision.
+func (c *controller) handlePeerState(revision uint64, list listMessage) {
+	c.adoptList(list)
+	if revision > c.node.chosen.Value.Revision && !c.readPending {
+		c.readPending = true
+		c.node.read(claimTimeout, func(register.Accepted, error) { c.readPending = false })
 	}
 }
 
-// holds returns the token under which this controller may act now.
+// holds reports whether this controller may act in the role now, and under which token.
 func (c *controller) holds() (uint64, bool) {
-	token, held := c.decider.Holds(c.process.Monotonic(), roleReader)
-	if held && c.site.broken.keepsToken {
-		token = 1 // takes roles without raising the token
+	token, held := c.participant.Holds(c.process.Monotonic(), roleReader)
+	if held && c.deployment.defects.reusesToken {
+		token = 1 // each holder acts under the same token
 	}
 	return token, held
 }
 
-// readList reads a list of workers, which takes a while, if this controller holds the role.
+// readList reads a list of workers if this controller holds the role. The result is discarded if the controller has lost the
+// role during the read.
 func (c *controller) readList() {
 	token, held := c.holds()
 	if !held {
 		return
 	}
-	c.readings++
-	content := fmt.Sprintf("%s/%s/%d", c.self.Address, c.self.Life, c.readings)
-	c.process.After(c.process.World().Between(0, longestReading), func() {
-		if again, held := c.holds(); !held || again != token || token < c.list.Version.Token {
+	c.readCount++
+	content := fmt.Sprintf("%s/%s/%d", c.self.Address, c.self.Life, c.readCount)
+	c.process.After(c.process.World().Between(0, maxListReadTime), func() {
+		if tokenNow, held := c.holds(); !held || tokenNow != token || token < c.list.Version.Token {
 			return
 		}
 		sequence := uint64(1)
@@ -274,15 +276,15 @@
 			sequence = c.list.Version.Sequence + 1
 		}
 		message := listMessage{Version: fleetwire.ListVersion{Token: token, Sequence: sequence}, Content: content}
-		c.site.checks.acted(c.self, message)
-		c.offer(message)
-		for _, address := range c.others() {
+		c.deployment.checker.checkAction(c.self, message)
+		c.adoptList(message)
+		for _, address := range c.peerAddresses() {
 			c.process.Call(address, message, leaseCallTimeout, func(any, error) {})
 		}
 	})
 }
 
-func (c *controller) offer(message listMessage) {
+func (c *controller) adoptList(message listMessage) {
 	if !c.list.Version.Less(message.Version) {
 		return
 	}
@@ -291,21 +293,22 @@
 	c.answerPolls()
 }
 
-// answerPolls answers the long polls that are due: there is something newer, the wait is over, or the majority is lost.
+// answerPolls answers the long polls for which there is a newer version or whose wait is over. It answers all of them if the
+// quorum contact is stale.
 func (c *controller) answerPolls() {
 	now := c.process.Monotonic()
 	version := c.hub.Current().Version
 	c.polls = slices.DeleteFunc(c.polls, func(p *heldPoll) bool {
 		have, wait := p.request.Have, time.Duration(p.request.WaitMs)*time.Millisecond
 		newer := version.ConfigRevision > have.ConfigRevision || have.Instances.Less(version.Instances)
-		if !newer && now-p.since < wait && c.node.quorumAge() < watch.DefaultMaxQuorumAge {
+		if !newer && now-p.receivedAt < wait && c.node.quorumAge() < watch.DefaultMaxQuorumAge {
 			return false
 		}
 		request := p.request
 		request.WaitMs = 0
 		reply, err := c.hub.Serve(context.Background(), request)
 		must(err)
-		reply.HeldMs, reply.ListAgeMs = (now - p.since).Milliseconds(), 0 // the hub itself reads another clock
+		reply.HeldMs, reply.ListAgeMs = (now - p.receivedAt).Milliseconds(), 0 // the hub measured these with the real clock
 		p.answer(reply)
 		return true
 	})
--- a/coordination/systemtest/doc.go
+++ b/coordination/systemtest/doc.go
@@ -1,6 +1,7 @@
-// Package systemtest simulates the coordination packages together: replicas of the register with leases and watches on some
-// machines, followers and failure detectors on others, with every fault that package sim has. It holds only tests.
+// Package systemtest simulates the coordination packages together, with all faults of package sim. Some machines run controllers:
+// replicas of the register with leases and a watch hub. The others run frontends: followers with failure detectors. The package
+// contains only tests.
 //
-// The pure deciders of the packages are driven here as their own drivers do it over sockets. What is checked is told in
-// docs/design/COORDINATION.md.
+// The tests drive the state machines of the packages in the same way as the packages' own drivers, which use sockets.
+// docs/design/COORDINATION.md lists the properties that are checked.
 package systemtest
--- a/coordination/systemtest/frontend_test.go
+++ b/coordination/systemtest/frontend_test.go
@@ -9,28 +9,28 @@
 	"weldscale/internal/fleetwire"
 )
 
-// memberInterval is the pace of the failure detectors.
-const memberInterval = 250 * time.Millisecond
+// detectorInterval is the probe interval of the failure detectors.
+const detectorInterval = 250 * time.Millisecond
 
-// frontend follows the controllers and watches over the other frontends.
+// frontend is a subscriber of the controllers that detects failures of the other frontends.
 type frontend struct {
-	process  *sim.Process
-	site     *site
-	follower *watch.Follower
-	detector *membership.Detector
-	seen     *watch.Snapshot
+	process    *sim.Process
+	deployment *deployment
+	follower   *watch.Follower
+	detector   *membership.Detector
+	current    *watch.Snapshot
 }
 
-func startFrontend(process *sim.Process, site *site) *frontend {
-	f := &frontend{process: process, site: site}
-	f.detector = membership.NewDetector(membership.Options{Self: memberOf(process.Name()), Interval: memberInterval})
-	f.follow()
+func startFrontend(process *sim.Process, deployment *deployment) *frontend {
+	f := &frontend{process: process, deployment: deployment}
+	f.detector = membership.NewDetector(membership.Options{Self: memberOf(process.Name()), Interval: detectorInterval})
+	f.resetFollower()
 	process.OnMessage(func(_ string, message any) {
 		f.send(f.detector.Receive(process.MonotonicTime(), message.(membership.Message)))
 	})
-	// Each is told of one other; the rest travels with the heartbeats.
-	f.detector.AddMembers(process.MonotonicTime(), []membership.Member{memberOf(site.neighbour(process.Name()))})
-	process.Every(memberInterval, func() { f.send(f.detector.Tick(process.MonotonicTime())) })
+	// Each frontend knows one other at first. It learns of the rest by gossip.
+	f.detector.AddMembers(process.MonotonicTime(), []membership.Member{memberOf(deployment.nextFrontend(process.Name()))})
+	process.Every(detectorInterval, func() { f.send(f.detector.Tick(process.MonotonicTime())) })
 	f.poll()
 	return f
 }
@@ -43,49 +43,49 @@
 	}
 }
 
-// follow begins with a follower that holds nothing.
-func (f *frontend) follow() {
+// resetFollower replaces the follower by one without a snapshot.
+func (f *frontend) resetFollower() {
 	f.follower = watch.NewFollower(watch.FollowerOptions{
 		Self:     fleetwire.Member{Name: f.process.Name()},
-		Sources:  func() []string { return f.site.seeds },
+		Sources:  func() []string { return f.deployment.seeds },
 		OnChange: f.adopt,
 		Jitter:   f.process.World().Float64,
 	})
 }
 
 func (f *frontend) adopt(snapshot *watch.Snapshot) {
-	f.site.checks.followed(f.process.Name(), f.seen, snapshot)
-	f.seen = snapshot
+	f.deployment.checker.checkSnapshot(f.process.Name(), f.current, snapshot)
+	f.current = snapshot
 }
 
 func (f *frontend) poll() {
-	if f.site.broken.goesBack {
-		f.follow()
+	if f.deployment.defects.resetsFollower {
+		f.resetFollower()
 	}
 	follower := f.follower
-	ask, request := follower.NextPoll(f.process.MonotonicTime())
-	f.process.After(ask.Delay, func() {
-		if ask.Address == "" {
+	poll, request := follower.NextPoll(f.process.MonotonicTime())
+	f.process.After(poll.Delay, func() {
+		if poll.Address == "" {
 			f.poll()
 			return
 		}
 		sent := f.process.MonotonicTime()
-		f.process.Call(ask.Address, request, ask.Deadline, func(answer any, err error) {
+		f.process.Call(poll.Address, request, poll.Deadline, func(answer any, err error) {
 			if err != nil {
-				follower.HandleFailure(f.process.MonotonicTime(), ask)
+				follower.HandleFailure(f.process.MonotonicTime(), poll)
 			} else {
 				reply := answer.(fleetwire.WatchReply)
-				follower.HandleReply(f.process.MonotonicTime(), sent, ask, &reply)
+				follower.HandleReply(f.process.MonotonicTime(), sent, poll, &reply)
 			}
 			f.poll()
 		})
 	})
 }
 
-// revision is that of the configuration that is held, 0 for none.
-func (f *frontend) revision() uint64 {
-	if f.seen == nil {
+// configRevision returns the revision of the current configuration, or 0 if there is none.
+func (f *frontend) configRevision() uint64 {
+	if f.current == nil {
 		return 0
 	}
-	return f.seen.Version.ConfigRevision
+	return f.current.Version.ConfigRevision
 }
--- a/coordination/systemtest/node_test.go
+++ b/coordination/systemtest/node_test.go
@@ -13,112 +13,112 @@
 	"weldscale/coordination/sim"
 )
 
-// Spans of a node, as register.Node has them.
+// Timeouts, intervals and limits of a node, in accordance with register.Node.
 const (
-	roundTimeout     = register.DefaultRoundTimeout
-	registerBeat     = register.DefaultHeartbeat
-	removeAfter      = register.DefaultRemoveAfter
-	heartbeatTimeout = 600 * time.Millisecond
-	queryTimeout     = 300 * time.Millisecond
-	callTimeout      = 2 * time.Second
-	lostAfter        = 600 * time.Millisecond
-	leastBackoff     = 15 * time.Millisecond
-	firstBackoff     = 20 * time.Millisecond
-	maxBackoff       = 400 * time.Millisecond
-	upkeepTick       = 50 * time.Millisecond
-	upkeepBudget     = 3 * time.Second
-	joinProbe        = 500 * time.Millisecond
-	rankDelay        = 400 * time.Millisecond
-	doubtAfter       = time.Second
-	missesForSilence = 3
-	keepAfter        = 300 * time.Millisecond
-	maxWaiting       = 16
+	roundTimeout          = register.DefaultRoundTimeout
+	registerHeartbeat     = register.DefaultHeartbeat
+	removeAfter           = register.DefaultRemoveAfter
+	heartbeatTimeout      = 600 * time.Millisecond
+	queryTimeout          = 300 * time.Millisecond
+	callTimeout           = 2 * time.Second
+	quorumLostAfter       = 600 * time.Millisecond
+	minBackoff            = 15 * time.Millisecond
+	initialBackoff        = 20 * time.Millisecond
+	maxBackoff            = 400 * time.Millisecond
+	upkeepInterval        = 50 * time.Millisecond
+	upkeepTimeout         = 3 * time.Second
+	joinProbeTimeout      = 500 * time.Millisecond
+	rankDelay             = 400 * time.Millisecond
+	doubtTimeout          = time.Second
+	failedCallsForSilence = 3
+	catchUpAfter          = 300 * time.Millisecond
+	maxDiskQueue          = 16
 )
 
-// node is a process's share in the register.
+// node runs the register in one process, like register.Node.
 type node struct {
-	process *sim.Process
-	site    *site
-	disk    register.Disk
-	number  uint64 // of this life as a proposer
-	ballots *register.BallotGenerator
-
-	acceptor *register.Acceptor // nil until the disk has an identity
-	waiting  []func()           // requests that wait for the disk
-	writing  bool
-	chosen   register.Accepted
-	peers    map[string]*peer
-	current  *operation
-	queue    []*operation // operations that wait for their turn
-	onChosen func()
-
-	upkeepRuns bool
-	jointSeen  register.Ballot
-	jointSince time.Duration
-	doubtSince time.Duration
-	probeSince time.Duration
-	// behindSince is when the own disk began to lack what is chosen; 0: it has it.
-	behindSince time.Duration
-	lastBeat    time.Duration
-}
-
-// peer is what a node knows of the process at an address.
+	process        *sim.Process
+	deployment     *deployment
+	disk           register.Disk
+	proposerNumber uint64 // drawn at random at each start
+	ballots        *register.BallotGenerator
+
+	acceptor  *register.Acceptor // nil until the disk has an identity
+	diskQueue []func()           // writes that wait for the disk
+	writing   bool
+	chosen    register.Accepted
+	peers     map[string]*peer
+	current   *operation
+	queue     []*operation // operations that wait for current to end
+	onChosen  func()
+
+	upkeepPending bool
+	jointOrigin   register.Ballot
+	jointSince    time.Duration
+	doubtSince    time.Duration
+	probeSince    time.Duration
+	// behindSince is when the local disk began to lack the chosen value, 0 if it does not lack it.
+	behindSince   time.Duration
+	lastHeartbeat time.Duration
+}
+
+// peer is the state that a node keeps about the process at an address.
 type peer struct {
-	id          string
-	heard       bool
-	answered    time.Duration // when the last question that it answered was sent
-	accepted    register.Ballot
-	missed      int
-	missedSince time.Duration
-	asking      bool
-	fetching    bool
+	id               string
+	replied          bool          // it has replied at least once
+	lastAnswered     time.Duration // when the latest request with a reply was sent
+	accepted         register.Ballot
+	failedCalls      int // consecutive calls without a reply
+	failingSince     time.Duration
+	heartbeatPending bool
+	fetchPending     bool
 }
 
 var errNoQuorum = eris.New("no quorum")
 var errInDoubt = eris.New("in doubt")
 
-func newNode(process *sim.Process, site *site) *node {
+func newNode(process *sim.Process, deployment *deployment) *node {
 	number := process.World().Uint64()
 	n := &node{
-		process: process,
-		site:    site,
-		disk:    register.NewDisk(process.Disk().Files()),
-		number:  number,
-		ballots: register.NewBallotGenerator(number),
-		peers:   map[string]*peer{},
+		process:        process,
+		deployment:     deployment,
+		disk:           register.NewDisk(process.Disk().Files()),
+		proposerNumber: number,
+		ballots:        register.NewBallotGenerator(number),
+		peers:          map[string]*peer{},
 	}
 	return n
 }
 
-// start reads the disk and begins to take part.
+// start loads the disk and starts the periodic tick.
 func (n *node) start() {
 	n.load()
-	n.process.Every(upkeepTick, n.tick)
+	n.process.Every(upkeepInterval, n.tick)
 }
 
 func (n *node) load() {
 	acceptor, err := n.disk.Load(n.process.Name())
 	if err != nil {
-		n.process.After(upkeepTick, n.load)
+		n.process.After(upkeepInterval, n.load)
 		return
 	}
 	if acceptor != nil {
 		n.adopt(acceptor)
 	} else {
-		n.mark()
+		n.initializeDisk()
 	}
 }
 
-// mark gives an empty disk its identity.
-func (n *node) mark() {
+// initializeDisk writes an identity to an empty disk.
+func (n *node) initializeDisk() {
 	id, founders := fmt.Sprintf("disk%x", n.process.World().Uint64()), []register.Replica(nil)
-	if n.site.bootstrap && slices.Contains(n.site.founders, n.process.Name()) {
-		id, founders = register.FounderID(n.process.Name()), register.FoundingSet(n.site.founders)
+	if n.deployment.bootstrap && slices.Contains(n.deployment.founders, n.process.Name()) {
+		id, founders = register.FounderID(n.process.Name()), register.FoundingSet(n.deployment.founders)
 	}
-	if n.site.broken.keepsIdentity {
+	if n.deployment.defects.keepsIdentity {
 		id = "disk of " + n.process.Name()
-		if slices.Contains(n.site.founders, n.process.Name()) {
-			id, founders = register.FounderID(n.process.Name()), register.FoundingSet(n.site.founders)
+		if slices.Contains(n.deployment.founders, n.process.Name()) {
+			id, founders = register.FounderID(n.process.Name()), register.FoundingSet(n.deployment.founders)
 		}
 	}
 	var acceptor *register.Acceptor
@@ -128,7 +128,7 @@
 	}
 	n.process.Disk().Submit(n.process, work, func(err error) {
 		if err != nil {
-			n.process.After(upkeepTick, n.mark)
+			n.process.After(upkeepInterval, n.initializeDisk)
 			return
 		}
 		n.adopt(acceptor)
@@ -146,7 +146,7 @@
 		n.learn(accepted)
 		return
 	}
-	n.site.checks.accepted(acceptor.Self().ID, accepted)
+	n.deployment.checker.recordAccept(acceptor.Self().ID, accepted)
 }
 
 func (n *node) id() string { return n.self().ID }
@@ -165,17 +165,18 @@
 	return n.chosen
 }
 
-// setInDoubt reports whether the own replica has accepted a value with other replicas than the newest chosen one.
-func (n *node) setInDoubt() bool {
+// replicaSetInDoubt reports whether the local replica has accepted a value with another replica set than that of the newest
+// chosen value.
+func (n *node) replicaSetInDoubt() bool {
 	return !slices.Equal(n.known().Value.Replicas, n.chosen.Value.Replicas)
 }
 
-// learn takes a value that is chosen.
+// learn records a chosen value if it is newer than the known one.
 func (n *node) learn(chosen register.Accepted) {
 	if !n.chosen.Ballot.Less(chosen.Ballot) {
 		return
 	}
-	n.site.checks.learnt(chosen)
+	n.deployment.checker.checkLearned(chosen)
 	n.chosen = chosen
 	n.ballots.Observe(chosen.Ballot)
 	if n.current != nil {
@@ -186,7 +187,7 @@
 	}
 }
 
-// serve answers a request of another node or of an own operation.
+// serve handles a request of another node or of a local operation.
 func (n *node) serve(request register.Request, answer func(register.Reply)) {
 	if from := request.From.Address; from != "" && from != n.process.Name() {
 		n.peerAt(from)
@@ -194,24 +195,24 @@
 	switch request.Kind {
 	case register.Query:
 		if n.acceptor == nil {
-			answer(n.refusal(request, register.IdentityMismatch))
+			answer(n.newReply(request, register.IdentityMismatch))
 			return
 		}
-		answer(n.toldChosen(n.acceptor.Begin(request).Reply))
+		answer(n.withChosen(n.acceptor.Begin(request).Reply))
 	case register.Prepare, register.Accept:
-		if len(n.waiting) >= maxWaiting {
-			answer(n.refusal(request, register.Busy))
+		if len(n.diskQueue) >= maxDiskQueue {
+			answer(n.newReply(request, register.Busy))
 			return
 		}
-		n.waiting = append(n.waiting, func() { n.write(request, answer) })
-		n.nextWrite()
+		n.diskQueue = append(n.diskQueue, func() { n.handleWrite(request, answer) })
+		n.startNextWrite()
 	case register.Commit:
-		if !n.confirm(request.Ballot) {
-			n.fetch(request.Ballot, request.From.Address)
+		if !n.confirmChosen(request.Ballot) {
+			n.fetchChosen(request.Ballot, request.From.Address)
 		}
-		answer(n.refusal(request, register.NoRefusal))
+		answer(n.newReply(request, register.NoRefusal))
 	case register.FetchChosen:
-		reply := n.refusal(request, register.NoRefusal)
+		reply := n.newReply(request, register.NoRefusal)
 		reply.Accepted = n.chosen.Ballot
 		if request.Known.Less(n.chosen.Ballot) {
 			value := n.chosen.Value
@@ -221,49 +222,49 @@
 	}
 }
 
-func (n *node) refusal(request register.Request, refusal register.Refusal) register.Reply {
+func (n *node) newReply(request register.Request, refusal register.Refusal) register.Reply {
 	return register.Reply{Kind: request.Kind, Ballot: request.Ballot, Refusal: refusal, From: n.self(), Chosen: n.chosen.Ballot}
 }
 
-func (n *node) toldChosen(reply register.Reply) register.Reply {
+func (n *node) withChosen(reply register.Reply) register.Reply {
 	reply.Chosen = n.chosen.Ballot
 	return reply
 }
 
-func (n *node) nextWrite() {
-	if n.writing || len(n.waiting) == 0 {
+func (n *node) startNextWrite() {
+	if n.writing || len(n.diskQueue) == 0 {
 		return
 	}
-	next := n.waiting[0]
-	n.waiting = n.waiting[1:]
+	next := n.diskQueue[0]
+	n.diskQueue = n.diskQueue[1:]
 	n.writing = true
 	next()
 }
 
-func (n *node) written() {
+func (n *node) finishWrite() {
 	n.writing = false
-	n.nextWrite()
+	n.startNextWrite()
 }
 
-// write takes a request that may need the disk.
-func (n *node) write(request register.Request, answer func(register.Reply)) {
+// handleWrite handles a request that may need a write. The caller has reserved the disk.
+func (n *node) handleWrite(request register.Request, answer func(register.Reply)) {
 	if n.acceptor == nil {
-		answer(n.refusal(request, register.IdentityMismatch))
-		n.written()
+		answer(n.newReply(request, register.IdentityMismatch))
+		n.finishWrite()
 		return
 	}
-	n.perform(n.acceptor.Begin(request), answer)
+	n.persist(n.acceptor.Begin(request), answer)
 }
 
-// perform makes the write of a step durable, and answers.
-func (n *node) perform(step register.Step, answer func(register.Reply)) {
+// persist makes the write of a step durable and sends the reply.
+func (n *node) persist(step register.Step, answer func(register.Reply)) {
 	if step.Write == nil {
-		answer(n.toldChosen(step.Reply))
-		n.written()
+		answer(n.withChosen(step.Reply))
+		n.finishWrite()
 		return
 	}
-	if n.site.broken.answersBeforeSync {
-		answer(n.toldChosen(n.finish(step)))
+	if n.deployment.defects.repliesBeforeSync {
+		answer(n.withChosen(n.finishStep(step)))
 		answer = func(register.Reply) {}
 	}
 	refusal := register.NoRefusal
@@ -273,26 +274,27 @@
 	}
 	n.process.Disk().Submit(n.process, work, func(error) {
 		switch {
-		case n.site.broken.answersBeforeSync:
+		case n.deployment.defects.repliesBeforeSync:
 		case refusal == register.NoRefusal:
-			answer(n.toldChosen(n.finish(step)))
+			answer(n.withChosen(n.finishStep(step)))
 		default:
-			answer(n.toldChosen(n.acceptor.Abandon(step, refusal)))
+			answer(n.withChosen(n.acceptor.Abandon(step, refusal)))
 		}
-		n.written()
+		n.finishWrite()
 	})
 }
 
-func (n *node) finish(step register.Step) register.Reply {
+func (n *node) finishStep(step register.Step) register.Reply {
 	reply := n.acceptor.Finish(step)
 	if step.Write.Accepted != nil {
-		n.site.checks.accepted(n.id(), *step.Write.Accepted)
+		n.deployment.checker.recordAccept(n.id(), *step.Write.Accepted)
 	}
 	return reply
 }
 
-// confirm learns that a ballot is chosen if the own acceptor holds its value, and reports whether there is nothing to fetch.
-func (n *node) confirm(ballot register.Ballot) bool {
+// confirmChosen learns that the value of a ballot is chosen if the local acceptor holds it. It reports whether nothing needs to
+// be fetched.
+func (n *node) confirmChosen(ballot register.Ballot) bool {
 	if !n.chosen.Ballot.Less(ballot) {
 		return true
 	}
@@ -303,29 +305,29 @@
 	return true
 }
 
-// call carries a message to a replica, which may be this process itself.
+// call sends a message to a replica, which may be the local one, and calls done with the reply.
 func (n *node) call(message register.Message, timeout time.Duration, done func(register.Reply)) {
-	take := func(reply register.Reply) {
+	handle := func(reply register.Reply) {
 		if reply.Refusal == register.IdentityMismatch {
-			reply.From = message.To // the one that was meant does not live there any more
+			reply.From = message.To // the intended replica is no longer at this address
 		}
 		done(reply)
 	}
 	address, request := message.To.Address, message.Request
 	if address == n.process.Name() {
-		n.serve(request, take)
+		n.serve(request, handle)
 		return
 	}
 	sent := n.process.Monotonic()
 	n.process.Call(address, request, timeout, func(answer any, err error) {
 		if err != nil {
-			n.missed(address)
+			n.recordFailedCall(address)
 			done(register.Reply{Kind: request.Kind, Ballot: request.Ballot, From: message.To, Refusal: register.Unreachable})
 			return
 		}
 		reply := answer.(register.Reply)
-		n.heard(address, sent, reply)
-		take(reply)
+		n.recordReply(address, sent, reply)
+		handle(reply)
 	})
 }
 
@@ -336,53 +338,53 @@
 	return n.peers[address]
 }
 
-func (n *node) heard(address string, sent time.Duration, reply register.Reply) {
+func (n *node) recordReply(address string, sent time.Duration, reply register.Reply) {
 	n.ballots.Observe(reply.Promised)
 	p := n.peerAt(address)
-	p.id, p.missed, p.heard = reply.From.ID, 0, true
-	p.answered = max(p.answered, sent)
+	p.id, p.failedCalls, p.replied = reply.From.ID, 0, true
+	p.lastAnswered = max(p.lastAnswered, sent)
 	if reply.Refusal == register.NoRefusal && reply.Kind != register.FetchChosen && reply.Kind != register.Commit {
 		p.accepted = reply.Accepted
 	}
-	if !n.confirm(reply.Chosen) && reply.Kind != register.FetchChosen {
-		n.fetch(reply.Chosen, address)
+	if !n.confirmChosen(reply.Chosen) && reply.Kind != register.FetchChosen {
+		n.fetchChosen(reply.Chosen, address)
 	}
 }
 
-func (n *node) missed(address string) {
+func (n *node) recordFailedCall(address string) {
 	p := n.peerAt(address)
-	if p.missed == 0 {
-		p.missedSince = n.process.Monotonic()
+	if p.failedCalls == 0 {
+		p.failingSince = n.process.Monotonic()
 	}
-	p.missed++
+	p.failedCalls++
 }
 
-// fetch asks for a value that is chosen.
-func (n *node) fetch(ballot register.Ballot, address string) {
+// fetchChosen fetches the chosen value from an address if this node lacks the value of the ballot.
+func (n *node) fetchChosen(ballot register.Ballot, address string) {
 	p := n.peerAt(address)
-	if !n.chosen.Ballot.Less(ballot) || p.fetching || address == "" || address == n.process.Name() {
+	if !n.chosen.Ballot.Less(ballot) || p.fetchPending || address == "" || address == n.process.Name() {
 		return
 	}
-	p.fetching = true
+	p.fetchPending = true
 	request := register.Request{Kind: register.FetchChosen, From: n.self(), Known: n.chosen.Ballot}
 	n.call(register.Message{To: register.Replica{Address: address}, Request: request}, callTimeout, func(reply register.Reply) {
-		p.fetching = false
+		p.fetchPending = false
 		if reply.Refusal == register.NoRefusal && reply.Value != nil {
 			n.learn(register.Accepted{Ballot: reply.Accepted, Value: *reply.Value})
 		}
 	})
 }
 
-// silence returns how long a replica has been silent, and zero if it isn't.
-func (n *node) silence(replica register.Replica) time.Duration {
+// silentFor returns how long a replica has been silent, or zero if it is not.
+func (n *node) silentFor(replica register.Replica) time.Duration {
 	p := n.peers[replica.Address]
-	if replica.Address == n.process.Name() || p == nil || p.missed == 0 || p.missed < missesForSilence && p.heard {
+	if replica.Address == n.process.Name() || p == nil || p.failedCalls == 0 || p.failedCalls < failedCallsForSilence && p.replied {
 		return 0
 	}
-	return max(1, n.process.Monotonic()-p.missedSince)
+	return max(1, n.process.Monotonic()-p.failingSince)
 }
 
-// quorumAge returns how long ago a majority of the set was last heard.
+// quorumAge returns the time since the last contact with a majority of the replica set, or of both sets of a joint value.
 func (n *node) quorumAge() time.Duration {
 	known := n.chosen.Value
 	if len(known.Replicas) == 0 {
@@ -399,46 +401,46 @@
 	if len(replicas) == 0 {
 		return register.NoContact
 	}
-	ages := lo.Map(replicas, func(replica register.Replica, _ int) time.Duration { return n.age(replica) })
+	ages := lo.Map(replicas, func(replica register.Replica, _ int) time.Duration { return n.contactAge(replica) })
 	slices.SortFunc(ages, cmp.Compare[time.Duration])
 	return ages[len(ages)/2]
 }
 
-func (n *node) age(replica register.Replica) time.Duration {
+func (n *node) contactAge(replica register.Replica) time.Duration {
 	if replica.ID == n.id() {
 		return 0
 	}
 	p := n.peers[replica.Address]
-	if p == nil || p.id != replica.ID || !p.heard {
+	if p == nil || p.id != replica.ID || !p.replied {
 		return register.NoContact
 	}
-	return n.process.Monotonic() - p.answered
+	return n.process.Monotonic() - p.lastAnswered
 }
 
-func (n *node) placed() bool {
+func (n *node) inSetOrStandby() bool {
 	value := n.known().Value
 	return value.HasReplica(n.id()) || len(value.Replicas) >= 2*targetReplicas
 }
 
-func (n *node) beat() {
+func (n *node) sendHeartbeats() {
 	value := n.known().Value
 	addresses := lo.Map(value.Members(), func(r register.Replica, _ int) string { return r.Address })
-	if !value.HasReplica(n.id()) || n.quorumAge() > lostAfter {
-		addresses = append(addresses, n.site.seeds...)
+	if !value.HasReplica(n.id()) || n.quorumAge() > quorumLostAfter {
+		addresses = append(addresses, n.deployment.seeds...)
 		addresses = append(addresses, slices.Sorted(mapKeys(n.peers))...)
 	}
 	for _, address := range lo.Uniq(addresses) {
-		if p := n.peerAt(address); address != n.process.Name() && !p.asking {
-			p.asking = true
-			n.ask(address, p)
+		if p := n.peerAt(address); address != n.process.Name() && !p.heartbeatPending {
+			p.heartbeatPending = true
+			n.sendHeartbeat(address, p)
 		}
 	}
 }
 
-func (n *node) ask(address string, p *peer) {
+func (n *node) sendHeartbeat(address string, p *peer) {
 	request := register.Request{Kind: register.Query, From: n.self()}
 	n.call(register.Message{To: register.Replica{Address: address}, Request: request}, heartbeatTimeout, func(register.Reply) {
-		p.asking = false
+		p.heartbeatPending = false
 		n.confirmByMajority()
 	})
 }
--- a/coordination/systemtest/operation_test.go
+++ b/coordination/systemtest/operation_test.go
@@ -7,7 +7,7 @@
 	"weldscale/coordination/sim"
 )
 
-// operation drives a proposer until it ends or its time is over.
+// operation drives a proposer until it is done or the deadline has passed.
 type operation struct {
 	node     *node
 	change   register.Change
@@ -18,10 +18,10 @@
 	done     func(register.Accepted, error)
 }
 
-// propose queues an operation: a node does not compete with itself.
-func (n *node) propose(change register.Change, budget time.Duration, done func(register.Accepted, error)) {
-	o := &operation{node: n, change: change, backoff: firstBackoff, done: done}
-	o.deadline = n.process.After(budget, o.giveUp)
+// propose queues an operation. A node runs one operation at a time, so that its proposers do not compete.
+func (n *node) propose(change register.Change, timeout time.Duration, done func(register.Accepted, error)) {
+	o := &operation{node: n, change: change, backoff: initialBackoff, done: done}
+	o.deadline = n.process.After(timeout, o.expire)
 	n.queue = append(n.queue, o)
 	n.nextOperation()
 }
@@ -44,7 +44,7 @@
 	}
 	o.proposer = register.NewProposer(n.self(), n.ballots, known, n.chosen.Ballot, o.change)
 	o.setTimer(roundTimeout)
-	o.act(o.proposer.Start())
+	o.handleOutput(o.proposer.Start())
 }
 
 func (o *operation) running() bool { return o.node.current == o }
@@ -54,12 +54,12 @@
 	o.timer = o.node.process.After(delay, func() {
 		if o.running() {
 			o.setTimer(roundTimeout)
-			o.act(o.proposer.Retry())
+			o.handleOutput(o.proposer.Retry())
 		}
 	})
 }
 
-func (o *operation) act(output register.Output) {
+func (o *operation) handleOutput(output register.Output) {
 	if output.Done {
 		result, _ := o.proposer.Result()
 		o.node.learn(result)
@@ -74,7 +74,7 @@
 		if message.Request.Kind == register.Commit && message.To.ID == o.node.id() {
 			continue
 		}
-		o.node.call(message, callTimeout, o.take)
+		o.node.call(message, callTimeout, o.deliver)
 	}
 	switch {
 	case !o.running():
@@ -86,24 +86,25 @@
 }
 
 func (o *operation) retryLater() {
-	o.setTimer(leastBackoff + o.node.process.World().Between(0, o.backoff))
+	o.setTimer(minBackoff + o.node.process.World().Between(0, o.backoff))
 	o.backoff = min(2*o.backoff, maxBackoff)
 }
 
-func (o *operation) take(reply register.Reply) {
+func (o *operation) deliver(reply register.Reply) {
 	if o.running() {
-		o.act(o.proposer.Deliver(reply))
+		o.handleOutput(o.proposer.Deliver(reply))
 	}
 }
 
-// learn tells the proposer of a newer chosen value.
+// learn passes a newer chosen value to the proposer.
 func (o *operation) learn() {
 	if o.proposer.Learn(o.node.chosen) {
 		o.retryLater()
 	}
 }
 
-func (o *operation) giveUp() {
+// expire ends the operation at its deadline. The outcome is in doubt if its proposal may still be chosen.
+func (o *operation) expire() {
 	if !o.running() {
 		o.node.queue = without(o.node.queue, o)
 		o.end(register.Accepted{}, errNoQuorum)
@@ -126,28 +127,29 @@
 	o.node.nextOperation()
 }
 
-// read is a quorum read: two rounds of questions, then an operation that completes what is in doubt.
-func (n *node) read(budget time.Duration, done func(register.Accepted, error)) {
-	n.queryRound(2, budget, done)
+// read performs a quorum read. If two query rounds find no majority for one ballot, it proposes an unchanged value, which
+// completes a value in doubt.
+func (n *node) read(timeout time.Duration, done func(register.Accepted, error)) {
+	n.queryRound(2, timeout, done)
 }
 
-func (n *node) queryRound(rounds int, budget time.Duration, done func(register.Accepted, error)) {
+func (n *node) queryRound(rounds int, timeout time.Duration, done func(register.Accepted, error)) {
 	if rounds == 0 {
-		n.propose(register.Unchanged, budget, done)
+		n.propose(register.Unchanged, timeout, done)
 		return
 	}
 	reader := register.NewReader(n.self(), n.known())
-	ended := false
-	end := func(act func()) {
-		if !ended {
-			ended = true
-			act()
+	finished := false
+	finish := func(then func()) {
+		if !finished {
+			finished = true
+			then()
 		}
 	}
-	var act func(output register.Output)
-	act = func(output register.Output) {
+	var handleOutput func(output register.Output)
+	handleOutput = func(output register.Output) {
 		if output.Done {
-			end(func() {
+			finish(func() {
 				n.learn(reader.Known())
 				done(reader.Known(), nil)
 			})
@@ -155,14 +157,14 @@
 		}
 		for _, message := range output.Messages {
 			n.call(message, queryTimeout, func(reply register.Reply) {
-				if !ended {
-					act(reader.Deliver(reply))
+				if !finished {
+					handleOutput(reader.Deliver(reply))
 				}
 			})
 		}
 	}
 	n.process.After(queryTimeout, func() {
-		end(func() { n.queryRound(rounds-1, budget, done) })
+		finish(func() { n.queryRound(rounds-1, timeout, done) })
 	})
-	act(reader.Start())
+	handleOutput(reader.Start())
 }
--- a/coordination/systemtest/system_test.go
+++ b/coordination/systemtest/system_test.go
@@ -14,119 +14,125 @@
 
 type member = membership.Member
 
-// Bounds within which things have to happen once a site is in order.
+// Time limits within which the conditions must be met in a deployment without faults.
 const (
-	formWithin    = 4 * time.Second
-	recoverWithin = 8 * time.Second
-	ackWithin     = 4 * time.Second
-	spreadWithin  = 2 * time.Second
-	catchUpWithin = 4 * time.Second
-	agreeWithin   = 60 * memberInterval
+	formTimeout        = 4 * time.Second
+	recoveryTimeout    = 8 * time.Second
+	ackTimeout         = 4 * time.Second
+	propagationTimeout = 2 * time.Second
+	catchUpTimeout     = 4 * time.Second
+	agreementTimeout   = 60 * detectorInterval
 )
 
-func (s *site) form() error { return s.reach(formWithin, "formed", s.formed) }
+func (d *deployment) waitFormed() error { return d.waitFor(formTimeout, "formed", d.formed) }
 
-// recovered checks that all is as it should be after the end of all troubles.
-func (s *site) recovered() error {
-	if err := s.reach(recoverWithin, "formed again", s.formed); err != nil {
+// checkRecovery checks that the deployment recovers after all faults have ended: the replica set forms, the role is held, and a
+// change is acknowledged and propagated in time.
+func (d *deployment) checkRecovery() error {
+	if err := d.waitFor(recoveryTimeout, "formed again", d.formed); err != nil {
 		return err
 	}
-	if err := s.reach(recoverWithin, "a holder of the role", s.someoneHolds); err != nil {
+	if err := d.waitFor(recoveryTimeout, "the role is held", d.roleHeld); err != nil {
 		return err
 	}
-	return s.change(ackWithin, s.frontends())
+	return d.checkChange(ackTimeout, d.frontendHosts())
 }
 
-func (s *site) someoneHolds() bool {
-	return lo.SomeBy(s.cores(), func(seat *seat) bool {
-		if process := seat.machine.Process(); process == nil || !process.Running() {
+func (d *deployment) roleHeld() bool {
+	return lo.SomeBy(d.coreHosts(), func(host *host) bool {
+		if process := host.machine.Process(); process == nil || !process.Running() {
 			return false
 		}
-		_, held := seat.controller.holds()
+		_, held := host.controller.holds()
 		return held
 	})
 }
 
-// change makes a change, which has to be acknowledged in time and to reach the frontends soon after.
-func (s *site) change(within time.Duration, frontends []*seat) error {
-	acked := false
-	s.ask(s.nextID(), 4, func(reply clientReply) { acked = reply.Error == nil })
-	if err := s.reach(within, "an acknowledgement", func() bool { return acked }); err != nil {
+// checkChange submits a change and checks that it is acknowledged and propagated to the frontends in time.
+func (d *deployment) checkChange(timeout time.Duration, frontends []*host) error {
+	acknowledged := false
+	d.submit(d.nextID(), 4, func(reply clientReply) { acknowledged = reply.Error == nil })
+	if err := d.waitFor(timeout, "the change is acknowledged", func() bool { return acknowledged }); err != nil {
 		return err
 	}
-	return s.spread(frontends)
+	return d.checkPropagation(frontends)
 }
 
-// spread checks that the frontends soon hold what is the newest configuration now.
-func (s *site) spread(frontends []*seat) error {
-	newest := uint64(len(decodeState(s.checks.newest.Value.Data).Log))
-	return s.reach(spreadWithin, "everyone holds the newest configuration", func() bool {
-		return lo.EveryBy(frontends, func(seat *seat) bool { return seat.frontend.revision() >= newest })
+// checkPropagation checks that the frontends receive the configuration that is the newest one now, or a later one, in time.
+func (d *deployment) checkPropagation(frontends []*host) error {
+	newest := uint64(len(decodeState(d.checker.newest.Value.Data).Log))
+	return d.waitFor(propagationTimeout, "all frontends have the newest configuration", func() bool {
+		return lo.EveryBy(frontends, func(host *host) bool { return host.frontend.configRevision() >= newest })
 	})
 }
 
-// agreed reports whether the frontends know of each other.
-func (s *site) agreed() bool {
-	return lo.EveryBy(s.frontends(), func(seat *seat) bool {
-		return len(seat.frontend.detector.LiveMembers()) == len(s.frontends())-1
+// frontendsAgree reports whether each frontend considers all others live.
+func (d *deployment) frontendsAgree() bool {
+	return lo.EveryBy(d.frontendHosts(), func(host *host) bool {
+		return len(host.frontend.detector.LiveMembers()) == len(d.frontendHosts())-1
 	})
 }
 
-// end checks the whole history.
-func (s *site) end() error {
-	s.checks.acknowledgedSurvive()
-	s.checks.linearizable()
-	return s.verdict()
+// checkHistory checks the complete history of the operator.
+func (d *deployment) checkHistory() error {
+	d.checker.checkAcknowledged()
+	d.checker.checkLinearizable()
+	return d.violationError()
 }
 
-// play has a site go through chaos and recover.
-func play(seed uint64, broken mistakes, kinds []trouble) (*site, error) {
-	s := newSite(seed, broken)
-	for _, act := range []func() error{
-		s.form,
+// runUnderFaults runs a deployment under random faults of the given kinds, and checks that it recovers afterwards.
+func runUnderFaults(seed uint64, defects injectedDefects, faults []fault) (*deployment, error) {
+	d := newDeployment(seed, defects)
+	for _, step := range []func() error{
+		d.waitFormed,
 		func() error {
-			s.bootstrap = false
-			return s.chaos(chaosSpan, kinds)
+			d.bootstrap = false
+			return d.injectFaults(faultPeriod, faults)
 		},
 		func() error {
-			s.heal()
-			return s.recovered()
+			d.healAll()
+			return d.checkRecovery()
 		},
-		func() error { return s.reach(agreeWithin, "the frontends agree", s.agreed) },
-		s.end,
+		func() error {
+			return d.waitFor(agreementTimeout, "the frontends agree on the live members", d.frontendsAgree)
+		},
+		d.checkHistory,
 	} {
-		if err := act(); err != nil {
-			return s, err
+		if err := step(); err != nil {
+			return d, err
 		}
 	}
-	return s, nil
+	return d, nil
 }
 
-func TestASiteKeepsItsPromisesThroughChaos(t *testing.T) {
-	var acked, asked int
+// Random faults of all kinds but suspensions violate no rule, and more than half of the changes are acknowledged.
+func TestDeploymentIsConsistentUnderFaults(t *testing.T) {
+	var acknowledged, submitted int
 	simtest.Run(t, simtest.Seeds{Fixed: 60, Fresh: 20}, func(t *testing.T, seed uint64) {
-		s, err := play(seed, mistakes{}, allTroubles)
+		d, err := runUnderFaults(seed, injectedDefects{}, allFaults)
 		require.NoError(t, err)
-		acked, asked = acked+len(s.checks.acked), asked+s.asked
+		acknowledged, submitted = acknowledged+len(d.checker.acknowledged), submitted+d.changeCount
 	})
-	t.Logf("%d of %d changes acknowledged", acked, asked)
-	require.Greater(t, 2*acked, asked)
+	t.Logf("%d of %d changes acknowledged", acknowledged, submitted)
+	require.Greater(t, 2*acknowledged, submitted)
 }
 
-func TestASiteKeepsItsPromisesWhileReplicasComeAndGo(t *testing.T) {
-	wipes := 0
+// Machines that lose their disk or are replaced during partitions change the replica set while requests are in flight.
+func TestDeploymentIsConsistentDuringReconfigurations(t *testing.T) {
+	wipeCount := 0
 	simtest.Run(t, simtest.Seeds{Fixed: 60, Fresh: 20}, func(t *testing.T, seed uint64) {
-		s, err := play(seed, mistakes{}, turnover)
+		d, err := runUnderFaults(seed, injectedDefects{}, reconfigurationFaults)
 		require.NoError(t, err)
-		wipes += s.wipes
+		wipeCount += d.wipeCount
 	})
-	t.Logf("%d disks lost", wipes)
-	require.Positive(t, wipes)
+	t.Logf("%d disks were lost", wipeCount)
+	require.Positive(t, wipeCount)
 }
 
-func TestTokensFenceWhatSuspendedProcessesDo(t *testing.T) {
+// A process whose monotonic clock was stopped may act on expired grants. Fencing tokens must make its actions harmless.
+func TestTokensFenceSuspendedProcesses(t *testing.T) {
 	simtest.Run(t, simtest.Seeds{Fixed: 20, Fresh: 10}, func(t *testing.T, seed uint64) {
-		_, err := play(seed, mistakes{}, slices.Concat(allTroubles, suspensions))
+		_, err := runUnderFaults(seed, injectedDefects{}, slices.Concat(allFaults, suspendFaults))
 		require.NoError(t, err)
 	})
 }
--- a/coordination/systemtest/tolerance_test.go
+++ b/coordination/systemtest/tolerance_test.go
@@ -13,153 +13,156 @@
 
 const (
 	toleranceRounds = 6
-	outage          = 3 * time.Second
+	maxOutage       = 3 * time.Second
 )
 
-// loss is a trouble that has to be borne from a site in order: while it lasts, changes are acknowledged in time and reach all
-// frontends, and once it is over all is in order again in time.
-type loss struct {
+// failure is one that a deployment without other faults must tolerate. While it lasts, changes are acknowledged and propagated to
+// all frontends in time. After its end, the deployment recovers in time.
+type failure struct {
 	name  string
-	begin func(s *site, hit *seat) (over func())
-	all   bool // all controllers are down for a moment
+	begin func(d *deployment, target *host) (end func())
+	all   bool // all controllers are down for a short time, in which no changes are expected
 }
 
-// losses are what may befall one of the controllers, or all of them at once without one disk more than that of one.
-var losses = []loss{
-	{name: "killed", begin: func(s *site, hit *seat) func() {
-		hit.machine.Kill()
-		return func() { s.start(hit) }
+// failures affect one controller, or all controllers at once. At most one of them loses its disk.
+var failures = []failure{
+	{name: "killed", begin: func(d *deployment, target *host) func() {
+		target.machine.Kill()
+		return func() { d.start(target) }
 	}},
-	{name: "without power", begin: func(s *site, hit *seat) func() {
-		hit.machine.LosePower()
-		return func() { s.start(hit) }
+	{name: "power loss", begin: func(d *deployment, target *host) func() {
+		target.machine.LosePower()
+		return func() { d.start(target) }
 	}},
-	{name: "disk lost", begin: func(s *site, hit *seat) func() {
-		hit.machine.Wipe()
-		return func() { s.start(hit) }
+	{name: "disk lost", begin: func(d *deployment, target *host) func() {
+		target.machine.Wipe()
+		return func() { d.start(target) }
 	}},
-	{name: "replaced at another address", begin: func(s *site, hit *seat) func() {
-		s.replace(hit)
+	{name: "replaced at another address", begin: func(d *deployment, target *host) func() {
+		d.replaceHost(target)
 		return func() {}
 	}},
-	{name: "frozen", begin: func(_ *site, hit *seat) func() {
-		hit.machine.Freeze()
-		return hit.machine.Thaw
+	{name: "frozen", begin: func(_ *deployment, target *host) func() {
+		target.machine.Freeze()
+		return target.machine.Thaw
 	}},
-	{name: "cut off", begin: func(s *site, hit *seat) func() {
-		s.world.Network().Isolate(hit.machine.Name())
-		return func() { s.rejoin(hit.machine.Name()) }
+	{name: "isolated from all", begin: func(d *deployment, target *host) func() {
+		d.world.Network().Isolate(target.machine.Name())
+		return func() { d.reconnect(target.machine.Name()) }
 	}},
-	{name: "not heard", begin: func(s *site, hit *seat) func() {
-		for _, other := range s.seats {
-			s.world.Network().Cut(hit.machine.Name(), other.machine.Name())
+	{name: "outgoing messages lost", begin: func(d *deployment, target *host) func() {
+		for _, other := range d.hosts {
+			d.world.Network().Cut(target.machine.Name(), other.machine.Name())
 		}
-		return func() { s.rejoin(hit.machine.Name()) }
+		return func() { d.reconnect(target.machine.Name()) }
 	}},
-	{name: "disk full", begin: func(_ *site, hit *seat) func() {
-		hit.machine.Disk().Files().Full = true
-		return hit.machine.Disk().ClearFaults
+	{name: "disk full", begin: func(_ *deployment, target *host) func() {
+		target.machine.Disk().Files().Full = true
+		return target.machine.Disk().ClearFaults
 	}},
-	{name: "disk hangs", begin: func(_ *site, hit *seat) func() {
-		hit.machine.Disk().Stall()
-		return hit.machine.Disk().ClearFaults
+	{name: "disk stalled", begin: func(_ *deployment, target *host) func() {
+		target.machine.Disk().Stall()
+		return target.machine.Disk().ClearFaults
 	}},
-	{name: "disk fails", begin: func(_ *site, hit *seat) func() {
-		hit.machine.Disk().Files().FailSyncs = true
-		return hit.machine.Disk().ClearFaults
+	{name: "disk syncs fail", begin: func(_ *deployment, target *host) func() {
+		target.machine.Disk().Files().FailSyncs = true
+		return target.machine.Disk().ClearFaults
 	}},
-	{name: "all killed", all: true, begin: func(s *site, _ *seat) func() {
-		lo.ForEach(s.cores(), func(seat *seat, _ int) { seat.machine.Kill() })
-		return s.startAll
+	{name: "all killed", all: true, begin: func(d *deployment, _ *host) func() {
+		lo.ForEach(d.coreHosts(), func(host *host, _ int) { host.machine.Kill() })
+		return d.startAll
 	}},
-	{name: "all without power", all: true, begin: func(s *site, _ *seat) func() {
-		lo.ForEach(s.cores(), func(seat *seat, _ int) { seat.machine.LosePower() })
-		return s.startAll
+	{name: "power loss of all", all: true, begin: func(d *deployment, _ *host) func() {
+		lo.ForEach(d.coreHosts(), func(host *host, _ int) { host.machine.LosePower() })
+		return d.startAll
 	}},
-	{name: "all without power, one disk lost", all: true, begin: func(s *site, hit *seat) func() {
-		lo.ForEach(s.cores(), func(seat *seat, _ int) { seat.machine.LosePower() })
-		hit.machine.Wipe()
-		return s.startAll
+	{name: "power loss of all, one disk lost", all: true, begin: func(d *deployment, target *host) func() {
+		lo.ForEach(d.coreHosts(), func(host *host, _ int) { host.machine.LosePower() })
+		target.machine.Wipe()
+		return d.startAll
 	}},
 }
 
-func (s *site) startAll() {
-	for _, seat := range s.cores() {
-		s.world.After(s.world.Between(0, startWithin), func() { s.start(seat) })
+func (d *deployment) startAll() {
+	for _, host := range d.coreHosts() {
+		d.world.After(d.world.Between(0, maxStartDelay), func() { d.start(host) })
 	}
 }
 
-// bear has a loss befall the site, right after a change was acknowledged or at any time.
-func (s *site) bear(l loss) error {
-	hit := s.cores()[s.world.IntN(len(s.cores()))]
-	afterChange := s.world.Chance(0.5)
+// checkTolerance injects a failure, right after a change was acknowledged or at any other time, and checks that the deployment
+// tolerates it.
+func (d *deployment) checkTolerance(f failure) error {
+	target := d.coreHosts()[d.world.IntN(len(d.coreHosts()))]
+	afterChange := d.world.Chance(0.5)
 	if afterChange {
-		if err := s.acknowledge(); err != nil {
+		if err := d.commitChange(); err != nil {
 			return err
 		}
 	}
-	over := l.begin(s, hit)
-	if !l.all {
-		if err := s.serveOn(afterChange); err != nil {
+	end := f.begin(d, target)
+	if !f.all {
+		if err := d.checkService(afterChange); err != nil {
 			return err
 		}
 	}
-	over()
-	if err := s.reach(catchUpWithin+startWithin, "formed again", s.formed); err != nil {
+	end()
+	if err := d.waitFor(catchUpTimeout+maxStartDelay, "formed again", d.formed); err != nil {
 		return err
 	}
-	s.checks.acknowledgedSurvive()
-	return s.verdict()
+	d.checker.checkAcknowledged()
+	return d.violationError()
 }
 
-// serveOn checks that the others do the work while one is lost: what was acknowledged just before spreads, and changes are
-// made.
-func (s *site) serveOn(afterChange bool) error {
+// checkService checks that the other controllers keep serving during a failure: they propagate the change that was acknowledged
+// just before, and acknowledge and propagate another one.
+func (d *deployment) checkService(afterChange bool) error {
 	if afterChange {
-		if err := s.spread(s.frontends()); err != nil {
+		if err := d.checkPropagation(d.frontendHosts()); err != nil {
 			return err
 		}
 	}
-	if err := s.change(ackWithin, s.frontends()); err != nil {
+	if err := d.checkChange(ackTimeout, d.frontendHosts()); err != nil {
 		return err
 	}
-	return s.run(s.world.Between(0, outage))
+	return d.run(d.world.Between(0, maxOutage))
 }
 
-// acknowledge makes a change and goes on at the moment of its acknowledgement.
-func (s *site) acknowledge() error {
-	acked := false
-	s.ask(s.nextID(), 4, func(reply clientReply) { acked = reply.Error == nil })
-	return s.reach(ackWithin, "an acknowledgement", func() bool { return acked })
+// commitChange submits a change and returns at the moment of its acknowledgement.
+func (d *deployment) commitChange() error {
+	acknowledged := false
+	d.submit(d.nextID(), 4, func(reply clientReply) { acknowledged = reply.Error == nil })
+	return d.waitFor(ackTimeout, "the change is acknowledged", func() bool { return acknowledged })
 }
 
-// playLosses has a site bear one loss after the other.
-func playLosses(seed uint64, broken mistakes, losses []loss) (*site, error) {
-	s := newSite(seed, broken)
-	s.asked = s.world.IntN(maxOperations) // the operator falls silent at some time
-	s.world.Network().SetDefaultLink(sim.Link{MinDelay: 200 * time.Microsecond, MaxDelay: s.world.Between(time.Millisecond, 10*time.Millisecond)})
-	if err := s.form(); err != nil {
-		return s, err
+// runFailures runs a deployment with one random failure after the other.
+func runFailures(seed uint64, defects injectedDefects, failures []failure) (*deployment, error) {
+	d := newDeployment(seed, defects)
+	d.changeCount = d.world.IntN(maxChanges) // so the operator stops at a random time
+	d.world.Network().SetDefaultLink(sim.Link{MinDelay: 200 * time.Microsecond,
+		MaxDelay: d.world.Between(time.Millisecond, 10*time.Millisecond)})
+	if err := d.waitFormed(); err != nil {
+		return d, err
 	}
-	s.bootstrap = false
-	if err := s.recovered(); err != nil {
-		return s, err
+	d.bootstrap = false
+	if err := d.checkRecovery(); err != nil {
+		return d, err
 	}
 	for range toleranceRounds {
-		l := losses[s.world.IntN(len(losses))]
-		if err := s.bear(l); err != nil {
-			return s, errorIn(l.name, err)
+		f := failures[d.world.IntN(len(failures))]
+		if err := d.checkTolerance(f); err != nil {
+			return d, wrapError(f.name, err)
 		}
 	}
-	if err := s.recovered(); err != nil {
-		return s, err
+	if err := d.checkRecovery(); err != nil {
+		return d, err
 	}
-	return s, s.end()
+	return d, d.checkHistory()
 }
 
-func TestASiteBearsTheLossOfAnyController(t *testing.T) {
+// The failure of any controller, or a short outage of all, loses no acknowledged change and leaves the service available in time.
+func TestDeploymentToleratesFailureOfAnyController(t *testing.T) {
 	simtest.Run(t, simtest.Seeds{Fixed: 60, Fresh: 20}, func(t *testing.T, seed uint64) {
-		_, err := playLosses(seed, mistakes{}, losses)
+		_, err := runFailures(seed, injectedDefects{}, failures)
 		require.NoError(t, err)
 	})
 }
--- a/coordination/systemtest/wiped_test.go
+++ b/coordination/systemtest/wiped_test.go
@@ -9,63 +9,66 @@
 	"weldscale/coordination/sim/simtest"
 )
 
-const wipedRounds = 3
+const wipeRounds = 3
 
-// playWiped has a change be chosen by two replicas of three, of which one is wiped and the other cut off. The third can't
-// know the change, so that nothing may be answered from it and from a disk that has forgotten.
-func playWiped(seed uint64, broken mistakes) (*site, error) {
-	s := newSite(seed, broken)
-	if err := s.form(); err != nil {
-		return s, err
+// runWipes lets two of three replicas accept a change, then wipes one of them and isolates the other. The third replica does not
+// know the change. It and the empty disk must not form a quorum, which would lose the change.
+func runWipes(seed uint64, defects injectedDefects) (*deployment, error) {
+	d := newDeployment(seed, defects)
+	if err := d.waitFormed(); err != nil {
+		return d, err
 	}
-	s.bootstrap = false
-	for range wipedRounds {
-		for _, act := range []func() error{s.forget, s.recovered} {
-			if err := act(); err != nil {
-				return s, err
+	d.bootstrap = false
+	for range wipeRounds {
+		for _, step := range []func() error{d.wipeAfterChange, d.checkRecovery} {
+			if err := step(); err != nil {
+				return d, err
 			}
 		}
 	}
-	return s, s.end()
+	return d, d.checkHistory()
 }
 
-func (s *site) forget() error {
-	three := s.inSet()
-	shuffle(s, three)
-	late, wiped, kept := three[0].machine, three[1], three[2].machine
-	s.world.Network().Isolate(late.Name())
-	if err := s.acknowledge(); err != nil {
+// wipeAfterChange has a change acknowledged while one replica is isolated, and then wipes another one. It finally reconnects all.
+func (d *deployment) wipeAfterChange() error {
+	hosts := d.replicaHosts()
+	shuffle(d, hosts)
+	outdated, wiped, upToDate := hosts[0].machine, hosts[1], hosts[2].machine
+	d.world.Network().Isolate(outdated.Name())
+	if err := d.commitChange(); err != nil {
 		return err
 	}
 	wiped.machine.Wipe()
-	s.world.Network().Isolate(kept.Name())
-	s.rejoin(late.Name())
-	s.world.Network().Cut(kept.Name(), late.Name())
-	s.world.Network().Cut(late.Name(), kept.Name())
-	s.start(wiped)
-	if err := s.run(outage); err != nil {
+	d.world.Network().Isolate(upToDate.Name())
+	d.reconnect(outdated.Name())
+	d.world.Network().Cut(upToDate.Name(), outdated.Name())
+	d.world.Network().Cut(outdated.Name(), upToDate.Name())
+	d.start(wiped)
+	if err := d.run(maxOutage); err != nil {
 		return err
 	}
-	s.rejoin(kept.Name())
+	d.reconnect(upToDate.Name())
 	return nil
 }
 
-// inSet returns the seats of the chosen set.
-func (s *site) inSet() []*seat {
-	set := s.checks.newest.Value
-	return lo.Filter(s.cores(), func(seat *seat, _ int) bool { return set.HasReplica(seat.controller.node.id()) })
+// replicaHosts returns the hosts of the replicas of the chosen set.
+func (d *deployment) replicaHosts() []*host {
+	set := d.checker.newest.Value
+	return lo.Filter(d.coreHosts(), func(host *host, _ int) bool { return set.HasReplica(host.controller.node.id()) })
 }
 
-func shuffle(s *site, seats []*seat) {
-	for i := len(seats) - 1; i > 0; i-- {
-		j := s.world.IntN(i + 1)
-		seats[i], seats[j] = seats[j], seats[i]
+func shuffle(d *deployment, hosts []*host) {
+	for i := len(hosts) - 1; i > 0; i-- {
+		j := d.world.IntN(i + 1)
+		hosts[i], hosts[j] = hosts[j], hosts[i]
 	}
 }
 
-func TestAWipedReplicaBreaksNothing(t *testing.T) {
+// A replica that restarts with an empty disk must not count as the replica that it was before, because it has lost the values
+// that it accepted.
+func TestWipedReplicaLosesNoChange(t *testing.T) {
 	simtest.Run(t, simtest.Seeds{Fixed: 40, Fresh: 10}, func(t *testing.T, seed uint64) {
-		_, err := playWiped(seed, mistakes{})
+		_, err := runWipes(seed, injectedDefects{})
 		require.NoError(t, err)
 	})
 }
