--- a/coordination/systemtest/doc.go
+++ b/coordination/systemtest/doc.go
@@ -3,5 +3,5 @@
 // contains only tests.
 //
 // The tests drive the state machines of the packages in the same way as the packages' own drivers, which use sockets.
-// docs/design/COORDINATION.md lists the properties that are checked.
+// docs/design/COORDINATION.md describes what is checked.
 package systemtest
