--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -87,7 +87,7 @@
 	c.rebalancer = stages.NewRebalancer(stages.Options{
 		Holder:        current.NodeName,
 		Lease:         func() (uint64, bool) { return c.leases.holds(roleStages) },
-		OnFenced:      func(token uint64) { c.leases.giveUp(roleStages, token) },
+		OnFenced:      func(token uint64) { c.leases.releaseRole(roleStages, token) },
 		Fleet:         c.publishedFleet,
 		TakeoverDelay: current.Bounds.Lease() + current.Bounds.Thaw(),
 		Bootstrap:     current.Bootstrap,
--- a/internal/controller/firstlist_test.go
+++ b/internal/controller/firstlist_test.go
@@ -25,9 +25,9 @@
 
 // setRecordedReader makes a member the recorded holder of the role that reads the list.
 func (c *controller) setRecordedReader(holder lease.Member, token uint64) {
-	c.leases.withDecider(func(decider *lease.Participant, now time.Duration) {
+	c.leases.withParticipant(func(participant *lease.Participant, now time.Duration) {
 		voters := []string{c.self.Address, "127.0.0.3:7000", "127.0.0.4:7000"}
-		decider.Learn(now, voters, map[string]lease.Record{roleReader: {Holder: holder, Token: token}})
+		participant.Learn(now, voters, map[string]lease.Record{roleReader: {Holder: holder, Token: token}})
 	})
 }
 
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -51,10 +51,10 @@
 func (c *controller) sendHeartbeats(ctx context.Context, toAll bool) *sync.WaitGroup {
 	var message heartbeat
 	var sentAt time.Duration
-	c.leases.withDecider(func(decider *lease.Participant, now time.Duration) {
+	c.leases.withParticipant(func(participant *lease.Participant, now time.Duration) {
 		sentAt = now
-		decider.SetVotersInDoubt(c.node.ReplicaSetInDoubt())
-		message.Lease = decider.Heartbeat(now, hasQuorum(c.node))
+		participant.SetVotersInDoubt(c.node.ReplicaSetInDoubt())
+		message.Lease = participant.Heartbeat(now, hasQuorum(c.node))
 	})
 	message.Gossip = c.gossip()
 	var calls sync.WaitGroup
@@ -77,7 +77,9 @@
 	if err != nil {
 		return
 	}
-	c.leases.withDecider(func(decider *lease.Participant, now time.Duration) { decider.HandleReply(sentAt, now, reply.Lease) })
+	c.leases.withParticipant(func(participant *lease.Participant, now time.Duration) {
+		participant.HandleReply(sentAt, now, reply.Lease)
+	})
 	if len(reply.Lease.Granted) > 0 {
 		c.poller.Wake()
 	}
@@ -87,9 +89,9 @@
 // serveHeartbeat answers the heartbeat of another controller.
 func (c *controller) serveHeartbeat(_ context.Context, message heartbeat) (heartbeatReply, error) {
 	var reply heartbeatReply
-	c.leases.withDecider(func(decider *lease.Participant, now time.Duration) {
-		decider.SetVotersInDoubt(c.node.ReplicaSetInDoubt())
-		reply.Lease = decider.Receive(now, message.Lease)
+	c.leases.withParticipant(func(participant *lease.Participant, now time.Duration) {
+		participant.SetVotersInDoubt(c.node.ReplicaSetInDoubt())
+		reply.Lease = participant.Receive(now, message.Lease)
 	})
 	c.handleGossip(message.Lease.From.Address, message.Gossip)
 	if len(message.Lease.Released) > 0 {
@@ -146,7 +148,7 @@
 // claimRoles starts a register write for each claim that is due.
 func (c *controller) claimRoles(ctx context.Context) {
 	var claims []lease.Claim
-	c.leases.withDecider(func(decider *lease.Participant, now time.Duration) { claims = decider.Claims(now) })
+	c.leases.withParticipant(func(participant *lease.Participant, now time.Duration) { claims = participant.Claims(now) })
 	for _, claim := range claims {
 		go c.claimRole(ctx, claim)
 	}
--- a/internal/controller/hints.go
+++ b/internal/controller/hints.go
@@ -20,19 +20,19 @@
 type hints struct {
 	started time.Time
 
-	mutex  sync.Mutex
-	keeper *handoff.Store[fleetwire.ListVersion, struct{}]
+	mutex sync.Mutex
+	store *handoff.Store[fleetwire.ListVersion, struct{}]
 }
 
 func newHints() *hints {
-	return &hints{started: time.Now(), keeper: handoff.New[fleetwire.ListVersion, struct{}](hintLimits)}
+	return &hints{started: time.Now(), store: handoff.New[fleetwire.ListVersion, struct{}](hintLimits)}
 }
 
 // add records that a list did not reach a controller.
 func (h *hints) add(address string, version fleetwire.ListVersion) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.keeper.Add(time.Since(h.started), address, handoff.Hint[fleetwire.ListVersion, struct{}]{Key: listKey, Version: version})
+	h.store.Add(time.Since(h.started), address, handoff.Hint[fleetwire.ListVersion, struct{}]{Key: listKey, Version: version})
 }
 
 // takeMissed reports whether a controller that is reachable again and holds the given list has missed a newer one. It removes
@@ -40,8 +40,8 @@
 func (h *hints) takeMissed(address string, held fleetwire.ListVersion) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.keeper.MarkDelivered(address, listKey, held)
-	missed := len(h.keeper.HintsFor(time.Since(h.started), address)) > 0
-	h.keeper.RemovePeer(address) // another failed delivery adds a new hint
+	h.store.MarkDelivered(address, listKey, held)
+	missed := len(h.store.HintsFor(time.Since(h.started), address)) > 0
+	h.store.RemovePeer(address) // another failed delivery adds a new hint
 	return missed
 }
--- a/internal/controller/leases.go
+++ b/internal/controller/leases.go
@@ -20,44 +20,44 @@
 type leases struct {
 	started time.Time
 
-	mutex   sync.Mutex
-	decider *lease.Participant
+	mutex       sync.Mutex
+	participant *lease.Participant
 }
 
 func newLeases(self lease.Member, fresh bool) *leases {
-	decider := lease.New(self, roles, lease.DefaultTiming(), 0, fresh)
-	return &leases{started: time.Now(), decider: decider}
+	participant := lease.New(self, roles, lease.DefaultTiming(), 0, fresh)
+	return &leases{started: time.Now(), participant: participant}
 }
 
 // now returns the monotonic time since the start.
 func (l *leases) now() time.Duration { return time.Since(l.started) }
 
-// withDecider calls use with the decider while it holds the lock.
-func (l *leases) withDecider(use func(decider *lease.Participant, now time.Duration)) {
+// withParticipant calls use with the participant and the current monotonic time while it holds the lock.
+func (l *leases) withParticipant(use func(participant *lease.Participant, now time.Duration)) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	use(l.decider, l.now())
+	use(l.participant, l.now())
 }
 
 // holds reports whether this controller may act in a role now, and under which token.
 func (l *leases) holds(key string) (token uint64, held bool) {
-	l.withDecider(func(decider *lease.Participant, now time.Duration) { token, held = decider.Holds(now, key) })
+	l.withParticipant(func(participant *lease.Participant, now time.Duration) { token, held = participant.Holds(now, key) })
 	return token, held
 }
 
 // recorded reports whether the register names this controller as the holder of a role, and under which token.
 func (l *leases) recorded(key string) (token uint64, ok bool) {
-	l.withDecider(func(decider *lease.Participant, _ time.Duration) { token, ok = decider.RecordedToken(key) })
+	l.withParticipant(func(participant *lease.Participant, _ time.Duration) { token, ok = participant.RecordedToken(key) })
 	return token, ok
 }
 
-// giveUp gives up a role that is held under the token.
-func (l *leases) giveUp(key string, token uint64) {
-	l.withDecider(func(decider *lease.Participant, _ time.Duration) { decider.ReleaseRole(key, token) })
+// releaseRole gives up a role of which this controller is the recorded holder under the token.
+func (l *leases) releaseRole(key string, token uint64) {
+	l.withParticipant(func(participant *lease.Participant, _ time.Duration) { participant.ReleaseRole(key, token) })
 }
 
 // live returns the addresses of the live members, this one included.
 func (l *leases) live() (live []string) {
-	l.withDecider(func(decider *lease.Participant, now time.Duration) { live = decider.LiveAddresses(now) })
+	l.withParticipant(func(participant *lease.Participant, now time.Duration) { live = participant.LiveAddresses(now) })
 	return live
 }
--- a/internal/controller/publish.go
+++ b/internal/controller/publish.go
@@ -38,7 +38,7 @@
 		cancel()
 		if err == nil {
 			c.publish(state)
-			c.leases.withDecider(func(decider *lease.Participant, _ time.Duration) { decider.MarkSynced() })
+			c.leases.withParticipant(func(participant *lease.Participant, _ time.Duration) { participant.MarkSynced() })
 			c.synced.Store(true)
 			return
 		}
@@ -64,7 +64,7 @@
 		c.log.Error("the register's state could not be read", zap.String("cause", err.Error()))
 		return
 	}
-	c.leases.withDecider(func(decider *lease.Participant, now time.Duration) { decider.Learn(now, replicas, state.Roles) })
+	c.leases.withParticipant(func(participant *lease.Participant, now time.Duration) { participant.Learn(now, replicas, state.Roles) })
 	c.publishConfig(state)
 	c.triggerHeartbeat()
 }
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -104,7 +104,7 @@
 // leave releases the roles, informs the other controllers by a heartbeat, ends the polls of the watchers, and removes this
 // replica from the register's set if enough others remain.
 func (c *controller) leave() {
-	c.leases.withDecider(func(decider *lease.Participant, _ time.Duration) { decider.ReleaseAll() })
+	c.leases.withParticipant(func(participant *lease.Participant, _ time.Duration) { participant.ReleaseAll() })
 	c.hub.Close()
 	ctx, cancel := context.WithTimeout(c.ctx, releaseTimeout)
 	defer cancel()
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -38,9 +38,9 @@
 // heldRoles returns the keys of the roles in which this controller may act now.
 func (c *controller) heldRoles() []string {
 	var held []string
-	c.leases.withDecider(func(decider *lease.Participant, now time.Duration) {
+	c.leases.withParticipant(func(participant *lease.Participant, now time.Duration) {
 		for _, key := range roles {
-			if _, ok := decider.Holds(now, key); ok {
+			if _, ok := participant.Holds(now, key); ok {
 				held = append(held, key)
 			}
 		}
