--- a/cmd/weldscale/control.go
+++ b/cmd/weldscale/control.go
@@ -118,7 +118,7 @@
 
 // operate serves the calls of the management address on the control socket.
 func (c *control) operate(w http.ResponseWriter, r *http.Request) {
-	request, reply := mgmt.Read(r.Method, r.URL.EscapedPath())
+	request, reply := mgmt.ParseRequest(r.Method, r.URL.EscapedPath())
 	if request != nil {
 		reply = request.Do(operations{c.s})
 	}
--- a/cmd/weldscale/experiment.go
+++ b/cmd/weldscale/experiment.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if !r.Sound() {
+	if !r.Valid() {
 		return nil, r.Err()
 	}
 	if l.Experiment == nil {
@@ -91,12 +91,12 @@
 	r.Fields(body, settings.Field{Name: "scripts", Unit: settings.Word, To: &scripts}, settings.Field{Name: "policies", Unit: settings.Word, To: &policies},
 		settings.Field{Name: "scale", Unit: settings.Word, To: &scales}, settings.Field{Name: "schedulers", Unit: settings.Word, To: &schedulers},
 		settings.Field{Name: "refresh_ms", Unit: settings.Word, To: &refresh},
-		settings.Field{Name: "seeds", Unit: settings.Count, Least: 1, Most: 1000, To: &m.seeds})
+		settings.Field{Name: "seeds", Unit: settings.Count, Min: 1, Max: 1000, To: &m.seeds})
 	numbers := func(name, text string, most float64) (out []float64) {
 		for _, word := range strings.Fields(text) {
 			v, err := strconv.ParseFloat(word, 64)
 			if err != nil || !(v >= 0 && v <= most) {
-				r.Fault(body, "%s: %q; allowed are numbers from 0 to %g with spaces between", name, word, most)
+				r.AddError(body, "%s: %q; allowed are numbers from 0 to %g with spaces between", name, word, most)
 			}
 			out = append(out, v)
 		}
@@ -105,7 +105,7 @@
 	m.scales, m.schedulers, m.refresh = numbers("scale", scales, 10000), numbers("schedulers", schedulers, 5000), numbers("refresh_ms", refresh, 60000)
 	for _, p := range strings.Fields(policies) {
 		if !slices.Contains(emulator.Policies, p) {
-			r.Fault(body, "policies: no %q; allowed: %s", p, strings.Join(emulator.Policies, ", "))
+			r.AddError(body, "policies: no %q; allowed: %s", p, strings.Join(emulator.Policies, ", "))
 		}
 		m.policies = append(m.policies, p)
 	}
@@ -121,7 +121,7 @@
 		m.names = append(m.names, short)
 	}
 	if len(strings.Fields(scripts)) == 0 {
-		r.Fault(body, "scripts: allowed are paths from this file, with spaces between")
+		r.AddError(body, "scripts: allowed are paths from this file, with spaces between")
 	}
 	return m, errors.Join(r.Err(), errors.Join(faults...))
 }
--- a/cmd/weldscale/fleet.go
+++ b/cmd/weldscale/fleet.go
@@ -60,20 +60,20 @@
 	}
 	receive := func(from string, data []byte) (relay bool) {
 		if member.evidence != nil {
-			if isEvidence, isNew := member.evidence.Take(from, data); isEvidence {
+			if isEvidence, isNew := member.evidence.HandleMessage(from, data); isEvidence {
 				return isNew
 			}
 		}
-		member.budgets.Take(from, data)
+		member.budgets.HandleMessage(from, data)
 		return false
 	}
 	joined := func() {
 		if member.evidence != nil {
-			member.evidence.Repeat()
+			member.evidence.ResendAll()
 		}
 	}
-	link, err := fleet.Start(fleet.Config{Fleet: f.Name, Name: c.Name, Life: life, Zone: f.Zone, Bind: f.Bind, Via: f.Via, Join: f.Join, Key: key,
-		Members: f.Members, Take: receive, Joined: joined})
+	link, err := fleet.Start(fleet.Config{Fleet: f.Name, Name: c.Name, Incarnation: life, Zone: f.Zone, Bind: f.Bind, Relay: f.Relay, Join: f.Join, Key: key,
+		MaxMembers: f.Members, OnMessage: receive, OnJoin: joined})
 	if err != nil {
 		return nil, err
 	}
@@ -96,13 +96,13 @@
 	v.engine.OnOutcome = func(worker string, job bool, s decide.Status) {
 		switch {
 		case s == decide.Served && job:
-			p.evidence.Saw(name, worker, evidence.Fine)
+			p.evidence.Record(name, worker, evidence.Succeeded)
 		case s == decide.Error && job || s == decide.Reset && job:
-			p.evidence.Saw(name, worker, evidence.Failed)
+			p.evidence.Record(name, worker, evidence.Failed)
 		case s == decide.TimedOut && job:
-			p.evidence.Saw(name, worker, evidence.Late)
+			p.evidence.Record(name, worker, evidence.TimedOut)
 		case s == decide.TimedOut || s == decide.ConnectFailed:
-			p.evidence.Saw(name, worker, evidence.Lost)
+			p.evidence.Record(name, worker, evidence.Unreachable)
 		}
 	}
 	var evaluate func()
@@ -110,7 +110,7 @@
 		if v.removed {
 			return
 		}
-		for _, worker := range p.evidence.Round(name, v.engine.ReadyWorkers()) {
+		for _, worker := range p.evidence.Tick(name, v.engine.ReadyWorkers()) {
 			v.engine.AddPeerEvidence(worker)
 		}
 		loop.After(evidenceInterval, evaluate)
@@ -124,10 +124,10 @@
 // shareConfig returns the configuration of a budget of kind k.
 func (p *fleetMember) shareConfig(k pool.FleetKind, budget float64) share.Config {
 	f := p.conf
-	c := share.Config{Budget: budget, Floor: f.Floor * budget / float64(f.Members), Members: f.Members, Keepers: f.Keepers,
-		Chunks: min(fleet.MaxChunks, chunksPerMember*f.Members), Term: time.Duration(f.Term) * time.Microsecond, Drift: f.Drift, Burst: f.Burst}
-	if k == pool.FleetOpen {
-		c.Burst, c.Use = 0, time.Duration(f.Use)*time.Microsecond
+	c := share.Config{Budget: budget, Floor: f.Floor * budget / float64(f.Members), MaxMembers: f.Members, Voters: f.Keepers,
+		Chunks: min(fleet.MaxChunks, chunksPerMember*f.Members), LeaseDuration: time.Duration(f.Term) * time.Microsecond, Drift: f.ClockDrift, Burst: f.Burst}
+	if k == pool.FleetInFlight {
+		c.Burst, c.MaxUse = 0, time.Duration(f.MaxHoldTime)*time.Microsecond
 	}
 	return c
 }
@@ -137,7 +137,7 @@
 func (p *fleetMember) share(conf operator.Service, to *pool.Pool) error {
 	limits := append([]pool.Limits{conf.Limits}, conf.ClassLimits()...)
 	if p == nil {
-		if slices.ContainsFunc(limits, func(l pool.Limits) bool { return max(l.FleetRate, l.FleetOpen, l.FleetRetries) > 0 }) {
+		if slices.ContainsFunc(limits, func(l pool.Limits) bool { return max(l.FleetRate, l.FleetInFlight, l.FleetRetries) > 0 }) {
 			return errors.New("the fleet block was added by a reload and takes effect after a restart; until then the fleet's limits are not enforced")
 		}
 		return nil
@@ -156,24 +156,24 @@
 		for k, limit := range []struct {
 			suffix string
 			budget float64
-		}{{"", l.FleetRate}, {" open", l.FleetOpen}, {" retries", l.FleetRetries}} {
+		}{{"", l.FleetRate}, {" open", l.FleetInFlight}, {" retries", l.FleetRetries}} {
 			if limit.budget <= 0 || math.IsInf(limit.budget, 0) {
 				continue
 			}
 			names[key{pool.FleetKind(k), i - 1}] = name + limit.suffix
-			if _, known := p.budgets.Standing()[name+limit.suffix]; !known {
+			if _, known := p.budgets.Status()[name+limit.suffix]; !known {
 				err = cmp.Or(err, p.budgets.Add(name+limit.suffix, p.shareConfig(pool.FleetKind(k), limit.budget)))
 			}
-			if pool.FleetKind(k) == pool.FleetOpen {
-				to.Longest = pool.Time(p.conf.Use)
+			if pool.FleetKind(k) == pool.FleetInFlight {
+				to.MaxHoldTime = pool.Time(p.conf.MaxHoldTime)
 			}
 		}
 	}
-	to.Fleet = func(k pool.FleetKind, class int) bool {
+	to.TakeFleet = func(k pool.FleetKind, class int) bool {
 		name, ok := names[key{k, class}]
 		return !ok || p.budgets.Spend(name, 1)
 	}
-	to.FleetDone = func(class int) { p.budgets.Return(names[key{pool.FleetOpen, class}], 1) }
+	to.ReturnFleet = func(class int) { p.budgets.Return(names[key{pool.FleetInFlight, class}], 1) }
 	return err
 }
 
@@ -192,21 +192,21 @@
 	}
 	var b strings.Builder
 	c := p.link.Counts()
-	fmt.Fprintf(&b, "fleet=%s sent=%d taken=%d bad=%d too_many=%d stranger=%d\n", p.conf.Name, c.Sent, c.Taken, c.Bad, c.TooMany, c.Stranger)
-	w := p.link.Wire()
+	fmt.Fprintf(&b, "fleet=%s sent=%d taken=%d bad=%d too_many=%d stranger=%d\n", p.conf.Name, c.Sent, c.Received, c.Malformed, c.OverLimit, c.UnknownSender)
+	w := p.link.Traffic()
 	fmt.Fprintf(&b, "wire bytes_in=%d bytes_out=%d dropped_in=%d dropped_out=%d\n", w.BytesIn, w.BytesOut, w.DroppedIn, w.DroppedOut)
 	for _, m := range p.link.Members() {
-		fmt.Fprintf(&b, "member=%s zone=%q address=%s life=%x heard_ms=%d\n", m.Name, m.Zone, m.Address, m.Life, m.Heard.Milliseconds())
+		fmt.Fprintf(&b, "member=%s zone=%q address=%s life=%x heard_ms=%d\n", m.Name, m.Zone, m.Address, m.Incarnation, m.LastMessageAge.Milliseconds())
 	}
 	if p.evidence != nil {
-		names, bad := p.evidence.Against()
+		names, bad := p.evidence.Suspects()
 		fmt.Fprintf(&b, "evidence against=%s bad=%d\n", strings.Join(names, ","), bad)
 	}
-	all := p.budgets.Standing()
+	all := p.budgets.Status()
 	for _, name := range slices.Sorted(maps.Keys(all)) {
 		s := all[name]
-		fmt.Fprintf(&b, "budget=%q part=%.3f floor=%.3f of=%.3f spent=%.0f denied=%d bad=%d keeper=%v\n", name, s.Part, s.Floor, s.Budget,
-			s.Spent, s.Denied, s.Bad, s.Keeper)
+		fmt.Fprintf(&b, "budget=%q part=%.3f floor=%.3f of=%.3f spent=%.0f denied=%d bad=%d keeper=%v\n", name, s.Share, s.Floor, s.Budget,
+			s.Spent, s.Denied, s.Malformed, s.Voter)
 	}
 	return b.String()
 }
--- a/cmd/weldscale/operate.go
+++ b/cmd/weldscale/operate.go
@@ -19,10 +19,10 @@
 // operations implements mgmt.Control.
 type operations struct{ s *scheduler }
 
-// do runs f on the loop, ahead of queued work. It returns mgmt.ErrLate if the loop does not reach f in time.
+// do runs f on the loop, ahead of queued work. It returns mgmt.ErrTimeout if the loop does not reach f in time.
 func (o operations) do(f func()) error {
 	if !o.s.loop.DoUrgent(operationTimeout, f) {
-		return mgmt.ErrLate
+		return mgmt.ErrTimeout
 	}
 	return nil
 }
@@ -78,14 +78,14 @@
 	return f
 }
 
-// SetOut implements mgmt.Control.
-func (o operations) SetOut(worker string, offline bool) error {
+// SetOffline implements mgmt.Control.
+func (o operations) SetOffline(worker string, offline bool) error {
 	known := false
 	if err := o.do(func() { known = o.s.setOffline(worker, offline) }); err != nil {
 		return err
 	}
 	if !known {
-		return mgmt.ErrUnknown
+		return mgmt.ErrUnknownWorker
 	}
 	if o.s.upgrade != nil {
 		return o.s.upgrade.propagateOffline(worker, offline)
--- a/cmd/weldscale/serve.go
+++ b/cmd/weldscale/serve.go
@@ -149,9 +149,9 @@
 	services       map[string]*service // services of the operator's file, by name
 	draining       []*service          // removed services that still have open requests
 	openBudget     *pool.Budget        // limits the open requests of all services
-	laneClock      *pool.Clock         // divides the loop's time among the services
+	laneClock      *pool.TimeBudget    // divides the loop's time among the services
 	fleet          *fleetMember        // nil if the file has no fleet block
-	metrics        *metrics.Set        // nil if metrics are off
+	metrics        *metrics.Registry   // nil if metrics are off
 	stopping       time.Time           // start of the shutdown, or zero
 	refusing       bool                // new requests are refused
 	listenerClosed bool
@@ -188,7 +188,7 @@
 	if err := discovery.LoadKnown(c.Known); err != nil {
 		return nil, err
 	}
-	*s = scheduler{config: c, loop: loop, engine: e, driver: driver, server: server, workers: workers, discovery: discovery, overlay: overlay, laneClock: &pool.Clock{}}
+	*s = scheduler{config: c, loop: loop, engine: e, driver: driver, server: server, workers: workers, discovery: discovery, overlay: overlay, laneClock: &pool.TimeBudget{}}
 	server.Stats = func() string {
 		return fmt.Sprintf("%s %s goroutines=%d log_dropped=%d%s", &e.Counts, server.Pace.Counts(), runtime.NumGoroutine(),
 			logs.Dropped(), s.serviceStats())
--- a/cmd/weldscale/services.go
+++ b/cmd/weldscale/services.go
@@ -28,8 +28,8 @@
 	conf    operator.Service
 	jobs    *jobs.Service
 	engine  *engine.Engine
-	share   *pool.Share // of the open requests of all services
-	lane    *pool.Lane  // of the loop's time
+	share   *pool.Share     // of the open requests of all services
+	lane    *pool.TimeShare // of the loop's time
 	overlay *jobs.Overlay
 	dialer  *net.Dialer    // for connections to workers
 	list    *member.Static // the workers, unless they come from discovery
@@ -69,7 +69,7 @@
 		e.SetBackends(workers, d)
 		v.stop = d.Close
 	case conf.File != "":
-		f, err := member.Watch(e, conf.Name, conf.File, operator.ListPause)
+		f, err := member.WatchFile(e, conf.Name, conf.File, operator.ListSettleTime)
 		if err != nil {
 			return nil, fmt.Errorf("service %q: %w", conf.Name, err)
 		}
@@ -93,7 +93,7 @@
 // startService allocates the service's shares of the common limits and fetches its workers.
 func (s *scheduler) startService(v *service) {
 	v.overlay.RestoreOffline(s.offlineWorkers()) // offline workers are offline in a new service too
-	v.share, v.lane = s.openBudget.Share(v.conf.Reserve), s.laneClock.Lane(s.loop.Now(), v.conf.Weight)
+	v.share, v.lane = s.openBudget.Share(v.conf.Reserve), s.laneClock.Share(s.loop.Now(), v.conf.Weight)
 	p := pool.New(v.conf.Name, v.conf.Limits, v.conf.ClassLimits(), v.share, v.lane)
 	if err := s.fleet.share(v.conf, p); err != nil { // the limits themselves were checked with the file
 		slog.Error("no part of the fleet's limits", "service", v.conf.Name, "why", err)
@@ -114,10 +114,10 @@
 }
 
 // attachPool makes a service and its engine charge their use to a pool and a lane.
-func (s *scheduler) attachPool(v *jobs.Service, e *engine.Engine, p *pool.Pool, lane *pool.Lane) {
+func (s *scheduler) attachPool(v *jobs.Service, e *engine.Engine, p *pool.Pool, lane *pool.TimeShare) {
 	v.Pool = p
-	e.MayRetry = func(class int) bool { return p.Retry(s.loop.Now(), class) }
-	e.OnBusy = func(span time.Duration) { lane.Used(s.loop.Now(), span.Microseconds()) }
+	e.MayRetry = func(class int) bool { return p.AdmitRetry(s.loop.Now(), class) }
+	e.OnBusy = func(span time.Duration) { lane.Charge(s.loop.Now(), span.Microseconds()) }
 }
 
 // applyServices puts the services of an operator's file in force. It builds all new services first, and if one of them
@@ -128,7 +128,7 @@
 	var built []*service
 	var faults []error
 	for _, conf := range file.Services {
-		if old := s.services[conf.Name]; old != nil && old.conf.Same(&conf) {
+		if old := s.services[conf.Name]; old != nil && old.conf.Compatible(&conf) {
 			next[conf.Name] = old
 			continue
 		}
@@ -147,7 +147,7 @@
 		return errors.Join(faults...)
 	}
 	// An open request uses the descriptor of its client's connection and more for its attempt and probes.
-	total := cmp.Or(file.Open, s.config.Limits.Sockets/3)
+	total := cmp.Or(file.InFlight, s.config.Limits.Sockets/3)
 	if s.openBudget == nil {
 		s.openBudget = pool.NewBudget(total)
 	}
@@ -155,7 +155,7 @@
 	for name, old := range s.services {
 		if next[name] != old {
 			s.draining = append(s.draining, old)
-			old.share.Reserve(0)
+			old.share.SetReserve(0)
 			old.lane.Close()
 		}
 	}
@@ -166,7 +166,7 @@
 			continue
 		}
 		v.jobs.Pool.SetLimits(conf.Limits, conf.ClassLimits())
-		v.share.Reserve(conf.Reserve)
+		v.share.SetReserve(conf.Reserve)
 		v.lane.SetWeight(conf.Weight)
 		v.dialer.SetLimit(conf.Connections)
 		if conf.File == "" && conf.Discovery == "" && !slices.Equal(conf.Workers, v.conf.Workers) {
@@ -187,7 +187,7 @@
 		return
 	}
 	if main := s.server.Main; main.Pool == nil {
-		lane := s.laneClock.Lane(s.loop.Now(), 1)
+		lane := s.laneClock.Share(s.loop.Now(), 1)
 		s.attachPool(main, s.engine, pool.New("", pool.Limits{}, make([]pool.Limits, len(main.Classes)), s.openBudget.Share(0), lane), lane)
 	}
 	table, services := file.Routes, s.services
@@ -248,10 +248,10 @@
 	var c pool.Counts
 	open := 0
 	if p != nil {
-		c, open = p.Counts, p.Open()
+		c, open = p.Counts, p.InFlight()
 	}
 	return fmt.Sprintf("service=%s open=%d begun=%d over_rate=%d over_fleet=%d over_open=%d over_bytes=%d over_shared=%d over_time=%d retries_denied=%d",
-		name, open, c.Begun, c.OverRate, c.OverFleet, c.OverOpen, c.OverBytes, c.OverShared, c.OverTime, c.RetriesDenied)
+		name, open, c.Admitted, c.OverRate, c.OverFleet, c.OverInFlight, c.OverBytes, c.OverShared, c.OverTime, c.RetriesDenied)
 }
 
 // anyReady reports whether any service of the operator's file has ever had a ready worker.
--- a/cmd/weldscale/upgrade.go
+++ b/cmd/weldscale/upgrade.go
@@ -56,7 +56,7 @@
 	if err := s.driver.EnableHandover(); err != nil {
 		return err
 	}
-	offline, err := handover.Saved(u.dir, s.config.Name)
+	offline, err := handover.LoadOffline(u.dir, s.config.Name)
 	if err != nil {
 		slog.Warn("workers taken out earlier can't be read: all workers are online", "why", err)
 	}
@@ -88,8 +88,8 @@
 	defer u.mu.Unlock()
 	var eldest *handover.Hello
 	for _, l := range u.links {
-		if eldest == nil || l.Other.Started < eldest.Started {
-			eldest = &l.Other
+		if eldest == nil || l.Peer.Started < eldest.Started {
+			eldest = &l.Peer
 		}
 	}
 	return eldest
@@ -109,16 +109,16 @@
 	return h
 }
 
-// Linked implements handover.Handler.
-func (u *upgrade) Linked(l *handover.Link) {
+// LinkUp implements handover.Handler.
+func (u *upgrade) LinkUp(l *handover.Link) {
 	u.mu.Lock()
 	u.links = append(u.links, l)
 	u.mu.Unlock()
 	go u.s.loop.Post(u.s.divideLimits)
 }
 
-// Gone implements handover.Handler.
-func (u *upgrade) Gone(l *handover.Link) {
+// LinkDown implements handover.Handler.
+func (u *upgrade) LinkDown(l *handover.Link) {
 	u.mu.Lock()
 	u.links = slices.DeleteFunc(u.links, func(m *handover.Link) bool { return m == l })
 	delete(u.stopping, l)
@@ -139,7 +139,7 @@
 	defer u.mu.Unlock()
 	var youngest *handover.Link
 	for _, l := range u.links {
-		if l.Other.Started > u.started && !u.stopping[l] && (youngest == nil || l.Other.Started > youngest.Other.Started) {
+		if l.Peer.Started > u.started && !u.stopping[l] && (youngest == nil || l.Peer.Started > youngest.Peer.Started) {
 			youngest = l
 		}
 	}
@@ -153,8 +153,8 @@
 	if s.upgrade != nil {
 		for _, l := range s.upgrade.others() {
 			memory /= 2
-			if l.Other.Started < s.upgrade.started { // the older process keeps its open descriptors
-				descriptors -= min(max(descriptors/2, l.Other.Open+32), descriptors*3/4)
+			if l.Peer.Started < s.upgrade.started { // the older process keeps its open descriptors
+				descriptors -= min(max(descriptors/2, l.Peer.Open+32), descriptors*3/4)
 			} else {
 				descriptors = min(max(descriptors/2, s.driver.OpenDescriptors()+32), descriptors*3/4)
 			}
@@ -168,18 +168,18 @@
 func (u *upgrade) Message(l *handover.Link, m handover.Message, fds []int) {
 	loop := u.s.loop
 	switch m.Kind {
-	case handover.KindOut:
+	case handover.KindOffline:
 		if loop.DoUrgent(operationTimeout, func() { u.s.setOffline(m.Worker, m.Away) }) {
-			l.Say(handover.Message{Kind: handover.KindDone, Number: m.Number})
+			l.Send(handover.Message{Kind: handover.KindApplied, Number: m.Number})
 		}
-	case handover.KindDone:
+	case handover.KindApplied:
 		u.mu.Lock()
 		if done := u.acks[m.Number]; done != nil {
 			delete(u.acks, m.Number)
 			close(done)
 		}
 		u.mu.Unlock()
-	case handover.KindStops:
+	case handover.KindStopping:
 		u.mu.Lock()
 		u.stopping[l] = true
 		u.mu.Unlock()
@@ -189,7 +189,7 @@
 				slog.Warn("a worker list update of another process can't be read", "why", err)
 			}
 		})
-	case handover.KindClient:
+	case handover.KindIdleClient:
 		if len(fds) == 1 {
 			fd := fds[0]
 			fds = nil
@@ -252,7 +252,7 @@
 		u.mu.Lock()
 		u.acks[n] = done
 		u.mu.Unlock()
-		l.Say(handover.Message{Kind: handover.KindOut, Number: n, Worker: worker, Away: offline})
+		l.Send(handover.Message{Kind: handover.KindOffline, Number: n, Worker: worker, Away: offline})
 		pending = append(pending, done)
 		defer func() { u.mu.Lock(); delete(u.acks, n); u.mu.Unlock() }()
 	}
@@ -274,7 +274,7 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if err := handover.Save(u.dir, u.s.config.Name, names); err != nil {
+	if err := handover.SaveOffline(u.dir, u.s.config.Name, names); err != nil {
 		return fmt.Errorf("taken out, but not kept for another process: %w", err)
 	}
 	return nil
@@ -283,7 +283,7 @@
 // relayList sends an update of the worker list to the other processes.
 func (u *upgrade) relayList(index int64, list []byte) {
 	for _, l := range u.others() {
-		l.Say(handover.Message{Kind: handover.KindList, Index: index, List: list})
+		l.Send(handover.Message{Kind: handover.KindList, Index: index, List: list})
 	}
 }
 
@@ -294,7 +294,7 @@
 		return false
 	}
 	for _, l := range s.upgrade.others() {
-		l.Say(handover.Message{Kind: handover.KindStops})
+		l.Send(handover.Message{Kind: handover.KindStopping})
 	}
 	if s.upgrade.successor() == nil {
 		return false
@@ -317,7 +317,7 @@
 	}
 	s.driver.WithReadsPaused(func() {
 		left := s.server.HandOverIdle(func(c jobs.Conn) bool {
-			ok := u.send(to, handover.Message{Kind: handover.KindClient}, c)
+			ok := u.send(to, handover.Message{Kind: handover.KindIdleClient}, c)
 			if ok {
 				u.clients++
 			}
@@ -376,7 +376,7 @@
 		}
 		fds = append(fds, fd)
 	}
-	if err := to.Give(m, fds...); err != nil {
+	if err := to.SendFDs(m, fds...); err != nil {
 		u.failed++
 		return false
 	}
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -13,380 +13,397 @@
 
 const ms = time.Millisecond
 
-func rate(members, chunks int) Config {
-	return Config{Budget: 400, Floor: 40 / float64(members), Members: members, Chunks: chunks, Keepers: []string{"k0", "k1", "k2"},
-		Term: 2 * time.Second, Drift: 0.02, Burst: 0.5}
+// rateConfig returns the configuration of a budget that is a rate.
+func rateConfig(members, chunks int) Config {
+	return Config{Budget: 400, Floor: 40 / float64(members), MaxMembers: members, Chunks: chunks, Voters: []string{"k0", "k1", "k2"},
+		LeaseDuration: 2 * time.Second, Drift: 0.02, Burst: 0.5}
 }
 
-func count(members, chunks int) Config {
-	c := rate(members, chunks)
-	c.Burst, c.Use = 0, 1500*ms
+// countConfig returns the configuration of a budget that is a count.
+func countConfig(members, chunks int) Config {
+	c := rateConfig(members, chunks)
+	c.Burst, c.MaxUse = 0, 1500*ms
 	return c
 }
 
-// A fleet in simulated time: every message may be lost, doubled or late, every clock runs at its own pace.
-type fleet struct {
-	t       require.TestingT
-	c       Config
-	now     time.Duration // true time
-	holders []*member
-	keepers []*keeper
-	mail    []letter
-	lives   uint64
-	spent   []spend
-	uses    []spend // of a count: until when, at the latest
+// simulation runs holders and voters in simulated time. Messages may be lost, duplicated and delayed, and each member's clock runs
+// at its own rate.
+type simulation struct {
+	t               require.TestingT
+	c               Config
+	now             time.Duration // true time
+	holders         []*simulatedHolder
+	voters          []*simulatedVoter
+	messages        []message // in transit
+	lastIncarnation uint64
+	spent           []spending
+	inUse           []spending // of a count: at is when the use ends at the latest
 }
 
-type member struct {
+type simulatedHolder struct {
 	*Holder
-	pace  float64
-	cut   bool
-	stall bool
+	clockRate   float64
+	partitioned bool
+	stalled     bool
 }
 
-type keeper struct {
-	*Keeper
-	pace float64
-	cut  bool
+type simulatedVoter struct {
+	*Voter
+	clockRate   float64
+	partitioned bool
 }
 
-type letter struct {
-	at     time.Duration
-	to     int // keeper of an ask, holder of an answer
-	ask    *Ask
-	answer *Answer
+type message struct {
+	at      time.Duration // when it arrives
+	to      int           // index of the voter of a request, or of the holder of a reply
+	request *VoteRequest
+	reply   *VoteReply
 }
 
-type spend struct {
+type spending struct {
 	at    time.Duration
 	units float64
 	by    *Holder
 }
 
-func clock(now time.Duration, pace float64) time.Duration { return time.Duration(float64(now) * pace) }
+// clock returns the reading of a member's clock at a true time.
+func clock(now time.Duration, clockRate float64) time.Duration {
+	return time.Duration(float64(now) * clockRate)
+}
 
-func newFleet(t require.TestingT, c Config, n int, pace func(int) float64) *fleet {
-	f := &fleet{t: t, c: c}
-	for i, name := range c.Keepers {
-		k, err := NewKeeper(c, name, 0)
+// newSimulation returns a simulation with n holders. clockRate returns the clock rate of a holder by its index, and of the voters
+// by the indexes -1, -2 and so on.
+func newSimulation(t require.TestingT, c Config, n int, clockRate func(int) float64) *simulation {
+	sim := &simulation{t: t, c: c}
+	for i, name := range c.Voters {
+		voter, err := NewVoter(c, name, 0)
 		require.NoError(t, err)
-		f.keepers = append(f.keepers, &keeper{Keeper: k, pace: pace(-1 - i)})
+		sim.voters = append(sim.voters, &simulatedVoter{Voter: voter, clockRate: clockRate(-1 - i)})
 	}
 	for i := range n {
-		f.holders = append(f.holders, &member{pace: pace(i)})
-		f.start(i)
+		sim.holders = append(sim.holders, &simulatedHolder{clockRate: clockRate(i)})
+		sim.startHolder(i)
 	}
-	return f
+	return sim
 }
 
-// start is a start of a holder, or a restart: it knows nothing.
-func (f *fleet) start(i int) {
-	f.lives++
-	m := f.holders[i]
-	h, err := NewHolder(f.c, fmt.Sprint("h", i), f.lives, clock(f.now, m.pace))
-	require.NoError(f.t, err)
-	m.Holder = h
+// startHolder starts or restarts a holder, which loses its state.
+func (sim *simulation) startHolder(i int) {
+	sim.lastIncarnation++
+	holder := sim.holders[i]
+	h, err := NewHolder(sim.c, fmt.Sprint("h", i), sim.lastIncarnation, clock(sim.now, holder.clockRate))
+	require.NoError(sim.t, err)
+	holder.Holder = h
 }
 
-// round has one holder ask every keeper; late is how long each letter takes, negative: it is lost.
-func (f *fleet) round(i int, late func() time.Duration) {
-	m := f.holders[i]
-	if m.stall {
+// beginRound sends the requests of one holder to all voters. delay returns the delay of each message, or a negative value if the
+// message is lost.
+func (sim *simulation) beginRound(i int, delay func() time.Duration) {
+	holder := sim.holders[i]
+	if holder.stalled {
 		return
 	}
-	a := m.Round(clock(f.now, m.pace))
-	for k := range f.keepers {
-		if d := late(); d >= 0 {
-			f.mail = append(f.mail, letter{at: f.now + d, to: k, ask: &a})
+	request := holder.BeginRound(clock(sim.now, holder.clockRate))
+	for to := range sim.voters {
+		if d := delay(); d >= 0 {
+			sim.messages = append(sim.messages, message{at: sim.now + d, to: to, request: &request})
 		}
 	}
 }
 
-// deliver hands over what is due, in any order that its times give.
-func (f *fleet) deliver(late func() time.Duration) {
+// deliver delivers the messages that are due, and sends the replies with the given delay.
+func (sim *simulation) deliver(delay func() time.Duration) {
 	for {
-		i := slices.IndexFunc(f.mail, func(l letter) bool { return l.at <= f.now })
+		i := slices.IndexFunc(sim.messages, func(queued message) bool { return queued.at <= sim.now })
 		if i < 0 {
 			return
 		}
-		l := f.mail[i]
-		f.mail = slices.Delete(f.mail, i, i+1)
-		if l.ask != nil {
-			k := f.keepers[l.to]
+		next := sim.messages[i]
+		sim.messages = slices.Delete(sim.messages, i, i+1)
+		if next.request != nil {
+			voter := sim.voters[next.to]
 			from := 0
-			fmt.Sscanf(l.ask.From, "h%d", &from)
-			if k.cut || f.holders[from].cut {
+			fmt.Sscanf(next.request.From, "h%d", &from)
+			if voter.partitioned || sim.holders[from].partitioned {
 				continue
 			}
-			out := k.Ask(clock(f.now, k.pace), *l.ask)
-			if d := late(); d >= 0 {
-				f.mail = append(f.mail, letter{at: f.now + d, to: from, answer: &out})
+			reply := voter.HandleRequest(clock(sim.now, voter.clockRate), *next.request)
+			if d := delay(); d >= 0 {
+				sim.messages = append(sim.messages, message{at: sim.now + d, to: from, reply: &reply})
 			}
 			continue
 		}
-		if m := f.holders[l.to]; !m.cut && !m.stall {
-			m.Take(clock(f.now, m.pace), *l.answer)
+		if holder := sim.holders[next.to]; !holder.partitioned && !holder.stalled {
+			holder.HandleReply(clock(sim.now, holder.clockRate), *next.reply)
 		}
 	}
 }
 
-func (f *fleet) spend(i int, units float64) bool {
-	m := f.holders[i]
-	if m.stall || !m.Spend(clock(f.now, m.pace), units) {
+func (sim *simulation) spend(i int, units float64) bool {
+	holder := sim.holders[i]
+	if holder.stalled || !holder.Spend(clock(sim.now, holder.clockRate), units) {
 		return false
 	}
-	f.spent = append(f.spent, spend{f.now, units, m.Holder})
-	if f.c.Use > 0 {
-		f.uses = append(f.uses, spend{f.now + time.Duration(float64(f.c.Use)*0.98), units, m.Holder})
+	sim.spent = append(sim.spent, spending{sim.now, units, holder.Holder})
+	if sim.c.MaxUse > 0 {
+		sim.inUse = append(sim.inUse, spending{sim.now + time.Duration(float64(sim.c.MaxUse)*0.98), units, holder.Holder})
 	}
 	return true
 }
 
-// check holds the promise against the truth: no chunk with two, nothing spent beyond the budget.
-func (f *fleet) check() {
-	for i := range f.c.Chunks {
-		by := 0
-		for _, m := range f.holders {
-			if clock(f.now, m.pace) < m.until[i] {
-				by++
+// checkInvariants checks in true time that no chunk has two holders, and that no more than the budget is spent.
+func (sim *simulation) checkInvariants() {
+	for i := range sim.c.Chunks {
+		holders := 0
+		for _, holder := range sim.holders {
+			if clock(sim.now, holder.clockRate) < holder.leaseEnds[i] {
+				holders++
 			}
 		}
-		require.LessOrEqual(f.t, by, 1, "chunk %d may be spent by two", i)
+		require.LessOrEqual(sim.t, holders, 1, "chunk %d has more than one holder", i)
 	}
-	for _, m := range f.holders {
-		for i, tokens := range m.tokens {
-			require.GreaterOrEqual(f.t, tokens, 0.0, "chunk %d", i)
+	for _, holder := range sim.holders {
+		for i, tokens := range holder.tokens {
+			require.GreaterOrEqual(sim.t, tokens, 0.0, "tokens of chunk %d", i)
 		}
 	}
-	const slack = 1.05 // of clocks that run too fast
-	if f.c.Use > 0 {
+	const tolerance = 1.05 // for clocks that run too fast
+	if sim.c.MaxUse > 0 {
 		sum := 0.0
-		f.uses = slices.DeleteFunc(f.uses, func(s spend) bool {
-			if s.at <= f.now {
+		sim.inUse = slices.DeleteFunc(sim.inUse, func(s spending) bool {
+			if s.at <= sim.now {
 				s.by.Return(s.units)
 			}
-			return s.at <= f.now
+			return s.at <= sim.now
 		})
-		for _, s := range f.uses {
+		for _, s := range sim.inUse {
 			sum += s.units
 		}
-		require.LessOrEqual(f.t, sum, f.c.Budget+1e-6, "in use at once")
+		require.LessOrEqual(sim.t, sum, sim.c.Budget+1e-6, "units in use at once")
 		return
 	}
 	sum, window := 0.0, time.Second
-	for n := len(f.spent) - 1; n >= 0 && f.spent[n].at > f.now-window; n-- {
-		sum += f.spent[n].units
+	for n := len(sim.spent) - 1; n >= 0 && sim.spent[n].at > sim.now-window; n-- {
+		sum += sim.spent[n].units
 	}
-	require.LessOrEqual(f.t, sum, slack*f.c.Budget*(window.Seconds()+f.c.Burst)+float64(f.c.Members), "in a second")
+	require.LessOrEqual(sim.t, sum, tolerance*sim.c.Budget*(window.Seconds()+sim.c.Burst)+float64(sim.c.MaxMembers),
+		"units spent in one second")
 }
 
-// Whatever is lost, doubled, late, cut off, stalled or restarted, the parts add up to no more than the budget, and what is
-// spent to no more than it and its burst; and once all is well the whole of it is used again.
-func TestNeverMoreThanTheBudget(t *testing.T) {
-	for name, c := range map[string]Config{"rate": rate(5, 24), "count": count(5, 24)} {
+// Checks that the shares never add up to more than the budget, and that no more than the budget and its burst is spent, under
+// message loss, duplication, delay, partitions, stalls and restarts. Without faults, nearly the whole budget must be held again.
+func TestSharesNeverExceedBudget(t *testing.T) {
+	for name, c := range map[string]Config{"rate": rateConfig(5, 24), "count": countConfig(5, 24)} {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				f := newFleet(t, c, 5, func(i int) float64 {
+				sim := newSimulation(t, c, 5, func(i int) float64 {
 					return 1 + rapid.Float64Range(-c.Drift, c.Drift).Draw(t, "pace")
 				})
-				chance := rapid.Uint64().Draw(t, "seed")
-				dice := func(n int) int {
-					chance = chance*6364136223846793005 + 1442695040888963407
-					return int(chance>>33) % n
+				randomState := rapid.Uint64().Draw(t, "seed")
+				random := func(n int) int {
+					randomState = randomState*6364136223846793005 + 1442695040888963407
+					return int(randomState>>33) % n
 				}
-				late := func() time.Duration {
-					switch dice(12) {
+				delay := func() time.Duration {
+					switch random(12) {
 					case 0:
 						return -1
 					case 1:
-						return time.Duration(dice(4000)) * ms
+						return time.Duration(random(4000)) * ms
 					}
-					return time.Duration(dice(80)) * ms
+					return time.Duration(random(80)) * ms
 				}
 				steps := rapid.IntRange(50, 250).Draw(t, "steps")
 				for range steps {
-					f.now += time.Duration(dice(60)) * ms
-					f.deliver(late)
-					i := dice(len(f.holders))
-					switch m := f.holders[i]; dice(30) {
+					sim.now += time.Duration(random(60)) * ms
+					sim.deliver(delay)
+					i := random(len(sim.holders))
+					switch holder := sim.holders[i]; random(30) {
 					case 0:
-						m.cut = !m.cut
+						holder.partitioned = !holder.partitioned
 					case 1:
-						m.stall = !m.stall
-					case 2: // killed and started again: what it had in use runs on
-						f.start(i)
+						holder.stalled = !holder.stalled
+					case 2: // a crash and restart: units that it spent before stay in use
+						sim.startHolder(i)
 					case 3:
-						k := f.keepers[dice(len(f.keepers))]
-						if k.cut = !k.cut; k.cut {
-							n, err := NewKeeper(c, k.name, clock(f.now, k.pace))
+						voter := sim.voters[random(len(sim.voters))]
+						if voter.partitioned = !voter.partitioned; voter.partitioned {
+							restarted, err := NewVoter(c, voter.name, clock(sim.now, voter.clockRate))
 							require.NoError(t, err)
-							k.Keeper = n
+							voter.Voter = restarted
 						}
 					case 4:
-						if len(f.mail) > 0 { // one comes twice
-							l := f.mail[dice(len(f.mail))]
-							l.at += time.Duration(dice(3000)) * ms
-							f.mail = append(f.mail, l)
+						if len(sim.messages) > 0 {
+							duplicate := sim.messages[random(len(sim.messages))]
+							duplicate.at += time.Duration(random(3000)) * ms
+							sim.messages = append(sim.messages, duplicate)
 						}
 					case 5, 6, 7, 8, 9, 10:
-						f.round(i, late)
+						sim.beginRound(i, delay)
 					default:
-						for range dice(40) {
-							f.spend(i, 1)
+						for range random(40) {
+							sim.spend(i, 1)
 						}
 					}
-					f.check()
+					sim.checkInvariants()
 				}
-				for _, m := range f.holders {
-					m.cut, m.stall = false, false
+				for _, holder := range sim.holders {
+					holder.partitioned, holder.stalled = false, false
 				}
-				for _, k := range f.keepers {
-					k.cut = false
+				for _, voter := range sim.voters {
+					voter.partitioned = false
 				}
-				assert.GreaterOrEqual(t, f.calm(40, func(int) float64 { return 2 * c.Budget / 5 }), 0.9)
+				assert.GreaterOrEqual(t, sim.runWithoutFaults(40, func(int) float64 { return 2 * c.Budget / 5 }), 0.9)
 			})
 		})
 	}
 }
 
-// calm plays rounds without faults, each holder with its demand, and returns the part of the budget that is held at the end.
-func (f *fleet) calm(rounds int, demand func(int) float64) float64 {
-	soon := func() time.Duration { return 5 * ms }
-	every := f.c.Term / 4
+// runWithoutFaults runs rounds in which each holder spends at its demand, in units per second. It returns the fraction of the
+// budget that the holders with demand have at the end.
+func (sim *simulation) runWithoutFaults(rounds int, demand func(int) float64) float64 {
+	delay := func() time.Duration { return 5 * ms }
+	interval := sim.c.LeaseDuration / 4
 	for range rounds {
 		for step := range 10 {
-			f.now += every / 10
-			f.deliver(soon)
-			for i := range f.holders {
+			sim.now += interval / 10
+			sim.deliver(delay)
+			for i := range sim.holders {
 				if i%10 == step {
-					f.round(i, soon)
+					sim.beginRound(i, delay)
 				}
-				for units := demand(i) * every.Seconds() / 10; units > 0; units-- {
-					f.spend(i, min(1, units))
+				for units := demand(i) * interval.Seconds() / 10; units > 0; units-- {
+					sim.spend(i, min(1, units))
 				}
 			}
 		}
-		if len(f.holders) < 50 {
-			f.check()
+		if len(sim.holders) < 50 {
+			sim.checkInvariants()
 		}
 	}
 	sum := 0.0
-	for i, m := range f.holders {
+	for i, holder := range sim.holders {
 		if demand(i) > 0 {
-			sum += m.Part(clock(f.now, m.pace))
+			sum += holder.Share(clock(sim.now, holder.clockRate))
 		}
 	}
-	return sum / f.c.Budget
+	return sum / sim.c.Budget
 }
 
-// Parts go to where the demand is, nobody who asks gets nothing, and a holder that dies or is cut off leaves its floor
-// to itself and the rest to the others.
-func TestPartsFollowDemand(t *testing.T) {
-	f := newFleet(t, rate(10, 100), 10, func(int) float64 { return 1 })
-	all := func(i int) float64 { return 80 }
-	assert.GreaterOrEqual(t, f.calm(40, all), 0.95, "all ask for twice the budget")
-	assert.GreaterOrEqual(t, f.calm(60, func(i int) float64 {
+// Checks that shares follow the demand and that no holder with demand starves. Holders that are partitioned keep their floor, and
+// the others get the rest of the budget.
+func TestSharesFollowDemand(t *testing.T) {
+	sim := newSimulation(t, rateConfig(10, 100), 10, func(int) float64 { return 1 })
+	equal := func(i int) float64 { return 80 }
+	assert.GreaterOrEqual(t, sim.runWithoutFaults(40, equal), 0.95, "the demand is twice the budget")
+	assert.GreaterOrEqual(t, sim.runWithoutFaults(60, func(i int) float64 {
 		if i == 3 {
 			return 600
 		}
 		return 0.0
-	}), 0.9, "one asks for all")
-	for i := range f.holders {
-		f.holders[i].cut = i == 3 || i == 4
+	}), 0.9, "only one holder has demand")
+	for i := range sim.holders {
+		sim.holders[i].partitioned = i == 3 || i == 4
 	}
-	f.calm(30, all)
-	held := func(from, to int) (sum float64) {
-		for _, m := range f.holders[from:to] {
-			sum += m.Part(clock(f.now, m.pace))
+	sim.runWithoutFaults(30, equal)
+	sumOfShares := func(from, to int) (sum float64) {
+		for _, holder := range sim.holders[from:to] {
+			sum += holder.Share(clock(sim.now, holder.clockRate))
 		}
 		return sum
 	}
-	assert.Equal(t, 2*f.c.Floor, held(3, 5), "what hears nobody goes on with its floor")
-	assert.GreaterOrEqual(t, held(0, 3)+held(5, 10), 0.95*(f.c.Budget-2*f.c.Floor))
-	f.holders[3].cut, f.holders[4].cut = false, false
-	f.calm(40, all)
-	for i, m := range f.holders {
-		assert.Greater(t, m.Part(clock(f.now, m.pace)), 3*f.c.Floor, "holder %d starves", i)
+	assert.Equal(t, 2*sim.c.Floor, sumOfShares(3, 5), "partitioned holders keep their floor")
+	assert.GreaterOrEqual(t, sumOfShares(0, 3)+sumOfShares(5, 10), 0.95*(sim.c.Budget-2*sim.c.Floor))
+	sim.holders[3].partitioned, sim.holders[4].partitioned = false, false
+	sim.runWithoutFaults(40, equal)
+	for i, holder := range sim.holders {
+		assert.Greater(t, holder.Share(clock(sim.now, holder.clockRate)), 3*sim.c.Floor, "share of holder %d", i)
 	}
 }
 
-// A stall of any length, a restart, a keeper that forgot: the first act afterwards looks at the clock.
-func TestNothingIsSpentAfterItsTerm(t *testing.T) {
-	f := newFleet(t, rate(2, 10), 2, func(int) float64 { return 1 })
-	f.calm(30, func(i int) float64 { return 400 * float64(1-i) })
-	m := f.holders[0]
-	require.Greater(t, m.Part(f.now), 300.0)
-	f.now += f.c.Term
-	assert.Equal(t, f.c.Floor, m.Part(f.now), "after a stall")
-	before := len(f.spent)
-	for f.spend(0, 1) {
+// Checks that leases have expired after a stall of the holder, that a restarted holder has its floor only, and that a restarted
+// voter grants nothing until the votes of its previous run have expired.
+func TestExpiredLeasesAreNotSpent(t *testing.T) {
+	sim := newSimulation(t, rateConfig(2, 10), 2, func(int) float64 { return 1 })
+	sim.runWithoutFaults(30, func(i int) float64 { return 400 * float64(1-i) })
+	holder := sim.holders[0]
+	require.Greater(t, holder.Share(sim.now), 300.0)
+	sim.now += sim.c.LeaseDuration
+	assert.Equal(t, sim.c.Floor, holder.Share(sim.now), "share after a stall")
+	before := len(sim.spent)
+	for sim.spend(0, 1) {
 	}
-	assert.LessOrEqual(t, float64(len(f.spent)-before), f.c.Floor*f.c.Burst+1)
-	f.calm(30, func(i int) float64 { return 400 * float64(1-i) })
-	f.start(0)
-	assert.Equal(t, f.c.Floor, f.holders[0].Part(f.now), "a restart mints nothing")
-	assert.False(t, f.spend(0, 1), "nor has it saved up anything")
-	k, err := NewKeeper(f.c, "k0", f.now)
+	assert.LessOrEqual(t, float64(len(sim.spent)-before), sim.c.Floor*sim.c.Burst+1)
+	sim.runWithoutFaults(30, func(i int) float64 { return 400 * float64(1-i) })
+	sim.startHolder(0)
+	assert.Equal(t, sim.c.Floor, sim.holders[0].Share(sim.now), "share after a restart")
+	assert.False(t, sim.spend(0, 1), "a restarted holder has no tokens")
+	voter, err := NewVoter(sim.c, "k0", sim.now)
 	require.NoError(t, err)
-	assert.Empty(t, k.Ask(f.now+f.c.Term, Ask{From: "h1", Life: 9, Round: 1, Want: []int{1}}).Yes, "a keeper that forgot is silent")
-	assert.Equal(t, []int{1}, k.Ask(f.now+f.c.guard(), Ask{From: "h1", Life: 9, Round: 1, Want: []int{1, -1, 10, 1 << 40}}).Yes)
+	assert.Empty(t, voter.HandleRequest(sim.now+sim.c.LeaseDuration, VoteRequest{From: "h1", Incarnation: 9, Round: 1,
+		Wanted: []int{1}}).Granted, "a restarted voter grants nothing at first")
+	assert.Equal(t, []int{1}, voter.HandleRequest(sim.now+sim.c.voteDuration(), VoteRequest{From: "h1", Incarnation: 9, Round: 1,
+		Wanted: []int{1, -1, 10, 1 << 40}}).Granted)
 }
 
-// What no sound member says changes nothing.
-func TestPoisonedMessages(t *testing.T) {
-	c := rate(3, 10)
+// Checks that invalid messages change nothing, and that the memory and the figures of a voter stay bounded.
+func TestInvalidMessagesAreIgnored(t *testing.T) {
+	c := rateConfig(3, 10)
 	h, err := NewHolder(c, "h0", 1, 0)
 	require.NoError(t, err)
 	h.Spend(0, 100)
-	a := h.Round(time.Second)
-	for _, bad := range []Answer{
-		{Keeper: "k0", Life: 2, Round: a.Round, Open: []int{1}},
-		{Keeper: "stranger", Life: 1, Round: a.Round, Open: []int{1}},
-		{Keeper: "k0", Life: 1, Round: 1 << 63, Open: []int{1}},
-		{Keeper: "k0", Life: 1, Round: 0, Yes: []int{1}},
-		{Keeper: "k0", Life: 1, Round: a.Round, Yes: []int{-1, 99, 1 << 40}, Open: []int{-5, 1 << 40}, Short: -3, Ask: 1 << 40},
+	request := h.BeginRound(time.Second)
+	for _, invalid := range []VoteReply{
+		{Voter: "k0", Incarnation: 2, Round: request.Round, Available: []int{1}},
+		{Voter: "stranger", Incarnation: 1, Round: request.Round, Available: []int{1}},
+		{Voter: "k0", Incarnation: 1, Round: 1 << 63, Available: []int{1}},
+		{Voter: "k0", Incarnation: 1, Round: 0, Granted: []int{1}},
+		{Voter: "k0", Incarnation: 1, Round: request.Round, Granted: []int{-1, 99, 1 << 40},
+			Available: []int{-5, 1 << 40}, Shortfall: -3, Requesters: 1 << 40},
 	} {
-		h.Take(time.Second, bad)
+		h.HandleReply(time.Second, invalid)
 	}
-	assert.Empty(t, h.open)
-	assert.LessOrEqual(t, h.askers, c.Members)
-	assert.Equal(t, c.Floor, h.Part(time.Second))
-	k, err := NewKeeper(c, "k0", 0)
+	assert.Empty(t, h.available)
+	assert.LessOrEqual(t, h.requesters, c.MaxMembers)
+	assert.Equal(t, c.Floor, h.Share(time.Second))
+	voter, err := NewVoter(c, "k0", 0)
 	require.NoError(t, err)
-	for i := range 100 { // a table that members fill is bounded by their number
-		k.Ask(c.guard(), Ask{From: fmt.Sprint("liar", i), Life: 1, Round: 1, Short: 1 << 40, Free: []int{-1, 1 << 40}})
+	for i := range 100 {
+		voter.HandleRequest(c.voteDuration(), VoteRequest{From: fmt.Sprint("liar", i), Incarnation: 1, Round: 1, Shortfall: 1 << 40,
+			Released: []int{-1, 1 << 40}})
 	}
-	assert.LessOrEqual(t, len(k.askers), c.Members)
-	assert.LessOrEqual(t, k.Ask(c.guard(), Ask{From: "h0"}).Short, c.Members*c.Chunks)
+	assert.LessOrEqual(t, len(voter.requesters), c.MaxMembers)
+	assert.LessOrEqual(t, voter.HandleRequest(c.voteDuration(), VoteRequest{From: "h0"}).Shortfall, c.MaxMembers*c.Chunks)
 }
 
-func TestConfigFaults(t *testing.T) {
+func TestCheckNamesInvalidFields(t *testing.T) {
 	for want, change := range map[string]func(*Config){
-		"Budget":          func(c *Config) { c.Budget = 0 },
-		"Floor x Members": func(c *Config) { c.Floor = 300 },
-		"Chunks":          func(c *Config) { c.Chunks = maxChunks + 1 },
-		"odd number":      func(c *Config) { c.Keepers = c.Keepers[:2] },
-		"different names": func(c *Config) { c.Keepers = []string{"a", "b", "a"} },
-		"Term":            func(c *Config) { c.Term = 0 },
-		"Drift":           func(c *Config) { c.Drift = 0.5 },
-		"one of Burst":    func(c *Config) { c.Use = time.Second },
+		"Budget":             func(c *Config) { c.Budget = 0 },
+		"Floor x MaxMembers": func(c *Config) { c.Floor = 300 },
+		"Chunks":             func(c *Config) { c.Chunks = maxChunks + 1 },
+		"odd number":         func(c *Config) { c.Voters = c.Voters[:2] },
+		"different names":    func(c *Config) { c.Voters = []string{"a", "b", "a"} },
+		"LeaseDuration":      func(c *Config) { c.LeaseDuration = 0 },
+		"Drift":              func(c *Config) { c.Drift = 0.5 },
+		"one of Burst":       func(c *Config) { c.MaxUse = time.Second },
 	} {
-		c := rate(2, 4)
+		c := rateConfig(2, 4)
 		change(&c)
 		assert.ErrorContains(t, c.Check(), want)
 	}
 }
 
-// Five hundred members: half of the demand at one in twenty, the whole of it twice the budget.
+// Checks that a fleet of 500 members uses nearly the whole budget if the demand is twice the budget, half of it from one member in
+// twenty.
 func TestFiveHundredMembers(t *testing.T) {
-	c := rate(500, 2000)
-	f := newFleet(t, c, 500, func(int) float64 { return 1 })
-	used := f.calm(40, func(i int) float64 {
+	c := rateConfig(500, 2000)
+	sim := newSimulation(t, c, 500, func(int) float64 { return 1 })
+	heldFraction := sim.runWithoutFaults(40, func(i int) float64 {
 		if i < 25 {
 			return c.Budget / 25
 		}
 		return c.Budget / 475
 	})
-	t.Logf("%.3f of the budget in hand after 40 rounds", used)
-	assert.GreaterOrEqual(t, used, 0.95)
+	t.Logf("%.3f of the budget is held after 40 rounds", heldFraction)
+	assert.GreaterOrEqual(t, heldFraction, 0.95)
 }
