--- a/cmd/weldscale/fleet.go
+++ b/cmd/weldscale/fleet.go
@@ -52,11 +52,11 @@
 		}
 	}
 	member := &fleetMember{conf: f}
-	life := rand.Uint64()
+	incarnation := rand.Uint64()
 	// The link delivers messages as soon as it has started, and the budgets send through it. So the budgets are created first.
-	member.budgets = fleet.NewBudgets(c.Name, life, func(to string, data []byte) error { return member.link.Send(to, data) })
+	member.budgets = fleet.NewBudgets(c.Name, incarnation, func(to string, data []byte) error { return member.link.Send(to, data) })
 	if f.Evidence {
-		member.evidence = fleet.NewEvidence(c.Name, f.Zone, life, f.Members, func() *fleet.Link { return member.link })
+		member.evidence = fleet.NewEvidence(c.Name, f.Zone, incarnation, f.Members, func() *fleet.Link { return member.link })
 	}
 	receive := func(from string, data []byte) (relay bool) {
 		if member.evidence != nil {
@@ -72,7 +72,7 @@
 			member.evidence.ResendAll()
 		}
 	}
-	link, err := fleet.Start(fleet.Config{Fleet: f.Name, Name: c.Name, Incarnation: life, Zone: f.Zone, Bind: f.Bind, Relay: f.Relay, Join: f.Join, Key: key,
+	link, err := fleet.Start(fleet.Config{Fleet: f.Name, Name: c.Name, Incarnation: incarnation, Zone: f.Zone, Bind: f.Bind, Relay: f.Relay, Join: f.Join, Key: key,
 		MaxMembers: f.Members, OnMessage: receive, OnJoin: joined})
 	if err != nil {
 		return nil, err
--- a/cmd/weldscale/serve.go
+++ b/cmd/weldscale/serve.go
@@ -148,8 +148,8 @@
 	discovery      *jobs.Discovery
 	services       map[string]*service // services of the operator's file, by name
 	draining       []*service          // removed services that still have open requests
-	openBudget     *pool.Budget        // limits the open requests of all services
-	laneClock      *pool.TimeBudget    // divides the loop's time among the services
+	inFlightBudget *pool.Budget        // limits the requests in flight of all services
+	timeBudget     *pool.TimeBudget    // divides the loop's time among the services
 	fleet          *fleetMember        // nil if the file has no fleet block
 	metrics        *metrics.Registry   // nil if metrics are off
 	stopping       time.Time           // start of the shutdown, or zero
@@ -188,7 +188,7 @@
 	if err := discovery.LoadKnown(c.Known); err != nil {
 		return nil, err
 	}
-	*s = scheduler{config: c, loop: loop, engine: e, driver: driver, server: server, workers: workers, discovery: discovery, overlay: overlay, laneClock: &pool.TimeBudget{}}
+	*s = scheduler{config: c, loop: loop, engine: e, driver: driver, server: server, workers: workers, discovery: discovery, overlay: overlay, timeBudget: &pool.TimeBudget{}}
 	server.Stats = func() string {
 		return fmt.Sprintf("%s %s goroutines=%d log_dropped=%d%s", &e.Counts, server.Pace.Counts(), runtime.NumGoroutine(),
 			logs.Dropped(), s.serviceStats())
--- a/cmd/weldscale/services.go
+++ b/cmd/weldscale/services.go
@@ -25,16 +25,16 @@
 
 // service is a running service of the operator's file.
 type service struct {
-	conf    operator.Service
-	jobs    *jobs.Service
-	engine  *engine.Engine
-	share   *pool.Share     // of the open requests of all services
-	lane    *pool.TimeShare // of the loop's time
-	overlay *jobs.Overlay
-	dialer  *net.Dialer    // for connections to workers
-	list    *member.Static // the workers, unless they come from discovery
-	stop    func()         // stops updates of the worker list
-	removed bool           // set once the service has been closed
+	conf      operator.Service
+	jobs      *jobs.Service
+	engine    *engine.Engine
+	share     *pool.Share     // of the requests in flight of all services
+	timeShare *pool.TimeShare // of the loop's time
+	overlay   *jobs.Overlay
+	dialer    *net.Dialer    // for connections to workers
+	list      *member.Static // the workers, unless they come from discovery
+	stop      func()         // stops updates of the worker list
+	removed   bool           // set once the service has been closed
 }
 
 // serviceReports parses the load reports of the services in the operator's file. The fields are those of the protocol, in the
@@ -93,12 +93,12 @@
 // startService allocates the service's shares of the common limits and fetches its workers.
 func (s *scheduler) startService(v *service) {
 	v.overlay.RestoreOffline(s.offlineWorkers()) // offline workers are offline in a new service too
-	v.share, v.lane = s.openBudget.Share(v.conf.Reserve), s.laneClock.Share(s.loop.Now(), v.conf.Weight)
-	p := pool.New(v.conf.Name, v.conf.Limits, v.conf.ClassLimits(), v.share, v.lane)
+	v.share, v.timeShare = s.inFlightBudget.Share(v.conf.Reserve), s.timeBudget.Share(s.loop.Now(), v.conf.Weight)
+	p := pool.New(v.conf.Name, v.conf.Limits, v.conf.ClassLimits(), v.share, v.timeShare)
 	if err := s.fleet.share(v.conf, p); err != nil { // the limits themselves were checked with the file
 		slog.Error("no part of the fleet's limits", "service", v.conf.Name, "why", err)
 	}
-	s.attachPool(v.jobs, v.engine, p, v.lane)
+	s.attachPool(v.jobs, v.engine, p, v.timeShare)
 	s.fleet.watch(v, s.loop)
 	if s.metrics != nil {
 		v.engine.Meter = s.metrics.Service(v.conf.Name, v.conf.ClassNames(), engine.StatusNames[:])
@@ -113,11 +113,11 @@
 	}
 }
 
-// attachPool makes a service and its engine charge their use to a pool and a lane.
-func (s *scheduler) attachPool(v *jobs.Service, e *engine.Engine, p *pool.Pool, lane *pool.TimeShare) {
+// attachPool makes a service and its engine charge their use to a pool and a share of the loop's time.
+func (s *scheduler) attachPool(v *jobs.Service, e *engine.Engine, p *pool.Pool, timeShare *pool.TimeShare) {
 	v.Pool = p
 	e.MayRetry = func(class int) bool { return p.AdmitRetry(s.loop.Now(), class) }
-	e.OnBusy = func(span time.Duration) { lane.Charge(s.loop.Now(), span.Microseconds()) }
+	e.OnBusy = func(span time.Duration) { timeShare.Charge(s.loop.Now(), span.Microseconds()) }
 }
 
 // applyServices puts the services of an operator's file in force. It builds all new services first, and if one of them
@@ -148,15 +148,15 @@
 	}
 	// An open request uses the descriptor of its client's connection and more for its attempt and probes.
 	total := cmp.Or(file.InFlight, s.config.Limits.Sockets/3)
-	if s.openBudget == nil {
-		s.openBudget = pool.NewBudget(total)
+	if s.inFlightBudget == nil {
+		s.inFlightBudget = pool.NewBudget(total)
 	}
-	s.openBudget.SetTotal(total)
+	s.inFlightBudget.SetTotal(total)
 	for name, old := range s.services {
 		if next[name] != old {
 			s.draining = append(s.draining, old)
 			old.share.SetReserve(0)
-			old.lane.Close()
+			old.timeShare.Close()
 		}
 	}
 	for _, conf := range file.Services {
@@ -167,7 +167,7 @@
 		}
 		v.jobs.Pool.SetLimits(conf.Limits, conf.ClassLimits())
 		v.share.SetReserve(conf.Reserve)
-		v.lane.SetWeight(conf.Weight)
+		v.timeShare.SetWeight(conf.Weight)
 		v.dialer.SetLimit(conf.Connections)
 		if conf.File == "" && conf.Discovery == "" && !slices.Equal(conf.Workers, v.conf.Workers) {
 			v.list.Set(listEntries(conf))
@@ -187,8 +187,8 @@
 		return
 	}
 	if main := s.server.Main; main.Pool == nil {
-		lane := s.laneClock.Share(s.loop.Now(), 1)
-		s.attachPool(main, s.engine, pool.New("", pool.Limits{}, make([]pool.Limits, len(main.Classes)), s.openBudget.Share(0), lane), lane)
+		timeShare := s.timeBudget.Share(s.loop.Now(), 1)
+		s.attachPool(main, s.engine, pool.New("", pool.Limits{}, make([]pool.Limits, len(main.Classes)), s.inFlightBudget.Share(0), timeShare), timeShare)
 	}
 	table, services := file.Routes, s.services
 	s.server.Route = func(r route.Request) (*jobs.Service, route.Miss) {
