--- a/cmd/weldscale/upgrade.go
+++ b/cmd/weldscale/upgrade.go
@@ -33,7 +33,8 @@
 	offlineTimeout = 200 * time.Millisecond // for other processes to acknowledge that a worker is offline
 )
 
-// upgrade holds the links to the other processes. mu guards links, stopping and acks; the counts at the end belong to the loop.
+// upgrade holds the links to the other processes. mu guards links, stopping and acks, and serializes writes of the
+// file of offline workers. The counts at the end belong to the loop.
 type upgrade struct {
 	s        *scheduler
 	dir      string
@@ -86,13 +87,13 @@
 func (u *upgrade) oldest() *handover.Hello {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	var eldest *handover.Hello
+	var oldest *handover.Hello
 	for _, l := range u.links {
-		if eldest == nil || l.Peer.Started < eldest.Started {
-			eldest = &l.Peer
+		if oldest == nil || l.Peer.Started < oldest.Started {
+			oldest = &l.Peer
 		}
 	}
-	return eldest
+	return oldest
 }
 
 // Hello implements handover.Handler.
@@ -137,13 +138,13 @@
 func (u *upgrade) successor() *handover.Link {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	var youngest *handover.Link
+	var newest *handover.Link
 	for _, l := range u.links {
-		if l.Peer.Started > u.started && !u.stopping[l] && (youngest == nil || l.Peer.Started > youngest.Peer.Started) {
-			youngest = l
+		if l.Peer.Started > u.started && !u.stopping[l] && (newest == nil || l.Peer.Started > newest.Peer.Started) {
+			newest = l
 		}
 	}
-	return youngest
+	return newest
 }
 
 // divideLimits sets this process's share of the memory and the descriptors. The memory is halved for each other process. The
