--- a/cmd/weldscale/throughput_test.go
+++ b/cmd/weldscale/throughput_test.go
@@ -39,12 +39,28 @@
 	return cmd, log
 }
 
-// freeAddr is a loopback address that nobody listens on.
+// The ports of freeAddr are below the range that Linux assigns to outgoing connections, which starts at 32768 by default.
+const (
+	firstTestPort = 20000
+	testPorts     = 12000
+)
+
+// testPortsTried counts the ports that freeAddr has tried in this process.
+var testPortsTried atomic.Uint64
+
+// freeAddr returns a loopback address on which nothing listens. Each call returns another one, and no outgoing connection
+// gets its port before the program under test binds it.
 func freeAddr(t testing.TB) string {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	defer ln.Close()
-	return ln.Addr().String()
+	for range testPorts {
+		offset := (97*uint64(os.Getpid()) + testPortsTried.Add(1)) % testPorts // test processes start at different ports
+		addr := fmt.Sprint("127.0.0.1:", firstTestPort+offset)
+		if ln, err := net.Listen("tcp", addr); err == nil {
+			require.NoError(t, ln.Close())
+			return addr
+		}
+	}
+	require.FailNow(t, "no port is free")
+	return ""
 }
 
 // startProgram starts a scheduler in a process of its own and waits until it serves.
