--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -55,7 +55,7 @@
 			if ev == nil {
 				break
 			}
-			h.enc.For(ev.Instance)
+			h.enc.SetInstance(ev.Instance)
 			h.guarded(ev)
 		}
 		if err := h.enc.Flush(out); err != nil {
@@ -78,10 +78,10 @@
 
 func (h *host) handle(ev *wire.Event) {
 	switch ev.Code {
-	case wire.CodeBegin:
+	case wire.CodeInstanceBegin:
 		h.begin(ev)
 		return
-	case wire.CodeDown:
+	case wire.CodeInstanceEnd:
 		delete(h.nodes, ev.Instance)
 		return
 	}
@@ -99,20 +99,20 @@
 		n.Announce(now, ev.ListKind, workers)
 	case wire.CodeRequest:
 		n.Arrive(now, ev.Job)
-	case wire.CodeFirst:
+	case wire.CodeStreamStarted:
 		n.StreamStarted(now, ev.Job.ID, ev.Outcome.Attempt)
 	case wire.CodeNote:
 		n.Note(now, ev.Job.ID, ev.Outcome.Attempt, ev.Note, ev.Value)
 	case wire.CodeOutcome:
-		ev.Outcome.Report = n.layout.Report(ev.Values[:ev.NValues])
+		ev.Outcome.Report = n.layout.Report(ev.Values[:ev.ValueCount])
 		n.Outcome(now, ev.Outcome)
-	case wire.CodeProbed:
-		n.ProbeResult(now, ev.Worker, ev.Status, ev.Latency, n.layout.Report(ev.Values[:ev.NValues]))
+	case wire.CodeProbeResult:
+		n.ProbeResult(now, ev.Worker, ev.Status, ev.Latency, n.layout.Report(ev.Values[:ev.ValueCount]))
 	case wire.CodeTimer:
 		n.Wake(now, ev.Token)
 	case wire.CodeHangup:
 		n.Hangup(now, ev.Job.ID)
-	case wire.CodeMessage:
+	case wire.CodePeerMessage:
 		n.PeerMessage(now, ev.From, ev.Data)
 	}
 }
--- a/cmd/weldreport/main_test.go
+++ b/cmd/weldreport/main_test.go
@@ -25,7 +25,7 @@
 		require.NoError(t, err)
 		x, err := emulator.New(s, 1, nil)
 		require.NoError(t, err)
-		x.SampleEvery = s.For / 30
+		x.SampleEvery = s.Duration / 30
 		result, err := x.Run(nil)
 		require.NoError(t, err)
 		require.Len(t, result.Samples, 31)
--- a/cmd/weldscale/experiment.go
+++ b/cmd/weldscale/experiment.go
@@ -157,7 +157,7 @@
 		s.Schedulers = c.Schedulers
 	}
 	if c.RefreshMS > 0 {
-		s.Refresh = emulator.Time(c.RefreshMS * 1000)
+		s.ReportInterval = emulator.Time(c.RefreshMS * 1000)
 	}
 	return &s
 }
--- a/cmd/weldscale/rehearse.go
+++ b/cmd/weldscale/rehearse.go
@@ -38,9 +38,9 @@
 	Seed   uint64           `json:"seed"`
 	Result *emulator.Result `json:"result"`
 	// Troubles are those of the script, for plots.
-	Troubles []emulator.Trouble `json:"troubles"`
-	Found    emulator.Findings  `json:"found"`
-	Took     time.Duration      `json:"took_ns"`
+	Troubles []emulator.Trouble  `json:"troubles"`
+	Found    emulator.Violations `json:"found"`
+	Took     time.Duration       `json:"took_ns"`
 	err      error
 }
 
@@ -127,11 +127,11 @@
 		read.CloseWithError(err) // the run must not wait for a checker that has given up
 		checked <- err
 	}()
-	x, err := emulator.NewWith(r.Policy, s, r.Seed, out)
+	x, err := emulator.NewWithPolicy(r.Policy, s, r.Seed, out)
 	r.Troubles = s.Troubles
 	if err == nil {
 		if c.JSON != "" {
-			x.SampleEvery = s.For / samples
+			x.SampleEvery = s.Duration / samples
 		}
 		r.Result, err = x.Run(nil)
 	}
--- a/cmd/weldtrial/twin.go
+++ b/cmd/weldtrial/twin.go
@@ -79,8 +79,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	var plan []emulator.Happening
-	x.Watch = func(h emulator.Happening) { plan = append(plan, h) }
+	var plan []emulator.ExternalEvent
+	x.OnExternalEvent = func(h emulator.ExternalEvent) { plan = append(plan, h) }
 	model, err := x.Run(nil)
 	if err != nil {
 		return nil, nil, err
@@ -94,7 +94,7 @@
 		defer b.Close()
 	}
 	site := standin.Site{Discovery: discovery.Addr(), Known: discovery.Known(), Zones: s.Zones, Nodes: s.Schedulers,
-		ColdSpan: time.Duration(s.Warms) * time.Microsecond}
+		ColdSpan: time.Duration(s.ColdSpan) * time.Microsecond}
 	for _, c := range s.Classes {
 		effect := "read_like" // keyed ones too: boxes here remember no keys
 		if c.Terms.Effect == decide.Unsafe {
@@ -128,15 +128,15 @@
 		switch h.Kind {
 		case emulator.Arrival:
 			jobs.Go(func() { t.ask(client, nodes[h.Node].addr, fmt.Sprint("t", i), s, h) })
-		case emulator.Silenced, emulator.Ended:
+		case emulator.BoxSilent, emulator.BoxStopped:
 			b.Silence()
-		case emulator.Began:
+		case emulator.BoxRestarted:
 			b.Restart()
-		case emulator.Slowed:
-			b.Slow(h.Times)
-		case emulator.Listed:
+		case emulator.BoxSlowed:
+			b.Slow(h.Slowdown)
+		case emulator.BoxListed:
 			status := map[decide.State]string{decide.Ready: "SERVING", decide.Draining: "DRAINING", decide.Gone: "DELETED"}[h.State]
-			time.AfterFunc(time.Duration(s.Notice)*5/4*time.Microsecond, func() { discovery.Set(b.Entry(status)) })
+			time.AfterFunc(time.Duration(s.ListDelay)*5/4*time.Microsecond, func() { discovery.Set(b.Entry(status)) })
 		}
 	}
 	jobs.Wait()
@@ -151,8 +151,8 @@
 	for _, kind := range s.Boxes {
 		for range kind.Count {
 			w, err := standin.StartWorker(standin.WorkerConfig{Name: fmt.Sprint("b", len(boxes)), Zone: s.Zones[len(boxes)%len(s.Zones)],
-				Slots: kind.Slots, Queue: kind.Queue, Speed: kind.Speed, Cold: s.Cold, Warms: time.Duration(s.Warms) * time.Microsecond,
-				Refresh: time.Duration(s.Refresh) * time.Microsecond, TellsStart: true})
+				Slots: kind.Slots, Queue: kind.Queue, Speed: kind.Speed, Cold: s.ColdFrom, Warms: time.Duration(s.ColdSpan) * time.Microsecond,
+				Refresh: time.Duration(s.ReportInterval) * time.Microsecond, TellsStart: true})
 			if err != nil {
 				return nil, nil, err
 			}
@@ -164,7 +164,7 @@
 }
 
 // ask sends one wish and what the client tries again of it, and books how it ended.
-func (t *twinTally) ask(client *http.Client, addr, id string, s *emulator.Script, h emulator.Happening) {
+func (t *twinTally) ask(client *http.Client, addr, id string, s *emulator.Script, h emulator.ExternalEvent) {
 	c := &s.Classes[h.Class]
 	aim := time.Duration(c.Terms.Aim+decide.Time(c.Terms.Stretch*float64(h.Work))) * time.Microsecond
 	k := &standin.Kind{Class: c.Name, Budget: time.Duration(c.Terms.Deadline) * time.Microsecond, Body: 200,
--- a/internal/emulator/check.go
+++ b/internal/emulator/check.go
@@ -14,7 +14,7 @@
 // it finds can't be hidden by what the model believes.
 
 // Findings are the rules that a log breaks, each with its line, at most maxFindings.
-type Findings []string
+type Violations []string
 
 const maxFindings = 100
 
@@ -36,7 +36,7 @@
 }
 
 // Check reads a log to its end.
-func Check(s *Script, log io.Reader) (Findings, error) {
+func Check(s *Script, log io.Reader) (Violations, error) {
 	c := &checker{s: s, open: map[string]*checkedRequest{}, told: map[[2]int]Time{}}
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, 1<<20)
@@ -64,7 +64,7 @@
 	s          *Script
 	open       map[string]*checkedRequest
 	told       map[[2]int]Time // of node and box: when it was told that it drains or is gone
-	out        Findings
+	out        Violations
 	unanswered int
 	example    string
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -60,7 +60,7 @@
 	worth := map[string]float64{}
 	for _, policy := range Policies {
 		var log bytes.Buffer
-		x, err := NewWith(policy, s, 5, &log)
+		x, err := NewWithPolicy(policy, s, 5, &log)
 		require.NoError(t, err)
 		r, err := x.Run(nil)
 		require.NoError(t, err)
@@ -74,7 +74,7 @@
 	assert.Greater(t, worth["oracle"], worth["random"])
 	assert.Greater(t, worth["module"], worth["random"])
 	t.Log(worth)
-	_, err := NewWith("luck", s, 1, nil)
+	_, err := NewWithPolicy("luck", s, 1, nil)
 	assert.ErrorContains(t, err, "no policy")
 }
 
@@ -113,7 +113,7 @@
 	found, err := Check(s, strings.NewReader(strings.Join(lines, "\n")))
 	require.NoError(t, err)
 	assert.Contains(t, found, "cold workers spared: 0 fall box=0")
-	b.began -= s.Warms
+	b.began -= s.ColdSpan
 	assert.False(t, b.up(), "it stays down though its time to warm is over")
 }
 
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -45,13 +45,13 @@
 }
 
 // World is one run of a script.
-type World struct {
+type Simulation struct {
 	// Policy is one of Policies; "" is the decision module.
 	Policy string
 	// SampleEvery is how far apart the samples of a Result are; 0: there are none.
 	SampleEvery Time
 	// Watch, if set, is told what comes from outside of the schedulers: what another world has to play to be the same.
-	Watch func(Happening)
+	OnExternalEvent func(ExternalEvent)
 
 	script *Script
 	seed   uint64
@@ -75,35 +75,35 @@
 }
 
 // Happening is one thing that comes from outside of the schedulers.
-type Happening struct {
-	At    Time // since the start
-	Kind  HappeningKind
-	Node  int // Arrival: the scheduler
-	Box   int // all others
-	Class int // Arrival
-	Work  Time
-	Slots int
-	Times float64      // Slowed: how many times slower it is from now on
-	State decide.State // Listed
+type ExternalEvent struct {
+	At       Time // since the start
+	Kind     ExternalEventKind
+	Node     int // Arrival: the scheduler
+	Box      int // all others
+	Class    int // Arrival
+	Work     Time
+	Slots    int
+	Slowdown float64      // Slowed: how many times slower it is from now on
+	State    decide.State // Listed
 }
 
 // HappeningKind says what happens.
-type HappeningKind uint8
+type ExternalEventKind uint8
 
 // The kinds.
 const (
-	Arrival  HappeningKind = iota // a client's wish
-	Silenced                      // a box says nothing more
-	Ended                         // a box's process ends
-	Began                         // a box begins anew, cold
-	Slowed                        // a box is slower, or no longer
-	Listed                        // the list service takes in a box's state; it tells late
+	Arrival      ExternalEventKind = iota // a client's wish
+	BoxSilent                             // a box says nothing more
+	BoxStopped                            // a box's process ends
+	BoxRestarted                          // a box begins anew, cold
+	BoxSlowed                             // a box is slower, or no longer
+	BoxListed                             // the list service takes in a box's state; it tells late
 )
 
-func (x *World) happens(h Happening) {
-	if x.Watch != nil {
+func (x *Simulation) happens(h ExternalEvent) {
+	if x.OnExternalEvent != nil {
 		h.At = x.now - x.origin
-		x.Watch(h)
+		x.OnExternalEvent(h)
 	}
 }
 
@@ -111,14 +111,16 @@
 const origin Time = 1000e6
 
 // New makes a world of a script. Its log goes to w, which may be nil.
-func New(s *Script, seed uint64, w io.Writer) (*World, error) { return NewWith("", s, seed, w) }
+func New(s *Script, seed uint64, w io.Writer) (*Simulation, error) {
+	return NewWithPolicy("", s, seed, w)
+}
 
 // NewWith makes one whose schedulers decide by another policy.
-func NewWith(policy string, s *Script, seed uint64, w io.Writer) (*World, error) {
+func NewWithPolicy(policy string, s *Script, seed uint64, w io.Writer) (*Simulation, error) {
 	if w == nil {
 		w = io.Discard
 	}
-	x := &World{Policy: policy, script: s, seed: seed, now: origin, origin: origin, log: bufio.NewWriterSize(w, 1<<16), rngs: map[string]*rand.Rand{}}
+	x := &Simulation{Policy: policy, script: s, seed: seed, now: origin, origin: origin, log: bufio.NewWriterSize(w, 1<<16), rngs: map[string]*rand.Rand{}}
 	for _, kind := range s.Boxes {
 		for range kind.Count {
 			x.addBox(kind)
@@ -138,7 +140,7 @@
 }
 
 // rng is the stream of that name. Streams are independent: a further box takes no numbers from the others.
-func (x *World) rng(name string) *rand.Rand {
+func (x *Simulation) rng(name string) *rand.Rand {
 	r := x.rngs[name]
 	if r == nil {
 		h := fnv.New64a()
@@ -150,13 +152,13 @@
 }
 
 // after has f happen once the span has passed.
-func (x *World) after(span Time, f func()) {
+func (x *Simulation) after(span Time, f func()) {
 	x.seq++
 	heap.Push(&x.queue, event{x.now + max(0, span), x.seq, f})
 }
 
 // note writes a line of the event log: the time since the start, then words.
-func (x *World) note(format string, args ...any) {
+func (x *Simulation) note(format string, args ...any) {
 	line := fmt.Sprintf("%d ", x.now-x.origin) + fmt.Sprintf(format, args...)
 	x.log.WriteString(line)
 	x.log.WriteByte('\n')
@@ -166,7 +168,7 @@
 }
 
 // Run plays the script to its end and until everything in hand has its answer. Progress is told now and then.
-func (x *World) Run(progress func(done, of Time)) (*Result, error) {
+func (x *Simulation) Run(progress func(done, of Time)) (*Result, error) {
 	for _, n := range x.nodes {
 		n.begin()
 	}
@@ -176,13 +178,13 @@
 		e := heap.Pop(&x.queue).(event)
 		x.sample(e.at)
 		x.now = e.at
-		if x.now > x.origin+x.script.For+x.longest() {
+		if x.now > x.origin+x.script.Duration+x.longest() {
 			break // what is left are the module's own timers and the list's news
 		}
 		e.do()
 		x.done++
 		if progress != nil && x.now >= next {
-			progress(x.now-x.origin, x.script.For)
+			progress(x.now-x.origin, x.script.Duration)
 			next = x.now + 1e6
 		}
 	}
@@ -196,10 +198,10 @@
 const maxHeld = 64
 
 // sample takes pictures of the state up to a moment; between two events nothing changes.
-func (x *World) sample(until Time) {
+func (x *Simulation) sample(until Time) {
 	for x.SampleEvery > 0 {
 		at := Time(len(x.shots)) * x.SampleEvery
-		if at > x.script.For || x.origin+at > until {
+		if at > x.script.Duration || x.origin+at > until {
 			return
 		}
 		s := Sample{At: at}
@@ -218,7 +220,7 @@
 }
 
 // longest is how long after the last arrival something may still be in hand.
-func (x *World) longest() Time {
+func (x *Simulation) longest() Time {
 	most := Time(0)
 	for _, c := range x.script.Classes {
 		most = max(most, c.Terms.Deadline)
@@ -227,7 +229,7 @@
 }
 
 // delay is one way between two zones.
-func (x *World) delay(a, b int, stream string) Time {
+func (x *Simulation) delay(a, b int, stream string) Time {
 	d := x.script.Same
 	if a != b {
 		d = x.script.Cross
@@ -236,7 +238,7 @@
 }
 
 // arrivals starts the clients: a Poisson process for each scheduler, thinned by the curve.
-func (x *World) arrivals() {
+func (x *Simulation) arrivals() {
 	for i, n := range x.nodes {
 		r := x.rng(fmt.Sprint("arrivals ", i))
 		peak := slices.Max(x.script.Curve)
@@ -244,7 +246,7 @@
 		next = func() {
 			x.after(Time(r.ExpFloat64()/(x.script.Rate*peak/float64(len(x.nodes)))*1e6), func() {
 				past := x.now - x.origin
-				if past >= x.script.For {
+				if past >= x.script.Duration {
 					return
 				}
 				if r.Float64()*peak < x.curve(past) {
@@ -258,12 +260,12 @@
 }
 
 // curve is the part of the rate that comes at a moment, between the points of the script.
-func (x *World) curve(past Time) float64 {
+func (x *Simulation) curve(past Time) float64 {
 	c := x.script.Curve
 	if len(c) == 1 {
 		return c[0]
 	}
-	at := float64(past) / float64(x.script.For) * float64(len(c)-1)
+	at := float64(past) / float64(x.script.Duration) * float64(len(c)-1)
 	i := min(int(at), len(c)-2)
 	return c[i] + (c[i+1]-c[i])*(at-float64(i))
 }
@@ -285,7 +287,7 @@
 	pushes   int
 }
 
-func (x *World) arrive(n *node, r *rand.Rand) {
+func (x *Simulation) arrive(n *node, r *rand.Rand) {
 	t := &try{came: x.now, left: x.script.Retries}
 	at := r.Float64()
 	for i := range x.script.Classes {
@@ -306,12 +308,12 @@
 	t.slots = c.Slots[r.IntN(len(c.Slots))]
 	t.aimAt = x.now + c.Terms.Aim + Time(c.Terms.Stretch*float64(t.work))
 	x.tries = append(x.tries, t)
-	x.happens(Happening{Kind: Arrival, Node: n.index, Class: t.class, Work: t.work, Slots: t.slots})
+	x.happens(ExternalEvent{Kind: Arrival, Node: n.index, Class: t.class, Work: t.work, Slots: t.slots})
 	x.request(n, t)
 }
 
 // request brings one request of a try to a scheduler that lives.
-func (x *World) request(n *node, t *try) {
+func (x *Simulation) request(n *node, t *try) {
 	if n.dead { // the front sends it to the next one
 		for i := range x.nodes {
 			if m := x.nodes[(n.index+i)%len(x.nodes)]; !m.dead {
@@ -336,7 +338,7 @@
 }
 
 // answer ends a request; the client may come again.
-func (x *World) answer(q *request, how string, retryAfter Time) {
+func (x *Simulation) answer(q *request, how string, retryAfter Time) {
 	if q.over {
 		return
 	}
@@ -408,7 +410,7 @@
 
 const windowSpan Time = 5e6
 
-func (x *World) result() *Result {
+func (x *Simulation) result() *Result {
 	r := &Result{Events: x.done, Tries: len(x.tries), Samples: x.shots}
 	worth, reached, earned := 0.0, 0.0, 0.0
 	for _, c := range x.script.Classes {
--- a/internal/emulator/parties.go
+++ b/internal/emulator/parties.go
@@ -12,7 +12,7 @@
 
 // box is a render box.
 type box struct {
-	x       *World
+	x       *Simulation
 	index   int
 	kind    *BoxKind
 	zone    int
@@ -39,7 +39,7 @@
 	work float64
 }
 
-func (x *World) addBox(kind *BoxKind) {
+func (x *Simulation) addBox(kind *BoxKind) {
 	b := &box{x: x, index: len(x.boxes), kind: kind, zone: len(x.boxes) % len(x.script.Zones)}
 	b.stream = fmt.Sprint("box ", b.index)
 	x.boxes = append(x.boxes, b)
@@ -60,8 +60,8 @@
 
 func (b *box) warmth() float64 {
 	s := b.x.script
-	if age := b.x.now - b.began; b.began > 0 && age < s.Warms {
-		return s.Cold + (1-s.Cold)*float64(age)/float64(s.Warms)
+	if age := b.x.now - b.began; b.began > 0 && age < s.ColdSpan {
+		return s.ColdFrom + (1-s.ColdFrom)*float64(age)/float64(s.ColdSpan)
 	}
 	return 1
 }
@@ -198,7 +198,7 @@
 // report is the load as a probe shows it: refreshed now and then, and a little wrong.
 func (b *box) report() decide.Report {
 	x := b.x
-	if b.shownAt == 0 || x.now-b.shownAt >= x.script.Refresh {
+	if b.shownAt == 0 || x.now-b.shownAt >= x.script.ReportInterval {
 		r := x.rng(b.stream)
 		noisy := func(v float64) float64 { return max(0, v*(1+x.script.Noise*r.NormFloat64())) }
 		b.shown = decide.Report{Has: decide.HasFreeSlots | decide.HasInFlight | decide.HasUtil,
@@ -218,7 +218,7 @@
 	b.began, b.fallen = b.x.now, false
 	b.arrived, b.shownAt = nil, 0
 	b.x.note("up box=%d", b.index)
-	b.x.happens(Happening{Kind: Began, Box: b.index})
+	b.x.happens(ExternalEvent{Kind: BoxRestarted, Box: b.index})
 }
 
 // request is one request in a scheduler's hands.
@@ -286,7 +286,7 @@
 
 // node is a scheduler.
 type node struct {
-	x        *World
+	x        *Simulation
 	index    int
 	zone     int
 	d        dispatcher
@@ -301,7 +301,7 @@
 	stream   string
 }
 
-func (x *World) addNode(i int) (*node, error) {
+func (x *Simulation) addNode(i int) (*node, error) {
 	n := &node{x: x, index: i, zone: i % len(x.script.Zones), stream: fmt.Sprint("node ", i)}
 	return n, n.reset()
 }
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -25,7 +25,7 @@
 var Policies = []string{"module", "random", "round_robin", "least_outstanding", "oracle"}
 
 // newDispatcher makes a node's decisions by the world's policy.
-func (x *World) newDispatcher(n *node, s decide.Settings, seed uint64) (dispatcher, error) {
+func (x *Simulation) newDispatcher(n *node, s decide.Settings, seed uint64) (dispatcher, error) {
 	switch x.Policy {
 	case "", "module":
 		return decide.New(s, seed, actions{n})
@@ -44,7 +44,7 @@
 
 // plain is one of the plain policies.
 type plain struct {
-	x     *World
+	x     *Simulation
 	s     decide.Settings
 	act   decide.Actions
 	rng   *rand.Rand
--- a/internal/emulator/script.go
+++ b/internal/emulator/script.go
@@ -15,7 +15,7 @@
 
 // Script is a world before it begins.
 type Script struct {
-	For        Time
+	Duration   Time
 	Zones      []string
 	Schedulers int
 	Boxes      []*BoxKind
@@ -27,17 +27,17 @@
 	NoHints    bool      // requests don't tell their work
 	RetryWait  Time
 
-	Same, Cross  Time // one way within a zone and between two
-	Jitter       float64
-	Notice       Time // how late the list tells, at least; half as much again at most
-	Refresh      Time // how long a load report stands
-	Noise        float64
-	ProbeTimeout Time
-	Cold         float64 // part of its capacity that a box has at its start
-	Warms        Time
-	FallMultiple float64
-	FallSpan     Time
-	DrainGrace   Time
+	Same, Cross    Time // one way within a zone and between two
+	Jitter         float64
+	ListDelay      Time // how late the list tells, at least; half as much again at most
+	ReportInterval Time // how long a load report stands
+	Noise          float64
+	ProbeTimeout   Time
+	ColdFrom       float64 // part of its capacity that a box has at its start
+	ColdSpan       Time
+	FallMultiple   float64
+	FallSpan       Time
+	DrainGrace     Time
 
 	Backfill     bool // boxes start any waiting job that fits, not only the first
 	TellsQueue   bool // reports hold the queue too
@@ -103,7 +103,7 @@
 func (s *Script) Settings(zone int) decide.Settings {
 	out := decide.Settings{Nodes: s.Schedulers, Zone: zone, Zones: len(s.Zones), CanProbe: true, CanCancel: true, MaxAttempts: s.Attempts,
 		SecondCopies:  s.SecondCopies,
-		MaxRetryAfter: 2e6, DrainGrace: s.DrainGrace, ColdFrom: s.Cold, ColdSpan: s.Warms, OverloadMultiple: s.FallMultiple,
+		MaxRetryAfter: 2e6, DrainGrace: s.DrainGrace, ColdFrom: s.ColdFrom, ColdSpan: s.ColdSpan, OverloadMultiple: s.FallMultiple,
 		OverloadSpan: s.FallSpan, AnswerSlack: 16e3, Tick: 4e3, TellsStart: true, WorthByWork: !s.ByRequest, CrossZoneCost: 0.03}
 	for _, c := range s.Classes {
 		out.Classes = append(out.Classes, c.Terms)
@@ -142,13 +142,13 @@
 	if !r.Sound() {
 		return nil, r.Err()
 	}
-	s := &Script{For: minute, Schedulers: 5, Rate: 26, Curve: []float64{1}, RetryWait: 50 * ms, Same: 200, Cross: 6 * ms, Jitter: 0.2,
-		Notice: 1e6, Refresh: 60 * ms, Noise: 0.1, ProbeTimeout: 500 * ms, Cold: 0.3, Warms: 8.6e6, FallMultiple: 4, FallSpan: 1500 * ms,
+	s := &Script{Duration: minute, Schedulers: 5, Rate: 26, Curve: []float64{1}, RetryWait: 50 * ms, Same: 200, Cross: 6 * ms, Jitter: 0.2,
+		ListDelay: 1e6, ReportInterval: 60 * ms, Noise: 0.1, ProbeTimeout: 500 * ms, ColdFrom: 0.3, ColdSpan: 8.6e6, FallMultiple: 4, FallSpan: 1500 * ms,
 		DrainGrace: 300 * ms, Zones: []string{"here"}, Attempts: 4}
 	if l.World != nil {
 		zones, curve := "", ""
 		var words [6]string
-		r.Fields(l.World.Body, config.Field{Name: "for", Unit: config.Span, Least: 1e6, Most: 60 * minute, To: &s.For},
+		r.Fields(l.World.Body, config.Field{Name: "for", Unit: config.Span, Least: 1e6, Most: 60 * minute, To: &s.Duration},
 			config.Field{Name: "zones", Unit: config.Word, To: &zones}, config.Field{Name: "curve", Unit: config.Word, To: &curve},
 			config.Field{Name: "schedulers", Unit: config.Count, Least: 1, Most: 5000, To: &s.Schedulers},
 			config.Field{Name: "rate", Unit: config.Number, Least: 0.01, Most: 1e6, To: &s.Rate},
@@ -157,8 +157,8 @@
 			config.Field{Name: "same", Unit: config.Span, Least: 1, Most: 1e6, To: &s.Same},
 			config.Field{Name: "cross", Unit: config.Span, Least: 1, Most: 1e6, To: &s.Cross},
 			config.Field{Name: "jitter", Unit: config.Number, Least: 0, Most: 10, To: &s.Jitter},
-			config.Field{Name: "notice", Unit: config.Span, Least: 0, Most: minute, To: &s.Notice},
-			config.Field{Name: "refresh", Unit: config.Span, Least: 0, Most: minute, To: &s.Refresh},
+			config.Field{Name: "notice", Unit: config.Span, Least: 0, Most: minute, To: &s.ListDelay},
+			config.Field{Name: "refresh", Unit: config.Span, Least: 0, Most: minute, To: &s.ReportInterval},
 			config.Field{Name: "noise", Unit: config.Number, Least: 0, Most: 1, To: &s.Noise},
 			config.Field{Name: "attempts", Unit: config.Count, Least: 1, Most: 100, To: &s.Attempts},
 			config.Field{Name: "drain_grace", Unit: config.Span, Least: 0, Most: minute, To: &s.DrainGrace},
@@ -166,8 +166,8 @@
 			config.Field{Name: "worth_by", Unit: config.Word, To: &words[0]}, config.Field{Name: "hints", Unit: config.Word, To: &words[1]},
 			config.Field{Name: "order", Unit: config.Word, To: &words[2]}, config.Field{Name: "reports", Unit: config.Word, To: &words[3]},
 			config.Field{Name: "cancels", Unit: config.Word, To: &words[4]}, config.Field{Name: "copies", Unit: config.Word, To: &words[5]},
-			config.Field{Name: "cold", Unit: config.Number, Least: 0.01, Most: 1, To: &s.Cold},
-			config.Field{Name: "warms", Unit: config.Span, Least: 0, Most: 10 * minute, To: &s.Warms})
+			config.Field{Name: "cold", Unit: config.Number, Least: 0.01, Most: 1, To: &s.ColdFrom},
+			config.Field{Name: "warms", Unit: config.Span, Least: 0, Most: 10 * minute, To: &s.ColdSpan})
 		for i, choice := range []struct {
 			name, usual, other string
 			to                 *bool
@@ -275,8 +275,8 @@
 		}
 		t.To, t.Balancer = t.From+long, with == "yes"
 		switch {
-		case t.From >= s.For:
-			r.Fault(b.Body, "trouble %q begins after the end: the script plays for %d s", b.Name, s.For/1e6)
+		case t.From >= s.Duration:
+			r.Fault(b.Body, "trouble %q begins after the end: the script plays for %d s", b.Name, s.Duration/1e6)
 		case with != "" && with != "yes" && with != "no":
 			r.Fault(b.Body, "trouble %q: with_schedulers: allowed is \"yes\" or \"no\"", b.Name)
 		case b.Name == "zone_loss" && !slices.Contains(s.Zones, t.Zone):
--- a/internal/emulator/trouble.go
+++ b/internal/emulator/trouble.go
@@ -17,7 +17,7 @@
 }
 
 // plan puts a trouble on the calendar.
-func (x *World) plan(t *Trouble) {
+func (x *Simulation) plan(t *Trouble) {
 	name := fmt.Sprintf("trouble %d", slices.IndexFunc(x.script.Troubles, func(o Trouble) bool { return o == *t }))
 	begin, end := x.troubles(t, name)
 	x.after(t.From, func() {
@@ -31,7 +31,7 @@
 }
 
 // some draws a part of the boxes, one at least.
-func (x *World) some(part float64, stream string) []*box {
+func (x *Simulation) some(part float64, stream string) []*box {
 	order := x.rng(stream).Perm(len(x.boxes))
 	var out []*box
 	for _, i := range order[:max(1, int(part*float64(len(x.boxes))+0.5))] {
@@ -41,7 +41,7 @@
 }
 
 // troubles returns what a trouble does at its beginning and at its end.
-func (x *World) troubles(t *Trouble, name string) (begin, end func()) {
+func (x *Simulation) troubles(t *Trouble, name string) (begin, end func()) {
 	var hit []*box
 	each := func(f func(*box)) func() {
 		return func() {
@@ -151,7 +151,7 @@
 	b.silent++
 	if b.silent == 1 {
 		b.x.note("silent box=%d", b.index)
-		b.x.happens(Happening{Kind: Silenced, Box: b.index})
+		b.x.happens(ExternalEvent{Kind: BoxSilent, Box: b.index})
 		for _, a := range append(slices.Clone(b.active), b.queue...) {
 			a.ended, a.lost = true, true
 		}
@@ -174,7 +174,7 @@
 	for _, t := range b.slow {
 		times *= t
 	}
-	b.x.happens(Happening{Kind: Slowed, Box: b.index, Times: times})
+	b.x.happens(ExternalEvent{Kind: BoxSlowed, Box: b.index, Slowdown: times})
 }
 
 // pauses has a box stand still again and again.
@@ -188,7 +188,7 @@
 }
 
 // onAndOff switches something on and off until the trouble ends; it is off then.
-func (x *World) onAndOff(t *Trouble, name string, on, off func()) {
+func (x *Simulation) onAndOff(t *Trouble, name string, on, off func()) {
 	span := func() Time { return Time(float64(t.Every) * (0.5 + x.rng(name).Float64())) }
 	if x.now-x.origin >= t.To {
 		return
@@ -211,7 +211,7 @@
 // down ends a box's process for a span; then follows what is next.
 func (b *box) down(span Time, then func()) {
 	b.dead++
-	b.x.happens(Happening{Kind: Ended, Box: b.index})
+	b.x.happens(ExternalEvent{Kind: BoxStopped, Box: b.index})
 	b.loseAll(decide.Reset)
 	b.x.list(b, decide.Gone)
 	b.x.after(span, func() {
@@ -224,7 +224,7 @@
 }
 
 // rolling restarts one box after the other.
-func (x *World) rolling(t *Trouble, i int) {
+func (x *Simulation) rolling(t *Trouble, i int) {
 	if i >= len(x.boxes) || x.now-x.origin >= t.To {
 		return
 	}
@@ -238,27 +238,27 @@
 }
 
 // list changes a box's entry and tells every scheduler, late, each in its own time.
-func (x *World) list(b *box, s decide.State) {
+func (x *Simulation) list(b *box, s decide.State) {
 	if s == decide.Ready && b.drains > 0 {
 		s = decide.Draining
 	}
 	w := &x.listed[b.index]
 	w.State, w.StartedAt = s, b.began
-	x.happens(Happening{Kind: Listed, Box: b.index, State: s})
+	x.happens(ExternalEvent{Kind: BoxListed, Box: b.index, State: s})
 	if x.down > 0 {
 		return // told once the list service is back
 	}
 	x.tellAll([]decide.Worker{*w})
 }
 
-func (x *World) tellAll(list []decide.Worker) {
+func (x *Simulation) tellAll(list []decide.Worker) {
 	r := x.rng("discovery")
 	for _, n := range x.nodes {
-		n.tell(list, x.script.Notice+Time(r.Float64()*float64(x.script.Notice)/2))
+		n.tell(list, x.script.ListDelay+Time(r.Float64()*float64(x.script.ListDelay)/2))
 	}
 }
 
-func (x *World) announceAll() { x.tellAll(slices.Clone(x.listed)) }
+func (x *Simulation) announceAll() { x.tellAll(slices.Clone(x.listed)) }
 
 // die ends a scheduler with all it has; its clients see their connections break.
 func (n *node) die() {
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -35,7 +35,7 @@
 func NewEncoder() *Encoder { return &Encoder{buf: make([]byte, 4, 1<<16)} }
 
 // For names the instance that acts from here on.
-func (e *Encoder) For(instance uint32) { e.instance = instance }
+func (e *Encoder) SetInstance(instance uint32) { e.instance = instance }
 
 // Flush writes the reply to w and starts the next one.
 func (e *Encoder) Flush(w io.Writer) error {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -14,18 +14,18 @@
 
 // Codes of the events.
 const (
-	CodeFirst    = 10
-	CodePage     = 20
-	CodeAnnounce = 30
-	CodeTimer    = 40
-	CodeNote     = 50
-	CodeDown     = 60
-	CodeOutcome  = 70
-	CodeBegin    = 80
-	CodeHangup   = 90
-	CodeRequest  = 100
-	CodeMessage  = 110
-	CodeProbed   = 120
+	CodeStreamStarted = 10
+	CodePage          = 20
+	CodeAnnounce      = 30
+	CodeTimer         = 40
+	CodeNote          = 50
+	CodeInstanceEnd   = 60
+	CodeOutcome       = 70
+	CodeInstanceBegin = 80
+	CodeHangup        = 90
+	CodeRequest       = 100
+	CodePeerMessage   = 110
+	CodeProbeResult   = 120
 )
 
 const (
@@ -56,11 +56,11 @@
 
 	Token uint64 // Timer
 
-	Worker  decide.WorkerID // Probed
-	Status  decide.Status
-	Latency decide.Time
-	Values  [8]float32 // the load report of Outcome and Probed, in the order of the site's report fields
-	NValues int
+	Worker     decide.WorkerID // Probed
+	Status     decide.Status
+	Latency    decide.Time
+	Values     [8]float32 // the load report of Outcome and Probed, in the order of the site's report fields
+	ValueCount int
 
 	From int // Message
 	Data []byte
@@ -188,14 +188,14 @@
 		return true
 	}
 	switch code {
-	case CodeFirst, CodeAnnounce, CodeTimer, CodeNote, CodeDown, CodeOutcome, CodeBegin, CodeHangup, CodeRequest,
-		CodeMessage, CodeProbed:
+	case CodeStreamStarted, CodeAnnounce, CodeTimer, CodeNote, CodeInstanceEnd, CodeOutcome, CodeInstanceBegin, CodeHangup, CodeRequest,
+		CodePeerMessage, CodeProbeResult:
 		e.Instance = f.u32()
 	default:
 		return false
 	}
 	switch code {
-	case CodeFirst:
+	case CodeStreamStarted:
 		e.Job.ID = f.u32()
 		e.Outcome.Worker = f.worker()
 		e.Latency = decide.Time(f.u32())
@@ -212,17 +212,17 @@
 		e.Value = f.f32()
 	case CodeOutcome:
 		d.decodeOutcome(f)
-	case CodeBegin:
+	case CodeInstanceBegin:
 		e.Seed = f.u64()
 		e.Params = f.bytes(int64(f.u32()))
 	case CodeHangup:
 		e.Job.ID = f.u32()
 	case CodeRequest:
 		e.decodeRequest(f)
-	case CodeMessage:
+	case CodePeerMessage:
 		e.From = int(f.u32())
 		e.Data = f.bytes(int64(f.u16()))
-	case CodeProbed:
+	case CodeProbeResult:
 		e.Status = f.status()
 		e.Latency = decide.Time(f.u32())
 		e.Worker = f.worker()
@@ -299,12 +299,12 @@
 
 func (e *Event) decodeReport(f *fields) {
 	n := int(f.u8())
-	e.NValues = 0
+	e.ValueCount = 0
 	for i := 0; i < n; i++ {
 		v := float32(f.f32())
 		if i < len(e.Values) {
 			e.Values[i] = v
-			e.NValues++
+			e.ValueCount++
 		}
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -90,26 +90,26 @@
 	}
 	e = next(CodeOutcome)
 	o := decide.Outcome{Job: 0xaa, Attempt: 3, Worker: w1, Status: decide.Reset, Closed: true, Latency: 100}
-	if e.Outcome != o || e.NValues != 2 || e.Values[0] != 1 || e.Values[1] != -1 {
+	if e.Outcome != o || e.ValueCount != 2 || e.Values[0] != 1 || e.Values[1] != -1 {
 		t.Errorf("outcome %+v", e)
 	}
-	e = next(CodeProbed)
-	if e.Worker != w2 || e.Status != decide.TimedOut || e.Latency != 1000 || e.NValues != 0 {
+	e = next(CodeProbeResult)
+	if e.Worker != w2 || e.Status != decide.TimedOut || e.Latency != 1000 || e.ValueCount != 0 {
 		t.Errorf("probe %+v", e)
 	}
 	if e = next(CodeTimer); e.Token != 0x0123456789abcdef {
 		t.Errorf("token %x", e.Token)
 	}
-	if e = next(CodeMessage); e.From != 4 || !bytes.Equal(e.Data, []byte{0xbe, 0xef}) {
+	if e = next(CodePeerMessage); e.From != 4 || !bytes.Equal(e.Data, []byte{0xbe, 0xef}) {
 		t.Errorf("message %+v", e)
 	}
 	if e = next(CodeHangup); e.Job.ID != 0xaa {
 		t.Errorf("hangup %+v", e)
 	}
-	if e = next(CodeFirst); e.Job.ID != 0xab || e.Outcome.Attempt != 1 {
+	if e = next(CodeStreamStarted); e.Job.ID != 0xab || e.Outcome.Attempt != 1 {
 		t.Errorf("first %+v", e)
 	}
-	next(CodeDown)
+	next(CodeInstanceEnd)
 	if e, err := d.Next(); e != nil || err != nil {
 		t.Errorf("after the last: %+v, %v", e, err)
 	}
@@ -120,7 +120,7 @@
 
 func TestEncodeGolden(t *testing.T) {
 	e := NewEncoder()
-	e.For(9)
+	e.SetInstance(9)
 	e.Push(0xaa, 0xc0a800011f90, 80000)
 	e.Push(0xaa, 0xc0a800011f90, -5)
 	e.Probe(0xc0a800021f91)
