--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -23,111 +23,111 @@
 }
 
 // node is one instance with the layout of its site's load reports.
-type node struct {
+type instance struct {
 	*decide.Dispatcher
 	layout wire.Layout
 }
 
-type host struct {
-	dec   *wire.Decoder
-	enc   *wire.Encoder
-	nodes map[uint32]node // looked up by number only, never walked
+type server struct {
+	decoder   *wire.Decoder
+	encoder   *wire.Encoder
+	instances map[uint32]instance // looked up by number only, never walked
 }
 
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
-	h := &host{
-		dec:   wire.NewDecoder(bufio.NewReaderSize(in, 1<<16)),
-		enc:   wire.NewEncoder(),
-		nodes: make(map[uint32]node),
+	s := &server{
+		decoder:   wire.NewDecoder(bufio.NewReaderSize(in, 1<<16)),
+		encoder:   wire.NewEncoder(),
+		instances: make(map[uint32]instance),
 	}
 	for {
-		if err := h.dec.Read(); err == io.EOF {
+		if err := s.decoder.Read(); err == io.EOF {
 			return nil
 		} else if err != nil {
 			return err
 		}
 		for {
-			ev, err := h.dec.Next()
+			ev, err := s.decoder.Next()
 			if err != nil {
 				return err
 			}
 			if ev == nil {
 				break
 			}
-			h.enc.SetInstance(ev.Instance)
-			h.guarded(ev)
+			s.encoder.SetInstance(ev.Instance)
+			s.handleRecovering(ev)
 		}
-		if err := h.enc.Flush(out); err != nil {
+		if err := s.encoder.Flush(out); err != nil {
 			return fmt.Errorf("reply: %w", err)
 		}
 	}
 }
 
 // guarded hands on one event; a panic of the decision module is reported on the wire for its instance.
-func (h *host) guarded(ev *wire.Event) {
+func (h *server) handleRecovering(ev *wire.Event) {
 	defer func() {
 		if r := recover(); r != nil {
-			h.enc.BailOut(fmt.Sprint("panic: ", r))
+			h.encoder.BailOut(fmt.Sprint("panic: ", r))
 			fmt.Fprintf(os.Stderr, "simhost: instance %d: panic: %v\n%s", ev.Instance, r, debug.Stack())
-			delete(h.nodes, ev.Instance)
+			delete(h.instances, ev.Instance)
 		}
 	}()
 	h.handle(ev)
 }
 
-func (h *host) handle(ev *wire.Event) {
+func (h *server) handle(ev *wire.Event) {
 	switch ev.Code {
 	case wire.CodeInstanceBegin:
-		h.begin(ev)
+		h.createInstance(ev)
 		return
 	case wire.CodeInstanceEnd:
-		delete(h.nodes, ev.Instance)
+		delete(h.instances, ev.Instance)
 		return
 	}
-	n, ok := h.nodes[ev.Instance]
+	instance, ok := h.instances[ev.Instance]
 	if !ok {
 		return
 	}
-	now := h.dec.Now()
+	now := h.decoder.Now()
 	switch ev.Code {
 	case wire.CodeAnnounce:
-		workers, _ := h.dec.Workers(ev.Page)
+		workers, _ := h.decoder.Workers(ev.Page)
 		if ev.ListKind == decide.ListFailed {
 			workers = nil
 		}
-		n.Announce(now, ev.ListKind, workers)
+		instance.Announce(now, ev.ListKind, workers)
 	case wire.CodeRequest:
-		n.Arrive(now, ev.Job)
+		instance.Arrive(now, ev.Job)
 	case wire.CodeStreamStarted:
-		n.StreamStarted(now, ev.Job.ID, ev.Outcome.Attempt)
+		instance.StreamStarted(now, ev.Job.ID, ev.Outcome.Attempt)
 	case wire.CodeNote:
-		n.Note(now, ev.Job.ID, ev.Outcome.Attempt, ev.Note, ev.Value)
+		instance.Note(now, ev.Job.ID, ev.Outcome.Attempt, ev.Note, ev.Value)
 	case wire.CodeOutcome:
-		ev.Outcome.Report = n.layout.Report(ev.Values[:ev.ValueCount])
-		n.Outcome(now, ev.Outcome)
+		ev.Outcome.Report = instance.layout.Report(ev.Values[:ev.ValueCount])
+		instance.Outcome(now, ev.Outcome)
 	case wire.CodeProbeResult:
-		n.ProbeResult(now, ev.Worker, ev.Status, ev.Latency, n.layout.Report(ev.Values[:ev.ValueCount]))
+		instance.ProbeResult(now, ev.Worker, ev.Status, ev.Latency, instance.layout.Report(ev.Values[:ev.ValueCount]))
 	case wire.CodeTimer:
-		n.Wake(now, ev.Token)
+		instance.Wake(now, ev.Token)
 	case wire.CodeHangup:
-		n.Hangup(now, ev.Job.ID)
+		instance.Hangup(now, ev.Job.ID)
 	case wire.CodePeerMessage:
-		n.PeerMessage(now, ev.From, ev.Data)
+		instance.PeerMessage(now, ev.From, ev.Data)
 	}
 }
 
-func (h *host) begin(ev *wire.Event) {
-	delete(h.nodes, ev.Instance)
+func (h *server) createInstance(ev *wire.Event) {
+	delete(h.instances, ev.Instance)
 	settings, layout, err := wire.ParseSettings(ev.Params)
 	var d *decide.Dispatcher
 	if err == nil {
-		d, err = decide.New(settings, ev.Seed, h.enc)
+		d, err = decide.New(settings, ev.Seed, h.encoder)
 	}
 	if err != nil {
-		h.enc.BailOut(err.Error())
+		h.encoder.BailOut(err.Error())
 		fmt.Fprintf(os.Stderr, "simhost: instance %d: %v\n", ev.Instance, err)
 		return
 	}
-	h.nodes[ev.Instance] = node{d, layout}
+	h.instances[ev.Instance] = instance{d, layout}
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -35,7 +35,7 @@
 // batch builds frames by hand, independently of the codec under test.
 type batch struct {
 	records []byte
-	n       uint32
+	count   uint32
 }
 
 func (b *batch) add(code byte, parts ...any) {
@@ -53,27 +53,27 @@
 	b.records = append(b.records, code)
 	b.records = binary.BigEndian.AppendUint32(b.records, uint32(len(body)))
 	b.records = append(b.records, body...)
-	b.n++
+	b.count++
 }
 
 func (b *batch) frame(now uint64) []byte {
 	f := binary.BigEndian.AppendUint32(nil, uint32(len(b.records)+16))
 	f = binary.BigEndian.AppendUint64(f, now)
-	f = binary.BigEndian.AppendUint32(f, b.n)
+	f = binary.BigEndian.AppendUint32(f, b.count)
 	return append(f, b.records...)
 }
 
-func addr(i byte) []byte { return []byte{10, 0, 0, i, 0x1f, 0x40} }
+func workerAddr(i byte) []byte { return []byte{10, 0, 0, i, 0x1f, 0x40} }
 
-func begin(b *batch, who uint32, seed uint64) {
-	b.add(80, who, seed, uint32(len(settings)), settings)
-	var rows []byte
+func addInstance(b *batch, instance uint32, seed uint64) {
+	b.add(80, instance, seed, uint32(len(settings)), settings)
+	var entries []byte
 	for i := byte(1); i <= 3; i++ {
-		rows = append(rows, addr(i)...)
-		rows = append(rows, 0, 0, 0, 0, 1, 0x3f, 0x80, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0)
+		entries = append(entries, workerAddr(i)...)
+		entries = append(entries, 0, 0, 0, 0, 1, 0x3f, 0x80, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0)
 	}
-	b.add(20, uint16(0), uint32(3), rows)
-	b.add(30, who, byte(2), uint32(1), uint16(0))
+	b.add(20, uint16(0), uint32(3), entries)
+	b.add(30, instance, byte(2), uint32(1), uint16(0))
 }
 
 // reply is one answer of the adapter, by action code and instance.
@@ -108,7 +108,7 @@
 }
 
 // The built adapter takes a job from arrival over a pair of probes to its push, and ends cleanly.
-func TestBuiltAdapterEndToEnd(t *testing.T) {
+func TestBinaryEndToEnd(t *testing.T) {
 	cmd := exec.Command(build(t))
 	in, _ := cmd.StdinPipe()
 	out, _ := cmd.StdoutPipe()
@@ -128,8 +128,8 @@
 		t.Errorf("an empty batch got %v", got)
 	}
 	b := &batch{}
-	begin(b, 4, 11)
-	begin(b, 5, 12)
+	addInstance(b, 4, 11)
+	addInstance(b, 5, 12)
 	b.add(100, uint32(5), uint32(77), uint16(0), uint16(0), uint64(0), uint64(6001000), uint32(0), float32(1), float32(0), byte(0))
 	got := send(b, 1001000)
 	if len(got[100]) != 2 || len(got[70]) != 0 || len(got[30]) == 0 {
@@ -158,7 +158,7 @@
 }
 
 // Damage ends the adapter with one plain line and a status; bad settings are reported for their instance.
-func TestBuiltAdapterOnBadInput(t *testing.T) {
+func TestBinaryRejectsBadInput(t *testing.T) {
 	bin := build(t)
 	cmd := exec.Command(bin)
 	b := &batch{}
@@ -184,16 +184,16 @@
 }
 
 // Instances share nothing: the same events give an instance the same actions, alone or in company.
-func TestInstancesShareNothing(t *testing.T) {
-	run := func(who ...uint32) []byte {
+func TestInstancesAreIndependent(t *testing.T) {
+	run := func(instances ...uint32) []byte {
 		var in, out bytes.Buffer
 		for step := range 40 {
 			b := &batch{}
-			for _, w := range who {
+			for _, instance := range instances {
 				if step == 0 {
-					begin(b, w, 5+uint64(w))
+					addInstance(b, instance, 5+uint64(instance))
 				}
-				b.add(100, w, uint32(100+step), uint16(0), uint16(0), uint64(0), uint64(9000000), uint32(0), float32(1),
+				b.add(100, instance, uint32(100+step), uint16(0), uint16(0), uint64(0), uint64(9000000), uint32(0), float32(1),
 					float32(0), byte(0))
 			}
 			in.Write(b.frame(uint64(1000000 + 1000*step)))
@@ -201,7 +201,7 @@
 		if err := serve(&in, &out); err != nil {
 			t.Fatal(err)
 		}
-		var mine []byte
+		var actions []byte
 		for out.Len() > 0 {
 			var head [4]byte
 			_, _ = io.ReadFull(&out, head[:])
@@ -209,15 +209,15 @@
 			for len(b) > 0 {
 				n := 5 + binary.BigEndian.Uint32(b[1:])
 				if binary.BigEndian.Uint32(b[5:]) == 2 {
-					mine = append(mine, b[:n]...)
+					actions = append(actions, b[:n]...)
 				}
 				b = b[n:]
 			}
 		}
-		return mine
+		return actions
 	}
 	alone := run(2)
-	if company := run(1, 2, 3); len(alone) == 0 || !bytes.Equal(alone, company) {
-		t.Errorf("%d bytes of actions alone, %d in company, or they differ", len(alone), len(company))
+	if together := run(1, 2, 3); len(alone) == 0 || !bytes.Equal(alone, together) {
+		t.Errorf("%d bytes of actions alone, %d in company, or they differ", len(alone), len(together))
 	}
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func script(t testing.TB, name, more string) *Script {
+func loadScript(t testing.TB, name, more string) *Script {
 	text, err := os.ReadFile("../../deploy/rehearsals/" + name + ".hcl")
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), name+".hcl")
@@ -21,7 +21,7 @@
 	return s
 }
 
-func play(t testing.TB, s *Script, seed uint64) (*Result, []byte) {
+func runScript(t testing.TB, s *Script, seed uint64) (*Result, []byte) {
 	var log bytes.Buffer
 	x, err := New(s, seed, &log)
 	require.NoError(t, err)
@@ -31,23 +31,23 @@
 }
 
 // Every script of the library keeps the rules, as the checker reads them from the log, and gives the same log again.
-func TestLibrary(t *testing.T) {
+func TestScriptLibraryKeepsTheRules(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/rehearsals/*.hcl")
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, len(files), 16)
 	for _, file := range files {
 		name := strings.TrimSuffix(filepath.Base(file), ".hcl")
-		s := script(t, name, "")
-		r, log := play(t, s, 7)
-		found, err := Check(s, bytes.NewReader(log))
+		s := loadScript(t, name, "")
+		r, log := runScript(t, s, 7)
+		violations, err := Check(s, bytes.NewReader(log))
 		require.NoError(t, err, name)
-		assert.Empty(t, found, name)
+		assert.Empty(t, violations, name)
 		assert.Greater(t, r.Tries, 1000, name)
 		assert.Greater(t, r.InTime, 0.3, name)
 		assert.Zero(t, r.Unserved, name)
-		_, again := play(t, s, 7)
+		_, again := runScript(t, s, 7)
 		assert.True(t, bytes.Equal(log, again), "%s: another log by the same seed", name)
-		_, other := play(t, s, 8)
+		_, other := runScript(t, s, 8)
 		assert.False(t, bytes.Equal(log, other), name)
 		t.Logf("%s: %.3f in time, %d late, %d refused, %d failed, %.2f probes a job, %d events", name, r.InTime, r.Late, r.Refused, r.Failed,
 			float64(r.Probes)/float64(r.Tries), r.Events)
@@ -55,8 +55,8 @@
 }
 
 // The plain policies play the same day: the same jobs come, and the one that sees the true state does best of them.
-func TestPlainPolicies(t *testing.T) {
-	s := script(t, "slow", "")
+func TestBaselinePolicies(t *testing.T) {
+	s := loadScript(t, "slow", "")
 	worth := map[string]float64{}
 	for _, policy := range Policies {
 		var log bytes.Buffer
@@ -65,9 +65,9 @@
 		r, err := x.Run(nil)
 		require.NoError(t, err)
 		worth[policy] = r.InTime
-		found, err := Check(s, &log)
+		violations, err := Check(s, &log)
 		require.NoError(t, err)
-		for _, f := range found { // they do nothing for cold boxes
+		for _, f := range violations { // they do nothing for cold boxes
 			assert.Contains(t, f, "cold workers spared", policy)
 		}
 	}
@@ -79,9 +79,9 @@
 }
 
 // A further box takes no random numbers from what was there: the same clients come with the same jobs.
-func TestStreamsAreIndependent(t *testing.T) {
+func TestRandomStreamsAreIndependent(t *testing.T) {
 	arrivals := func(more string) (out []string) {
-		_, log := play(t, script(t, "calm", more), 3)
+		_, log := runScript(t, loadScript(t, "calm", more), 3)
 		for line := range strings.Lines(string(log)) {
 			if strings.Contains(line, " arrive ") {
 				out = append(out, line)
@@ -93,33 +93,33 @@
 }
 
 // A cold box that is sent more than it bears collapses, stays down, and the checker says so.
-func TestCollapse(t *testing.T) {
-	s := script(t, "calm", "")
+func TestColdBoxCollapses(t *testing.T) {
+	s := loadScript(t, "calm", "")
 	x, err := New(s, 1, nil)
 	require.NoError(t, err)
 	var lines []string
-	x.logged = func(line string) { lines = append(lines, line) }
+	x.onLogLine = func(line string) { lines = append(lines, line) }
 	b := x.boxes[0]
 	b.restart()
 	n := x.nodes[0]
 	for i := range 100 {
-		q := &request{id: uint32(i + 1), node: n, try: &try{work: 2e6, slots: 1}}
+		q := &request{id: uint32(i + 1), node: n, job: &clientJob{work: 2e6, slots: 1}}
 		n.requests[q.id] = q
-		b.land(&attempt{q: q, b: b, node: n})
+		b.receive(&attempt{request: q, box: b, node: n})
 	}
-	assert.True(t, b.fallen)
+	assert.True(t, b.collapsed)
 	assert.False(t, b.up())
 	assert.Contains(t, lines, "0 fall box=0")
-	found, err := Check(s, strings.NewReader(strings.Join(lines, "\n")))
+	violations, err := Check(s, strings.NewReader(strings.Join(lines, "\n")))
 	require.NoError(t, err)
-	assert.Contains(t, found, "cold workers spared: 0 fall box=0")
-	b.began -= s.ColdSpan
+	assert.Contains(t, violations, "cold workers spared: 0 fall box=0")
+	b.startedAt -= s.ColdSpan
 	assert.False(t, b.up(), "it stays down though its time to warm is over")
 }
 
 // Two troubles on one box each undo only what they did.
-func TestTwoTroublesOnOneBox(t *testing.T) {
-	s := script(t, "calm", `
+func TestOverlappingTroublesOnOneBox(t *testing.T) {
+	s := loadScript(t, "calm", `
 trouble "slow" {
   from  = "5s"
   for   = "20s"
@@ -144,10 +144,10 @@
 }`)
 	x, err := New(s, 1, nil)
 	require.NoError(t, err)
-	var murun *box
+	var murunBox *box
 	for _, b := range x.boxes {
 		if s.Zones[b.zone] == "murun" {
-			murun = b
+			murunBox = b
 		}
 	}
 	type state struct {
@@ -156,7 +156,7 @@
 	}
 	seen := map[int]state{}
 	for _, at := range []int{4, 7, 11, 13, 17, 20, 23, 30} {
-		x.after(Time(at)*1e6, func() { seen[at] = state{len(murun.slow), murun.up()} })
+		x.schedule(Time(at)*1e6, func() { seen[at] = state{len(murunBox.slowdowns), murunBox.up()} })
 	}
 	_, err = x.Run(nil)
 	require.NoError(t, err)
@@ -165,8 +165,8 @@
 }
 
 // The checker finds each kind of broken rule in a log, whatever wrote it.
-func TestChecker(t *testing.T) {
-	s := script(t, "calm", "")
+func TestCheckFindsViolations(t *testing.T) {
+	s := loadScript(t, "calm", "")
 	const arrive = "1 arrive 1 class=press-send node=0 give_up=25000000 again=0\n2 push 1.0 node=0 box=3\n"
 	for name, c := range map[string]struct{ log, want string }{
 		"kept":              {arrive + "9 outcome 1.0 served\n9 answer 1 served\n", ""},
@@ -183,20 +183,20 @@
 		"a drain, in time":  {"0 told node=0 box=3 state=2\n" + arrive + "9 answer 1 failed\n", ""},
 		"a fall":            {"0 fall box=2\n", "cold workers spared"},
 	} {
-		found, err := Check(s, strings.NewReader(c.log))
+		violations, err := Check(s, strings.NewReader(c.log))
 		require.NoError(t, err, name)
 		if c.want == "" {
-			assert.Empty(t, found, name)
+			assert.Empty(t, violations, name)
 			continue
 		}
-		assert.Contains(t, strings.Join(found, "\n"), c.want, name)
+		assert.Contains(t, strings.Join(violations, "\n"), c.want, name)
 	}
 	_, err := Check(s, strings.NewReader("nonsense\n"))
 	assert.Error(t, err)
 }
 
 // Every fault of a script is told with its place and what is allowed.
-func TestScriptFaults(t *testing.T) {
+func TestScriptErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		`trouble "flood" {}`:                                       "no trouble \"flood\"; allowed: balancer_crash, discovery_down, drain, fast_errors",
 		"trouble \"fast_errors\" {\n  takes = 1\n}":                "out of range; allowed is 0 to 0.99",
@@ -224,26 +224,26 @@
 }
 
 // Each of the second deployment's troubles strikes as it says, and leaves nothing behind.
-func TestMarketTroubles(t *testing.T) {
-	s := script(t, "market_december", "")
+func TestMarketDecemberTroubles(t *testing.T) {
+	s := loadScript(t, "market_december", "")
 	x, err := New(s, 1, nil)
 	require.NoError(t, err)
 	seen := map[int][3]int{} // boxes that fail jobs, are slowed, and by more than one
 	for _, at := range []int{5, 22, 36, 55} {
-		x.after(Time(at)*1e6, func() {
-			n := [3]int{}
+		x.schedule(Time(at)*1e6, func() {
+			counts := [3]int{}
 			for _, b := range x.boxes {
-				if len(b.fails) > 0 {
-					n[0]++
+				if len(b.failureShares) > 0 {
+					counts[0]++
 				}
-				if len(b.slow) > 0 {
-					n[1]++
+				if len(b.slowdowns) > 0 {
+					counts[1]++
 				}
-				if len(b.slow) > 1 {
-					n[2]++
+				if len(b.slowdowns) > 1 {
+					counts[2]++
 				}
 			}
-			seen[at] = n
+			seen[at] = counts
 		})
 	}
 	r, err := x.Run(nil)
@@ -253,7 +253,7 @@
 	assert.Equal(t, 11, seen[36][1], "a shared slowness strikes all")
 	assert.Equal(t, [3]int{}, seen[55])
 	assert.Greater(t, r.Earned, r.InTime, "late answers earn a part")
-	calm, err := New(script(t, "market", ""), 1, nil)
+	calm, err := New(loadScript(t, "market", ""), 1, nil)
 	require.NoError(t, err)
 	c, err := calm.Run(nil)
 	require.NoError(t, err)
@@ -261,7 +261,7 @@
 }
 
 // Called off, a job that runs stops where the script says so, and its slots go to the next that fits.
-func TestStopsAndBackfill(t *testing.T) {
+func TestCancelAndBackfill(t *testing.T) {
 	for name, c := range map[string]struct {
 		stops, backfill bool
 		running         int
@@ -272,27 +272,27 @@
 		"work stops, any that fits":   {true, true, 2, []uint32{1, 2, 4}},
 		"work goes on, any that fits": {false, true, 4, []uint32{1, 2, 4}},
 	} {
-		s := script(t, "calm", "")
-		s.Stops, s.Backfill = c.stops, c.backfill
+		s := loadScript(t, "calm", "")
+		s.CancelsRunning, s.Backfill = c.stops, c.backfill
 		x, err := New(s, 1, nil)
 		require.NoError(t, err)
 		var started []uint32
 		b, n := x.boxes[0], x.nodes[0]
 		var first *attempt
 		for i, slots := range []int{2, 1, 4, 1} {
-			q := &request{id: uint32(i + 1), node: n, try: &try{work: 60e6, slots: slots}}
+			q := &request{id: uint32(i + 1), node: n, job: &clientJob{work: 60e6, slots: slots}}
 			n.requests[q.id] = q
-			a := &attempt{q: q, b: b, node: n}
+			a := &attempt{request: q, box: b, node: n}
 			if i == 0 {
 				first = a
 			}
-			b.land(a)
+			b.receive(a)
 		}
-		b.stop(first)
+		b.cancel(first)
 		for _, a := range b.active {
-			started = append(started, a.q.id)
+			started = append(started, a.request.id)
 		}
-		assert.Equal(t, c.running, b.running, name)
+		assert.Equal(t, c.running, b.slotsInUse, name)
 		want := c.started
 		if c.stops {
 			want = want[1:]
@@ -302,7 +302,7 @@
 }
 
 func BenchmarkEvents(b *testing.B) {
-	s := script(b, "calm", "")
+	s := loadScript(b, "calm", "")
 	s.Rate *= 20
 	for _, k := range s.Boxes {
 		k.Count *= 20
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -25,18 +25,18 @@
 type event struct {
 	at  Time
 	seq uint64
-	do  func()
+	run func()
 }
 
-type events []event
+type eventQueue []event
 
-func (q events) Len() int { return len(q) }
-func (q events) Less(i, j int) bool {
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *events) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *events) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
 	old[len(old)-1] = event{}
@@ -53,25 +53,25 @@
 	// Watch, if set, is told what comes from outside of the schedulers: what another world has to play to be the same.
 	OnExternalEvent func(ExternalEvent)
 
-	script *Script
-	seed   uint64
-	now    Time
-	queue  events
-	seq    uint64
-	log    *bufio.Writer
-	logged func(line string)
-	done   uint64 // events so far
-
-	boxes  []*box
-	nodes  []*node
-	listed []decide.Worker // as the list service has them
-	down   int             // troubles that keep the list service down just now
-	heavy  []*Trouble      // of clients' work, just now
-	lastID uint32
-	rngs   map[string]*rand.Rand // by name; looked up only
-	tries  []*try
-	origin Time
-	shots  []Sample
+	script     *Script
+	seed       uint64
+	now        Time
+	queue      eventQueue
+	seq        uint64
+	log        *bufio.Writer
+	onLogLine  func(line string)
+	eventCount uint64 // events so far
+
+	boxes       []*box
+	nodes       []*node
+	workerList  []decide.Worker // as the list service has them
+	listOutages int             // troubles that keep the list service down just now
+	heavyTails  []*Trouble      // of clients' work, just now
+	lastID      uint32
+	streams     map[string]*rand.Rand // by name; looked up only
+	jobs        []*clientJob
+	startTime   Time
+	samples     []Sample
 }
 
 // Happening is one thing that comes from outside of the schedulers.
@@ -100,15 +100,15 @@
 	BoxListed                             // the list service takes in a box's state; it tells late
 )
 
-func (x *Simulation) happens(h ExternalEvent) {
+func (x *Simulation) emit(h ExternalEvent) {
 	if x.OnExternalEvent != nil {
-		h.At = x.now - x.origin
+		h.At = x.now - x.startTime
 		x.OnExternalEvent(h)
 	}
 }
 
 // origin of the clock: the module takes 0 for long ago.
-const origin Time = 1000e6
+const startTime Time = 1000e6
 
 // New makes a world of a script. Its log goes to w, which may be nil.
 func New(s *Script, seed uint64, w io.Writer) (*Simulation, error) {
@@ -120,7 +120,7 @@
 	if w == nil {
 		w = io.Discard
 	}
-	x := &Simulation{Policy: policy, script: s, seed: seed, now: origin, origin: origin, log: bufio.NewWriterSize(w, 1<<16), rngs: map[string]*rand.Rand{}}
+	x := &Simulation{Policy: policy, script: s, seed: seed, now: startTime, startTime: startTime, log: bufio.NewWriterSize(w, 1<<16), streams: map[string]*rand.Rand{}}
 	for _, kind := range s.Boxes {
 		for range kind.Count {
 			x.addBox(kind)
@@ -134,58 +134,58 @@
 		x.nodes = append(x.nodes, n)
 	}
 	for i := range s.Troubles {
-		x.plan(&s.Troubles[i])
+		x.scheduleTrouble(&s.Troubles[i])
 	}
 	return x, nil
 }
 
 // rng is the stream of that name. Streams are independent: a further box takes no numbers from the others.
-func (x *Simulation) rng(name string) *rand.Rand {
-	r := x.rngs[name]
+func (x *Simulation) stream(name string) *rand.Rand {
+	r := x.streams[name]
 	if r == nil {
-		h := fnv.New64a()
-		io.WriteString(h, name)
-		r = rand.New(rand.NewPCG(x.seed, h.Sum64()))
-		x.rngs[name] = r
+		hash := fnv.New64a()
+		io.WriteString(hash, name)
+		r = rand.New(rand.NewPCG(x.seed, hash.Sum64()))
+		x.streams[name] = r
 	}
 	return r
 }
 
 // after has f happen once the span has passed.
-func (x *Simulation) after(span Time, f func()) {
+func (x *Simulation) schedule(span Time, f func()) {
 	x.seq++
 	heap.Push(&x.queue, event{x.now + max(0, span), x.seq, f})
 }
 
 // note writes a line of the event log: the time since the start, then words.
-func (x *Simulation) note(format string, args ...any) {
-	line := fmt.Sprintf("%d ", x.now-x.origin) + fmt.Sprintf(format, args...)
+func (x *Simulation) logEvent(format string, args ...any) {
+	line := fmt.Sprintf("%d ", x.now-x.startTime) + fmt.Sprintf(format, args...)
 	x.log.WriteString(line)
 	x.log.WriteByte('\n')
-	if x.logged != nil {
-		x.logged(line)
+	if x.onLogLine != nil {
+		x.onLogLine(line)
 	}
 }
 
 // Run plays the script to its end and until everything in hand has its answer. Progress is told now and then.
 func (x *Simulation) Run(progress func(done, of Time)) (*Result, error) {
 	for _, n := range x.nodes {
-		n.begin()
+		n.announceCached()
 	}
-	x.arrivals()
-	next := x.now
+	x.startClients()
+	nextProgress := x.now
 	for len(x.queue) > 0 {
 		e := heap.Pop(&x.queue).(event)
-		x.sample(e.at)
+		x.takeSamples(e.at)
 		x.now = e.at
-		if x.now > x.origin+x.script.Duration+x.longest() {
+		if x.now > x.startTime+x.script.Duration+x.maxTimeInFlight() {
 			break // what is left are the module's own timers and the list's news
 		}
-		e.do()
-		x.done++
-		if progress != nil && x.now >= next {
-			progress(x.now-x.origin, x.script.Duration)
-			next = x.now + 1e6
+		e.run()
+		x.eventCount++
+		if progress != nil && x.now >= nextProgress {
+			progress(x.now-x.startTime, x.script.Duration)
+			nextProgress = x.now + 1e6
 		}
 	}
 	if err := x.log.Flush(); err != nil {
@@ -195,174 +195,174 @@
 }
 
 // maxHeld is how many boxes a sample tells apart.
-const maxHeld = 64
+const maxSampledBoxes = 64
 
 // sample takes pictures of the state up to a moment; between two events nothing changes.
-func (x *Simulation) sample(until Time) {
+func (x *Simulation) takeSamples(until Time) {
 	for x.SampleEvery > 0 {
-		at := Time(len(x.shots)) * x.SampleEvery
-		if at > x.script.Duration || x.origin+at > until {
+		at := Time(len(x.samples)) * x.SampleEvery
+		if at > x.script.Duration || x.startTime+at > until {
 			return
 		}
 		s := Sample{At: at}
 		for i, b := range x.boxes {
 			s.Queue += len(b.queue)
 			if b.up() {
-				s.Free += b.kind.Slots - b.running
+				s.Free += b.kind.Slots - b.slotsInUse
 				s.Up++
 			}
-			if i < maxHeld {
+			if i < maxSampledBoxes {
 				s.Held = append(s.Held, len(b.active)+len(b.queue))
 			}
 		}
-		x.shots = append(x.shots, s)
+		x.samples = append(x.samples, s)
 	}
 }
 
 // longest is how long after the last arrival something may still be in hand.
-func (x *Simulation) longest() Time {
-	most := Time(0)
+func (x *Simulation) maxTimeInFlight() Time {
+	longest := Time(0)
 	for _, c := range x.script.Classes {
-		most = max(most, c.Terms.Deadline)
+		longest = max(longest, c.Terms.Deadline)
 	}
-	return most*Time(1+x.script.Retries) + 10e6
+	return longest*Time(1+x.script.Retries) + 10e6
 }
 
 // delay is one way between two zones.
-func (x *Simulation) delay(a, b int, stream string) Time {
-	d := x.script.Same
+func (x *Simulation) networkDelay(a, b int, stream string) Time {
+	d := x.script.SameZoneDelay
 	if a != b {
-		d = x.script.Cross
+		d = x.script.CrossZoneDelay
 	}
-	return Time(float64(d) * (1 + x.script.Jitter*x.rng(stream).Float64()))
+	return Time(float64(d) * (1 + x.script.Jitter*x.stream(stream).Float64()))
 }
 
 // arrivals starts the clients: a Poisson process for each scheduler, thinned by the curve.
-func (x *Simulation) arrivals() {
+func (x *Simulation) startClients() {
 	for i, n := range x.nodes {
-		r := x.rng(fmt.Sprint("arrivals ", i))
+		r := x.stream(fmt.Sprint("arrivals ", i))
 		peak := slices.Max(x.script.Curve)
-		var next func()
-		next = func() {
-			x.after(Time(r.ExpFloat64()/(x.script.Rate*peak/float64(len(x.nodes)))*1e6), func() {
-				past := x.now - x.origin
-				if past >= x.script.Duration {
+		var scheduleNext func()
+		scheduleNext = func() {
+			x.schedule(Time(r.ExpFloat64()/(x.script.Rate*peak/float64(len(x.nodes)))*1e6), func() {
+				elapsed := x.now - x.startTime
+				if elapsed >= x.script.Duration {
 					return
 				}
-				if r.Float64()*peak < x.curve(past) {
-					x.arrive(n, r)
+				if r.Float64()*peak < x.rateFactor(elapsed) {
+					x.newJob(n, r)
 				}
-				next()
+				scheduleNext()
 			})
 		}
-		next()
+		scheduleNext()
 	}
 }
 
 // curve is the part of the rate that comes at a moment, between the points of the script.
-func (x *Simulation) curve(past Time) float64 {
+func (x *Simulation) rateFactor(elapsed Time) float64 {
 	c := x.script.Curve
 	if len(c) == 1 {
 		return c[0]
 	}
-	at := float64(past) / float64(x.script.Duration) * float64(len(c)-1)
+	at := float64(elapsed) / float64(x.script.Duration) * float64(len(c)-1)
 	i := min(int(at), len(c)-2)
 	return c[i] + (c[i+1]-c[i])*(at-float64(i))
 }
 
 // try is one wish of a client, with all its requests.
-type try struct {
-	class    int
-	work     Time
-	slots    int
-	aimAt    Time
-	came     Time
-	answered bool
-	inTime   bool
-	late     bool
-	refused  bool
-	failed   bool
-	left     int // requests it may still make
-	sent     int
-	pushes   int
+type clientJob struct {
+	class        int
+	work         Time
+	slots        int
+	aimAt        Time
+	arrivedAt    Time
+	answered     bool
+	inTime       bool
+	late         bool
+	refused      bool
+	failed       bool
+	retriesLeft  int // requests it may still make
+	requestsSent int
+	pushes       int
 }
 
-func (x *Simulation) arrive(n *node, r *rand.Rand) {
-	t := &try{came: x.now, left: x.script.Retries}
-	at := r.Float64()
+func (x *Simulation) newJob(n *node, r *rand.Rand) {
+	job := &clientJob{arrivedAt: x.now, retriesLeft: x.script.Retries}
+	draw := r.Float64()
 	for i := range x.script.Classes {
-		t.class = i
-		if at -= x.script.Classes[i].Share; at < 0 {
+		job.class = i
+		if draw -= x.script.Classes[i].Share; draw < 0 {
 			break
 		}
 	}
-	c := &x.script.Classes[t.class]
+	c := &x.script.Classes[job.class]
 	// A lognormal of that mean and spread.
 	sigma := math.Sqrt(math.Log(1 + c.Spread*c.Spread))
-	t.work = max(1000, Time(float64(c.Work)*math.Exp(sigma*r.NormFloat64()-sigma*sigma/2)))
-	for _, h := range x.heavy {
+	job.work = max(1000, Time(float64(c.Work)*math.Exp(sigma*r.NormFloat64()-sigma*sigma/2)))
+	for _, h := range x.heavyTails {
 		if (h.Class == "" || h.Class == c.Name) && r.Float64() < h.Part {
-			t.work = Time(float64(t.work) * h.Times)
+			job.work = Time(float64(job.work) * h.Times)
 		}
 	}
-	t.slots = c.Slots[r.IntN(len(c.Slots))]
-	t.aimAt = x.now + c.Terms.Aim + Time(c.Terms.Stretch*float64(t.work))
-	x.tries = append(x.tries, t)
-	x.happens(ExternalEvent{Kind: Arrival, Node: n.index, Class: t.class, Work: t.work, Slots: t.slots})
-	x.request(n, t)
+	job.slots = c.Slots[r.IntN(len(c.Slots))]
+	job.aimAt = x.now + c.Terms.Aim + Time(c.Terms.Stretch*float64(job.work))
+	x.jobs = append(x.jobs, job)
+	x.emit(ExternalEvent{Kind: Arrival, Node: n.index, Class: job.class, Work: job.work, Slots: job.slots})
+	x.sendRequest(n, job)
 }
 
 // request brings one request of a try to a scheduler that lives.
-func (x *Simulation) request(n *node, t *try) {
-	if n.dead { // the front sends it to the next one
+func (x *Simulation) sendRequest(n *node, job *clientJob) {
+	if n.crashed { // the front sends it to the next one
 		for i := range x.nodes {
-			if m := x.nodes[(n.index+i)%len(x.nodes)]; !m.dead {
-				n = m
+			if other := x.nodes[(n.index+i)%len(x.nodes)]; !other.crashed {
+				n = other
 				break
 			}
 		}
 	}
-	c := &x.script.Classes[t.class]
+	c := &x.script.Classes[job.class]
 	x.lastID++
-	q := &request{id: x.lastID, try: t, node: n, giveUp: x.now + c.Terms.Deadline}
-	t.sent++
+	q := &request{id: x.lastID, job: job, node: n, giveUpAt: x.now + c.Terms.Deadline}
+	job.requestsSent++
 	n.requests[q.id] = q
-	x.note("arrive %d class=%s node=%d give_up=%d again=%d", q.id, c.Name, n.index, q.giveUp-x.origin, t.sent-1)
+	x.logEvent("arrive %d class=%s node=%d give_up=%d again=%d", q.id, c.Name, n.index, q.giveUpAt-x.startTime, job.requestsSent-1)
 	n.call(func(d dispatcher) {
-		hint := t.work
-		if x.script.NoHints {
+		hint := job.work
+		if x.script.OmitHints {
 			hint = 0
 		}
-		d.Arrive(x.now, decide.Job{ID: q.id, Class: t.class, GiveUpAt: q.giveUp, Hint: hint, Slots: float64(t.slots)})
+		d.Arrive(x.now, decide.Job{ID: q.id, Class: job.class, GiveUpAt: q.giveUpAt, Hint: hint, Slots: float64(job.slots)})
 	})
 }
 
 // answer ends a request; the client may come again.
-func (x *Simulation) answer(q *request, how string, retryAfter Time) {
-	if q.over {
+func (x *Simulation) answer(q *request, result string, retryAfter Time) {
+	if q.answered {
 		return
 	}
-	q.over = true
-	x.note("answer %d %s", q.id, how)
-	t := q.try
-	q.node.forget(q)
-	if how == "served" {
-		if !t.answered {
-			t.answered = true
-			t.inTime = x.now <= t.aimAt
-			t.late = !t.inTime
+	q.answered = true
+	x.logEvent("answer %d %s", q.id, result)
+	job := q.job
+	q.node.removeIfDone(q)
+	if result == "served" {
+		if !job.answered {
+			job.answered = true
+			job.inTime = x.now <= job.aimAt
+			job.late = !job.inTime
 		}
 		return
 	}
 	// What must not run twice comes again only where it was refused; late ones only where that still earns something.
-	terms := &x.script.Classes[t.class].Terms
-	again := how == "refused" || terms.Effect != decide.Unsafe
-	if again && t.left > 0 && (x.now < t.aimAt || terms.LateWorth > 0 && x.now < t.came+terms.Deadline) {
-		t.left--
-		x.after(max(x.script.RetryWait, retryAfter), func() { x.request(q.node, t) })
+	terms := &x.script.Classes[job.class].Terms
+	mayRetry := result == "refused" || terms.Effect != decide.Unsafe
+	if mayRetry && job.retriesLeft > 0 && (x.now < job.aimAt || terms.LateWorth > 0 && x.now < job.arrivedAt+terms.Deadline) {
+		job.retriesLeft--
+		x.schedule(max(x.script.RetryWait, retryAfter), func() { x.sendRequest(q.node, job) })
 		return
 	}
-	t.refused, t.failed = how == "refused", how != "refused"
+	job.refused, job.failed = result == "refused", result != "refused"
 }
 
 // Result is what became of a run.
@@ -411,39 +411,39 @@
 const windowSpan Time = 5e6
 
 func (x *Simulation) result() *Result {
-	r := &Result{Events: x.done, Tries: len(x.tries), Samples: x.shots}
-	worth, reached, earned := 0.0, 0.0, 0.0
+	r := &Result{Events: x.eventCount, Tries: len(x.jobs), Samples: x.samples}
+	worth, inTimeWorth, lateWorth := 0.0, 0.0, 0.0
 	for _, c := range x.script.Classes {
 		r.Classes = append(r.Classes, ClassResult{Name: c.Name})
 	}
-	for _, t := range x.tries {
-		c := &r.Classes[t.class]
-		terms := &x.script.Classes[t.class].Terms
-		w := terms.Worth
-		if !x.script.ByRequest {
-			w *= float64(t.work) / 1e6
+	for _, job := range x.jobs {
+		c := &r.Classes[job.class]
+		terms := &x.script.Classes[job.class].Terms
+		jobWorth := terms.Worth
+		if !x.script.WorthPerJob {
+			jobWorth *= float64(job.work) / 1e6
 		}
-		i := int((t.came - x.origin) / windowSpan)
+		i := int((job.arrivedAt - x.startTime) / windowSpan)
 		for len(r.Windows) <= i {
 			r.Windows = append(r.Windows, Window{From: Time(len(r.Windows)) * windowSpan})
 		}
 		c.Tries++
-		worth += w
-		c.Worth += w
+		worth += jobWorth
+		c.Worth += jobWorth
 		r.Windows[i].Tries++
-		r.Windows[i].Worth += w
+		r.Windows[i].Worth += jobWorth
 		switch {
-		case t.inTime:
-			reached += w
+		case job.inTime:
+			inTimeWorth += jobWorth
 			c.InTime++
 			r.Windows[i].InTime++
-			r.Windows[i].Reached += w
-		case t.late:
+			r.Windows[i].Reached += jobWorth
+		case job.late:
 			r.Late++
-			earned += w * terms.LateWorth
-		case t.refused:
+			lateWorth += jobWorth * terms.LateWorth
+		case job.refused:
 			r.Refused++
-		case t.failed:
+		case job.failed:
 			r.Failed++
 		default:
 			r.Unserved++
@@ -459,12 +459,12 @@
 		cross += n.cross
 	}
 	for _, b := range x.boxes {
-		if b.fallen {
+		if b.collapsed {
 			r.Fallen++
 		}
 	}
 	r.Cross = float64(cross) / float64(max(1, r.Pushes))
-	r.InTime = reached / max(worth, 1e-9)
-	r.Earned = (reached + earned) / max(worth, 1e-9)
+	r.InTime = inTimeWorth / max(worth, 1e-9)
+	r.Earned = (inTimeWorth + lateWorth) / max(worth, 1e-9)
 	return r
 }
--- a/internal/emulator/parties.go
+++ b/internal/emulator/parties.go
@@ -12,29 +12,29 @@
 
 // box is a render box.
 type box struct {
-	x       *Simulation
-	index   int
-	kind    *BoxKind
-	zone    int
-	began   Time // its last start; 0: long ago
-	running int  // slots in use
-	coming  int  // slots of attempts on the way, for the oracle
-	queue   []*attempt
-	active  []*attempt
-	slow    []float64 // factors, one for each trouble
-	fails   []float64 // shares of jobs that fail, one for each trouble
-	silent  int       // troubles that keep it silent
-	dead    int       // troubles that keep its process down
-	fallen  bool
-	drains  int
-	arrived []sentWork // to a cold one lately
-	shown   decide.Report
-	shownAt Time
-	paused  Time // it stands still until then
-	stream  string
-}
-
-type sentWork struct {
+	x              *Simulation
+	index          int
+	kind           *BoxKind
+	zone           int
+	startedAt      Time // its last start; 0: long ago
+	slotsInUse     int  // slots in use
+	slotsInTransit int  // slots of attempts on the way, for the oracle
+	queue          []*attempt
+	active         []*attempt
+	slowdowns      []float64 // factors, one for each trouble
+	failureShares  []float64 // shares of jobs that fail, one for each trouble
+	silences       int       // troubles that keep it silent
+	stops          int       // troubles that keep its process down
+	collapsed      bool
+	drains         int
+	coldArrivals   []arrivedWork // to a cold one lately
+	lastReport     decide.Report
+	lastReportAt   Time
+	pausedUntil    Time // it stands still until then
+	stream         string
+}
+
+type arrivedWork struct {
 	at   Time
 	work float64
 }
@@ -43,119 +43,119 @@
 	b := &box{x: x, index: len(x.boxes), kind: kind, zone: len(x.boxes) % len(x.script.Zones)}
 	b.stream = fmt.Sprint("box ", b.index)
 	x.boxes = append(x.boxes, b)
-	x.listed = append(x.listed, decide.Worker{ID: decide.WorkerID(b.index + 1), Zone: b.zone, State: decide.Ready, Weight: 1})
+	x.workerList = append(x.workerList, decide.Worker{ID: decide.WorkerID(b.index + 1), Zone: b.zone, State: decide.Ready, Weight: 1})
 }
 
 // up reports whether it answers at all.
-func (b *box) up() bool { return b.silent == 0 && b.dead == 0 && !b.fallen }
+func (b *box) up() bool { return b.silences == 0 && b.stops == 0 && !b.collapsed }
 
 // speed is how much work a slot does in a unit of time just now.
 func (b *box) speed() float64 {
-	v := b.kind.Speed * b.warmth()
-	for _, f := range b.slow {
-		v /= f
+	speed := b.kind.Speed * b.warmth()
+	for _, f := range b.slowdowns {
+		speed /= f
 	}
-	return v
+	return speed
 }
 
 func (b *box) warmth() float64 {
 	s := b.x.script
-	if age := b.x.now - b.began; b.began > 0 && age < s.ColdSpan {
+	if age := b.x.now - b.startedAt; b.startedAt > 0 && age < s.ColdSpan {
 		return s.ColdFrom + (1-s.ColdFrom)*float64(age)/float64(s.ColdSpan)
 	}
 	return 1
 }
 
 // land takes an attempt that has reached the box.
-func (b *box) land(a *attempt) {
+func (b *box) receive(a *attempt) {
 	x := b.x
 	if !b.up() {
-		if b.dead > 0 || b.fallen {
-			a.back(decide.ConnectFailed)
+		if b.stops > 0 || b.collapsed {
+			a.sendOutcome(decide.ConnectFailed)
 		} // a silent one says nothing: the attempt ends by its time, or as the box comes back
 		a.lost = true
 		return
 	}
-	x.note("land %d.%d box=%d work=%d", a.q.id, a.n, b.index, a.q.try.work*Time(a.q.try.slots))
-	if b.pushedOver(float64(a.q.try.work) * float64(a.q.try.slots)) {
-		b.fall()
+	x.logEvent("land %d.%d box=%d work=%d", a.request.id, a.number, b.index, a.request.job.work*Time(a.request.job.slots))
+	if b.overloaded(float64(a.request.job.work) * float64(a.request.job.slots)) {
+		b.collapse()
 		return
 	}
-	if a.q.try.slots > b.kind.Slots || len(b.queue) >= b.kind.Queue {
-		a.back(decide.Full)
+	if a.request.job.slots > b.kind.Slots || len(b.queue) >= b.kind.Queue {
+		a.sendOutcome(decide.Full)
 		return
 	}
-	for _, share := range b.fails {
-		if r := x.rng(b.stream); r.Float64() < share {
-			x.note("fail %d.%d box=%d", a.q.id, a.n, b.index)
+	for _, share := range b.failureShares {
+		if r := x.stream(b.stream); r.Float64() < share {
+			x.logEvent("fail %d.%d box=%d", a.request.id, a.number, b.index)
 			a.ended = true
-			x.after(Time(10*ms+20*ms*r.Float64()), func() { a.back(decide.Error) })
+			x.schedule(Time(10*ms+20*ms*r.Float64()), func() { a.sendOutcome(decide.Error) })
 			return
 		}
 	}
 	b.queue = append(b.queue, a)
-	b.next()
+	b.startQueued()
 }
 
 // stop ends an attempt that nobody waits for any more: one that waits is dropped, and where the script says so one that
 // runs stops.
-func (b *box) stop(a *attempt) {
+func (b *box) cancel(a *attempt) {
 	b.queue = slices.DeleteFunc(b.queue, func(v *attempt) bool { return v == a })
-	if i := slices.Index(b.active, a); i >= 0 && b.x.script.Stops {
+	if i := slices.Index(b.active, a); i >= 0 && b.x.script.CancelsRunning {
 		a.ended = true
-		b.running -= a.q.try.slots
+		b.slotsInUse -= a.request.job.slots
 		b.active = slices.Delete(b.active, i, i+1)
-		b.next()
+		b.startQueued()
 	}
 }
 
 // pushedOver books the work and reports whether a cold box gets more than it bears: what comes within the span, whether
 // it is taken or not, against the multiple of what it can do now.
-func (b *box) pushedOver(work float64) bool {
+func (b *box) overloaded(work float64) bool {
 	s := b.x.script
 	if b.warmth() >= 1 {
-		b.arrived = nil
+		b.coldArrivals = nil
 		return false
 	}
-	b.arrived = slices.DeleteFunc(b.arrived, func(w sentWork) bool { return b.x.now-w.at > s.FallSpan })
-	b.arrived = append(b.arrived, sentWork{b.x.now, work})
+	b.coldArrivals = slices.DeleteFunc(b.coldArrivals, func(w arrivedWork) bool { return b.x.now-w.at > s.OverloadSpan })
+	b.coldArrivals = append(b.coldArrivals, arrivedWork{b.x.now, work})
 	sum := 0.0
-	for _, w := range b.arrived {
+	for _, w := range b.coldArrivals {
 		sum += w.work
 	}
-	return sum > s.FallMultiple*b.kind.Speed*b.warmth()*float64(b.kind.Slots)*float64(s.FallSpan)
+	return sum > s.OverloadMultiple*b.kind.Speed*b.warmth()*float64(b.kind.Slots)*float64(s.OverloadSpan)
 }
 
 // fall is the collapse: what it has is lost, and it stays down.
-func (b *box) fall() {
-	b.x.note("fall box=%d", b.index)
-	b.fallen = true
-	b.loseAll(decide.Reset)
+func (b *box) collapse() {
+	b.x.logEvent("fall box=%d", b.index)
+	b.collapsed = true
+	b.endAll(decide.Reset)
 }
 
 // loseAll ends everything in hand; those that hear of it hear that.
-func (b *box) loseAll(s decide.Status) {
+func (b *box) endAll(s decide.Status) {
 	for _, a := range append(slices.Clone(b.active), b.queue...) {
 		a.ended = true
-		a.back(s)
+		a.sendOutcome(s)
 	}
-	b.active, b.queue, b.running = nil, nil, 0
+	b.active, b.queue, b.slotsInUse = nil, nil, 0
 }
 
 // next starts waiting jobs in order; the first waits until it fits, or lets by any that does.
-func (b *box) next() {
+func (b *box) startQueued() {
 	for b.up() {
-		i := slices.IndexFunc(b.queue, func(a *attempt) bool { return b.running+a.q.try.slots <= b.kind.Slots })
+		i := slices.IndexFunc(b.queue, func(a *attempt) bool { return b.slotsInUse+a.request.job.slots <= b.kind.Slots })
 		if i < 0 || i > 0 && !b.x.script.Backfill {
 			return
 		}
 		a := b.queue[i]
 		b.queue = slices.Delete(b.queue, i, i+1)
-		b.running += a.q.try.slots
+		b.slotsInUse += a.request.job.slots
 		b.active = append(b.active, a)
-		b.x.note("start %d.%d box=%d", a.q.id, a.n, b.index)
-		a.started()
-		b.work(a, float64(a.q.try.work))
+		b.x.logEvent("start %d.%d box=%d", a.request.id, a.number, b.index)
+		a.sendStarted()
+		b.run(a, float64(a.request.job.work))
 	}
 }
 
@@ -163,20 +163,20 @@
 const workStep Time = 200e3
 
 // work does what is left of a job, a stretch at a time.
-func (b *box) work(a *attempt, left float64) {
+func (b *box) run(a *attempt, remaining float64) {
 	if a.ended {
 		return
 	}
 	x := b.x
-	if wait := b.paused - x.now; wait > 0 {
-		x.after(wait, func() { b.work(a, left) })
+	if wait := b.pausedUntil - x.now; wait > 0 {
+		x.schedule(wait, func() { b.run(a, remaining) })
 		return
 	}
-	v := b.speed()
-	step := min(workStep, Time(left/v)+1)
-	x.after(step, func() {
-		if rest := left - v*float64(step); rest > 0 {
-			b.work(a, rest)
+	speed := b.speed()
+	step := min(workStep, Time(remaining/speed)+1)
+	x.schedule(step, func() {
+		if left := remaining - speed*float64(step); left > 0 {
+			b.run(a, left)
 		} else {
 			b.finish(a)
 		}
@@ -188,117 +188,117 @@
 		return
 	}
 	a.ended = true
-	b.running -= a.q.try.slots
+	b.slotsInUse -= a.request.job.slots
 	b.active = slices.DeleteFunc(b.active, func(v *attempt) bool { return v == a })
-	b.x.note("end %d.%d box=%d", a.q.id, a.n, b.index)
-	a.back(decide.Served)
-	b.next()
+	b.x.logEvent("end %d.%d box=%d", a.request.id, a.number, b.index)
+	a.sendOutcome(decide.Served)
+	b.startQueued()
 }
 
 // report is the load as a probe shows it: refreshed now and then, and a little wrong.
 func (b *box) report() decide.Report {
 	x := b.x
-	if b.shownAt == 0 || x.now-b.shownAt >= x.script.ReportInterval {
-		r := x.rng(b.stream)
-		noisy := func(v float64) float64 { return max(0, v*(1+x.script.Noise*r.NormFloat64())) }
-		b.shown = decide.Report{Has: decide.HasFreeSlots | decide.HasInFlight | decide.HasUtil,
-			FreeSlots: noisy(float64(b.kind.Slots - b.running)), InFlight: noisy(float64(len(b.active) + len(b.queue))),
-			Util: min(1, noisy(float64(b.running)/float64(b.kind.Slots)))}
-		if x.script.TellsQueue {
-			b.shown.Has |= decide.HasQueue
-			b.shown.Queue = noisy(float64(len(b.queue)))
+	if b.lastReportAt == 0 || x.now-b.lastReportAt >= x.script.ReportInterval {
+		r := x.stream(b.stream)
+		noisy := func(v float64) float64 { return max(0, v*(1+x.script.ReportNoise*r.NormFloat64())) }
+		b.lastReport = decide.Report{Has: decide.HasFreeSlots | decide.HasInFlight | decide.HasUtil,
+			FreeSlots: noisy(float64(b.kind.Slots - b.slotsInUse)), InFlight: noisy(float64(len(b.active) + len(b.queue))),
+			Util: min(1, noisy(float64(b.slotsInUse)/float64(b.kind.Slots)))}
+		if x.script.ReportsQueue {
+			b.lastReport.Has |= decide.HasQueue
+			b.lastReport.Queue = noisy(float64(len(b.queue)))
 		}
-		b.shownAt = x.now
+		b.lastReportAt = x.now
 	}
-	return b.shown
+	return b.lastReport
 }
 
 // restart begins anew, cold.
 func (b *box) restart() {
-	b.began, b.fallen = b.x.now, false
-	b.arrived, b.shownAt = nil, 0
-	b.x.note("up box=%d", b.index)
-	b.x.happens(ExternalEvent{Kind: BoxRestarted, Box: b.index})
+	b.startedAt, b.collapsed = b.x.now, false
+	b.coldArrivals, b.lastReportAt = nil, 0
+	b.x.logEvent("up box=%d", b.index)
+	b.x.emit(ExternalEvent{Kind: BoxRestarted, Box: b.index})
 }
 
 // request is one request in a scheduler's hands.
 type request struct {
-	id       uint32
-	try      *try
-	node     *node
-	giveUp   Time
-	over     bool
-	attempts []*attempt
-	out      int
+	id          uint32
+	job         *clientJob
+	node        *node
+	giveUpAt    Time
+	answered    bool
+	attempts    []*attempt
+	attemptsOut int
 }
 
 // attempt is one push.
 type attempt struct {
-	q     *request
-	n     int
-	b     *box
-	node  *node
-	sent  Time
-	over  bool // as its scheduler knows it
-	ended bool // on the box
-	lost  bool // it landed nowhere
+	request  *request
+	number   int
+	box      *box
+	node     *node
+	sentAt   Time
+	reported bool // as its scheduler knows it
+	ended    bool // on the box
+	lost     bool // it landed nowhere
 }
 
 // back tells the scheduler, a way later, how it ended.
-func (a *attempt) back(s decide.Status) {
-	x := a.b.x
-	x.after(x.delay(a.b.zone, a.node.zone, a.node.stream), func() { a.outcome(s) })
+func (a *attempt) sendOutcome(s decide.Status) {
+	x := a.box.x
+	x.schedule(x.networkDelay(a.box.zone, a.node.zone, a.node.stream), func() { a.receiveOutcome(s) })
 }
 
-func (a *attempt) started() {
-	x := a.b.x
-	x.after(x.delay(a.b.zone, a.node.zone, a.node.stream), func() {
-		if !a.over && !a.node.dead {
-			a.node.call(func(d dispatcher) { d.Note(x.now, a.q.id, a.n, decide.NoteStarted, 0) })
+func (a *attempt) sendStarted() {
+	x := a.box.x
+	x.schedule(x.networkDelay(a.box.zone, a.node.zone, a.node.stream), func() {
+		if !a.reported && !a.node.crashed {
+			a.node.call(func(d dispatcher) { d.Note(x.now, a.request.id, a.number, decide.NoteStarted, 0) })
 		}
 	})
 }
 
 // outcome is the end of an attempt as its scheduler learns it. Only the first counts.
-func (a *attempt) outcome(s decide.Status) {
-	if a.over || a.node.dead {
+func (a *attempt) receiveOutcome(s decide.Status) {
+	if a.reported || a.node.crashed {
 		return
 	}
-	x, q := a.b.x, a.q
-	a.over = true
-	q.out--
-	x.note("outcome %d.%d %s", q.id, a.n, statusNames[s])
-	closed := q.over
+	x, q := a.box.x, a.request
+	a.reported = true
+	q.attemptsOut--
+	x.logEvent("outcome %d.%d %s", q.id, a.number, statusNames[s])
+	closed := q.answered
 	if s == decide.Served {
 		closed = true
 	}
 	a.node.call(func(d dispatcher) {
-		d.Outcome(x.now, decide.Outcome{Job: q.id, Attempt: a.n, Worker: decide.WorkerID(a.b.index + 1), Status: s, Closed: closed,
-			Latency: x.now - a.sent})
+		d.Outcome(x.now, decide.Outcome{Job: q.id, Attempt: a.number, Worker: decide.WorkerID(a.box.index + 1), Status: s, Closed: closed,
+			Latency: x.now - a.sentAt})
 	})
 	if s == decide.Served {
 		x.answer(q, "served", 0)
 	}
-	a.node.forget(q)
+	a.node.removeIfDone(q)
 }
 
 var statusNames = [...]string{"error", "served", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot"}
 
 // node is a scheduler.
 type node struct {
-	x        *Simulation
-	index    int
-	zone     int
-	d        dispatcher
-	requests map[uint32]*request // looked up only
-	todo     []func()
-	running  bool
-	dead     bool
-	life     int // grows with each restart: timers of an earlier one are void
-	pushes   int
-	probes   int
-	cross    int
-	stream   string
+	x              *Simulation
+	index          int
+	zone           int
+	dispatcher     dispatcher
+	requests       map[uint32]*request // looked up only
+	pendingActions []func()
+	executing      bool
+	crashed        bool
+	generation     int // grows with each restart: timers of an earlier one are void
+	pushes         int
+	probes         int
+	cross          int
+	stream         string
 }
 
 func (x *Simulation) addNode(i int) (*node, error) {
@@ -308,47 +308,47 @@
 
 func (n *node) reset() error {
 	s := n.x.script.Settings(n.zone)
-	n.requests, n.todo = map[uint32]*request{}, nil
-	n.life++
+	n.requests, n.pendingActions = map[uint32]*request{}, nil
+	n.generation++
 	var err error
-	n.d, err = n.x.newDispatcher(n, s, n.x.rng(n.stream).Uint64())
+	n.dispatcher, err = n.x.newDispatcher(n, s, n.x.stream(n.stream).Uint64())
 	return err
 }
 
-func (n *node) begin() {
-	n.call(func(d dispatcher) { d.Announce(n.x.now, decide.ListCached, n.x.listed) })
+func (n *node) announceCached() {
+	n.call(func(d dispatcher) { d.Announce(n.x.now, decide.ListCached, n.x.workerList) })
 }
 
 // call makes a call of the module and then carries out what it asked for, in order.
 func (n *node) call(f func(dispatcher)) {
-	if n.running {
-		n.todo = append(n.todo, func() { f(n.d) })
+	if n.executing {
+		n.pendingActions = append(n.pendingActions, func() { f(n.dispatcher) })
 		return
 	}
-	n.running = true
-	f(n.d)
-	for len(n.todo) > 0 {
-		next := n.todo[0]
-		n.todo = n.todo[1:]
+	n.executing = true
+	f(n.dispatcher)
+	for len(n.pendingActions) > 0 {
+		next := n.pendingActions[0]
+		n.pendingActions = n.pendingActions[1:]
 		next()
 	}
-	n.running = false
+	n.executing = false
 }
 
-func (n *node) forget(q *request) {
-	if q.over && q.out == 0 {
+func (n *node) removeIfDone(q *request) {
+	if q.answered && q.attemptsOut == 0 {
 		delete(n.requests, q.id)
 	}
 }
 
 // tell brings news of the list, late.
-func (n *node) tell(list []decide.Worker, late Time) {
-	n.x.after(late, func() {
-		if n.dead {
+func (n *node) announceLate(list []decide.Worker, delay Time) {
+	n.x.schedule(delay, func() {
+		if n.crashed {
 			return
 		}
 		for _, w := range list {
-			n.x.note("told node=%d box=%d state=%d", n.index, w.ID-1, w.State)
+			n.x.logEvent("told node=%d box=%d state=%d", n.index, w.ID-1, w.State)
 		}
 		n.call(func(d dispatcher) { d.Announce(n.x.now, decide.ListDelta, list) })
 	})
@@ -357,86 +357,86 @@
 // actions carries out what a node's module asks for.
 type actions struct{ n *node }
 
-func (a actions) do(f func()) { a.n.todo = append(a.n.todo, f) }
+func (a actions) enqueue(f func()) { a.n.pendingActions = append(a.n.pendingActions, f) }
 
 func (a actions) Push(id uint32, w decide.WorkerID, timeout Time) {
-	a.do(func() {
+	a.enqueue(func() {
 		n, x := a.n, a.n.x
 		q := n.requests[id]
 		if q == nil {
 			return
 		}
-		t := &attempt{q: q, n: len(q.attempts), b: x.boxes[w-1], node: n, sent: x.now}
-		q.attempts = append(q.attempts, t)
-		q.out++
-		q.try.pushes++
+		attempt := &attempt{request: q, number: len(q.attempts), box: x.boxes[w-1], node: n, sentAt: x.now}
+		q.attempts = append(q.attempts, attempt)
+		q.attemptsOut++
+		q.job.pushes++
 		n.pushes++
-		if t.b.zone != n.zone {
+		if attempt.box.zone != n.zone {
 			n.cross++
 		}
-		x.note("push %d.%d node=%d box=%d", id, t.n, n.index, t.b.index)
-		x.after(timeout, func() {
-			if !t.over {
-				t.outcome(decide.TimedOut)
-				t.b.stop(t)
+		x.logEvent("push %d.%d node=%d box=%d", id, attempt.number, n.index, attempt.box.index)
+		x.schedule(timeout, func() {
+			if !attempt.reported {
+				attempt.receiveOutcome(decide.TimedOut)
+				attempt.box.cancel(attempt)
 			}
 		})
-		t.b.coming += q.try.slots
-		x.after(x.delay(n.zone, t.b.zone, n.stream), func() {
-			t.b.coming -= q.try.slots
-			t.b.land(t)
+		attempt.box.slotsInTransit += q.job.slots
+		x.schedule(x.networkDelay(n.zone, attempt.box.zone, n.stream), func() {
+			attempt.box.slotsInTransit -= q.job.slots
+			attempt.box.receive(attempt)
 		})
 	})
 }
 
 func (a actions) Probe(w decide.WorkerID) {
-	a.do(func() {
-		n, x, life := a.n, a.n.x, a.n.life
+	a.enqueue(func() {
+		n, x, generation := a.n, a.n.x, a.n.generation
 		b, sent := x.boxes[w-1], x.now
 		n.probes++
-		over := false
-		end := func(s decide.Status, r decide.Report) {
-			if !over && n.life == life && !n.dead {
-				over = true
+		finished := false
+		finish := func(s decide.Status, r decide.Report) {
+			if !finished && n.generation == generation && !n.crashed {
+				finished = true
 				n.call(func(d dispatcher) { d.ProbeResult(x.now, w, s, x.now-sent, r) })
 			}
 		}
-		x.after(x.script.ProbeTimeout, func() { end(decide.TimedOut, decide.Report{}) })
-		x.after(x.delay(n.zone, b.zone, n.stream), func() {
+		x.schedule(x.script.ProbeTimeout, func() { finish(decide.TimedOut, decide.Report{}) })
+		x.schedule(x.networkDelay(n.zone, b.zone, n.stream), func() {
 			switch {
-			case b.dead > 0 || b.fallen:
-				x.after(x.delay(b.zone, n.zone, n.stream), func() { end(decide.ConnectFailed, decide.Report{}) })
-			case b.silent > 0:
+			case b.stops > 0 || b.collapsed:
+				x.schedule(x.networkDelay(b.zone, n.zone, n.stream), func() { finish(decide.ConnectFailed, decide.Report{}) })
+			case b.silences > 0:
 			default:
-				wait := max(0, b.paused-x.now)
+				wait := max(0, b.pausedUntil-x.now)
 				if x.script.ProbeWork > 0 {
 					wait += Time(float64(x.script.ProbeWork) / b.speed())
 				} else {
-					for _, f := range b.slow {
+					for _, f := range b.slowdowns {
 						wait += Time(f * 1000) // a box without its cores is slow to answer too
 					}
 				}
-				x.after(wait+x.delay(b.zone, n.zone, n.stream), func() { end(decide.Served, b.report()) })
+				x.schedule(wait+x.networkDelay(b.zone, n.zone, n.stream), func() { finish(decide.Served, b.report()) })
 			}
 		})
 	})
 }
 
 func (a actions) Cancel(id uint32, i int) {
-	a.do(func() {
+	a.enqueue(func() {
 		q := a.n.requests[id]
-		if q == nil || i >= len(q.attempts) || q.attempts[i].over {
+		if q == nil || i >= len(q.attempts) || q.attempts[i].reported {
 			return
 		}
-		t := q.attempts[i]
-		t.outcome(decide.Cancelled)
+		attempt := q.attempts[i]
+		attempt.receiveOutcome(decide.Cancelled)
 		x := a.n.x
-		x.after(x.delay(a.n.zone, t.b.zone, a.n.stream), func() { t.b.stop(t) })
+		x.schedule(x.networkDelay(a.n.zone, attempt.box.zone, a.n.stream), func() { attempt.box.cancel(attempt) })
 	})
 }
 
 func (a actions) Refuse(id uint32, after Time) {
-	a.do(func() {
+	a.enqueue(func() {
 		if q := a.n.requests[id]; q != nil {
 			a.n.x.answer(q, "refused", after)
 		}
@@ -444,7 +444,7 @@
 }
 
 func (a actions) Fail(id uint32) {
-	a.do(func() {
+	a.enqueue(func() {
 		if q := a.n.requests[id]; q != nil {
 			a.n.x.answer(q, "failed", 0)
 		}
@@ -452,10 +452,10 @@
 }
 
 func (a actions) Wake(after Time, token uint64) {
-	n, life := a.n, a.n.life
-	a.do(func() {
-		n.x.after(max(after, 1), func() {
-			if n.life == life && !n.dead {
+	n, generation := a.n, a.n.generation
+	a.enqueue(func() {
+		n.x.schedule(max(after, 1), func() {
+			if n.generation == generation && !n.crashed {
 				n.call(func(d dispatcher) { d.Wake(n.x.now, token) })
 			}
 		})
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -30,84 +30,84 @@
 	case "", "module":
 		return decide.New(s, seed, actions{n})
 	case "random", "round_robin", "least_outstanding", "oracle":
-		return &plain{x: x, s: s, act: actions{n}, rng: rand.New(rand.NewPCG(seed, 1)), ready: map[decide.WorkerID]bool{},
-			out: map[decide.WorkerID]int{}, jobs: map[uint32]*plainJob{}}, nil
+		return &baseline{x: x, s: s, act: actions{n}, rng: rand.New(rand.NewPCG(seed, 1)), ready: map[decide.WorkerID]bool{},
+			outstanding: map[decide.WorkerID]int{}, jobs: map[uint32]*baselineJob{}}, nil
 	}
 	return nil, fmt.Errorf("no policy %q", x.Policy)
 }
 
-type plainJob struct {
+type baselineJob struct {
 	decide.Job
-	tries int
-	on    decide.WorkerID
+	attempts int
+	worker   decide.WorkerID
 }
 
 // plain is one of the plain policies.
-type plain struct {
-	x     *Simulation
-	s     decide.Settings
-	act   decide.Actions
-	rng   *rand.Rand
-	order []decide.WorkerID // in order of arrival
-	ready map[decide.WorkerID]bool
-	out   map[decide.WorkerID]int
-	jobs  map[uint32]*plainJob
-	turn  int
+type baseline struct {
+	x            *Simulation
+	s            decide.Settings
+	act          decide.Actions
+	rng          *rand.Rand
+	arrivalOrder []decide.WorkerID // in order of arrival
+	ready        map[decide.WorkerID]bool
+	outstanding  map[decide.WorkerID]int
+	jobs         map[uint32]*baselineJob
+	picks        int
 }
 
-const plainTimeout = Time(1) << 60 // a job's own time ends first
+const baselineTimeout = Time(1) << 60 // a job's own time ends first
 
-func (p *plain) Announce(_ Time, kind decide.ListKind, list []decide.Worker) {
+func (p *baseline) Announce(_ Time, kind decide.ListKind, list []decide.Worker) {
 	if kind == decide.ListFull || kind == decide.ListCached {
 		clear(p.ready)
 	}
 	for _, w := range list {
-		if _, known := p.out[w.ID]; !known {
-			p.order = append(p.order, w.ID)
-			p.out[w.ID] = 0
+		if _, known := p.outstanding[w.ID]; !known {
+			p.arrivalOrder = append(p.arrivalOrder, w.ID)
+			p.outstanding[w.ID] = 0
 		}
 		p.ready[w.ID] = w.State == decide.Ready
 	}
 }
 
-func (p *plain) Arrive(now Time, in decide.Job) {
-	j := &plainJob{Job: in}
+func (p *baseline) Arrive(now Time, in decide.Job) {
+	j := &baselineJob{Job: in}
 	p.jobs[in.ID] = j
 	p.act.Wake(in.GiveUpAt-now-2*p.s.Tick, uint64(in.ID))
-	p.push(now, j)
+	p.pushNext(now, j)
 }
 
-func (p *plain) push(now Time, j *plainJob) {
+func (p *baseline) pushNext(now Time, j *baselineJob) {
 	w, ok := p.pick()
-	if !ok || j.tries >= p.s.MaxAttempts || now >= j.GiveUpAt-4*p.s.Tick {
-		p.end(j, true)
+	if !ok || j.attempts >= p.s.MaxAttempts || now >= j.GiveUpAt-4*p.s.Tick {
+		p.finish(j, true)
 		return
 	}
-	j.tries++
-	j.on = w
-	p.out[w]++
-	p.act.Push(j.ID, w, min(plainTimeout, j.GiveUpAt-now-p.s.Tick))
+	j.attempts++
+	j.worker = w
+	p.outstanding[w]++
+	p.act.Push(j.ID, w, min(baselineTimeout, j.GiveUpAt-now-p.s.Tick))
 }
 
 // pick chooses a box by the policy.
-func (p *plain) pick() (decide.WorkerID, bool) {
-	var all []decide.WorkerID
-	for _, w := range p.order {
+func (p *baseline) pick() (decide.WorkerID, bool) {
+	var ready []decide.WorkerID
+	for _, w := range p.arrivalOrder {
 		if p.ready[w] {
-			all = append(all, w)
+			ready = append(ready, w)
 		}
 	}
-	if len(all) == 0 {
+	if len(ready) == 0 {
 		return 0, false
 	}
-	p.turn++
-	best := all[p.rng.IntN(len(all))] // ties go by chance
+	p.picks++
+	best := ready[p.rng.IntN(len(ready))] // ties go by chance
 	switch p.x.Policy {
 	case "round_robin":
-		best = all[p.turn%len(all)]
+		best = ready[p.picks%len(ready)]
 	case "least_outstanding":
-		for _, w := range all {
-			if p.out[w] < p.out[best] {
+		for _, w := range ready {
+			if p.outstanding[w] < p.outstanding[best] {
 				best = w
 			}
 		}
@@ -119,12 +119,12 @@
 			}
 			waits := 0
 			for _, a := range b.queue {
-				waits += a.q.try.slots
+				waits += a.request.job.slots
 			}
-			return float64(b.running+waits+b.coming) / (float64(b.kind.Slots) * b.speed())
+			return float64(b.slotsInUse+waits+b.slotsInTransit) / (float64(b.kind.Slots) * b.speed())
 		}
 		least := load(best)
-		for _, w := range all {
+		for _, w := range ready {
 			if v := load(w); v < least {
 				best, least = w, v
 			}
@@ -133,23 +133,23 @@
 	return best, true
 }
 
-func (p *plain) Outcome(now Time, o decide.Outcome) {
+func (p *baseline) Outcome(now Time, o decide.Outcome) {
 	j := p.jobs[o.Job]
 	if j == nil {
 		return
 	}
-	p.out[o.Worker]--
+	p.outstanding[o.Worker]--
 	switch {
 	case o.Closed:
 		delete(p.jobs, o.Job)
 	case o.Status.NeverRan() || p.s.Classes[j.Class].Effect == decide.Safe && o.Status != decide.TimedOut:
-		p.push(now, j)
+		p.pushNext(now, j)
 	default:
-		p.end(j, p.s.Classes[j.Class].Effect == decide.Safe)
+		p.finish(j, p.s.Classes[j.Class].Effect == decide.Safe)
 	}
 }
 
-func (p *plain) end(j *plainJob, harmless bool) {
+func (p *baseline) finish(j *baselineJob, harmless bool) {
 	delete(p.jobs, j.ID)
 	if harmless {
 		p.act.Refuse(j.ID, p.s.MaxRetryAfter)
@@ -159,13 +159,13 @@
 }
 
 // Wake ends a job whose time is up.
-func (p *plain) Wake(_ Time, token uint64) {
+func (p *baseline) Wake(_ Time, token uint64) {
 	if j := p.jobs[uint32(token)]; j != nil {
-		p.out[j.on]--
-		p.end(j, p.s.Classes[j.Class].Effect == decide.Safe)
-		p.act.Cancel(j.ID, j.tries-1)
+		p.outstanding[j.worker]--
+		p.finish(j, p.s.Classes[j.Class].Effect == decide.Safe)
+		p.act.Cancel(j.ID, j.attempts-1)
 	}
 }
 
-func (p *plain) Note(Time, uint32, int, decide.NoteKind, float64)                      {}
-func (p *plain) ProbeResult(Time, decide.WorkerID, decide.Status, Time, decide.Report) {}
+func (p *baseline) Note(Time, uint32, int, decide.NoteKind, float64)                      {}
+func (p *baseline) ProbeResult(Time, decide.WorkerID, decide.Status, Time, decide.Report) {}
--- a/internal/emulator/script.go
+++ b/internal/emulator/script.go
@@ -15,36 +15,36 @@
 
 // Script is a world before it begins.
 type Script struct {
-	Duration   Time
-	Zones      []string
-	Schedulers int
-	Boxes      []*BoxKind
-	Classes    []Class
-	Rate       float64   // requests a second, of all
-	Curve      []float64 // the rate's course, points evenly spread over For
-	Retries    int       // of a client
-	ByRequest  bool      // worth counts for each request, not for each unit of work
-	NoHints    bool      // requests don't tell their work
-	RetryWait  Time
+	Duration    Time
+	Zones       []string
+	Schedulers  int
+	Boxes       []*BoxKind
+	Classes     []Class
+	Rate        float64   // requests a second, of all
+	Curve       []float64 // the rate's course, points evenly spread over For
+	Retries     int       // of a client
+	WorthPerJob bool      // worth counts for each request, not for each unit of work
+	OmitHints   bool      // requests don't tell their work
+	RetryWait   Time
 
-	Same, Cross    Time // one way within a zone and between two
-	Jitter         float64
-	ListDelay      Time // how late the list tells, at least; half as much again at most
-	ReportInterval Time // how long a load report stands
-	Noise          float64
-	ProbeTimeout   Time
-	ColdFrom       float64 // part of its capacity that a box has at its start
-	ColdSpan       Time
-	FallMultiple   float64
-	FallSpan       Time
-	DrainGrace     Time
+	SameZoneDelay, CrossZoneDelay Time // one way within a zone and between two
+	Jitter                        float64
+	ListDelay                     Time // how late the list tells, at least; half as much again at most
+	ReportInterval                Time // how long a load report stands
+	ReportNoise                   float64
+	ProbeTimeout                  Time
+	ColdFrom                      float64 // part of its capacity that a box has at its start
+	ColdSpan                      Time
+	OverloadMultiple              float64
+	OverloadSpan                  Time
+	DrainGrace                    Time
 
-	Backfill     bool // boxes start any waiting job that fits, not only the first
-	TellsQueue   bool // reports hold the queue too
-	Stops        bool // running work stops when its attempt is called off or its time is up
-	SecondCopies bool
-	Attempts     int  // of a request
-	ProbeWork    Time // what a probe costs a box, as work on a slot of speed 1
+	Backfill       bool // boxes start any waiting job that fits, not only the first
+	ReportsQueue   bool // reports hold the queue too
+	CancelsRunning bool // running work stops when its attempt is called off or its time is up
+	SecondCopies   bool
+	MaxAttempts    int  // of a request
+	ProbeWork      Time // what a probe costs a box, as work on a slot of speed 1
 
 	Troubles []Trouble
 }
@@ -83,7 +83,7 @@
 }
 
 // kinds are the troubles with what each takes beside its time.
-var kinds = map[string][]string{
+var troubleSettings = map[string][]string{
 	"vanish":         {"part"},
 	"slow":           {"part", "times"},
 	"pauses":         {"part", "pause", "every"},
@@ -101,28 +101,28 @@
 
 // Settings are what a scheduler of that zone is told.
 func (s *Script) Settings(zone int) decide.Settings {
-	out := decide.Settings{Nodes: s.Schedulers, Zone: zone, Zones: len(s.Zones), CanProbe: true, CanCancel: true, MaxAttempts: s.Attempts,
+	out := decide.Settings{Nodes: s.Schedulers, Zone: zone, Zones: len(s.Zones), CanProbe: true, CanCancel: true, MaxAttempts: s.MaxAttempts,
 		SecondCopies:  s.SecondCopies,
-		MaxRetryAfter: 2e6, DrainGrace: s.DrainGrace, ColdFrom: s.ColdFrom, ColdSpan: s.ColdSpan, OverloadMultiple: s.FallMultiple,
-		OverloadSpan: s.FallSpan, AnswerSlack: 16e3, Tick: 4e3, TellsStart: true, WorthByWork: !s.ByRequest, CrossZoneCost: 0.03}
+		MaxRetryAfter: 2e6, DrainGrace: s.DrainGrace, ColdFrom: s.ColdFrom, ColdSpan: s.ColdSpan, OverloadMultiple: s.OverloadMultiple,
+		OverloadSpan: s.OverloadSpan, AnswerSlack: 16e3, Tick: 4e3, TellsStart: true, WorthByWork: !s.WorthPerJob, CrossZoneCost: 0.03}
 	for _, c := range s.Classes {
 		out.Classes = append(out.Classes, c.Terms)
 	}
 	return out
 }
 
-type layout struct {
-	World    *block     `hcl:"world,block"`
-	Boxes    []*labeled `hcl:"box,block"`
-	Classes  []*labeled `hcl:"class,block"`
-	Troubles []*labeled `hcl:"trouble,block"`
+type scriptBlocks struct {
+	World    *worldBlock     `hcl:"world,block"`
+	Boxes    []*labeledBlock `hcl:"box,block"`
+	Classes  []*labeledBlock `hcl:"class,block"`
+	Troubles []*labeledBlock `hcl:"trouble,block"`
 }
 
-type block struct {
+type worldBlock struct {
 	Body hcl.Body `hcl:",remain"`
 }
 
-type labeled struct {
+type labeledBlock struct {
 	Name string   `hcl:"name,label"`
 	Body hcl.Body `hcl:",remain"`
 }
@@ -134,57 +134,57 @@
 
 // Read reads a script. Its error has a line with the place for each fault.
 func Read(path string) (*Script, error) {
-	var l layout
-	r, err := config.Open(path, &l)
+	var blocks scriptBlocks
+	r, err := config.Open(path, &blocks)
 	if err != nil {
 		return nil, err
 	}
 	if !r.Sound() {
 		return nil, r.Err()
 	}
-	s := &Script{Duration: minute, Schedulers: 5, Rate: 26, Curve: []float64{1}, RetryWait: 50 * ms, Same: 200, Cross: 6 * ms, Jitter: 0.2,
-		ListDelay: 1e6, ReportInterval: 60 * ms, Noise: 0.1, ProbeTimeout: 500 * ms, ColdFrom: 0.3, ColdSpan: 8.6e6, FallMultiple: 4, FallSpan: 1500 * ms,
-		DrainGrace: 300 * ms, Zones: []string{"here"}, Attempts: 4}
-	if l.World != nil {
+	s := &Script{Duration: minute, Schedulers: 5, Rate: 26, Curve: []float64{1}, RetryWait: 50 * ms, SameZoneDelay: 200, CrossZoneDelay: 6 * ms, Jitter: 0.2,
+		ListDelay: 1e6, ReportInterval: 60 * ms, ReportNoise: 0.1, ProbeTimeout: 500 * ms, ColdFrom: 0.3, ColdSpan: 8.6e6, OverloadMultiple: 4, OverloadSpan: 1500 * ms,
+		DrainGrace: 300 * ms, Zones: []string{"here"}, MaxAttempts: 4}
+	if blocks.World != nil {
 		zones, curve := "", ""
-		var words [6]string
-		r.Fields(l.World.Body, config.Field{Name: "for", Unit: config.Span, Least: 1e6, Most: 60 * minute, To: &s.Duration},
+		var choices [6]string
+		r.Fields(blocks.World.Body, config.Field{Name: "for", Unit: config.Span, Least: 1e6, Most: 60 * minute, To: &s.Duration},
 			config.Field{Name: "zones", Unit: config.Word, To: &zones}, config.Field{Name: "curve", Unit: config.Word, To: &curve},
 			config.Field{Name: "schedulers", Unit: config.Count, Least: 1, Most: 5000, To: &s.Schedulers},
 			config.Field{Name: "rate", Unit: config.Number, Least: 0.01, Most: 1e6, To: &s.Rate},
 			config.Field{Name: "retries", Unit: config.Count, Least: 0, Most: 10, To: &s.Retries},
 			config.Field{Name: "retry_wait", Unit: config.Span, Least: ms, Most: minute, To: &s.RetryWait},
-			config.Field{Name: "same", Unit: config.Span, Least: 1, Most: 1e6, To: &s.Same},
-			config.Field{Name: "cross", Unit: config.Span, Least: 1, Most: 1e6, To: &s.Cross},
+			config.Field{Name: "same", Unit: config.Span, Least: 1, Most: 1e6, To: &s.SameZoneDelay},
+			config.Field{Name: "cross", Unit: config.Span, Least: 1, Most: 1e6, To: &s.CrossZoneDelay},
 			config.Field{Name: "jitter", Unit: config.Number, Least: 0, Most: 10, To: &s.Jitter},
 			config.Field{Name: "notice", Unit: config.Span, Least: 0, Most: minute, To: &s.ListDelay},
 			config.Field{Name: "refresh", Unit: config.Span, Least: 0, Most: minute, To: &s.ReportInterval},
-			config.Field{Name: "noise", Unit: config.Number, Least: 0, Most: 1, To: &s.Noise},
-			config.Field{Name: "attempts", Unit: config.Count, Least: 1, Most: 100, To: &s.Attempts},
+			config.Field{Name: "noise", Unit: config.Number, Least: 0, Most: 1, To: &s.ReportNoise},
+			config.Field{Name: "attempts", Unit: config.Count, Least: 1, Most: 100, To: &s.MaxAttempts},
 			config.Field{Name: "drain_grace", Unit: config.Span, Least: 0, Most: minute, To: &s.DrainGrace},
 			config.Field{Name: "probe_work", Unit: config.Span, Least: 0, Most: 1e6, To: &s.ProbeWork},
-			config.Field{Name: "worth_by", Unit: config.Word, To: &words[0]}, config.Field{Name: "hints", Unit: config.Word, To: &words[1]},
-			config.Field{Name: "order", Unit: config.Word, To: &words[2]}, config.Field{Name: "reports", Unit: config.Word, To: &words[3]},
-			config.Field{Name: "cancels", Unit: config.Word, To: &words[4]}, config.Field{Name: "copies", Unit: config.Word, To: &words[5]},
+			config.Field{Name: "worth_by", Unit: config.Word, To: &choices[0]}, config.Field{Name: "hints", Unit: config.Word, To: &choices[1]},
+			config.Field{Name: "order", Unit: config.Word, To: &choices[2]}, config.Field{Name: "reports", Unit: config.Word, To: &choices[3]},
+			config.Field{Name: "cancels", Unit: config.Word, To: &choices[4]}, config.Field{Name: "copies", Unit: config.Word, To: &choices[5]},
 			config.Field{Name: "cold", Unit: config.Number, Least: 0.01, Most: 1, To: &s.ColdFrom},
 			config.Field{Name: "warms", Unit: config.Span, Least: 0, Most: 10 * minute, To: &s.ColdSpan})
 		for i, choice := range []struct {
 			name, usual, other string
 			to                 *bool
-		}{{"worth_by", "work", "request", &s.ByRequest}, {"hints", "good", "none", &s.NoHints}, {"order", "fifo", "backfill", &s.Backfill},
-			{"reports", "slots", "queue", &s.TellsQueue}, {"cancels", "queued", "all", &s.Stops}, {"copies", "one", "two", &s.SecondCopies}} {
-			if words[i] != "" && words[i] != choice.usual && words[i] != choice.other {
-				r.Fault(l.World.Body, "%s: allowed is %q or %q", choice.name, choice.usual, choice.other)
+		}{{"worth_by", "work", "request", &s.WorthPerJob}, {"hints", "good", "none", &s.OmitHints}, {"order", "fifo", "backfill", &s.Backfill},
+			{"reports", "slots", "queue", &s.ReportsQueue}, {"cancels", "queued", "all", &s.CancelsRunning}, {"copies", "one", "two", &s.SecondCopies}} {
+			if choices[i] != "" && choices[i] != choice.usual && choices[i] != choice.other {
+				r.Fault(blocks.World.Body, "%s: allowed is %q or %q", choice.name, choice.usual, choice.other)
 			}
-			*choice.to = words[i] == choice.other
+			*choice.to = choices[i] == choice.other
 		}
 		if zones != "" {
 			s.Zones = strings.Fields(zones)
 		}
 		for _, word := range strings.Fields(curve) {
-			v, ok := number(word)
+			v, ok := parseNumber(word)
 			if !ok {
-				r.Fault(l.World.Body, "curve: %q is no number from 0 to 100; allowed are such, with spaces between", word)
+				r.Fault(blocks.World.Body, "curve: %q is no number from 0 to 100; allowed are such, with spaces between", word)
 			}
 			s.Curve = append(s.Curve, v)
 		}
@@ -192,16 +192,16 @@
 			s.Curve = s.Curve[1:]
 		}
 	}
-	for _, b := range l.Boxes {
-		k := &BoxKind{Name: b.Name, Count: 1, Slots: 4, Queue: 24, Speed: 1}
-		r.Fields(b.Body, config.Field{Name: "count", Unit: config.Count, Least: 1, Most: 100000, To: &k.Count},
-			config.Field{Name: "slots", Unit: config.Count, Least: 1, Most: 1024, To: &k.Slots},
-			config.Field{Name: "queue", Unit: config.Count, Least: 0, Most: 100000, To: &k.Queue},
-			config.Field{Name: "speed", Unit: config.Number, Least: 0.001, Most: 1000, To: &k.Speed})
-		s.Boxes = append(s.Boxes, k)
+	for _, b := range blocks.Boxes {
+		kind := &BoxKind{Name: b.Name, Count: 1, Slots: 4, Queue: 24, Speed: 1}
+		r.Fields(b.Body, config.Field{Name: "count", Unit: config.Count, Least: 1, Most: 100000, To: &kind.Count},
+			config.Field{Name: "slots", Unit: config.Count, Least: 1, Most: 1024, To: &kind.Slots},
+			config.Field{Name: "queue", Unit: config.Count, Least: 0, Most: 100000, To: &kind.Queue},
+			config.Field{Name: "speed", Unit: config.Number, Least: 0.001, Most: 1000, To: &kind.Speed})
+		s.Boxes = append(s.Boxes, kind)
 	}
-	s.classes(r, l.Classes)
-	s.troubles(r, l.Troubles)
+	s.readClasses(r, blocks.Classes)
+	s.readTroubles(r, blocks.Troubles)
 	if len(s.Boxes) == 0 || len(s.Classes) == 0 {
 		body := hcl.EmptyBody()
 		r.Fault(body, "a script needs a box block and a class block at least")
@@ -209,7 +209,7 @@
 	return s, r.Err()
 }
 
-func (s *Script) classes(r *config.Reader, list []*labeled) {
+func (s *Script) readClasses(r *config.Reader, list []*labeledBlock) {
 	effects := map[string]decide.Effect{"safe": decide.Safe, "keyed": decide.Keyed, "once": decide.Unsafe}
 	names := map[string]bool{}
 	for _, b := range list {
@@ -226,11 +226,11 @@
 			config.Field{Name: "late", Unit: config.Number, Least: 0, Most: 1, To: &c.Terms.LateWorth},
 			config.Field{Name: "memory", Unit: config.Span, Least: ms, Most: 60 * minute, To: &c.Terms.MemorySpan},
 			config.Field{Name: "worth", Unit: config.Number, Least: 0.001, Most: 1e6, To: &c.Terms.Worth})
-		kind, ok := effects[effect]
+		effectValue, ok := effects[effect]
 		if !ok {
 			r.Fault(b.Body, "class %q: effect must be one of keyed, once, safe", b.Name)
 		}
-		c.Terms.Effect = kind
+		c.Terms.Effect = effectValue
 		if names[b.Name] {
 			r.Fault(b.Body, "class %q stands twice", b.Name)
 		}
@@ -238,7 +238,7 @@
 		if slots != "" {
 			c.Slots = nil
 			for _, word := range strings.Fields(slots) {
-				v, ok := number(word)
+				v, ok := parseNumber(word)
 				if !ok || v < 1 || v != float64(int(v)) {
 					r.Fault(b.Body, "class %q: slots: %q is no whole number; allowed are such from 1, with spaces between", b.Name, word)
 				}
@@ -249,35 +249,35 @@
 	}
 }
 
-func (s *Script) troubles(r *config.Reader, list []*labeled) {
+func (s *Script) readTroubles(r *config.Reader, list []*labeledBlock) {
 	for _, b := range list {
 		t := Trouble{Kind: b.Name, Part: 0.2, Times: 5, Takes: 0.5, Pause: 100 * ms, Every: 2e6}
-		var long Time = 10e6
-		with := ""
-		takes, ok := kinds[b.Name]
+		var duration Time = 10e6
+		withSchedulers := ""
+		allowed, ok := troubleSettings[b.Name]
 		if !ok {
-			r.Fault(b.Body, "no trouble %q; allowed: %s", b.Name, strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))
+			r.Fault(b.Body, "no trouble %q; allowed: %s", b.Name, strings.Join(slices.Sorted(maps.Keys(troubleSettings)), ", "))
 			continue
 		}
 		set := r.Fields(b.Body, config.Field{Name: "from", Unit: config.Span, Least: 0, Most: 60 * minute, To: &t.From},
-			config.Field{Name: "for", Unit: config.Span, Least: ms, Most: 60 * minute, To: &long},
+			config.Field{Name: "for", Unit: config.Span, Least: ms, Most: 60 * minute, To: &duration},
 			config.Field{Name: "part", Unit: config.Number, Least: 0.0001, Most: 1, To: &t.Part},
 			config.Field{Name: "times", Unit: config.Number, Least: 1, Most: 1000, To: &t.Times},
 			config.Field{Name: "takes", Unit: config.Number, Least: 0, Most: 0.99, To: &t.Takes},
 			config.Field{Name: "zone", Unit: config.Word, To: &t.Zone}, config.Field{Name: "class", Unit: config.Word, To: &t.Class},
 			config.Field{Name: "pause", Unit: config.Span, Least: ms, Most: minute, To: &t.Pause},
 			config.Field{Name: "every", Unit: config.Span, Least: 10 * ms, Most: 10 * minute, To: &t.Every},
-			config.Field{Name: "with_schedulers", Unit: config.Word, To: &with})
+			config.Field{Name: "with_schedulers", Unit: config.Word, To: &withSchedulers})
 		for _, name := range slices.Sorted(maps.Keys(set)) {
-			if name != "from" && name != "for" && !slices.Contains(takes, name) {
-				r.Fault(b.Body, "trouble %q takes no %s; it takes from, for, %s", b.Name, name, strings.Join(takes, ", "))
+			if name != "from" && name != "for" && !slices.Contains(allowed, name) {
+				r.Fault(b.Body, "trouble %q takes no %s; it takes from, for, %s", b.Name, name, strings.Join(allowed, ", "))
 			}
 		}
-		t.To, t.Balancer = t.From+long, with == "yes"
+		t.To, t.Balancer = t.From+duration, withSchedulers == "yes"
 		switch {
 		case t.From >= s.Duration:
 			r.Fault(b.Body, "trouble %q begins after the end: the script plays for %d s", b.Name, s.Duration/1e6)
-		case with != "" && with != "yes" && with != "no":
+		case withSchedulers != "" && withSchedulers != "yes" && withSchedulers != "no":
 			r.Fault(b.Body, "trouble %q: with_schedulers: allowed is \"yes\" or \"no\"", b.Name)
 		case b.Name == "zone_loss" && !slices.Contains(s.Zones, t.Zone):
 			r.Fault(b.Body, "trouble %q: no zone %q; there are: %s", b.Name, t.Zone, strings.Join(s.Zones, ", "))
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -13,10 +13,10 @@
 
 // The limits of a message.
 const (
-	MaxHead   = 16 << 10 // start line and header fields together
-	MaxFields = 100
-	MaxBody   = 64 << 10 // of a body that the parser collects
-	maxLine   = 1 << 10  // of a chunk's size line or a trailer field
+	MaxHead      = 16 << 10 // start line and header fields together
+	MaxFields    = 100
+	MaxBody      = 64 << 10 // of a body that the parser collects
+	maxChunkLine = 1 << 10  // of a chunk's size line or a trailer field
 )
 
 // Error is a message that can't be read. Status is what a server answers it with.
@@ -27,7 +27,7 @@
 
 func (e *Error) Error() string { return e.Reason }
 
-func fault(status int, format string, args ...any) error {
+func newError(status int, format string, args ...any) error {
 	return &Error{status, fmt.Sprintf(format, args...)}
 }
 
@@ -53,18 +53,18 @@
 	return ""
 }
 
-type state uint8
+type parserState uint8
 
 const (
-	inHead      state = iota
-	inBody            // by length
-	inRest            // up to the end of the connection
-	inChunkSize       // a chunk's size line
+	inHead           parserState = iota
+	inFixedBody                  // by length
+	inBodyUntilClose             // up to the end of the connection
+	inChunkSize                  // a chunk's size line
 	inChunk
 	inChunkEnd // the line end after a chunk
 	inTrailer
-	done
-	broken
+	messageComplete
+	messageFailed
 )
 
 // Parser reads one message at a time. Use NewRequestParser or NewResponseParser.
@@ -72,13 +72,13 @@
 	// OnBody takes the pieces of a body as they come, in place of Message.Body; it must not keep them.
 	OnBody func([]byte)
 
-	Msg      Message
-	response bool
-	state    state
-	buf      []byte // of a head or line that is not complete
-	left     int64  // of the body or chunk
-	trailers int
-	err      error
+	Msg       Message
+	response  bool
+	state     parserState
+	buf       []byte // of a head or line that is not complete
+	remaining int64  // of the body or chunk
+	trailers  int
+	err       error
 }
 
 // NewRequestParser returns a parser of a client's requests.
@@ -89,15 +89,15 @@
 
 // Feed takes in bytes up to the end of the message and returns how many it took and whether the message is
 // whole. After that, or after an error, only Reset goes on.
-func (p *Parser) Feed(b []byte) (n int, whole bool, err error) {
-	for n < len(b) && p.state != done && p.state != broken {
+func (p *Parser) Feed(b []byte) (n int, complete bool, err error) {
+	for n < len(b) && p.state != messageComplete && p.state != messageFailed {
 		m, err := p.step(b[n:])
 		n += m
 		if err != nil {
-			p.state, p.err = broken, err
+			p.state, p.err = messageFailed, err
 		}
 	}
-	return n, p.state == done, p.err
+	return n, p.state == messageComplete, p.err
 }
 
 // Reset makes ready for the next message.
@@ -109,62 +109,62 @@
 func (p *Parser) Idle() bool { return p.state == inHead && len(p.buf) == 0 }
 
 // HeadDone reports whether the head is read and Msg's fields stand.
-func (p *Parser) HeadDone() bool { return p.state != inHead && p.state != broken }
+func (p *Parser) HeadDone() bool { return p.state != inHead && p.state != messageFailed }
 
 // End takes in the end of the connection and reports whether it completes the message.
 func (p *Parser) End() bool {
-	if p.state == inRest {
-		p.state = done
+	if p.state == inBodyUntilClose {
+		p.state = messageComplete
 	}
-	return p.state == done
+	return p.state == messageComplete
 }
 
 func (p *Parser) step(b []byte) (int, error) {
 	switch p.state {
 	case inHead:
-		return p.head(b)
-	case inBody, inRest, inChunk:
-		return p.body(b)
+		return p.readHeadBytes(b)
+	case inFixedBody, inBodyUntilClose, inChunk:
+		return p.readBody(b)
 	default:
-		line, n, err := p.line(b)
+		line, n, err := p.readLine(b)
 		if err != nil || line == nil {
 			return n, err
 		}
-		return n, p.chunkLine(string(line[:len(line)-2]))
+		return n, p.parseChunkLine(string(line[:len(line)-2]))
 	}
 }
 
-var headEnd = []byte("\r\n\r\n")
+var headTerminator = []byte("\r\n\r\n")
 
 // head gathers bytes up to the empty line that ends the head.
-func (p *Parser) head(b []byte) (int, error) {
-	n := 0
+func (p *Parser) readHeadBytes(b []byte) (int, error) {
+	consumed := 0
 	if len(p.buf) == 0 { // empty lines before a message are passed over
-		for n < len(b) && (b[n] == '\r' || b[n] == '\n') {
-			n++
+		for consumed < len(b) && (b[consumed] == '\r' || b[consumed] == '\n') {
+			consumed++
 		}
-		if n > 0 {
-			return n, nil
+		if consumed > 0 {
+			return consumed, nil
 		}
 	}
-	old := len(p.buf)
-	from := max(0, old-3)
-	p.buf = append(p.buf, b[:min(len(b), MaxHead+4-old)]...)
-	i := bytes.Index(p.buf[from:], headEnd)
+	buffered := len(p.buf)
+	searchFrom := max(0, buffered-3)
+	p.buf = append(p.buf, b[:min(len(b), MaxHead+4-buffered)]...)
+	i := bytes.Index(p.buf[searchFrom:], headTerminator)
 	if i < 0 {
-		if bareLineFeed(p.buf[from:]) { // the end that we look for may never come
-			return 0, fault(400, "bare line feed in a head")
+		if bareLineFeed(p.buf[searchFrom:]) { // the end that we look for may never come
+			return 0, newError(400, "bare line feed in a head")
 		}
 		if len(p.buf) > MaxHead {
-			return 0, fault(431, "head is longer than %d bytes", MaxHead)
+			return 0, newError(431, "head is longer than %d bytes", MaxHead)
 		}
-		return len(p.buf) - old, nil
+		return len(p.buf) - buffered, nil
 	}
-	end := from + i + 4
-	n = end - old
+	end := searchFrom + i + 4
+	consumed = end - buffered
 	text := string(p.buf[:end-4])
 	p.buf = p.buf[:0]
-	return n, p.readHead(text)
+	return consumed, p.parseHead(text)
 }
 
 // bareLineFeed reports whether a line of b, the first byte aside, ends without a carriage return.
@@ -177,9 +177,9 @@
 	return false
 }
 
-func (p *Parser) readHead(text string) error {
+func (p *Parser) parseHead(text string) error {
 	start, rest, _ := strings.Cut(text, "\r\n")
-	minor, err := p.startLine(start)
+	minor, err := p.parseStartLine(start)
 	if err != nil {
 		return err
 	}
@@ -188,24 +188,24 @@
 		line, rest, _ = strings.Cut(rest, "\r\n")
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || !isToken(name) {
-			return fault(400, "malformed header field")
+			return newError(400, "malformed header field")
 		}
 		value = strings.Trim(value, " \t")
 		for i := 0; i < len(value); i++ {
 			if c := value[i]; c < ' ' && c != '\t' || c == 0x7f {
-				return fault(400, "control character in a header field")
+				return newError(400, "control character in a header field")
 			}
 		}
 		if len(p.Msg.Fields) == MaxFields {
-			return fault(431, "more than %d header fields", MaxFields)
+			return newError(431, "more than %d header fields", MaxFields)
 		}
 		p.Msg.Fields = append(p.Msg.Fields, Field{strings.ToLower(name), value})
 	}
-	return p.framing(minor)
+	return p.decideFraming(minor)
 }
 
 // startLine reads a request line or a status line and returns the minor version.
-func (p *Parser) startLine(line string) (minor byte, err error) {
+func (p *Parser) parseStartLine(line string) (minor byte, err error) {
 	version := line
 	if p.response {
 		var rest string
@@ -213,26 +213,26 @@
 		code, _, _ := strings.Cut(rest, " ")
 		p.Msg.Status, err = strconv.Atoi(code)
 		if err != nil || len(code) != 3 || p.Msg.Status < 100 {
-			return 0, fault(502, "malformed status line")
+			return 0, newError(502, "malformed status line")
 		}
 	} else {
 		parts := strings.Split(line, " ")
 		if len(parts) != 3 || !isToken(parts[0]) || !isTarget(parts[1]) {
-			return 0, fault(400, "malformed request line")
+			return 0, newError(400, "malformed request line")
 		}
 		p.Msg.Method, p.Msg.Target, version = parts[0], parts[1], parts[2]
 	}
 	if len(version) != 8 || version[:5] != "HTTP/" || version[6] != '.' || version[7] < '0' || version[7] > '9' {
-		return 0, fault(400, "malformed version")
+		return 0, newError(400, "malformed version")
 	}
 	if version[5] != '1' {
-		return 0, fault(505, "version is not HTTP/1")
+		return 0, newError(505, "version is not HTTP/1")
 	}
 	return version[7], nil
 }
 
 // framing decides from the fields how the body is delimited and whether the connection stays.
-func (p *Parser) framing(minor byte) error {
+func (p *Parser) decideFraming(minor byte) error {
 	m := &p.Msg
 	m.KeepAlive = minor >= '1'
 	length, coding, host := int64(-1), "", false
@@ -241,23 +241,23 @@
 		case "content-length":
 			n, err := strconv.ParseUint(f.Value, 10, 62)
 			if err != nil {
-				return fault(400, "malformed Content-Length")
+				return newError(400, "malformed Content-Length")
 			}
 			if length >= 0 {
-				return fault(400, "more than one Content-Length")
+				return newError(400, "more than one Content-Length")
 			}
 			length = int64(n)
 		case "transfer-encoding":
 			if coding != "" {
-				return fault(400, "more than one Transfer-Encoding")
+				return newError(400, "more than one Transfer-Encoding")
 			}
 			coding = strings.ToLower(f.Value)
 			if coding == "" {
-				return fault(400, "empty Transfer-Encoding")
+				return newError(400, "empty Transfer-Encoding")
 			}
 		case "host":
 			if host {
-				return fault(400, "more than one Host")
+				return newError(400, "more than one Host")
 			}
 			host = true
 		case "connection":
@@ -274,100 +274,100 @@
 	chunked := coding == "chunked"
 	switch {
 	case !p.response && !host && minor >= '1': // RFC 9112, section 3.2
-		return fault(400, "no Host")
+		return newError(400, "no Host")
 	case coding != "" && (length >= 0 || minor == '0'): // a way to smuggle a request past a front
-		return fault(400, "both a length and a transfer coding")
+		return newError(400, "both a length and a transfer coding")
 	case coding != "" && !chunked:
-		return fault(501, "transfer coding is not chunked")
+		return newError(501, "transfer coding is not chunked")
 	case p.response && m.Status < 200 && m.Status != 101:
 		p.Msg, p.state = Message{}, inHead // an interim response; the real one follows
 	case p.response && (m.Status == 204 || m.Status == 304):
-		p.state = done
+		p.state = messageComplete
 	case chunked:
 		p.state = inChunkSize
 	case length > 0:
 		if p.OnBody == nil && length > MaxBody {
-			return fault(413, "body is longer than %d bytes", MaxBody)
+			return newError(413, "body is longer than %d bytes", MaxBody)
 		}
-		p.state, p.left = inBody, length
+		p.state, p.remaining = inFixedBody, length
 	case length < 0 && p.response:
-		p.state, m.KeepAlive = inRest, false
+		p.state, m.KeepAlive = inBodyUntilClose, false
 	default:
-		p.state = done
+		p.state = messageComplete
 	}
 	return nil
 }
 
-func (p *Parser) body(b []byte) (int, error) {
-	if p.state != inRest {
-		b = b[:min(int64(len(b)), p.left)]
+func (p *Parser) readBody(b []byte) (int, error) {
+	if p.state != inBodyUntilClose {
+		b = b[:min(int64(len(b)), p.remaining)]
 	}
 	if p.OnBody != nil {
 		p.OnBody(b)
 	} else {
 		if len(p.Msg.Body)+len(b) > MaxBody {
-			return 0, fault(413, "body is longer than %d bytes", MaxBody)
+			return 0, newError(413, "body is longer than %d bytes", MaxBody)
 		}
 		p.Msg.Body = append(p.Msg.Body, b...)
 	}
-	if p.state == inRest {
+	if p.state == inBodyUntilClose {
 		return len(b), nil
 	}
-	if p.left -= int64(len(b)); p.left == 0 {
+	if p.remaining -= int64(len(b)); p.remaining == 0 {
 		if p.state == inChunk {
 			p.state = inChunkEnd
 		} else {
-			p.state = done
+			p.state = messageComplete
 		}
 	}
 	return len(b), nil
 }
 
 // line gathers bytes up to a line end. The line is nil while it is not complete.
-func (p *Parser) line(b []byte) (line []byte, n int, err error) {
-	n = len(b)
+func (p *Parser) readLine(b []byte) (line []byte, consumed int, err error) {
+	consumed = len(b)
 	if i := bytes.IndexByte(b, '\n'); i >= 0 {
-		n = i + 1
+		consumed = i + 1
 	}
-	if len(p.buf)+n > maxLine {
-		return nil, n, fault(400, "line among chunks is too long")
+	if len(p.buf)+consumed > maxChunkLine {
+		return nil, consumed, newError(400, "line among chunks is too long")
 	}
-	p.buf = append(p.buf, b[:n]...)
+	p.buf = append(p.buf, b[:consumed]...)
 	if p.buf[len(p.buf)-1] != '\n' {
-		return nil, n, nil
+		return nil, consumed, nil
 	}
 	line, p.buf = p.buf, p.buf[:0]
 	if len(line) < 2 || line[len(line)-2] != '\r' {
-		return nil, n, fault(400, "bare line feed among chunks")
+		return nil, consumed, newError(400, "bare line feed among chunks")
 	}
-	return line, n, nil
+	return line, consumed, nil
 }
 
-func (p *Parser) chunkLine(line string) error {
+func (p *Parser) parseChunkLine(line string) error {
 	switch p.state {
 	case inChunkSize:
 		size, _, _ := strings.Cut(line, ";")
 		size = strings.TrimRight(size, " \t")
 		n, err := strconv.ParseUint(size, 16, 32)
 		if err != nil {
-			return fault(400, "malformed chunk size")
+			return newError(400, "malformed chunk size")
 		}
-		p.left, p.state = int64(n), inChunk
+		p.remaining, p.state = int64(n), inChunk
 		if n == 0 {
 			p.state = inTrailer
 		} else if p.OnBody == nil && int64(len(p.Msg.Body))+int64(n) > MaxBody {
-			return fault(413, "body is longer than %d bytes", MaxBody)
+			return newError(413, "body is longer than %d bytes", MaxBody)
 		}
 	case inChunkEnd:
 		if line != "" {
-			return fault(400, "chunk runs past its size")
+			return newError(400, "chunk runs past its size")
 		}
 		p.state = inChunkSize
 	case inTrailer: // trailer fields are passed over
 		if line == "" {
-			p.state = done
+			p.state = messageComplete
 		} else if p.trailers++; p.trailers > MaxFields {
-			return fault(431, "more than %d trailer fields", MaxFields)
+			return newError(431, "more than %d trailer fields", MaxFields)
 		}
 	}
 	return nil
@@ -393,7 +393,7 @@
 	return s != "" && (s[0] == '/' || s == "*" || strings.HasPrefix(s, "http://"))
 }
 
-var reasons = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
+var reasonPhrases = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 421: "Misdirected Request", 429: "Too Many Requests", 431: "Request Header Fields Too Large",
 	500: "Internal Server Error", 501: "Not Implemented", 502: "Bad Gateway", 503: "Service Unavailable",
 	505: "HTTP Version Not Supported"}
@@ -403,25 +403,25 @@
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(b, ' ')
-	b = append(b, reasons[status]...)
+	b = append(b, reasonPhrases[status]...)
 	b = append(b, "\r\n"...)
 	if !keepAlive {
 		fields = append(fields, Field{"Connection", "close"})
 	}
-	return appendRest(b, body, true, fields)
+	return appendFieldsAndBody(b, body, true, fields)
 }
 
 // AppendRequest appends a whole request. A body of nil is left out with its length.
 func AppendRequest(b []byte, method, target string, body []byte, fields ...Field) []byte {
 	b = append(append(append(append(b, method...), ' '), target...), " HTTP/1.1\r\n"...)
-	return appendRest(b, body, body != nil, fields)
+	return appendFieldsAndBody(b, body, body != nil, fields)
 }
 
-func appendRest(b, body []byte, length bool, fields []Field) []byte {
+func appendFieldsAndBody(b, body []byte, withLength bool, fields []Field) []byte {
 	for _, f := range fields {
 		b = append(append(append(append(b, f.Name...), ": "...), f.Value...), "\r\n"...)
 	}
-	if length {
+	if withLength {
 		b = strconv.AppendInt(append(b, "Content-Length: "...), int64(len(body)), 10)
 		b = append(b, "\r\n"...)
 	}
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -10,23 +10,23 @@
 
 // read feeds the text in pieces of the given size and describes what came of it: each whole message as
 // "start|fields|body|keep", then the status of the error, if any, or "half" for a message that is not whole.
-func read(p *Parser, text string, size int) (out []string) {
-	fed := false
+func parseAll(p *Parser, text string, size int) (out []string) {
+	partial := false
 	for rest := []byte(text); len(rest) > 0; {
-		n, whole, err := p.Feed(rest[:min(size, len(rest))])
-		rest, fed = rest[n:], !p.Idle()
+		n, complete, err := p.Feed(rest[:min(size, len(rest))])
+		rest, partial = rest[n:], !p.Idle()
 		if err != nil {
 			return append(out, fmt.Sprint(err.(*Error).Status))
 		}
-		if whole {
-			out, fed = append(out, describe(&p.Msg)), false
+		if complete {
+			out, partial = append(out, describe(&p.Msg)), false
 			p.Reset()
 		}
 	}
 	if p.End() {
 		return append(out, describe(&p.Msg))
 	}
-	if fed {
+	if partial {
 		out = append(out, "half")
 	}
 	return out
@@ -90,7 +90,7 @@
 		"too many fields":     {"GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", MaxFields+1) + "\r\n", []string{"431"}},
 	} {
 		for _, size := range []int{1 << 20, 7, 1} {
-			assert.Equal(t, c.want, read(NewRequestParser(), c.in, size), "%s, in pieces of %d", name, size)
+			assert.Equal(t, c.want, parseAll(NewRequestParser(), c.in, size), "%s, in pieces of %d", name, size)
 		}
 	}
 }
@@ -111,22 +111,22 @@
 		"not a response": {"hello\r\n\r\n", []string{"502"}},
 	} {
 		for _, size := range []int{1 << 20, 1} {
-			assert.Equal(t, c.want, read(NewResponseParser(), c.in, size), "%s, in pieces of %d", name, size)
+			assert.Equal(t, c.want, parseAll(NewResponseParser(), c.in, size), "%s, in pieces of %d", name, size)
 		}
 	}
 }
 
-func TestWhatIsWrittenReadsBack(t *testing.T) {
+func TestWrittenMessagesParse(t *testing.T) {
 	b := AppendRequest(nil, "POST", "/a?b", []byte("body"), Field{"Host", "a"}, Field{"X-Call-Id", "7"})
-	assert.Equal(t, []string{"POST /a?b|3|body|true"}, read(NewRequestParser(), string(b), 1))
+	assert.Equal(t, []string{"POST /a?b|3|body|true"}, parseAll(NewRequestParser(), string(b), 1))
 	b = AppendResponse(nil, 503, false, []byte("no"), Field{"Retry-After", "0.5"})
-	assert.Equal(t, []string{"503|3|no|false"}, read(NewResponseParser(), string(b), 1))
+	assert.Equal(t, []string{"503|3|no|false"}, parseAll(NewResponseParser(), string(b), 1))
 }
 
 func FuzzFeedingInPiecesChangesNothing(f *testing.F) {
 	f.Add("POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n", 3)
 	f.Fuzz(func(t *testing.T, text string, size int) {
-		whole := read(NewRequestParser(), text, len(text)+1)
-		assert.Equal(t, whole, read(NewRequestParser(), text, max(1, size)))
+		whole := parseAll(NewRequestParser(), text, len(text)+1)
+		assert.Equal(t, whole, parseAll(NewRequestParser(), text, max(1, size)))
 	})
 }
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -10,16 +10,16 @@
 
 // Codes of the actions.
 const (
-	actRefuse  = 10
-	actWake    = 30
-	actWatch   = 40
-	actBailOut = 50
-	actCancel  = 60
-	actPush    = 70
-	actFail    = 90
-	actProbe   = 100
-	actReload  = 110
-	actTell    = 120
+	actRefuse   = 10
+	actWake     = 30
+	actWatch    = 40
+	actBailOut  = 50
+	actCancel   = 60
+	actPush     = 70
+	actFail     = 90
+	actProbe    = 100
+	actReload   = 110
+	actSendPeer = 120
 )
 
 // Encoder gathers the actions of one reply. It implements decide.Actions for the instance last named
@@ -45,7 +45,7 @@
 	return err
 }
 
-func (e *Encoder) head(code uint8, size int) {
+func (e *Encoder) beginRecord(code uint8, size int) {
 	e.buf = append(e.buf, code)
 	e.u32(uint32(size))
 	e.u32(e.instance)
@@ -61,45 +61,45 @@
 }
 
 // span encodes a time-out or a wait. The wire reads the highest bit as a sign, so a longer span is cut.
-func (e *Encoder) span(t decide.Time) { e.u32(uint32(max(0, min(t, math.MaxInt32)))) }
+func (e *Encoder) duration(t decide.Time) { e.u32(uint32(max(0, min(t, math.MaxInt32)))) }
 
 // Push implements decide.Actions. A time-out of nothing would mean none at all on the wire; it becomes 1 us.
 func (e *Encoder) Push(job uint32, worker decide.WorkerID, timeout decide.Time) {
-	e.head(actPush, 18)
+	e.beginRecord(actPush, 18)
 	e.u32(job)
 	e.worker(worker)
-	e.span(max(1, timeout))
+	e.duration(max(1, timeout))
 }
 
 // Probe implements decide.Actions.
 func (e *Encoder) Probe(worker decide.WorkerID) {
-	e.head(actProbe, 10)
+	e.beginRecord(actProbe, 10)
 	e.worker(worker)
 }
 
 // Cancel implements decide.Actions.
 func (e *Encoder) Cancel(job uint32, attempt int) {
-	e.head(actCancel, 10)
+	e.beginRecord(actCancel, 10)
 	e.u32(job)
 	e.u16(uint16(attempt))
 }
 
 // Refuse implements decide.Actions.
 func (e *Encoder) Refuse(job uint32, retryAfter decide.Time) {
-	e.head(actRefuse, 12)
+	e.beginRecord(actRefuse, 12)
 	e.u32(job)
-	e.span(retryAfter)
+	e.duration(retryAfter)
 }
 
 // Fail implements decide.Actions.
 func (e *Encoder) Fail(job uint32) {
-	e.head(actFail, 8)
+	e.beginRecord(actFail, 8)
 	e.u32(job)
 }
 
 // Watch implements decide.Actions.
 func (e *Encoder) Watch(on bool) {
-	e.head(actWatch, 5)
+	e.beginRecord(actWatch, 5)
 	if on {
 		e.buf = append(e.buf, 1)
 	} else {
@@ -108,19 +108,19 @@
 }
 
 // Reload implements decide.Actions.
-func (e *Encoder) Reload() { e.head(actReload, 4) }
+func (e *Encoder) Reload() { e.beginRecord(actReload, 4) }
 
 // Wake implements decide.Actions.
 func (e *Encoder) Wake(after decide.Time, token uint64) {
-	e.head(actWake, 16)
-	e.span(after)
+	e.beginRecord(actWake, 16)
+	e.duration(after)
 	e.u64(token)
 }
 
 // SendPeer implements decide.Actions.
 func (e *Encoder) SendPeer(peer int, data []byte) {
 	data = data[:min(len(data), 256)]
-	e.head(actTell, 8+len(data))
+	e.beginRecord(actSendPeer, 8+len(data))
 	if peer == decide.PeerAll {
 		e.u16(math.MaxUint16)
 	} else {
@@ -133,7 +133,7 @@
 // BailOut says that the decision code of the instance failed.
 func (e *Encoder) BailOut(text string) {
 	text = text[:min(len(text), 1000)]
-	e.head(actBailOut, 6+len(text))
+	e.beginRecord(actBailOut, 6+len(text))
 	e.u16(uint16(len(text)))
 	e.buf = append(e.buf, text...)
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -47,61 +47,61 @@
 }
 
 // params is the settings text, with the first fault met while reading it.
-type params struct {
+type settingsReader struct {
 	values map[string]string
 	err    error
 }
 
-func (p *params) fail(key, what string) {
+func (p *settingsReader) setError(key, problem string) {
 	if p.err == nil {
-		p.err = fmt.Errorf("settings: %s: %s", key, what)
+		p.err = fmt.Errorf("settings: %s: %s", key, problem)
 	}
 }
 
-func (p *params) num(key string) float64 {
+func (p *settingsReader) number(key string) float64 {
 	text, ok := p.values[key]
 	if !ok {
-		p.fail(key, "missing")
+		p.setError(key, "missing")
 		return 0
 	}
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		p.fail(key, fmt.Sprintf("%q is not a number", text))
+		p.setError(key, fmt.Sprintf("%q is not a number", text))
 	}
 	return v
 }
 
-func (p *params) numOr(key string, def float64) float64 {
+func (p *settingsReader) numberOr(key string, fallback float64) float64 {
 	if p.values[key] == "" {
-		return def
+		return fallback
 	}
-	return p.num(key)
+	return p.number(key)
 }
 
-func (p *params) whole(key string) int64 {
-	v := p.num(key)
+func (p *settingsReader) integer(key string) int64 {
+	v := p.number(key)
 	if v != math.Trunc(v) || math.Abs(v) > 1<<53 {
-		p.fail(key, "not a whole number")
+		p.setError(key, "not a whole number")
 		return 0
 	}
 	return int64(v)
 }
 
-func (p *params) flagOr(key string, def bool) bool {
+func (p *settingsReader) boolOr(key string, fallback bool) bool {
 	switch text := p.values[key]; text {
 	case "":
-		return def
+		return fallback
 	case "true":
 		return true
 	case "false":
 		return false
 	default:
-		p.fail(key, fmt.Sprintf("%q is neither true nor false", text))
-		return def
+		p.setError(key, fmt.Sprintf("%q is neither true nor false", text))
+		return fallback
 	}
 }
 
-func (p *params) list(key string) []string {
+func (p *settingsReader) words(key string) []string {
 	if p.values[key] == "" {
 		return nil
 	}
@@ -109,103 +109,103 @@
 }
 
 // listNum reads one number of a joined list; a list that is too short or absent gives def.
-func (p *params) listNum(key string, i int, def float64) float64 {
-	l := p.list(key)
-	if i >= len(l) {
-		return def
+func (p *settingsReader) numberAt(key string, i int, fallback float64) float64 {
+	words := p.words(key)
+	if i >= len(words) {
+		return fallback
 	}
-	v, err := strconv.ParseFloat(l[i], 64)
+	v, err := strconv.ParseFloat(words[i], 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		p.fail(key, fmt.Sprintf("%q is not a number", l[i]))
-		return def
+		p.setError(key, fmt.Sprintf("%q is not a number", words[i]))
+		return fallback
 	}
 	return v
 }
 
 // ParseSettings reads the settings of a Begin event. Unknown keys are passed over. An error names the key.
 func ParseSettings(text []byte) (decide.Settings, Layout, error) {
-	p := params{values: make(map[string]string, 160)}
+	p := settingsReader{values: make(map[string]string, 160)}
 	for line := range strings.Lines(string(text)) {
 		if key, value, ok := strings.Cut(strings.TrimRight(line, "\r\n"), "="); ok {
 			p.values[key] = value
 		}
 	}
 	s := decide.Settings{
-		Nodes:            int(p.whole("balancers")),
-		Zone:             int(p.whole("zone")),
-		Zones:            max(1, len(p.list("zones"))),
-		CanProbe:         p.flagOr("limits.probes", false),
-		CanCancel:        p.flagOr("limits.cancel", false),
-		CanMessagePeers:  p.flagOr("limits.peers", false),
-		SecondCopies:     p.flagOr("limits.second_copies", false),
-		MaxAttempts:      int(p.whole("limits.max_attempts")),
-		DrainGrace:       p.whole("obligations.drain_grace_us"),
-		ColdFrom:         p.num("obligations.cold_from"),
-		ColdSpan:         p.whole("obligations.cold_us"),
-		OverloadMultiple: p.num("obligations.tip_multiple"),
-		OverloadSpan:     p.whole("obligations.overload_for_us"),
-		AnswerSlack:      decide.Time(p.numOr("obligations.answer_slack_us", 0)),
-		Tick:             p.whole("resolution_us"),
-		TellsStart:       p.flagOr("family_info.tells_start", false),
-		OverShareWorth:   p.numOr("over_share_worth", 1),
+		Nodes:            int(p.integer("balancers")),
+		Zone:             int(p.integer("zone")),
+		Zones:            max(1, len(p.words("zones"))),
+		CanProbe:         p.boolOr("limits.probes", false),
+		CanCancel:        p.boolOr("limits.cancel", false),
+		CanMessagePeers:  p.boolOr("limits.peers", false),
+		SecondCopies:     p.boolOr("limits.second_copies", false),
+		MaxAttempts:      int(p.integer("limits.max_attempts")),
+		DrainGrace:       p.integer("obligations.drain_grace_us"),
+		ColdFrom:         p.number("obligations.cold_from"),
+		ColdSpan:         p.integer("obligations.cold_us"),
+		OverloadMultiple: p.number("obligations.tip_multiple"),
+		OverloadSpan:     p.integer("obligations.overload_for_us"),
+		AnswerSlack:      decide.Time(p.numberOr("obligations.answer_slack_us", 0)),
+		Tick:             p.integer("resolution_us"),
+		TellsStart:       p.boolOr("family_info.tells_start", false),
+		OverShareWorth:   p.numberOr("over_share_worth", 1),
 		WorthByWork:      p.values["counted_by"] == "work",
-		CrossZoneCost:    p.numOr("prices.cross_zone", 0),
+		CrossZoneCost:    p.numberOr("prices.cross_zone", 0),
 	}
-	if p.flagOr("limits.retry_after", false) {
-		s.MaxRetryAfter = max(0, decide.Time(p.numOr("limits.max_retry_after_us", 0)))
+	if p.boolOr("limits.retry_after", false) {
+		s.MaxRetryAfter = max(0, decide.Time(p.numberOr("limits.max_retry_after_us", 0)))
 	}
-	switch how := p.values["discovery"]; how {
+	switch mode := p.values["discovery"]; mode {
 	case "automatic":
 	case "subscribe":
 		s.MustAsk = true
-		s.AskWithin = p.whole("obligations.ask_within_us")
+		s.AskWithin = p.integer("obligations.ask_within_us")
 	default:
-		p.fail("discovery", fmt.Sprintf("%q is neither automatic nor subscribe", how))
+		p.setError("discovery", fmt.Sprintf("%q is neither automatic nor subscribe", mode))
 	}
-	p.classes(&s)
-	p.tenants(&s)
-	return s, p.layout(), p.err
+	p.readClasses(&s)
+	p.readTenants(&s)
+	return s, p.readLayout(), p.err
 }
 
 // maxListed bounds the counts that the settings may name, so that a damaged one can't make us allocate.
-const maxListed = 65536
+const maxCount = 65536
 
-func (p *params) count(key string) int {
-	n := p.whole(key)
-	if n < 0 || n > maxListed {
-		p.fail(key, "out of range")
+func (p *settingsReader) readCount(key string) int {
+	n := p.integer(key)
+	if n < 0 || n > maxCount {
+		p.setError(key, "out of range")
 		return 0
 	}
 	return int(n)
 }
 
-func (p *params) classes(s *decide.Settings) {
-	for i := range p.count("classes.count") {
+func (p *settingsReader) readClasses(s *decide.Settings) {
+	for i := range p.readCount("classes.count") {
 		if p.err != nil {
 			return
 		}
-		at := "classes." + strconv.Itoa(i) + "."
+		prefix := "classes." + strconv.Itoa(i) + "."
 		c := decide.Class{
-			Aim:        p.whole(at + "aim_us"),
-			Deadline:   p.whole(at + "deadline_us"),
-			Worth:      p.num(at + "worth"),
-			LateWorth:  p.numOr(at+"late_worth", 0),
-			MemorySpan: decide.Time(p.numOr(at+"memory_span_us", 0)),
-			Stretch:    p.numOr(at+"aim_stretch", p.listNum("family_info.class_stretch", i, 0)),
-			Kind:       int(p.listNum("family_info.class_kind", i, -1)),
+			Aim:        p.integer(prefix + "aim_us"),
+			Deadline:   p.integer(prefix + "deadline_us"),
+			Worth:      p.number(prefix + "worth"),
+			LateWorth:  p.numberOr(prefix+"late_worth", 0),
+			MemorySpan: decide.Time(p.numberOr(prefix+"memory_span_us", 0)),
+			Stretch:    p.numberOr(prefix+"aim_stretch", p.numberAt("family_info.class_stretch", i, 0)),
+			Kind:       int(p.numberAt("family_info.class_kind", i, -1)),
 		}
-		switch effect := p.values[at+"effect"]; effect {
+		switch effect := p.values[prefix+"effect"]; effect {
 		case "read_like":
 			c.Effect = decide.Safe
 		case "idempotency_key":
 			c.Effect = decide.Keyed
-			p.whole(at + "memory_span_us")
+			p.integer(prefix + "memory_span_us")
 		case "non_idempotent":
 			c.Effect = decide.Unsafe
 		default:
-			p.fail(at+"effect", fmt.Sprintf("unknown effect %q", effect))
+			p.setError(prefix+"effect", fmt.Sprintf("unknown effect %q", effect))
 		}
-		switch scope := p.values[at+"key_scope"]; scope {
+		switch scope := p.values[prefix+"key_scope"]; scope {
 		case "all", "":
 			c.Scope = decide.ScopeAll
 		case "zone":
@@ -213,33 +213,33 @@
 		case "cell":
 			c.Scope = decide.ScopeCell
 		default:
-			p.fail(at+"key_scope", fmt.Sprintf("unknown scope %q", scope))
+			p.setError(prefix+"key_scope", fmt.Sprintf("unknown scope %q", scope))
 		}
 		s.Classes = append(s.Classes, c)
 	}
 }
 
-func (p *params) tenants(s *decide.Settings) {
+func (p *settingsReader) readTenants(s *decide.Settings) {
 	if p.values["accounts.count"] == "" {
 		return
 	}
-	for i := range p.count("accounts.count") {
+	for i := range p.readCount("accounts.count") {
 		if p.err != nil {
 			return
 		}
-		s.Tenants = append(s.Tenants, decide.Tenant{Allowance: p.num("accounts." + strconv.Itoa(i) + ".allowance_per_s")})
+		s.Tenants = append(s.Tenants, decide.Tenant{Allowance: p.number("accounts." + strconv.Itoa(i) + ".allowance_per_s")})
 	}
 }
 
-func (p *params) layout() Layout {
+func (p *settingsReader) readLayout() Layout {
 	var l Layout
-	for _, name := range p.list("report.fields") {
-		l = append(l, p.field(name))
+	for _, name := range p.words("report.fields") {
+		l = append(l, p.reportField(name))
 	}
 	return l
 }
 
-func (p *params) field(name string) decide.Fields {
+func (p *settingsReader) reportField(name string) decide.Fields {
 	switch name {
 	case "active":
 		return decide.HasInFlight
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -29,11 +29,11 @@
 )
 
 const (
-	headerLen  = 16
-	recordHead = 5
-	entryLen   = 23
-	maxPages   = 16
-	maxFrame   = 1 << 30 // far beyond any legal batch; a length above it is damage
+	headerLen       = 16
+	recordHeaderLen = 5
+	listEntryLen    = 23
+	maxListPages    = 16
+	maxFrameLen     = 1 << 30 // far beyond any legal batch; a length above it is damage
 )
 
 // Event is one decoded record. Which fields count depends on Code. Its byte slices are valid until the
@@ -75,8 +75,8 @@
 	record int
 	count  int
 	now    decide.Time
-	pages  [maxPages][]decide.Worker
-	ev     Event
+	pages  [maxListPages][]decide.Worker
+	event  Event
 }
 
 // NewDecoder returns a decoder that reads from r.
@@ -95,10 +95,10 @@
 		return fmt.Errorf("header, offset %d: %w", n, ErrTruncated)
 	}
 	size := int64(binary.BigEndian.Uint32(head[:]))
-	if size < headerLen || size > maxFrame {
-		return fmt.Errorf("header, offset 0: frame length %d is not between %d and %d", size, headerLen, maxFrame)
+	if size < headerLen || size > maxFrameLen {
+		return fmt.Errorf("header, offset 0: frame length %d is not between %d and %d", size, headerLen, maxFrameLen)
 	}
-	if err := d.fill(int(size) - 4); err != nil {
+	if err := d.readBody(int(size) - 4); err != nil {
 		return err
 	}
 	now := binary.BigEndian.Uint64(d.buf)
@@ -113,20 +113,20 @@
 
 // fill reads n bytes into the buffer. It grows the buffer only as bytes arrive, so a false length in a
 // header can't make it allocate what never comes.
-func (d *Decoder) fill(n int) error {
+func (d *Decoder) readBody(size int) error {
 	const step = 1 << 20
 	d.buf = d.buf[:0]
-	for len(d.buf) < n {
-		want := min(n-len(d.buf), step)
+	for len(d.buf) < size {
+		chunk := min(size-len(d.buf), step)
 		have := len(d.buf)
-		if cap(d.buf) < have+want {
-			grown := make([]byte, have, max(2*cap(d.buf), have+want))
+		if cap(d.buf) < have+chunk {
+			grown := make([]byte, have, max(2*cap(d.buf), have+chunk))
 			copy(grown, d.buf)
 			d.buf = grown
 		}
-		d.buf = d.buf[:have+want]
-		if m, err := io.ReadFull(d.r, d.buf[have:]); err != nil {
-			return fmt.Errorf("header, offset %d: %w of %d bytes", 4+have+m, ErrTruncated, n+4)
+		d.buf = d.buf[:have+chunk]
+		if n, err := io.ReadFull(d.r, d.buf[have:]); err != nil {
+			return fmt.Errorf("header, offset %d: %w of %d bytes", 4+have+n, ErrTruncated, size+4)
 		}
 	}
 	return nil
@@ -137,7 +137,7 @@
 
 // Workers returns the entries of the list with that number, and whether there is such a list.
 func (d *Decoder) Workers(page int) ([]decide.Worker, bool) {
-	if page < 0 || page >= maxPages || d.pages[page] == nil {
+	if page < 0 || page >= maxListPages || d.pages[page] == nil {
 		return nil, false
 	}
 	return d.pages[page], true
@@ -147,41 +147,41 @@
 // codes are passed over.
 func (d *Decoder) Next() (*Event, error) {
 	for d.record < d.count {
-		if len(d.body) < recordHead {
-			return nil, d.fault(0, "frame ends inside a record's head")
+		if len(d.body) < recordHeaderLen {
+			return nil, d.recordError(0, "frame ends inside a record's head")
 		}
 		code, size := d.body[0], int64(binary.BigEndian.Uint32(d.body[1:]))
-		if size > int64(len(d.body)-recordHead) {
-			return nil, d.fault(1, "record length runs past the frame")
+		if size > int64(len(d.body)-recordHeaderLen) {
+			return nil, d.recordError(1, "record length runs past the frame")
 		}
-		f := fields{b: d.body[recordHead : recordHead+int(size)]}
+		f := recordReader{data: d.body[recordHeaderLen : recordHeaderLen+int(size)]}
 		known := d.decode(code, &f)
-		if f.short {
-			return nil, d.fault(recordHead+f.at, "record ends inside a field")
+		if f.truncated {
+			return nil, d.recordError(recordHeaderLen+f.offset, "record ends inside a field")
 		}
-		if f.bad != "" {
-			return nil, d.fault(recordHead+f.at, f.bad)
+		if f.problem != "" {
+			return nil, d.recordError(recordHeaderLen+f.offset, f.problem)
 		}
-		d.body = d.body[recordHead+int(size):]
-		d.offset += recordHead + int(size)
+		d.body = d.body[recordHeaderLen+int(size):]
+		d.offset += recordHeaderLen + int(size)
 		d.record++
 		if known && code != CodePage {
-			return &d.ev, nil
+			return &d.event, nil
 		}
 	}
 	if len(d.body) > 0 {
-		return nil, d.fault(0, "bytes after the last record")
+		return nil, d.recordError(0, "bytes after the last record")
 	}
 	return nil, nil
 }
 
-func (d *Decoder) fault(at int, what string) error {
-	return fmt.Errorf("record %d, offset %d: %s", d.record, d.offset+at, what)
+func (d *Decoder) recordError(offset int, problem string) error {
+	return fmt.Errorf("record %d, offset %d: %s", d.record, d.offset+offset, problem)
 }
 
 // decode fills the event from one record and reports whether its code is known.
-func (d *Decoder) decode(code uint8, f *fields) bool {
-	e := &d.ev
+func (d *Decoder) decode(code uint8, f *recordReader) bool {
+	e := &d.event
 	e.Code = code
 	if code == CodePage {
 		d.decodePage(f)
@@ -231,14 +231,14 @@
 	return true
 }
 
-func (d *Decoder) decodePage(f *fields) {
+func (d *Decoder) decodePage(f *recordReader) {
 	page, rows := int(f.u16()), int64(f.u32())
-	if page >= maxPages {
-		f.bad = "list number above 15"
+	if page >= maxListPages {
+		f.problem = "list number above 15"
 		return
 	}
-	if rows*entryLen > int64(len(f.b)-f.at) {
-		f.short = true
+	if rows*listEntryLen > int64(len(f.data)-f.offset) {
+		f.truncated = true
 		return
 	}
 	list := d.pages[page][:0]
@@ -249,7 +249,7 @@
 		w := decide.Worker{ID: f.worker(), Zone: int(f.u8()), Kind: int(f.u8()), Cell: int(f.u16())}
 		state := f.u8()
 		if state > uint8(decide.Draining) {
-			f.bad = "unknown state of a list entry"
+			f.problem = "unknown state of a list entry"
 			return
 		}
 		w.State = decide.State(state)
@@ -260,22 +260,22 @@
 	d.pages[page] = list
 }
 
-func (d *Decoder) decodeAnnounce(f *fields) {
+func (d *Decoder) decodeAnnounce(f *recordReader) {
 	kind := f.u8()
 	if kind > uint8(decide.ListFailed) {
-		f.bad = "unknown kind of list"
+		f.problem = "unknown kind of list"
 		return
 	}
-	d.ev.ListKind = decide.ListKind(kind)
+	d.event.ListKind = decide.ListKind(kind)
 	f.u32() // the version; order is kept by the wire itself
-	d.ev.Page = int(f.u16())
-	if _, ok := d.Workers(d.ev.Page); !ok && d.ev.ListKind != decide.ListFailed && !f.short {
-		f.bad = "names a list that never came"
+	d.event.Page = int(f.u16())
+	if _, ok := d.Workers(d.event.Page); !ok && d.event.ListKind != decide.ListFailed && !f.truncated {
+		f.problem = "names a list that never came"
 	}
 }
 
-func (d *Decoder) decodeOutcome(f *fields) {
-	e := &d.ev
+func (d *Decoder) decodeOutcome(f *recordReader) {
+	e := &d.event
 	e.Outcome.Job = f.u32()
 	e.Outcome.Worker = f.worker()
 	e.Outcome.Closed = f.u8() != 0
@@ -286,21 +286,21 @@
 	e.decodeReport(f)
 }
 
-func (e *Event) decodeRequest(f *fields) {
-	j := decide.Job{ID: f.u32(), Class: int(f.u16()), Tenant: int(f.u16()), Key: f.u64(), GiveUpAt: f.time()}
+func (e *Event) decodeRequest(f *recordReader) {
+	job := decide.Job{ID: f.u32(), Class: int(f.u16()), Tenant: int(f.u16()), Key: f.u64(), GiveUpAt: f.time()}
 	hint := decide.Time(f.u32())
-	j.Slots = f.f32()
-	j.Memory = f.f32()
+	job.Slots = f.f32()
+	job.Memory = f.f32()
 	if f.u8()&1 != 0 {
-		j.Hint = hint
+		job.Hint = hint
 	}
-	e.Job = j
+	e.Job = job
 }
 
-func (e *Event) decodeReport(f *fields) {
-	n := int(f.u8())
+func (e *Event) decodeReport(f *recordReader) {
+	count := int(f.u8())
 	e.ValueCount = 0
-	for i := 0; i < n; i++ {
+	for i := 0; i < count; i++ {
 		v := float32(f.f32())
 		if i < len(e.Values) {
 			e.Values[i] = v
@@ -310,52 +310,52 @@
 }
 
 // fields reads the fields of one record and remembers when it ran past the end.
-type fields struct {
-	b     []byte
-	at    int
-	short bool
-	bad   string
+type recordReader struct {
+	data      []byte
+	offset    int
+	truncated bool
+	problem   string
 }
 
-func (f *fields) take(n int) []byte {
-	if f.short || n > len(f.b)-f.at {
-		f.short = true
+func (f *recordReader) take(n int) []byte {
+	if f.truncated || n > len(f.data)-f.offset {
+		f.truncated = true
 		return nil
 	}
-	b := f.b[f.at : f.at+n]
-	f.at += n
+	b := f.data[f.offset : f.offset+n]
+	f.offset += n
 	return b
 }
 
-func (f *fields) u8() uint8 {
+func (f *recordReader) u8() uint8 {
 	if b := f.take(1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
-func (f *fields) u16() uint16 {
+func (f *recordReader) u16() uint16 {
 	if b := f.take(2); b != nil {
 		return binary.BigEndian.Uint16(b)
 	}
 	return 0
 }
 
-func (f *fields) u32() uint32 {
+func (f *recordReader) u32() uint32 {
 	if b := f.take(4); b != nil {
 		return binary.BigEndian.Uint32(b)
 	}
 	return 0
 }
 
-func (f *fields) u64() uint64 {
+func (f *recordReader) u64() uint64 {
 	if b := f.take(8); b != nil {
 		return binary.BigEndian.Uint64(b)
 	}
 	return 0
 }
 
-func (f *fields) time() decide.Time {
+func (f *recordReader) time() decide.Time {
 	v := f.u64()
 	if v > math.MaxInt64 {
 		v = math.MaxInt64
@@ -363,24 +363,24 @@
 	return decide.Time(v)
 }
 
-func (f *fields) f32() float64 { return float64(math.Float32frombits(f.u32())) }
+func (f *recordReader) f32() float64 { return float64(math.Float32frombits(f.u32())) }
 
-func (f *fields) worker() decide.WorkerID {
+func (f *recordReader) worker() decide.WorkerID {
 	host, port := f.u32(), f.u16()
 	return decide.WorkerID(uint64(host)<<16 | uint64(port))
 }
 
-func (f *fields) status() decide.Status {
+func (f *recordReader) status() decide.Status {
 	s := f.u8()
-	if s > uint8(decide.NotSent) && !f.short {
-		f.bad = "unknown outcome"
+	if s > uint8(decide.NotSent) && !f.truncated {
+		f.problem = "unknown outcome"
 	}
 	return decide.Status(s)
 }
 
-func (f *fields) bytes(n int64) []byte {
-	if f.short || n > int64(len(f.b)-f.at) {
-		f.short = true
+func (f *recordReader) bytes(n int64) []byte {
+	if f.truncated || n > int64(len(f.data)-f.offset) {
+		f.truncated = true
 		return nil
 	}
 	return f.take(int(n))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -13,7 +13,7 @@
 )
 
 // unhex turns hand-worked bytes into a frame; blanks and words after a slash are for the reader.
-func unhex(t testing.TB, text string) []byte {
+func parseHex(t testing.TB, text string) []byte {
 	t.Helper()
 	var clean strings.Builder
 	for line := range strings.Lines(text) {
@@ -36,7 +36,7 @@
 }
 
 func TestDecodeGolden(t *testing.T) {
-	in := unhex(t, `
+	in := parseHex(t, `
 		14 00000034 0002 00000002                                              / a page, number 2, two entries
 		   c0a80001 1f90 01 00 0007 01 3f800000 0000000000000000
 		   c0a80002 1f91 02 01 0008 02 40000000 00000000000f4240
@@ -133,7 +133,7 @@
 	e.SendPeer(decide.PeerAll, []byte{1})
 	e.SendPeer(3, nil)
 	e.BailOut("no")
-	want := unhex(t, `
+	want := parseHex(t, `
 		000000be
 		46 00000012 00000009 000000aa c0a80001 1f90 00013880
 		46 00000012 00000009 000000aa c0a80001 1f90 00000001
@@ -182,58 +182,58 @@
 	}
 }
 
-func TestDamagedFramesAreNamed(t *testing.T) {
-	timer := unhex(t, "28 0000000c 00000009 0000000000000001")
-	whole := frame(timer, 1)
+func TestDecodeErrorsLocateTheDamage(t *testing.T) {
+	timer := parseHex(t, "28 0000000c 00000009 0000000000000001")
+	intact := frame(timer, 1)
 	for name, c := range map[string]struct {
 		in   []byte
 		want string
 	}{
-		"ends in the header":     {whole[:3], "offset 3"},
-		"ends in the frame":      {whole[:20], "ends inside the frame"},
+		"ends in the header":     {intact[:3], "offset 3"},
+		"ends in the frame":      {intact[:20], "ends inside the frame"},
 		"length too small":       {[]byte{0, 0, 0, 5, 1}, "frame length 5"},
 		"length absurd":          {[]byte{0xff, 0xff, 0xff, 0xff}, "frame length"},
 		"length without content": {[]byte{0x3f, 0, 0, 0, 1, 2, 3}, "ends inside the frame"},
-		"record past the frame":  {frame(unhex(t, "28 000000ff 00000009"), 1), "record 0, offset 17"},
-		"record too short":       {frame(unhex(t, "28 00000006 00000009 0000"), 1), "record 0, offset 25"},
+		"record past the frame":  {frame(parseHex(t, "28 000000ff 00000009"), 1), "record 0, offset 17"},
+		"record too short":       {frame(parseHex(t, "28 00000006 00000009 0000"), 1), "record 0, offset 25"},
 		"more records announced": {frame(timer, 2), "record 1"},
 		"fewer announced":        {frame(timer, 0), "bytes after the last record"},
-		"page rows past record":  {frame(unhex(t, "14 00000006 0001 7fffffff"), 1), "inside a field"},
-		"page number":            {frame(unhex(t, "14 00000006 0010 00000000"), 1), "above 15"},
-		"list that never came":   {frame(unhex(t, "1e 0000000b 00000003 00 00000029 0004"), 1), "never came"},
-		"unknown outcome":        {frame(unhex(t, "78 00000010 00000009 09 000003e8 c0a80002 1f91 00"), 1), "unknown outcome"},
-		"params past record":     {frame(unhex(t, "50 00000010 00000009 0000000000000001 7fffffff"), 1), "inside a field"},
+		"page rows past record":  {frame(parseHex(t, "14 00000006 0001 7fffffff"), 1), "inside a field"},
+		"page number":            {frame(parseHex(t, "14 00000006 0010 00000000"), 1), "above 15"},
+		"list that never came":   {frame(parseHex(t, "1e 0000000b 00000003 00 00000029 0004"), 1), "never came"},
+		"unknown outcome":        {frame(parseHex(t, "78 00000010 00000009 09 000003e8 c0a80002 1f91 00"), 1), "unknown outcome"},
+		"params past record":     {frame(parseHex(t, "50 00000010 00000009 0000000000000001 7fffffff"), 1), "inside a field"},
 	} {
 		if err := readAll(c.in); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, wanted %q", name, err, c.want)
 		}
 	}
-	if err := readAll(whole[:20]); !errors.Is(err, ErrTruncated) {
+	if err := readAll(intact[:20]); !errors.Is(err, ErrTruncated) {
 		t.Error(err)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(frame(unhex(f, "28 0000000c 00000009 0000000000000001"), 1))
-	f.Add(frame(unhex(f, "14 0000001d 0002 00000001 c0a80001 1f90 01 00 0007 01 3f800000 0000000000000000"), 1))
-	f.Add(frame(unhex(f, "78 00000010 00000009 03 000003e8 c0a80002 1f91 00"), 1))
+	f.Add(frame(parseHex(f, "28 0000000c 00000009 0000000000000001"), 1))
+	f.Add(frame(parseHex(f, "14 0000001d 0002 00000001 c0a80001 1f90 01 00 0007 01 3f800000 0000000000000000"), 1))
+	f.Add(frame(parseHex(f, "78 00000010 00000009 03 000003e8 c0a80002 1f91 00"), 1))
 	f.Add([]byte{0x3f, 0xff, 0xff, 0xff, 0})
 	f.Fuzz(func(_ *testing.T, b []byte) { _ = readAll(b) })
 }
 
 // A batch costs no allocation once the buffers have grown.
 func TestDecodingDoesNotAllocate(t *testing.T) {
-	record := unhex(t, "78 00000014 00000003 01 00000578 0a9011f2 1f6c 01 3ecccccd")
+	record := parseHex(t, "78 00000014 00000003 01 00000578 0a9011f2 1f6c 01 3ecccccd")
 	var records []byte
 	for range 1000 {
 		records = append(records, record...)
 	}
-	b := frame(records, 1000)
-	r := bytes.NewReader(b)
+	input := frame(records, 1000)
+	r := bytes.NewReader(input)
 	d := NewDecoder(r)
 	e := NewEncoder()
-	perBatch := testing.AllocsPerRun(20, func() {
-		r.Reset(b)
+	allocsPerBatch := testing.AllocsPerRun(20, func() {
+		r.Reset(input)
 		if err := d.Read(); err != nil {
 			t.Fatal(err)
 		}
@@ -251,8 +251,8 @@
 			t.Fatal(err)
 		}
 	})
-	if perBatch > 2 {
-		t.Errorf("%.0f allocations for a batch of 1000 events", perBatch)
+	if allocsPerBatch > 2 {
+		t.Errorf("%.0f allocations for a batch of 1000 events", allocsPerBatch)
 	}
 }
 
@@ -314,7 +314,7 @@
 	}
 }
 
-func TestBadSettingsNameTheKey(t *testing.T) {
+func TestSettingsErrorsNameTheKey(t *testing.T) {
 	for key, value := range map[string]string{
 		"balancers":                  "",
 		"zone":                       "south",
