--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,7 +1,7 @@
-// Package http1 reads and writes HTTP/1.1 messages. It owns framing: start lines, header fields, bodies by
-// length, in chunks or up to the end, keep-alive, and the limits on all of these. A Parser is a state
-// machine that is fed bytes as they come, in pieces of any size. It must never touch a socket or a clock,
-// and never know what a message means to the program; anything whose framing is in doubt is an error here.
+// Package http1 parses and writes HTTP/1.1 messages: start lines, header fields, bodies delimited by
+// length, chunks or the end of the connection, keep-alive, and the limits on all of these. A Parser is a
+// state machine that takes input in pieces of any size. The package uses no sockets or clocks and does
+// not interpret messages. Ambiguous framing is an error.
 package http1
 
 import (
@@ -11,15 +11,15 @@
 	"strings"
 )
 
-// The limits of a message.
+// Limits of a message, in bytes except MaxFields.
 const (
 	MaxHead      = 16 << 10 // start line and header fields together
 	MaxFields    = 100
-	MaxBody      = 64 << 10 // of a body that the parser collects
-	maxChunkLine = 1 << 10  // of a chunk's size line or a trailer field
+	MaxBody      = 64 << 10 // body collected in Message.Body
+	maxChunkLine = 1 << 10  // chunk size line or trailer field
 )
 
-// Error is a message that can't be read. Status is what a server answers it with.
+// Error describes a message that can't be parsed. Status is the status code of the server's response.
 type Error struct {
 	Status int
 	Reason string
@@ -31,19 +31,19 @@
 	return &Error{status, fmt.Sprintf(format, args...)}
 }
 
-// Field is one header field; its name is in lower case.
+// Field is one header field. Parsers convert its name to lower case.
 type Field struct{ Name, Value string }
 
-// Message is a request or a response.
+// Message is a parsed request or response.
 type Message struct {
 	Method, Target string // of a request
 	Status         int    // of a response
 	Fields         []Field
-	Body           []byte // unless it goes to the parser's OnBody
-	KeepAlive      bool   // the connection may carry another message after this one
+	Body           []byte // empty if the parser has an OnBody function
+	KeepAlive      bool   // the connection may be used for another message
 }
 
-// Get returns the first field of that name, which must be in lower case, or "".
+// Get returns the value of the first field with that name, or "". The name must be in lower case.
 func (m *Message) Get(name string) string {
 	for _, f := range m.Fields {
 		if f.Name == name {
@@ -57,38 +57,39 @@
 
 const (
 	inHead           parserState = iota
-	inFixedBody                  // by length
-	inBodyUntilClose             // up to the end of the connection
-	inChunkSize                  // a chunk's size line
+	inFixedBody                  // delimited by length
+	inBodyUntilClose             // delimited by the end of the connection
+	inChunkSize                  // size line of a chunk
 	inChunk
-	inChunkEnd // the line end after a chunk
+	inChunkEnd // line end after a chunk
 	inTrailer
 	messageComplete
 	messageFailed
 )
 
-// Parser reads one message at a time. Use NewRequestParser or NewResponseParser.
+// Parser parses one message at a time. Create it with NewRequestParser or NewResponseParser.
 type Parser struct {
-	// OnBody takes the pieces of a body as they come, in place of Message.Body; it must not keep them.
+	// OnBody, if set, receives the pieces of a body as they arrive, and Message.Body stays empty. It must
+	// not retain them.
 	OnBody func([]byte)
 
 	Msg       Message
 	response  bool
 	state     parserState
-	buf       []byte // of a head or line that is not complete
-	remaining int64  // of the body or chunk
+	buf       []byte // incomplete head or line
+	remaining int64  // bytes left of the body or chunk
 	trailers  int
 	err       error
 }
 
-// NewRequestParser returns a parser of a client's requests.
+// NewRequestParser returns a parser of requests.
 func NewRequestParser() *Parser { return &Parser{} }
 
-// NewResponseParser returns a parser of the responses to requests other than HEAD and CONNECT.
+// NewResponseParser returns a parser of responses to requests other than HEAD and CONNECT.
 func NewResponseParser() *Parser { return &Parser{response: true} }
 
-// Feed takes in bytes up to the end of the message and returns how many it took and whether the message is
-// whole. After that, or after an error, only Reset goes on.
+// Feed parses b up to the end of the message. It returns the number of bytes consumed and whether the
+// message is complete. After a complete message or an error, Reset must be called before the next Feed.
 func (p *Parser) Feed(b []byte) (n int, complete bool, err error) {
 	for n < len(b) && p.state != messageComplete && p.state != messageFailed {
 		m, err := p.step(b[n:])
@@ -100,18 +101,18 @@
 	return n, p.state == messageComplete, p.err
 }
 
-// Reset makes ready for the next message.
+// Reset prepares the parser for the next message.
 func (p *Parser) Reset() {
 	*p = Parser{OnBody: p.OnBody, response: p.response, buf: p.buf[:0]}
 }
 
-// Idle reports whether nothing of a message has come yet.
+// Idle reports whether no byte of a message has been received yet.
 func (p *Parser) Idle() bool { return p.state == inHead && len(p.buf) == 0 }
 
-// HeadDone reports whether the head is read and Msg's fields stand.
+// HeadDone reports whether the head is parsed and the fields of Msg are set.
 func (p *Parser) HeadDone() bool { return p.state != inHead && p.state != messageFailed }
 
-// End takes in the end of the connection and reports whether it completes the message.
+// End processes the end of the connection and reports whether the message is complete.
 func (p *Parser) End() bool {
 	if p.state == inBodyUntilClose {
 		p.state = messageComplete
@@ -136,10 +137,10 @@
 
 var headTerminator = []byte("\r\n\r\n")
 
-// head gathers bytes up to the empty line that ends the head.
+// readHeadBytes collects bytes up to the empty line that ends the head, and parses the head.
 func (p *Parser) readHeadBytes(b []byte) (int, error) {
 	consumed := 0
-	if len(p.buf) == 0 { // empty lines before a message are passed over
+	if len(p.buf) == 0 { // skips empty lines before a message
 		for consumed < len(b) && (b[consumed] == '\r' || b[consumed] == '\n') {
 			consumed++
 		}
@@ -152,7 +153,7 @@
 	p.buf = append(p.buf, b[:min(len(b), MaxHead+4-buffered)]...)
 	i := bytes.Index(p.buf[searchFrom:], headTerminator)
 	if i < 0 {
-		if bareLineFeed(p.buf[searchFrom:]) { // the end that we look for may never come
+		if bareLineFeed(p.buf[searchFrom:]) { // the terminator might never arrive
 			return 0, newError(400, "bare line feed in a head")
 		}
 		if len(p.buf) > MaxHead {
@@ -167,7 +168,8 @@
 	return consumed, p.parseHead(text)
 }
 
-// bareLineFeed reports whether a line of b, the first byte aside, ends without a carriage return.
+// bareLineFeed reports whether b contains a line feed without a carriage return before it. It ignores
+// the first byte.
 func bareLineFeed(b []byte) bool {
 	for i := 1; i < len(b); i++ {
 		if b[i] == '\n' && b[i-1] != '\r' {
@@ -204,7 +206,7 @@
 	return p.decideFraming(minor)
 }
 
-// startLine reads a request line or a status line and returns the minor version.
+// parseStartLine parses a request line or a status line and returns the minor version.
 func (p *Parser) parseStartLine(line string) (minor byte, err error) {
 	version := line
 	if p.response {
@@ -231,7 +233,8 @@
 	return version[7], nil
 }
 
-// framing decides from the fields how the body is delimited and whether the connection stays.
+// decideFraming determines from the fields how the body is delimited and whether the connection can be
+// reused.
 func (p *Parser) decideFraming(minor byte) error {
 	m := &p.Msg
 	m.KeepAlive = minor >= '1'
@@ -275,12 +278,12 @@
 	switch {
 	case !p.response && !host && minor >= '1': // RFC 9112, section 3.2
 		return newError(400, "no Host")
-	case coding != "" && (length >= 0 || minor == '0'): // a way to smuggle a request past a front
+	case coding != "" && (length >= 0 || minor == '0'): // prevents request smuggling past a proxy in front
 		return newError(400, "both a length and a transfer coding")
 	case coding != "" && !chunked:
 		return newError(501, "transfer coding is not chunked")
 	case p.response && m.Status < 200 && m.Status != 101:
-		p.Msg, p.state = Message{}, inHead // an interim response; the real one follows
+		p.Msg, p.state = Message{}, inHead // interim response: the final one follows
 	case p.response && (m.Status == 204 || m.Status == 304):
 		p.state = messageComplete
 	case chunked:
@@ -323,7 +326,7 @@
 	return len(b), nil
 }
 
-// line gathers bytes up to a line end. The line is nil while it is not complete.
+// readLine collects bytes up to a line end. The line is nil while it is incomplete.
 func (p *Parser) readLine(b []byte) (line []byte, consumed int, err error) {
 	consumed = len(b)
 	if i := bytes.IndexByte(b, '\n'); i >= 0 {
@@ -363,7 +366,7 @@
 			return newError(400, "chunk runs past its size")
 		}
 		p.state = inChunkSize
-	case inTrailer: // trailer fields are passed over
+	case inTrailer: // trailer fields are ignored
 		if line == "" {
 			p.state = messageComplete
 		} else if p.trailers++; p.trailers > MaxFields {
@@ -386,7 +389,7 @@
 
 func isTarget(s string) bool {
 	for i := 0; i < len(s); i++ {
-		if s[i] <= ' ' || s[i] >= 0x7f { // readers differ on what is not ASCII; none must close on what we pass on
+		if s[i] <= ' ' || s[i] >= 0x7f { // servers handle non-ASCII bytes differently; a forwarded target must not make one close the connection
 			return false
 		}
 	}
@@ -398,7 +401,7 @@
 	500: "Internal Server Error", 501: "Not Implemented", 502: "Bad Gateway", 503: "Service Unavailable",
 	505: "HTTP Version Not Supported"}
 
-// AppendResponse appends a whole response with its length. Fields are written as they are given.
+// AppendResponse appends a complete response with its Content-Length. Fields are written unchanged.
 func AppendResponse(b []byte, status int, keepAlive bool, body []byte, fields ...Field) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
@@ -411,7 +414,7 @@
 	return appendFieldsAndBody(b, body, true, fields)
 }
 
-// AppendRequest appends a whole request. A body of nil is left out with its length.
+// AppendRequest appends a complete request. If body is nil, no Content-Length is written.
 func AppendRequest(b []byte, method, target string, body []byte, fields ...Field) []byte {
 	b = append(append(append(append(b, method...), ' '), target...), " HTTP/1.1\r\n"...)
 	return appendFieldsAndBody(b, body, body != nil, fields)
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// read feeds the text in pieces of the given size and describes what came of it: each whole message as
-// "start|fields|body|keep", then the status of the error, if any, or "half" for a message that is not whole.
+// parseAll feeds the text in pieces of the given size and describes the result: each complete message as
+// "start|fields|body|keep-alive", then the status of the error, if any, or "half" for an incomplete message.
 func parseAll(p *Parser, text string, size int) (out []string) {
 	partial := false
 	for rest := []byte(text); len(rest) > 0; {
@@ -48,12 +48,12 @@
 	}{
 		"plain":               {"GET /x?y=1 HTTP/1.1\r\nHost: a\r\n\r\n", []string{"GET /x?y=1|1||true"}},
 		"length":              {post + "Content-Length: 3\r\n\r\nabc", []string{"POST /a|2|abc|true"}},
-		"two in a row":        {post + "Content-Length: 1\r\n\r\nxGET / HTTP/1.1\r\nHost: a\r\n\r\n", []string{"POST /a|2|x|true", "GET /|1||true"}},
+		"pipelined":           {post + "Content-Length: 1\r\n\r\nxGET / HTTP/1.1\r\nHost: a\r\n\r\n", []string{"POST /a|2|x|true", "GET /|1||true"}},
 		"chunks":              {post + "Transfer-Encoding: chunked\r\n\r\n3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nT: x\r\n\r\n", []string{"POST /a|2|abcde|true"}},
 		"empty lines before":  {"\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n", []string{"GET /|1||true"}},
 		"close":               {"GET / HTTP/1.1\r\nHost: a\r\nConnection: foo, Close\r\n\r\n", []string{"GET /|2||false"}},
 		"old version":         {"GET / HTTP/1.0\r\n\r\n", []string{"GET /|0||false"}},
-		"old, kept":           {"GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", []string{"GET /|1||true"}},
+		"old, keep-alive":     {"GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", []string{"GET /|1||true"}},
 		"same length twice":   {post + "Content-Length: 1\r\nContent-Length: 1\r\n\r\nx", []string{"400"}},
 		"codings twice":       {post + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", []string{"400"}},
 		"empty coding":        {post + "Transfer-Encoding:\r\nContent-Length: 1\r\n\r\nx", []string{"400"}},
