--- a/internal/emulator/parties.go
+++ b/internal/emulator/parties.go
@@ -7,30 +7,30 @@
 	"weldscale/decide"
 )
 
-// This file owns the parties of a world: the boxes that run jobs, and the schedulers, each a real Dispatcher with the
-// caller's duties around it.
+// This file contains the boxes that run jobs, and the schedulers. Each scheduler runs a dispatcher and carries out the
+// duties of its caller.
 
-// box is a render box.
+// box is a simulated worker.
 type box struct {
 	x              *Simulation
 	index          int
 	kind           *BoxKind
 	zone           int
-	startedAt      Time // its last start; 0: long ago
-	slotsInUse     int  // slots in use
-	slotsInTransit int  // slots of attempts on the way, for the oracle
+	startedAt      Time // time of the last start; 0: long ago
+	slotsInUse     int
+	slotsInTransit int // slots of attempts in transit to the box; used by the oracle policy
 	queue          []*attempt
 	active         []*attempt
-	slowdowns      []float64 // factors, one for each trouble
-	failureShares  []float64 // shares of jobs that fail, one for each trouble
-	silences       int       // troubles that keep it silent
-	stops          int       // troubles that keep its process down
+	slowdowns      []float64 // one factor for each active trouble
+	failureShares  []float64 // shares of jobs that fail, one for each active trouble
+	silences       int       // active troubles that keep it unresponsive
+	stops          int       // active troubles that keep its process down
 	collapsed      bool
 	drains         int
-	coldArrivals   []arrivedWork // to a cold one lately
+	coldArrivals   []arrivedWork // work that arrived within OverloadSpan while the box was cold
 	lastReport     decide.Report
 	lastReportAt   Time
-	pausedUntil    Time // it stands still until then
+	pausedUntil    Time // the box runs nothing until then
 	stream         string
 }
 
@@ -46,10 +46,10 @@
 	x.workerList = append(x.workerList, decide.Worker{ID: decide.WorkerID(b.index + 1), Zone: b.zone, State: decide.Ready, Weight: 1})
 }
 
-// up reports whether it answers at all.
+// up reports whether the box responds.
 func (b *box) up() bool { return b.silences == 0 && b.stops == 0 && !b.collapsed }
 
-// speed is how much work a slot does in a unit of time just now.
+// speed returns the work that a slot does per unit of time at present.
 func (b *box) speed() float64 {
 	speed := b.kind.Speed * b.warmth()
 	for _, f := range b.slowdowns {
@@ -58,6 +58,7 @@
 	return speed
 }
 
+// warmth returns the share of its capacity that a box has at present: less than 1 while it is cold.
 func (b *box) warmth() float64 {
 	s := b.x.script
 	if age := b.x.now - b.startedAt; b.startedAt > 0 && age < s.ColdSpan {
@@ -66,13 +67,13 @@
 	return 1
 }
 
-// land takes an attempt that has reached the box.
+// receive handles an attempt that arrives at the box.
 func (b *box) receive(a *attempt) {
 	x := b.x
 	if !b.up() {
 		if b.stops > 0 || b.collapsed {
 			a.sendOutcome(decide.ConnectFailed)
-		} // a silent one says nothing: the attempt ends by its time, or as the box comes back
+		} // a silent box sends nothing: the attempt ends by its timeout or a cancellation
 		a.lost = true
 		return
 	}
@@ -97,8 +98,7 @@
 	b.startQueued()
 }
 
-// stop ends an attempt that nobody waits for any more: one that waits is dropped, and where the script says so one that
-// runs stops.
+// cancel removes a queued attempt. It stops a running one only if the script has CancelsRunning.
 func (b *box) cancel(a *attempt) {
 	b.queue = slices.DeleteFunc(b.queue, func(v *attempt) bool { return v == a })
 	if i := slices.Index(b.active, a); i >= 0 && b.x.script.CancelsRunning {
@@ -109,8 +109,8 @@
 	}
 }
 
-// pushedOver books the work and reports whether a cold box gets more than it bears: what comes within the span, whether
-// it is taken or not, against the multiple of what it can do now.
+// overloaded adds the work of an arriving attempt and reports whether a cold box is overloaded: whether all work that
+// arrived within OverloadSpan, accepted or not, exceeds OverloadMultiple times the box's present capacity.
 func (b *box) overloaded(work float64) bool {
 	s := b.x.script
 	if b.warmth() >= 1 {
@@ -126,14 +126,14 @@
 	return sum > s.OverloadMultiple*b.kind.Speed*b.warmth()*float64(b.kind.Slots)*float64(s.OverloadSpan)
 }
 
-// fall is the collapse: what it has is lost, and it stays down.
+// collapse ends all attempts of an overloaded box. The box stays down until it is restarted.
 func (b *box) collapse() {
 	b.x.logEvent("fall box=%d", b.index)
 	b.collapsed = true
 	b.endAll(decide.Reset)
 }
 
-// loseAll ends everything in hand; those that hear of it hear that.
+// endAll ends all running and queued attempts and reports the status to their schedulers.
 func (b *box) endAll(s decide.Status) {
 	for _, a := range append(slices.Clone(b.active), b.queue...) {
 		a.ended = true
@@ -142,7 +142,7 @@
 	b.active, b.queue, b.slotsInUse = nil, nil, 0
 }
 
-// next starts waiting jobs in order; the first waits until it fits, or lets by any that does.
+// startQueued starts queued attempts in order while they fit. With Backfill, attempts that fit overtake those that do not.
 func (b *box) startQueued() {
 	for b.up() {
 		i := slices.IndexFunc(b.queue, func(a *attempt) bool { return b.slotsInUse+a.request.job.slots <= b.kind.Slots })
@@ -159,10 +159,10 @@
 	}
 }
 
-// workStep is the longest stretch for which the speed is taken as constant.
+// workStep is the longest time for which the speed is assumed constant.
 const workStep Time = 200e3
 
-// work does what is left of a job, a stretch at a time.
+// run executes the remaining work of an attempt in steps of at most workStep.
 func (b *box) run(a *attempt, remaining float64) {
 	if a.ended {
 		return
@@ -195,7 +195,7 @@
 	b.startQueued()
 }
 
-// report is the load as a probe shows it: refreshed now and then, and a little wrong.
+// report returns the load report for a probe. It is refreshed at most every ReportInterval and has random noise.
 func (b *box) report() decide.Report {
 	x := b.x
 	if b.lastReportAt == 0 || x.now-b.lastReportAt >= x.script.ReportInterval {
@@ -213,7 +213,7 @@
 	return b.lastReport
 }
 
-// restart begins anew, cold.
+// restart starts the box again, cold.
 func (b *box) restart() {
 	b.startedAt, b.collapsed = b.x.now, false
 	b.coldArrivals, b.lastReportAt = nil, 0
@@ -221,7 +221,7 @@
 	b.x.emit(ExternalEvent{Kind: BoxRestarted, Box: b.index})
 }
 
-// request is one request in a scheduler's hands.
+// request is one request of a client at a scheduler.
 type request struct {
 	id          uint32
 	job         *clientJob
@@ -232,24 +232,25 @@
 	attemptsOut int
 }
 
-// attempt is one push.
+// attempt is one push of a request to a box.
 type attempt struct {
 	request  *request
 	number   int
 	box      *box
 	node     *node
 	sentAt   Time
-	reported bool // as its scheduler knows it
-	ended    bool // on the box
-	lost     bool // it landed nowhere
+	reported bool // the scheduler knows its outcome
+	ended    bool // it no longer runs on the box
+	lost     bool // the box was down on arrival, or became silent with it
 }
 
-// back tells the scheduler, a way later, how it ended.
+// sendOutcome reports the outcome to the scheduler after the network delay.
 func (a *attempt) sendOutcome(s decide.Status) {
 	x := a.box.x
 	x.schedule(x.networkDelay(a.box.zone, a.node.zone, a.node.stream), func() { a.receiveOutcome(s) })
 }
 
+// sendStarted reports the start of the job to the scheduler after the network delay.
 func (a *attempt) sendStarted() {
 	x := a.box.x
 	x.schedule(x.networkDelay(a.box.zone, a.node.zone, a.node.stream), func() {
@@ -259,7 +260,7 @@
 	})
 }
 
-// outcome is the end of an attempt as its scheduler learns it. Only the first counts.
+// receiveOutcome handles an outcome at the scheduler. Only the first outcome of an attempt counts.
 func (a *attempt) receiveOutcome(s decide.Status) {
 	if a.reported || a.node.crashed {
 		return
@@ -284,17 +285,17 @@
 
 var statusNames = [...]string{"error", "served", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot"}
 
-// node is a scheduler.
+// node is a simulated scheduler.
 type node struct {
 	x              *Simulation
 	index          int
 	zone           int
 	dispatcher     dispatcher
-	requests       map[uint32]*request // looked up only
+	requests       map[uint32]*request // never iterated in an order that matters
 	pendingActions []func()
 	executing      bool
 	crashed        bool
-	generation     int // grows with each restart: timers of an earlier one are void
+	generation     int // incremented by each restart, which invalidates older timers
 	pushes         int
 	probes         int
 	cross          int
@@ -306,6 +307,7 @@
 	return n, n.reset()
 }
 
+// reset creates a new dispatcher without any requests.
 func (n *node) reset() error {
 	s := n.x.script.Settings(n.zone)
 	n.requests, n.pendingActions = map[uint32]*request{}, nil
@@ -315,11 +317,13 @@
 	return err
 }
 
+// announceCached announces the list service's present list, as a cached one, to the dispatcher.
 func (n *node) announceCached() {
 	n.call(func(d dispatcher) { d.Announce(n.x.now, decide.ListCached, n.x.workerList) })
 }
 
-// call makes a call of the module and then carries out what it asked for, in order.
+// call calls the dispatcher and then carries out the actions that it requested, in order. A call made during another
+// one is queued.
 func (n *node) call(f func(dispatcher)) {
 	if n.executing {
 		n.pendingActions = append(n.pendingActions, func() { f(n.dispatcher) })
@@ -335,13 +339,14 @@
 	n.executing = false
 }
 
+// removeIfDone forgets a request that is answered and has no attempts in flight.
 func (n *node) removeIfDone(q *request) {
 	if q.answered && q.attemptsOut == 0 {
 		delete(n.requests, q.id)
 	}
 }
 
-// tell brings news of the list, late.
+// announceLate announces changes of the worker list after a delay.
 func (n *node) announceLate(list []decide.Worker, delay Time) {
 	n.x.schedule(delay, func() {
 		if n.crashed {
@@ -354,9 +359,10 @@
 	})
 }
 
-// actions carries out what a node's module asks for.
+// actions implements decide.Actions for a node.
 type actions struct{ n *node }
 
+// enqueue defers an action until the present call of the dispatcher returns.
 func (a actions) enqueue(f func()) { a.n.pendingActions = append(a.n.pendingActions, f) }
 
 func (a actions) Push(id uint32, w decide.WorkerID, timeout Time) {
@@ -413,7 +419,7 @@
 					wait += Time(float64(x.script.ProbeWork) / b.speed())
 				} else {
 					for _, f := range b.slowdowns {
-						wait += Time(f * 1000) // a box without its cores is slow to answer too
+						wait += Time(f * 1000) // a slowed box also answers probes late
 					}
 				}
 				x.schedule(wait+x.networkDelay(b.zone, n.zone, n.stream), func() { finish(decide.Served, b.report()) })
@@ -462,7 +468,7 @@
 	})
 }
 
-// The list comes by itself here, and nodes do not talk.
+// Here the list service sends changes unasked, and schedulers send each other no messages.
 func (a actions) Watch(bool)           {}
 func (a actions) Reload()              {}
 func (a actions) SendPeer(int, []byte) {}
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -7,11 +7,12 @@
 	"weldscale/decide"
 )
 
-// This file owns the plain policies that the decision module is held against. They know only what a real one could, but
-// for the oracle, and keep the rules in the plainest way: nothing to a box that is told to drain or be gone, nothing
-// again that may have run unless it is safe, a refusal where no attempt is left.
+// This file contains the baseline policies that the decision module is compared with. Except for the oracle, they use
+// only information that a real scheduler has. They keep the rules in the simplest way: they push nothing to a box that
+// is announced as draining or gone, repeat a job that may have run only if it is safe, and refuse a job without attempts
+// left.
 
-// dispatcher is what a node needs of a decision module; decide.Dispatcher is one.
+// dispatcher is the interface that a node needs from a policy. *decide.Dispatcher implements it.
 type dispatcher interface {
 	Announce(now Time, kind decide.ListKind, list []decide.Worker)
 	Arrive(now Time, in decide.Job)
@@ -21,10 +22,10 @@
 	Wake(now Time, token uint64)
 }
 
-// Policies are the names of the policies; module is weldscale's own.
+// Policies lists the names of the policies. module is package decide.
 var Policies = []string{"module", "random", "round_robin", "least_outstanding", "oracle"}
 
-// newDispatcher makes a node's decisions by the world's policy.
+// newDispatcher returns a dispatcher of the simulation's policy for a node.
 func (x *Simulation) newDispatcher(n *node, s decide.Settings, seed uint64) (dispatcher, error) {
 	switch x.Policy {
 	case "", "module":
@@ -36,26 +37,27 @@
 	return nil, fmt.Errorf("no policy %q", x.Policy)
 }
 
+// baselineJob is an open job of a baseline policy.
 type baselineJob struct {
 	decide.Job
 	attempts int
 	worker   decide.WorkerID
 }
 
-// plain is one of the plain policies.
+// baseline implements the policies other than module.
 type baseline struct {
 	x            *Simulation
 	s            decide.Settings
 	act          decide.Actions
 	rng          *rand.Rand
-	arrivalOrder []decide.WorkerID // in order of arrival
+	arrivalOrder []decide.WorkerID // boxes in the order in which they were first announced
 	ready        map[decide.WorkerID]bool
 	outstanding  map[decide.WorkerID]int
 	jobs         map[uint32]*baselineJob
 	picks        int
 }
 
-const baselineTimeout = Time(1) << 60 // a job's own time ends first
+const baselineTimeout = Time(1) << 60 // longer than any job's remaining time
 
 func (p *baseline) Announce(_ Time, kind decide.ListKind, list []decide.Worker) {
 	if kind == decide.ListFull || kind == decide.ListCached {
@@ -77,6 +79,7 @@
 	p.pushNext(now, j)
 }
 
+// pushNext pushes a job to a box, or ends it if no box, attempt or time is left.
 func (p *baseline) pushNext(now Time, j *baselineJob) {
 	w, ok := p.pick()
 	if !ok || j.attempts >= p.s.MaxAttempts || now >= j.GiveUpAt-4*p.s.Tick {
@@ -89,7 +92,7 @@
 	p.act.Push(j.ID, w, min(baselineTimeout, j.GiveUpAt-now-p.s.Tick))
 }
 
-// pick chooses a box by the policy.
+// pick selects a ready box by the policy.
 func (p *baseline) pick() (decide.WorkerID, bool) {
 	var ready []decide.WorkerID
 	for _, w := range p.arrivalOrder {
@@ -101,7 +104,7 @@
 		return 0, false
 	}
 	p.picks++
-	best := ready[p.rng.IntN(len(ready))] // ties go by chance
+	best := ready[p.rng.IntN(len(ready))] // ties are broken at random
 	switch p.x.Policy {
 	case "round_robin":
 		best = ready[p.picks%len(ready)]
@@ -149,6 +152,7 @@
 	}
 }
 
+// finish ends a job with a refusal if retrying it is harmless, and with a failure otherwise.
 func (p *baseline) finish(j *baselineJob, harmless bool) {
 	delete(p.jobs, j.ID)
 	if harmless {
@@ -158,7 +162,7 @@
 	}
 }
 
-// Wake ends a job whose time is up.
+// Wake ends a job whose deadline has come.
 func (p *baseline) Wake(_ Time, token uint64) {
 	if j := p.jobs[uint32(token)]; j != nil {
 		p.outstanding[j.worker]--
--- a/internal/emulator/script.go
+++ b/internal/emulator/script.go
@@ -11,45 +11,45 @@
 	"weldscale/internal/config"
 )
 
-// This file owns the scripts: what a world is made of and what goes wrong in it, read from HCL.
+// This file reads scripts, which describe a fleet and its troubles in HCL.
 
-// Script is a world before it begins.
+// Script describes a fleet, its clients, its network and its troubles.
 type Script struct {
 	Duration    Time
 	Zones       []string
 	Schedulers  int
 	Boxes       []*BoxKind
 	Classes     []Class
-	Rate        float64   // requests a second, of all
-	Curve       []float64 // the rate's course, points evenly spread over For
-	Retries     int       // of a client
-	WorthPerJob bool      // worth counts for each request, not for each unit of work
-	OmitHints   bool      // requests don't tell their work
+	Rate        float64   // requests per second of all clients
+	Curve       []float64 // factors of Rate at points evenly spread over Duration
+	Retries     int       // retries of a client per job
+	WorthPerJob bool      // a job's worth is per job, not per unit of work
+	OmitHints   bool      // requests carry no hint about their work
 	RetryWait   Time
 
-	SameZoneDelay, CrossZoneDelay Time // one way within a zone and between two
+	SameZoneDelay, CrossZoneDelay Time // one-way network delays within a zone and between zones
 	Jitter                        float64
-	ListDelay                     Time // how late the list tells, at least; half as much again at most
-	ReportInterval                Time // how long a load report stands
+	ListDelay                     Time // shortest delay of list updates; the longest is 1.5 times as long
+	ReportInterval                Time // how long a load report is reused before it is refreshed
 	ReportNoise                   float64
 	ProbeTimeout                  Time
-	ColdFrom                      float64 // part of its capacity that a box has at its start
+	ColdFrom                      float64 // share of its capacity that a box has at its start
 	ColdSpan                      Time
 	OverloadMultiple              float64
 	OverloadSpan                  Time
 	DrainGrace                    Time
 
-	Backfill       bool // boxes start any waiting job that fits, not only the first
-	ReportsQueue   bool // reports hold the queue too
-	CancelsRunning bool // running work stops when its attempt is called off or its time is up
+	Backfill       bool // boxes start any queued job that fits, not only the first
+	ReportsQueue   bool // load reports include the queue length
+	CancelsRunning bool // running work stops when its attempt is cancelled or times out
 	SecondCopies   bool
-	MaxAttempts    int  // of a request
-	ProbeWork      Time // what a probe costs a box, as work on a slot of speed 1
+	MaxAttempts    int  // attempts per request
+	ProbeWork      Time // work of answering a probe, on a slot of speed 1
 
 	Troubles []Trouble
 }
 
-// BoxKind is a kind of render box. Boxes are dealt round over the zones.
+// BoxKind is a kind of box. Boxes are assigned to the zones in turn.
 type BoxKind struct {
 	Name  string
 	Count int
@@ -62,27 +62,27 @@
 type Class struct {
 	Name   string
 	Share  float64
-	Work   Time    // on the mean, on a slot of speed 1
-	Spread float64 // of the work, as a part of the mean
-	Slots  []int   // drawn evenly
+	Work   Time    // mean, on a slot of speed 1
+	Spread float64 // standard deviation of the work, as a share of the mean
+	Slots  []int   // each equally likely
 	Terms  decide.Class
 }
 
-// Trouble is something that goes wrong.
+// Trouble is a fault that the simulation injects from From to To.
 type Trouble struct {
 	Kind     string
 	From, To Time
-	Part     float64 // of the boxes, or of the requests
-	Times    float64 // slower, or more work
-	Takes    float64 // of a box by another program, or of its jobs that fail
+	Part     float64 // share of the boxes, schedulers or jobs that are affected
+	Times    float64 // factor of the slowdown or of the work
+	Takes    float64 // share of a box that another program uses, or of its jobs that fail
 	Zone     string
 	Class    string
-	Pause    Time // of a box that stands still
+	Pause    Time // duration of one pause of a box
 	Every    Time
-	Balancer bool // a zone is lost with its schedulers
+	Balancer bool // the schedulers of the zone are lost too
 }
 
-// kinds are the troubles with what each takes beside its time.
+// troubleSettings lists the settings of each kind of trouble, except from and for.
 var troubleSettings = map[string][]string{
 	"vanish":         {"part"},
 	"slow":           {"part", "times"},
@@ -99,7 +99,7 @@
 	"balancer_crash": {"part"},
 }
 
-// Settings are what a scheduler of that zone is told.
+// Settings returns the settings of a scheduler in the given zone.
 func (s *Script) Settings(zone int) decide.Settings {
 	out := decide.Settings{Nodes: s.Schedulers, Zone: zone, Zones: len(s.Zones), CanProbe: true, CanCancel: true, MaxAttempts: s.MaxAttempts,
 		SecondCopies:  s.SecondCopies,
@@ -111,6 +111,7 @@
 	return out
 }
 
+// scriptBlocks holds the top-level blocks of a script.
 type scriptBlocks struct {
 	World    *worldBlock     `hcl:"world,block"`
 	Boxes    []*labeledBlock `hcl:"box,block"`
@@ -132,7 +133,7 @@
 	minute = 60e6
 )
 
-// Read reads a script. Its error has a line with the place for each fault.
+// Read reads a script. Its error has one line for each fault, which starts with the position in the file.
 func Read(path string) (*Script, error) {
 	var blocks scriptBlocks
 	r, err := config.Open(path, &blocks)
@@ -184,7 +185,7 @@
 		for _, word := range strings.Fields(curve) {
 			v, ok := parseNumber(word)
 			if !ok {
-				r.Fault(blocks.World.Body, "curve: %q is no number from 0 to 100; allowed are such, with spaces between", word)
+				r.Fault(blocks.World.Body, "curve: %q is not a number from 0 to 100; separate numbers by spaces", word)
 			}
 			s.Curve = append(s.Curve, v)
 		}
@@ -204,7 +205,7 @@
 	s.readTroubles(r, blocks.Troubles)
 	if len(s.Boxes) == 0 || len(s.Classes) == 0 {
 		body := hcl.EmptyBody()
-		r.Fault(body, "a script needs a box block and a class block at least")
+		r.Fault(body, "a script needs at least one box block and one class block")
 	}
 	return s, r.Err()
 }
@@ -232,7 +233,7 @@
 		}
 		c.Terms.Effect = effectValue
 		if names[b.Name] {
-			r.Fault(b.Body, "class %q stands twice", b.Name)
+			r.Fault(b.Body, "class %q is defined twice", b.Name)
 		}
 		names[b.Name] = true
 		if slots != "" {
@@ -240,7 +241,7 @@
 			for _, word := range strings.Fields(slots) {
 				v, ok := parseNumber(word)
 				if !ok || v < 1 || v != float64(int(v)) {
-					r.Fault(b.Body, "class %q: slots: %q is no whole number; allowed are such from 1, with spaces between", b.Name, word)
+					r.Fault(b.Body, "class %q: slots: %q is not a whole number from 1; separate numbers by spaces", b.Name, word)
 				}
 				c.Slots = append(c.Slots, max(1, int(v)))
 			}
@@ -270,13 +271,13 @@
 			config.Field{Name: "with_schedulers", Unit: config.Word, To: &withSchedulers})
 		for _, name := range slices.Sorted(maps.Keys(set)) {
 			if name != "from" && name != "for" && !slices.Contains(allowed, name) {
-				r.Fault(b.Body, "trouble %q takes no %s; it takes from, for, %s", b.Name, name, strings.Join(allowed, ", "))
+				r.Fault(b.Body, "trouble %q has no setting %s; allowed: from, for, %s", b.Name, name, strings.Join(allowed, ", "))
 			}
 		}
 		t.To, t.Balancer = t.From+duration, withSchedulers == "yes"
 		switch {
 		case t.From >= s.Duration:
-			r.Fault(b.Body, "trouble %q begins after the end: the script plays for %d s", b.Name, s.Duration/1e6)
+			r.Fault(b.Body, "trouble %q begins after the end of the script, which lasts %d s", b.Name, s.Duration/1e6)
 		case withSchedulers != "" && withSchedulers != "yes" && withSchedulers != "no":
 			r.Fault(b.Body, "trouble %q: with_schedulers: allowed is \"yes\" or \"no\"", b.Name)
 		case b.Name == "zone_loss" && !slices.Contains(s.Zones, t.Zone):
--- a/internal/emulator/trouble.go
+++ b/internal/emulator/trouble.go
@@ -8,15 +8,16 @@
 	"weldscale/decide"
 )
 
-// This file owns what goes wrong: each trouble has its own stream of random numbers and undoes only what it did, so that
-// several may strike one box at once.
+// This file implements the troubles. Each trouble has its own random number stream and reverts only its own effects, so
+// that several troubles can affect one box at once.
 
+// parseNumber parses a number from 0 to 100.
 func parseNumber(word string) (float64, bool) {
 	v, err := strconv.ParseFloat(word, 64)
 	return v, err == nil && v >= 0 && v <= 100
 }
 
-// plan puts a trouble on the calendar.
+// scheduleTrouble schedules the begin and the end of a trouble.
 func (x *Simulation) scheduleTrouble(t *Trouble) {
 	name := fmt.Sprintf("trouble %d", slices.IndexFunc(x.script.Troubles, func(o Trouble) bool { return o == *t }))
 	begin, end := x.troubleActions(t, name)
@@ -30,7 +31,7 @@
 	})
 }
 
-// some draws a part of the boxes, one at least.
+// pickBoxes draws the given share of the boxes at random, at least one.
 func (x *Simulation) pickBoxes(part float64, stream string) []*box {
 	order := x.stream(stream).Perm(len(x.boxes))
 	var out []*box
@@ -40,7 +41,7 @@
 	return out
 }
 
-// troubles returns what a trouble does at its beginning and at its end.
+// troubleActions returns the functions to call at the begin and at the end of a trouble.
 func (x *Simulation) troubleActions(t *Trouble, name string) (begin, end func()) {
 	var hit []*box
 	each := func(f func(*box)) func() {
@@ -94,7 +95,7 @@
 				}
 			}, func() {
 				for _, n := range nodes {
-					n.recover()
+					n.restart()
 				}
 			}
 	case "pauses":
@@ -124,7 +125,7 @@
 					b.reappear()
 				}
 				for _, n := range nodes {
-					n.recover()
+					n.restart()
 				}
 			}
 	case "drain":
@@ -146,7 +147,7 @@
 	}
 }
 
-// vanish makes a box go silent: nothing that it has is heard of again until it is back.
+// vanish makes a box silent. Its attempts are lost, and it sends nothing until reappear is called.
 func (b *box) vanish() {
 	b.silences++
 	if b.silences == 1 {
@@ -160,7 +161,7 @@
 	}
 }
 
-// comeBack ends a silence: the box begins anew, cold.
+// reappear ends one silence. After the last one, the box restarts cold.
 func (b *box) reappear() {
 	if b.silences--; b.silences == 0 && b.stops == 0 {
 		b.restart()
@@ -168,7 +169,7 @@
 	}
 }
 
-// slowed tells how slow a box is from now on.
+// emitSlowdown emits the present slowdown of a box as an external event.
 func (b *box) emitSlowdown() {
 	times := 1.0
 	for _, t := range b.slowdowns {
@@ -177,7 +178,7 @@
 	b.x.emit(ExternalEvent{Kind: BoxSlowed, Box: b.index, Slowdown: times})
 }
 
-// pauses has a box stand still again and again.
+// pauseRepeatedly pauses a box at random intervals until the trouble ends.
 func (b *box) pauseRepeatedly(t *Trouble, name string) {
 	b.x.schedule(Time(b.x.stream(name).Float64()*float64(t.Every)), func() {
 		if b.x.now-b.x.startTime < t.To {
@@ -187,7 +188,7 @@
 	})
 }
 
-// onAndOff switches something on and off until the trouble ends; it is off then.
+// alternate calls on and off in turn at random intervals until the trouble ends. The last call is off.
 func (x *Simulation) alternate(t *Trouble, name string, on, off func()) {
 	span := func() Time { return Time(float64(t.Every) * (0.5 + x.stream(name).Float64())) }
 	if x.now-x.startTime >= t.To {
@@ -200,7 +201,7 @@
 	})
 }
 
-// flap has a box go down and come up again and again.
+// restartRepeatedly stops and starts a box in turn until the trouble ends.
 func (b *box) restartRepeatedly(t *Trouble) {
 	if b.x.now-b.x.startTime >= t.To {
 		return
@@ -208,7 +209,7 @@
 	b.stopFor(t.Every/2, func() { b.x.schedule(t.Every/2, func() { b.restartRepeatedly(t) }) })
 }
 
-// down ends a box's process for a span; then follows what is next.
+// stopFor stops a box's process for a time, starts it again and calls next.
 func (b *box) stopFor(span Time, next func()) {
 	b.stops++
 	b.x.emit(ExternalEvent{Kind: BoxStopped, Box: b.index})
@@ -223,13 +224,13 @@
 	})
 }
 
-// rolling restarts one box after the other.
+// restartNext restarts box i and schedules the restart of the following one.
 func (x *Simulation) restartNext(t *Trouble, i int) {
 	if i >= len(x.boxes) || x.now-x.startTime >= t.To {
 		return
 	}
 	b := x.boxes[i]
-	if b.stops > 0 || b.silences > 0 { // it is down already
+	if b.stops > 0 || b.silences > 0 { // already down
 		x.schedule(t.Every, func() { x.restartNext(t, i+1) })
 		return
 	}
@@ -237,7 +238,7 @@
 	x.schedule(t.Every, func() { x.restartNext(t, i+1) })
 }
 
-// list changes a box's entry and tells every scheduler, late, each in its own time.
+// updateList changes the list entry of a box and announces it to every scheduler, to each after its own delay.
 func (x *Simulation) updateList(b *box, s decide.State) {
 	if s == decide.Ready && b.drains > 0 {
 		s = decide.Draining
@@ -246,11 +247,12 @@
 	w.State, w.StartedAt = s, b.startedAt
 	x.emit(ExternalEvent{Kind: BoxListed, Box: b.index, State: s})
 	if x.listOutages > 0 {
-		return // told once the list service is back
+		return // announced when the list service is back
 	}
 	x.announceDelta([]decide.Worker{*w})
 }
 
+// announceDelta announces list entries to all schedulers, to each after a random delay.
 func (x *Simulation) announceDelta(list []decide.Worker) {
 	r := x.stream("discovery")
 	for _, n := range x.nodes {
@@ -260,7 +262,7 @@
 
 func (x *Simulation) announceWholeList() { x.announceDelta(slices.Clone(x.workerList)) }
 
-// die ends a scheduler with all it has; its clients see their connections break.
+// crash ends a scheduler. Its open requests end as crashed, as when the clients' connections break.
 func (n *node) crash() {
 	n.x.logEvent("node_down node=%d", n.index)
 	n.crashed = true
@@ -276,11 +278,11 @@
 	}
 }
 
-// live starts a scheduler anew, with the list as the service has it now.
-func (n *node) recover() {
+// restart starts a crashed scheduler again with the current list.
+func (n *node) restart() {
 	n.crashed = false
 	if err := n.reset(); err != nil {
-		panic(err) // the same settings were good before
+		panic(err) // cannot happen: the same settings were valid before
 	}
 	n.x.logEvent("node_up node=%d", n.index)
 	n.announceCached()
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -13,7 +13,7 @@
 
 // Limits of a message, in bytes except MaxFields.
 const (
-	MaxHead      = 16 << 10 // start line and header fields together
+	MaxHead      = 16 << 10 // start line and all header fields
 	MaxFields    = 100
 	MaxBody      = 64 << 10 // body collected in Message.Body
 	maxChunkLine = 1 << 10  // chunk size line or trailer field
