--- a/internal/emulator/check.go
+++ b/internal/emulator/check.go
@@ -13,10 +13,10 @@
 // This file contains the checker of the four rules. It reads only an event log and the script, not the state of the
 // simulation, so that an error in the model's state cannot hide a violation.
 
-// Violations lists the rules that a log violates, each with the log line; at most maxFindings.
+// Violations lists the rules that a log violates, each with the log line; at most maxViolations.
 type Violations []string
 
-const maxFindings = 100
+const maxViolations = 100
 
 // answerSlack is how long after the request's give-up time an answer is accepted: a timeout and the answer to it happen
 // at separate ticks.
@@ -71,7 +71,7 @@
 }
 
 func (c *checker) addViolation(text string) {
-	if len(c.violations) < maxFindings {
+	if len(c.violations) < maxViolations {
 		c.violations = append(c.violations, text)
 	}
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -170,19 +170,19 @@
 	s := loadScript(t, "calm", "")
 	const arrive = "1 arrive 1 class=press-send node=0 give_up=25000000 again=0\n2 push 1.0 node=0 box=3\n"
 	for name, c := range map[string]struct{ log, want string }{
-		"kept":              {arrive + "9 outcome 1.0 served\n9 answer 1 served\n", ""},
-		"kept, again":       {arrive + "9 outcome 1.0 full\n10 push 1.1 node=0 box=2\n11 outcome 1.1 served\n11 answer 1 served\n", ""},
-		"no answer":         {arrive, "1 requests without an answer"},
-		"two answers":       {arrive + "9 answer 1 failed\n9 answer 1 failed\n", "a second answer"},
-		"late":              {arrive + "25050001 answer 1 failed\n", "after the client's time"},
-		"an answer to none": {"9 answer 4 failed\n", "an answer to none"},
-		"sent twice":        {arrive + "9 outcome 1.0 reset\n9 push 1.1 node=0 box=2\n10 answer 1 failed\n", "though it may have run"},
-		"two out":           {arrive + "9 push 1.1 node=0 box=2\n10 answer 1 failed\n", "two attempts out"},
-		"refused":           {arrive + "9 outcome 1.0 reset\n9 answer 1 refused\n", "refused though it may have run"},
-		"after the end":     {arrive + "9 answer 1 failed\n10 push 1.1 node=0 box=2\n", "a request that is over"},
-		"a drain":           {"0 told node=0 box=3 state=2\n400000" + arrive[1:strings.Index(arrive, "\n")+1] + "400000 push 1.0 node=0 box=3\n400001 answer 1 failed\n", "drains obeyed"},
-		"a drain, in time":  {"0 told node=0 box=3 state=2\n" + arrive + "9 answer 1 failed\n", ""},
-		"a fall":            {"0 fall box=2\n", "cold workers spared"},
+		"kept":                    {arrive + "9 outcome 1.0 served\n9 answer 1 served\n", ""},
+		"kept, with a retry":      {arrive + "9 outcome 1.0 full\n10 push 1.1 node=0 box=2\n11 outcome 1.1 served\n11 answer 1 served\n", ""},
+		"no answer":               {arrive, "1 requests without an answer"},
+		"two answers":             {arrive + "9 answer 1 failed\n9 answer 1 failed\n", "a second answer"},
+		"late":                    {arrive + "25050001 answer 1 failed\n", "after the client's time"},
+		"answer without request":  {"9 answer 4 failed\n", "an answer to none"},
+		"unsafe job repeated":     {arrive + "9 outcome 1.0 reset\n9 push 1.1 node=0 box=2\n10 answer 1 failed\n", "though it may have run"},
+		"two attempts in flight":  {arrive + "9 push 1.1 node=0 box=2\n10 answer 1 failed\n", "two attempts out"},
+		"refused":                 {arrive + "9 outcome 1.0 reset\n9 answer 1 refused\n", "refused though it may have run"},
+		"push after the answer":   {arrive + "9 answer 1 failed\n10 push 1.1 node=0 box=2\n", "a request that is over"},
+		"push after drain grace":  {"0 told node=0 box=3 state=2\n400000" + arrive[1:strings.Index(arrive, "\n")+1] + "400000 push 1.0 node=0 box=3\n400001 answer 1 failed\n", "drains obeyed"},
+		"push within drain grace": {"0 told node=0 box=3 state=2\n" + arrive + "9 answer 1 failed\n", ""},
+		"collapse of a cold box":  {"0 fall box=2\n", "cold workers spared"},
 	} {
 		violations, err := Check(s, strings.NewReader(c.log))
 		require.NoError(t, err, name)
@@ -269,10 +269,10 @@
 		running         int
 		started         []uint32
 	}{
-		"work goes on":                {false, false, 3, []uint32{1, 2}},
-		"work stops, the head waits":  {true, false, 1, []uint32{1, 2}},
-		"work stops, any that fits":   {true, true, 2, []uint32{1, 2, 4}},
-		"work goes on, any that fits": {false, true, 4, []uint32{1, 2, 4}},
+		"running job continues":                   {false, false, 3, []uint32{1, 2}},
+		"running job stops, first in queue waits": {true, false, 1, []uint32{1, 2}},
+		"running job stops, backfill":             {true, true, 2, []uint32{1, 2, 4}},
+		"running job continues, backfill":         {false, true, 4, []uint32{1, 2, 4}},
 	} {
 		s := loadScript(t, "calm", "")
 		s.CancelsRunning, s.Backfill = c.stops, c.backfill
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -48,7 +48,7 @@
 	}{
 		"plain":               {"GET /x?y=1 HTTP/1.1\r\nHost: a\r\n\r\n", []string{"GET /x?y=1|1||true"}},
 		"length":              {post + "Content-Length: 3\r\n\r\nabc", []string{"POST /a|2|abc|true"}},
-		"pipelined":           {post + "Content-Length: 1\r\n\r\nxGET / HTTP/1.1\r\nHost: a\r\n\r\n", []string{"POST /a|2|x|true", "GET /|1||true"}},
+		"two pipelined":       {post + "Content-Length: 1\r\n\r\nxGET / HTTP/1.1\r\nHost: a\r\n\r\n", []string{"POST /a|2|x|true", "GET /|1||true"}},
 		"chunks":              {post + "Transfer-Encoding: chunked\r\n\r\n3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nT: x\r\n\r\n", []string{"POST /a|2|abcde|true"}},
 		"empty lines before":  {"\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n", []string{"GET /|1||true"}},
 		"close":               {"GET / HTTP/1.1\r\nHost: a\r\nConnection: foo, Close\r\n\r\n", []string{"GET /|2||false"}},
