--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -32,10 +32,10 @@
 zones=here
 `
 
-// batch builds frames by hand, independently of the codec under test.
+// batch builds frames independently of the codec under test.
 type batch struct {
 	records []byte
-	n       uint32
+	count   uint32
 }
 
 func (b *batch) add(code byte, parts ...any) {
@@ -53,30 +53,30 @@
 	b.records = append(b.records, code)
 	b.records = binary.BigEndian.AppendUint32(b.records, uint32(len(body)))
 	b.records = append(b.records, body...)
-	b.n++
+	b.count++
 }
 
 func (b *batch) frame(now uint64) []byte {
 	f := binary.BigEndian.AppendUint32(nil, uint32(len(b.records)+16))
 	f = binary.BigEndian.AppendUint64(f, now)
-	f = binary.BigEndian.AppendUint32(f, b.n)
+	f = binary.BigEndian.AppendUint32(f, b.count)
 	return append(f, b.records...)
 }
 
-func addr(i byte) []byte { return []byte{10, 0, 0, i, 0x1f, 0x40} }
+func workerAddr(i byte) []byte { return []byte{10, 0, 0, i, 0x1f, 0x40} }
 
-func begin(b *batch, who uint32, seed uint64) {
-	b.add(80, who, seed, uint32(len(settings)), settings)
-	var rows []byte
+func addInstance(b *batch, instance uint32, seed uint64) {
+	b.add(80, instance, seed, uint32(len(settings)), settings)
+	var entries []byte
 	for i := byte(1); i <= 3; i++ {
-		rows = append(rows, addr(i)...)
-		rows = append(rows, 0, 0, 0, 0, 1, 0x3f, 0x80, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0)
+		entries = append(entries, workerAddr(i)...)
+		entries = append(entries, 0, 0, 0, 0, 1, 0x3f, 0x80, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0)
 	}
-	b.add(20, uint16(0), uint32(3), rows)
-	b.add(30, who, byte(2), uint32(1), uint16(0))
+	b.add(20, uint16(0), uint32(3), entries)
+	b.add(30, instance, byte(2), uint32(1), uint16(0))
 }
 
-// reply is one answer of the adapter, by action code and instance.
+// reply holds the bodies of the actions of one reply by action code.
 type reply map[byte][][]byte
 
 func readReply(t *testing.T, r io.Reader) reply {
@@ -107,8 +107,9 @@
 	return bin
 }
 
-// The built adapter takes a job from arrival over a pair of probes to its push, and ends cleanly.
-func TestBuiltAdapterEndToEnd(t *testing.T) {
+// The binary probes two workers for an arriving job, pushes the job to the one with more free slots, and
+// exits without an error at the end of input.
+func TestBinaryEndToEnd(t *testing.T) {
 	cmd := exec.Command(build(t))
 	in, _ := cmd.StdinPipe()
 	out, _ := cmd.StdoutPipe()
@@ -125,15 +126,15 @@
 		return readReply(t, out)
 	}
 	if got := send(&batch{}, 1000000); len(got) != 0 {
-		t.Errorf("an empty batch got %v", got)
+		t.Errorf("reply to an empty batch: %v", got)
 	}
 	b := &batch{}
-	begin(b, 4, 11)
-	begin(b, 5, 12)
+	addInstance(b, 4, 11)
+	addInstance(b, 5, 12)
 	b.add(100, uint32(5), uint32(77), uint16(0), uint16(0), uint64(0), uint64(6001000), uint32(0), float32(1), float32(0), byte(0))
 	got := send(b, 1001000)
 	if len(got[100]) != 2 || len(got[70]) != 0 || len(got[30]) == 0 {
-		t.Fatalf("an arrival got %v", got)
+		t.Fatalf("reply to an arrival: %v", got)
 	}
 	b = &batch{}
 	first := got[100][0][4:10]
@@ -141,13 +142,13 @@
 	b.add(120, uint32(5), byte(1), uint32(500), got[100][1][4:10], byte(1), float32(1))
 	got = send(b, 1001500)
 	if len(got[70]) != 1 || !bytes.Equal(got[70][0][8:14], first) {
-		t.Fatalf("the answers got %v", got)
+		t.Fatalf("reply to the probe results: %v", got)
 	}
 	b = &batch{}
 	b.add(70, uint32(5), uint32(77), first, byte(1), uint32(0), uint32(900), uint16(0), byte(1), byte(0))
 	b.add(60, uint32(4))
 	if got = send(b, 1002500); len(got[10])+len(got[90]) != 0 {
-		t.Errorf("a served job got another answer: %v", got)
+		t.Errorf("a served job was answered again: %v", got)
 	}
 	if err := in.Close(); err != nil {
 		t.Fatal(err)
@@ -157,8 +158,9 @@
 	}
 }
 
-// Damage ends the adapter with one plain line and a status; bad settings are reported for their instance.
-func TestBuiltAdapterOnBadInput(t *testing.T) {
+// Damaged input ends the process with one line on standard error and a non-zero status. Invalid settings
+// are reported in the reply for their instance.
+func TestBinaryRejectsBadInput(t *testing.T) {
 	bin := build(t)
 	cmd := exec.Command(bin)
 	b := &batch{}
@@ -167,7 +169,7 @@
 	var stderr strings.Builder
 	cmd.Stderr = &stderr
 	if err := cmd.Run(); err == nil {
-		t.Error("a truncated record ended with status 0")
+		t.Error("exit status 0 after a truncated record")
 	}
 	if got := stderr.String(); strings.Count(got, "\n") != 1 || !strings.Contains(got, "record 0, offset 25") {
 		t.Errorf("standard error: %q", got)
@@ -183,17 +185,18 @@
 	}
 }
 
-// Instances share nothing: the same events give an instance the same actions, alone or in company.
-func TestInstancesShareNothing(t *testing.T) {
-	run := func(who ...uint32) []byte {
+// The same events must produce the same actions of an instance whether or not other instances run in
+// the process.
+func TestInstancesAreIndependent(t *testing.T) {
+	run := func(instances ...uint32) []byte {
 		var in, out bytes.Buffer
 		for step := range 40 {
 			b := &batch{}
-			for _, w := range who {
+			for _, instance := range instances {
 				if step == 0 {
-					begin(b, w, 5+uint64(w))
+					addInstance(b, instance, 5+uint64(instance))
 				}
-				b.add(100, w, uint32(100+step), uint16(0), uint16(0), uint64(0), uint64(9000000), uint32(0), float32(1),
+				b.add(100, instance, uint32(100+step), uint16(0), uint16(0), uint64(0), uint64(9000000), uint32(0), float32(1),
 					float32(0), byte(0))
 			}
 			in.Write(b.frame(uint64(1000000 + 1000*step)))
@@ -201,7 +204,7 @@
 		if err := serve(&in, &out); err != nil {
 			t.Fatal(err)
 		}
-		var mine []byte
+		var actions []byte
 		for out.Len() > 0 {
 			var head [4]byte
 			_, _ = io.ReadFull(&out, head[:])
@@ -209,15 +212,15 @@
 			for len(b) > 0 {
 				n := 5 + binary.BigEndian.Uint32(b[1:])
 				if binary.BigEndian.Uint32(b[5:]) == 2 {
-					mine = append(mine, b[:n]...)
+					actions = append(actions, b[:n]...)
 				}
 				b = b[n:]
 			}
 		}
-		return mine
+		return actions
 	}
 	alone := run(2)
-	if company := run(1, 2, 3); len(alone) == 0 || !bytes.Equal(alone, company) {
-		t.Errorf("%d bytes of actions alone, %d in company, or they differ", len(alone), len(company))
+	if together := run(1, 2, 3); len(alone) == 0 || !bytes.Equal(alone, together) {
+		t.Errorf("actions differ or are empty: %d bytes alone, %d bytes with other instances", len(alone), len(together))
 	}
 }
--- a/internal/emulator/script.go
+++ b/internal/emulator/script.go
@@ -11,45 +11,45 @@
 	"weldscale/internal/config"
 )
 
-// This file owns the scripts: what a world is made of and what goes wrong in it, read from HCL.
+// This file reads scripts, which describe a fleet and its troubles in HCL.
 
-// Script is a world before it begins.
+// Script describes a fleet, its clients, its network and its troubles.
 type Script struct {
-	For        Time
-	Zones      []string
-	Schedulers int
-	Boxes      []*BoxKind
-	Classes    []Class
-	Rate       float64   // requests a second, of all
-	Curve      []float64 // the rate's course, points evenly spread over For
-	Retries    int       // of a client
-	ByRequest  bool      // worth counts for each request, not for each unit of work
-	NoHints    bool      // requests don't tell their work
-	RetryWait  Time
+	Duration    Time
+	Zones       []string
+	Schedulers  int
+	Boxes       []*BoxKind
+	Classes     []Class
+	Rate        float64   // requests per second of all clients
+	Curve       []float64 // factors of Rate at points evenly spread over Duration
+	Retries     int       // retries of a client per job
+	WorthPerJob bool      // a job's worth is per job, not per unit of work
+	OmitHints   bool      // requests carry no hint about their work
+	RetryWait   Time
 
-	Same, Cross  Time // one way within a zone and between two
-	Jitter       float64
-	Notice       Time // how late the list tells, at least; half as much again at most
-	Refresh      Time // how long a load report stands
-	Noise        float64
-	ProbeTimeout Time
-	Cold         float64 // part of its capacity that a box has at its start
-	Warms        Time
-	FallMultiple float64
-	FallSpan     Time
-	DrainGrace   Time
+	SameZoneDelay, CrossZoneDelay Time // one-way network delays within a zone and between zones
+	Jitter                        float64
+	ListDelay                     Time // shortest delay of list updates; the longest is 1.5 times as long
+	ReportInterval                Time // how long a load report is reused before it is refreshed
+	ReportNoise                   float64
+	ProbeTimeout                  Time
+	ColdFrom                      float64 // share of its capacity that a box has at its start
+	ColdSpan                      Time
+	OverloadMultiple              float64
+	OverloadSpan                  Time
+	DrainGrace                    Time
 
-	Backfill     bool // boxes start any waiting job that fits, not only the first
-	TellsQueue   bool // reports hold the queue too
-	Stops        bool // running work stops when its attempt is called off or its time is up
-	SecondCopies bool
-	Attempts     int  // of a request
-	ProbeWork    Time // what a probe costs a box, as work on a slot of speed 1
+	Backfill       bool // boxes start any queued job that fits, not only the first
+	ReportsQueue   bool // load reports include the queue length
+	CancelsRunning bool // running work stops when its attempt is cancelled or times out
+	SecondCopies   bool
+	MaxAttempts    int  // attempts per request
+	ProbeWork      Time // work of answering a probe, on a slot of speed 1
 
 	Troubles []Trouble
 }
 
-// BoxKind is a kind of render box. Boxes are dealt round over the zones.
+// BoxKind is a kind of box. Boxes are assigned to the zones in turn.
 type BoxKind struct {
 	Name  string
 	Count int
@@ -62,28 +62,28 @@
 type Class struct {
 	Name   string
 	Share  float64
-	Work   Time    // on the mean, on a slot of speed 1
-	Spread float64 // of the work, as a part of the mean
-	Slots  []int   // drawn evenly
+	Work   Time    // mean, on a slot of speed 1
+	Spread float64 // standard deviation of the work, as a share of the mean
+	Slots  []int   // each equally likely
 	Terms  decide.Class
 }
 
-// Trouble is something that goes wrong.
+// Trouble is a fault that the simulation injects from From to To.
 type Trouble struct {
 	Kind     string
 	From, To Time
-	Part     float64 // of the boxes, or of the requests
-	Times    float64 // slower, or more work
-	Takes    float64 // of a box by another program, or of its jobs that fail
+	Part     float64 // share of the boxes, schedulers or jobs that are affected
+	Times    float64 // factor of the slowdown or of the work
+	Takes    float64 // share of a box that another program uses, or of its jobs that fail
 	Zone     string
 	Class    string
-	Pause    Time // of a box that stands still
+	Pause    Time // duration of one pause of a box
 	Every    Time
-	Balancer bool // a zone is lost with its schedulers
+	Balancer bool // the schedulers of the zone are lost too
 }
 
-// kinds are the troubles with what each takes beside its time.
-var kinds = map[string][]string{
+// troubleSettings lists the settings of each kind of trouble, except from and for.
+var troubleSettings = map[string][]string{
 	"vanish":         {"part"},
 	"slow":           {"part", "times"},
 	"pauses":         {"part", "pause", "every"},
@@ -99,30 +99,31 @@
 	"balancer_crash": {"part"},
 }
 
-// Settings are what a scheduler of that zone is told.
+// Settings returns the settings of a scheduler in the given zone.
 func (s *Script) Settings(zone int) decide.Settings {
-	out := decide.Settings{Nodes: s.Schedulers, Zone: zone, Zones: len(s.Zones), CanProbe: true, CanCancel: true, MaxAttempts: s.Attempts,
+	out := decide.Settings{Nodes: s.Schedulers, Zone: zone, Zones: len(s.Zones), CanProbe: true, CanCancel: true, MaxAttempts: s.MaxAttempts,
 		SecondCopies:  s.SecondCopies,
-		MaxRetryAfter: 2e6, DrainGrace: s.DrainGrace, ColdFrom: s.Cold, ColdSpan: s.Warms, OverloadMultiple: s.FallMultiple,
-		OverloadSpan: s.FallSpan, AnswerSlack: 16e3, Tick: 4e3, TellsStart: true, WorthByWork: !s.ByRequest, CrossZoneCost: 0.03}
+		MaxRetryAfter: 2e6, DrainGrace: s.DrainGrace, ColdFrom: s.ColdFrom, ColdSpan: s.ColdSpan, OverloadMultiple: s.OverloadMultiple,
+		OverloadSpan: s.OverloadSpan, AnswerSlack: 16e3, Tick: 4e3, TellsStart: true, WorthByWork: !s.WorthPerJob, CrossZoneCost: 0.03}
 	for _, c := range s.Classes {
 		out.Classes = append(out.Classes, c.Terms)
 	}
 	return out
 }
 
-type layout struct {
-	World    *block     `hcl:"world,block"`
-	Boxes    []*labeled `hcl:"box,block"`
-	Classes  []*labeled `hcl:"class,block"`
-	Troubles []*labeled `hcl:"trouble,block"`
+// scriptBlocks holds the top-level blocks of a script.
+type scriptBlocks struct {
+	World    *worldBlock     `hcl:"world,block"`
+	Boxes    []*labeledBlock `hcl:"box,block"`
+	Classes  []*labeledBlock `hcl:"class,block"`
+	Troubles []*labeledBlock `hcl:"trouble,block"`
 }
 
-type block struct {
+type worldBlock struct {
 	Body hcl.Body `hcl:",remain"`
 }
 
-type labeled struct {
+type labeledBlock struct {
 	Name string   `hcl:"name,label"`
 	Body hcl.Body `hcl:",remain"`
 }
@@ -132,59 +133,59 @@
 	minute = 60e6
 )
 
-// Read reads a script. Its error has a line with the place for each fault.
+// Read reads a script. Its error has one line for each fault, which starts with the position in the file.
 func Read(path string) (*Script, error) {
-	var l layout
-	r, err := config.Open(path, &l)
+	var blocks scriptBlocks
+	r, err := config.Open(path, &blocks)
 	if err != nil {
 		return nil, err
 	}
 	if !r.Valid() {
 		return nil, r.Err()
 	}
-	s := &Script{For: minute, Schedulers: 5, Rate: 26, Curve: []float64{1}, RetryWait: 50 * ms, Same: 200, Cross: 6 * ms, Jitter: 0.2,
-		Notice: 1e6, Refresh: 60 * ms, Noise: 0.1, ProbeTimeout: 500 * ms, Cold: 0.3, Warms: 8.6e6, FallMultiple: 4, FallSpan: 1500 * ms,
-		DrainGrace: 300 * ms, Zones: []string{"here"}, Attempts: 4}
-	if l.World != nil {
+	s := &Script{Duration: minute, Schedulers: 5, Rate: 26, Curve: []float64{1}, RetryWait: 50 * ms, SameZoneDelay: 200, CrossZoneDelay: 6 * ms, Jitter: 0.2,
+		ListDelay: 1e6, ReportInterval: 60 * ms, ReportNoise: 0.1, ProbeTimeout: 500 * ms, ColdFrom: 0.3, ColdSpan: 8.6e6, OverloadMultiple: 4, OverloadSpan: 1500 * ms,
+		DrainGrace: 300 * ms, Zones: []string{"here"}, MaxAttempts: 4}
+	if blocks.World != nil {
 		zones, curve := "", ""
-		var words [6]string
-		r.Fields(l.World.Body, config.Field{Name: "for", Unit: config.Span, Min: 1e6, Max: 60 * minute, To: &s.For},
+		var choices [6]string
+		r.Fields(blocks.World.Body, config.Field{Name: "for", Unit: config.Span, Min: 1e6, Max: 60 * minute, To: &s.Duration},
 			config.Field{Name: "zones", Unit: config.Word, To: &zones}, config.Field{Name: "curve", Unit: config.Word, To: &curve},
 			config.Field{Name: "schedulers", Unit: config.Count, Min: 1, Max: 5000, To: &s.Schedulers},
 			config.Field{Name: "rate", Unit: config.Number, Min: 0.01, Max: 1e6, To: &s.Rate},
 			config.Field{Name: "retries", Unit: config.Count, Min: 0, Max: 10, To: &s.Retries},
 			config.Field{Name: "retry_wait", Unit: config.Span, Min: ms, Max: minute, To: &s.RetryWait},
-			config.Field{Name: "same", Unit: config.Span, Min: 1, Max: 1e6, To: &s.Same},
-			config.Field{Name: "cross", Unit: config.Span, Min: 1, Max: 1e6, To: &s.Cross},
+			config.Field{Name: "same", Unit: config.Span, Min: 1, Max: 1e6, To: &s.SameZoneDelay},
+			config.Field{Name: "cross", Unit: config.Span, Min: 1, Max: 1e6, To: &s.CrossZoneDelay},
 			config.Field{Name: "jitter", Unit: config.Number, Min: 0, Max: 10, To: &s.Jitter},
-			config.Field{Name: "notice", Unit: config.Span, Min: 0, Max: minute, To: &s.Notice},
-			config.Field{Name: "refresh", Unit: config.Span, Min: 0, Max: minute, To: &s.Refresh},
-			config.Field{Name: "noise", Unit: config.Number, Min: 0, Max: 1, To: &s.Noise},
-			config.Field{Name: "attempts", Unit: config.Count, Min: 1, Max: 100, To: &s.Attempts},
+			config.Field{Name: "notice", Unit: config.Span, Min: 0, Max: minute, To: &s.ListDelay},
+			config.Field{Name: "refresh", Unit: config.Span, Min: 0, Max: minute, To: &s.ReportInterval},
+			config.Field{Name: "noise", Unit: config.Number, Min: 0, Max: 1, To: &s.ReportNoise},
+			config.Field{Name: "attempts", Unit: config.Count, Min: 1, Max: 100, To: &s.MaxAttempts},
 			config.Field{Name: "drain_grace", Unit: config.Span, Min: 0, Max: minute, To: &s.DrainGrace},
 			config.Field{Name: "probe_work", Unit: config.Span, Min: 0, Max: 1e6, To: &s.ProbeWork},
-			config.Field{Name: "worth_by", Unit: config.Word, To: &words[0]}, config.Field{Name: "hints", Unit: config.Word, To: &words[1]},
-			config.Field{Name: "order", Unit: config.Word, To: &words[2]}, config.Field{Name: "reports", Unit: config.Word, To: &words[3]},
-			config.Field{Name: "cancels", Unit: config.Word, To: &words[4]}, config.Field{Name: "copies", Unit: config.Word, To: &words[5]},
-			config.Field{Name: "cold", Unit: config.Number, Min: 0.01, Max: 1, To: &s.Cold},
-			config.Field{Name: "warms", Unit: config.Span, Min: 0, Max: 10 * minute, To: &s.Warms})
+			config.Field{Name: "worth_by", Unit: config.Word, To: &choices[0]}, config.Field{Name: "hints", Unit: config.Word, To: &choices[1]},
+			config.Field{Name: "order", Unit: config.Word, To: &choices[2]}, config.Field{Name: "reports", Unit: config.Word, To: &choices[3]},
+			config.Field{Name: "cancels", Unit: config.Word, To: &choices[4]}, config.Field{Name: "copies", Unit: config.Word, To: &choices[5]},
+			config.Field{Name: "cold", Unit: config.Number, Min: 0.01, Max: 1, To: &s.ColdFrom},
+			config.Field{Name: "warms", Unit: config.Span, Min: 0, Max: 10 * minute, To: &s.ColdSpan})
 		for i, choice := range []struct {
 			name, usual, other string
 			to                 *bool
-		}{{"worth_by", "work", "request", &s.ByRequest}, {"hints", "good", "none", &s.NoHints}, {"order", "fifo", "backfill", &s.Backfill},
-			{"reports", "slots", "queue", &s.TellsQueue}, {"cancels", "queued", "all", &s.Stops}, {"copies", "one", "two", &s.SecondCopies}} {
-			if words[i] != "" && words[i] != choice.usual && words[i] != choice.other {
-				r.AddError(l.World.Body, "%s: allowed is %q or %q", choice.name, choice.usual, choice.other)
+		}{{"worth_by", "work", "request", &s.WorthPerJob}, {"hints", "good", "none", &s.OmitHints}, {"order", "fifo", "backfill", &s.Backfill},
+			{"reports", "slots", "queue", &s.ReportsQueue}, {"cancels", "queued", "all", &s.CancelsRunning}, {"copies", "one", "two", &s.SecondCopies}} {
+			if choices[i] != "" && choices[i] != choice.usual && choices[i] != choice.other {
+				r.AddError(blocks.World.Body, "%s: allowed is %q or %q", choice.name, choice.usual, choice.other)
 			}
-			*choice.to = words[i] == choice.other
+			*choice.to = choices[i] == choice.other
 		}
 		if zones != "" {
 			s.Zones = strings.Fields(zones)
 		}
 		for _, word := range strings.Fields(curve) {
-			v, ok := number(word)
+			v, ok := parseNumber(word)
 			if !ok {
-				r.AddError(l.World.Body, "curve: %q is no number from 0 to 100; allowed are such, with spaces between", word)
+				r.AddError(blocks.World.Body, "curve: %q is not a number from 0 to 100; separate numbers by spaces", word)
 			}
 			s.Curve = append(s.Curve, v)
 		}
@@ -192,24 +193,24 @@
 			s.Curve = s.Curve[1:]
 		}
 	}
-	for _, b := range l.Boxes {
-		k := &BoxKind{Name: b.Name, Count: 1, Slots: 4, Queue: 24, Speed: 1}
-		r.Fields(b.Body, config.Field{Name: "count", Unit: config.Count, Min: 1, Max: 100000, To: &k.Count},
-			config.Field{Name: "slots", Unit: config.Count, Min: 1, Max: 1024, To: &k.Slots},
-			config.Field{Name: "queue", Unit: config.Count, Min: 0, Max: 100000, To: &k.Queue},
-			config.Field{Name: "speed", Unit: config.Number, Min: 0.001, Max: 1000, To: &k.Speed})
-		s.Boxes = append(s.Boxes, k)
+	for _, b := range blocks.Boxes {
+		kind := &BoxKind{Name: b.Name, Count: 1, Slots: 4, Queue: 24, Speed: 1}
+		r.Fields(b.Body, config.Field{Name: "count", Unit: config.Count, Min: 1, Max: 100000, To: &kind.Count},
+			config.Field{Name: "slots", Unit: config.Count, Min: 1, Max: 1024, To: &kind.Slots},
+			config.Field{Name: "queue", Unit: config.Count, Min: 0, Max: 100000, To: &kind.Queue},
+			config.Field{Name: "speed", Unit: config.Number, Min: 0.001, Max: 1000, To: &kind.Speed})
+		s.Boxes = append(s.Boxes, kind)
 	}
-	s.classes(r, l.Classes)
-	s.troubles(r, l.Troubles)
+	s.readClasses(r, blocks.Classes)
+	s.readTroubles(r, blocks.Troubles)
 	if len(s.Boxes) == 0 || len(s.Classes) == 0 {
 		body := hcl.EmptyBody()
-		r.AddError(body, "a script needs a box block and a class block at least")
+		r.AddError(body, "a script needs at least one box block and one class block")
 	}
 	return s, r.Err()
 }
 
-func (s *Script) classes(r *config.Reader, list []*labeled) {
+func (s *Script) readClasses(r *config.Reader, list []*labeledBlock) {
 	effects := map[string]decide.Effect{"safe": decide.Safe, "keyed": decide.Keyed, "once": decide.Unsafe}
 	names := map[string]bool{}
 	for _, b := range list {
@@ -226,21 +227,21 @@
 			config.Field{Name: "late", Unit: config.Number, Min: 0, Max: 1, To: &c.Terms.LateWorth},
 			config.Field{Name: "memory", Unit: config.Span, Min: ms, Max: 60 * minute, To: &c.Terms.MemorySpan},
 			config.Field{Name: "worth", Unit: config.Number, Min: 0.001, Max: 1e6, To: &c.Terms.Worth})
-		kind, ok := effects[effect]
+		effectValue, ok := effects[effect]
 		if !ok {
 			r.AddError(b.Body, "class %q: effect must be one of keyed, once, safe", b.Name)
 		}
-		c.Terms.Effect = kind
+		c.Terms.Effect = effectValue
 		if names[b.Name] {
-			r.AddError(b.Body, "class %q stands twice", b.Name)
+			r.AddError(b.Body, "class %q is defined twice", b.Name)
 		}
 		names[b.Name] = true
 		if slots != "" {
 			c.Slots = nil
 			for _, word := range strings.Fields(slots) {
-				v, ok := number(word)
+				v, ok := parseNumber(word)
 				if !ok || v < 1 || v != float64(int(v)) {
-					r.AddError(b.Body, "class %q: slots: %q is no whole number; allowed are such from 1, with spaces between", b.Name, word)
+					r.AddError(b.Body, "class %q: slots: %q is not a whole number from 1; separate numbers by spaces", b.Name, word)
 				}
 				c.Slots = append(c.Slots, max(1, int(v)))
 			}
@@ -249,35 +250,35 @@
 	}
 }
 
-func (s *Script) troubles(r *config.Reader, list []*labeled) {
+func (s *Script) readTroubles(r *config.Reader, list []*labeledBlock) {
 	for _, b := range list {
 		t := Trouble{Kind: b.Name, Part: 0.2, Times: 5, Takes: 0.5, Pause: 100 * ms, Every: 2e6}
-		var long Time = 10e6
-		with := ""
-		takes, ok := kinds[b.Name]
+		var duration Time = 10e6
+		withSchedulers := ""
+		allowed, ok := troubleSettings[b.Name]
 		if !ok {
-			r.AddError(b.Body, "no trouble %q; allowed: %s", b.Name, strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))
+			r.AddError(b.Body, "no trouble %q; allowed: %s", b.Name, strings.Join(slices.Sorted(maps.Keys(troubleSettings)), ", "))
 			continue
 		}
 		set := r.Fields(b.Body, config.Field{Name: "from", Unit: config.Span, Min: 0, Max: 60 * minute, To: &t.From},
-			config.Field{Name: "for", Unit: config.Span, Min: ms, Max: 60 * minute, To: &long},
+			config.Field{Name: "for", Unit: config.Span, Min: ms, Max: 60 * minute, To: &duration},
 			config.Field{Name: "part", Unit: config.Number, Min: 0.0001, Max: 1, To: &t.Part},
 			config.Field{Name: "times", Unit: config.Number, Min: 1, Max: 1000, To: &t.Times},
 			config.Field{Name: "takes", Unit: config.Number, Min: 0, Max: 0.99, To: &t.Takes},
 			config.Field{Name: "zone", Unit: config.Word, To: &t.Zone}, config.Field{Name: "class", Unit: config.Word, To: &t.Class},
 			config.Field{Name: "pause", Unit: config.Span, Min: ms, Max: minute, To: &t.Pause},
 			config.Field{Name: "every", Unit: config.Span, Min: 10 * ms, Max: 10 * minute, To: &t.Every},
-			config.Field{Name: "with_schedulers", Unit: config.Word, To: &with})
+			config.Field{Name: "with_schedulers", Unit: config.Word, To: &withSchedulers})
 		for _, name := range slices.Sorted(maps.Keys(set)) {
-			if name != "from" && name != "for" && !slices.Contains(takes, name) {
-				r.AddError(b.Body, "trouble %q takes no %s; it takes from, for, %s", b.Name, name, strings.Join(takes, ", "))
+			if name != "from" && name != "for" && !slices.Contains(allowed, name) {
+				r.AddError(b.Body, "trouble %q has no setting %s; allowed: from, for, %s", b.Name, name, strings.Join(allowed, ", "))
 			}
 		}
-		t.To, t.Balancer = t.From+long, with == "yes"
+		t.To, t.Balancer = t.From+duration, withSchedulers == "yes"
 		switch {
-		case t.From >= s.For:
-			r.AddError(b.Body, "trouble %q begins after the end: the script plays for %d s", b.Name, s.For/1e6)
-		case with != "" && with != "yes" && with != "no":
+		case t.From >= s.Duration:
+			r.AddError(b.Body, "trouble %q begins after the end of the script, which lasts %d s", b.Name, s.Duration/1e6)
+		case withSchedulers != "" && withSchedulers != "yes" && withSchedulers != "no":
 			r.AddError(b.Body, "trouble %q: with_schedulers: allowed is \"yes\" or \"no\"", b.Name)
 		case b.Name == "zone_loss" && !slices.Contains(s.Zones, t.Zone):
 			r.AddError(b.Body, "trouble %q: no zone %q; there are: %s", b.Name, t.Zone, strings.Join(s.Zones, ", "))
