--- a/cmd/weldagent/main.go
+++ b/cmd/weldagent/main.go
@@ -1,4 +1,5 @@
-// Command weldagent keeps the link to the fleet's controllers and feeds the router of its machine over loopback.
+// Command weldagent maintains the connection to the fleet's controllers and passes their updates over loopback to the router
+// on the same machine.
 package main
 
 import (
--- a/cmd/weldcontroller/main.go
+++ b/cmd/weldcontroller/main.go
@@ -1,5 +1,5 @@
-// Command weldcontroller is the control plane of the fleet: it serves the operator's API, holds a replica of the register
-// and distributes configuration and instances.
+// Command weldcontroller is the fleet's control plane: it serves the operator API, holds a replica of the register and
+// distributes the configuration and the instance list.
 package main
 
 import (
--- a/cmd/weldrouter/main.go
+++ b/cmd/weldrouter/main.go
@@ -1,4 +1,4 @@
-// Command weldrouter is the data plane of the fleet: it takes the clients' requests and forwards each to a worker.
+// Command weldrouter is the fleet's data plane: it accepts client requests and forwards each one to a worker.
 package main
 
 import (
