--- a/cmd/weldfleet/config.go
+++ b/cmd/weldfleet/config.go
@@ -20,8 +20,8 @@
 const (
 	flagBase = "base"
 
-	// standardInput stands for the standard input where a file is expected.
-	standardInput  = "-"
+	// stdinPath given as a file name means standard input.
+	stdinPath      = "-"
 	maxConfigBytes = 64 << 20
 )
 
@@ -29,7 +29,7 @@
 	return &cli.Command{
 		Name:   "config",
 		Usage:  "check, read, send and compare configurations",
-		Action: refuseUnknown,
+		Action: rejectUnknownCommand,
 		Commands: []*cli.Command{
 			{
 				Name:      "check",
@@ -64,11 +64,11 @@
 }
 
 func checkConfig(_ context.Context, command *cli.Command) error {
-	given, err := arguments(command, 1, 1)
+	args, err := arguments(command, 1, 1)
 	if err != nil {
 		return err
 	}
-	_, config, err := readConfig(command, given[0])
+	_, config, err := readConfig(command, args[0])
 	if err != nil {
 		return err
 	}
@@ -90,11 +90,11 @@
 }
 
 func putConfig(ctx context.Context, command *cli.Command) error {
-	given, err := arguments(command, 1, 1)
+	args, err := arguments(command, 1, 1)
 	if err != nil {
 		return err
 	}
-	body, config, err := readConfig(command, given[0])
+	body, config, err := readConfig(command, args[0])
 	if err != nil {
 		return err
 	}
@@ -105,11 +105,11 @@
 		return err
 	}
 	defer client.Close()
-	base, inForce, err := baseVersion(ctx, command, client)
+	base, currentBody, err := baseVersion(ctx, command, client)
 	if err != nil {
 		return err
 	}
-	if bytes.Equal(inForce, body) {
+	if bytes.Equal(currentBody, body) {
 		return printLine(command, "version %d is the current one already", config.Version)
 	}
 	if err := fleetconfig.CheckVersion(config, base); err != nil {
@@ -121,12 +121,13 @@
 	return printLine(command, "version %d is taken, on top of %d", config.Version, base)
 }
 
-// baseVersion returns the version that a change builds on: the one given, or the current one together with its bytes.
+// baseVersion returns the version that a change builds on. Without the --base flag it is the current version, which is read from
+// the fleet and returned together with its body.
 func baseVersion(ctx context.Context, command *cli.Command, client *fleetclient.Client) (int64, []byte, error) {
 	if command.IsSet(flagBase) {
 		base := command.Int64(flagBase)
 		if base < 0 {
-			return 0, nil, usageError{"--" + flagBase + ": below 0"}
+			return 0, nil, usageError{"--" + flagBase + ": must not be negative"}
 		}
 		return base, nil, nil
 	}
@@ -139,23 +140,23 @@
 	}
 	current, err := fleetconfig.Parse(body)
 	if err != nil {
-		return 0, nil, eris.Wrap(err, "the current configuration")
+		return 0, nil, eris.Wrap(err, "parsing the current configuration")
 	}
 	return current.Version, body, nil
 }
 
 func diffConfigs(ctx context.Context, command *cli.Command) error {
-	given, err := arguments(command, 1, 2)
+	args, err := arguments(command, 1, 2)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := withTimeout(ctx, command)
 	defer cancel()
-	old, err := olderConfig(ctx, command, given)
+	old, err := loadOldConfig(ctx, command, args)
 	if err != nil {
 		return err
 	}
-	_, next, err := readConfig(command, given[len(given)-1])
+	_, next, err := readConfig(command, args[len(args)-1])
 	if err != nil {
 		return err
 	}
@@ -169,13 +170,14 @@
 	return nil
 }
 
-// olderConfig returns the first of two configurations, or the current one where only one is given.
-func olderConfig(ctx context.Context, command *cli.Command, given []string) (*fleetwire.Config, error) {
-	if len(given) == 1 {
+// loadOldConfig returns the configuration that the last argument is compared with: the first of two files, or the fleet's current
+// configuration if only one file is given.
+func loadOldConfig(ctx context.Context, command *cli.Command, args []string) (*fleetwire.Config, error) {
+	if len(args) == 1 {
 		_, config, err := currentConfig(ctx, command)
 		return config, err
 	}
-	_, config, err := readConfig(command, given[0])
+	_, config, err := readConfig(command, args[0])
 	return config, err
 }
 
@@ -193,7 +195,7 @@
 	return rows.print(command.Root().Writer)
 }
 
-// currentConfig reads the newest configuration from the fleet.
+// currentConfig reads the newest configuration from the fleet and returns its body and its parsed form.
 func currentConfig(ctx context.Context, command *cli.Command) ([]byte, *fleetwire.Config, error) {
 	client, err := newClient(command)
 	if err != nil {
@@ -205,10 +207,11 @@
 		return nil, nil, err
 	}
 	config, err := fleetconfig.Parse(body)
-	return body, config, eris.Wrap(err, "the current configuration")
+	return body, config, eris.Wrap(err, "parsing the current configuration")
 }
 
-// readConfig reads a configuration from a file and checks it.
+// readConfig reads and validates a configuration from a file, or from standard input if path is stdinPath. It returns the body
+// and the parsed configuration.
 func readConfig(command *cli.Command, path string) ([]byte, *fleetwire.Config, error) {
 	body, err := readFile(command, path)
 	if err != nil {
@@ -219,7 +222,7 @@
 }
 
 func readFile(command *cli.Command, path string) ([]byte, error) {
-	if path != standardInput {
+	if path != stdinPath {
 		return os.ReadFile(path)
 	}
 	return io.ReadAll(io.LimitReader(command.Root().Reader, maxConfigBytes))
--- a/cmd/weldfleet/demo.go
+++ b/cmd/weldfleet/demo.go
@@ -17,7 +17,7 @@
 	flagLog      = "log"
 )
 
-// The demo's defaults: with its start it ends after some 15 s.
+// Defaults of the demo. With its start-up it takes about 15 s.
 const (
 	demoRouters = 3
 	demoFor     = 12 * time.Second
@@ -34,11 +34,11 @@
 			&cli.FloatFlag{Name: flagLoad, Usage: "`TIMES` the usual load of 62 requests a second", Value: 1},
 			&cli.BoolFlag{Name: flagLog, Usage: "show the programs' logs"},
 		},
-		Action: showDemo,
+		Action: runDemo,
 	}
 }
 
-func showDemo(ctx context.Context, command *cli.Command) error {
+func runDemo(ctx context.Context, command *cli.Command) error {
 	if _, err := arguments(command, 0, 0); err != nil {
 		return err
 	}
--- a/cmd/weldfleet/fleet.go
+++ b/cmd/weldfleet/fleet.go
@@ -22,7 +22,7 @@
 	defaultTimeout = 10 * time.Second
 )
 
-// fleetFlags say where the fleet is. They hold for all commands.
+// fleetFlags returns the global flags: the controllers' addresses, the timeout and the output format.
 func fleetFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringSliceFlag{
@@ -38,33 +38,34 @@
 	}
 }
 
-// withTimeout bounds a command by its flag.
+// withTimeout returns a context that ends after the time set by the timeout flag.
 func withTimeout(ctx context.Context, command *cli.Command) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, command.Duration(flagTimeout))
 }
 
-// controls returns the Control addresses to call.
-func controls(command *cli.Command) ([]string, error) {
-	return addresses(command, flagControl, func(known *settings.Settings) []string { return known.Seeds })
+// controlAddresses returns the Control addresses of the controllers.
+func controlAddresses(command *cli.Command) ([]string, error) {
+	return addressesFrom(command, flagControl, func(loaded *settings.Settings) []string { return loaded.Seeds })
 }
 
-// internals returns the internal addresses to ask.
-func internals(command *cli.Command) ([]string, error) {
-	return addresses(command, flagInternal, (*settings.Settings).SeedInternalAddresses)
+// internalAddresses returns the internal addresses of the controllers.
+func internalAddresses(command *cli.Command) ([]string, error) {
+	return addressesFrom(command, flagInternal, (*settings.Settings).SeedInternalAddresses)
 }
 
-// addresses returns those of a flag, or those of the settings file if the flag is not given.
-func addresses(command *cli.Command, flag string, fromSettings func(*settings.Settings) []string) ([]string, error) {
+// addressesFrom returns the distinct addresses listed by a flag. Without the flag it loads the settings file named by the
+// environment and takes defaults from it. It fails if there is no address or if one is not IP:PORT.
+func addressesFrom(command *cli.Command, flag string, defaults func(*settings.Settings) []string) ([]string, error) {
 	given := command.StringSlice(flag)
 	if len(given) == 0 && os.Getenv(settings.EnvVariable) != "" {
-		known, err := settings.Load()
+		loaded, err := settings.Load()
 		if err != nil {
 			return nil, err
 		}
-		given = fromSettings(known)
+		given = defaults(loaded)
 	}
 	if len(given) == 0 {
-		return nil, usageError{"name a controller with --" + flag + ", or a settings file with " + settings.EnvVariable}
+		return nil, usageError{"no controller address: set --" + flag + " or name a settings file in " + settings.EnvVariable}
 	}
 	for _, address := range given {
 		if _, err := netip.ParseAddrPort(address); err != nil {
@@ -74,11 +75,11 @@
 	return lo.Uniq(given), nil
 }
 
-// newClient returns a client of the fleet's controllers.
+// newClient returns a client that calls the controllers at their Control addresses.
 func newClient(command *cli.Command) (*fleetclient.Client, error) {
-	known, err := controls(command)
+	targets, err := controlAddresses(command)
 	if err != nil {
 		return nil, err
 	}
-	return fleetclient.New(known), nil
+	return fleetclient.New(targets), nil
 }
--- a/cmd/weldfleet/main.go
+++ b/cmd/weldfleet/main.go
@@ -1,5 +1,5 @@
-// Command weldfleet is the operator's tool for a fleet of routers: it checks, reads and sends configurations and shows how
-// the fleet stands. This file owns the command line.
+// Command weldfleet is the operator's command line tool for a fleet of routers: it checks, reads, sends and compares
+// configurations and shows the state of the fleet's controllers.
 package main
 
 import (
@@ -18,11 +18,11 @@
 
 // Exit codes.
 const (
-	exitOK       = 0
-	exitFailed   = 1 // the command failed, the configuration is invalid, or two configurations differ
-	exitUsage    = 2
-	exitConflict = 3 // another version is current
-	exitUnclear  = 4 // no clear answer in time; a change may have been taken
+	exitOK            = 0
+	exitFailed        = 1 // the command failed, the configuration is invalid, or two configurations differ
+	exitUsage         = 2 // the command line is invalid
+	exitConflict      = 3 // the current version is not the base version of the change
+	exitIndeterminate = 4 // no conclusive reply before the timeout; a change may have been applied
 )
 
 func main() {
@@ -32,19 +32,19 @@
 	os.Exit(code)
 }
 
-// errDiffers ends a comparison that found differences. It is not told as a fault.
+// errDiffers is returned by a comparison that found differences. It sets the exit code, but no error message is printed for it.
 var errDiffers = errors.New("the configurations differ")
 
-// usageError is a fault of the command line.
+// usageError reports an invalid command line.
 type usageError struct{ text string }
 
 func (e usageError) Error() string { return e.text }
 
-// execute runs one command and returns its exit code. A fault is told in one line on complaints.
-func execute(ctx context.Context, arguments []string, in io.Reader, out, complaints io.Writer) int {
-	err := newCommand(in, out, complaints).Run(ctx, arguments)
+// execute runs one command and returns its exit code. It prints an error in one line to stderr.
+func execute(ctx context.Context, arguments []string, stdin io.Reader, stdout, stderr io.Writer) int {
+	err := newCommand(stdin, stdout, stderr).Run(ctx, arguments)
 	if err != nil && !errors.Is(err, errDiffers) {
-		_, _ = fmt.Fprintf(complaints, "weldfleet: %v\n", err)
+		_, _ = fmt.Fprintf(stderr, "weldfleet: %v\n", err)
 	}
 	return exitCode(err)
 }
@@ -59,20 +59,20 @@
 	case errors.Is(err, fleetclient.ErrConflict):
 		return exitConflict
 	case errors.Is(err, fleetclient.ErrIndeterminate):
-		return exitUnclear
+		return exitIndeterminate
 	}
 	return exitFailed
 }
 
-func newCommand(in io.Reader, out, complaints io.Writer) *cli.Command {
+func newCommand(stdin io.Reader, stdout, stderr io.Writer) *cli.Command {
 	command := &cli.Command{
 		Name:           "weldfleet",
 		Usage:          "operate a fleet of routers",
-		Reader:         in,
-		Writer:         out,
-		ErrWriter:      complaints,
-		ExitErrHandler: func(context.Context, *cli.Command, error) {}, // execute tells faults
-		OnUsageError:   tellUsage,
+		Reader:         stdin,
+		Writer:         stdout,
+		ErrWriter:      stderr,
+		ExitErrHandler: func(context.Context, *cli.Command, error) {}, // execute prints errors
+		OnUsageError:   returnUsageError,
 		Flags:          fleetFlags(),
 		Commands: []*cli.Command{
 			configCommand(),
@@ -81,37 +81,39 @@
 			replicasCommand(),
 			demoCommand(),
 		},
-		Action: refuseUnknown,
+		Action: rejectUnknownCommand,
 	}
-	setUsageErrors(command)
+	setUsageErrorHandlers(command)
 	return command
 }
 
-// setUsageErrors has each command return faults of its flags instead of printing its help.
-func setUsageErrors(command *cli.Command) {
-	command.OnUsageError = tellUsage
-	for _, inner := range command.Commands {
-		setUsageErrors(inner)
+// setUsageErrorHandlers makes a command and its subcommands return flag errors instead of printing their help.
+func setUsageErrorHandlers(command *cli.Command) {
+	command.OnUsageError = returnUsageError
+	for _, subcommand := range command.Commands {
+		setUsageErrorHandlers(subcommand)
 	}
 }
 
-func tellUsage(_ context.Context, _ *cli.Command, err error, _ bool) error {
+func returnUsageError(_ context.Context, _ *cli.Command, err error, _ bool) error {
 	return usageError{err.Error()}
 }
 
-// refuseUnknown is the action of a command that only holds others.
-func refuseUnknown(_ context.Context, command *cli.Command) error {
+// rejectUnknownCommand is the action of a command that only has subcommands. It prints the help, or fails if there is an
+// argument, which then names no subcommand.
+func rejectUnknownCommand(_ context.Context, command *cli.Command) error {
 	if command.Args().Present() {
-		return usageError{fmt.Sprintf("there is no command %q", command.Args().First())}
+		return usageError{fmt.Sprintf("unknown command %q", command.Args().First())}
 	}
 	return cli.ShowSubcommandHelp(command)
 }
 
-// arguments returns the arguments of a command if their number is right.
-func arguments(command *cli.Command, least, most int) ([]string, error) {
-	given := command.Args().Slice()
-	if len(given) < least || len(given) > most {
+// arguments returns the positional arguments of a command. It fails with the command's usage unless there are at least minimum
+// and at most maximum of them.
+func arguments(command *cli.Command, minimum, maximum int) ([]string, error) {
+	args := command.Args().Slice()
+	if len(args) < minimum || len(args) > maximum {
 		return nil, usageError{fmt.Sprintf("usage: %s %s", command.FullName(), command.ArgsUsage)}
 	}
-	return given, nil
+	return args, nil
 }
--- a/cmd/weldfleet/main_test.go
+++ b/cmd/weldfleet/main_test.go
@@ -24,23 +24,24 @@
 )
 
 const (
-	first = `{"Version":3,"Routes":[{"Name":"r","Hostname":"a.example","PathPrefix":"/x/","RouteType":"safe","TimeoutMs":800,` +
+	firstConfig = `{"Version":3,"Routes":[{"Name":"r","Hostname":"a.example","PathPrefix":"/x/","RouteType":"safe","TimeoutMs":800,` +
 		`"Service":"s"}],"Services":[{"Name":"s"}]}`
-	invalid = `{"Version":3,"Routes":[{"Name":"r","TimeoutMs":0,"Service":"s"}],"Services":[{"Name":"s"}]}`
+	invalidConfig = `{"Version":3,"Routes":[{"Name":"r","TimeoutMs":0,"Service":"s"}],"Services":[{"Name":"s"}]}`
 )
 
-var second = strings.NewReplacer(`"Version":3`, `"Version":8`, `800`, `900`).Replace(first)
+var secondConfig = strings.NewReplacer(`"Version":3`, `"Version":8`, `800`, `900`).Replace(firstConfig)
 
-// controller is a control plane of one: it takes every configuration on top of the current one.
-type controller struct {
+// fakeController is a control plane with a single controller. It accepts any valid configuration whose base is the current
+// version.
+type fakeController struct {
 	address string
 	current string
 	version int64
 }
 
-func newController(t *testing.T) *controller {
+func newFakeController(t *testing.T) *fakeController {
 	t.Helper()
-	c := new(controller)
+	c := new(fakeController)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /config/read", c.read)
 	mux.HandleFunc("POST /config/replace", c.replace)
@@ -51,7 +52,7 @@
 	return c
 }
 
-func (c *controller) read(w http.ResponseWriter, _ *http.Request) {
+func (c *fakeController) read(w http.ResponseWriter, _ *http.Request) {
 	if c.current == "" {
 		w.WriteHeader(http.StatusNotFound)
 		return
@@ -59,7 +60,7 @@
 	_, _ = io.WriteString(w, c.current)
 }
 
-func (c *controller) replace(w http.ResponseWriter, r *http.Request) {
+func (c *fakeController) replace(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	config, err := fleetconfig.Parse(body)
 	if err != nil {
@@ -73,7 +74,7 @@
 	c.current, c.version = string(body), config.Version
 }
 
-func (c *controller) status(context.Context, struct{}) (fleetclient.ControllerStatus, error) {
+func (c *fakeController) status(context.Context, struct{}) (fleetclient.ControllerStatus, error) {
 	return fleetclient.ControllerStatus{
 		Member:      fleetwire.Member{Name: "core-1", Zone: "north", Region: "region"},
 		Revision:    9,
@@ -89,72 +90,72 @@
 	}, nil
 }
 
-// run executes one command and returns its exit code and what it printed.
-func run(t *testing.T, input string, arguments ...string) (code int, out, complaints string) {
+// run executes one command and returns its exit code and what it wrote to standard output and standard error.
+func run(t *testing.T, input string, arguments ...string) (code int, stdout, stderr string) {
 	t.Helper()
-	var printed, complained bytes.Buffer
-	code = execute(t.Context(), append([]string{"weldfleet"}, arguments...), strings.NewReader(input), &printed, &complained)
-	return code, printed.String(), complained.String()
+	var outBuffer, errBuffer bytes.Buffer
+	code = execute(t.Context(), append([]string{"weldfleet"}, arguments...), strings.NewReader(input), &outBuffer, &errBuffer)
+	return code, outBuffer.String(), errBuffer.String()
 }
 
-func file(t *testing.T, content string) string {
+func writeTempFile(t *testing.T, content string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(path, []byte(content), 0o600))
 	return path
 }
 
-func TestCheckNeedsNoFleet(t *testing.T) {
-	code, out, _ := run(t, "", "config", "check", file(t, first))
+func TestConfigCheckRunsWithoutController(t *testing.T) {
+	code, stdout, _ := run(t, "", "config", "check", writeTempFile(t, firstConfig))
 	assert.Equal(t, exitOK, code)
-	assert.Equal(t, "version 3: 1 routes, 1 services\n", out)
+	assert.Equal(t, "version 3: 1 routes, 1 services\n", stdout)
 
-	code, out, _ = run(t, second, "config", "check", "-")
+	code, stdout, _ = run(t, secondConfig, "config", "check", "-")
 	assert.Equal(t, exitOK, code)
-	assert.Equal(t, "version 8: 1 routes, 1 services\n", out)
+	assert.Equal(t, "version 8: 1 routes, 1 services\n", stdout)
 
-	code, out, complaints := run(t, "", "config", "check", file(t, invalid))
+	code, stdout, stderr := run(t, "", "config", "check", writeTempFile(t, invalidConfig))
 	assert.Equal(t, exitFailed, code)
-	assert.Empty(t, out)
-	assert.Contains(t, complaints, `route "r": TimeoutMs: missing or not above 0`)
-	assert.Equal(t, 1, strings.Count(complaints, "\n"))
+	assert.Empty(t, stdout)
+	assert.Contains(t, stderr, `route "r": TimeoutMs: missing or not above 0`)
+	assert.Equal(t, 1, strings.Count(stderr, "\n"))
 }
 
-func TestPutGetAndDiff(t *testing.T) {
-	fleet := newController(t)
-	at := "--control=" + fleet.address
-	code, _, complaints := run(t, "", at, "config", "get")
+func TestConfigPutGetAndDiff(t *testing.T) {
+	fake := newFakeController(t)
+	controlFlag := "--control=" + fake.address
+	code, _, stderr := run(t, "", controlFlag, "config", "get")
 	assert.Equal(t, exitFailed, code)
-	assert.Equal(t, "weldfleet: there is no configuration\n", complaints)
+	assert.Equal(t, "weldfleet: there is no configuration\n", stderr)
 
-	code, out, _ := run(t, "", at, "config", "put", file(t, first))
+	code, stdout, _ := run(t, "", controlFlag, "config", "put", writeTempFile(t, firstConfig))
 	assert.Equal(t, exitOK, code)
-	assert.Equal(t, "version 3 is taken, on top of 0\n", out)
+	assert.Equal(t, "version 3 is taken, on top of 0\n", stdout)
 
-	code, out, _ = run(t, "", at, "config", "put", file(t, first))
+	code, stdout, _ = run(t, "", controlFlag, "config", "put", writeTempFile(t, firstConfig))
 	assert.Equal(t, exitOK, code)
-	assert.Equal(t, "version 3 is the current one already\n", out)
+	assert.Equal(t, "version 3 is the current one already\n", stdout)
 
-	code, out, _ = run(t, "", at, "config", "get")
+	code, stdout, _ = run(t, "", controlFlag, "config", "get")
 	assert.Equal(t, exitOK, code)
-	assert.Equal(t, first, out)
+	assert.Equal(t, firstConfig, stdout)
 
-	code, out, complaints = run(t, "", at, "config", "diff", file(t, second))
+	code, stdout, stderr = run(t, "", controlFlag, "config", "diff", writeTempFile(t, secondConfig))
 	assert.Equal(t, exitFailed, code)
-	assert.Empty(t, complaints, "a difference is no fault")
-	assert.Equal(t, []string{"route", "a.example/x/", "TimeoutMs", "800", "900"}, strings.Fields(lastLine(out)))
+	assert.Empty(t, stderr, "differences must not be reported as an error")
+	assert.Equal(t, []string{"route", "a.example/x/", "TimeoutMs", "800", "900"}, strings.Fields(lastLine(stdout)))
 
-	code, _, complaints = run(t, "", at, "config", "put", "--base", "1", file(t, second))
+	code, _, stderr = run(t, "", controlFlag, "config", "put", "--base", "1", writeTempFile(t, secondConfig))
 	assert.Equal(t, exitConflict, code)
-	assert.Equal(t, "weldfleet: status 412: another version is current\n", complaints)
+	assert.Equal(t, "weldfleet: status 412: another version is current\n", stderr)
 
-	code, out, _ = run(t, second, at, "config", "put", "-")
+	code, stdout, _ = run(t, secondConfig, controlFlag, "config", "put", "-")
 	assert.Equal(t, exitOK, code)
-	assert.Equal(t, "version 8 is taken, on top of 3\n", out)
+	assert.Equal(t, "version 8 is taken, on top of 3\n", stdout)
 
-	code, _, complaints = run(t, "", at, "config", "put", file(t, first))
+	code, _, stderr = run(t, "", controlFlag, "config", "put", writeTempFile(t, firstConfig))
 	assert.Equal(t, exitFailed, code)
-	assert.Contains(t, complaints, "not above the current one")
+	assert.Contains(t, stderr, "not above the current one")
 }
 
 func lastLine(text string) string {
@@ -162,65 +163,65 @@
 	return lines[len(lines)-1]
 }
 
-func TestDiffOfFiles(t *testing.T) {
-	code, out, _ := run(t, "", "config", "diff", file(t, first), file(t, first))
+func TestConfigDiffOfFiles(t *testing.T) {
+	code, stdout, _ := run(t, "", "config", "diff", writeTempFile(t, firstConfig), writeTempFile(t, firstConfig))
 	assert.Equal(t, exitOK, code)
-	assert.Empty(t, out)
-	code, out, _ = run(t, "", "--json", "config", "diff", file(t, first), file(t, second))
+	assert.Empty(t, stdout)
+	code, stdout, _ = run(t, "", "--json", "config", "diff", writeTempFile(t, firstConfig), writeTempFile(t, secondConfig))
 	assert.Equal(t, exitFailed, code)
 	var differences []fleetconfig.Difference
-	require.NoError(t, json.Unmarshal([]byte(out), &differences))
+	require.NoError(t, json.Unmarshal([]byte(stdout), &differences))
 	assert.Len(t, differences, 2)
 }
 
-func TestTablesOfTheFleet(t *testing.T) {
-	fleet := newController(t)
-	at := "--internal=" + fleet.address
-	code, out, _ := run(t, "", at, "status")
+func TestStatusMembersAndReplicasOutput(t *testing.T) {
+	fake := newFakeController(t)
+	internalFlag := "--internal=" + fake.address
+	code, stdout, _ := run(t, "", internalFlag, "status")
 	assert.Equal(t, exitOK, code)
-	lines := strings.Split(out, "\n")
-	assert.Contains(t, lines[1], "unreachable: ", "the other replica")
-	assert.Equal(t, []string{fleet.address, "core-1", "north", "0", "9", "never", "reader", "2.41", "18", "250ms", "9"},
+	lines := strings.Split(stdout, "\n")
+	assert.Contains(t, lines[1], "unreachable: ", "the second replica does not answer")
+	assert.Equal(t, []string{fake.address, "core-1", "north", "0", "9", "never", "reader", "2.41", "18", "250ms", "9"},
 		strings.Fields(lines[2]))
 
-	code, out, _ = run(t, "", at, "members")
+	code, stdout, _ = run(t, "", internalFlag, "members")
 	assert.Equal(t, exitOK, code)
-	assert.Equal(t, []string{fleet.address, "core-1", "north", "region", "yes", fleet.address, "yes"}, strings.Fields(lastLine(out)))
+	assert.Equal(t, []string{fake.address, "core-1", "north", "region", "yes", fake.address, "yes"}, strings.Fields(lastLine(stdout)))
 
-	code, out, _ = run(t, "", at, "replicas")
+	code, stdout, _ = run(t, "", internalFlag, "replicas")
 	assert.Equal(t, exitOK, code)
-	lines = strings.Split(out, "\n")
-	assert.Equal(t, []string{fleet.address, "core-1", "north", "yes", "9", "0", "never"}, strings.Fields(lines[1]))
+	lines = strings.Split(stdout, "\n")
+	assert.Equal(t, []string{fake.address, "core-1", "north", "yes", "9", "0", "never"}, strings.Fields(lines[1]))
 	assert.Equal(t, []string{"127.0.0.1:1", "-", "-", "no", "-", "-", "-"}, strings.Fields(lines[2]))
 
-	code, out, _ = run(t, "", at, "--json", "status")
+	code, stdout, _ = run(t, "", internalFlag, "--json", "status")
 	assert.Equal(t, exitOK, code)
-	var probes []probeLine
-	require.NoError(t, json.Unmarshal([]byte(out), &probes))
+	var probes []probeJSON
+	require.NoError(t, json.Unmarshal([]byte(stdout), &probes))
 	require.Len(t, probes, 2)
 	assert.NotEmpty(t, probes[0].Error)
 	assert.Equal(t, 18, probes[1].Status.Instances)
 }
 
-func TestNobodyAnswers(t *testing.T) {
-	code, _, complaints := run(t, "", "--internal=127.0.0.1:1", "status")
-	assert.Equal(t, exitUnclear, code)
-	assert.Contains(t, complaints, "no controller answered")
+func TestExitCodeIfNoControllerAnswers(t *testing.T) {
+	code, _, stderr := run(t, "", "--internal=127.0.0.1:1", "status")
+	assert.Equal(t, exitIndeterminate, code)
+	assert.Contains(t, stderr, "no controller answered")
 	code, _, _ = run(t, "", "--control=127.0.0.1:1", "--timeout=10ms", "config", "get")
-	assert.Equal(t, exitUnclear, code)
+	assert.Equal(t, exitIndeterminate, code)
 }
 
-func TestAddressesComeFromTheSettingsFile(t *testing.T) {
-	fleet := newController(t)
-	fleet.current = first
-	known := `{"NodeName":"n","Ip":"127.0.0.1","Zone":"z","InternalPorts":[1,2],"Seeds":["` + fleet.address + `"]}`
-	t.Setenv(settings.EnvVariable, file(t, known))
-	code, out, _ := run(t, "", "config", "get")
+func TestAddressesDefaultToSettingsFile(t *testing.T) {
+	fake := newFakeController(t)
+	fake.current = firstConfig
+	settingsJSON := `{"NodeName":"n","Ip":"127.0.0.1","Zone":"z","InternalPorts":[1,2],"Seeds":["` + fake.address + `"]}`
+	t.Setenv(settings.EnvVariable, writeTempFile(t, settingsJSON))
+	code, stdout, _ := run(t, "", "config", "get")
 	assert.Equal(t, exitOK, code)
-	assert.Equal(t, first, out)
+	assert.Equal(t, firstConfig, stdout)
 }
 
-func TestFaultsOfTheCommandLine(t *testing.T) {
+func TestUsageErrors(t *testing.T) {
 	t.Setenv(settings.EnvVariable, "")
 	for _, arguments := range [][]string{
 		{"bogus"},
@@ -236,20 +237,20 @@
 		{"config", "get"},
 		{"--internal", "here", "status"},
 		{"--control", "here", "config", "get"},
-		{"--control", "127.0.0.1:1", "config", "put", "--base", "-1", file(t, first)},
+		{"--control", "127.0.0.1:1", "config", "put", "--base", "-1", writeTempFile(t, firstConfig)},
 	} {
-		code, out, complaints := run(t, "", arguments...)
+		code, stdout, stderr := run(t, "", arguments...)
 		assert.Equal(t, exitUsage, code, arguments)
-		assert.Empty(t, out, arguments)
-		assert.Equal(t, 1, strings.Count(complaints, "\n"), "%v: %s", arguments, complaints)
+		assert.Empty(t, stdout, arguments)
+		assert.Equal(t, 1, strings.Count(stderr, "\n"), "%v: %s", arguments, stderr)
 	}
 }
 
 func TestHelp(t *testing.T) {
 	for _, arguments := range [][]string{{}, {"--help"}, {"config"}, {"config", "put", "--help"}} {
-		code, out, complaints := run(t, "", arguments...)
+		code, stdout, stderr := run(t, "", arguments...)
 		assert.Equal(t, exitOK, code, arguments)
-		assert.Contains(t, out, "USAGE", arguments)
-		assert.Empty(t, complaints)
+		assert.Contains(t, stdout, "USAGE", arguments)
+		assert.Empty(t, stderr)
 	}
 }
--- a/cmd/weldfleet/status.go
+++ b/cmd/weldfleet/status.go
@@ -17,7 +17,7 @@
 	return &cli.Command{
 		Name:   "status",
 		Usage:  "show what each controller knows",
-		Action: withSurvey(statusTable),
+		Action: surveyAction(statusTable),
 	}
 }
 
@@ -25,7 +25,7 @@
 	return &cli.Command{
 		Name:   "members",
 		Usage:  "show the controllers and who takes them to be alive",
-		Action: withSurvey(membersTable),
+		Action: surveyAction(membersTable),
 	}
 }
 
@@ -33,23 +33,24 @@
 	return &cli.Command{
 		Name:   "replicas",
 		Usage:  "show the replicas of the register",
-		Action: withSurvey(replicasTable),
+		Action: surveyAction(replicasTable),
 	}
 }
 
-// withSurvey returns the action that asks the controllers and prints a table of their answers. It fails if none answers.
-func withSurvey(tabulate func([]fleetclient.Probe) *table) cli.ActionFunc {
+// surveyAction returns an action that queries the status of all controllers and prints it as the table that tabulate makes, or
+// as JSON. The action fails with ErrIndeterminate if no controller answers.
+func surveyAction(tabulate func([]fleetclient.Probe) *table) cli.ActionFunc {
 	return func(ctx context.Context, command *cli.Command) error {
 		if _, err := arguments(command, 0, 0); err != nil {
 			return err
 		}
-		known, err := internals(command)
+		targets, err := internalAddresses(command)
 		if err != nil {
 			return err
 		}
 		ctx, cancel := withTimeout(ctx, command)
 		defer cancel()
-		probes := fleetclient.Survey(ctx, known)
+		probes := fleetclient.Survey(ctx, targets)
 		if err := printProbes(command, probes, tabulate); err != nil {
 			return err
 		}
@@ -62,42 +63,42 @@
 
 func printProbes(command *cli.Command, probes []fleetclient.Probe, tabulate func([]fleetclient.Probe) *table) error {
 	if command.Bool(flagJSON) {
-		return printJSON(command, lo.Map(probes, func(probe fleetclient.Probe, _ int) probeLine { return lineOf(probe) }))
+		return printJSON(command, lo.Map(probes, func(probe fleetclient.Probe, _ int) probeJSON { return newProbeJSON(probe) }))
 	}
 	return tabulate(probes).print(command.Root().Writer)
 }
 
-// probeLine is a probe as it is printed in JSON.
-type probeLine struct {
+// probeJSON is the JSON form of a probe: either the error or the status is set.
+type probeJSON struct {
 	Address string
 	Error   string                        `json:",omitempty"`
 	Status  *fleetclient.ControllerStatus `json:",omitempty"`
 }
 
-func lineOf(probe fleetclient.Probe) probeLine {
+func newProbeJSON(probe fleetclient.Probe) probeJSON {
 	if probe.Err != nil {
-		return probeLine{Address: probe.Address, Error: plain(probe.Err)}
+		return probeJSON{Address: probe.Address, Error: singleLine(probe.Err)}
 	}
-	return probeLine{Address: probe.Address, Status: &probe.Status}
+	return probeJSON{Address: probe.Address, Status: &probe.Status}
 }
 
 func answered(probe fleetclient.Probe) bool { return probe.Err == nil }
 
-// plain returns an error in one line.
-func plain(err error) string { return strings.ReplaceAll(err.Error(), "\n", " ") }
+// singleLine returns the error's text with line breaks replaced by spaces.
+func singleLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", " ") }
 
 func statusTable(probes []fleetclient.Probe) *table {
 	rows := newTable("CONTROLLER", "NAME", "ZONE", "VERSION", "REVISION", "MAJORITY HEARD", "ROLES", "LIST", "WORKERS",
 		"LIST AGE", "ROUTERS")
 	for _, probe := range probes {
 		if probe.Err != nil {
-			rows.add(probe.Address, "unreachable: "+plain(probe.Err))
+			rows.add(probe.Address, "unreachable: "+singleLine(probe.Err))
 			continue
 		}
 		status := probe.Status
 		list := lo.Ternary(status.List.Token == 0, "", formatList(status.List.Token, status.List.Sequence))
-		rows.add(probe.Address, status.Member.Name, status.Member.Zone, status.Version, status.Revision, ago(status.QuorumAgeMs),
-			strings.Join(status.Held, ","), list, status.Instances, ago(status.ListAgeMs), status.Routers)
+		rows.add(probe.Address, status.Member.Name, status.Member.Zone, status.Version, status.Revision, formatAge(status.QuorumAgeMs),
+			strings.Join(status.Held, ","), list, status.Instances, formatAge(status.ListAgeMs), status.Routers)
 	}
 	return rows
 }
@@ -106,18 +107,18 @@
 	rows := newTable("CONTROLLER", "NAME", "ZONE", "REGION", "ANSWERS", "TAKEN TO BE ALIVE BY", "REPLICA")
 	for _, probe := range probes {
 		member := probe.Status.Member
-		believers := lo.FilterMap(probes, func(other fleetclient.Probe, _ int) (string, bool) {
+		observers := lo.FilterMap(probes, func(other fleetclient.Probe, _ int) (string, bool) {
 			return other.Address, slices.Contains(other.Status.Live, probe.Address)
 		})
-		rows.add(probe.Address, member.Name, member.Zone, member.Region, yesNo(answered(probe)), strings.Join(believers, ","),
-			yesNo(slices.Contains(newest(probes).Replicas, probe.Address)))
+		rows.add(probe.Address, member.Name, member.Zone, member.Region, yesNo(answered(probe)), strings.Join(observers, ","),
+			yesNo(slices.Contains(newestStatus(probes).Replicas, probe.Address)))
 	}
 	return rows
 }
 
 func replicasTable(probes []fleetclient.Probe) *table {
 	rows := newTable("REPLICA", "NAME", "ZONE", "ANSWERS", "REVISION", "BEHIND", "MAJORITY HEARD")
-	latest := newest(probes)
+	latest := newestStatus(probes)
 	for _, address := range latest.Replicas {
 		probe, _ := lo.Find(probes, func(probe fleetclient.Probe) bool { return probe.Address == address })
 		if probe.Address == "" || !answered(probe) {
@@ -126,13 +127,13 @@
 		}
 		status := probe.Status
 		rows.add(address, status.Member.Name, status.Member.Zone, yesNo(true), status.Revision, latest.Revision-status.Revision,
-			ago(status.QuorumAgeMs))
+			formatAge(status.QuorumAgeMs))
 	}
 	return rows
 }
 
-// newest returns the status with the newest revision of the register.
-func newest(probes []fleetclient.Probe) fleetclient.ControllerStatus {
+// newestStatus returns the status with the highest revision of the register among the controllers that answered.
+func newestStatus(probes []fleetclient.Probe) fleetclient.ControllerStatus {
 	var latest fleetclient.ControllerStatus
 	for _, probe := range probes {
 		if answered(probe) && probe.Status.Revision >= latest.Revision {
@@ -142,11 +143,11 @@
 	return latest
 }
 
-// neverMs is beyond any age: such a one stands for what has never happened.
-const neverMs = int64(24 * time.Hour / time.Millisecond)
+// neverAgeMs is the age from which on an event counts as never having happened.
+const neverAgeMs = int64(24 * time.Hour / time.Millisecond)
 
-func ago(ms int64) string {
-	if ms < 0 || ms >= neverMs {
+func formatAge(ms int64) string {
+	if ms < 0 || ms >= neverAgeMs {
 		return "never"
 	}
 	return (time.Duration(ms) * time.Millisecond).String()
--- a/cmd/weldfleet/table.go
+++ b/cmd/weldfleet/table.go
@@ -9,12 +9,12 @@
 
 const columnGap = 2
 
-// table is text in columns.
+// table holds rows of cells that are printed in aligned columns. The first row holds the titles.
 type table struct{ rows [][]string }
 
 func newTable(titles ...string) *table { return &table{rows: [][]string{titles}} }
 
-// add appends a row. An empty cell is shown as a dash, so that columns can be told apart by machines too.
+// add appends a row. It shows an empty cell as a dash so that scripts can split a line into columns by white space.
 func (t *table) add(cells ...any) {
 	row := make([]string, len(cells))
 	for i, cell := range cells {
@@ -36,4 +36,5 @@
 	return writer.Flush()
 }
 
+// formatList formats the version of a worker list as token.sequence.
 func formatList(token, sequence uint64) string { return fmt.Sprintf("%d.%d", token, sequence) }
