--- a/internal/fleetdemo/demo.go
+++ b/internal/fleetdemo/demo.go
@@ -1,5 +1,5 @@
-// Package fleetdemo shows a fleet at work: controllers, agents and routers between stand-ins on loopback addresses, some
-// troubles on the way, and a table of what became of the requests.
+// Package fleetdemo runs a demo fleet on loopback addresses: real controllers, agents and routers with simulated clients,
+// workers, operator and platform. It changes the configuration and injects failures, then prints a table of the request outcomes.
 package fleetdemo
 
 import (
@@ -21,41 +21,42 @@
 	"weldscale/internal/standin/operator"
 )
 
-// Options describes a demo.
+// Options configures a demo.
 type Options struct {
-	Programs string // directory of the built programs; empty: that of this one
+	Programs string // directory of the built programs; if empty, the directory of the running program
 	Routers  int
-	For      time.Duration // how long the clients come
-	Load     float64       // times the small site's rates
-	Log      bool          // show the programs' logs
+	For      time.Duration // how long clients send requests
+	Load     float64       // multiplies the request rates of the small site
+	Log      bool          // print the programs' logs
 }
 
-// ErrRuleBroken is returned when the stand-ins saw a rule broken.
+// ErrRuleBroken is returned when the simulated clients, workers or platform saw the fleet violate an invariant.
 var ErrRuleBroken = errors.New("a rule was broken")
 
 const (
-	startTimeout = 20 * time.Second
-	tick         = 100 * time.Millisecond
-	shortest     = 2 * time.Second
-	mostRouters  = 16
-	outsiders    = "mine-" // begins the ids of requests that somebody sends by hand
+	startTimeout     = 20 * time.Second
+	progressInterval = 100 * time.Millisecond
+	minDuration      = 2 * time.Second
+	maxRouters       = 16
+	manualIDPrefix   = "mine-" // prefix of the ids of requests that the user sends by hand
 )
 
-// demo is one that runs.
+// demo is the state of a running demo.
 type demo struct {
 	Options
-	out       io.Writer
-	fleet     *fleet.Fleet
-	workers   fleet.SmallWorkers
-	books     *client.Books
-	bar       *progressbar.ProgressBar
-	version   int64
-	unsettled error // what a trouble could not do
+	out      io.Writer
+	fleet    *fleet.Fleet
+	workers  fleet.SmallWorkers
+	books    *client.Books
+	bar      *progressbar.ProgressBar
+	version  int64
+	eventErr error // joined errors of the events that failed
 }
 
-// Run shows a demo and writes to out. It ends by itself.
+// Run runs a demo for options.For and writes its events and the final table to out. It returns ErrRuleBroken if an invariant was
+// violated.
 func Run(ctx context.Context, options Options, out io.Writer) error {
-	if err := options.check(); err != nil {
+	if err := options.validate(); err != nil {
 		return err
 	}
 	d := &demo{Options: options, out: out, books: client.NewBooks()}
@@ -63,16 +64,16 @@
 		return err
 	}
 	defer d.fleet.Close()
-	d.introduce()
-	if err := d.play(ctx); err != nil {
+	d.printIntroduction()
+	if err := d.runLoad(ctx); err != nil {
 		return err
 	}
 	return d.report()
 }
 
-func (o *Options) check() error {
-	if o.For < shortest || o.Load <= 0 || o.Routers < 1 || o.Routers > mostRouters {
-		return fmt.Errorf("the demo takes %v or more, a load above 0 and 1 to %d routers", shortest, mostRouters)
+func (o *Options) validate() error {
+	if o.For < minDuration || o.Load <= 0 || o.Routers < 1 || o.Routers > maxRouters {
+		return fmt.Errorf("the demo needs a duration of at least %v, a load above 0 and 1 to %d routers", minDuration, maxRouters)
 	}
 	if o.Programs == "" {
 		self, err := os.Executable()
@@ -83,13 +84,14 @@
 	}
 	for _, program := range []string{"weldrouter", "weldagent", "weldcontroller"} {
 		if _, err := os.Stat(filepath.Join(o.Programs, program)); err != nil {
-			return fmt.Errorf("%s is not in %s: build ./cmd/... there, all programs at once", program, o.Programs)
+			return fmt.Errorf("%s is not in %s: build all programs of ./cmd/... into this directory", program, o.Programs)
 		}
 	}
 	return nil
 }
 
-// start starts the fleet with its workers and first configuration.
+// start starts the fleet, its workers and its first configuration, and waits until the routers are ready. On an error it stops
+// what it started.
 func (d *demo) start(ctx context.Context) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -110,112 +112,114 @@
 	return d.fleet.AwaitReady(ctx, d.Routers)
 }
 
-// configure sends a configuration on top of the one before.
+// configure sends a configuration that replaces the previous one.
 func (d *demo) configure(ctx context.Context, config operator.Config) error {
 	status, err := d.fleet.Operator.Replace(ctx, d.version, config)
 	switch {
 	case err != nil:
-		return fmt.Errorf("configuration %d: %w", config.Version, err)
+		return fmt.Errorf("sending configuration %d: %w", config.Version, err)
 	case status != http.StatusOK:
-		return fmt.Errorf("configuration %d: status %d", config.Version, status)
+		return fmt.Errorf("sending configuration %d: unexpected status %d", config.Version, status)
 	}
 	d.version = config.Version
 	return nil
 }
 
-func (d *demo) introduce() {
+func (d *demo) printIntroduction() {
 	d.printf("%d controllers, %d routers with agents and %d workers; clients come for %v.\n", len(d.fleet.Controllers), d.Routers,
 		len(d.workers.Prefill)+len(d.workers.Decode)+len(d.workers.Plain)+len(d.workers.Other), d.For)
-	d.fleet.Judge.LetOutsiders(outsiders)
+	d.fleet.Judge.LetOutsiders(manualIDPrefix)
 	d.printf("Look in meanwhile:\n\n  %s --control %s --internal %s status\n", filepath.Join(d.Programs, "weldfleet"),
 		d.fleet.Controls()[1], d.fleet.Internals()[1])
-	d.printf("  curl -i -d x -H 'Host: %s' -H 'Request-Id: "+outsiders+"1' -H 'Deadline-Ms: 2000' http://%s/%s/1\n\n", fleet.Host,
+	d.printf("  curl -i -d x -H 'Host: %s' -H 'Request-Id: "+manualIDPrefix+"1' -H 'Deadline-Ms: 2000' http://%s/%s/1\n\n", fleet.Host,
 		d.fleet.Frontends()[0], fleet.KindCard)
 }
 
+// printf writes to the demo's output and ignores write errors.
 func (d *demo) printf(format string, values ...any) { _, _ = fmt.Fprintf(d.out, format, values...) }
 
-// play lets clients come and troubles happen until the time is over.
-func (d *demo) play(ctx context.Context) error {
-	during, stop := context.WithTimeout(ctx, d.For)
-	defer stop()
-	var crowds sync.WaitGroup
+// runLoad runs the clients and the scheduled events for the duration of the demo.
+func (d *demo) runLoad(ctx context.Context) error {
+	loadContext, stopLoad := context.WithTimeout(ctx, d.For)
+	defer stopLoad()
+	var clients sync.WaitGroup
 	for i, zone := range []string{"a", "b"} {
 		crowd := &client.Crowd{Name: "from-" + zone, Zone: zone, Seed: uint64(i), Pick: d.fleet.Entry.Pick, Judge: d.fleet.Judge,
 			Kinds: d.kinds(), OnResult: d.books.Add}
-		crowds.Go(func() { crowd.Run(during) })
+		clients.Go(func() { crowd.Run(loadContext) })
 	}
-	d.disturb(ctx, during)
-	crowds.Wait()
-	return errors.Join(ctx.Err(), d.unsettled)
+	d.runEvents(ctx, loadContext)
+	clients.Wait()
+	return errors.Join(ctx.Err(), d.eventErr)
 }
 
-// kinds are the small site's kinds at the demo's load.
+// kinds returns the small site's kinds of requests with their rates scaled by the demo's load.
 func (d *demo) kinds() []*client.Kind {
 	kinds := fleet.SmallKinds()
 	for _, kind := range kinds {
 		kind.PerSecond *= d.Load
-		if kind.Route.Service == fleet.ServicePlain { // its route moves on the way
+		if kind.Route.Service == fleet.ServicePlain { // events move its route to the other service and back
 			kind.Services = []string{fleet.ServicePlain, fleet.ServiceOther}
 		}
 	}
 	return kinds
 }
 
-// disturb plays the troubles, each at its share of the time, and shows how far the demo is.
-func (d *demo) disturb(ctx, during context.Context) {
+// runEvents runs each event at its fraction of the demo's duration and shows the progress. ctx bounds the events; runEvents
+// returns when loadContext ends.
+func (d *demo) runEvents(ctx, loadContext context.Context) {
 	if term.IsTerminal(int(os.Stderr.Fd())) {
 		d.bar = progressbar.NewOptions64(d.For.Milliseconds(), progressbar.OptionSetWriter(os.Stderr), progressbar.OptionSetWidth(30),
 			progressbar.OptionSetPredictTime(false), progressbar.OptionClearOnFinish())
 	}
-	began := time.Now()
-	next := d.troubles()
-	every := time.NewTicker(tick)
-	defer every.Stop()
-	for during.Err() == nil {
+	started := time.Now()
+	pending := d.events()
+	ticker := time.NewTicker(progressInterval)
+	defer ticker.Stop()
+	for loadContext.Err() == nil {
 		select {
-		case <-during.Done():
-		case <-every.C:
+		case <-loadContext.Done():
+		case <-ticker.C:
 		}
-		past := time.Since(began)
-		for len(next) > 0 && past.Seconds() >= next[0].at*d.For.Seconds() {
-			d.say(past, next[0].what)
-			d.unsettled = errors.Join(d.unsettled, next[0].do(ctx))
-			next = next[1:]
+		elapsed := time.Since(started)
+		for len(pending) > 0 && elapsed.Seconds() >= pending[0].fraction*d.For.Seconds() {
+			d.printEvent(elapsed, pending[0].description)
+			d.eventErr = errors.Join(d.eventErr, pending[0].run(ctx))
+			pending = pending[1:]
 		}
-		d.progress(min(past, d.For))
+		d.showProgress(min(elapsed, d.For))
 	}
 	if d.bar != nil {
 		_ = d.bar.Finish()
 	}
 }
 
-// say tells of a trouble on a line of its own.
-func (d *demo) say(past time.Duration, what string) {
+// printEvent prints an event on a line of its own, after removing the progress bar from the terminal.
+func (d *demo) printEvent(elapsed time.Duration, description string) {
 	if d.bar != nil {
 		_ = d.bar.Clear()
 	}
-	d.printf("%5.1f s  %s\n", past.Seconds(), what)
+	d.printf("%5.1f s  %s\n", elapsed.Seconds(), description)
 }
 
-func (d *demo) progress(past time.Duration) {
+func (d *demo) showProgress(elapsed time.Duration) {
 	if d.bar == nil {
 		return
 	}
 	total := d.books.Total()
 	d.bar.Describe(fmt.Sprintf("%d served, %d late, %d refused", total.Served, total.Late, total.Refused))
-	_ = d.bar.Set64(past.Milliseconds())
+	_ = d.bar.Set64(elapsed.Milliseconds())
 }
 
-// trouble is something that happens at a share of the demo's time.
-type trouble struct {
-	at   float64
-	what string
-	do   func(ctx context.Context) error
+// event is a configuration change, failure or recovery that the demo runs at a fraction of its duration.
+type event struct {
+	fraction    float64
+	description string
+	run         func(ctx context.Context) error
 }
 
-func (d *demo) troubles() []trouble {
-	return []trouble{
+func (d *demo) events() []event {
+	return []event{
 		{0.15, "the configuration changes: cards and notices move to another service", func(ctx context.Context) error {
 			moved := fleet.SmallConfig(4)
 			for i := range moved.Routes {
--- a/internal/fleetdemo/demo_test.go
+++ b/internal/fleetdemo/demo_test.go
@@ -10,7 +10,7 @@
 	"weldscale/internal/standin/fleet"
 )
 
-func TestTheDemoEndsByItselfWithATable(t *testing.T) {
+func TestRunEndsAfterItsDurationAndPrintsTable(t *testing.T) {
 	programs := t.TempDir()
 	require.NoError(t, fleet.Build(programs))
 	var out bytes.Buffer
@@ -20,7 +20,7 @@
 	require.Contains(t, out.String(), "No rule was broken")
 }
 
-func TestTheDemoSaysWhatItLacks(t *testing.T) {
+func TestRunRejectsMissingProgramsAndInvalidOptions(t *testing.T) {
 	require.ErrorContains(t, Run(t.Context(), Options{Programs: t.TempDir(), Routers: 2, For: 3 * time.Second, Load: 1},
 		nil), "weldrouter is not in")
 	require.ErrorContains(t, Run(t.Context(), Options{Routers: 0, For: 3 * time.Second, Load: 1}, nil), "routers")
--- a/internal/fleetdemo/report.go
+++ b/internal/fleetdemo/report.go
@@ -8,18 +8,18 @@
 	"weldscale/internal/standin/client"
 )
 
-// report prints the table and what the rules saw.
+// report prints the table of request outcomes and the violated invariants. It returns ErrRuleBroken if there are any.
 func (d *demo) report() error {
-	out := table.NewWriter()
-	out.SetOutputMirror(d.out)
-	out.SetStyle(table.StyleLight)
-	out.AppendHeader(table.Row{"kind", "sent", "in time", "late", "refused", "failed", "cut", "tried again", "p50 ms", "p99 ms"})
+	rows := table.NewWriter()
+	rows.SetOutputMirror(d.out)
+	rows.SetStyle(table.StyleLight)
+	rows.AppendHeader(table.Row{"kind", "sent", "in time", "late", "refused", "failed", "cut", "tried again", "p50 ms", "p99 ms"})
 	for _, kind := range d.books.Kinds() {
 		row := d.books.Row(kind)
-		out.AppendRow(append(counts(kind, row), percentile(row, 50), percentile(row, 99)))
+		rows.AppendRow(append(countCells(kind, row), formatPercentile(row, 50), formatPercentile(row, 99)))
 	}
-	out.AppendFooter(append(counts("all", d.books.Total()), "", ""))
-	out.Render()
+	rows.AppendFooter(append(countCells("all", d.books.Total()), "", ""))
+	rows.Render()
 	d.printf("\nThe latency is that of the first event or the whole answer. Version %d of the configuration is in force.\n", d.version)
 	violations := d.fleet.Judge.Violations()
 	if len(violations) == 0 {
@@ -32,10 +32,11 @@
 	return ErrRuleBroken
 }
 
-func counts(name string, row client.Row) table.Row {
+func countCells(name string, row client.Row) table.Row {
 	return table.Row{name, row.Sent, row.Served, row.Late, row.Refused, row.Failed, row.Cut, row.Again}
 }
 
-func percentile(row client.Row, q float64) string {
-	return fmt.Sprintf("%.1f", float64(row.First.ValueAtQuantile(q))/1000)
+// formatPercentile formats a percentile of the row's latency, which is recorded in microseconds, in milliseconds.
+func formatPercentile(row client.Row, percent float64) string {
+	return fmt.Sprintf("%.1f", float64(row.First.ValueAtQuantile(percent))/1000)
 }
