--- a/internal/plots/plots.go
+++ b/internal/plots/plots.go
@@ -1,5 +1,5 @@
-// Package plots draws the plots of the project's pages as pictures within a page, so that a page is one file that needs
-// nothing else. Only programs that write reports use it: the plot library alone would cost a scheduler memory.
+// Package plots renders plots as inline SVG, so that an HTML report is a single file without external resources. Only programs
+// that write reports import it, because linking the plot library would raise the memory use of a scheduler.
 package plots
 
 import (
@@ -15,22 +15,22 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// The size of a picture.
+// Size of a rendered plot.
 const (
-	width  = 18 * vg.Centimeter
-	height = 6.5 * vg.Centimeter
+	pictureWidth  = 18 * vg.Centimeter
+	pictureHeight = 6.5 * vg.Centimeter
 )
 
-// palette holds the colours of the lines of one plot, in their order.
+// palette holds the line colours of a plot in the order of use.
 var palette = []color.Color{
 	color.NRGBA{B: 160, A: 255}, color.NRGBA{R: 180, A: 255}, color.NRGBA{G: 130, A: 255},
 	color.NRGBA{R: 150, G: 100, A: 255}, color.NRGBA{R: 120, B: 120, A: 255},
 }
 
-// Color returns the colour of the i-th line of a plot.
+// Color returns the colour of line i of a plot, counted from 0. Colours repeat after the end of the palette.
 func Color(i int) color.Color { return palette[i%len(palette)] }
 
-// New returns an empty plot whose vertical axis begins at 0.
+// New returns an empty plot with the given title and axis labels, a vertical axis that starts at 0 and the legend at the top.
 func New(title, x, y string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
@@ -39,7 +39,7 @@
 	return p
 }
 
-// Line adds a line to a plot, and to its legend unless the name is empty. A line without points adds nothing.
+// Line adds a line to a plot, and a legend entry unless name is empty. Without points it adds nothing.
 func Line(p *plot.Plot, name string, points plotter.XYs, c color.Color) error {
 	if len(points) == 0 {
 		return nil
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// Points adds single points to a plot.
+// Points adds points to a plot as unconnected dots. Without points it adds nothing.
 func Points(p *plot.Plot, points plotter.XYs, c color.Color) error {
 	if len(points) == 0 {
 		return nil
@@ -71,9 +71,9 @@
 	return nil
 }
 
-// Render returns a plot as a picture within the page.
+// Render returns a plot as an SVG element to embed in an HTML page.
 func Render(p *plot.Plot) (template.HTML, error) {
-	c := vgsvg.New(width, height)
+	c := vgsvg.New(pictureWidth, pictureHeight)
 	p.Draw(draw.New(c))
 	var out bytes.Buffer
 	if _, err := c.WriteTo(&out); err != nil {
@@ -81,7 +81,7 @@
 	}
 	_, svg, ok := bytes.Cut(out.Bytes(), []byte("<svg"))
 	if !ok {
-		return "", fmt.Errorf("no picture came of a plot")
+		return "", fmt.Errorf("the plot library wrote no svg element")
 	}
-	return template.HTML("<svg" + string(svg)), nil // the library's own, which escapes the text given to it
+	return template.HTML("<svg" + string(svg)), nil // safe as HTML: the library escapes all text in its SVG output
 }
