--- a/cmd/weldreport/main.go
+++ b/cmd/weldreport/main.go
@@ -1,5 +1,6 @@
-// Command weldreport makes a page with plots of what weldscale rehearse --json wrote: one file that needs nothing else. It is
-// a program of its own, since the plot library alone would cost the scheduler memory. It must never play anything.
+// Command weldreport renders the results written by weldscale rehearse --json as a single HTML page with embedded plots. It is
+// a separate program because linking the plot library would raise the scheduler's memory use. It must never run a rehearsal
+// itself.
 package main
 
 import (
@@ -25,7 +26,7 @@
 	Out     string `help:"Write the page there." default:"report.html" placeholder:"FILE" type:"path"`
 }
 
-// run is one run of the results.
+// run is one rehearsal run in the results file.
 type run struct {
 	Script   string             `json:"script"`
 	Policy   string             `json:"policy"`
@@ -47,14 +48,14 @@
 		return err
 	}
 	var page bytes.Buffer
-	if err := report(&page, text); err != nil {
+	if err := writeReport(&page, text); err != nil {
 		return fmt.Errorf("%s: %w", c.Results, err)
 	}
 	return os.WriteFile(c.Out, page.Bytes(), 0o644)
 }
 
-// report writes the page of some results.
-func report(w io.Writer, text []byte) error {
+// writeReport writes the HTML page for the JSON results in text. It fails if a run has no result.
+func writeReport(w io.Writer, text []byte) error {
 	var runs []run
 	if err := json.Unmarshal(text, &runs); err != nil {
 		return err
@@ -63,14 +64,14 @@
 		run
 		Plots []template.HTML
 	}
-	var all []section
+	var sections []section
 	for i, r := range runs {
 		if r.Result == nil {
 			return fmt.Errorf("run %d has no result", i)
 		}
 		s := section{run: r}
-		for _, f := range []func(run) (*plot.Plot, error){worth, queues, held} {
-			p, err := f(r)
+		for _, newPlot := range []func(run) (*plot.Plot, error){plotWorth, plotQueues, plotHeld} {
+			p, err := newPlot(r)
 			if err != nil {
 				return fmt.Errorf("run %d: %w", i, err)
 			}
@@ -82,12 +83,12 @@
 				s.Plots = append(s.Plots, svg)
 			}
 		}
-		all = append(all, s)
+		sections = append(sections, s)
 	}
-	return page.Execute(w, all)
+	return pageTemplate.Execute(w, sections)
 }
 
-var page = template.Must(template.New("page").Funcs(template.FuncMap{
+var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{
 	"share": func(v float64) string { return fmt.Sprintf("%.3f", v) },
 	"per":   func(n, of int) string { return fmt.Sprintf("%.2f", float64(n)/float64(max(1, of))) },
 }).Parse(`<!DOCTYPE html>
@@ -104,16 +105,18 @@
 {{end}}{{end}}</body></html>
 `))
 
-const second = 1e6
+// microsecondsPerSecond converts emulator times, which are in microseconds, to seconds.
+const microsecondsPerSecond = 1e6
 
-// base is an empty plot over a run's time, its troubles shaded up to a height.
-func base(r run, title, y string, top float64) (*plot.Plot, error) {
+// newTimePlot returns an empty plot over the time of a run, with a vertical axis from 0 to yMax. The intervals of the run's
+// faults are shaded.
+func newTimePlot(r run, title, y string, yMax float64) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "s", y
-	p.Y.Min, p.Y.Max, p.X.Min = 0, top, 0
+	p.Y.Min, p.Y.Max, p.X.Min = 0, yMax, 0
 	for _, t := range r.Troubles {
-		from, to := float64(t.From)/second, float64(t.To)/second
-		area, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: top}, {X: from, Y: top}})
+		from, to := float64(t.From)/microsecondsPerSecond, float64(t.To)/microsecondsPerSecond
+		area, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: yMax}, {X: from, Y: yMax}})
 		if err != nil {
 			return nil, err
 		}
@@ -124,34 +127,36 @@
 	return p, nil
 }
 
-// worth is the worth in time by window.
-func worth(r run) (*plot.Plot, error) {
-	p, err := base(r, "Worth in time, of what was asked for in five seconds", "share", 1)
+// plotWorth plots, for each time window, the share of the requested worth that was reached in time. Windows without worth are
+// left out.
+func plotWorth(r run) (*plot.Plot, error) {
+	p, err := newTimePlot(r, "Worth in time, of what was asked for in five seconds", "share", 1)
 	if err != nil {
 		return nil, err
 	}
-	var line plotter.XYs
+	var points plotter.XYs
 	for _, w := range r.Result.Windows {
 		if w.Worth > 0 {
-			line = append(line, plotter.XY{X: float64(w.From)/second + 2.5, Y: w.Reached / w.Worth})
+			points = append(points, plotter.XY{X: float64(w.From)/microsecondsPerSecond + 2.5, Y: w.Reached / w.Worth})
 		}
 	}
-	return p, plots.Line(p, "", line, color.NRGBA{B: 160, A: 255})
+	return p, plots.Line(p, "", points, color.NRGBA{B: 160, A: 255})
 }
 
-// queues is what waits at boxes, and what is free.
-func queues(r run) (*plot.Plot, error) {
+// plotQueues plots the number of attempts queued at the boxes and the number of free slots. It returns nil if there are no
+// samples.
+func plotQueues(r run) (*plot.Plot, error) {
 	var queue, free plotter.XYs
-	top := 1.0
+	yMax := 1.0
 	for _, s := range r.Result.Samples {
-		queue = append(queue, plotter.XY{X: float64(s.At) / second, Y: float64(s.Queue)})
-		free = append(free, plotter.XY{X: float64(s.At) / second, Y: float64(s.Free)})
-		top = max(top, float64(s.Queue), float64(s.Free))
+		queue = append(queue, plotter.XY{X: float64(s.At) / microsecondsPerSecond, Y: float64(s.Queue)})
+		free = append(free, plotter.XY{X: float64(s.At) / microsecondsPerSecond, Y: float64(s.Free)})
+		yMax = max(yMax, float64(s.Queue), float64(s.Free))
 	}
 	if len(queue) == 0 {
 		return nil, nil
 	}
-	p, err := base(r, "Attempts that wait at boxes, and free slots", "", top)
+	p, err := newTimePlot(r, "Attempts that wait at boxes, and free slots", "", yMax)
 	if err != nil {
 		return nil, err
 	}
@@ -162,34 +167,35 @@
 	return p, plots.Line(p, "free slots", free, color.NRGBA{G: 130, A: 255})
 }
 
-// grid is what each box holds over time, as a heat map asks for it.
-type grid []emulator.Sample
+// heldGrid is the number of attempts held by each box (rows) in each sample (columns). It implements plotter.GridXYZ.
+type heldGrid []emulator.Sample
 
-func (g grid) Dims() (c, r int)   { return len(g), len(g[0].Held) }
-func (g grid) Z(c, r int) float64 { return float64(g[c].Held[r]) }
-func (g grid) X(c int) float64    { return float64(g[c].At) / second }
-func (g grid) Y(r int) float64    { return float64(r) }
+func (g heldGrid) Dims() (c, r int)   { return len(g), len(g[0].Held) }
+func (g heldGrid) Z(c, r int) float64 { return float64(g[c].Held[r]) }
+func (g heldGrid) X(c int) float64    { return float64(g[c].At) / microsecondsPerSecond }
+func (g heldGrid) Y(r int) float64    { return float64(r) }
 
-// held is what each box holds; nil where there are too few samples or boxes for a map.
-func held(r run) (*plot.Plot, error) {
-	g := grid(r.Result.Samples)
+// plotHeld plots the number of attempts held by each box over time as a heat map. It returns nil if there are fewer than two
+// samples or boxes, or if no box ever held an attempt, and an error if the samples differ in their number of boxes.
+func plotHeld(r run) (*plot.Plot, error) {
+	g := heldGrid(r.Result.Samples)
 	if len(g) < 2 || len(g[0].Held) < 2 {
 		return nil, nil
 	}
-	most := 0
+	maxHeld := 0
 	for _, s := range g {
 		if len(s.Held) != len(g[0].Held) {
-			return nil, fmt.Errorf("samples of %d and %d boxes", len(g[0].Held), len(s.Held))
+			return nil, fmt.Errorf("samples differ in the number of boxes: %d and %d", len(g[0].Held), len(s.Held))
 		}
 		for _, n := range s.Held {
-			most = max(most, n)
+			maxHeld = max(maxHeld, n)
 		}
 	}
-	if most == 0 {
+	if maxHeld == 0 {
 		return nil, nil
 	}
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = fmt.Sprintf("What each box holds, up to %d", most), "s", "box"
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = fmt.Sprintf("What each box holds, up to %d", maxHeld), "s", "box"
 	p.Add(plotter.NewHeatMap(g, moreland.ExtendedBlackBody().Palette(32)))
 	return p, nil
 }
--- a/cmd/weldreport/main_test.go
+++ b/cmd/weldreport/main_test.go
@@ -13,13 +13,14 @@
 	"weldscale/internal/emulator"
 )
 
-// Each run of the shipped scripts makes a section with its plots, its troubles shaded; names that are markup stay text.
+// Each run of a shipped script gets a section with three plots, the intervals of its faults are shaded in the plots over time,
+// and markup in a script's name is escaped.
 func TestReport(t *testing.T) {
 	paths, err := filepath.Glob("../../deploy/rehearsals/*.hcl")
 	require.NoError(t, err)
 	require.NotEmpty(t, paths)
 	var runs []run
-	troubles := 0
+	troubleCount := 0
 	for _, path := range paths {
 		s, err := emulator.Read(path)
 		require.NoError(t, err)
@@ -30,17 +31,17 @@
 		require.NoError(t, err)
 		require.Len(t, result.Samples, 31)
 		runs = append(runs, run{Script: "<b>" + filepath.Base(path), Policy: "module", Seed: 1, Result: result, Troubles: s.Troubles})
-		troubles += len(s.Troubles)
+		troubleCount += len(s.Troubles)
 	}
 	text, err := json.Marshal(runs)
 	require.NoError(t, err)
 	var out bytes.Buffer
-	require.NoError(t, report(&out, text))
+	require.NoError(t, writeReport(&out, text))
 	page := out.String()
 	assert.Equal(t, 3*len(paths), strings.Count(page, "<svg"))
-	assert.Equal(t, 2*troubles, strings.Count(page, "fill-opacity"), "once in each plot over time")
+	assert.Equal(t, 2*troubleCount, strings.Count(page, "fill-opacity"), "each fault is shaded in both plots over time")
 	assert.NotContains(t, page, "<b>")
-	for _, bad := range []string{"", "{", `[{"script":"x"}]`} {
-		assert.Error(t, report(&out, []byte(bad)), bad)
+	for _, invalid := range []string{"", "{", `[{"script":"x"}]`} {
+		assert.Error(t, writeReport(&out, []byte(invalid)), invalid)
 	}
 }
