--- a/cmd/weldfleet/status.go
+++ b/cmd/weldfleet/status.go
@@ -82,6 +82,7 @@
 	return probeJSON{Address: probe.Address, Status: &probe.Status}
 }
 
+// answered reports whether the controller replied with its status.
 func answered(probe fleetclient.Probe) bool { return probe.Err == nil }
 
 // singleLine returns the error's text with line breaks replaced by spaces.
@@ -143,9 +144,10 @@
 	return latest
 }
 
-// neverAgeMs is the age from which on an event counts as never having happened.
+// neverAgeMs is the age from which on the event is taken to have never happened.
 const neverAgeMs = int64(24 * time.Hour / time.Millisecond)
 
+// formatAge formats an age in milliseconds. It returns "never" for a negative age and from neverAgeMs on.
 func formatAge(ms int64) string {
 	if ms < 0 || ms >= neverAgeMs {
 		return "never"
--- a/internal/fleetdemo/demo.go
+++ b/internal/fleetdemo/demo.go
@@ -53,8 +53,8 @@
 	eventErr error // joined errors of the events that failed
 }
 
-// Run runs a demo for options.For and writes its events and the final table to out. It returns ErrRuleBroken if an invariant was
-// violated.
+// Run starts a fleet, loads it for options.For and stops it. It writes the events and a final table to out, and returns
+// ErrRuleBroken if an invariant was violated.
 func Run(ctx context.Context, options Options, out io.Writer) error {
 	if err := options.validate(); err != nil {
 		return err
@@ -112,7 +112,7 @@
 	return d.fleet.AwaitReady(ctx, d.Routers)
 }
 
-// configure sends a configuration that replaces the previous one.
+// configure sends a configuration that builds on the last accepted version. It fails unless the fleet accepts it.
 func (d *demo) configure(ctx context.Context, config operator.Config) error {
 	status, err := d.fleet.Operator.Replace(ctx, d.version, config)
 	switch {
