--- a/cmd/weldscale/fleet_test.go
+++ b/cmd/weldscale/fleet_test.go
@@ -302,8 +302,8 @@
 		"fleet \"x\" {\n bind = \"here:1\"\n members = 3\n keepers = [\"a\"]\n}":                    "names are not looked up",
 		"fleet \"x\" {\n bind = \"127.0.0.1:1\"\n members = 3\n keepers = [\"a\", \"a\", \"b\"]\n}": "odd number of different names",
 		"fleet \"x\" {\n bind = \"127.0.0.1:1\"\n members = 0\n keepers = [\"a\"]\n}":               "out of range; allowed is 1 to 1024",
-		"service \"s\" {\n limits { fleet_open = 3 }\n}":                                            "fleet_open without a fleet block",
-		"service \"s\" {\n limits { fleet_rate = 3 }\n}":                                            "fleet_rate without a fleet block",
+		"service \"s\" {\n limits { fleet_open = 3 }\n}":                                            "fleet_open requires a fleet block",
+		"service \"s\" {\n limits { fleet_rate = 3 }\n}":                                            "fleet_rate requires a fleet block",
 	} {
 		path := filepath.Join(t.TempDir(), "w.hcl")
 		require.NoError(t, os.WriteFile(path, []byte(text+"\n"), 0o600))
