--- a/internal/emulator/check.go
+++ b/internal/emulator/check.go
@@ -10,76 +10,77 @@
 	"weldscale/decide"
 )
 
-// This file owns the checker of the four rules. It reads an event log and the script, and nothing else of a world: what
-// it finds can't be hidden by what the model believes.
+// This file contains the checker of the four rules. It reads only an event log and the script, not the state of the
+// simulation, so that an error in the model's state cannot hide a violation.
 
-// Findings are the rules that a log breaks, each with its line, at most maxFindings.
-type Findings []string
+// Violations lists the rules that a log violates, each with the log line; at most maxViolations.
+type Violations []string
 
-const maxFindings = 100
+const maxViolations = 100
 
-// slack is how late an answer may be: a time-out and the answer to it fall on ticks of their own.
-const slack Time = 50e3
+// answerSlack is how long after the request's give-up time an answer is accepted: a timeout and the answer to it happen
+// at separate ticks.
+const answerSlack Time = 50e3
 
 type checkedRequest struct {
 	class    int
-	giveUp   Time
+	giveUpAt Time
 	answers  int
 	crashed  bool
 	attempts []checkedAttempt
 }
 
 type checkedAttempt struct {
-	at     Time
-	over   bool
-	ranNot bool // proved not to have run
+	pushedAt Time
+	ended    bool
+	neverRan bool // the outcome proves that it did not run
 }
 
-// Check reads a log to its end.
-func Check(s *Script, log io.Reader) (Findings, error) {
-	c := &checker{s: s, open: map[string]*checkedRequest{}, told: map[[2]int]Time{}}
+// Check reads a log to its end and returns the violations of the rules.
+func Check(s *Script, log io.Reader) (Violations, error) {
+	c := &checker{script: s, requests: map[string]*checkedRequest{}, unavailableSince: map[[2]int]Time{}}
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
-		if err := c.line(lines.Text()); err != nil {
+		if err := c.readLine(lines.Text()); err != nil {
 			return nil, err
 		}
 	}
 	if err := lines.Err(); err != nil {
 		return nil, err
 	}
-	for id, q := range c.open { // only counted: their order does not show
+	for id, q := range c.requests { // map order does not matter: requests are counted, and the example is the largest ID
 		if q.answers == 0 && !q.crashed {
 			c.unanswered++
-			c.example = max(c.example, id)
+			c.exampleID = max(c.exampleID, id)
 		}
 	}
 	if c.unanswered > 0 {
-		c.found(fmt.Sprintf("no request lost: %d requests without an answer, %s for one", c.unanswered, c.example))
+		c.addViolation(fmt.Sprintf("no request lost: %d requests without an answer, %s for one", c.unanswered, c.exampleID))
 	}
-	return c.out, nil
+	return c.violations, nil
 }
 
 type checker struct {
-	s          *Script
-	open       map[string]*checkedRequest
-	told       map[[2]int]Time // of node and box: when it was told that it drains or is gone
-	out        Findings
-	unanswered int
-	example    string
+	script           *Script
+	requests         map[string]*checkedRequest
+	unavailableSince map[[2]int]Time // by node and box: when the node learned that the box drains or is gone
+	violations       Violations
+	unanswered       int
+	exampleID        string
 }
 
-func (c *checker) found(text string) {
-	if len(c.out) < maxFindings {
-		c.out = append(c.out, text)
+func (c *checker) addViolation(text string) {
+	if len(c.violations) < maxViolations {
+		c.violations = append(c.violations, text)
 	}
 }
 
-// line takes in one line of the log.
-func (c *checker) line(text string) error {
+// readLine processes one line of the log.
+func (c *checker) readLine(text string) error {
 	words := strings.Fields(text)
 	if len(words) < 2 {
-		return fmt.Errorf("event log: %q is no line of it", text)
+		return fmt.Errorf("event log: line %q has fewer than two words", text)
 	}
 	at, err := strconv.ParseInt(words[0], 10, 64)
 	if err != nil {
@@ -96,107 +97,109 @@
 	}
 	switch words[1] {
 	case "arrive":
-		q := &checkedRequest{giveUp: Time(value("give_up"))}
-		for i, class := range c.s.Classes {
+		request := &checkedRequest{giveUpAt: Time(value("give_up"))}
+		for i, class := range c.script.Classes {
 			if words[3] == "class="+class.Name {
-				q.class = i
+				request.class = i
 			}
 		}
-		c.open[words[2]] = q
+		c.requests[words[2]] = request
 	case "answer":
-		q := c.open[words[2]]
-		if q == nil {
-			c.found("no request lost: an answer to none: " + text)
+		request := c.requests[words[2]]
+		if request == nil {
+			c.addViolation("no request lost: an answer to none: " + text)
 			return nil
 		}
-		q.answers++
-		q.crashed = words[3] == "crashed"
-		if q.answers > 1 {
-			c.found("no request lost: a second answer: " + text)
+		request.answers++
+		request.crashed = words[3] == "crashed"
+		if request.answers > 1 {
+			c.addViolation("no request lost: a second answer: " + text)
 		}
-		if at > q.giveUp+slack && !q.crashed {
-			c.found("no request lost: an answer after the client's time: " + text)
+		if at > request.giveUpAt+answerSlack && !request.crashed {
+			c.addViolation("no request lost: an answer after the client's time: " + text)
 		}
-		defer c.close(words[2])
-		if class := c.s.Classes[q.class]; words[3] == "refused" && class.Terms.Effect == decide.Unsafe {
-			for _, a := range q.attempts {
-				if !a.ranNot {
-					c.found("no effect twice: refused though it may have run: " + text)
+		defer c.removeIfDone(words[2])
+		if class := c.script.Classes[request.class]; words[3] == "refused" && class.Terms.Effect == decide.Unsafe {
+			for _, attempt := range request.attempts {
+				if !attempt.neverRan {
+					c.addViolation("no effect twice: refused though it may have run: " + text)
 				}
 			}
 		}
 	case "push":
 		c.push(words, text, at, value)
 	case "outcome":
-		id, n := attemptOf(words[2])
-		if q := c.open[id]; q != nil && n < len(q.attempts) {
-			q.attempts[n].over = true
-			q.attempts[n].ranNot = words[3] == "full" || words[3] == "connect_failed" || words[3] == "moot"
-			c.close(id)
+		id, n := parseAttempt(words[2])
+		if request := c.requests[id]; request != nil && n < len(request.attempts) {
+			request.attempts[n].ended = true
+			request.attempts[n].neverRan = words[3] == "full" || words[3] == "connect_failed" || words[3] == "moot"
+			c.removeIfDone(id)
 		}
 	case "told":
-		at2 := [2]int{value("node"), value("box")}
+		key := [2]int{value("node"), value("box")}
 		if value("state") == int(decide.Ready) {
-			delete(c.told, at2)
-		} else if _, known := c.told[at2]; !known {
-			c.told[at2] = at
+			delete(c.unavailableSince, key)
+		} else if _, known := c.unavailableSince[key]; !known {
+			c.unavailableSince[key] = at
 		}
-	case "node_up": // it begins with the list as it stands
-		for k := range c.told {
+	case "node_up": // a restarted node starts with the current list
+		for k := range c.unavailableSince {
 			if k[0] == value("node") {
-				delete(c.told, k)
+				delete(c.unavailableSince, k)
 			}
 		}
 	case "fall":
-		c.found("cold workers spared: " + text)
+		c.addViolation("cold workers spared: " + text)
 	}
 	return nil
 }
 
-// close forgets a request that has its answer and nothing out: a log may be long.
-func (c *checker) close(id string) {
-	q := c.open[id]
-	if q.answers == 0 {
+// removeIfDone forgets a request that is answered and has no attempts in flight, to limit memory on long logs.
+func (c *checker) removeIfDone(id string) {
+	request := c.requests[id]
+	if request.answers == 0 {
 		return
 	}
-	for _, a := range q.attempts {
-		if !a.over && !q.crashed {
+	for _, attempt := range request.attempts {
+		if !attempt.ended && !request.crashed {
 			return
 		}
 	}
-	delete(c.open, id)
+	delete(c.requests, id)
 }
 
-func attemptOf(word string) (id string, n int) {
+// parseAttempt splits REQUEST.NUMBER.
+func parseAttempt(word string) (id string, n int) {
 	id, text, _ := strings.Cut(word, ".")
 	n, _ = strconv.Atoi(text)
 	return id, n
 }
 
+// push checks one push against the rules and records the attempt.
 func (c *checker) push(words []string, text string, at Time, value func(string) int) {
-	id, n := attemptOf(words[2])
-	q := c.open[id]
-	if q == nil || q.answers > 0 {
-		c.found("no request lost: a push for a request that is over: " + text)
+	id, number := parseAttempt(words[2])
+	request := c.requests[id]
+	if request == nil || request.answers > 0 {
+		c.addViolation("no request lost: a push for a request that is over: " + text)
 		return
 	}
-	if n != len(q.attempts) {
-		c.found("no effect twice: attempts are not numbered in order: " + text)
+	if number != len(request.attempts) {
+		c.addViolation("no effect twice: attempts are not numbered in order: " + text)
 	}
-	terms := c.s.Classes[q.class].Terms
-	for _, a := range q.attempts {
+	terms := c.script.Classes[request.class].Terms
+	for _, attempt := range request.attempts {
 		switch {
-		case !a.over && !c.s.SecondCopies:
-			c.found("no effect twice: two attempts out: " + text)
-		case a.ranNot:
+		case !attempt.ended && !c.script.SecondCopies:
+			c.addViolation("no effect twice: two attempts out: " + text)
+		case attempt.neverRan:
 		case terms.Effect == decide.Unsafe:
-			c.found("no effect twice: sent again though it may have run: " + text)
-		case terms.Effect == decide.Keyed && at-a.at > terms.MemorySpan:
-			c.found("no effect twice: sent again after the key was forgotten: " + text)
+			c.addViolation("no effect twice: sent again though it may have run: " + text)
+		case terms.Effect == decide.Keyed && at-attempt.pushedAt > terms.MemorySpan:
+			c.addViolation("no effect twice: sent again after the key was forgotten: " + text)
 		}
 	}
-	if told, ok := c.told[[2]int{value("node"), value("box")}]; ok && at > told+c.s.DrainGrace {
-		c.found("drains obeyed: " + text)
+	if since, ok := c.unavailableSince[[2]int{value("node"), value("box")}]; ok && at > since+c.script.DrainGrace {
+		c.addViolation("drains obeyed: " + text)
 	}
-	q.attempts = append(q.attempts, checkedAttempt{at: at})
+	request.attempts = append(request.attempts, checkedAttempt{pushedAt: at})
 }
