--- a/internal/hollow/site.go
+++ b/internal/hollow/deployment.go
@@ -11,32 +11,32 @@
 // prefillShare is the part of the workers that reads prompts.
 const prefillShare = 0.36
 
-// site makes the configurations and the list of workers of a deployment of some size.
-type site struct {
+// deployment makes the configurations and the list of workers of a deployment of some size.
+type deployment struct {
 	models, tenants, workers int
 	zones                    []string
 	subnet                   string
 }
 
 // config returns a configuration with a route for each tenant. It differs from that of another version in one route.
-func (s site) config(version int64) operator.Config {
+func (d deployment) config(version int64) operator.Config {
 	config := operator.Config{Version: version, Limits: operator.DefaultLimits}
-	for model := range s.models {
+	for model := range d.models {
 		config.Services = append(config.Services, operator.Service{
 			Name: serviceName(model), HealthCheck: "/healthz", MaxConnections: 4000, Protocol: "h1",
 			Engine: &operator.Engine{Slots: 128, KvTokens: 940_121, KvTokenBytes: 35_136, LinkMbps: 1.1e6, Stride: 11, HandleTTLS: 5,
 				SwitchS: 2.6, Models: []operator.ModelName{{Name: modelName(model)}}},
 		})
 	}
-	for tenant := range s.tenants {
+	for tenant := range d.tenants {
 		timeout := int64(8000)
-		if int64(tenant) == version%int64(s.tenants) {
+		if int64(tenant) == version%int64(d.tenants) {
 			timeout += version % 1000
 		}
 		config.Routes = append(config.Routes, operator.Route{
 			Name: fmt.Sprintf("r-tenant-%04d", tenant), Hostname: fmt.Sprintf("tenant-%04d.press.example", tenant),
 			PathPrefix: "/v1/completions/", RouteType: "streaming", TimeoutMs: timeout, TargetLatencyMs: 310, Priority: 1,
-			Service: serviceName(tenant % s.models), MaxAttempts: 2, Sticky: true, GapAimMs: 62,
+			Service: serviceName(tenant % d.models), MaxAttempts: 2, Sticky: true, GapAimMs: 62,
 		})
 	}
 	return config
@@ -47,25 +47,25 @@
 func modelName(model int) string { return fmt.Sprintf("model-%02d", model) }
 
 // list returns the workers as the platform lists them.
-func (s site) list() []platform.Instance {
-	list := make([]platform.Instance, 0, s.workers)
-	for worker := range s.workers {
-		list = append(list, s.worker(worker))
+func (d deployment) list() []platform.Instance {
+	list := make([]platform.Instance, 0, d.workers)
+	for worker := range d.workers {
+		list = append(list, d.worker(worker))
 	}
 	return list
 }
 
-func (s site) worker(i int) platform.Instance {
+func (d deployment) worker(i int) platform.Instance {
 	const portsPerIP, firstPort, firstIP = 200, 9000, 100
 	stage := "decode"
 	if float64(i%100) < 100*prefillShare {
 		stage = "prefill"
 	}
 	return platform.Instance{
-		ID: workerID(i), Service: serviceName(i % s.models),
-		Address: fmt.Sprintf("%s.%d:%d", s.subnet, firstIP+i/portsPerIP, firstPort+i%portsPerIP),
-		Zone:    s.zones[i%len(s.zones)], Version: "v1", Slots: 128, State: platform.StateReady, Stage: stage,
-		Models: []platform.Model{{Name: modelName(i % s.models), Version: 1}},
+		ID: workerID(i), Service: serviceName(i % d.models),
+		Address: fmt.Sprintf("%s.%d:%d", d.subnet, firstIP+i/portsPerIP, firstPort+i%portsPerIP),
+		Zone:    d.zones[i%len(d.zones)], Version: "v1", Slots: 128, State: platform.StateReady, Stage: stage,
+		Models: []platform.Model{{Name: modelName(i % d.models), Version: 1}},
 	}
 }
 
@@ -73,8 +73,8 @@
 
 // changedWorker is a worker after the change of the list with that number: it drains and is ready in turn, and its version
 // tells the change.
-func (s site) changedWorker(change int) platform.Instance {
-	worker := s.worker(change * 37 % s.workers)
+func (d deployment) changedWorker(change int) platform.Instance {
+	worker := d.worker(change * 37 % d.workers)
 	worker.Version = "c" + strconv.Itoa(change)
 	if change%2 == 0 {
 		worker.State = platform.StateDraining
--- a/internal/hollow/site_test.go
+++ b/internal/hollow/deployment_test.go
@@ -11,21 +11,21 @@
 	"weldscale/internal/standin/platform"
 )
 
-func smallSite() site {
-	return site{models: 3, tenants: 7, workers: 500, zones: zones, subnet: "127.0.16"}
+func smallDeployment() deployment {
+	return deployment{models: 3, tenants: 7, workers: 500, zones: zones, subnet: "127.0.16"}
 }
 
 // The configurations are ones that controllers take, and one route differs from version to version.
 func TestConfigIsValid(t *testing.T) {
-	body, err := json.Marshal(smallSite().config(5))
+	body, err := json.Marshal(smallDeployment().config(5))
 	require.NoError(t, err)
 	config, err := fleetconfig.Parse(body)
 	require.NoError(t, err)
 	assert.Len(t, config.Routes, 7)
 	assert.Len(t, config.Services, 3)
 	differ := 0
-	after := smallSite().config(6)
-	before := smallSite().config(5)
+	after := smallDeployment().config(6)
+	before := smallDeployment().config(5)
 	for i := range before.Routes {
 		if before.Routes[i].TimeoutMs != after.Routes[i].TimeoutMs {
 			differ++
@@ -37,7 +37,7 @@
 // Workers have ids and addresses of their own, and a bit more than a third of them reads prompts.
 func TestList(t *testing.T) {
 	ids, addresses, prefill := map[string]bool{}, map[string]bool{}, 0
-	for _, worker := range smallSite().list() {
+	for _, worker := range smallDeployment().list() {
 		ids[worker.ID], addresses[worker.Address] = true, true
 		if worker.Stage == "prefill" {
 			prefill++
@@ -51,11 +51,11 @@
 // Each change makes one worker differ from what it was before.
 func TestChangedWorker(t *testing.T) {
 	all := map[string]platform.Instance{}
-	for _, worker := range smallSite().list() {
+	for _, worker := range smallDeployment().list() {
 		all[worker.ID] = worker
 	}
 	for change := 1; change < 2000; change++ {
-		worker := smallSite().changedWorker(change)
+		worker := smallDeployment().changedWorker(change)
 		assert.NotEqual(t, all[worker.ID], worker)
 		all[worker.ID] = worker
 	}
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -46,23 +46,23 @@
 	roundTimeout = 3 * time.Minute
 )
 
-var errOptions = errors.New("options")
+var errInvalidOptions = errors.New("options")
 
 func (o Options) check() error {
 	for _, schedulers := range o.Schedulers {
 		if least := max(minSchedulers, 2*o.Samples); schedulers < least || schedulers > maxSchedulers {
-			return fmt.Errorf("%w: %d schedulers; %d to %d are possible", errOptions, schedulers, least, maxSchedulers)
+			return fmt.Errorf("%w: %d schedulers; %d to %d are possible", errInvalidOptions, schedulers, least, maxSchedulers)
 		}
 	}
 	switch {
 	case len(o.Schedulers) == 0:
-		return fmt.Errorf("%w: no number of schedulers", errOptions)
+		return fmt.Errorf("%w: no number of schedulers", errInvalidOptions)
 	case o.Controllers < 3 || o.Controllers > maxControllers:
-		return fmt.Errorf("%w: %d controllers; 3 to %d are possible", errOptions, o.Controllers, maxControllers)
+		return fmt.Errorf("%w: %d controllers; 3 to %d are possible", errInvalidOptions, o.Controllers, maxControllers)
 	case o.Samples < 1 || o.Full < 1 || o.Workers < 2 || o.Models < 1 || o.Tenants < 1:
-		return fmt.Errorf("%w: samples, full members, models and tenants must be above 0, workers above 1", errOptions)
+		return fmt.Errorf("%w: samples, full members, models and tenants must be above 0, workers above 1", errInvalidOptions)
 	case o.Phase <= 0 || o.ConfigEvery <= 0 || o.ListEvery <= 0 || o.RestartEvery <= 0:
-		return fmt.Errorf("%w: spans must be above 0", errOptions)
+		return fmt.Errorf("%w: spans must be above 0", errInvalidOptions)
 	}
 	return nil
 }
@@ -82,7 +82,7 @@
 	}
 	results := &Results{Options: options, Began: time.Now(), Load: loadAverages()}
 	for _, schedulers := range options.Schedulers {
-		round, err := playRound(ctx, options, schedulers)
+		round, err := runRound(ctx, options, schedulers)
 		if err != nil {
 			return results, fmt.Errorf("%d schedulers: %w", schedulers, err)
 		}
--- a/internal/hollow/member.go
+++ b/internal/hollow/member.go
@@ -58,105 +58,105 @@
 	light   bool
 	started time.Time
 	agent   *agent.Agent
-	newest  atomic.Pointer[watch.Snapshot]
+	latest  atomic.Pointer[watch.Snapshot]
 	stop    context.CancelFunc
 	running sync.WaitGroup
 }
 
 // startMember starts an agent and its router. The book is told of each snapshot that is in force at the router or, at a light
 // one, of each version that has come.
-func startMember(ctx context.Context, given *settings.Settings, light bool, counted *traffic, notes *book) (*member, error) {
-	listener, err := net.Listen("tcp", given.AgentAddress())
+func startMember(ctx context.Context, nodeSettings *settings.Settings, light bool, totals *traffic, tracker *changeTracker) (*member, error) {
+	listener, err := net.Listen("tcp", nodeSettings.AgentAddress())
 	if err != nil {
 		return nil, eris.Wrap(err, "listen for the router")
 	}
 	ctx, stop := context.WithCancel(ctx)
 	log := zap.NewNop()
 	m := &member{light: light, started: time.Now(), stop: stop}
-	m.agent = agent.NewWithClient(given, transport.NewClientWithDial(counted.dial), log)
-	notes.add(m)
+	m.agent = agent.NewWithClient(nodeSettings, transport.NewClientWithDial(totals.dial), log)
+	tracker.add(m)
 	m.running.Go(func() { _ = m.agent.Serve(ctx, listener) })
-	learned := func(snapshot *watch.Snapshot) {
-		m.newest.Store(snapshot)
-		notes.learned(m, snapshot, time.Now())
+	onSnapshot := func(snapshot *watch.Snapshot) {
+		m.latest.Store(snapshot)
+		tracker.observe(m, snapshot, time.Now())
 	}
 	if light {
-		m.running.Go(func() { followLightly(ctx, given, learned) })
+		m.running.Go(func() { pollWithoutDecoding(ctx, nodeSettings, onSnapshot) })
 		return m, nil
 	}
-	served := newRouter(given, log)
+	memberRouter := newRouter(nodeSettings, log)
 	m.running.Go(func() {
-		router.Follow(ctx, given, func(snapshot *watch.Snapshot) {
-			served.Update(snapshot)
-			learned(snapshot)
+		router.Follow(ctx, nodeSettings, func(snapshot *watch.Snapshot) {
+			memberRouter.Update(snapshot)
+			onSnapshot(snapshot)
 		}, log)
 	})
 	return m, nil
 }
 
-// followLightly polls an agent as a router does, without decoding.
-func followLightly(ctx context.Context, given *settings.Settings, learned func(*watch.Snapshot)) {
+// pollWithoutDecoding polls an agent as a router does, without decoding.
+func pollWithoutDecoding(ctx context.Context, nodeSettings *settings.Settings, onSnapshot func(*watch.Snapshot)) {
 	client := transport.NewClient()
 	defer client.Close()
-	agents := []string{given.AgentAddress()}
+	agents := []string{nodeSettings.AgentAddress()}
 	watch.NewFollower(watch.FollowerOptions{
-		Self:    fleetwire.Member{Name: given.NodeName, Role: fleetwire.RoleRouter},
+		Self:    fleetwire.Member{Name: nodeSettings.NodeName, Role: fleetwire.RoleRouter},
 		Sources: func() []string { return agents },
-		Client:  lightCaller{client: client, learned: learned},
+		Client:  nonDecodingCaller{client: client, onSnapshot: onSnapshot},
 		// As of a router: an agent is left later than a controller.
 		MaxQuorumAge: 3 * time.Second,
 	}).Run(ctx)
 }
 
-// lightCaller reads off the answers to polls what they bring.
-type lightCaller struct {
-	client  *transport.Client
-	learned func(*watch.Snapshot)
+// nonDecodingCaller reads off the answers to polls what they bring.
+type nonDecodingCaller struct {
+	client     *transport.Client
+	onSnapshot func(*watch.Snapshot)
 }
 
 // Call implements watch.Caller.
-func (c lightCaller) Call(ctx context.Context, address, path string, request, reply any) error {
+func (c nonDecodingCaller) Call(ctx context.Context, address, path string, request, reply any) error {
 	if err := c.client.Call(ctx, address, path, request, reply); err != nil {
 		return err
 	}
 	if answer, ok := reply.(*fleetwire.WatchReply); ok {
-		c.learned(&watch.Snapshot{Version: answer.Now, Routers: answer.Routers, At: time.Now()})
+		c.onSnapshot(&watch.Snapshot{Version: answer.Now, Routers: answer.Routers, At: time.Now()})
 	}
 	return nil
 }
 
-func newRouter(given *settings.Settings, log *zap.Logger) *router.Router {
+func newRouter(nodeSettings *settings.Settings, log *zap.Logger) *router.Router {
 	var zones []string
-	for zone := range given.Zones {
+	for zone := range nodeSettings.Zones {
 		zones = append(zones, zone)
 	}
 	return router.New(router.Options{
-		Placer: placement.New(placement.Options{Zone: given.Zone, Zones: zones, BudgetRatio: given.Bounds.RetryBudgetRatio,
-			BudgetSlack: given.Bounds.BudgetSlack, BudgetWindow: given.Bounds.BudgetWindow(), Log: log}),
+		Placer: placement.New(placement.Options{Zone: nodeSettings.Zone, Zones: zones, BudgetRatio: nodeSettings.Bounds.RetryBudgetRatio,
+			BudgetSlack: nodeSettings.Bounds.BudgetSlack, BudgetWindow: nodeSettings.Bounds.BudgetWindow(), Log: log}),
 		Pool: upstream.New(upstream.Options{}),
 		Log:  log,
 	})
 }
 
 // end stops the member and waits for its parts.
-func (m *member) end(notes *book) {
-	notes.remove(m)
+func (m *member) shutDown(tracker *changeTracker) {
+	tracker.remove(m)
 	m.stop()
 	m.running.Wait()
 }
 
 // memberSettings are the settings of the i-th hollow machine.
-func memberSettings(i, life int, subnet string, zones, seeds []string) *settings.Settings {
-	const perNet = 250
-	var net int
-	_, _ = fmt.Sscanf(subnet, "127.0.%d", &net)
-	given := &settings.Settings{
-		NodeName: fmt.Sprintf("hollow-%04d-%d", i, life), Role: "router", MachineClass: "frontend",
-		IP: fmt.Sprintf("127.%d.%d.%d", net, 1+i/perNet, 1+i%perNet), Zone: zones[i%len(zones)], Region: "here",
+func memberSettings(i, generation int, subnet string, zones, seeds []string) *settings.Settings {
+	const membersPerSubnet = 250
+	var subnetNumber int
+	_, _ = fmt.Sscanf(subnet, "127.0.%d", &subnetNumber)
+	nodeSettings := &settings.Settings{
+		NodeName: fmt.Sprintf("hollow-%04d-%d", i, generation), Role: "router", MachineClass: "frontend",
+		IP: fmt.Sprintf("127.%d.%d.%d", subnetNumber, 1+i/membersPerSubnet, 1+i%membersPerSubnet), Zone: zones[i%len(zones)], Region: "here",
 		Zones: map[string]string{}, InternalPorts: [2]int{7720, 7735}, Seeds: seeds, Bounds: settings.DefaultBounds(),
 	}
 	for _, zone := range zones {
-		given.Zones[zone] = "here"
+		nodeSettings.Zones[zone] = "here"
 	}
-	return given
+	return nodeSettings
 }
--- a/internal/hollow/pace.go
+++ b/internal/hollow/pace.go
@@ -9,12 +9,12 @@
 // next ones; those that would come after the span are left out.
 func pace(ctx context.Context, span time.Duration, count int, do func(i int) error) error {
 	if count <= 0 {
-		return wait(ctx, span)
+		return sleep(ctx, span)
 	}
 	start := time.Now()
 	step := span / time.Duration(count)
 	for i := range count {
-		if err := wait(ctx, time.Duration(i+1)*step-time.Since(start)); err != nil {
+		if err := sleep(ctx, time.Duration(i+1)*step-time.Since(start)); err != nil {
 			return err
 		}
 		if time.Since(start) > span {
@@ -28,7 +28,7 @@
 }
 
 // wait returns after a span, or with an error once ctx is done.
-func wait(ctx context.Context, span time.Duration) error {
+func sleep(ctx context.Context, span time.Duration) error {
 	timer := time.NewTimer(max(span, 0))
 	defer timer.Stop()
 	select {
--- a/internal/hollow/pace_test.go
+++ b/internal/hollow/pace_test.go
@@ -25,13 +25,13 @@
 }
 
 // Slow calls are not made up for after the span.
-func TestPaceOfSlowCalls(t *testing.T) {
+func TestPaceWithSlowCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls := 0
 		start := time.Now()
 		require.NoError(t, pace(t.Context(), 10*time.Second, 10, func(int) error {
 			calls++
-			return wait(t.Context(), 3500*time.Millisecond)
+			return sleep(t.Context(), 3500*time.Millisecond)
 		}))
 		assert.Less(t, calls, 5)
 		assert.Less(t, time.Since(start), 14*time.Second)
--- a/internal/hollow/phase.go
+++ b/internal/hollow/phase.go
@@ -12,8 +12,8 @@
 	"weldscale/internal/standin/fleet"
 )
 
-// playPhases plays the loads one after the other. Each begins once the one before is in force everywhere.
-func (r *round) playPhases(ctx context.Context) error {
+// runPhases plays the loads one after the other. Each begins once the one before is in force everywhere.
+func (r *round) runPhases(ctx context.Context) error {
 	span := r.options.Phase
 	count := func(every time.Duration) int { return int(span / every) }
 	configs, lists, restarts := count(r.options.ConfigEvery), count(r.options.ListEvery), count(r.options.RestartEvery)
@@ -25,10 +25,10 @@
 	}
 	var configTook, listTook []time.Duration
 	for _, phase := range phases {
-		if err := r.playPhase(ctx, &phase); err != nil {
+		if err := r.runPhase(ctx, &phase); err != nil {
 			return err
 		}
-		took, missed := r.closeChanges(ctx)
+		took, missed := r.awaitChanges(ctx)
 		r.result.Missed += missed
 		switch phase.Name {
 		case phaseConfigs:
@@ -37,53 +37,53 @@
 			listTook = append(listTook, took...)
 		}
 		r.result.Phases = append(r.result.Phases, phase)
-		r.say("%s played", phase.Name)
+		r.reportProgress("%s played", phase.Name)
 	}
-	r.result.Config, r.result.List = spreadOf(configTook), spreadOf(listTook)
+	r.result.Config, r.result.List = newDurationStats(configTook), newDurationStats(listTook)
 	return nil
 }
 
-// closeChanges waits a while for the last changes to reach everyone and returns how long each took.
-func (r *round) closeChanges(ctx context.Context) ([]time.Duration, int) {
+// awaitChanges waits a while for the last changes to reach everyone and returns how long each took.
+func (r *round) awaitChanges(ctx context.Context) ([]time.Duration, int) {
 	limit := time.After(lastChangeSpan)
-	for _, c := range r.notes.pending() {
+	for _, c := range r.tracker.pending() {
 		select {
-		case <-c.all:
+		case <-c.allSeen:
 		case <-limit:
-			return r.notes.close()
+			return r.tracker.finish()
 		case <-ctx.Done():
-			return r.notes.close()
+			return r.tracker.finish()
 		}
 	}
-	return r.notes.close()
+	return r.tracker.finish()
 }
 
 // pending returns the open changes.
-func (b *book) pending() []*change {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return slices.Clone(b.open)
+func (t *changeTracker) pending() []*change {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return slices.Clone(t.open)
 }
 
-func (r *round) playPhase(ctx context.Context, phase *Phase) error {
+func (r *round) runPhase(ctx context.Context, phase *Phase) error {
 	r.awaitReader(ctx)
 	before, err := r.measure(ctx)
 	if err != nil {
 		return err
 	}
-	if err := r.load(ctx, phase); err != nil {
+	if err := r.applyChanges(ctx, phase); err != nil {
 		return err
 	}
 	after, err := r.measure(ctx)
 	if err != nil {
 		return err
 	}
-	phase.fill(before, after, len(r.members))
+	phase.setCosts(before, after, len(r.members))
 	return nil
 }
 
-// load makes the changes of a phase and notes how many there were.
-func (r *round) load(ctx context.Context, phase *Phase) error {
+// load makes the changes of a phase and tracker how many there were.
+func (r *round) applyChanges(ctx context.Context, phase *Phase) error {
 	var working sync.WaitGroup
 	failures := make([]error, 3)
 	start := func(i int, count *int, do func(i int) error) {
@@ -105,7 +105,7 @@
 			return err
 		}
 	}
-	return wait(ctx, phaseTail)
+	return sleep(ctx, phaseTail)
 }
 
 // phaseTail lets the last change of a phase take effect while it is still measured.
@@ -127,7 +127,7 @@
 }
 
 func (r *round) measure(ctx context.Context) (*measurement, error) {
-	out := &measurement{reader: r.reader(ctx), at: time.Now(), read: r.counted.read.Load(), written: r.counted.written.Load()}
+	out := &measurement{reader: r.reader(ctx), at: time.Now(), read: r.totals.read.Load(), written: r.totals.written.Load()}
 	out.calls, out.limited = r.fleet.Platform.Calls()
 	out.roles = r.rolesTaken()
 	var err error
@@ -164,8 +164,8 @@
 // awaitReader waits until some controller reads the list: on a machine that others keep busy the role may be on its way.
 func (r *round) awaitReader(ctx context.Context) {
 	const span = 20 * time.Second
-	if within(ctx, span, func() bool { return r.reader(ctx) >= 0 }) != nil {
-		r.say("no controller reads the list")
+	if waitUntil(ctx, span, func() bool { return r.reader(ctx) >= 0 }) != nil {
+		r.reportProgress("no controller reads the list")
 	}
 }
 
@@ -184,7 +184,7 @@
 }
 
 // fill works out what each process used between two measurements.
-func (p *Phase) fill(before, after *measurement, members int) {
+func (p *Phase) setCosts(before, after *measurement, members int) {
 	p.Span = after.at.Sub(before.at)
 	var others []Cost
 	for i := range after.controllers {
@@ -202,7 +202,7 @@
 	p.Member.In = perSecond(float64(after.read-before.read), p.Span) / float64(members)
 	p.Calls = perSecond(float64(after.calls-before.calls), p.Span)
 	p.Limited = perSecond(float64(after.limited-before.limited), p.Span)
-	p.Roles = after.roles - before.roles
+	p.RolesTaken = after.roles - before.roles
 	p.Member.Out = perSecond(float64(after.written-before.written), p.Span) / float64(members)
 }
 
--- a/internal/hollow/round.go
+++ b/internal/hollow/round.go
@@ -17,12 +17,12 @@
 type Round struct {
 	Schedulers  int
 	Controllers int
-	Start       Spread // from the start of all members at once until each had the configuration and the list
+	Start       DurationStats // from the start of all members at once until each had the configuration and the list
 	Phases      []Phase
-	Config      Spread // from the acknowledgement until it is in force at a router, over all routers and changes
-	List        Spread // from the platform's entry until a router has it
-	Missed      int    // changes that a router that was there all the time never had
-	Notices     []Notice
+	Config      DurationStats // from the acknowledgement until it is in force at a router, over all routers and changes
+	List        DurationStats // from the platform's entry until a router has it
+	Missed      int           // changes that a router that was there all the time never had
+	Recoveries  []Recovery
 	ConfigBytes int // of a configuration as the operator sends it
 }
 
@@ -48,7 +48,7 @@
 	Member     Cost    // the harness divided by its members; bytes are those between agent and controller
 	Calls      float64 // of the platform's list, a second
 	Limited    float64 // of them refused as too many, a second
-	Roles      int     // roles that controllers took
+	RolesTaken int     // roles that controllers took
 }
 
 // Cost is what one process used.
@@ -60,16 +60,16 @@
 
 // round is one under way.
 type round struct {
-	options Options
-	site    site
-	fleet   *fleet.Fleet
-	members []*member
-	notes   *book
-	counted traffic
-	version int64 // of the configuration
-	lists   int   // changes of the list so far
-	lives   int   // members started so far
-	result  Round
+	options       Options
+	deployment    deployment
+	fleet         *fleet.Fleet
+	members       []*member
+	tracker       *changeTracker
+	totals        traffic
+	configVersion int64 // of the configuration
+	listChanges   int   // changes of the list so far
+	memberStarts  int   // members started so far
+	result        Round
 }
 
 const (
@@ -81,12 +81,12 @@
 	lastChangeSpan = 5 * time.Second
 )
 
-func playRound(ctx context.Context, options Options, schedulers int) (*Round, error) {
+func runRound(ctx context.Context, options Options, schedulers int) (*Round, error) {
 	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
-	r := &round{options: options, notes: newBook(), result: Round{Schedulers: schedulers, Controllers: options.Controllers}}
+	r := &round{options: options, tracker: newChangeTracker(), result: Round{Schedulers: schedulers, Controllers: options.Controllers}}
 	defer r.close()
-	steps := []func(context.Context) error{r.startFleet, r.startMembers, r.playPhases, r.playTroubles}
+	steps := []func(context.Context) error{r.startFleet, r.startMembers, r.runPhases, r.injectFailures}
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
 			return nil, err
@@ -107,7 +107,7 @@
 	}
 }
 
-func (r *round) say(format string, values ...any) {
+func (r *round) reportProgress(format string, values ...any) {
 	_, _ = fmt.Fprintf(r.options.Progress, "%d schedulers: %s\n", r.result.Schedulers, fmt.Sprintf(format, values...))
 }
 
@@ -119,9 +119,9 @@
 		return err
 	}
 	r.fleet = running
-	r.site = site{models: r.options.Models, tenants: r.options.Tenants, workers: r.options.Workers, zones: zones,
+	r.deployment = deployment{models: r.options.Models, tenants: r.options.Tenants, workers: r.options.Workers, zones: zones,
 		subnet: running.Subnet()}
-	running.Platform.Put(r.site.list()...)
+	running.Platform.Put(r.deployment.list()...)
 	return r.changeConfig(ctx)
 }
 
@@ -130,21 +130,21 @@
 
 // changeConfig sends the next configuration and has the book await it.
 func (r *round) changeConfig(ctx context.Context) error {
-	base := r.version
-	r.version++
-	body, err := json.Marshal(r.site.config(r.version))
+	base := r.configVersion
+	r.configVersion++
+	body, err := json.Marshal(r.deployment.config(r.configVersion))
 	if err != nil {
 		return err
 	}
 	r.result.ConfigBytes = len(body)
-	expected := r.notes.begin(true, holdsConfig(r.version))
+	expected := r.tracker.track(true, hasConfig(r.configVersion))
 	status, err := r.operator().ReplaceRaw(ctx, base, body)
-	r.notes.acknowledged(expected, time.Now())
+	r.tracker.setStart(expected, time.Now())
 	if err != nil {
 		return err
 	}
 	if status != http.StatusOK {
-		return fmt.Errorf("configuration %d was answered %d", r.version, status)
+		return fmt.Errorf("configuration %d was answered %d", r.configVersion, status)
 	}
 	return nil
 }
@@ -153,15 +153,15 @@
 
 // changeList changes one worker on the platform's list and has the book await it.
 func (r *round) changeList() *change {
-	r.lists++
-	worker := r.site.changedWorker(r.lists)
+	r.listChanges++
+	worker := r.deployment.changedWorker(r.listChanges)
 	r.fleet.Platform.Put(worker)
-	return r.notes.begin(false, holdsInstance(worker.ID, worker.Version))
+	return r.tracker.track(false, hasInstance(worker.ID, worker.Version))
 }
 
 // startMembers starts all members at once and waits until all have the configuration and the list.
 func (r *round) startMembers(ctx context.Context) error {
-	r.notes.close() // the first configuration, which no member was there to see
+	r.tracker.finish() // the first configuration, which no member was there to see
 	count := r.result.Schedulers - r.options.Samples
 	for range count {
 		if err := r.addMember(len(r.members)); err != nil {
@@ -169,10 +169,10 @@
 		}
 	}
 	var took []time.Duration
-	err := within(ctx, readyTimeout, func() bool {
+	err := waitUntil(ctx, readyTimeout, func() bool {
 		took = took[:0]
 		for _, m := range r.members {
-			snapshot := m.newest.Load()
+			snapshot := m.latest.Load()
 			if snapshot == nil || snapshot.Version.ConfigRevision == 0 || snapshot.Version.Instances == (fleetwire.ListVersion{}) {
 				return false
 			}
@@ -186,16 +186,16 @@
 	if err != nil {
 		return fmt.Errorf("the members did not get their first state: %w", err)
 	}
-	r.result.Start = spreadOf(took)
-	r.say("all started, %v at worst", r.result.Start.Worst.Round(time.Millisecond))
-	return wait(ctx, settleSpan)
+	r.result.Start = newDurationStats(took)
+	r.reportProgress("all started, %v at worst", r.result.Start.Worst.Round(time.Millisecond))
+	return sleep(ctx, settleSpan)
 }
 
 // addMember starts the i-th member, in the place of the one before it if there was one.
 func (r *round) addMember(i int) error {
-	r.lives++
-	given := memberSettings(i, r.lives, r.fleet.Subnet(), zones, r.fleet.Controls()[:3])
-	started, err := startMember(context.Background(), given, i >= r.options.Full, &r.counted, r.notes)
+	r.memberStarts++
+	nodeSettings := memberSettings(i, r.memberStarts, r.fleet.Subnet(), zones, r.fleet.Controls()[:3])
+	started, err := startMember(context.Background(), nodeSettings, i >= r.options.Full, &r.totals, r.tracker)
 	if err != nil {
 		return err
 	}
@@ -209,17 +209,17 @@
 
 func (r *round) restartMember(i int) error {
 	i %= len(r.members)
-	r.members[i].end(r.notes)
+	r.members[i].shutDown(r.tracker)
 	return r.addMember(i)
 }
 
 // within checks a condition often until it holds.
-func within(ctx context.Context, span time.Duration, holds func() bool) error {
+func waitUntil(ctx context.Context, span time.Duration, condition func() bool) error {
 	const every = 5 * time.Millisecond
 	ctx, cancel := context.WithTimeout(ctx, span)
 	defer cancel()
-	for !holds() {
-		if err := wait(ctx, every); err != nil {
+	for !condition() {
+		if err := sleep(ctx, every); err != nil {
 			return err
 		}
 	}
--- a/internal/hollow/statistics.go
+++ b/internal/hollow/statistics.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Spread describes many durations.
-type Spread struct {
+// DurationStats describes many durations.
+type DurationStats struct {
 	Count           int
 	P50, P99, Worst time.Duration
 }
 
-// spreadOf returns the spread of durations, which it sorts.
-func spreadOf(all []time.Duration) Spread {
+// newDurationStats returns the spread of durations, which it sorts.
+func newDurationStats(all []time.Duration) DurationStats {
 	slices.Sort(all)
-	return Spread{Count: len(all), P50: percentile(all, 0.5), P99: percentile(all, 0.99), Worst: percentile(all, 1)}
+	return DurationStats{Count: len(all), P50: percentile(all, 0.5), P99: percentile(all, 0.99), Worst: percentile(all, 1)}
 }
 
 // percentile returns the smallest of sorted durations that is at least as large as the given share of them; 0 of none.
--- a/internal/hollow/statistics_test.go
+++ b/internal/hollow/statistics_test.go
@@ -37,13 +37,13 @@
 	})
 }
 
-func TestSpread(t *testing.T) {
-	assert.Equal(t, Spread{Count: 3, P50: 2, P99: 3, Worst: 3}, spreadOf([]time.Duration{3, 1, 2}))
-	assert.Zero(t, spreadOf(nil))
+func TestDurationStats(t *testing.T) {
+	assert.Equal(t, DurationStats{Count: 3, P50: 2, P99: 3, Worst: 3}, newDurationStats([]time.Duration{3, 1, 2}))
+	assert.Zero(t, newDurationStats(nil))
 }
 
 // The line through points of a line is that line.
-func TestFitOfALine(t *testing.T) {
+func TestFitOfExactLine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base, slope := rapid.Float64Range(-100, 100).Draw(t, "base"), rapid.Float64Range(-5, 5).Draw(t, "slope")
 		xs := []float64{50, 100, 200, 410}
--- a/internal/hollow/table.go
+++ b/internal/hollow/table.go
@@ -26,48 +26,48 @@
 	for _, round := range rounds {
 		table.Schedulers = append(table.Schedulers, round.Schedulers)
 	}
-	for _, figure := range figures {
-		table.Rows = append(table.Rows, newRow(figure, rounds))
+	for _, metric := range metrics {
+		table.Rows = append(table.Rows, newRow(metric, rounds))
 	}
-	for i := range noticesOf(rounds) {
-		table.Rows = append(table.Rows, noticeRows(rounds, i)...)
+	for i := range recoveriesOf(rounds) {
+		table.Rows = append(table.Rows, recoveryRows(rounds, i)...)
 	}
 	return table
 }
 
-func newRow(figure figure, rounds []Round) Row {
-	row := Row{Name: figure.name, Unit: figure.unit}
+func newRow(metric metric, rounds []Round) Row {
+	row := Row{Name: metric.name, Unit: metric.unit}
 	var xs []float64
 	for i := range rounds {
 		xs = append(xs, float64(rounds[i].Schedulers))
-		row.Values = append(row.Values, figure.value(&rounds[i]))
+		row.Values = append(row.Values, metric.value(&rounds[i]))
 	}
 	row.Fit = fitLine(xs, row.Values)
 	return row
 }
 
-func noticesOf(rounds []Round) []Notice {
+func recoveriesOf(rounds []Round) []Recovery {
 	if len(rounds) == 0 {
 		return nil
 	}
-	return rounds[0].Notices
+	return rounds[0].Recoveries
 }
 
-func noticeRows(rounds []Round, i int) []Row {
-	what := rounds[0].Notices[i].What
+func recoveryRows(rounds []Round, i int) []Row {
+	what := rounds[0].Recoveries[i].Failure
 	return []Row{
-		newRow(figure{what + ", p50", "ms", func(r *Round) float64 { return milliseconds(r.Notices[i].Took.P50) }}, rounds),
-		newRow(figure{what + ", worst", "ms", func(r *Round) float64 { return milliseconds(r.Notices[i].Took.Worst) }}, rounds),
+		newRow(metric{what + ", p50", "ms", func(r *Round) float64 { return milliseconds(r.Recoveries[i].Took.P50) }}, rounds),
+		newRow(metric{what + ", worst", "ms", func(r *Round) float64 { return milliseconds(r.Recoveries[i].Took.Worst) }}, rounds),
 	}
 }
 
 // figure is how one row comes of a round.
-type figure struct {
+type metric struct {
 	name, unit string
 	value      func(*Round) float64
 }
 
-var figures = []figure{
+var metrics = []metric{
 	{"agent, idle: processor", "% of a core", func(r *Round) float64 { return 100 * r.phase(phaseIdle).Agent.CPU }},
 	{"agent, idle: from controllers", "B/s", func(r *Round) float64 { return r.phase(phaseIdle).Member.In }},
 	{"agent, idle: to controllers", "B/s", func(r *Round) float64 { return r.phase(phaseIdle).Member.Out }},
@@ -128,7 +128,7 @@
 func (r *Round) rolesMoved() int {
 	moved := 0
 	for _, phase := range r.Phases {
-		moved += phase.Roles
+		moved += phase.RolesTaken
 	}
 	return moved
 }
@@ -174,9 +174,9 @@
 	for _, row := range t.Rows {
 		line := fmt.Sprintf(name, row.Name, row.Unit)
 		for _, value := range row.Values {
-			line += fmt.Sprintf(" %10s", number(value))
+			line += fmt.Sprintf(" %10s", formatNumber(value))
 		}
-		fit := fmt.Sprintf("%s + %s n, %.2f", number(row.Fit.Base), number(row.Fit.Slope), row.Fit.R2)
+		fit := fmt.Sprintf("%s + %s n, %.2f", formatNumber(row.Fit.Base), formatNumber(row.Fit.Slope), row.Fit.R2)
 		if _, err := fmt.Fprintf(w, "%s   %s\n", line, fit); err != nil {
 			return err
 		}
@@ -185,7 +185,7 @@
 }
 
 // number writes a value to three digits or, where it is larger, as a whole number.
-func number(value float64) string {
+func formatNumber(value float64) string {
 	if value >= 1000 || value <= -1000 {
 		return fmt.Sprintf("%.0f", value)
 	}
