--- a/cmd/weldhollow/main.go
+++ b/cmd/weldhollow/main.go
@@ -1,5 +1,5 @@
-// Command weldhollow measures what the control of a fleet costs as it grows: hollow members before real controllers, by
-// package hollow.
+// Command weldhollow measures what the fleet's control plane costs as the number of members grows. It runs hollow members against
+// real controllers; package hollow does the measuring.
 package main
 
 import (
@@ -23,7 +23,7 @@
 	}
 }
 
-// The flags.
+// Names of the flags.
 const (
 	flagSchedulers  = "schedulers"
 	flagControllers = "controllers"
@@ -41,23 +41,23 @@
 )
 
 func command() *cli.Command {
-	standard := hollow.DefaultOptions()
+	defaults := hollow.DefaultOptions()
 	return &cli.Command{
 		Name:   "weldhollow",
 		Usage:  "measure the control of a fleet by members without traffic; ends by itself",
 		Action: run,
 		Flags: []cli.Flag{
-			&cli.IntSliceFlag{Name: flagSchedulers, Usage: "a round for each `NUMBER`", Value: standard.Schedulers},
-			&cli.IntFlag{Name: flagControllers, Usage: "processes, 3 to 9", Value: standard.Controllers},
-			&cli.IntFlag{Name: flagSamples, Usage: "schedulers that are processes of their own", Value: standard.Samples},
-			&cli.IntFlag{Name: flagFull, Usage: "hollow members that decode what they are given", Value: standard.Full},
-			&cli.IntFlag{Name: flagWorkers, Usage: "on the platform's list", Value: standard.Workers},
-			&cli.IntFlag{Name: flagModels, Usage: "services of the configuration", Value: standard.Models},
-			&cli.IntFlag{Name: flagTenants, Usage: "routes of the configuration", Value: standard.Tenants},
-			&cli.DurationFlag{Name: flagPhase, Usage: "span of each phase", Value: standard.Phase},
-			&cli.DurationFlag{Name: flagConfigs, Usage: "between configurations", Value: standard.ConfigEvery},
-			&cli.DurationFlag{Name: flagLists, Usage: "between changes of the list", Value: standard.ListEvery},
-			&cli.DurationFlag{Name: flagRestarts, Usage: "between restarts of members", Value: standard.RestartEvery},
+			&cli.IntSliceFlag{Name: flagSchedulers, Usage: "a round for each `NUMBER`", Value: defaults.Schedulers},
+			&cli.IntFlag{Name: flagControllers, Usage: "processes, 3 to 9", Value: defaults.Controllers},
+			&cli.IntFlag{Name: flagSamples, Usage: "schedulers that are processes of their own", Value: defaults.Samples},
+			&cli.IntFlag{Name: flagFull, Usage: "hollow members that decode what they are given", Value: defaults.Full},
+			&cli.IntFlag{Name: flagWorkers, Usage: "on the platform's list", Value: defaults.Workers},
+			&cli.IntFlag{Name: flagModels, Usage: "services of the configuration", Value: defaults.Models},
+			&cli.IntFlag{Name: flagTenants, Usage: "routes of the configuration", Value: defaults.Tenants},
+			&cli.DurationFlag{Name: flagPhase, Usage: "span of each phase", Value: defaults.Phase},
+			&cli.DurationFlag{Name: flagConfigs, Usage: "between configurations", Value: defaults.ConfigEvery},
+			&cli.DurationFlag{Name: flagLists, Usage: "between changes of the list", Value: defaults.ListEvery},
+			&cli.DurationFlag{Name: flagRestarts, Usage: "between restarts of members", Value: defaults.RestartEvery},
 			&cli.StringFlag{Name: flagPrograms, Usage: "`DIRECTORY` of the fleet's programs; by default they are built"},
 			&cli.StringFlag{Name: flagReport, Usage: "write a page with plots to `FILE`"},
 		},
--- a/internal/hollow/deployment.go
+++ b/internal/hollow/deployment.go
@@ -8,17 +8,17 @@
 	"weldscale/internal/standin/platform"
 )
 
-// prefillShare is the part of the workers that reads prompts.
+// prefillShare is the fraction of workers in the prefill stage.
 const prefillShare = 0.36
 
-// deployment makes the configurations and the list of workers of a deployment of some size.
+// deployment generates the configurations and the worker list of a deployment of a given size.
 type deployment struct {
 	models, tenants, workers int
 	zones                    []string
 	subnet                   string
 }
 
-// config returns a configuration with a route for each tenant. It differs from that of another version in one route.
+// config returns a configuration with a route for each tenant. One route, chosen by the version, has a timeout that depends on it.
 func (d deployment) config(version int64) operator.Config {
 	config := operator.Config{Version: version, Limits: operator.DefaultLimits}
 	for model := range d.models {
@@ -46,7 +46,7 @@
 
 func modelName(model int) string { return fmt.Sprintf("model-%02d", model) }
 
-// list returns the workers as the platform lists them.
+// list returns all workers in the platform's format.
 func (d deployment) list() []platform.Instance {
 	list := make([]platform.Instance, 0, d.workers)
 	for worker := range d.workers {
@@ -71,8 +71,8 @@
 
 func workerID(i int) string { return fmt.Sprintf("w-%04d-%08x", i, uint32(i)*2654435761) }
 
-// changedWorker is a worker after the change of the list with that number: it drains and is ready in turn, and its version
-// tells the change.
+// changedWorker returns the worker that the given change of the list updates. The worker drains after even changes and is ready
+// after odd ones, and its version contains the number of the change.
 func (d deployment) changedWorker(change int) platform.Instance {
 	worker := d.worker(change * 37 % d.workers)
 	worker.Version = "c" + strconv.Itoa(change)
--- a/internal/hollow/deployment_test.go
+++ b/internal/hollow/deployment_test.go
@@ -15,7 +15,8 @@
 	return deployment{models: 3, tenants: 7, workers: 500, zones: zones, subnet: "127.0.16"}
 }
 
-// The configurations are ones that controllers take, and one route differs from version to version.
+// Generated configurations are valid, and consecutive versions differ in two routes: one returns to the default timeout and the
+// next one gets its own.
 func TestConfigIsValid(t *testing.T) {
 	body, err := json.Marshal(smallDeployment().config(5))
 	require.NoError(t, err)
@@ -31,10 +32,10 @@
 			differ++
 		}
 	}
-	assert.Equal(t, 2, differ, "one goes back and one moves")
+	assert.Equal(t, 2, differ, "one route returns to the default timeout and another gets its own")
 }
 
-// Workers have ids and addresses of their own, and a bit more than a third of them reads prompts.
+// Workers have unique IDs and addresses, and 36% of them are prefill workers.
 func TestList(t *testing.T) {
 	ids, addresses, prefill := map[string]bool{}, map[string]bool{}, 0
 	for _, worker := range smallDeployment().list() {
@@ -48,7 +49,7 @@
 	assert.Equal(t, 180, prefill)
 }
 
-// Each change makes one worker differ from what it was before.
+// Each change alters one existing worker.
 func TestChangedWorker(t *testing.T) {
 	all := map[string]platform.Instance{}
 	for _, worker := range smallDeployment().list() {
@@ -62,7 +63,7 @@
 	assert.Len(t, all, 500)
 }
 
-// Members have addresses of their own.
+// Members have unique addresses.
 func TestMemberSettings(t *testing.T) {
 	addresses := map[string]bool{}
 	for i := range 1000 {
--- a/internal/hollow/failures.go
+++ b/internal/hollow/failures.go
@@ -9,14 +9,14 @@
 	"weldscale/internal/standin/fleet"
 )
 
-// Recovery is how long the fleet took to get over a failure.
+// Recovery holds how long the fleet took to recover from a failure.
 type Recovery struct {
 	Failure string
-	Took    DurationStats // over the members that it concerned
-	Missed  int           // members that had not got over it in recoveryTimeout
+	Took    DurationStats // over the affected members
+	Missed  int           // affected members that had not recovered within recoveryTimeout
 }
 
-// What fails, and when a member is over it.
+// The injected failures, each with the condition under which a member has recovered.
 const (
 	failureReaderKilled      = "reader of the list killed: until a change after it is there"
 	failureKilled            = "controller killed: until its agents follow another"
@@ -25,33 +25,33 @@
 )
 
 const (
-	// recoveryTimeout bounds the wait for each.
+	// recoveryTimeout limits the wait for the recovery from each failure.
 	recoveryTimeout = 12 * time.Second
-	// rejoinSpan is how long a controller that was started again gets to be back.
+	// rejoinSpan is the time given to a restarted or resumed controller to rejoin.
 	rejoinSpan = 3 * time.Second
-	// stoppedDivisor is the part of the schedulers that end at once: a rack.
+	// stoppedDivisor sets the number of schedulers that stop at once: 1 in 20, as in the loss of a rack.
 	stoppedDivisor = 20
 )
 
-// injectFailures lets controllers and schedulers fail, one kind after the other.
+// injectFailures injects the failures one after the other and records each recovery.
 func (r *round) injectFailures(ctx context.Context) error {
-	for _, play := range []func(context.Context) error{r.killReader, r.killController, r.freezeController, r.stopSchedulers} {
-		if err := play(ctx); err != nil {
+	for _, inject := range []func(context.Context) error{r.killReader, r.killController, r.freezeController, r.stopSchedulers} {
+		if err := inject(ctx); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *round) recordRecovery(what string, took []time.Duration, missed int) {
-	recovery := Recovery{Failure: what, Took: newDurationStats(took), Missed: missed}
+func (r *round) recordRecovery(failure string, took []time.Duration, missed int) {
+	recovery := Recovery{Failure: failure, Took: newDurationStats(took), Missed: missed}
 	r.result.Recoveries = append(r.result.Recoveries, recovery)
-	r.reportProgress("%s: %v at worst", what, recovery.Took.Worst.Round(time.Millisecond))
+	r.reportProgress("%s: %v at worst", failure, recovery.Took.Worst.Round(time.Millisecond))
 }
 
 func (r *round) killReader(ctx context.Context) error {
-	at := max(r.reader(ctx), 0)
-	process := r.fleet.Controllers[at]
+	index := max(r.reader(ctx), 0)
+	process := r.fleet.Controllers[index]
 	process.Kill()
 	r.changeList()
 	took, missed := r.awaitChangesWithin(ctx, recoveryTimeout)
@@ -99,7 +99,7 @@
 	return sleep(ctx, rejoinSpan)
 }
 
-// mostFollowed returns the controller with most agents, the reader aside, and these.
+// mostFollowed returns the controller with the most agents, not counting the reader, and the members of these agents.
 func (r *round) mostFollowed(ctx context.Context) (*fleet.Process, []*member) {
 	reader := r.reader(ctx)
 	most := 0
@@ -113,7 +113,8 @@
 	return r.fleet.Controllers[most], followers[most]
 }
 
-// leaving makes a controller fail and measures how long its agents take until each follows another one.
+// measureFailover makes a controller fail and measures how long each of its agents takes to follow another one. If the failure
+// can't be injected, all followers count as missed.
 func (r *round) measureFailover(ctx context.Context, followers []*member, fail func() error) (took []time.Duration, missed int) {
 	before := make(map[*member]string, len(followers))
 	for _, m := range followers {
@@ -135,27 +136,28 @@
 	return took, len(before)
 }
 
-// stopSchedulers ends some members without a word and measures how long the others take to be told the new number.
+// stopSchedulers stops some members without notice to the controllers and measures how long the others take to receive the new
+// number of routers.
 func (r *round) stopSchedulers(ctx context.Context) error {
 	stopping := max(1, len(r.members)/stoppedDivisor)
-	ended := time.Now()
+	stopped := time.Now()
 	for _, m := range r.members[:stopping] {
 		m.shutDown(r.tracker)
 	}
 	r.members = r.members[stopping:]
-	want := len(r.members) + r.options.Samples
-	left := slices.Clone(r.members)
+	wantRouters := len(r.members) + r.options.Samples
+	remaining := slices.Clone(r.members)
 	var took []time.Duration
 	_ = waitUntil(ctx, recoveryTimeout, func() bool {
-		left = slices.DeleteFunc(left, func(m *member) bool {
-			done := m.latest.Load().Routers == want
+		remaining = slices.DeleteFunc(remaining, func(m *member) bool {
+			done := m.latest.Load().Routers == wantRouters
 			if done {
-				took = append(took, time.Since(ended))
+				took = append(took, time.Since(stopped))
 			}
 			return done
 		})
-		return len(left) == 0
+		return len(remaining) == 0
 	})
-	r.recordRecovery(failureSchedulersStopped, took, len(left))
+	r.recordRecovery(failureSchedulersStopped, took, len(remaining))
 	return nil
 }
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -1,7 +1,8 @@
-// Package hollow measures what the control of a fleet costs as it grows. It runs many hollow members in one process, each the
-// real agent and the real router of a machine without any client, before real controllers in processes of their own and a
-// stand-in of the platform whose workers exist only on its list. Configurations, workers and members change faster than in
-// service, so that figures come within a minute; each change's cost is what a phase with changes uses beyond an idle one.
+// Package hollow measures what the fleet's control plane costs as the number of members grows. It runs many hollow members in one
+// process, each with the real agent and the real router of a machine but without clients. The controllers are real and run in
+// separate processes; a stand-in plays the platform, and its workers exist only in its list. Configurations, workers and members
+// change faster than in production, so that a run takes about a minute. The cost of a change is what a phase with changes uses
+// beyond an idle phase.
 package hollow
 
 import (
@@ -12,24 +13,24 @@
 	"time"
 )
 
-// Options describe a run. All must be set.
+// Options configures a run. All fields must be set.
 type Options struct {
-	Programs     string // directory of the built programs
+	Programs     string // directory of the compiled programs
 	Schedulers   []int  // one round for each
 	Controllers  int
-	Samples      int // schedulers that run as processes of their own, for what one process uses
-	Full         int // members that decode and derive what they are given, as routers do
+	Samples      int // schedulers that run as separate processes, to measure the cost of one process
+	Full         int // members that decode messages and derive their routing state, as routers do
 	Workers      int
 	Models       int
-	Tenants      int           // each has a route
-	Phase        time.Duration // span of each phase
-	ConfigEvery  time.Duration // between configurations
-	ListEvery    time.Duration // between changes of the list of workers
-	RestartEvery time.Duration // between restarts of members
+	Tenants      int           // one route each
+	Phase        time.Duration // duration of each phase
+	ConfigEvery  time.Duration // interval between configurations
+	ListEvery    time.Duration // interval between changes of the worker list
+	RestartEvery time.Duration // interval between restarts of members
 	Progress     io.Writer
 }
 
-// DefaultOptions are those of the target, with changes far faster than in service.
+// DefaultOptions returns the size of the target deployment, with changes far more frequent than in production.
 func DefaultOptions() Options {
 	return Options{
 		Schedulers: []int{50, 100, 200, 410}, Controllers: 9, Samples: 3, Full: 20, Workers: 950, Models: 35, Tenants: 1400,
@@ -39,10 +40,10 @@
 }
 
 const (
-	minSchedulers  = 5 // of which the samples are a part
+	minSchedulers  = 5 // including the samples
 	maxSchedulers  = 1000
 	maxControllers = 9
-	// roundTimeout ends a round that hangs.
+	// roundTimeout aborts a round that hangs.
 	roundTimeout = 3 * time.Minute
 )
 
@@ -51,31 +52,31 @@
 func (o Options) check() error {
 	for _, schedulers := range o.Schedulers {
 		if least := max(minSchedulers, 2*o.Samples); schedulers < least || schedulers > maxSchedulers {
-			return fmt.Errorf("%w: %d schedulers; %d to %d are possible", errInvalidOptions, schedulers, least, maxSchedulers)
+			return fmt.Errorf("%w: %d schedulers; must be %d to %d", errInvalidOptions, schedulers, least, maxSchedulers)
 		}
 	}
 	switch {
 	case len(o.Schedulers) == 0:
-		return fmt.Errorf("%w: no number of schedulers", errInvalidOptions)
+		return fmt.Errorf("%w: no scheduler counts", errInvalidOptions)
 	case o.Controllers < 3 || o.Controllers > maxControllers:
-		return fmt.Errorf("%w: %d controllers; 3 to %d are possible", errInvalidOptions, o.Controllers, maxControllers)
+		return fmt.Errorf("%w: %d controllers; must be 3 to %d", errInvalidOptions, o.Controllers, maxControllers)
 	case o.Samples < 1 || o.Full < 1 || o.Workers < 2 || o.Models < 1 || o.Tenants < 1:
 		return fmt.Errorf("%w: samples, full members, models and tenants must be above 0, workers above 1", errInvalidOptions)
 	case o.Phase <= 0 || o.ConfigEvery <= 0 || o.ListEvery <= 0 || o.RestartEvery <= 0:
-		return fmt.Errorf("%w: spans must be above 0", errInvalidOptions)
+		return fmt.Errorf("%w: durations and intervals must be above 0", errInvalidOptions)
 	}
 	return nil
 }
 
-// Results are what a run has measured.
+// Results holds the measurements of a run.
 type Results struct {
 	Options Options `json:"-"`
 	Began   time.Time
-	Load    string // the machine's load averages at the start: others may have used it as well
+	Load    string // load averages of the machine at the start; other processes may have used it too
 	Rounds  []Round
 }
 
-// Run plays the rounds one after the other.
+// Run runs one round for each scheduler count, in sequence. If a round fails, the results hold the rounds before it.
 func Run(ctx context.Context, options Options) (*Results, error) {
 	if err := options.check(); err != nil {
 		return nil, err
--- a/internal/hollow/member.go
+++ b/internal/hollow/member.go
@@ -24,7 +24,7 @@
 // traffic counts the bytes on the connections from agents to controllers.
 type traffic struct{ read, written atomic.Int64 }
 
-// countedConn adds what passes a connection to a count.
+// countedConn adds the bytes read from and written to a connection to count.
 type countedConn struct {
 	net.Conn
 	count *traffic
@@ -51,9 +51,9 @@
 	return countedConn{Conn: connection, count: t}, nil
 }
 
-// member is a scheduler without clients: the agent and the router of one machine, within the process of the harness. All of
-// them is real but the sockets for clients. The router of a light one takes the messages of its agent and doesn't decode them:
-// hundreds that did would keep the machine busy with what as many machines do in service.
+// member is a scheduler without clients: the agent and the router of one machine, run in the harness process. Everything but the
+// client sockets is real. The router of a light member receives the messages of its agent without decoding them, because hundreds
+// of decoding routers would load this machine with the work of as many machines in production.
 type member struct {
 	light   bool
 	started time.Time
@@ -63,17 +63,18 @@
 	running sync.WaitGroup
 }
 
-// startMember starts an agent and its router. The book is told of each snapshot that is in force at the router or, at a light
-// one, of each version that has come.
-func startMember(ctx context.Context, nodeSettings *settings.Settings, light bool, totals *traffic, tracker *changeTracker) (*member, error) {
+// startMember starts an agent and its router. It reports to tracker each snapshot that the router has applied or, for a light
+// member, each version that it has received.
+func startMember(ctx context.Context, nodeSettings *settings.Settings, light bool, agentTraffic *traffic,
+	tracker *changeTracker) (*member, error) {
 	listener, err := net.Listen("tcp", nodeSettings.AgentAddress())
 	if err != nil {
-		return nil, eris.Wrap(err, "listen for the router")
+		return nil, eris.Wrap(err, "listen for the router of a hollow member")
 	}
 	ctx, stop := context.WithCancel(ctx)
 	log := zap.NewNop()
 	m := &member{light: light, started: time.Now(), stop: stop}
-	m.agent = agent.NewWithClient(nodeSettings, transport.NewClientWithDial(totals.dial), log)
+	m.agent = agent.NewWithClient(nodeSettings, transport.NewClientWithDial(agentTraffic.dial), log)
 	tracker.add(m)
 	m.running.Go(func() { _ = m.agent.Serve(ctx, listener) })
 	onSnapshot := func(snapshot *watch.Snapshot) {
@@ -94,7 +95,7 @@
 	return m, nil
 }
 
-// pollWithoutDecoding polls an agent as a router does, without decoding.
+// pollWithoutDecoding polls an agent as a router does, but doesn't decode the messages.
 func pollWithoutDecoding(ctx context.Context, nodeSettings *settings.Settings, onSnapshot func(*watch.Snapshot)) {
 	client := transport.NewClient()
 	defer client.Close()
@@ -103,12 +104,12 @@
 		Self:    fleetwire.Member{Name: nodeSettings.NodeName, Role: fleetwire.RoleRouter},
 		Sources: func() []string { return agents },
 		Client:  nonDecodingCaller{client: client, onSnapshot: onSnapshot},
-		// As of a router: an agent is left later than a controller.
+		// The same value as in a router, which gives up an agent later than an agent gives up a controller.
 		MaxQuorumAge: 3 * time.Second,
 	}).Run(ctx)
 }
 
-// nonDecodingCaller reads off the answers to polls what they bring.
+// nonDecodingCaller reports the versions and the router count in each poll reply.
 type nonDecodingCaller struct {
 	client     *transport.Client
 	onSnapshot func(*watch.Snapshot)
@@ -138,21 +139,22 @@
 	})
 }
 
-// end stops the member and waits for its parts.
+// shutDown stops the member and waits for its goroutines.
 func (m *member) shutDown(tracker *changeTracker) {
 	tracker.remove(m)
 	m.stop()
 	m.running.Wait()
 }
 
-// memberSettings are the settings of the i-th hollow machine.
+// memberSettings returns the settings of the i-th hollow machine. The generation makes the node name unique after a restart.
 func memberSettings(i, generation int, subnet string, zones, seeds []string) *settings.Settings {
 	const membersPerSubnet = 250
 	var subnetNumber int
 	_, _ = fmt.Sscanf(subnet, "127.0.%d", &subnetNumber)
 	nodeSettings := &settings.Settings{
 		NodeName: fmt.Sprintf("hollow-%04d-%d", i, generation), Role: "router", MachineClass: "frontend",
-		IP: fmt.Sprintf("127.%d.%d.%d", subnetNumber, 1+i/membersPerSubnet, 1+i%membersPerSubnet), Zone: zones[i%len(zones)], Region: "here",
+		IP:   fmt.Sprintf("127.%d.%d.%d", subnetNumber, 1+i/membersPerSubnet, 1+i%membersPerSubnet),
+		Zone: zones[i%len(zones)], Region: "here",
 		Zones: map[string]string{}, InternalPorts: [2]int{7720, 7735}, Seeds: seeds, Bounds: settings.DefaultBounds(),
 	}
 	for _, zone := range zones {
--- a/internal/hollow/pace.go
+++ b/internal/hollow/pace.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// pace calls do in even steps, count times over a span, until ctx is done. A call that takes longer than a step delays the
-// next ones; those that would come after the span are left out.
+// pace calls do count times at even intervals over span, until ctx is done or a call fails. A call that takes longer than one
+// interval delays the following ones; calls that would start after span are skipped.
 func pace(ctx context.Context, span time.Duration, count int, do func(i int) error) error {
 	if count <= 0 {
 		return sleep(ctx, span)
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// wait returns after a span, or with an error once ctx is done.
+// sleep returns after span, or returns the context's error once ctx is done.
 func sleep(ctx context.Context, span time.Duration) error {
 	timer := time.NewTimer(max(span, 0))
 	defer timer.Stop()
--- a/internal/hollow/pace_test.go
+++ b/internal/hollow/pace_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Calls come in even steps, and the last one at the end of the span.
+// Calls are made at even intervals, the last one at the end of the span.
 func TestPace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -24,7 +24,7 @@
 	})
 }
 
-// Slow calls are not made up for after the span.
+// Calls delayed by slow ones are not made after the span.
 func TestPaceWithSlowCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls := 0
@@ -38,7 +38,7 @@
 	})
 }
 
-// Without calls it waits; a failure and the end of the context end it.
+// With a count of 0, pace sleeps for the span. A failed call and a cancelled context end it early.
 func TestPaceEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
--- a/internal/hollow/phase.go
+++ b/internal/hollow/phase.go
@@ -12,7 +12,7 @@
 	"weldscale/internal/standin/fleet"
 )
 
-// runPhases plays the loads one after the other. Each begins once the one before is in force everywhere.
+// runPhases runs the phases in sequence. Each starts once every member has the changes of the one before, or after lastChangeSpan.
 func (r *round) runPhases(ctx context.Context) error {
 	span := r.options.Phase
 	count := func(every time.Duration) int { return int(span / every) }
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// awaitChanges waits a while for the last changes to reach everyone and returns how long each took.
+// awaitChanges waits up to lastChangeSpan for all members to see the open changes. It returns what changeTracker.finish returns.
 func (r *round) awaitChanges(ctx context.Context) ([]time.Duration, int) {
 	limit := time.After(lastChangeSpan)
 	for _, c := range r.tracker.pending() {
@@ -82,14 +82,14 @@
 	return nil
 }
 
-// load makes the changes of a phase and tracker how many there were.
+// applyChanges makes the changes of a phase and sets the phase's counts to the number actually made.
 func (r *round) applyChanges(ctx context.Context, phase *Phase) error {
-	var working sync.WaitGroup
+	var changers sync.WaitGroup
 	failures := make([]error, 3)
 	start := func(i int, count *int, do func(i int) error) {
 		planned := *count
 		*count = 0
-		working.Go(func() {
+		changers.Go(func() {
 			failures[i] = pace(ctx, phase.Span, planned, func(at int) error {
 				*count++
 				return do(at)
@@ -99,7 +99,7 @@
 	start(0, &phase.Configs, func(int) error { return r.changeConfig(ctx) })
 	start(1, &phase.Lists, func(int) error { r.changeList(); return nil })
 	start(2, &phase.Restarts, r.restartMember)
-	working.Wait()
+	changers.Wait()
 	for _, err := range failures {
 		if err != nil {
 			return err
@@ -108,10 +108,10 @@
 	return sleep(ctx, phaseTail)
 }
 
-// phaseTail lets the last change of a phase take effect while it is still measured.
+// phaseTail extends the measurement so that it includes the effect of a phase's last change.
 const phaseTail = 700 * time.Millisecond
 
-// measurement is what all processes have used up to a moment.
+// measurement holds the cumulative resource usage of all processes at one time.
 type measurement struct {
 	at          time.Time
 	reader      int // index of the controller that reads the list, -1 if none is known
@@ -119,15 +119,15 @@
 	agents      []usage
 	routers     []usage
 	harness     usage
-	read        int64 // by hollow agents from controllers
+	read        int64 // bytes read by hollow agents from controllers
 	written     int64
-	calls       int // of the platform's list
+	calls       int // to the platform's list
 	limited     int
-	roles       int // taken so far
+	roles       int // role changes so far
 }
 
 func (r *round) measure(ctx context.Context) (*measurement, error) {
-	out := &measurement{reader: r.reader(ctx), at: time.Now(), read: r.totals.read.Load(), written: r.totals.written.Load()}
+	out := &measurement{reader: r.reader(ctx), at: time.Now(), read: r.agentTraffic.read.Load(), written: r.agentTraffic.written.Load()}
 	out.calls, out.limited = r.fleet.Platform.Calls()
 	out.roles = r.rolesTaken()
 	var err error
@@ -149,7 +149,7 @@
 	return out, nil
 }
 
-// rolesTaken counts the lines in which controllers told that they took a role.
+// rolesTaken counts the lines of the controllers' logs that report a role as taken.
 func (r *round) rolesTaken() int {
 	taken := 0
 	for _, controller := range r.fleet.Controllers {
@@ -161,7 +161,7 @@
 // readerRole is the role of the controller that reads the platform's list.
 const readerRole = "instances/reader"
 
-// awaitReader waits until some controller reads the list: on a machine that others keep busy the role may be on its way.
+// awaitReader waits until a controller holds the reader role, which may be moving between controllers on a busy machine.
 func (r *round) awaitReader(ctx context.Context) {
 	const span = 20 * time.Second
 	if waitUntil(ctx, span, func() bool { return r.reader(ctx) >= 0 }) != nil {
@@ -183,7 +183,7 @@
 	return -1
 }
 
-// fill works out what each process used between two measurements.
+// setCosts computes the costs of a phase from the measurements before and after it.
 func (p *Phase) setCosts(before, after *measurement, members int) {
 	p.Span = after.at.Sub(before.at)
 	var others []Cost
--- a/internal/hollow/report.go
+++ b/internal/hollow/report.go
@@ -10,7 +10,8 @@
 	"weldscale/internal/plots"
 )
 
-// Report writes a page with the table and a plot of each figure over the number of schedulers, with its line.
+// Report writes an HTML page with the table and, for each row, a plot of its values over the number of schedulers with the fitted
+// line.
 func Report(w io.Writer, results *Results) error {
 	table := NewTable(results.Rounds)
 	content := struct {
@@ -25,11 +26,11 @@
 	}
 	content.Text = text.String()
 	for _, row := range table.Rows {
-		picture, err := draw(table.Schedulers, row)
+		plotHTML, err := draw(table.Schedulers, row)
 		if err != nil {
 			return err
 		}
-		content.Plots = append(content.Plots, picture)
+		content.Plots = append(content.Plots, plotHTML)
 	}
 	return page.Execute(w, content)
 }
--- a/internal/hollow/round.go
+++ b/internal/hollow/round.go
@@ -13,17 +13,17 @@
 	"weldscale/internal/standin/operator"
 )
 
-// Round is what was measured at one number of schedulers.
+// Round holds the measurements at one number of schedulers.
 type Round struct {
 	Schedulers  int
 	Controllers int
-	Start       DurationStats // from the start of all members at once until each had the configuration and the list
+	Start       DurationStats // from the simultaneous start of all members until each had the configuration and the list
 	Phases      []Phase
-	Config      DurationStats // from the acknowledgement until it is in force at a router, over all routers and changes
+	Config      DurationStats // from the acknowledgement until a router applies it, over all routers and changes
 	List        DurationStats // from the platform's entry until a router has it
-	Missed      int           // changes that a router that was there all the time never had
+	Missed      int           // changes that a router running all the time never received
 	Recoveries  []Recovery
-	ConfigBytes int // of a configuration as the operator sends it
+	ConfigBytes int // size of a configuration as the operator sends it
 }
 
 // Phase names.
@@ -34,38 +34,38 @@
 	phaseAll     = "all, with restarts"
 )
 
-// Phase is what a span of one kind of load used.
+// Phase holds the changes made and the resources used during one kind of load.
 type Phase struct {
 	Name       string
 	Span       time.Duration
 	Configs    int // changes of each kind
 	Lists      int
 	Restarts   int
-	Controller Cost // mean of the controllers but the reader
+	Controller Cost // mean of the controllers without the reader
 	Reader     Cost // the controller that reads the platform's list
 	Agent      Cost // mean of the sample processes
 	Router     Cost
-	Member     Cost    // the harness divided by its members; bytes are those between agent and controller
-	Calls      float64 // of the platform's list, a second
-	Limited    float64 // of them refused as too many, a second
-	RolesTaken int     // roles that controllers took
+	Member     Cost    // harness usage per member; bytes are those between agents and controllers
+	Calls      float64 // requests for the platform's list per second
+	Limited    float64 // requests rejected by the platform's rate limit, per second
+	RolesTaken int     // roles that controllers took over
 }
 
-// Cost is what one process used.
+// Cost is the resource usage of one process.
 type Cost struct {
-	CPU     float64 // share of a core
-	In, Out float64 // bytes a second, with files
+	CPU     float64 // fraction of a core
+	In, Out float64 // bytes per second, including file I/O
 	Memory  float64 // bytes
 }
 
-// round is one under way.
+// round is the state of a running round.
 type round struct {
 	options       Options
 	deployment    deployment
 	fleet         *fleet.Fleet
 	members       []*member
 	tracker       *changeTracker
-	totals        traffic
+	agentTraffic  traffic
 	configVersion int64 // of the configuration
 	listChanges   int   // changes of the list so far
 	memberStarts  int   // members started so far
@@ -73,11 +73,11 @@
 }
 
 const (
-	// readyTimeout bounds the start of the members.
+	// readyTimeout limits the time until all members have their first snapshot.
 	readyTimeout = 40 * time.Second
-	// settleSpan lets start-up work end before the first phase.
+	// settleSpan lets start-up work finish before the first phase.
 	settleSpan = 3 * time.Second
-	// lastChangeSpan is how long the last changes of a phase may take to reach everyone.
+	// lastChangeSpan limits how long a phase waits for its last changes to reach every member.
 	lastChangeSpan = 5 * time.Second
 )
 
@@ -111,7 +111,8 @@
 	_, _ = fmt.Fprintf(r.options.Progress, "%d schedulers: %s\n", r.result.Schedulers, fmt.Sprintf(format, values...))
 }
 
-// startFleet starts the controllers, the samples and the platform with its list, and sends the first configuration.
+// startFleet starts the controllers, the sample schedulers and the platform, fills the worker list and sends the first
+// configuration.
 func (r *round) startFleet(ctx context.Context) error {
 	running, err := fleet.Start(fleet.Options{Programs: r.options.Programs, Zones: zones, Controllers: r.options.Controllers,
 		Routers: r.options.Samples})
@@ -125,10 +126,10 @@
 	return r.changeConfig(ctx)
 }
 
-// zones are those of the target.
+// zones are the zones of the target deployment.
 var zones = []string{"zone-a", "zone-b", "zone-c", "zone-d", "zone-e"}
 
-// changeConfig sends the next configuration and has the book await it.
+// changeConfig sends the next configuration and tracks it.
 func (r *round) changeConfig(ctx context.Context) error {
 	base := r.configVersion
 	r.configVersion++
@@ -144,14 +145,14 @@
 		return err
 	}
 	if status != http.StatusOK {
-		return fmt.Errorf("configuration %d was answered %d", r.configVersion, status)
+		return fmt.Errorf("operator API answered configuration %d with status %d", r.configVersion, status)
 	}
 	return nil
 }
 
 func (r *round) operator() *operator.Operator { return r.fleet.Operator }
 
-// changeList changes one worker on the platform's list and has the book await it.
+// changeList changes one worker in the platform's list and tracks the change.
 func (r *round) changeList() *change {
 	r.listChanges++
 	worker := r.deployment.changedWorker(r.listChanges)
@@ -161,7 +162,7 @@
 
 // startMembers starts all members at once and waits until all have the configuration and the list.
 func (r *round) startMembers(ctx context.Context) error {
-	r.tracker.finish() // the first configuration, which no member was there to see
+	r.tracker.finish() // drops the first configuration, which was sent before any member started
 	count := r.result.Schedulers - r.options.Samples
 	for range count {
 		if err := r.addMember(len(r.members)); err != nil {
@@ -184,18 +185,18 @@
 		return true
 	})
 	if err != nil {
-		return fmt.Errorf("the members did not get their first state: %w", err)
+		return fmt.Errorf("waiting for the first snapshot of all members: %w", err)
 	}
 	r.result.Start = newDurationStats(took)
 	r.reportProgress("all started, %v at worst", r.result.Start.Worst.Round(time.Millisecond))
 	return sleep(ctx, settleSpan)
 }
 
-// addMember starts the i-th member, in the place of the one before it if there was one.
+// addMember starts the i-th member and replaces its predecessor, if any.
 func (r *round) addMember(i int) error {
 	r.memberStarts++
 	nodeSettings := memberSettings(i, r.memberStarts, r.fleet.Subnet(), zones, r.fleet.Controls()[:3])
-	started, err := startMember(context.Background(), nodeSettings, i >= r.options.Full, &r.totals, r.tracker)
+	started, err := startMember(context.Background(), nodeSettings, i >= r.options.Full, &r.agentTraffic, r.tracker)
 	if err != nil {
 		return err
 	}
@@ -213,7 +214,7 @@
 	return r.addMember(i)
 }
 
-// within checks a condition often until it holds.
+// waitUntil polls condition until it holds. It returns an error if that takes longer than span or ctx is done.
 func waitUntil(ctx context.Context, span time.Duration, condition func() bool) error {
 	const every = 5 * time.Millisecond
 	ctx, cancel := context.WithTimeout(ctx, span)
@@ -226,7 +227,7 @@
 	return nil
 }
 
-// loadAverages returns those of the machine.
+// loadAverages returns the load averages of the machine, or "unknown".
 func loadAverages() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
--- a/internal/hollow/statistics.go
+++ b/internal/hollow/statistics.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// DurationStats describes many durations.
+// DurationStats summarizes a set of durations.
 type DurationStats struct {
 	Count           int
 	P50, P99, Worst time.Duration
 }
 
-// newDurationStats returns the spread of durations, which it sorts.
+// newDurationStats returns the statistics of durations. It sorts all in place.
 func newDurationStats(all []time.Duration) DurationStats {
 	slices.Sort(all)
 	return DurationStats{Count: len(all), P50: percentile(all, 0.5), P99: percentile(all, 0.99), Worst: percentile(all, 1)}
 }
 
-// percentile returns the smallest of sorted durations that is at least as large as the given share of them; 0 of none.
+// percentile returns the smallest of the sorted durations that is at least as large as the given fraction of them (nearest rank).
+// It returns 0 if there are none.
 func percentile(sorted []time.Duration, share float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -30,13 +31,13 @@
 // Fit is a straight line through measured points.
 type Fit struct {
 	Base, Slope float64
-	R2          float64 // share of the points' variance that the line explains
+	R2          float64 // coefficient of determination; 0 if it is undefined
 }
 
-// At returns the line's value.
+// At returns the value of the line at x.
 func (f Fit) At(x float64) float64 { return f.Base + f.Slope*x }
 
-// fitLine returns the line of least squares. Of fewer than two different x it is flat.
+// fitLine returns the least-squares line. With fewer than two distinct xs it is horizontal at the mean of ys.
 func fitLine(xs, ys []float64) Fit {
 	meanX, meanY := mean(xs), mean(ys)
 	var xx, xy, yy float64
@@ -68,7 +69,7 @@
 	return sum / float64(len(values))
 }
 
-// perSecond is a rate over a span.
+// perSecond returns count divided by span in seconds, or 0 if span is not positive.
 func perSecond(count float64, span time.Duration) float64 {
 	if span <= 0 {
 		return 0
--- a/internal/hollow/statistics_test.go
+++ b/internal/hollow/statistics_test.go
@@ -17,7 +17,7 @@
 	assert.Zero(t, percentile(nil, 0.5))
 }
 
-// At least the share of all values is at or below a percentile, and it is one of them.
+// At least the given fraction of the values is at or below a percentile, and the percentile is one of the values.
 func TestPercentileProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		values := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) time.Duration {
@@ -42,7 +42,7 @@
 	assert.Zero(t, newDurationStats(nil))
 }
 
-// The line through points of a line is that line.
+// The fit of points on a line is that line.
 func TestFitOfExactLine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base, slope := rapid.Float64Range(-100, 100).Draw(t, "base"), rapid.Float64Range(-5, 5).Draw(t, "slope")
@@ -68,6 +68,6 @@
 func TestRates(t *testing.T) {
 	assert.InDelta(t, 5.0, perSecond(10, 2*time.Second), 1e-9)
 	assert.Zero(t, perSecond(10, 0))
-	assert.InDelta(t, 40.0, perChange(15, 5, 8*time.Second, 2), 1e-9, "10 a second more for 8 s, by two changes")
+	assert.InDelta(t, 40.0, perChange(15, 5, 8*time.Second, 2), 1e-9, "10 more per second for 8 s, caused by two changes")
 	assert.Zero(t, perChange(15, 5, 8*time.Second, 0))
 }
--- a/internal/hollow/table.go
+++ b/internal/hollow/table.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Row is one figure at each number of schedulers, with the line through its points.
+// Row holds the values of one metric at each number of schedulers, and the line fitted to them.
 type Row struct {
 	Name   string
 	Unit   string
@@ -14,13 +14,13 @@
 	Fit    Fit
 }
 
-// Table is what the rounds have measured, as rows of figures.
+// Table holds the measurements of all rounds, one row for each metric.
 type Table struct {
 	Schedulers []int
 	Rows       []Row
 }
 
-// NewTable works out the rows.
+// NewTable computes the rows from the rounds. All rounds must have recorded the same failures in the same order.
 func NewTable(rounds []Round) Table {
 	var table Table
 	for _, round := range rounds {
@@ -54,14 +54,14 @@
 }
 
 func recoveryRows(rounds []Round, i int) []Row {
-	what := rounds[0].Recoveries[i].Failure
+	failure := rounds[0].Recoveries[i].Failure
 	return []Row{
-		newRow(metric{what + ", p50", "ms", func(r *Round) float64 { return milliseconds(r.Recoveries[i].Took.P50) }}, rounds),
-		newRow(metric{what + ", worst", "ms", func(r *Round) float64 { return milliseconds(r.Recoveries[i].Took.Worst) }}, rounds),
+		newRow(metric{failure + ", p50", "ms", func(r *Round) float64 { return milliseconds(r.Recoveries[i].Took.P50) }}, rounds),
+		newRow(metric{failure + ", worst", "ms", func(r *Round) float64 { return milliseconds(r.Recoveries[i].Took.Worst) }}, rounds),
 	}
 }
 
-// figure is how one row comes of a round.
+// metric names one row of the table and computes its value for a round.
 type metric struct {
 	name, unit string
 	value      func(*Round) float64
@@ -115,7 +115,7 @@
 	{"changes that a router never had", "", func(r *Round) float64 { return float64(r.Missed) }},
 }
 
-// phase returns the phase of that name; an empty one if it was not played.
+// phase returns the phase with the given name, or an empty phase if it was not run.
 func (r *Round) phase(name string) Phase {
 	for _, phase := range r.Phases {
 		if phase.Name == name {
@@ -133,7 +133,7 @@
 	return moved
 }
 
-// perConfig returns what one configuration adds to a rate of the idle phase.
+// perConfig returns a function that computes the amount that one configuration adds to a rate of the idle phase.
 func perConfig(rate func(Phase) float64) func(*Round) float64 {
 	return func(r *Round) float64 {
 		phase := r.phase(phaseConfigs)
@@ -141,7 +141,7 @@
 	}
 }
 
-// perList returns what one change of the list adds to a rate of the idle phase.
+// perList returns a function that computes the amount that one change of the worker list adds to a rate of the idle phase.
 func perList(rate func(Phase) float64) func(*Round) float64 {
 	return func(r *Round) float64 {
 		phase := r.phase(phaseLists)
@@ -149,7 +149,7 @@
 	}
 }
 
-// perChange returns the amount that each of some changes in a span adds to an idle rate.
+// perChange returns the amount beyond the idle rate over span, divided by the number of changes; 0 without changes.
 func perChange(rate, idle float64, span time.Duration, changes int) float64 {
 	if changes == 0 {
 		return 0
@@ -161,7 +161,7 @@
 
 func megabytes(bytes float64) float64 { return bytes / (1 << 20) }
 
-// Write prints the table: a row for each figure, a column for each number of schedulers, then the line of least squares.
+// Write prints the table: a row for each metric, a column for each number of schedulers, then the least-squares line.
 func (t Table) Write(w io.Writer) error {
 	const name = "%-66s %-12s"
 	header := fmt.Sprintf(name, "schedulers", "")
@@ -184,7 +184,7 @@
 	return nil
 }
 
-// number writes a value to three digits or, where it is larger, as a whole number.
+// formatNumber formats a value with three significant digits, or as a whole number if its magnitude is 1000 or more.
 func formatNumber(value float64) string {
 	if value >= 1000 || value <= -1000 {
 		return fmt.Sprintf("%.0f", value)
--- a/internal/hollow/table_test.go
+++ b/internal/hollow/table_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// rounds are made up: an idle agent takes 0.1% of a core, and each of four configurations in two seconds 5 ms more.
+// sampleRounds returns synthetic rounds: an idle agent uses 0.1% of a core, and each of four configurations in two seconds costs
+// 5 ms more.
 func sampleRounds() []Round {
 	var out []Round
 	for _, schedulers := range []int{50, 100} {
@@ -34,7 +35,7 @@
 			return row
 		}
 	}
-	t.Fatalf("no row %q", name)
+	t.Fatalf("the table has no row %q", name)
 	return Row{}
 }
 
@@ -47,7 +48,7 @@
 	assert.InDelta(t, 1000, out.Fit.Slope, 1e-6)
 	assert.InDelta(t, 410_000, out.Fit.At(410), 1e-6)
 	assert.Equal(t, []float64{2000, 2000}, findRow(t, table, failureKilled+", worst").Values)
-	assert.Equal(t, []float64{0, 0}, findRow(t, table, "agent, a list: processor").Values, "the phase was not played")
+	assert.Equal(t, []float64{0, 0}, findRow(t, table, "agent, a list: processor").Values, "a phase that was not run must count as 0")
 
 	var text strings.Builder
 	require.NoError(t, table.Write(&text))
@@ -76,8 +77,8 @@
 }
 
 func TestOptions(t *testing.T) {
-	standard := DefaultOptions()
-	require.NoError(t, standard.check())
+	defaults := DefaultOptions()
+	require.NoError(t, defaults.check())
 	for name, modify := range map[string]func(*Options){
 		"no size":         func(o *Options) { o.Schedulers = nil },
 		"small":           func(o *Options) { o.Schedulers = []int{4} },
@@ -86,7 +87,7 @@
 		"no samples":      func(o *Options) { o.Samples = 0 },
 		"no span":         func(o *Options) { o.Phase = 0 },
 	} {
-		modified := standard
+		modified := defaults
 		modify(&modified)
 		assert.ErrorIs(t, modified.check(), errInvalidOptions, name)
 	}
--- a/internal/hollow/tracker.go
+++ b/internal/hollow/tracker.go
@@ -10,17 +10,17 @@
 	"weldscale/internal/fleetwire"
 )
 
-// change is something that each member should learn of.
+// change is a new configuration or worker-list entry that every member it applies to should receive.
 type change struct {
-	since     time.Time // from when on it counts: the acknowledgement, or the entry in the platform's list
-	light     bool      // light members see it as well
+	since     time.Time // start of the latency measurement: the acknowledgement, or the entry in the platform's list
+	light     bool      // it applies to light members too
 	visibleIn func(*watch.Snapshot) bool
 	seen      map[*member]time.Time
-	allSeen   chan struct{} // closed once all members that the book knew at the start have seen it
+	allSeen   chan struct{} // closed once all members that were registered when tracking began have seen it
 	remaining int
 }
 
-// changeTracker tracker when each member learned of each change.
+// changeTracker records when each member received each change. It is safe for concurrent use.
 type changeTracker struct {
 	mutex   sync.Mutex
 	members map[*member]bool
@@ -35,7 +35,7 @@
 	t.members[m] = true
 }
 
-// remove drops a member that ends, and what it has not seen.
+// remove unregisters a member that stops. Open changes no longer wait for it.
 func (t *changeTracker) remove(m *member) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -47,7 +47,7 @@
 	}
 }
 
-// begin opens a change that counts from now on. Light members see it if they are told to.
+// track opens a change whose latency is measured from now on. With light it applies to light members too.
 func (t *changeTracker) track(light bool, visibleIn func(*watch.Snapshot) bool) *change {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -64,14 +64,14 @@
 
 func (c *change) appliesTo(m *member) bool { return c.light || !m.light }
 
-// acknowledged moves the moment from which on a change counts.
+// setStart sets the time from which the latency of a change is measured.
 func (t *changeTracker) setStart(c *change, at time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	c.since = at
 }
 
-// learned tracker what a member holds now.
+// observe records the changes that are visible in a member's current snapshot.
 func (t *changeTracker) observe(m *member, snapshot *watch.Snapshot, at time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -92,8 +92,8 @@
 	}
 }
 
-// close ends changes and returns how long each member took for each, and how many were never seen by a member that was there
-// all the time.
+// finish closes all open changes. It returns the latencies of each member and change, and the number of changes that a member
+// missed. Members that started after a change are left out.
 func (t *changeTracker) finish() (took []time.Duration, missed int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -113,13 +113,13 @@
 	return took, missed
 }
 
-// hasConfig tells whether a snapshot has a configuration of that revision or above. In a fleet that was only sent good
-// configurations, one by one, it is their number.
+// hasConfig returns a condition that holds if a snapshot has the given configuration revision or a later one. The revision
+// equals the number of configurations sent, as long as all of them are valid and sent one at a time.
 func hasConfig(revision int64) func(*watch.Snapshot) bool {
 	return func(s *watch.Snapshot) bool { return int64(s.Version.ConfigRevision) >= revision }
 }
 
-// hasInstance tells whether a snapshot lists a worker at that version.
+// hasInstance returns a condition that holds if a snapshot lists the given worker at the given version.
 func hasInstance(id, version string) func(*watch.Snapshot) bool {
 	return func(s *watch.Snapshot) bool {
 		at, found := slices.BinarySearchFunc(s.Instances, id, compareID)
--- a/internal/hollow/tracker_test.go
+++ b/internal/hollow/tracker_test.go
@@ -14,7 +14,8 @@
 	return &watch.Snapshot{Version: fleetwire.Version{ConfigRevision: uint64(version)}}
 }
 
-// A change counts from its acknowledgement for each member that was there, at the first snapshot that holds it.
+// The latency of a change runs from its acknowledgement to a member's first snapshot that contains it. Members that start later
+// are left out.
 func TestTracker(t *testing.T) {
 	start := time.Now()
 	tracker := newChangeTracker()
@@ -31,7 +32,7 @@
 	tracker.observe(early, withConfig(8), acknowledged.Add(9))
 	assert.False(t, isClosed(c.allSeen))
 	tracker.observe(late, withConfig(8), acknowledged.Add(2))
-	assert.False(t, isClosed(c.allSeen), "one that came later doesn't count")
+	assert.False(t, isClosed(c.allSeen), "a member that started later must not count")
 	tracker.observe(slow, withConfig(9), acknowledged.Add(3))
 	assert.True(t, isClosed(c.allSeen))
 
@@ -41,22 +42,22 @@
 	assert.Empty(t, tracker.pending())
 }
 
-// A member that ends isn't awaited, and one that never learned counts as missed.
+// Changes don't wait for a stopped member, and a member that never saw a change counts as missed.
 func TestTrackerWithStoppedMembers(t *testing.T) {
 	tracker := newChangeTracker()
-	ends, stays := &member{started: time.Now().Add(-2)}, &member{started: time.Now().Add(-1)}
-	tracker.add(ends)
-	tracker.add(stays)
+	stopped, running := &member{started: time.Now().Add(-2)}, &member{started: time.Now().Add(-1)}
+	tracker.add(stopped)
+	tracker.add(running)
 	first := tracker.track(true, hasConfig(1))
-	tracker.observe(stays, withConfig(1), time.Now())
-	tracker.remove(ends)
+	tracker.observe(running, withConfig(1), time.Now())
+	tracker.remove(stopped)
 	assert.True(t, isClosed(first.allSeen))
 	tracker.track(true, hasConfig(2))
 	_, missed := tracker.finish()
 	assert.Equal(t, 1, missed)
 }
 
-// Light members count only for changes that they can see.
+// Light members count only for changes that apply to them.
 func TestTrackerWithLightMembers(t *testing.T) {
 	tracker := newChangeTracker()
 	full, light := &member{started: time.Now().Add(-2)}, &member{started: time.Now().Add(-1), light: true}
--- a/internal/hollow/usage.go
+++ b/internal/hollow/usage.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// usage is what a process has used since its start.
+// usage holds the resources that a process has used since its start.
 type usage struct {
 	CPU      time.Duration
-	Read     int64 // bytes by read calls: sockets, and files where it has any
-	Written  int64 // likewise
-	Resident int64 // bytes of memory now
+	Read     int64 // bytes from read calls on sockets and files
+	Written  int64 // bytes from write calls, likewise
+	Resident int64 // current resident memory in bytes
 }
 
-// minus returns what was used since an earlier moment; memory stays that of the later one.
+// minus returns the usage since an earlier measurement. Resident is that of the later one.
 func (u usage) minus(before usage) usage {
 	return usage{CPU: u.CPU - before.CPU, Read: u.Read - before.Read, Written: u.Written - before.Written, Resident: u.Resident}
 }
 
-// readUsage reads what a process has used. Processor time is summed over its threads in nanoseconds: the clock ticks of
-// /proc/PID/stat are too coarse for an agent.
+// readUsage reads the usage of a process from /proc. CPU time is the sum over its live threads in nanoseconds, because the clock
+// ticks of /proc/PID/stat are too coarse for an agent.
 func readUsage(pid int) (usage, error) {
 	directory := filepath.Join("/proc", strconv.Itoa(pid))
 	threads, err := filepath.Glob(filepath.Join(directory, "task", "*", "schedstat"))
@@ -59,7 +59,7 @@
 	return out, nil
 }
 
-// readKeys reads the numbers of a file of lines "key: number unit". Lines with other values are left out.
+// readKeys reads the numbers of a file with lines of the form "key: number unit". Other lines are skipped.
 func readKeys(path string) (map[string]int64, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
