--- a/internal/hollow/pace_test.go
+++ b/internal/hollow/pace_test.go
@@ -46,8 +46,8 @@
 		assert.Equal(t, time.Second, time.Since(start))
 		failure := errors.New("no")
 		assert.ErrorIs(t, pace(t.Context(), time.Second, 2, func(int) error { return failure }), failure)
-		ended, cancel := context.WithCancel(t.Context())
+		cancelled, cancel := context.WithCancel(t.Context())
 		cancel()
-		assert.ErrorIs(t, pace(ended, time.Hour, 2, func(int) error { return nil }), context.Canceled)
+		assert.ErrorIs(t, pace(cancelled, time.Hour, 2, func(int) error { return nil }), context.Canceled)
 	})
 }
--- a/internal/hollow/phase.go
+++ b/internal/hollow/phase.go
@@ -127,7 +127,8 @@
 }
 
 func (r *round) measure(ctx context.Context) (*measurement, error) {
-	out := &measurement{reader: r.reader(ctx), at: time.Now(), read: r.agentTraffic.read.Load(), written: r.agentTraffic.written.Load()}
+	out := &measurement{reader: r.reader(ctx), at: time.Now(),
+		read: r.agentTraffic.read.Load(), written: r.agentTraffic.written.Load()}
 	out.calls, out.limited = r.fleet.Platform.Calls()
 	out.roles = r.rolesTaken()
 	var err error
--- a/internal/hollow/round.go
+++ b/internal/hollow/round.go
@@ -138,9 +138,9 @@
 		return err
 	}
 	r.result.ConfigBytes = len(body)
-	expected := r.tracker.track(true, hasConfig(r.configVersion))
+	configChange := r.tracker.track(true, hasConfig(r.configVersion))
 	status, err := r.operator().ReplaceRaw(ctx, base, body)
-	r.tracker.setStart(expected, time.Now())
+	r.tracker.setStart(configChange, time.Now())
 	if err != nil {
 		return err
 	}
--- a/internal/hollow/usage_test.go
+++ b/internal/hollow/usage_test.go
@@ -13,7 +13,7 @@
 	assert.Equal(t, map[string]int64{"VmRSS": 9216, "rchar": 12}, got)
 }
 
-// The usage of this process includes the bytes of a file it has read; the usage of a missing process is an error.
+// The CPU time of this process never decreases, and the bytes of a file it has read are counted. A missing process is an error.
 func TestReadUsage(t *testing.T) {
 	before, err := readUsage(os.Getpid())
 	require.NoError(t, err)
