--- a/internal/hollow/member.go
+++ b/internal/hollow/member.go
@@ -24,7 +24,7 @@
 // traffic counts the bytes on the connections from agents to controllers.
 type traffic struct{ read, written atomic.Int64 }
 
-// countedConn adds what passes a connection to a count.
+// countedConn adds the bytes read from and written to a connection to count.
 type countedConn struct {
 	net.Conn
 	count *traffic
@@ -51,112 +51,114 @@
 	return countedConn{Conn: connection, count: t}, nil
 }
 
-// member is a scheduler without clients: the agent and the router of one machine, within the process of the harness. All of
-// them is real but the sockets for clients. The router of a light one takes the messages of its agent and doesn't decode them:
-// hundreds that did would keep the machine busy with what as many machines do in service.
+// member is a scheduler without clients: the agent and the router of one machine, run in the harness process. Everything but the
+// client sockets is real. The router of a light member receives the messages of its agent without decoding them, because hundreds
+// of decoding routers would load this machine with the work of as many machines in production.
 type member struct {
 	light   bool
 	started time.Time
 	agent   *agent.Agent
-	newest  atomic.Pointer[watch.Snapshot]
+	latest  atomic.Pointer[watch.Snapshot]
 	stop    context.CancelFunc
 	running sync.WaitGroup
 }
 
-// startMember starts an agent and its router. The book is told of each snapshot that is in force at the router or, at a light
-// one, of each version that has come.
-func startMember(ctx context.Context, given *settings.Settings, light bool, counted *traffic, notes *book) (*member, error) {
-	listener, err := net.Listen("tcp", given.AgentAddress())
+// startMember starts an agent and its router. It reports to tracker each snapshot that the router has applied or, for a light
+// member, each version that it has received.
+func startMember(ctx context.Context, nodeSettings *settings.Settings, light bool, agentTraffic *traffic,
+	tracker *changeTracker) (*member, error) {
+	listener, err := net.Listen("tcp", nodeSettings.AgentAddress())
 	if err != nil {
-		return nil, eris.Wrap(err, "listen for the router")
+		return nil, eris.Wrap(err, "listen for the router of a hollow member")
 	}
 	ctx, stop := context.WithCancel(ctx)
 	log := zap.NewNop()
 	m := &member{light: light, started: time.Now(), stop: stop}
-	m.agent = agent.NewWithClient(given, transport.NewClientWithDial(counted.dial), log)
-	notes.add(m)
+	m.agent = agent.NewWithClient(nodeSettings, transport.NewClientWithDial(agentTraffic.dial), log)
+	tracker.add(m)
 	m.running.Go(func() { _ = m.agent.Serve(ctx, listener) })
-	learned := func(snapshot *watch.Snapshot) {
-		m.newest.Store(snapshot)
-		notes.learned(m, snapshot, time.Now())
+	onSnapshot := func(snapshot *watch.Snapshot) {
+		m.latest.Store(snapshot)
+		tracker.observe(m, snapshot, time.Now())
 	}
 	if light {
-		m.running.Go(func() { followLightly(ctx, given, learned) })
+		m.running.Go(func() { pollWithoutDecoding(ctx, nodeSettings, onSnapshot) })
 		return m, nil
 	}
-	served := newRouter(given, log)
+	memberRouter := newRouter(nodeSettings, log)
 	m.running.Go(func() {
-		router.Follow(ctx, given, func(snapshot *watch.Snapshot) {
-			served.Update(snapshot)
-			learned(snapshot)
+		router.Follow(ctx, nodeSettings, func(snapshot *watch.Snapshot) {
+			memberRouter.Update(snapshot)
+			onSnapshot(snapshot)
 		}, log)
 	})
 	return m, nil
 }
 
-// followLightly polls an agent as a router does, without decoding.
-func followLightly(ctx context.Context, given *settings.Settings, learned func(*watch.Snapshot)) {
+// pollWithoutDecoding polls an agent as a router does, but doesn't decode the messages.
+func pollWithoutDecoding(ctx context.Context, nodeSettings *settings.Settings, onSnapshot func(*watch.Snapshot)) {
 	client := transport.NewClient()
 	defer client.Close()
-	agents := []string{given.AgentAddress()}
+	agents := []string{nodeSettings.AgentAddress()}
 	watch.NewFollower(watch.FollowerOptions{
-		Self:    fleetwire.Member{Name: given.NodeName, Role: fleetwire.RoleRouter},
+		Self:    fleetwire.Member{Name: nodeSettings.NodeName, Role: fleetwire.RoleRouter},
 		Sources: func() []string { return agents },
-		Client:  lightCaller{client: client, learned: learned},
-		// As of a router: an agent is left later than a controller.
+		Client:  nonDecodingCaller{client: client, onSnapshot: onSnapshot},
+		// The same value as in a router, which gives up an agent later than an agent gives up a controller.
 		MaxQuorumAge: 3 * time.Second,
 	}).Run(ctx)
 }
 
-// lightCaller reads off the answers to polls what they bring.
-type lightCaller struct {
-	client  *transport.Client
-	learned func(*watch.Snapshot)
+// nonDecodingCaller reports the versions and the router count in each poll reply.
+type nonDecodingCaller struct {
+	client     *transport.Client
+	onSnapshot func(*watch.Snapshot)
 }
 
 // Call implements watch.Caller.
-func (c lightCaller) Call(ctx context.Context, address, path string, request, reply any) error {
+func (c nonDecodingCaller) Call(ctx context.Context, address, path string, request, reply any) error {
 	if err := c.client.Call(ctx, address, path, request, reply); err != nil {
 		return err
 	}
 	if answer, ok := reply.(*fleetwire.WatchReply); ok {
-		c.learned(&watch.Snapshot{Version: answer.Now, Routers: answer.Routers, At: time.Now()})
+		c.onSnapshot(&watch.Snapshot{Version: answer.Now, Routers: answer.Routers, At: time.Now()})
 	}
 	return nil
 }
 
-func newRouter(given *settings.Settings, log *zap.Logger) *router.Router {
+func newRouter(nodeSettings *settings.Settings, log *zap.Logger) *router.Router {
 	var zones []string
-	for zone := range given.Zones {
+	for zone := range nodeSettings.Zones {
 		zones = append(zones, zone)
 	}
 	return router.New(router.Options{
-		Placer: placement.New(placement.Options{Zone: given.Zone, Zones: zones, BudgetRatio: given.Bounds.RetryBudgetRatio,
-			BudgetSlack: given.Bounds.BudgetSlack, BudgetWindow: given.Bounds.BudgetWindow(), Log: log}),
+		Placer: placement.New(placement.Options{Zone: nodeSettings.Zone, Zones: zones, BudgetRatio: nodeSettings.Bounds.RetryBudgetRatio,
+			BudgetSlack: nodeSettings.Bounds.BudgetSlack, BudgetWindow: nodeSettings.Bounds.BudgetWindow(), Log: log}),
 		Pool: upstream.New(upstream.Options{}),
 		Log:  log,
 	})
 }
 
-// end stops the member and waits for its parts.
-func (m *member) end(notes *book) {
-	notes.remove(m)
+// shutDown stops the member and waits for its goroutines.
+func (m *member) shutDown(tracker *changeTracker) {
+	tracker.remove(m)
 	m.stop()
 	m.running.Wait()
 }
 
-// memberSettings are the settings of the i-th hollow machine.
-func memberSettings(i, life int, subnet string, zones, seeds []string) *settings.Settings {
-	const perNet = 250
-	var net int
-	_, _ = fmt.Sscanf(subnet, "127.0.%d", &net)
-	given := &settings.Settings{
-		NodeName: fmt.Sprintf("hollow-%04d-%d", i, life), Role: "router", MachineClass: "frontend",
-		IP: fmt.Sprintf("127.%d.%d.%d", net, 1+i/perNet, 1+i%perNet), Zone: zones[i%len(zones)], Region: "here",
+// memberSettings returns the settings of the i-th hollow machine. The generation makes the node name unique after a restart.
+func memberSettings(i, generation int, subnet string, zones, seeds []string) *settings.Settings {
+	const membersPerSubnet = 250
+	var subnetNumber int
+	_, _ = fmt.Sscanf(subnet, "127.0.%d", &subnetNumber)
+	nodeSettings := &settings.Settings{
+		NodeName: fmt.Sprintf("hollow-%04d-%d", i, generation), Role: "router", MachineClass: "frontend",
+		IP:   fmt.Sprintf("127.%d.%d.%d", subnetNumber, 1+i/membersPerSubnet, 1+i%membersPerSubnet),
+		Zone: zones[i%len(zones)], Region: "here",
 		Zones: map[string]string{}, InternalPorts: [2]int{7720, 7735}, Seeds: seeds, Bounds: settings.DefaultBounds(),
 	}
 	for _, zone := range zones {
-		given.Zones[zone] = "here"
+		nodeSettings.Zones[zone] = "here"
 	}
-	return given
+	return nodeSettings
 }
--- a/internal/hollow/pace.go
+++ b/internal/hollow/pace.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// pace calls do in even steps, count times over a span, until ctx is done. A call that takes longer than a step delays the
-// next ones; those that would come after the span are left out.
+// pace calls do count times at even intervals over span, until ctx is done or a call fails. A call that takes longer than one
+// interval delays the following ones; calls that would start after span are skipped.
 func pace(ctx context.Context, span time.Duration, count int, do func(i int) error) error {
 	if count <= 0 {
-		return wait(ctx, span)
+		return sleep(ctx, span)
 	}
 	start := time.Now()
 	step := span / time.Duration(count)
 	for i := range count {
-		if err := wait(ctx, time.Duration(i+1)*step-time.Since(start)); err != nil {
+		if err := sleep(ctx, time.Duration(i+1)*step-time.Since(start)); err != nil {
 			return err
 		}
 		if time.Since(start) > span {
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// wait returns after a span, or with an error once ctx is done.
-func wait(ctx context.Context, span time.Duration) error {
+// sleep returns after span, or returns the context's error once ctx is done.
+func sleep(ctx context.Context, span time.Duration) error {
 	timer := time.NewTimer(max(span, 0))
 	defer timer.Stop()
 	select {
--- a/internal/hollow/phase.go
+++ b/internal/hollow/phase.go
@@ -12,8 +12,8 @@
 	"weldscale/internal/standin/fleet"
 )
 
-// playPhases plays the loads one after the other. Each begins once the one before is in force everywhere.
-func (r *round) playPhases(ctx context.Context) error {
+// runPhases runs the phases in sequence. Each starts once every member has the changes of the one before, or after lastChangeSpan.
+func (r *round) runPhases(ctx context.Context) error {
 	span := r.options.Phase
 	count := func(every time.Duration) int { return int(span / every) }
 	configs, lists, restarts := count(r.options.ConfigEvery), count(r.options.ListEvery), count(r.options.RestartEvery)
@@ -25,10 +25,10 @@
 	}
 	var configTook, listTook []time.Duration
 	for _, phase := range phases {
-		if err := r.playPhase(ctx, &phase); err != nil {
+		if err := r.runPhase(ctx, &phase); err != nil {
 			return err
 		}
-		took, missed := r.closeChanges(ctx)
+		took, missed := r.awaitChanges(ctx)
 		r.result.Missed += missed
 		switch phase.Name {
 		case phaseConfigs:
@@ -37,59 +37,59 @@
 			listTook = append(listTook, took...)
 		}
 		r.result.Phases = append(r.result.Phases, phase)
-		r.say("%s played", phase.Name)
+		r.reportProgress("%s played", phase.Name)
 	}
-	r.result.Config, r.result.List = spreadOf(configTook), spreadOf(listTook)
+	r.result.Config, r.result.List = newDurationStats(configTook), newDurationStats(listTook)
 	return nil
 }
 
-// closeChanges waits a while for the last changes to reach everyone and returns how long each took.
-func (r *round) closeChanges(ctx context.Context) ([]time.Duration, int) {
+// awaitChanges waits up to lastChangeSpan for all members to see the open changes. It returns what changeTracker.finish returns.
+func (r *round) awaitChanges(ctx context.Context) ([]time.Duration, int) {
 	limit := time.After(lastChangeSpan)
-	for _, c := range r.notes.pending() {
+	for _, c := range r.tracker.pending() {
 		select {
-		case <-c.all:
+		case <-c.allSeen:
 		case <-limit:
-			return r.notes.close()
+			return r.tracker.finish()
 		case <-ctx.Done():
-			return r.notes.close()
+			return r.tracker.finish()
 		}
 	}
-	return r.notes.close()
+	return r.tracker.finish()
 }
 
 // pending returns the open changes.
-func (b *book) pending() []*change {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return slices.Clone(b.open)
+func (t *changeTracker) pending() []*change {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return slices.Clone(t.open)
 }
 
-func (r *round) playPhase(ctx context.Context, phase *Phase) error {
+func (r *round) runPhase(ctx context.Context, phase *Phase) error {
 	r.awaitReader(ctx)
 	before, err := r.measure(ctx)
 	if err != nil {
 		return err
 	}
-	if err := r.load(ctx, phase); err != nil {
+	if err := r.applyChanges(ctx, phase); err != nil {
 		return err
 	}
 	after, err := r.measure(ctx)
 	if err != nil {
 		return err
 	}
-	phase.fill(before, after, len(r.members))
+	phase.setCosts(before, after, len(r.members))
 	return nil
 }
 
-// load makes the changes of a phase and notes how many there were.
-func (r *round) load(ctx context.Context, phase *Phase) error {
-	var working sync.WaitGroup
+// applyChanges makes the changes of a phase and sets the phase's counts to the number actually made.
+func (r *round) applyChanges(ctx context.Context, phase *Phase) error {
+	var changers sync.WaitGroup
 	failures := make([]error, 3)
 	start := func(i int, count *int, do func(i int) error) {
 		planned := *count
 		*count = 0
-		working.Go(func() {
+		changers.Go(func() {
 			failures[i] = pace(ctx, phase.Span, planned, func(at int) error {
 				*count++
 				return do(at)
@@ -99,19 +99,19 @@
 	start(0, &phase.Configs, func(int) error { return r.changeConfig(ctx) })
 	start(1, &phase.Lists, func(int) error { r.changeList(); return nil })
 	start(2, &phase.Restarts, r.restartMember)
-	working.Wait()
+	changers.Wait()
 	for _, err := range failures {
 		if err != nil {
 			return err
 		}
 	}
-	return wait(ctx, phaseTail)
+	return sleep(ctx, phaseTail)
 }
 
-// phaseTail lets the last change of a phase take effect while it is still measured.
+// phaseTail extends the measurement so that it includes the effect of a phase's last change.
 const phaseTail = 700 * time.Millisecond
 
-// measurement is what all processes have used up to a moment.
+// measurement holds the cumulative resource usage of all processes at one time.
 type measurement struct {
 	at          time.Time
 	reader      int // index of the controller that reads the list, -1 if none is known
@@ -119,15 +119,16 @@
 	agents      []usage
 	routers     []usage
 	harness     usage
-	read        int64 // by hollow agents from controllers
+	read        int64 // bytes read by hollow agents from controllers
 	written     int64
-	calls       int // of the platform's list
+	calls       int // to the platform's list
 	limited     int
-	roles       int // taken so far
+	roles       int // role changes so far
 }
 
 func (r *round) measure(ctx context.Context) (*measurement, error) {
-	out := &measurement{reader: r.reader(ctx), at: time.Now(), read: r.counted.read.Load(), written: r.counted.written.Load()}
+	out := &measurement{reader: r.reader(ctx), at: time.Now(),
+		read: r.agentTraffic.read.Load(), written: r.agentTraffic.written.Load()}
 	out.calls, out.limited = r.fleet.Platform.Calls()
 	out.roles = r.rolesTaken()
 	var err error
@@ -149,7 +150,7 @@
 	return out, nil
 }
 
-// rolesTaken counts the lines in which controllers told that they took a role.
+// rolesTaken counts the lines of the controllers' logs that report a role as taken.
 func (r *round) rolesTaken() int {
 	taken := 0
 	for _, controller := range r.fleet.Controllers {
@@ -161,11 +162,11 @@
 // readerRole is the role of the controller that reads the platform's list.
 const readerRole = "instances/reader"
 
-// awaitReader waits until some controller reads the list: on a machine that others keep busy the role may be on its way.
+// awaitReader waits until a controller holds the reader role, which may be moving between controllers on a busy machine.
 func (r *round) awaitReader(ctx context.Context) {
 	const span = 20 * time.Second
-	if within(ctx, span, func() bool { return r.reader(ctx) >= 0 }) != nil {
-		r.say("no controller reads the list")
+	if waitUntil(ctx, span, func() bool { return r.reader(ctx) >= 0 }) != nil {
+		r.reportProgress("no controller reads the list")
 	}
 }
 
@@ -183,8 +184,8 @@
 	return -1
 }
 
-// fill works out what each process used between two measurements.
-func (p *Phase) fill(before, after *measurement, members int) {
+// setCosts computes the costs of a phase from the measurements before and after it.
+func (p *Phase) setCosts(before, after *measurement, members int) {
 	p.Span = after.at.Sub(before.at)
 	var others []Cost
 	for i := range after.controllers {
@@ -202,7 +203,7 @@
 	p.Member.In = perSecond(float64(after.read-before.read), p.Span) / float64(members)
 	p.Calls = perSecond(float64(after.calls-before.calls), p.Span)
 	p.Limited = perSecond(float64(after.limited-before.limited), p.Span)
-	p.Roles = after.roles - before.roles
+	p.RolesTaken = after.roles - before.roles
 	p.Member.Out = perSecond(float64(after.written-before.written), p.Span) / float64(members)
 }
 
