--- a/cmd/weldscale/fleet_test.go
+++ b/cmd/weldscale/fleet_test.go
@@ -123,7 +123,7 @@
 		file := filepath.Join(f.dir, name+".hcl")
 		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 		p := &faults.Process{Name: name, Path: os.Args[0], Dir: filepath.Join(f.dir, "of-"+name),
-			Env: []string{"WELDSCALE_TEST=program", "GW_CONFIG=", "WELDSCALE_FILE=" + file}, Up: func(context.Context) bool {
+			Env: []string{"WELDSCALE_TEST=program", "GW_CONFIG=", "WELDSCALE_FILE=" + file}, Ready: func(context.Context) bool {
 				resp, err := http.Get("http://" + listen + "/-/ready")
 				if err == nil {
 					resp.Body.Close()
@@ -137,7 +137,7 @@
 	up, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
 	for _, p := range f.all {
-		require.NoError(t, p.Await(up))
+		require.NoError(t, p.AwaitReady(up))
 	}
 	return f
 }
@@ -205,7 +205,7 @@
 	// A job may reach its worker up to a second after it was let begin; a part that was spent twice in the split would be four.
 	over, at := faults.CheckRate(events, "begun", rate, rate*(burst+1)+members)
 	assert.LessOrEqual(t, over, 0.0, at)
-	assert.Positive(t, f.links.Passed("a").Lost)
+	assert.Positive(t, f.links.TrafficFrom("a").Lost)
 }
 
 // Three schedulers may have twelve jobs in hand between them. One is killed, one stands still and goes on, one is cut off: what
@@ -236,9 +236,9 @@
 		require.Eventually(t, func() bool { mu.Lock(); defer mu.Unlock(); return peak >= 2*most/3 }, patience, 10*time.Millisecond, why)
 	}
 	used("all are up")
-	script := &faults.Script{Troubles: []faults.Trouble{{Kind: "kill", Who: []string{"b"}, To: 2 * time.Second},
-		{Kind: "stall", Who: []string{"c"}, From: 3 * time.Second, To: 6 * time.Second},
-		{Kind: "split", Who: []string{"a"}, From: 7 * time.Second, To: 13 * time.Second, Fault: faults.Fault{Silent: true}}}}
+	script := &faults.Script{Troubles: []faults.Trouble{{Kind: "kill", Targets: []string{"b"}, To: 2 * time.Second},
+		{Kind: "stall", Targets: []string{"c"}, From: 3 * time.Second, To: 6 * time.Second},
+		{Kind: "split", Targets: []string{"a"}, From: 7 * time.Second, To: 13 * time.Second, Fault: faults.Fault{Blackhole: true}}}}
 	worst := 0
 	stop := make(chan struct{})
 	watched := make(chan struct{})
--- a/cmd/weldtrial/judged.go
+++ b/cmd/weldtrial/judged.go
@@ -120,7 +120,7 @@
 	figures := func(sign int64) {
 		for _, s := range all {
 			cpu += time.Duration(sign) * cpuOf(s.PID())
-			sent += sign * links.Passed(s.Name).Bytes
+			sent += sign * links.TrafficFrom(s.Name).Bytes
 		}
 	}
 	since.Store(time.Now().UnixNano())
--- a/cmd/weldtrial/shared.go
+++ b/cmd/weldtrial/shared.go
@@ -32,8 +32,8 @@
 // usual is what goes wrong where no script is given: each trouble with a row of its own, one for the first 3 s after it,
 // and one for later.
 var usual = []faults.Trouble{
-	{Kind: "stall", Part: 0.2, To: 6 * time.Second},
-	{Kind: "split", Part: 0.2, To: 6 * time.Second, Fault: faults.Fault{Silent: true}},
+	{Kind: "stall", Fraction: 0.2, To: 6 * time.Second},
+	{Kind: "split", Fraction: 0.2, To: 6 * time.Second, Fault: faults.Fault{Blackhole: true}},
 }
 
 // Run implements the command.
@@ -102,7 +102,7 @@
 				if pid := s.PID(); pid != 0 {
 					cpu += time.Duration(sign) * cpuOf(pid)
 				}
-				n := links.Passed(s.Name).Bytes
+				n := links.TrafficFrom(s.Name).Bytes
 				sent += sign * n
 				if s.Name == "s1" {
 					kept += sign * n
@@ -113,7 +113,7 @@
 		span()
 		sum(1)
 		events, _ := log.Events()
-		mean, took, n := faults.Mean(events, "begun", began, log.Now()), time.Since(from).Seconds(), float64(len(all))
+		mean, took, n := faults.EventRate(events, "begun", began, log.Now()), time.Since(from).Seconds(), float64(len(all))
 		out.AppendRow(table.Row{name, fmt.Sprintf("%.1f", mean), fmt.Sprintf("%.3f", mean/p.Rate), fmt.Sprintf("%.3f", cpu.Seconds()/took/n),
 			fmt.Sprintf("%.1f", float64(sent)/1e3/took/n), fmt.Sprintf("%.1f", float64(kept)/1e3/took)})
 	}
@@ -175,7 +175,7 @@
 	}
 	for i := range n {
 		s := &faults.Process{Name: fmt.Sprint("s", i), Path: args.Scheduler, Dir: filepath.Join(dir, fmt.Sprint("of-s", i)), Env: []string{"GW_CONFIG="},
-			Up: func(context.Context) bool {
+			Ready: func(context.Context) bool {
 				resp, err := http.Get("http://" + host(i, 7400) + "/-/ready")
 				if err == nil {
 					resp.Body.Close() // it listens; its workers are known from its file
@@ -198,7 +198,7 @@
 	up, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
 	for _, s := range all {
-		if err := s.Await(up); err != nil {
+		if err := s.AwaitReady(up); err != nil {
 			return all, err
 		}
 	}
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -25,25 +25,25 @@
 // One direction of a link is faulty and the other is not; what ends is whole again.
 func TestDirections(t *testing.T) {
 	l := NewLinks(1)
-	end := l.Put(Fault{Silent: true}, func(from, _ string) bool { return from == "a" })
+	end := l.Inject(Fault{Blackhole: true}, func(from, _ string) bool { return from == "a" })
 	assert.Empty(t, l.datagram("a", "b", 9))
 	assert.Len(t, l.datagram("b", "a", 9), 1)
-	second := l.Put(Fault{Delay: time.Second, Loss: 0.5}, any2)
-	f, changed := l.At("a", "b")
-	assert.Equal(t, Fault{Silent: true, Delay: time.Second, Loss: 0.5}, f, "faults add up")
+	second := l.Inject(Fault{Delay: time.Second, Loss: 0.5}, any2)
+	f, changed := l.FaultOn("a", "b")
+	assert.Equal(t, Fault{Blackhole: true, Delay: time.Second, Loss: 0.5}, f, "faults add up")
 	end()
 	<-changed
 	second()
-	f, _ = l.At("a", "b")
+	f, _ = l.FaultOn("a", "b")
 	assert.Equal(t, Fault{}, f)
-	assert.Equal(t, Passed{1, 9, 1}, l.Passed("a"))
+	assert.Equal(t, Traffic{1, 9, 1}, l.TrafficFrom("a"))
 }
 
 // The same seed, the same luck of each datagram, whatever other links carry.
 func TestLuckIsTheSeeds(t *testing.T) {
 	play := func(seed uint64, noise int) (out []int) {
 		l := NewLinks(seed)
-		defer l.Put(Fault{Loss: 0.3, Double: 0.3}, any2)()
+		defer l.Inject(Fault{Loss: 0.3, Duplicate: 0.3}, any2)()
 		for range 200 {
 			for range noise {
 				l.datagram("c", "d", 1)
@@ -79,7 +79,7 @@
 // A stream waits on a silent link and goes on where it was; a cut one is reset, and so is who comes then.
 func TestPipe(t *testing.T) {
 	links := NewLinks(1)
-	p, err := StartPipe(links, "a", "b", echo(t))
+	p, err := StartTCPRelay(links, "a", "b", echo(t))
 	require.NoError(t, err)
 	defer p.Close()
 	c, err := net.Dial("tcp", p.Addr())
@@ -95,7 +95,7 @@
 		return string(b)
 	}
 	assert.Equal(t, "one", say("one"))
-	end := links.Put(Fault{Silent: true}, func(from, _ string) bool { return from == "b" })
+	end := links.Inject(Fault{Blackhole: true}, func(from, _ string) bool { return from == "b" })
 	_, err = c.Write([]byte("two"))
 	require.NoError(t, err)
 	c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
@@ -107,7 +107,7 @@
 	_, err = io.ReadFull(c, b)
 	require.NoError(t, err)
 	assert.Equal(t, "two", string(b), "nothing of it was lost")
-	defer links.Put(Fault{Cut: true}, any2)()
+	defer links.Inject(Fault{Cut: true}, any2)()
 	_, err = c.Read(b)
 	assert.Error(t, err)
 	d, err := net.Dial("tcp", p.Addr())
@@ -165,7 +165,7 @@
 		return false
 	}
 	require.True(t, heard(a, "b", "ax"))
-	end := links.Put(Fault{Silent: true}, func(from, _ string) bool { return from == "a" })
+	end := links.Inject(Fault{Blackhole: true}, func(from, _ string) bool { return from == "a" })
 	time.Sleep(100 * time.Millisecond)
 	for len(got) > 0 {
 		<-got
@@ -175,7 +175,7 @@
 	end()
 	assert.Eventually(t, func() bool { return heard(a, "b", "ax") }, patience, time.Millisecond)
 	assert.Positive(t, b.Traffic().BytesIn)
-	assert.Positive(t, links.Passed("a").Lost)
+	assert.Positive(t, links.TrafficFrom("a").Lost)
 }
 
 func write(t *testing.T, text string) string {
@@ -207,14 +207,14 @@
 	s, err := ReadScript(write(t, "trouble \"cut\" {\n from = \"1s\"\n for = \"2s\"\n part = 0.4\n}\ntrouble \"stall\" {\n who = \"b d\"\n}\n"))
 	require.NoError(t, err)
 	assert.Equal(t, 6*time.Second, s.End())
-	one, err := s.Meets(7, []string{"a", "b", "c", "d", "e"})
+	one, err := s.SelectTargets(7, []string{"a", "b", "c", "d", "e"})
 	require.NoError(t, err)
-	other, err := s.Meets(7, []string{"e", "d", "c", "b", "a"})
+	other, err := s.SelectTargets(7, []string{"e", "d", "c", "b", "a"})
 	require.NoError(t, err)
 	assert.Equal(t, one, other)
 	assert.Len(t, one[0], 2)
 	assert.Equal(t, []string{"b", "d"}, one[1])
-	_, err = s.Meets(7, []string{"a"})
+	_, err = s.SelectTargets(7, []string{"a"})
 	assert.ErrorContains(t, err, `trouble 2, "stall": nobody is called "b"`)
 	on := func(text, from, to string) bool {
 		s, err := ReadScript(write(t, text))
@@ -263,13 +263,13 @@
 	p := &Process{Name: "p", Path: "/bin/sh", Args: []string{"-c", "echo here >&2; exec sleep 600"}, Dir: filepath.Join(t.TempDir(), "d")}
 	require.NoError(t, p.Start(log))
 	assert.Error(t, p.Start(log), "it runs")
-	s := &Script{Troubles: []Trouble{{Kind: "stall", Who: []string{"p"}, To: 20 * time.Millisecond},
-		{Kind: "kill", Who: []string{"p"}, From: 50 * time.Millisecond, To: 70 * time.Millisecond}}}
+	s := &Script{Troubles: []Trouble{{Kind: "stall", Targets: []string{"p"}, To: 20 * time.Millisecond},
+		{Kind: "kill", Targets: []string{"p"}, From: 50 * time.Millisecond, To: 70 * time.Millisecond}}}
 	require.NoError(t, s.Play(context.Background(), 1, []*Process{p}, NewLinks(1), log))
-	assert.True(t, p.Runs())
+	assert.True(t, p.Running())
 	assert.NoDirExists(t, filepath.Join(p.Dir, "x"))
 	p.Stop(patience)
-	assert.False(t, p.Runs())
+	assert.False(t, p.Running())
 	assert.Error(t, p.Signal(0))
 	p.Kill() // nobody is there
 	events, lost := log.Events()
--- a/internal/faults/links.go
+++ b/internal/faults/links.go
@@ -14,20 +14,20 @@
 
 // Fault is what is wrong with one direction of a link.
 type Fault struct {
-	Cut     bool          // connections are reset, new ones are refused, datagrams vanish
-	Silent  bool          // what is sent does not arrive, and nobody says so; bytes of streams wait until it ends
-	Delay   time.Duration // of each datagram, and each piece of a stream
-	Jitter  time.Duration // at most so much more; datagrams overtake each other by it
-	Loss    float64       // of datagrams, 0 to 1
-	Double  float64       // of datagrams
-	Reorder float64       // of datagrams: so many are held back for Hold
-	Hold    time.Duration
+	Cut          bool          // connections are reset, new ones are refused, datagrams vanish
+	Blackhole    bool          // what is sent does not arrive, and nobody says so; bytes of streams wait until it ends
+	Delay        time.Duration // of each datagram, and each piece of a stream
+	Jitter       time.Duration // at most so much more; datagrams overtake each other by it
+	Loss         float64       // of datagrams, 0 to 1
+	Duplicate    float64       // of datagrams
+	Reorder      float64       // of datagrams: so many are held back for Hold
+	ReorderDelay time.Duration
 }
 
 // and is both at once.
 func (f Fault) and(g Fault) Fault {
-	return Fault{f.Cut || g.Cut, f.Silent || g.Silent, f.Delay + g.Delay, f.Jitter + g.Jitter, 1 - (1-f.Loss)*(1-g.Loss),
-		1 - (1-f.Double)*(1-g.Double), 1 - (1-f.Reorder)*(1-g.Reorder), max(f.Hold, g.Hold)}
+	return Fault{f.Cut || g.Cut, f.Blackhole || g.Blackhole, f.Delay + g.Delay, f.Jitter + g.Jitter, 1 - (1-f.Loss)*(1-g.Loss),
+		1 - (1-f.Duplicate)*(1-g.Duplicate), 1 - (1-f.Reorder)*(1-g.Reorder), max(f.ReorderDelay, g.ReorderDelay)}
 }
 
 // Links are the faults of all links just now. The zero value is not ready; NewLinks is.
@@ -38,11 +38,11 @@
 	rules   []*rule
 	dice    map[[2]string]*rand.Rand // of each direction, so that one's datagrams do not change another's luck
 	changed chan struct{}            // closed and made anew at each change
-	counts  map[[2]string]*Passed
+	counts  map[[2]string]*Traffic
 }
 
-// Passed is what went over one direction of a link.
-type Passed struct{ Datagrams, Bytes, Lost int64 }
+// Traffic is what went over one direction of a link.
+type Traffic struct{ Datagrams, Bytes, Lost int64 }
 
 type rule struct {
 	match func(from, to string) bool
@@ -51,11 +51,11 @@
 
 // NewLinks are links without a fault.
 func NewLinks(seed uint64) *Links {
-	return &Links{seed: seed, dice: map[[2]string]*rand.Rand{}, changed: make(chan struct{}), counts: map[[2]string]*Passed{}}
+	return &Links{seed: seed, dice: map[[2]string]*rand.Rand{}, changed: make(chan struct{}), counts: map[[2]string]*Traffic{}}
 }
 
-// Put puts a fault on all directions that match, until the returned function is called.
-func (l *Links) Put(f Fault, match func(from, to string) bool) (end func()) {
+// Inject puts a fault on all directions that match, until the returned function is called.
+func (l *Links) Inject(f Fault, match func(from, to string) bool) (end func()) {
 	r := &rule{match, f}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,8 +79,8 @@
 	l.changed = make(chan struct{})
 }
 
-// At is what is wrong with a direction, and a channel that is closed when that may have changed.
-func (l *Links) At(from, to string) (Fault, <-chan struct{}) {
+// FaultOn is what is wrong with a direction, and a channel that is closed when that may have changed.
+func (l *Links) FaultOn(from, to string) (Fault, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.at(from, to), l.changed
@@ -112,16 +112,16 @@
 	f := l.at(from, to)
 	c.Datagrams++
 	c.Bytes += int64(bytes)
-	if f.Cut || f.Silent || lost < f.Loss {
+	if f.Cut || f.Blackhole || lost < f.Loss {
 		c.Lost++
 		return nil
 	}
 	wait := f.Delay + time.Duration(jitter*float64(f.Jitter))
 	if held < f.Reorder {
-		wait += f.Hold
+		wait += f.ReorderDelay
 	}
 	after = append(after, wait)
-	if double < f.Double {
+	if double < f.Duplicate {
 		after = append(after, wait+f.Jitter)
 	}
 	return after
@@ -135,17 +135,17 @@
 }
 
 // passed is the account of a direction.
-func (l *Links) passed(key [2]string) *Passed {
+func (l *Links) passed(key [2]string) *Traffic {
 	c := l.counts[key]
 	if c == nil {
-		c = &Passed{}
+		c = &Traffic{}
 		l.counts[key] = c
 	}
 	return c
 }
 
-// Passed is what one sent, to whomever, so far.
-func (l *Links) Passed(from string) (sum Passed) {
+// TrafficFrom is what one sent, to whomever, so far.
+func (l *Links) TrafficFrom(from string) (sum Traffic) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for key, c := range l.counts {
--- a/internal/faults/log.go
+++ b/internal/faults/log.go
@@ -108,8 +108,8 @@
 	return over, at
 }
 
-// Mean is how many events of a kind there were a second.
-func Mean(events []Event, what string, from, to time.Duration) float64 {
+// EventRate is how many events of a kind there were a second.
+func EventRate(events []Event, what string, from, to time.Duration) float64 {
 	n := 0
 	for _, e := range events {
 		if e.What == what && e.At >= from && e.At < to {
--- a/internal/faults/process.go
+++ b/internal/faults/process.go
@@ -22,8 +22,8 @@
 	Env  []string // beside our own
 	// Dir is a directory that is its own; a restart may take it away. "": it has none.
 	Dir string
-	// Up, if set, reports whether it serves.
-	Up func(ctx context.Context) bool
+	// Ready, if set, reports whether it serves.
+	Ready func(ctx context.Context) bool
 
 	log *Log
 	mu  sync.Mutex
@@ -71,10 +71,10 @@
 	return nil
 }
 
-// Await waits until it serves.
-func (p *Process) Await(ctx context.Context) error {
-	for p.Up != nil && !p.Up(ctx) {
-		if !p.Runs() {
+// AwaitReady waits until it serves.
+func (p *Process) AwaitReady(ctx context.Context) error {
+	for p.Ready != nil && !p.Ready(ctx) {
+		if !p.Running() {
 			return fmt.Errorf("faults: %s has ended", p.Name)
 		}
 		if !sleep(10*time.Millisecond, ctx.Done()) {
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// Runs reports whether it has been started and not ended; one that is stalled runs.
-func (p *Process) Runs() bool {
+// Running reports whether it has been started and not ended; one that is stalled runs.
+func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd != nil
@@ -142,9 +142,9 @@
 	}
 }
 
-// Forget takes its directory away, as a machine that is lost does.
-func (p *Process) Forget() error {
-	if p.Dir == "" || p.Runs() {
+// RemoveDir takes its directory away, as a machine that is lost does.
+func (p *Process) RemoveDir() error {
+	if p.Dir == "" || p.Running() {
 		return nil
 	}
 	p.log.Add(p.Name, "forgot", 0, "")
--- a/internal/faults/relay.go
+++ b/internal/faults/relay.go
@@ -93,13 +93,13 @@
 // join carries bytes between two ends until one of them ends or the link is cut.
 func (r *relay) join(a net.Conn, from string, toAddr, to string) {
 	for { // a link that swallows never lets a connection come up
-		f, changed := r.links.At(from, to)
-		back, _ := r.links.At(to, from)
+		f, changed := r.links.FaultOn(from, to)
+		back, _ := r.links.FaultOn(to, from)
 		if f.Cut || back.Cut {
 			reset(a)
 			return
 		}
-		if !f.Silent && !back.Silent {
+		if !f.Blackhole && !back.Blackhole {
 			break
 		}
 		select {
@@ -134,8 +134,8 @@
 	both.Go(func() { r.carry(b, a, to, from, over, end) })
 	both.Go(func() { // a cut takes effect at once, also where nobody says anything
 		for {
-			f, changed := r.links.At(from, to)
-			if back, _ := r.links.At(to, from); f.Cut || back.Cut {
+			f, changed := r.links.FaultOn(from, to)
+			if back, _ := r.links.FaultOn(to, from); f.Cut || back.Cut {
 				end(true)
 				return
 			}
@@ -158,8 +158,8 @@
 	for {
 		n, err := from.Read(buf)
 		for n > 0 {
-			f, changed := r.links.At(name, other)
-			if !f.Silent {
+			f, changed := r.links.FaultOn(name, other)
+			if !f.Blackhole {
 				if f.Delay > 0 && !sleep(f.Delay, over) {
 					return
 				}
@@ -290,22 +290,22 @@
 	}
 }
 
-// Pipe is the relay of one further link, such as a scheduler's to a worker: who dials Addr reaches the target.
-type Pipe struct{ relay }
+// TCPRelay is the relay of one further link, such as a scheduler's to a worker: who dials Addr reaches the target.
+type TCPRelay struct{ relay }
 
-// StartPipe starts one between the parties of those names.
-func StartPipe(links *Links, from, to, target string) (*Pipe, error) {
+// StartTCPRelay starts one between the parties of those names.
+func StartTCPRelay(links *Links, from, to, target string) (*TCPRelay, error) {
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &Pipe{relay{links: links, tcp: tcp, stop: make(chan struct{}), conns: map[net.Conn]struct{}{}}}
+	p := &TCPRelay{relay{links: links, tcp: tcp, stop: make(chan struct{}), conns: map[net.Conn]struct{}{}}}
 	p.done.Go(func() { p.accept(func(c net.Conn) { p.join(c, from, target, to) }) })
 	return p, nil
 }
 
 // Addr is where it is dialled.
-func (p *Pipe) Addr() string { return p.tcp.Addr().String() }
+func (p *TCPRelay) Addr() string { return p.tcp.Addr().String() }
 
 // Close ends it.
-func (p *Pipe) Close() { p.close() }
+func (p *TCPRelay) Close() { p.close() }
--- a/internal/faults/script.go
+++ b/internal/faults/script.go
@@ -24,15 +24,15 @@
 
 // Trouble is one of a script. Times are since the script began.
 type Trouble struct {
-	Kind     string
-	From, To time.Duration
-	Part     float64  // of all, drawn by the seed; where Who names nobody
-	Who      []string // by name
-	Toward   []string // only links to these; none: to all others
-	Way      string   // out, in or both
-	Fault    Fault
-	Every    time.Duration // between two, of a rolling restart
-	Keep     bool          // its directory, over a kill
+	Kind      string
+	From, To  time.Duration
+	Fraction  float64  // of all, drawn by the seed; where Who names nobody
+	Targets   []string // by name
+	Peers     []string // only links to these; none: to all others
+	Direction string   // out, in or both
+	Fault     Fault
+	Every     time.Duration // between two, of a rolling restart
+	KeepDir   bool          // its directory, over a kill
 }
 
 // kinds are the troubles with what each takes beside its time and whom it meets.
@@ -67,7 +67,7 @@
 	}
 	s := &Script{}
 	for _, b := range l.Troubles {
-		t := Trouble{Kind: b.Name, Part: 0.2, Way: "both", Keep: true}
+		t := Trouble{Kind: b.Name, Fraction: 0.2, Direction: "both", KeepDir: true}
 		takes, ok := kinds[b.Name]
 		if !ok {
 			r.AddError(b.Body, "no trouble %q; allowed: %s", b.Name, strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))
@@ -78,11 +78,11 @@
 		who, toward, keep := "", "", ""
 		set := r.Fields(b.Body, config.Field{Name: "from", Unit: config.Span, Min: 0, Max: 60 * minute, To: &from},
 			config.Field{Name: "for", Unit: config.Span, Min: 1e3, Max: 60 * minute, To: &long},
-			config.Field{Name: "part", Unit: config.Number, Min: 0.0001, Max: 1, To: &t.Part},
+			config.Field{Name: "part", Unit: config.Number, Min: 0.0001, Max: 1, To: &t.Fraction},
 			config.Field{Name: "who", Unit: config.Word, To: &who}, config.Field{Name: "toward", Unit: config.Word, To: &toward},
-			config.Field{Name: "way", Unit: config.Word, To: &t.Way}, config.Field{Name: "keep", Unit: config.Word, To: &keep},
+			config.Field{Name: "way", Unit: config.Word, To: &t.Direction}, config.Field{Name: "keep", Unit: config.Word, To: &keep},
 			config.Field{Name: "loss", Unit: config.Number, Min: 0, Max: 1, To: &t.Fault.Loss},
-			config.Field{Name: "double", Unit: config.Number, Min: 0, Max: 1, To: &t.Fault.Double},
+			config.Field{Name: "double", Unit: config.Number, Min: 0, Max: 1, To: &t.Fault.Duplicate},
 			config.Field{Name: "reorder", Unit: config.Number, Min: 0, Max: 1, To: &t.Fault.Reorder},
 			config.Field{Name: "hold", Unit: config.Span, Min: 0, Max: minute, To: &hold},
 			config.Field{Name: "delay", Unit: config.Span, Min: 0, Max: minute, To: &delay},
@@ -94,7 +94,7 @@
 			}
 		}
 		switch {
-		case t.Way != "both" && t.Way != "out" && t.Way != "in":
+		case t.Direction != "both" && t.Direction != "out" && t.Direction != "in":
 			r.AddError(b.Body, "trouble %q: way: allowed is \"out\", \"in\" or \"both\"", b.Name)
 		case keep != "" && keep != "yes" && keep != "no":
 			r.AddError(b.Body, "trouble %q: keep: allowed is \"yes\" or \"no\"", b.Name)
@@ -102,10 +102,10 @@
 			r.AddError(b.Body, "trouble %q: part and who: allowed is one of them", b.Name)
 		}
 		span := func(us float64) time.Duration { return time.Duration(us) * time.Microsecond }
-		t.From, t.To, t.Every, t.Keep = span(from), span(from+long), span(every), keep != "no"
-		t.Fault.Hold, t.Fault.Delay, t.Fault.Jitter = span(cmp.Or(hold, 50e3)), span(delay), span(jitter)
-		t.Who, t.Toward = strings.Fields(who), strings.Fields(toward)
-		t.Fault.Cut, t.Fault.Silent = b.Name == "cut", b.Name == "silence" || b.Name == "split"
+		t.From, t.To, t.Every, t.KeepDir = span(from), span(from+long), span(every), keep != "no"
+		t.Fault.ReorderDelay, t.Fault.Delay, t.Fault.Jitter = span(cmp.Or(hold, 50e3)), span(delay), span(jitter)
+		t.Targets, t.Peers = strings.Fields(who), strings.Fields(toward)
+		t.Fault.Cut, t.Fault.Blackhole = b.Name == "cut", b.Name == "silence" || b.Name == "split"
 		s.Troubles = append(s.Troubles, t)
 	}
 	return s, r.Err()
@@ -119,22 +119,22 @@
 	return end
 }
 
-// Meets names those of all whom each trouble meets: the same seed and names, the same ones.
-func (s *Script) Meets(seed uint64, all []string) ([][]string, error) {
+// SelectTargets names those of all whom each trouble meets: the same seed and names, the same ones.
+func (s *Script) SelectTargets(seed uint64, all []string) ([][]string, error) {
 	var out [][]string
 	sorted := slices.Sorted(slices.Values(all))
 	for i, t := range s.Troubles {
-		for _, name := range append(slices.Clone(t.Who), t.Toward...) {
+		for _, name := range append(slices.Clone(t.Targets), t.Peers...) {
 			if !slices.Contains(sorted, name) {
 				return nil, fmt.Errorf("trouble %d, %q: nobody is called %q", i+1, t.Kind, name)
 			}
 		}
-		met := t.Who
+		met := t.Targets
 		if len(met) == 0 {
 			rng := rand.New(rand.NewPCG(seed, uint64(i)))
 			pick := slices.Clone(sorted)
 			rng.Shuffle(len(pick), func(a, b int) { pick[a], pick[b] = pick[b], pick[a] })
-			met = pick[:max(1, int(t.Part*float64(len(pick))+0.5))]
+			met = pick[:max(1, int(t.Fraction*float64(len(pick))+0.5))]
 			slices.Sort(met)
 		}
 		out = append(out, met)
@@ -151,7 +151,7 @@
 		byName[p.Name] = p
 		names = append(names, p.Name)
 	}
-	meets, err := s.Meets(seed, names)
+	meets, err := s.SelectTargets(seed, names)
 	if err != nil {
 		return err
 	}
@@ -191,8 +191,8 @@
 	case "kill":
 		each(func(p *Process) error {
 			p.Kill()
-			if !t.Keep {
-				return p.Forget()
+			if !t.KeepDir {
+				return p.RemoveDir()
 			}
 			return nil
 		})
@@ -212,7 +212,7 @@
 		for _, name := range met {
 			in[name] = true
 		}
-		defer links.Put(t.Fault, func(from, to string) bool { return t.on(in, from, to) })()
+		defer links.Inject(t.Fault, func(from, to string) bool { return t.on(in, from, to) })()
 		sleep(long, ctx.Done())
 	}
 	return err
@@ -223,6 +223,6 @@
 	if t.Kind == "split" {
 		return met[from] != met[to]
 	}
-	toward := func(name string) bool { return len(t.Toward) == 0 || slices.Contains(t.Toward, name) }
-	return t.Way != "in" && met[from] && toward(to) || t.Way != "out" && met[to] && toward(from)
+	toward := func(name string) bool { return len(t.Peers) == 0 || slices.Contains(t.Peers, name) }
+	return t.Direction != "in" && met[from] && toward(to) || t.Direction != "out" && met[to] && toward(from)
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -42,8 +42,8 @@
 	return fmt.Sprintf("%.2f s %v %d", e.At.Seconds(), e.Action, e.Target)
 }
 
-// Shape is what a plan is made for.
-type Shape struct {
+// PlanOptions is what a plan is made for.
+type PlanOptions struct {
 	Routers, Controllers int
 	Length               time.Duration
 	Kills                bool // whether processes are killed as well
@@ -88,7 +88,7 @@
 )
 
 // Plan draws the events of a run: series that overlap, always one of stops and one of changes among them.
-func Plan(seed uint64, shape Shape) []Event {
+func Plan(seed uint64, shape PlanOptions) []Event {
 	rng := rand.New(rand.NewPCG(seed, planStream))
 	kinds := []seriesShape{stopSeries, changeSeries}
 	for range moreSeriesLeast + rng.IntN(moreSeriesMost-moreSeriesLeast+1) {
@@ -109,7 +109,7 @@
 const planStream = 1 << 33
 
 // draw draws one series that begins in the first half of the run.
-func (s seriesShape) draw(rng *rand.Rand, shape Shape) []Event {
+func (s seriesShape) draw(rng *rand.Rand, shape PlanOptions) []Event {
 	machines, width := s.machines(shape)
 	order := rng.Perm(machines)
 	steps := cmp.Or(s.steps, len(order))
@@ -126,7 +126,7 @@
 }
 
 // machines is how many machines a series has to choose from, and how many it takes at a time.
-func (s seriesShape) machines(shape Shape) (count, width int) {
+func (s seriesShape) machines(shape PlanOptions) (count, width int) {
 	switch s.action {
 	case ActionStopFrontend, ActionReloadFrontend, ActionKillFrontend:
 		return shape.Routers, max(1, shape.Routers/widthPart)
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -10,7 +10,7 @@
 
 func TestAPlanKeepsToItsShape(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		shape := Shape{
+		shape := PlanOptions{
 			Routers:     rapid.IntRange(1, 120).Draw(t, "routers"),
 			Controllers: rapid.SampledFrom([]int{3, 5, 9}).Draw(t, "controllers"),
 			Length:      time.Duration(rapid.IntRange(5, 60).Draw(t, "seconds")) * time.Second,
@@ -45,7 +45,7 @@
 	overlapping := 0
 	for seed := range uint64(plans) {
 		first, last := map[Action]time.Duration{}, map[Action]time.Duration{}
-		for _, event := range Plan(seed, Shape{Routers: 8, Controllers: 3, Length: 20 * time.Second}) {
+		for _, event := range Plan(seed, PlanOptions{Routers: 8, Controllers: 3, Length: 20 * time.Second}) {
 			if _, known := first[event.Action]; !known {
 				first[event.Action] = event.At
 			}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -32,18 +32,18 @@
 
 // Report is what became of a run.
 type Report struct {
-	Seed      uint64
-	Processes int
-	Events    int
-	Restarts  int
-	Changes   int // acknowledged
-	Unclear   int // changes without a clear answer
-	Requests  client.Row
-	Found     []string // what broke a rule
+	Seed       uint64
+	Processes  int
+	Events     int
+	Restarts   int
+	Changes    int // acknowledged
+	Unclear    int // changes without a clear answer
+	Requests   client.Row
+	Violations []string // what broke a rule
 }
 
 // Passed reports whether no rule was broken.
-func (r *Report) Passed() bool { return len(r.Found) == 0 }
+func (r *Report) Passed() bool { return len(r.Violations) == 0 }
 
 func (r *Report) String() string {
 	text := fmt.Sprintf("seed %d: %d processes, %d events, %d restarts, %d changes, %d unclear; %v", r.Seed, r.Processes, r.Events,
@@ -51,7 +51,7 @@
 	if r.Passed() {
 		return text + "; passed"
 	}
-	return text + "; FAILED\n  " + strings.Join(r.Found, "\n  ")
+	return text + "; FAILED\n  " + strings.Join(r.Violations, "\n  ")
 }
 
 const (
@@ -83,7 +83,7 @@
 		return nil, err
 	}
 	defer r.fleet.Close()
-	events := Plan(r.Seed, Shape{Routers: r.Routers, Controllers: r.Controllers, Length: r.Length, Kills: r.Kills})
+	events := Plan(r.Seed, PlanOptions{Routers: r.Routers, Controllers: r.Controllers, Length: r.Length, Kills: r.Kills})
 	r.play(ctx, events)
 	return r.report(events), ctx.Err()
 }
@@ -244,13 +244,13 @@
 	report := &Report{
 		Seed: r.Seed, Processes: len(r.processes()), Events: len(events),
 		Restarts: r.supervisor.restarts, Changes: r.operations.acked, Unclear: r.operations.unclear, Requests: total,
-		Found: slices.Concat(r.found, r.operations.problems, r.supervisor.problems),
+		Violations: slices.Concat(r.found, r.operations.problems, r.supervisor.problems),
 	}
 	for _, violation := range r.fleet.Judge.Violations() {
-		report.Found = append(report.Found, violation.String())
+		report.Violations = append(report.Violations, violation.String())
 	}
 	if served, reached := total.Served+total.Late, total.Sent-total.Unsent; float64(served) < leastServed*float64(reached) {
-		report.Found = append(report.Found, fmt.Sprintf("SERVED: %d of %d requests that found a router", served, reached))
+		report.Violations = append(report.Violations, fmt.Sprintf("SERVED: %d of %d requests that found a router", served, reached))
 	}
 	return report
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -38,7 +38,7 @@
 			report, err := Run(t.Context(), options)
 			require.NoError(t, err)
 			t.Log(report)
-			require.Empty(t, report.Found)
+			require.Empty(t, report.Violations)
 		})
 	}
 }
