--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -18,17 +18,17 @@
 	"weldscale/internal/fleet"
 )
 
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
-func any2(string, string) bool { return true }
+func anyDirection(string, string) bool { return true }
 
-// One direction of a link is faulty and the other is not; what ends is whole again.
-func TestDirections(t *testing.T) {
+// A fault affects one direction of a link only, faults add up, and a direction without faults is healthy again.
+func TestFaultsApplyPerDirection(t *testing.T) {
 	l := NewLinks(1)
 	end := l.Inject(Fault{Blackhole: true}, func(from, _ string) bool { return from == "a" })
-	assert.Empty(t, l.datagram("a", "b", 9))
-	assert.Len(t, l.datagram("b", "a", 9), 1)
-	second := l.Inject(Fault{Delay: time.Second, Loss: 0.5}, any2)
+	assert.Empty(t, l.deliveries("a", "b", 9))
+	assert.Len(t, l.deliveries("b", "a", 9), 1)
+	second := l.Inject(Fault{Delay: time.Second, Loss: 0.5}, anyDirection)
 	f, changed := l.FaultOn("a", "b")
 	assert.Equal(t, Fault{Blackhole: true, Delay: time.Second, Loss: 0.5}, f, "faults add up")
 	end()
@@ -39,28 +39,29 @@
 	assert.Equal(t, Traffic{1, 9, 1}, l.TrafficFrom("a"))
 }
 
-// The same seed, the same luck of each datagram, whatever other links carry.
-func TestLuckIsTheSeeds(t *testing.T) {
+// The seed alone determines what becomes of each datagram of a direction; traffic of other links doesn't change it.
+func TestSeedDeterminesDeliveries(t *testing.T) {
 	play := func(seed uint64, noise int) (out []int) {
 		l := NewLinks(seed)
-		defer l.Inject(Fault{Loss: 0.3, Duplicate: 0.3}, any2)()
+		defer l.Inject(Fault{Loss: 0.3, Duplicate: 0.3}, anyDirection)()
 		for range 200 {
 			for range noise {
-				l.datagram("c", "d", 1)
+				l.deliveries("c", "d", 1)
 			}
-			out = append(out, len(l.datagram("a", "b", 1)))
+			out = append(out, len(l.deliveries("a", "b", 1)))
 		}
 		return out
 	}
-	one := play(1, 0)
-	assert.Equal(t, one, play(1, 3))
-	assert.NotEqual(t, one, play(2, 0))
+	first := play(1, 0)
+	assert.Equal(t, first, play(1, 3))
+	assert.NotEqual(t, first, play(2, 0))
 	for _, n := range []int{0, 1, 2} {
-		assert.Contains(t, one, n)
+		assert.Contains(t, first, n)
 	}
 }
 
-func echo(t *testing.T) string {
+// startEchoServer starts a TCP server that echoes what it reads, and returns its address.
+func startEchoServer(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
@@ -76,50 +77,51 @@
 	return ln.Addr().String()
 }
 
-// A stream waits on a silent link and goes on where it was; a cut one is reset, and so is who comes then.
-func TestPipe(t *testing.T) {
+// A stream stalls on a blackholed link and continues without loss when the fault ends. A cut resets the connection, and new
+// connections are reset as well.
+func TestTCPRelay(t *testing.T) {
 	links := NewLinks(1)
-	p, err := StartTCPRelay(links, "a", "b", echo(t))
+	p, err := StartTCPRelay(links, "a", "b", startEchoServer(t))
 	require.NoError(t, err)
 	defer p.Close()
 	c, err := net.Dial("tcp", p.Addr())
 	require.NoError(t, err)
 	defer c.Close()
-	say := func(text string) string {
+	exchange := func(text string) string {
 		_, err := c.Write([]byte(text))
 		require.NoError(t, err)
 		b := make([]byte, len(text))
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(waitTimeout))
 		_, err = io.ReadFull(c, b)
 		require.NoError(t, err)
 		return string(b)
 	}
-	assert.Equal(t, "one", say("one"))
+	assert.Equal(t, "one", exchange("one"))
 	end := links.Inject(Fault{Blackhole: true}, func(from, _ string) bool { return from == "b" })
 	_, err = c.Write([]byte("two"))
 	require.NoError(t, err)
 	c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	_, err = c.Read(make([]byte, 1))
-	assert.ErrorIs(t, err, os.ErrDeadlineExceeded, "half open")
+	assert.ErrorIs(t, err, os.ErrDeadlineExceeded, "no bytes pass from b to a")
 	end()
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(waitTimeout))
 	b := make([]byte, 3)
 	_, err = io.ReadFull(c, b)
 	require.NoError(t, err)
-	assert.Equal(t, "two", string(b), "nothing of it was lost")
-	defer links.Inject(Fault{Cut: true}, any2)()
+	assert.Equal(t, "two", string(b), "no bytes are lost")
+	defer links.Inject(Fault{Cut: true}, anyDirection)()
 	_, err = c.Read(b)
 	assert.Error(t, err)
 	d, err := net.Dial("tcp", p.Addr())
 	if err == nil {
-		d.SetReadDeadline(time.Now().Add(patience))
+		d.SetReadDeadline(time.Now().Add(waitTimeout))
 		_, err = d.Read(b)
 		d.Close()
 	}
 	assert.Error(t, err)
 }
 
-// Members of a fleet who talk by a hub find each other by it, and lose each other as it cuts one direction.
+// Members of a fleet discover each other through a hub. If the hub blackholes one direction, messages still pass in the other.
 func TestHub(t *testing.T) {
 	binds := map[string]string{}
 	names := map[string]string{}
@@ -134,13 +136,13 @@
 	hub, err := StartHub(links, names)
 	require.NoError(t, err)
 	defer hub.Close()
-	got := make(chan string, 1000)
+	received := make(chan string, 1000)
 	var members []*fleet.Link
 	for _, name := range []string{"a", "b"} {
 		l, err := fleet.Start(fleet.Config{Fleet: "f", Name: name, Bind: binds[name], Join: []string{binds["a"]}, Relay: hub.Addr(), MaxMembers: 2,
 			OnMessage: func(from string, data []byte) bool {
 				select {
-				case got <- from + string(data):
+				case received <- from + string(data):
 				default:
 				}
 				return false
@@ -150,12 +152,12 @@
 		members = append(members, l)
 	}
 	a, b := members[0], members[1]
-	require.Eventually(t, func() bool { return len(a.Members()) == 2 && len(b.Members()) == 2 }, patience, 10*time.Millisecond)
-	heard := func(from *fleet.Link, to, want string) bool {
+	require.Eventually(t, func() bool { return len(a.Members()) == 2 && len(b.Members()) == 2 }, waitTimeout, 10*time.Millisecond)
+	delivered := func(from *fleet.Link, to, want string) bool {
 		for range 20 {
 			_ = from.Send(to, []byte("x"))
 			select {
-			case text := <-got:
+			case text := <-received:
 				if text == want {
 					return true
 				}
@@ -164,27 +166,29 @@
 		}
 		return false
 	}
-	require.True(t, heard(a, "b", "ax"))
+	require.True(t, delivered(a, "b", "ax"))
 	end := links.Inject(Fault{Blackhole: true}, func(from, _ string) bool { return from == "a" })
 	time.Sleep(100 * time.Millisecond)
-	for len(got) > 0 {
-		<-got
+	for len(received) > 0 {
+		<-received
 	}
-	assert.False(t, heard(a, "b", "ax"))
-	assert.True(t, heard(b, "a", "bx"), "the other direction")
+	assert.False(t, delivered(a, "b", "ax"))
+	assert.True(t, delivered(b, "a", "bx"), "the other direction")
 	end()
-	assert.Eventually(t, func() bool { return heard(a, "b", "ax") }, patience, time.Millisecond)
+	assert.Eventually(t, func() bool { return delivered(a, "b", "ax") }, waitTimeout, time.Millisecond)
 	assert.Positive(t, b.Traffic().BytesIn)
 	assert.Positive(t, links.TrafficFrom("a").Lost)
 }
 
-func write(t *testing.T, text string) string {
+// writeScript writes a script to a temporary file and returns its path.
+func writeScript(t *testing.T, text string) string {
 	path := filepath.Join(t.TempDir(), "s.hcl")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-func TestScriptFaults(t *testing.T) {
+// Each mistake in a script is reported with its position.
+func TestReadScriptErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"trouble \"flood\" {\n}":                                          `no trouble "flood"; allowed: cut, kill, lossy, rolling, silence, split, stall`,
 		"trouble \"cut\" {\n way = \"up\"\n}":                             `way: allowed is "out", "in" or "both"`,
@@ -194,7 +198,7 @@
 		"trouble \"lossy\" {\n loss = 2\n}":                               `allowed is 0 to 1`,
 		"trouble \"cut\" {\n}\ntrouble \"cut\" {\n from = \"three\"\n}\n": `s.hcl:4:9: `,
 	} {
-		_, err := ReadScript(write(t, text+"\n"))
+		_, err := ReadScript(writeScript(t, text+"\n"))
 		if assert.Error(t, err, text) {
 			assert.Contains(t, err.Error(), want)
 			assert.Regexp(t, `s\.hcl:\d+:\d+: `, err.Error())
@@ -202,9 +206,10 @@
 	}
 }
 
-// Whom a trouble meets is the seed's matter, not that of the order in which names are given.
-func TestMeets(t *testing.T) {
-	s, err := ReadScript(write(t, "trouble \"cut\" {\n from = \"1s\"\n for = \"2s\"\n part = 0.4\n}\ntrouble \"stall\" {\n who = \"b d\"\n}\n"))
+// The targets of a trouble depend on the seed, not on the order of the names. A link fault affects only the directions that
+// its kind, way and peers select.
+func TestSelectTargets(t *testing.T) {
+	s, err := ReadScript(writeScript(t, "trouble \"cut\" {\n from = \"1s\"\n for = \"2s\"\n part = 0.4\n}\ntrouble \"stall\" {\n who = \"b d\"\n}\n"))
 	require.NoError(t, err)
 	assert.Equal(t, 6*time.Second, s.End())
 	one, err := s.SelectTargets(7, []string{"a", "b", "c", "d", "e"})
@@ -215,20 +220,20 @@
 	assert.Len(t, one[0], 2)
 	assert.Equal(t, []string{"b", "d"}, one[1])
 	_, err = s.SelectTargets(7, []string{"a"})
-	assert.ErrorContains(t, err, `trouble 2, "stall": nobody is called "b"`)
-	on := func(text, from, to string) bool {
-		s, err := ReadScript(write(t, text))
+	assert.ErrorContains(t, err, `trouble 2, "stall": no process is named "b"`)
+	affects := func(text, from, to string) bool {
+		s, err := ReadScript(writeScript(t, text))
 		require.NoError(t, err)
-		return s.Troubles[0].on(map[string]bool{"a": true, "b": true}, from, to)
+		return s.Troubles[0].affects(map[string]bool{"a": true, "b": true}, from, to)
 	}
-	assert.True(t, on("trouble \"split\" {\n}\n", "a", "c"))
-	assert.False(t, on("trouble \"split\" {\n}\n", "a", "b"))
-	assert.True(t, on("trouble \"cut\" {\n way = \"out\"\n toward = \"c\"\n}\n", "a", "c"))
-	assert.False(t, on("trouble \"cut\" {\n way = \"out\"\n toward = \"c\"\n}\n", "c", "a"))
-	assert.False(t, on("trouble \"cut\" {\n way = \"out\"\n toward = \"c\"\n}\n", "a", "d"))
+	assert.True(t, affects("trouble \"split\" {\n}\n", "a", "c"))
+	assert.False(t, affects("trouble \"split\" {\n}\n", "a", "b"))
+	assert.True(t, affects("trouble \"cut\" {\n way = \"out\"\n toward = \"c\"\n}\n", "a", "c"))
+	assert.False(t, affects("trouble \"cut\" {\n way = \"out\"\n toward = \"c\"\n}\n", "c", "a"))
+	assert.False(t, affects("trouble \"cut\" {\n way = \"out\"\n toward = \"c\"\n}\n", "a", "d"))
 }
 
-// The check of a rate says what a look at every span says.
+// CheckRate finds the same excess as a brute-force search over every span.
 func TestCheckRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate, burst := rapid.Float64Range(1, 50).Draw(t, "rate"), rapid.Float64Range(0, 10).Draw(t, "burst")
@@ -250,48 +255,49 @@
 				worst = max(worst, n-rate*(events[k].At-events[i].At).Seconds()-burst)
 			}
 		}
-		over, _ := CheckRate(events, "begun", rate, burst)
-		if diff := over - worst; diff > 1e-6 || diff < -1e-6 {
-			t.Fatalf("%v, by every span %v", over, worst)
+		excess, _ := CheckRate(events, "begun", rate, burst)
+		if diff := excess - worst; diff > 1e-6 || diff < -1e-6 {
+			t.Fatalf("CheckRate: %v, brute force: %v", excess, worst)
 		}
 	})
 }
 
-// A process is stalled, killed and started again; its lines and its starts stand in the log, which keeps no more than it may.
+// A process is stalled, killed, restarted and stopped, and the log holds these events and the lines that it wrote. A full log
+// drops further events and counts them.
 func TestProcess(t *testing.T) {
 	log := NewLog(100)
 	p := &Process{Name: "p", Path: "/bin/sh", Args: []string{"-c", "echo here >&2; exec sleep 600"}, Dir: filepath.Join(t.TempDir(), "d")}
 	require.NoError(t, p.Start(log))
-	assert.Error(t, p.Start(log), "it runs")
+	assert.Error(t, p.Start(log), "already running")
 	s := &Script{Troubles: []Trouble{{Kind: "stall", Targets: []string{"p"}, To: 20 * time.Millisecond},
 		{Kind: "kill", Targets: []string{"p"}, From: 50 * time.Millisecond, To: 70 * time.Millisecond}}}
 	require.NoError(t, s.Play(context.Background(), 1, []*Process{p}, NewLinks(1), log))
 	assert.True(t, p.Running())
 	assert.NoDirExists(t, filepath.Join(p.Dir, "x"))
-	p.Stop(patience)
+	p.Stop(waitTimeout)
 	assert.False(t, p.Running())
 	assert.Error(t, p.Signal(0))
-	p.Kill() // nobody is there
-	events, lost := log.Events()
-	assert.Zero(t, lost)
-	var whats []string
+	p.Kill() // does nothing, as the process is not running
+	events, dropped := log.Events()
+	assert.Zero(t, dropped)
+	var kinds []string
 	for _, e := range events {
 		if e.Who == "p" && e.What != "line" {
-			whats = append(whats, e.What+e.Text)
+			kinds = append(kinds, e.What+e.Text)
 		}
 	}
 	assert.Equal(t, []string{"start", "signalstopped (signal)", "signalcontinued", "signalkilled", "endsignal: killed", "forgot", "start",
-		"signalterminated", "endsignal: terminated"}, whats)
+		"signalterminated", "endsignal: terminated"}, kinds)
 	assert.True(t, slices.ContainsFunc(events, func(e Event) bool { return e.What == "line" && e.Text == "here" }))
 	var b bytes.Buffer
 	require.NoError(t, log.Write(&b))
-	back, err := ReadLog(&b)
+	decoded, err := ReadLog(&b)
 	require.NoError(t, err)
-	assert.Equal(t, events, back)
-	small := NewLog(1)
-	small.Add("a", "b", 0, "")
-	small.Add("a", "b", 0, "")
-	_, lost = small.Events()
-	assert.Equal(t, 1, lost)
-	assert.Error(t, small.Write(&b))
+	assert.Equal(t, events, decoded)
+	full := NewLog(1)
+	full.Add("a", "b", 0, "")
+	full.Add("a", "b", 0, "")
+	_, dropped = full.Events()
+	assert.Equal(t, 1, dropped)
+	assert.Error(t, full.Write(&b))
 }
--- a/internal/faults/links.go
+++ b/internal/faults/links.go
@@ -1,7 +1,7 @@
-// Package faults puts faults between real processes: each link between two of them goes through a relay here that drops,
-// delays, cuts, swallows, loses, doubles or reorders, one direction apart from the other, and processes are stalled, killed
-// and started again. It owns the relays, the processes it started and the log of what all of them did; a checker reads that
-// log and nothing else. It must never judge on its own what a process should do, touch a process that it did not start, or
+// Package faults injects faults between real processes. Each link between two processes goes through a relay that can cut,
+// blackhole, delay, lose, duplicate or reorder traffic, separately in each direction; processes can be stalled, killed and
+// restarted. The package owns the relays, the processes it started and the event log of all of them. Checks read only that
+// log. The package must not decide what a process should do, must not touch a process that it did not start, and must not
 // be imported by the scheduler.
 package faults
 
@@ -12,36 +12,37 @@
 	"time"
 )
 
-// Fault is what is wrong with one direction of a link.
+// Fault describes the impairment of one direction of a link. The zero value is a healthy link.
 type Fault struct {
-	Cut          bool          // connections are reset, new ones are refused, datagrams vanish
-	Blackhole    bool          // what is sent does not arrive, and nobody says so; bytes of streams wait until it ends
-	Delay        time.Duration // of each datagram, and each piece of a stream
-	Jitter       time.Duration // at most so much more; datagrams overtake each other by it
-	Loss         float64       // of datagrams, 0 to 1
-	Duplicate    float64       // of datagrams
-	Reorder      float64       // of datagrams: so many are held back for Hold
+	Cut          bool          // resets connections, refuses new ones and drops datagrams
+	Blackhole    bool          // drops datagrams without an error; bytes of streams wait until the fault ends
+	Delay        time.Duration // added to each datagram and to each chunk of a stream
+	Jitter       time.Duration // upper bound of a random extra delay of datagrams, which may reorder them
+	Loss         float64       // fraction of datagrams that are lost, 0 to 1
+	Duplicate    float64       // fraction of datagrams that are delivered twice
+	Reorder      float64       // fraction of datagrams that are held back for ReorderDelay
 	ReorderDelay time.Duration
 }
 
-// and is both at once.
-func (f Fault) and(g Fault) Fault {
+// combine returns the fault of a direction to which both f and g apply.
+func (f Fault) combine(g Fault) Fault {
 	return Fault{f.Cut || g.Cut, f.Blackhole || g.Blackhole, f.Delay + g.Delay, f.Jitter + g.Jitter, 1 - (1-f.Loss)*(1-g.Loss),
 		1 - (1-f.Duplicate)*(1-g.Duplicate), 1 - (1-f.Reorder)*(1-g.Reorder), max(f.ReorderDelay, g.ReorderDelay)}
 }
 
-// Links are the faults of all links just now. The zero value is not ready; NewLinks is.
+// Links holds the faults in effect and the traffic counts of all links. Use NewLinks to create one; the zero value is not
+// usable. Its methods are safe for concurrent use.
 type Links struct {
 	seed uint64
 
 	mu      sync.Mutex
 	rules   []*rule
-	dice    map[[2]string]*rand.Rand // of each direction, so that one's datagrams do not change another's luck
-	changed chan struct{}            // closed and made anew at each change
-	counts  map[[2]string]*Traffic
+	rngs    map[[2]string]*rand.Rand // by direction, so that traffic of one direction does not affect the draws of another
+	changed chan struct{}            // closed and replaced at each change
+	traffic map[[2]string]*Traffic
 }
 
-// Traffic is what went over one direction of a link.
+// Traffic counts what was sent over one direction of a link, or over several. Lost counts datagrams.
 type Traffic struct{ Datagrams, Bytes, Lost int64 }
 
 type rule struct {
@@ -49,106 +50,109 @@
 	fault Fault
 }
 
-// NewLinks are links without a fault.
+// NewLinks returns links without faults. The seed determines which datagrams are lost, duplicated or delayed.
 func NewLinks(seed uint64) *Links {
-	return &Links{seed: seed, dice: map[[2]string]*rand.Rand{}, changed: make(chan struct{}), counts: map[[2]string]*Traffic{}}
+	return &Links{seed: seed, rngs: map[[2]string]*rand.Rand{}, changed: make(chan struct{}), traffic: map[[2]string]*Traffic{}}
 }
 
-// Inject puts a fault on all directions that match, until the returned function is called.
+// Inject applies a fault to all directions that match, until the returned function is called. Several faults on one
+// direction add up.
 func (l *Links) Inject(f Fault, match func(from, to string) bool) (end func()) {
 	r := &rule{match, f}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rules = append(l.rules, r)
-	l.news()
+	l.notifyChanged()
 	return func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		for i, v := range l.rules {
 			if v == r {
 				l.rules = append(l.rules[:i], l.rules[i+1:]...)
-				l.news()
+				l.notifyChanged()
 				return
 			}
 		}
 	}
 }
 
-func (l *Links) news() {
+// notifyChanged wakes all that wait for a change of faults. The caller holds l.mu.
+func (l *Links) notifyChanged() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// FaultOn is what is wrong with a direction, and a channel that is closed when that may have changed.
+// FaultOn returns the fault of a direction, and a channel that is closed when it may have changed.
 func (l *Links) FaultOn(from, to string) (Fault, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.at(from, to), l.changed
+	return l.faultOn(from, to), l.changed
 }
 
-func (l *Links) at(from, to string) (f Fault) {
+// faultOn returns the combined fault of a direction. The caller holds l.mu.
+func (l *Links) faultOn(from, to string) (f Fault) {
 	for _, r := range l.rules {
 		if r.match(from, to) {
-			f = f.and(r.fault)
+			f = f.combine(r.fault)
 		}
 	}
 	return f
 }
 
-// datagram decides what becomes of one: after which spans it arrives, none if it is lost. The nth datagram of a direction
-// meets the same luck whenever the seed is the same.
-func (l *Links) datagram(from, to string, bytes int) (after []time.Duration) {
+// deliveries counts a datagram and returns the delay of each copy to be delivered, none if the datagram is lost. With the
+// same seed and the same faults, the nth datagram of a direction always gets the same result.
+func (l *Links) deliveries(from, to string, bytes int) (delays []time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	key := [2]string{from, to}
-	rng, c := l.dice[key], l.passed(key)
+	rng, c := l.rngs[key], l.trafficOf(key)
 	if rng == nil {
 		h := fnv.New64a()
 		h.Write([]byte(from + ">" + to))
 		rng = rand.New(rand.NewPCG(l.seed, h.Sum64()))
-		l.dice[key] = rng
+		l.rngs[key] = rng
 	}
-	lost, double, held, jitter := rng.Float64(), rng.Float64(), rng.Float64(), rng.Float64()
-	f := l.at(from, to)
+	lost, duplicated, held, jitter := rng.Float64(), rng.Float64(), rng.Float64(), rng.Float64()
+	f := l.faultOn(from, to)
 	c.Datagrams++
 	c.Bytes += int64(bytes)
 	if f.Cut || f.Blackhole || lost < f.Loss {
 		c.Lost++
 		return nil
 	}
-	wait := f.Delay + time.Duration(jitter*float64(f.Jitter))
+	delay := f.Delay + time.Duration(jitter*float64(f.Jitter))
 	if held < f.Reorder {
-		wait += f.ReorderDelay
+		delay += f.ReorderDelay
 	}
-	after = append(after, wait)
-	if double < f.Duplicate {
-		after = append(after, wait+f.Jitter)
+	delays = append(delays, delay)
+	if duplicated < f.Duplicate {
+		delays = append(delays, delay+f.Jitter)
 	}
-	return after
+	return delays
 }
 
-// stream counts bytes of a stream.
-func (l *Links) stream(from, to string, bytes int) {
+// countStreamBytes counts bytes of a stream.
+func (l *Links) countStreamBytes(from, to string, bytes int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.passed([2]string{from, to}).Bytes += int64(bytes)
+	l.trafficOf([2]string{from, to}).Bytes += int64(bytes)
 }
 
-// passed is the account of a direction.
-func (l *Links) passed(key [2]string) *Traffic {
-	c := l.counts[key]
+// trafficOf returns the counts of a direction and creates them at first use. The caller holds l.mu.
+func (l *Links) trafficOf(key [2]string) *Traffic {
+	c := l.traffic[key]
 	if c == nil {
 		c = &Traffic{}
-		l.counts[key] = c
+		l.traffic[key] = c
 	}
 	return c
 }
 
-// TrafficFrom is what one sent, to whomever, so far.
+// TrafficFrom returns what one process has sent so far, summed over all receivers.
 func (l *Links) TrafficFrom(from string) (sum Traffic) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for key, c := range l.counts {
+	for key, c := range l.traffic {
 		if key[0] == from {
 			sum.Datagrams, sum.Bytes, sum.Lost = sum.Datagrams+c.Datagrams, sum.Bytes+c.Bytes, sum.Lost+c.Lost
 		}
--- a/internal/faults/log.go
+++ b/internal/faults/log.go
@@ -9,74 +9,75 @@
 	"time"
 )
 
-// This file owns the log of a trial and the checks that read it. A check knows nothing but the log.
+// This file holds the event log of a trial and the checks over it. A check reads nothing but the log.
 
-// Event is something that happened.
+// Event is one entry of the log.
 type Event struct {
-	At   time.Duration `json:"at"` // since the log began
+	At   time.Duration `json:"at"` // since the start of the log
 	Who  string        `json:"who"`
 	What string        `json:"what"`
 	N    float64       `json:"n,omitempty"`
 	Text string        `json:"text,omitempty"`
 }
 
-// Log is the events of all processes. Its methods may be called from any goroutine.
+// Log collects the events of all processes, up to a maximum number. Its methods are safe for concurrent use.
 type Log struct {
-	begun time.Time
-	most  int
+	started   time.Time
+	maxEvents int
 
-	mu     sync.Mutex
-	events []Event
-	lost   int
+	mu      sync.Mutex
+	events  []Event
+	dropped int
 }
 
-// NewLog begins a log that keeps so many events.
-func NewLog(most int) *Log { return &Log{begun: time.Now(), most: most} }
+// NewLog returns an empty log that starts now and keeps at most maxEvents events.
+func NewLog(maxEvents int) *Log { return &Log{started: time.Now(), maxEvents: maxEvents} }
 
-// Now is the time of the log.
-func (l *Log) Now() time.Duration { return time.Since(l.begun) }
+// Now returns the time since the start of the log.
+func (l *Log) Now() time.Duration { return time.Since(l.started) }
 
-// Add adds an event of now.
+// Add adds an event at the current time.
 func (l *Log) Add(who, what string, n float64, text string) {
 	l.AddAt(time.Now(), who, what, n, text)
 }
 
-// AddAt adds one that somebody else has seen.
+// AddAt adds an event that was observed at the given time. A full log drops the event and counts it.
 func (l *Log) AddAt(at time.Time, who, what string, n float64, text string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.events) >= l.most {
-		l.lost++
+	if len(l.events) >= l.maxEvents {
+		l.dropped++
 		return
 	}
-	l.events = append(l.events, Event{at.Sub(l.begun), who, what, n, text})
+	l.events = append(l.events, Event{at.Sub(l.started), who, what, n, text})
 }
 
-// Events are all so far, by time, and how many there was no room for. A check of a log that lost some proves nothing.
+// Events returns a copy of all events so far, sorted by time, and the number of events dropped because the log was full.
+// The result of a check is not valid if events were dropped.
 func (l *Log) Events() ([]Event, int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := slices.Clone(l.events)
 	slices.SortStableFunc(out, func(a, b Event) int { return int(a.At - b.At) })
-	return out, l.lost
+	return out, l.dropped
 }
 
-// Write writes them, a JSON object a line.
+// Write writes the events as JSON, one object per line. It returns an error if events were dropped.
 func (l *Log) Write(w io.Writer) error {
-	events, lost := l.Events()
+	events, dropped := l.Events()
 	out := json.NewEncoder(w)
 	for _, e := range events {
 		if err := out.Encode(e); err != nil {
 			return err
 		}
 	}
-	if lost > 0 {
-		return fmt.Errorf("faults: %d events found no room in the log", lost)
+	if dropped > 0 {
+		return fmt.Errorf("faults: the log was full, %d events were dropped", dropped)
 	}
 	return nil
 }
 
-// ReadLog reads what Write wrote.
+// ReadLog reads events that Write has written. With an error it also returns the events before the faulty one.
 func ReadLog(r io.Reader) (out []Event, err error) {
 	in := json.NewDecoder(r)
 	for {
@@ -84,16 +85,17 @@
 		if err := in.Decode(&e); err == io.EOF {
 			return out, nil
 		} else if err != nil {
-			return out, fmt.Errorf("faults: event %d: %w", len(out)+1, err)
+			return out, fmt.Errorf("faults: reading event %d of the log: %w", len(out)+1, err)
 		}
 		out = append(out, e)
 	}
 }
 
-// CheckRate reads the events of a kind and tells the worst that began beyond rate x span + burst over any span, in events, and
-// when that span ended; over is negative where the bound was never met. It's the bound of a bucket that holds burst.
-func CheckRate(events []Event, what string, rate, burst float64) (over float64, at time.Duration) {
-	over = -burst
+// CheckRate compares the events of one kind with the bound of a token bucket: at most rate x span + burst events within any
+// span. It returns the largest excess over the bound, in events, and the time at which that span ended. The excess is
+// negative if the bound was never reached.
+func CheckRate(events []Event, what string, rate, burst float64) (excess float64, at time.Duration) {
+	excess = -burst
 	level, last := 0.0, time.Duration(0)
 	for _, e := range events {
 		if e.What != what {
@@ -101,14 +103,14 @@
 		}
 		level = max(0, level-rate*(e.At-last).Seconds()) + 1
 		last = e.At
-		if level-burst > over {
-			over, at = level-burst, e.At
+		if level-burst > excess {
+			excess, at = level-burst, e.At
 		}
 	}
-	return over, at
+	return excess, at
 }
 
-// EventRate is how many events of a kind there were a second.
+// EventRate returns the number of events of one kind per second, over the span that starts at from and ends before to.
 func EventRate(events []Event, what string, from, to time.Duration) float64 {
 	n := 0
 	for _, e := range events {
--- a/internal/faults/process.go
+++ b/internal/faults/process.go
@@ -12,31 +12,33 @@
 	"time"
 )
 
-// This file owns the processes: their starts, signals and ends, and the lines that they write.
+// This file manages processes: it starts and signals them, waits for their exit, and logs the lines that they write to
+// standard error.
 
-// Process is a program that is started, stalled, killed and started again under one name.
+// Process is a program that can be started, stalled, killed and restarted under one name.
 type Process struct {
 	Name string
 	Path string
 	Args []string
-	Env  []string // beside our own
-	// Dir is a directory that is its own; a restart may take it away. "": it has none.
+	Env  []string // added to the environment of this process
+	// Dir is the directory of the process, created by Start and deleted by RemoveDir. It is empty if there is none.
 	Dir string
-	// Ready, if set, reports whether it serves.
+	// Ready reports whether the process serves requests. If it is nil, AwaitReady doesn't wait.
 	Ready func(ctx context.Context) bool
 
-	log *Log
-	mu  sync.Mutex
-	cmd *exec.Cmd
-	end chan struct{} // closed when that start of it has ended
+	log    *Log
+	mu     sync.Mutex
+	cmd    *exec.Cmd
+	exited chan struct{} // closed when the process started last has exited
 }
 
-// Start starts it. Whoever starts processes ends them: see Kill.
+// Start starts the process and logs its events to log. It returns an error if the process is running. The caller must end
+// the process with Kill or Stop.
 func (p *Process) Start(log *Log) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		return fmt.Errorf("faults: %s runs", p.Name)
+		return fmt.Errorf("faults: %s is already running", p.Name)
 	}
 	p.log = log
 	if p.Dir != "" {
@@ -46,52 +48,52 @@
 	}
 	cmd := exec.Command(p.Path, p.Args...)
 	cmd.Env = append(os.Environ(), p.Env...)
-	cmd.Stderr = &lines{log: log, who: p.Name}
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // nothing is left where we end
+	cmd.Stderr = &lineLogger{log: log, who: p.Name}
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // ends the process if this one dies
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	end := make(chan struct{})
-	p.cmd, p.end = cmd, end
+	exited := make(chan struct{})
+	p.cmd, p.exited = cmd, exited
 	log.Add(p.Name, "start", 0, "")
 	go func() {
 		err := cmd.Wait()
-		why := ""
+		reason := ""
 		if err != nil {
-			why = err.Error()
+			reason = err.Error()
 		}
-		log.Add(p.Name, "end", 0, why)
+		log.Add(p.Name, "end", 0, reason)
 		p.mu.Lock()
 		if p.cmd == cmd {
 			p.cmd = nil
 		}
 		p.mu.Unlock()
-		close(end)
+		close(exited)
 	}()
 	return nil
 }
 
-// AwaitReady waits until it serves.
+// AwaitReady waits until Ready reports true. It returns an error if the process exits or ctx ends before that.
 func (p *Process) AwaitReady(ctx context.Context) error {
 	for p.Ready != nil && !p.Ready(ctx) {
 		if !p.Running() {
-			return fmt.Errorf("faults: %s has ended", p.Name)
+			return fmt.Errorf("faults: %s exited before it was ready", p.Name)
 		}
 		if !sleep(10*time.Millisecond, ctx.Done()) {
-			return fmt.Errorf("faults: %s does not serve: %w", p.Name, ctx.Err())
+			return fmt.Errorf("faults: %s is not ready: %w", p.Name, ctx.Err())
 		}
 	}
 	return nil
 }
 
-// Running reports whether it has been started and not ended; one that is stalled runs.
+// Running reports whether the process has been started and has not exited. A stalled process counts as running.
 func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd != nil
 }
 
-// Signal sends it a signal.
+// Signal sends a signal to the process and logs it. It returns an error if the process is not running.
 func (p *Process) Signal(sig syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,7 +104,7 @@
 	return p.cmd.Process.Signal(sig)
 }
 
-// PID is its process number; 0: it does not run.
+// PID returns the process ID, or 0 if the process is not running.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -112,37 +114,39 @@
 	return p.cmd.Process.Pid
 }
 
-// wait waits for the end of the present start.
-func (p *Process) wait(span time.Duration) bool {
+// awaitExit waits until the process started last has exited. It reports false if that takes longer than timeout.
+func (p *Process) awaitExit(timeout time.Duration) bool {
 	p.mu.Lock()
-	end := p.end
+	exited := p.exited
 	p.mu.Unlock()
-	if end == nil {
+	if exited == nil {
 		return true
 	}
 	select {
-	case <-end:
+	case <-exited:
 		return true
-	case <-time.After(span):
+	case <-time.After(timeout):
 		return false
 	}
 }
 
-// Kill ends it at once, also where it is stalled. One that does not run is left alone.
+// Kill sends SIGKILL, which also ends a stalled process, and waits up to a minute for its exit. It does nothing if the
+// process is not running.
 func (p *Process) Kill() {
 	if p.Signal(syscall.SIGKILL) == nil {
-		p.wait(time.Minute)
+		p.awaitExit(time.Minute)
 	}
 }
 
-// Stop asks it to end, and kills it after the span.
-func (p *Process) Stop(span time.Duration) {
-	if p.Signal(syscall.SIGTERM) == nil && !p.wait(span) {
+// Stop sends SIGTERM, and kills the process if it has not exited within timeout.
+func (p *Process) Stop(timeout time.Duration) {
+	if p.Signal(syscall.SIGTERM) == nil && !p.awaitExit(timeout) {
 		p.Kill()
 	}
 }
 
-// RemoveDir takes its directory away, as a machine that is lost does.
+// RemoveDir deletes the directory of the process, as if its machine were lost. It does nothing if there is no directory or
+// the process is running.
 func (p *Process) RemoveDir() error {
 	if p.Dir == "" || p.Running() {
 		return nil
@@ -151,26 +155,27 @@
 	return os.RemoveAll(p.Dir)
 }
 
-// lines makes events of what a process writes.
-type lines struct {
-	log  *Log
-	who  string
-	rest []byte
+// lineLogger is an io.Writer that logs each line a process writes as an event. Longer
+// lines than maxLineBytes are split, and the byte after each piece is dropped.
+type lineLogger struct {
+	log     *Log
+	who     string
+	pending []byte
 }
 
-const longestLine = 4 << 10
+const maxLineBytes = 4 << 10
 
-func (w *lines) Write(b []byte) (int, error) {
-	w.rest = append(w.rest, b...)
+func (w *lineLogger) Write(b []byte) (int, error) {
+	w.pending = append(w.pending, b...)
 	for {
-		i := bytes.IndexByte(w.rest, '\n')
-		if i < 0 && len(w.rest) > longestLine {
-			i = longestLine
+		i := bytes.IndexByte(w.pending, '\n')
+		if i < 0 && len(w.pending) > maxLineBytes {
+			i = maxLineBytes
 		}
 		if i < 0 {
 			return len(b), nil
 		}
-		w.log.Add(w.who, "line", 0, string(w.rest[:i]))
-		w.rest = w.rest[min(i+1, len(w.rest)):]
+		w.log.Add(w.who, "line", 0, string(w.pending[:i]))
+		w.pending = w.pending[min(i+1, len(w.pending)):]
 	}
 }
--- a/internal/faults/relay.go
+++ b/internal/faults/relay.go
@@ -11,27 +11,28 @@
 	"weldscale/internal/fleet"
 )
 
-// This file owns the relays' sockets: one for all that members of a fleet say to each other, and one for each further link.
+// This file holds the relays: a Hub for all links between members of a fleet, and a TCPRelay for each other link.
 
 const (
-	dialFor  = 2 * time.Second
-	pieceMax = 16 << 10
-	// mostHeld bounds the datagrams that wait for their time; what is beyond is lost, as on a full line.
-	mostHeld = 1 << 16
+	ioTimeout     = 2 * time.Second
+	maxChunkBytes = 16 << 10
+	// maxDelayedDatagrams bounds the datagrams that wait for their delivery. More are dropped, as on a congested link.
+	maxDelayedDatagrams = 1 << 16
 )
 
-// relay is what both kinds have.
+// relay is the common part of Hub and TCPRelay: a listener and the connections that go through it.
 type relay struct {
-	links *Links
-	tcp   net.Listener
-	stop  chan struct{}
-	done  sync.WaitGroup
+	links      *Links
+	tcp        net.Listener
+	stop       chan struct{}
+	goroutines sync.WaitGroup
 
 	mu    sync.Mutex
-	conns map[net.Conn]struct{}
+	conns map[net.Conn]struct{} // nil once the relay is closed
 }
 
-func (r *relay) keep(c net.Conn) bool {
+// track registers a connection so that close closes it. It reports false if the relay is closed already.
+func (r *relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.conns == nil {
@@ -41,14 +42,15 @@
 	return true
 }
 
-func (r *relay) drop(c net.Conn) {
+// closeConn closes a connection and removes it from the tracked ones.
+func (r *relay) closeConn(c net.Conn) {
 	r.mu.Lock()
 	delete(r.conns, c)
 	r.mu.Unlock()
 	c.Close()
 }
 
-// Close ends the relay with all that goes through it.
+// close closes the listener and all connections, and waits for their goroutines.
 func (r *relay) close() {
 	close(r.stop)
 	r.tcp.Close()
@@ -58,10 +60,10 @@
 	}
 	r.conns = nil
 	r.mu.Unlock()
-	r.done.Wait()
+	r.goroutines.Wait()
 }
 
-// reset closes a connection so that its peer sees a reset.
+// reset closes a connection; if it is a TCP connection, the peer sees a reset.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
@@ -69,7 +71,7 @@
 	c.Close()
 }
 
-// accept hands each connection to serve.
+// accept runs serve in a goroutine for each new connection, until the relay is closed.
 func (r *relay) accept(serve func(net.Conn)) {
 	for {
 		c, err := r.tcp.Accept()
@@ -79,27 +81,28 @@
 			}
 			continue
 		}
-		if !r.keep(c) {
+		if !r.track(c) {
 			c.Close()
 			return
 		}
-		r.done.Go(func() {
-			defer r.drop(c)
+		r.goroutines.Go(func() {
+			defer r.closeConn(c)
 			serve(c)
 		})
 	}
 }
 
-// join carries bytes between two ends until one of them ends or the link is cut.
-func (r *relay) join(a net.Conn, from string, toAddr, to string) {
-	for { // a link that swallows never lets a connection come up
+// forward dials toAddr and copies bytes in both directions until a connection ends, the link is cut or the relay is closed.
+// from and to name the two processes.
+func (r *relay) forward(client net.Conn, from string, toAddr, to string) {
+	for { // no connection is established over a link that is blackholed in either direction
 		f, changed := r.links.FaultOn(from, to)
-		back, _ := r.links.FaultOn(to, from)
-		if f.Cut || back.Cut {
-			reset(a)
+		reverse, _ := r.links.FaultOn(to, from)
+		if f.Cut || reverse.Cut {
+			reset(client)
 			return
 		}
-		if !f.Blackhole && !back.Blackhole {
+		if !f.Blackhole && !reverse.Blackhole {
 			break
 		}
 		select {
@@ -108,40 +111,40 @@
 			return
 		}
 	}
-	b, err := net.DialTimeout("tcp", toAddr, dialFor)
+	server, err := net.DialTimeout("tcp", toAddr, ioTimeout)
 	if err != nil {
-		reset(a)
+		reset(client)
 		return
 	}
-	if !r.keep(b) {
-		b.Close()
+	if !r.track(server) {
+		server.Close()
 		return
 	}
-	defer r.drop(b)
-	over := make(chan struct{})
+	defer r.closeConn(server)
+	done := make(chan struct{})
 	var once sync.Once
-	end := func(hard bool) {
+	end := func(abort bool) {
 		once.Do(func() {
-			if hard {
-				reset(a)
-				reset(b)
+			if abort {
+				reset(client)
+				reset(server)
 			}
-			close(over)
+			close(done)
 		})
 	}
 	var both sync.WaitGroup
-	both.Go(func() { r.carry(a, b, from, to, over, end) })
-	both.Go(func() { r.carry(b, a, to, from, over, end) })
-	both.Go(func() { // a cut takes effect at once, also where nobody says anything
+	both.Go(func() { r.copyDirection(client, server, from, to, done, end) })
+	both.Go(func() { r.copyDirection(server, client, to, from, done, end) })
+	both.Go(func() { // a cut takes effect at once, also on idle connections
 		for {
 			f, changed := r.links.FaultOn(from, to)
-			if back, _ := r.links.FaultOn(to, from); f.Cut || back.Cut {
+			if reverse, _ := r.links.FaultOn(to, from); f.Cut || reverse.Cut {
 				end(true)
 				return
 			}
 			select {
 			case <-changed:
-			case <-over:
+			case <-done:
 				return
 			case <-r.stop:
 				end(true)
@@ -152,27 +155,28 @@
 	both.Wait()
 }
 
-// carry is one direction of a stream. An end of sending is passed on; the other direction goes on until its own.
-func (r *relay) carry(from, to net.Conn, name, other string, over chan struct{}, end func(bool)) {
-	buf := make([]byte, pieceMax)
+// copyDirection copies one direction of a stream, with the faults of the link from sender to receiver. At the end of the
+// stream it closes the receiver's connection for writing, and gives the other direction up to ioTimeout to finish.
+func (r *relay) copyDirection(from, to net.Conn, sender, receiver string, done chan struct{}, end func(bool)) {
+	buf := make([]byte, maxChunkBytes)
 	for {
 		n, err := from.Read(buf)
 		for n > 0 {
-			f, changed := r.links.FaultOn(name, other)
+			f, changed := r.links.FaultOn(sender, receiver)
 			if !f.Blackhole {
-				if f.Delay > 0 && !sleep(f.Delay, over) {
+				if f.Delay > 0 && !sleep(f.Delay, done) {
 					return
 				}
 				break
 			}
 			select {
 			case <-changed:
-			case <-over:
+			case <-done:
 				return
 			}
 		}
 		if n > 0 {
-			r.links.stream(name, other, n)
+			r.links.countStreamBytes(sender, receiver, n)
 			if _, err := to.Write(buf[:n]); err != nil {
 				end(true)
 				return
@@ -181,9 +185,9 @@
 		if err != nil {
 			if err == io.EOF {
 				if tcp, ok := to.(*net.TCPConn); ok && tcp.CloseWrite() == nil {
-					select { // the one who has ended its sending may still be told something
-					case <-over:
-					case <-time.After(dialFor):
+					select { // after a half-close the other direction may still carry data
+					case <-done:
+					case <-time.After(ioTimeout):
 					}
 				}
 			}
@@ -195,24 +199,25 @@
 	}
 }
 
-func sleep(span time.Duration, over <-chan struct{}) bool {
+// sleep waits for the duration. It reports false if done is closed before that.
+func sleep(duration time.Duration, done <-chan struct{}) bool {
 	select {
-	case <-time.After(span):
+	case <-time.After(duration):
 		return true
-	case <-over:
+	case <-done:
 		return false
 	}
 }
 
-// Hub is the relay of all links between members of a fleet: their fleet blocks name it as via.
+// Hub relays all links between the members of a fleet, TCP and UDP. The fleet blocks of the members name its address as via.
 type Hub struct {
 	relay
-	udp   *net.UDPConn
-	names map[string]string // of addresses
-	held  chan struct{}
+	udp     *net.UDPConn
+	names   map[string]string // member names by address
+	delayed chan struct{}     // semaphore of delayed datagrams
 }
 
-// StartHub starts one. names are the members' names by the addresses that they bind.
+// StartHub starts a hub on a loopback port. names maps the addresses that the members bind to their names.
 func StartHub(links *Links, names map[string]string) (*Hub, error) {
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -225,33 +230,34 @@
 	}
 	udp.SetReadBuffer(4 << 20)
 	h := &Hub{relay: relay{links: links, tcp: tcp, stop: make(chan struct{}), conns: map[net.Conn]struct{}{}}, udp: udp, names: names,
-		held: make(chan struct{}, mostHeld)}
-	h.done.Go(func() {
+		delayed: make(chan struct{}, maxDelayedDatagrams)}
+	h.goroutines.Go(func() {
 		h.accept(func(c net.Conn) {
-			c.SetReadDeadline(time.Now().Add(dialFor))
+			c.SetReadDeadline(time.Now().Add(ioTimeout))
 			to, from, err := fleet.ReadRelayHeader(c)
 			if err != nil || names[to] == "" {
 				reset(c)
 				return
 			}
 			c.SetReadDeadline(time.Time{})
-			h.join(c, names[from], to, names[to])
+			h.forward(c, names[from], to, names[to])
 		})
 	})
-	h.done.Go(h.datagrams)
+	h.goroutines.Go(h.forwardDatagrams)
 	return h, nil
 }
 
-// Addr is what members name as via.
+// Addr returns the address that the members name as via.
 func (h *Hub) Addr() string { return h.tcp.Addr().String() }
 
-// Close ends it.
+// Close closes the sockets and all connections of the hub.
 func (h *Hub) Close() {
 	h.udp.Close()
 	h.close()
 }
 
-func (h *Hub) datagrams() {
+// forwardDatagrams relays datagrams until the socket is closed. It ignores datagrams of or to unknown members.
+func (h *Hub) forwardDatagrams() {
 	buf := make([]byte, 64<<10)
 	for {
 		n, _, err := h.udp.ReadFromUDP(buf)
@@ -261,8 +267,8 @@
 			}
 			continue
 		}
-		rest := bytes.NewReader(buf[:n])
-		to, from, err := fleet.ReadRelayHeader(rest)
+		reader := bytes.NewReader(buf[:n])
+		to, from, err := fleet.ReadRelayHeader(reader)
 		if err != nil || h.names[to] == "" || h.names[from] == "" {
 			continue
 		}
@@ -270,42 +276,43 @@
 		if err != nil {
 			continue
 		}
-		data := buf[n-rest.Len() : n]
-		for _, wait := range h.links.datagram(h.names[from], h.names[to], len(data)) {
-			if wait == 0 {
+		data := buf[n-reader.Len() : n]
+		for _, delay := range h.links.deliveries(h.names[from], h.names[to], len(data)) {
+			if delay == 0 {
 				h.udp.WriteToUDP(data, addr)
 				continue
 			}
 			select {
-			case h.held <- struct{}{}:
+			case h.delayed <- struct{}{}:
 			default:
 				continue
 			}
-			late := append([]byte(nil), data...)
-			time.AfterFunc(wait, func() {
-				<-h.held
-				h.udp.WriteToUDP(late, addr)
+			delayed := append([]byte(nil), data...)
+			time.AfterFunc(delay, func() {
+				<-h.delayed
+				h.udp.WriteToUDP(delayed, addr)
 			})
 		}
 	}
 }
 
-// TCPRelay is the relay of one further link, such as a scheduler's to a worker: who dials Addr reaches the target.
+// TCPRelay relays one TCP link, such as that of a scheduler to a worker. A connection to Addr reaches the target.
 type TCPRelay struct{ relay }
 
-// StartTCPRelay starts one between the parties of those names.
+// StartTCPRelay starts a relay on a loopback port. from and to are the names of the two processes in Links, and target is the
+// address to dial.
 func StartTCPRelay(links *Links, from, to, target string) (*TCPRelay, error) {
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	p := &TCPRelay{relay{links: links, tcp: tcp, stop: make(chan struct{}), conns: map[net.Conn]struct{}{}}}
-	p.done.Go(func() { p.accept(func(c net.Conn) { p.join(c, from, target, to) }) })
+	p.goroutines.Go(func() { p.accept(func(c net.Conn) { p.forward(c, from, target, to) }) })
 	return p, nil
 }
 
-// Addr is where it is dialled.
+// Addr returns the address that the relay listens on.
 func (p *TCPRelay) Addr() string { return p.tcp.Addr().String() }
 
-// Close ends it.
+// Close closes the listener and all connections of the relay.
 func (p *TCPRelay) Close() { p.close() }
--- a/internal/faults/script.go
+++ b/internal/faults/script.go
@@ -17,25 +17,26 @@
 	"weldscale/internal/config"
 )
 
-// This file owns the scripts: which faults come when and to whom, in the words of the rehearsals, and their playing.
+// This file reads and runs scripts, which say when each fault affects which processes. They use the words of the rehearsal
+// scripts.
 
-// Script is a list of troubles.
+// Script is a list of troubles: faults with a start, an end and targets.
 type Script struct{ Troubles []Trouble }
 
-// Trouble is one of a script. Times are since the script began.
+// Trouble is one fault of a script. Its times count from the start of the script.
 type Trouble struct {
 	Kind      string
 	From, To  time.Duration
-	Fraction  float64  // of all, drawn by the seed; where Who names nobody
-	Targets   []string // by name
-	Peers     []string // only links to these; none: to all others
-	Direction string   // out, in or both
+	Fraction  float64  // fraction of all processes, drawn with the seed, if Targets is empty
+	Targets   []string // names of the processes affected
+	Peers     []string // limits a link fault to links with these processes; empty: with all
+	Direction string   // "out", "in" or "both", as seen from the targets
 	Fault     Fault
-	Every     time.Duration // between two, of a rolling restart
-	KeepDir   bool          // its directory, over a kill
+	Every     time.Duration // interval between the restarts of a rolling restart
+	KeepDir   bool          // whether a killed process keeps its directory
 }
 
-// kinds are the troubles with what each takes beside its time and whom it meets.
+// kinds maps each kind of trouble to its parameters, besides the times and the targets that all kinds take.
 var kinds = map[string][]string{
 	"cut":     {"toward", "way"},
 	"silence": {"toward", "way"},
@@ -46,19 +47,20 @@
 	"rolling": {"every"},
 }
 
-type layout struct {
+// scriptFile is the HCL structure of a script.
+type scriptFile struct {
 	Troubles []*struct {
 		Name string   `hcl:"name,label"`
 		Body hcl.Body `hcl:",remain"`
 	} `hcl:"trouble,block"`
 }
 
-const minute = 60e6
+const minute = 60e6 // in microseconds, the unit of config.Span
 
-// ReadScript reads a script. Its error has a line with the place for each fault.
+// ReadScript reads a script. Its error has one line, with the position, for each mistake in the file.
 func ReadScript(path string) (*Script, error) {
-	var l layout
-	r, err := config.Open(path, &l)
+	var file scriptFile
+	r, err := config.Open(path, &file)
 	if err != nil {
 		return nil, err
 	}
@@ -66,18 +68,18 @@
 		return nil, r.Err()
 	}
 	s := &Script{}
-	for _, b := range l.Troubles {
+	for _, b := range file.Troubles {
 		t := Trouble{Kind: b.Name, Fraction: 0.2, Direction: "both", KeepDir: true}
-		takes, ok := kinds[b.Name]
+		parameters, ok := kinds[b.Name]
 		if !ok {
 			r.AddError(b.Body, "no trouble %q; allowed: %s", b.Name, strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))
 			continue
 		}
 		var from, hold, delay, jitter float64
-		long, every := 6e6, 2e6
+		length, every := 6e6, 2e6
 		who, toward, keep := "", "", ""
 		set := r.Fields(b.Body, config.Field{Name: "from", Unit: config.Span, Min: 0, Max: 60 * minute, To: &from},
-			config.Field{Name: "for", Unit: config.Span, Min: 1e3, Max: 60 * minute, To: &long},
+			config.Field{Name: "for", Unit: config.Span, Min: 1e3, Max: 60 * minute, To: &length},
 			config.Field{Name: "part", Unit: config.Number, Min: 0.0001, Max: 1, To: &t.Fraction},
 			config.Field{Name: "who", Unit: config.Word, To: &who}, config.Field{Name: "toward", Unit: config.Word, To: &toward},
 			config.Field{Name: "way", Unit: config.Word, To: &t.Direction}, config.Field{Name: "keep", Unit: config.Word, To: &keep},
@@ -89,8 +91,8 @@
 			config.Field{Name: "jitter", Unit: config.Span, Min: 0, Max: minute, To: &jitter},
 			config.Field{Name: "every", Unit: config.Span, Min: 1e4, Max: 10 * minute, To: &every})
 		for _, name := range slices.Sorted(maps.Keys(set)) {
-			if !slices.Contains([]string{"from", "for", "part", "who"}, name) && !slices.Contains(takes, name) {
-				r.AddError(b.Body, "trouble %q takes no %s; it takes from, for, part, who%s", b.Name, name, strings.Join(append([]string{""}, takes...), ", "))
+			if !slices.Contains([]string{"from", "for", "part", "who"}, name) && !slices.Contains(parameters, name) {
+				r.AddError(b.Body, "trouble %q takes no %s; it takes from, for, part, who%s", b.Name, name, strings.Join(append([]string{""}, parameters...), ", "))
 			}
 		}
 		switch {
@@ -102,7 +104,7 @@
 			r.AddError(b.Body, "trouble %q: part and who: allowed is one of them", b.Name)
 		}
 		span := func(us float64) time.Duration { return time.Duration(us) * time.Microsecond }
-		t.From, t.To, t.Every, t.KeepDir = span(from), span(from+long), span(every), keep != "no"
+		t.From, t.To, t.Every, t.KeepDir = span(from), span(from+length), span(every), keep != "no"
 		t.Fault.ReorderDelay, t.Fault.Delay, t.Fault.Jitter = span(cmp.Or(hold, 50e3)), span(delay), span(jitter)
 		t.Targets, t.Peers = strings.Fields(who), strings.Fields(toward)
 		t.Fault.Cut, t.Fault.Blackhole = b.Name == "cut", b.Name == "silence" || b.Name == "split"
@@ -111,7 +113,7 @@
 	return s, r.Err()
 }
 
-// End is when the last trouble is over.
+// End returns the time at which the last trouble ends.
 func (s *Script) End() (end time.Duration) {
 	for _, t := range s.Troubles {
 		end = max(end, t.To)
@@ -119,31 +121,33 @@
 	return end
 }
 
-// SelectTargets names those of all whom each trouble meets: the same seed and names, the same ones.
+// SelectTargets returns, for each trouble, the names of the processes it affects. The result depends only on the seed and
+// the set of names, not on their order.
 func (s *Script) SelectTargets(seed uint64, all []string) ([][]string, error) {
 	var out [][]string
 	sorted := slices.Sorted(slices.Values(all))
 	for i, t := range s.Troubles {
 		for _, name := range append(slices.Clone(t.Targets), t.Peers...) {
 			if !slices.Contains(sorted, name) {
-				return nil, fmt.Errorf("trouble %d, %q: nobody is called %q", i+1, t.Kind, name)
+				return nil, fmt.Errorf("trouble %d, %q: no process is named %q", i+1, t.Kind, name)
 			}
 		}
-		met := t.Targets
-		if len(met) == 0 {
+		selected := t.Targets
+		if len(selected) == 0 {
 			rng := rand.New(rand.NewPCG(seed, uint64(i)))
-			pick := slices.Clone(sorted)
-			rng.Shuffle(len(pick), func(a, b int) { pick[a], pick[b] = pick[b], pick[a] })
-			met = pick[:max(1, int(t.Fraction*float64(len(pick))+0.5))]
-			slices.Sort(met)
+			shuffled := slices.Clone(sorted)
+			rng.Shuffle(len(shuffled), func(a, b int) { shuffled[a], shuffled[b] = shuffled[b], shuffled[a] })
+			selected = shuffled[:max(1, int(t.Fraction*float64(len(shuffled))+0.5))]
+			slices.Sort(selected)
 		}
-		out = append(out, met)
+		out = append(out, selected)
 	}
 	return out, nil
 }
 
-// Play plays the script on processes and links, and returns when its last trouble is over or the context ends. Whatever
-// it put in force it takes back: links are whole then, nobody is stalled, and whoever was killed runs again.
+// Play runs the script on processes and links, and returns when the last trouble is over or ctx is done. It undoes every
+// fault before it returns: link faults are removed, stalled processes continue and killed ones are restarted. It returns
+// the first error.
 func (s *Script) Play(ctx context.Context, seed uint64, all []*Process, links *Links, log *Log) error {
 	byName := map[string]*Process{}
 	var names []string
@@ -151,7 +155,7 @@
 		byName[p.Name] = p
 		names = append(names, p.Name)
 	}
-	meets, err := s.SelectTargets(seed, names)
+	targets, err := s.SelectTargets(seed, names)
 	if err != nil {
 		return err
 	}
@@ -162,8 +166,8 @@
 			if !sleep(t.From, ctx.Done()) {
 				return
 			}
-			log.Add("script", "trouble", float64(i+1), t.Kind+" "+strings.Join(meets[i], " "))
-			if e := t.play(ctx, meets[i], byName, links, log); e != nil {
+			log.Add("script", "trouble", float64(i+1), t.Kind+" "+strings.Join(targets[i], " "))
+			if e := t.play(ctx, targets[i], byName, links, log); e != nil {
 				mu.Lock()
 				err = cmp.Or(err, e)
 				mu.Unlock()
@@ -175,18 +179,19 @@
 	return err
 }
 
-func (t *Trouble) play(ctx context.Context, met []string, byName map[string]*Process, links *Links, log *Log) (err error) {
-	long := t.To - t.From
+// play runs one trouble, from its start to its end, on the named targets.
+func (t *Trouble) play(ctx context.Context, targets []string, byName map[string]*Process, links *Links, log *Log) (err error) {
+	length := t.To - t.From
 	each := func(f func(*Process) error) {
-		for _, name := range met {
+		for _, name := range targets {
 			err = cmp.Or(err, f(byName[name]))
 		}
 	}
-	again := func(p *Process) error { return p.Start(log) }
+	restart := func(p *Process) error { return p.Start(log) }
 	switch t.Kind {
 	case "stall":
 		each(func(p *Process) error { return p.Signal(syscall.SIGSTOP) })
-		sleep(long, ctx.Done())
+		sleep(length, ctx.Done())
 		each(func(p *Process) error { return p.Signal(syscall.SIGCONT) })
 	case "kill":
 		each(func(p *Process) error {
@@ -196,33 +201,33 @@
 			}
 			return nil
 		})
-		sleep(long, ctx.Done())
-		each(again)
+		sleep(length, ctx.Done())
+		each(restart)
 	case "rolling":
-		for _, name := range met {
+		for _, name := range targets {
 			p := byName[name]
 			p.Stop(10 * time.Second)
-			err = cmp.Or(err, again(p))
+			err = cmp.Or(err, restart(p))
 			if !sleep(t.Every, ctx.Done()) {
 				break
 			}
 		}
 	default:
-		in := map[string]bool{}
-		for _, name := range met {
-			in[name] = true
+		targeted := map[string]bool{}
+		for _, name := range targets {
+			targeted[name] = true
 		}
-		defer links.Inject(t.Fault, func(from, to string) bool { return t.on(in, from, to) })()
-		sleep(long, ctx.Done())
+		defer links.Inject(t.Fault, func(from, to string) bool { return t.affects(targeted, from, to) })()
+		sleep(length, ctx.Done())
 	}
 	return err
 }
 
-// on reports whether a direction of a link is one that the trouble meets.
-func (t *Trouble) on(met map[string]bool, from, to string) bool {
+// affects reports whether the trouble affects a direction of a link. A split affects the links between targets and others.
+func (t *Trouble) affects(targeted map[string]bool, from, to string) bool {
 	if t.Kind == "split" {
-		return met[from] != met[to]
+		return targeted[from] != targeted[to]
 	}
-	toward := func(name string) bool { return len(t.Peers) == 0 || slices.Contains(t.Peers, name) }
-	return t.Direction != "in" && met[from] && toward(to) || t.Direction != "out" && met[to] && toward(from)
+	isPeer := func(name string) bool { return len(t.Peers) == 0 || slices.Contains(t.Peers, name) }
+	return t.Direction != "in" && targeted[from] && isPeer(to) || t.Direction != "out" && targeted[to] && isPeer(from)
 }
