--- a/internal/faults/script.go
+++ b/internal/faults/script.go
@@ -36,8 +36,8 @@
 	KeepDir   bool          // whether a killed process keeps its directory
 }
 
-// kinds maps each kind of trouble to its parameters, besides the times and the targets that all kinds take.
-var kinds = map[string][]string{
+// troubleSettings maps each kind of trouble to its settings, besides the times and the targets that all kinds take.
+var troubleSettings = map[string][]string{
 	"cut":     {"toward", "way"},
 	"silence": {"toward", "way"},
 	"lossy":   {"toward", "way", "loss", "double", "reorder", "hold", "delay", "jitter"},
@@ -47,8 +47,8 @@
 	"rolling": {"every"},
 }
 
-// scriptFile is the HCL structure of a script.
-type scriptFile struct {
+// scriptBlocks is the HCL structure of a script.
+type scriptBlocks struct {
 	Troubles []*struct {
 		Name string   `hcl:"name,label"`
 		Body hcl.Body `hcl:",remain"`
@@ -59,8 +59,8 @@
 
 // ReadScript reads a script. Its error has one line, with the position, for each mistake in the file.
 func ReadScript(path string) (*Script, error) {
-	var file scriptFile
-	r, err := config.Open(path, &file)
+	var blocks scriptBlocks
+	r, err := config.Open(path, &blocks)
 	if err != nil {
 		return nil, err
 	}
@@ -68,11 +68,11 @@
 		return nil, r.Err()
 	}
 	s := &Script{}
-	for _, b := range file.Troubles {
+	for _, b := range blocks.Troubles {
 		t := Trouble{Kind: b.Name, Fraction: 0.2, Direction: "both", KeepDir: true}
-		parameters, ok := kinds[b.Name]
+		settings, ok := troubleSettings[b.Name]
 		if !ok {
-			r.AddError(b.Body, "no trouble %q; allowed: %s", b.Name, strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))
+			r.AddError(b.Body, "no trouble %q; allowed: %s", b.Name, strings.Join(slices.Sorted(maps.Keys(troubleSettings)), ", "))
 			continue
 		}
 		var from, hold, delay, jitter float64
@@ -91,8 +91,8 @@
 			config.Field{Name: "jitter", Unit: config.Span, Min: 0, Max: minute, To: &jitter},
 			config.Field{Name: "every", Unit: config.Span, Min: 1e4, Max: 10 * minute, To: &every})
 		for _, name := range slices.Sorted(maps.Keys(set)) {
-			if !slices.Contains([]string{"from", "for", "part", "who"}, name) && !slices.Contains(parameters, name) {
-				r.AddError(b.Body, "trouble %q takes no %s; it takes from, for, part, who%s", b.Name, name, strings.Join(append([]string{""}, parameters...), ", "))
+			if !slices.Contains([]string{"from", "for", "part", "who"}, name) && !slices.Contains(settings, name) {
+				r.AddError(b.Body, "trouble %q takes no %s; it takes from, for, part, who%s", b.Name, name, strings.Join(append([]string{""}, settings...), ", "))
 			}
 		}
 		switch {
