--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func script(t testing.TB, name, more string) *Script {
+func loadScript(t testing.TB, name, more string) *Script {
 	text, err := os.ReadFile("../../deploy/rehearsals/" + name + ".hcl")
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), name+".hcl")
@@ -21,7 +21,7 @@
 	return s
 }
 
-func play(t testing.TB, s *Script, seed uint64) (*Result, []byte) {
+func runScript(t testing.TB, s *Script, seed uint64) (*Result, []byte) {
 	var log bytes.Buffer
 	x, err := New(s, seed, &log)
 	require.NoError(t, err)
@@ -30,58 +30,59 @@
 	return r, log.Bytes()
 }
 
-// Every script of the library keeps the rules, as the checker reads them from the log, and gives the same log again.
-func TestLibrary(t *testing.T) {
+// Every script of the library must keep the rules that Check verifies, and the same seed must produce the same log.
+func TestScriptLibraryKeepsTheRules(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/rehearsals/*.hcl")
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, len(files), 16)
 	for _, file := range files {
 		name := strings.TrimSuffix(filepath.Base(file), ".hcl")
-		s := script(t, name, "")
-		r, log := play(t, s, 7)
-		found, err := Check(s, bytes.NewReader(log))
+		s := loadScript(t, name, "")
+		r, log := runScript(t, s, 7)
+		violations, err := Check(s, bytes.NewReader(log))
 		require.NoError(t, err, name)
-		assert.Empty(t, found, name)
+		assert.Empty(t, violations, name)
 		assert.Greater(t, r.Tries, 1000, name)
 		assert.Greater(t, r.InTime, 0.3, name)
 		assert.Zero(t, r.Unserved, name)
-		_, again := play(t, s, 7)
-		assert.True(t, bytes.Equal(log, again), "%s: another log by the same seed", name)
-		_, other := play(t, s, 8)
+		_, again := runScript(t, s, 7)
+		assert.True(t, bytes.Equal(log, again), "%s: the same seed produced another log", name)
+		_, other := runScript(t, s, 8)
 		assert.False(t, bytes.Equal(log, other), name)
 		t.Logf("%s: %.3f in time, %d late, %d refused, %d failed, %.2f probes a job, %d events", name, r.InTime, r.Late, r.Refused, r.Failed,
 			float64(r.Probes)/float64(r.Tries), r.Events)
 	}
 }
 
-// The plain policies play the same day: the same jobs come, and the one that sees the true state does best of them.
-func TestPlainPolicies(t *testing.T) {
-	s := script(t, "slow", "")
+// The baseline policies keep all rules but the one about cold boxes. The oracle, which sees the true state, and the
+// decision module must serve more worth in time than random choice.
+func TestBaselinePolicies(t *testing.T) {
+	s := loadScript(t, "slow", "")
 	worth := map[string]float64{}
 	for _, policy := range Policies {
 		var log bytes.Buffer
-		x, err := NewWith(policy, s, 5, &log)
+		x, err := NewWithPolicy(policy, s, 5, &log)
 		require.NoError(t, err)
 		r, err := x.Run(nil)
 		require.NoError(t, err)
 		worth[policy] = r.InTime
-		found, err := Check(s, &log)
+		violations, err := Check(s, &log)
 		require.NoError(t, err)
-		for _, f := range found { // they do nothing for cold boxes
+		for _, f := range violations { // baseline policies do not spare cold boxes
 			assert.Contains(t, f, "cold workers spared", policy)
 		}
 	}
 	assert.Greater(t, worth["oracle"], worth["random"])
 	assert.Greater(t, worth["module"], worth["random"])
 	t.Log(worth)
-	_, err := NewWith("luck", s, 1, nil)
+	_, err := NewWithPolicy("luck", s, 1, nil)
 	assert.ErrorContains(t, err, "no policy")
 }
 
-// A further box takes no random numbers from what was there: the same clients come with the same jobs.
-func TestStreamsAreIndependent(t *testing.T) {
+// An additional box must not change the random numbers of the clients: the same jobs must arrive.
+func TestRandomStreamsAreIndependent(t *testing.T) {
 	arrivals := func(more string) (out []string) {
-		_, log := play(t, script(t, "calm", more), 3)
+		_, log := runScript(t, loadScript(t, "calm", more), 3)
 		for line := range strings.Lines(string(log)) {
 			if strings.Contains(line, " arrive ") {
 				out = append(out, line)
@@ -92,34 +93,34 @@
 	assert.Equal(t, arrivals(""), arrivals("box \"one-more\" {}\n"))
 }
 
-// A cold box that is sent more than it bears collapses, stays down, and the checker says so.
-func TestCollapse(t *testing.T) {
-	s := script(t, "calm", "")
+// An overloaded cold box collapses and stays down, and Check reports it.
+func TestColdBoxCollapses(t *testing.T) {
+	s := loadScript(t, "calm", "")
 	x, err := New(s, 1, nil)
 	require.NoError(t, err)
 	var lines []string
-	x.logged = func(line string) { lines = append(lines, line) }
+	x.onLogLine = func(line string) { lines = append(lines, line) }
 	b := x.boxes[0]
 	b.restart()
 	n := x.nodes[0]
 	for i := range 100 {
-		q := &request{id: uint32(i + 1), node: n, try: &try{work: 2e6, slots: 1}}
+		q := &request{id: uint32(i + 1), node: n, job: &clientJob{work: 2e6, slots: 1}}
 		n.requests[q.id] = q
-		b.land(&attempt{q: q, b: b, node: n})
+		b.receive(&attempt{request: q, box: b, node: n})
 	}
-	assert.True(t, b.fallen)
+	assert.True(t, b.collapsed)
 	assert.False(t, b.up())
 	assert.Contains(t, lines, "0 fall box=0")
-	found, err := Check(s, strings.NewReader(strings.Join(lines, "\n")))
+	violations, err := Check(s, strings.NewReader(strings.Join(lines, "\n")))
 	require.NoError(t, err)
-	assert.Contains(t, found, "cold workers spared: 0 fall box=0")
-	b.began -= s.Warms
-	assert.False(t, b.up(), "it stays down though its time to warm is over")
+	assert.Contains(t, violations, "cold workers spared: 0 fall box=0")
+	b.startedAt -= s.ColdSpan
+	assert.False(t, b.up(), "must stay down after its warm-up time")
 }
 
-// Two troubles on one box each undo only what they did.
-func TestTwoTroublesOnOneBox(t *testing.T) {
-	s := script(t, "calm", `
+// Each of several overlapping troubles on one box must revert only its own effects.
+func TestOverlappingTroublesOnOneBox(t *testing.T) {
+	s := loadScript(t, "calm", `
 trouble "slow" {
   from  = "5s"
   for   = "20s"
@@ -144,10 +145,10 @@
 }`)
 	x, err := New(s, 1, nil)
 	require.NoError(t, err)
-	var murun *box
+	var murunBox *box
 	for _, b := range x.boxes {
 		if s.Zones[b.zone] == "murun" {
-			murun = b
+			murunBox = b
 		}
 	}
 	type state struct {
@@ -156,7 +157,7 @@
 	}
 	seen := map[int]state{}
 	for _, at := range []int{4, 7, 11, 13, 17, 20, 23, 30} {
-		x.after(Time(at)*1e6, func() { seen[at] = state{len(murun.slow), murun.up()} })
+		x.schedule(Time(at)*1e6, func() { seen[at] = state{len(murunBox.slowdowns), murunBox.up()} })
 	}
 	_, err = x.Run(nil)
 	require.NoError(t, err)
@@ -164,50 +165,50 @@
 		23: {1, true}, 30: {0, true}}, seen)
 }
 
-// The checker finds each kind of broken rule in a log, whatever wrote it.
-func TestChecker(t *testing.T) {
-	s := script(t, "calm", "")
+// Check must find each kind of violation in a handwritten log.
+func TestCheckFindsViolations(t *testing.T) {
+	s := loadScript(t, "calm", "")
 	const arrive = "1 arrive 1 class=press-send node=0 give_up=25000000 again=0\n2 push 1.0 node=0 box=3\n"
 	for name, c := range map[string]struct{ log, want string }{
-		"kept":              {arrive + "9 outcome 1.0 served\n9 answer 1 served\n", ""},
-		"kept, again":       {arrive + "9 outcome 1.0 full\n10 push 1.1 node=0 box=2\n11 outcome 1.1 served\n11 answer 1 served\n", ""},
-		"no answer":         {arrive, "1 requests without an answer"},
-		"two answers":       {arrive + "9 answer 1 failed\n9 answer 1 failed\n", "a second answer"},
-		"late":              {arrive + "25050001 answer 1 failed\n", "after the client's time"},
-		"an answer to none": {"9 answer 4 failed\n", "an answer to none"},
-		"sent twice":        {arrive + "9 outcome 1.0 reset\n9 push 1.1 node=0 box=2\n10 answer 1 failed\n", "though it may have run"},
-		"two out":           {arrive + "9 push 1.1 node=0 box=2\n10 answer 1 failed\n", "two attempts out"},
-		"refused":           {arrive + "9 outcome 1.0 reset\n9 answer 1 refused\n", "refused though it may have run"},
-		"after the end":     {arrive + "9 answer 1 failed\n10 push 1.1 node=0 box=2\n", "a request that is over"},
-		"a drain":           {"0 told node=0 box=3 state=2\n400000" + arrive[1:strings.Index(arrive, "\n")+1] + "400000 push 1.0 node=0 box=3\n400001 answer 1 failed\n", "drains obeyed"},
-		"a drain, in time":  {"0 told node=0 box=3 state=2\n" + arrive + "9 answer 1 failed\n", ""},
-		"a fall":            {"0 fall box=2\n", "cold workers spared"},
+		"kept":                    {arrive + "9 outcome 1.0 served\n9 answer 1 served\n", ""},
+		"kept, with a retry":      {arrive + "9 outcome 1.0 full\n10 push 1.1 node=0 box=2\n11 outcome 1.1 served\n11 answer 1 served\n", ""},
+		"no answer":               {arrive, "1 requests without an answer"},
+		"two answers":             {arrive + "9 answer 1 failed\n9 answer 1 failed\n", "a second answer"},
+		"late":                    {arrive + "25050001 answer 1 failed\n", "after the client's time"},
+		"answer without request":  {"9 answer 4 failed\n", "an answer to none"},
+		"unsafe job repeated":     {arrive + "9 outcome 1.0 reset\n9 push 1.1 node=0 box=2\n10 answer 1 failed\n", "though it may have run"},
+		"two attempts in flight":  {arrive + "9 push 1.1 node=0 box=2\n10 answer 1 failed\n", "two attempts out"},
+		"refused":                 {arrive + "9 outcome 1.0 reset\n9 answer 1 refused\n", "refused though it may have run"},
+		"push after the answer":   {arrive + "9 answer 1 failed\n10 push 1.1 node=0 box=2\n", "a request that is over"},
+		"push after drain grace":  {"0 told node=0 box=3 state=2\n400000" + arrive[1:strings.Index(arrive, "\n")+1] + "400000 push 1.0 node=0 box=3\n400001 answer 1 failed\n", "drains obeyed"},
+		"push within drain grace": {"0 told node=0 box=3 state=2\n" + arrive + "9 answer 1 failed\n", ""},
+		"collapse of a cold box":  {"0 fall box=2\n", "cold workers spared"},
 	} {
-		found, err := Check(s, strings.NewReader(c.log))
+		violations, err := Check(s, strings.NewReader(c.log))
 		require.NoError(t, err, name)
 		if c.want == "" {
-			assert.Empty(t, found, name)
+			assert.Empty(t, violations, name)
 			continue
 		}
-		assert.Contains(t, strings.Join(found, "\n"), c.want, name)
+		assert.Contains(t, strings.Join(violations, "\n"), c.want, name)
 	}
 	_, err := Check(s, strings.NewReader("nonsense\n"))
 	assert.Error(t, err)
 }
 
-// Every fault of a script is told with its place and what is allowed.
-func TestScriptFaults(t *testing.T) {
+// Every fault of a script must be reported with its position and the allowed values.
+func TestScriptErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		`trouble "flood" {}`:                                       "no trouble \"flood\"; allowed: balancer_crash, discovery_down, drain, fast_errors",
 		"trouble \"fast_errors\" {\n  takes = 1\n}":                "out of range; allowed is 0 to 0.99",
-		"trouble \"shared_slow\" {\n  part = 0.5\n}":               "trouble \"shared_slow\" takes no part; it takes from, for, times",
-		"trouble \"slow\" {\n  zone = \"murun\"\n}":                "trouble \"slow\" takes no zone",
-		"trouble \"slow\" {\n  from = \"61s\"\n}":                  "begins after the end",
+		"trouble \"shared_slow\" {\n  part = 0.5\n}":               "trouble \"shared_slow\" has no setting part; allowed: from, for, times",
+		"trouble \"slow\" {\n  zone = \"murun\"\n}":                "trouble \"slow\" has no setting zone",
+		"trouble \"slow\" {\n  from = \"61s\"\n}":                  "begins after the end of the script",
 		"trouble \"slow\" {\n  times = 0\n}":                       "out of range; allowed is 1 to 1000",
 		"trouble \"zone_loss\" {\n  zone = \"khovd\"\n}":           "no zone \"khovd\"; there are: ulaanbaatar",
 		"trouble \"heavy_tail\" {\n  class = \"poster\"\n}":        "no class \"poster\"",
 		"class \"x\" {\n  effect = \"twice\"\n}":                   "effect must be one of keyed, once, safe",
-		"class \"x\" {\n  effect = \"safe\"\n  slots = \"1 b\"\n}": "\"b\" is no whole number",
+		"class \"x\" {\n  effect = \"safe\"\n  slots = \"1 b\"\n}": "\"b\" is not a whole number from 1",
 		"box \"x\" {\n  cores = 4\n}":                              "cores: no such setting; allowed: count, slots, queue, speed",
 		"box {}":                                                   "Missing name for box",
 	} {
@@ -223,76 +224,77 @@
 	}
 }
 
-// Each of the second deployment's troubles strikes as it says, and leaves nothing behind.
-func TestMarketTroubles(t *testing.T) {
-	s := script(t, "market_december", "")
+// The troubles of the second deployment must affect the expected number of boxes and leave no effect behind.
+func TestMarketDecemberTroubles(t *testing.T) {
+	s := loadScript(t, "market_december", "")
 	x, err := New(s, 1, nil)
 	require.NoError(t, err)
-	seen := map[int][3]int{} // boxes that fail jobs, are slowed, and by more than one
+	seen := map[int][3]int{} // numbers of boxes that fail jobs, that are slowed, and that are slowed by more than one trouble
 	for _, at := range []int{5, 22, 36, 55} {
-		x.after(Time(at)*1e6, func() {
-			n := [3]int{}
+		x.schedule(Time(at)*1e6, func() {
+			counts := [3]int{}
 			for _, b := range x.boxes {
-				if len(b.fails) > 0 {
-					n[0]++
+				if len(b.failureShares) > 0 {
+					counts[0]++
 				}
-				if len(b.slow) > 0 {
-					n[1]++
+				if len(b.slowdowns) > 0 {
+					counts[1]++
 				}
-				if len(b.slow) > 1 {
-					n[2]++
+				if len(b.slowdowns) > 1 {
+					counts[2]++
 				}
 			}
-			seen[at] = n
+			seen[at] = counts
 		})
 	}
 	r, err := x.Run(nil)
 	require.NoError(t, err)
 	assert.Equal(t, [3]int{}, seen[5])
 	assert.Equal(t, 1, seen[22][0])
-	assert.Equal(t, 11, seen[36][1], "a shared slowness strikes all")
+	assert.Equal(t, 11, seen[36][1], "shared_slow must affect all boxes")
 	assert.Equal(t, [3]int{}, seen[55])
-	assert.Greater(t, r.Earned, r.InTime, "late answers earn a part")
-	calm, err := New(script(t, "market", ""), 1, nil)
+	assert.Greater(t, r.Earned, r.InTime, "late answers must earn a part of their worth")
+	calm, err := New(loadScript(t, "market", ""), 1, nil)
 	require.NoError(t, err)
 	c, err := calm.Run(nil)
 	require.NoError(t, err)
 	assert.Greater(t, c.InTime, r.InTime)
 }
 
-// Called off, a job that runs stops where the script says so, and its slots go to the next that fits.
-func TestStopsAndBackfill(t *testing.T) {
+// A cancelled running attempt stops only with CancelsRunning. Its slots then go to the head of the queue if it fits, or,
+// with Backfill, to any queued job that fits.
+func TestCancelAndBackfill(t *testing.T) {
 	for name, c := range map[string]struct {
 		stops, backfill bool
 		running         int
 		started         []uint32
 	}{
-		"work goes on":                {false, false, 3, []uint32{1, 2}},
-		"work stops, the head waits":  {true, false, 1, []uint32{1, 2}},
-		"work stops, any that fits":   {true, true, 2, []uint32{1, 2, 4}},
-		"work goes on, any that fits": {false, true, 4, []uint32{1, 2, 4}},
+		"running job continues":                   {false, false, 3, []uint32{1, 2}},
+		"running job stops, first in queue waits": {true, false, 1, []uint32{1, 2}},
+		"running job stops, backfill":             {true, true, 2, []uint32{1, 2, 4}},
+		"running job continues, backfill":         {false, true, 4, []uint32{1, 2, 4}},
 	} {
-		s := script(t, "calm", "")
-		s.Stops, s.Backfill = c.stops, c.backfill
+		s := loadScript(t, "calm", "")
+		s.CancelsRunning, s.Backfill = c.stops, c.backfill
 		x, err := New(s, 1, nil)
 		require.NoError(t, err)
 		var started []uint32
 		b, n := x.boxes[0], x.nodes[0]
 		var first *attempt
 		for i, slots := range []int{2, 1, 4, 1} {
-			q := &request{id: uint32(i + 1), node: n, try: &try{work: 60e6, slots: slots}}
+			q := &request{id: uint32(i + 1), node: n, job: &clientJob{work: 60e6, slots: slots}}
 			n.requests[q.id] = q
-			a := &attempt{q: q, b: b, node: n}
+			a := &attempt{request: q, box: b, node: n}
 			if i == 0 {
 				first = a
 			}
-			b.land(a)
+			b.receive(a)
 		}
-		b.stop(first)
+		b.cancel(first)
 		for _, a := range b.active {
-			started = append(started, a.q.id)
+			started = append(started, a.request.id)
 		}
-		assert.Equal(t, c.running, b.running, name)
+		assert.Equal(t, c.running, b.slotsInUse, name)
 		want := c.started
 		if c.stops {
 			want = want[1:]
@@ -302,7 +304,7 @@
 }
 
 func BenchmarkEvents(b *testing.B) {
-	s := script(b, "calm", "")
+	s := loadScript(b, "calm", "")
 	s.Rate *= 20
 	for _, k := range s.Boxes {
 		k.Count *= 20
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -1,8 +1,7 @@
-// Package emulator rehearses a fleet in simulated time: schedulers with the real decision module, render boxes with
-// slots, queues, cold starts and collapse, a network with delays and cuts, a list service that comes late, and clients.
-// It owns the model and its event log; nothing of it is a measurement of real machines. It must never read a clock, use a
-// random number that has no named stream, or walk a map where the order shows: the same script and seed give the same
-// log, to the byte.
+// Package emulator simulates a fleet in simulated time: schedulers that run package decide, boxes (workers) with slots,
+// queues, cold starts and collapse, network delays, a list service with delayed updates, and clients. Its results come
+// from a model and are not measurements of real machines. The same script and seed produce the same event log byte for
+// byte, so the package reads no clock, draws random numbers only from named streams, and lets map order affect nothing.
 package emulator
 
 import (
@@ -18,25 +17,26 @@
 	"weldscale/decide"
 )
 
-// Time is a moment or a span in microseconds, as in package decide.
+// Time is a point in time or a duration in microseconds, as in package decide.
 type Time = decide.Time
 
-// event is something that happens at a moment; those of one moment happen in the order in which they were asked for.
+// event is a function to run at a simulated time. Events of the same time run in the order in which they were scheduled.
 type event struct {
 	at  Time
 	seq uint64
-	do  func()
+	run func()
 }
 
-type events []event
+// eventQueue is a heap of events, ordered by time and sequence number.
+type eventQueue []event
 
-func (q events) Len() int { return len(q) }
-func (q events) Less(i, j int) bool {
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *events) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *events) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
 	old[len(old)-1] = event{}
@@ -44,81 +44,84 @@
 	return last
 }
 
-// World is one run of a script.
-type World struct {
-	// Policy is one of Policies; "" is the decision module.
+// Simulation is one run of a script.
+type Simulation struct {
+	// Policy is one of Policies; "" selects the decision module.
 	Policy string
-	// SampleEvery is how far apart the samples of a Result are; 0: there are none.
+	// SampleEvery is the interval between the samples of a Result; 0 disables them.
 	SampleEvery Time
-	// Watch, if set, is told what comes from outside of the schedulers: what another world has to play to be the same.
-	Watch func(Happening)
-
-	script *Script
-	seed   uint64
-	now    Time
-	queue  events
-	seq    uint64
-	log    *bufio.Writer
-	logged func(line string)
-	done   uint64 // events so far
-
-	boxes  []*box
-	nodes  []*node
-	listed []decide.Worker // as the list service has them
-	down   int             // troubles that keep the list service down just now
-	heavy  []*Trouble      // of clients' work, just now
-	lastID uint32
-	rngs   map[string]*rand.Rand // by name; looked up only
-	tries  []*try
-	origin Time
-	shots  []Sample
+	// OnExternalEvent, if set, is called for each event from outside the schedulers. Replaying these events elsewhere
+	// reproduces the run's inputs.
+	OnExternalEvent func(ExternalEvent)
+
+	script     *Script
+	seed       uint64
+	now        Time
+	queue      eventQueue
+	seq        uint64
+	log        *bufio.Writer
+	onLogLine  func(line string)
+	eventCount uint64 // events run so far
+
+	boxes       []*box
+	nodes       []*node
+	workerList  []decide.Worker // as stored in the list service
+	listOutages int             // active troubles that keep the list service down
+	heavyTails  []*Trouble      // active heavy_tail troubles
+	lastID      uint32
+	streams     map[string]*rand.Rand // by name; never iterated
+	jobs        []*clientJob
+	startTime   Time
+	samples     []Sample
 }
 
-// Happening is one thing that comes from outside of the schedulers.
-type Happening struct {
-	At    Time // since the start
-	Kind  HappeningKind
-	Node  int // Arrival: the scheduler
-	Box   int // all others
-	Class int // Arrival
-	Work  Time
-	Slots int
-	Times float64      // Slowed: how many times slower it is from now on
-	State decide.State // Listed
+// ExternalEvent is an event from outside the schedulers: a job's arrival or a change of a box.
+type ExternalEvent struct {
+	At       Time // since the start
+	Kind     ExternalEventKind
+	Node     int // Arrival: index of the scheduler
+	Box      int // all other kinds: index of the box
+	Class    int // Arrival
+	Work     Time
+	Slots    int
+	Slowdown float64      // BoxSlowed: the factor by which the box is slower from now on
+	State    decide.State // BoxListed
 }
 
-// HappeningKind says what happens.
-type HappeningKind uint8
+// ExternalEventKind is the kind of an ExternalEvent.
+type ExternalEventKind uint8
 
-// The kinds.
+// Kinds of external events.
 const (
-	Arrival  HappeningKind = iota // a client's wish
-	Silenced                      // a box says nothing more
-	Ended                         // a box's process ends
-	Began                         // a box begins anew, cold
-	Slowed                        // a box is slower, or no longer
-	Listed                        // the list service takes in a box's state; it tells late
+	Arrival      ExternalEventKind = iota // a client sends a new job
+	BoxSilent                             // a box stops responding
+	BoxStopped                            // the process of a box ends
+	BoxRestarted                          // a box starts again, cold
+	BoxSlowed                             // the slowdown of a box changes
+	BoxListed                             // the list service stores a box's state; schedulers receive it later
 )
 
-func (x *World) happens(h Happening) {
-	if x.Watch != nil {
-		h.At = x.now - x.origin
-		x.Watch(h)
+func (x *Simulation) emit(h ExternalEvent) {
+	if x.OnExternalEvent != nil {
+		h.At = x.now - x.startTime
+		x.OnExternalEvent(h)
 	}
 }
 
-// origin of the clock: the module takes 0 for long ago.
-const origin Time = 1000e6
+// startTime is the clock's value at the start. It is far from 0, which the decision module takes for long ago.
+const startTime Time = 1000e6
 
-// New makes a world of a script. Its log goes to w, which may be nil.
-func New(s *Script, seed uint64, w io.Writer) (*World, error) { return NewWith("", s, seed, w) }
+// New returns a simulation of a script that uses the decision module. It writes its event log to w, which may be nil.
+func New(s *Script, seed uint64, w io.Writer) (*Simulation, error) {
+	return NewWithPolicy("", s, seed, w)
+}
 
-// NewWith makes one whose schedulers decide by another policy.
-func NewWith(policy string, s *Script, seed uint64, w io.Writer) (*World, error) {
+// NewWithPolicy is like New, but its schedulers use the given policy.
+func NewWithPolicy(policy string, s *Script, seed uint64, w io.Writer) (*Simulation, error) {
 	if w == nil {
 		w = io.Discard
 	}
-	x := &World{Policy: policy, script: s, seed: seed, now: origin, origin: origin, log: bufio.NewWriterSize(w, 1<<16), rngs: map[string]*rand.Rand{}}
+	x := &Simulation{Policy: policy, script: s, seed: seed, now: startTime, startTime: startTime, log: bufio.NewWriterSize(w, 1<<16), streams: map[string]*rand.Rand{}}
 	for _, kind := range s.Boxes {
 		for range kind.Count {
 			x.addBox(kind)
@@ -132,58 +135,60 @@
 		x.nodes = append(x.nodes, n)
 	}
 	for i := range s.Troubles {
-		x.plan(&s.Troubles[i])
+		x.scheduleTrouble(&s.Troubles[i])
 	}
 	return x, nil
 }
 
-// rng is the stream of that name. Streams are independent: a further box takes no numbers from the others.
-func (x *World) rng(name string) *rand.Rand {
-	r := x.rngs[name]
+// stream returns the random number stream of that name. Streams are independent, so an additional box does not change
+// the numbers that others draw.
+func (x *Simulation) stream(name string) *rand.Rand {
+	r := x.streams[name]
 	if r == nil {
-		h := fnv.New64a()
-		io.WriteString(h, name)
-		r = rand.New(rand.NewPCG(x.seed, h.Sum64()))
-		x.rngs[name] = r
+		hash := fnv.New64a()
+		io.WriteString(hash, name)
+		r = rand.New(rand.NewPCG(x.seed, hash.Sum64()))
+		x.streams[name] = r
 	}
 	return r
 }
 
-// after has f happen once the span has passed.
-func (x *World) after(span Time, f func()) {
+// schedule runs f after the given time.
+func (x *Simulation) schedule(span Time, f func()) {
 	x.seq++
 	heap.Push(&x.queue, event{x.now + max(0, span), x.seq, f})
 }
 
-// note writes a line of the event log: the time since the start, then words.
-func (x *World) note(format string, args ...any) {
-	line := fmt.Sprintf("%d ", x.now-x.origin) + fmt.Sprintf(format, args...)
+// logEvent writes a line to the event log: the time since the start, a space and the formatted text.
+func (x *Simulation) logEvent(format string, args ...any) {
+	line := fmt.Sprintf("%d ", x.now-x.startTime) + fmt.Sprintf(format, args...)
 	x.log.WriteString(line)
 	x.log.WriteByte('\n')
-	if x.logged != nil {
-		x.logged(line)
+	if x.onLogLine != nil {
+		x.onLogLine(line)
 	}
 }
 
-// Run plays the script to its end and until everything in hand has its answer. Progress is told now and then.
-func (x *World) Run(progress func(done, of Time)) (*Result, error) {
+// Run runs the script to its end and until all requests in flight are answered. It calls progress, if not nil, at most
+// once per simulated second.
+func (x *Simulation) Run(progress func(done, of Time)) (*Result, error) {
 	for _, n := range x.nodes {
-		n.begin()
+		n.announceCached()
 	}
-	x.arrivals()
-	next := x.now
+	x.startClients()
+	nextProgress := x.now
 	for len(x.queue) > 0 {
 		e := heap.Pop(&x.queue).(event)
-		x.sample(e.at)
+		x.takeSamples(e.at)
 		x.now = e.at
-		if x.now > x.origin+x.script.For+x.longest() {
-			break // what is left are the module's own timers and the list's news
+		if x.now > x.startTime+x.script.Duration+x.maxTimeInFlight() {
+			break // only timers of the decision module and list updates are left
 		}
-		e.do()
-		x.done++
-		if progress != nil && x.now >= next {
-			progress(x.now-x.origin, x.script.For)
-			next = x.now + 1e6
+		e.run()
+		x.eventCount++
+		if progress != nil && x.now >= nextProgress {
+			progress(x.now-x.startTime, x.script.Duration)
+			nextProgress = x.now + 1e6
 		}
 	}
 	if err := x.log.Flush(); err != nil {
@@ -192,214 +197,215 @@
 	return x.result(), nil
 }
 
-// maxHeld is how many boxes a sample tells apart.
-const maxHeld = 64
+// maxSampledBoxes is the number of boxes that a sample lists individually.
+const maxSampledBoxes = 64
 
-// sample takes pictures of the state up to a moment; between two events nothing changes.
-func (x *World) sample(until Time) {
+// takeSamples records the samples due up to a time. The state does not change between two events.
+func (x *Simulation) takeSamples(until Time) {
 	for x.SampleEvery > 0 {
-		at := Time(len(x.shots)) * x.SampleEvery
-		if at > x.script.For || x.origin+at > until {
+		at := Time(len(x.samples)) * x.SampleEvery
+		if at > x.script.Duration || x.startTime+at > until {
 			return
 		}
 		s := Sample{At: at}
 		for i, b := range x.boxes {
 			s.Queue += len(b.queue)
 			if b.up() {
-				s.Free += b.kind.Slots - b.running
+				s.Free += b.kind.Slots - b.slotsInUse
 				s.Up++
 			}
-			if i < maxHeld {
+			if i < maxSampledBoxes {
 				s.Held = append(s.Held, len(b.active)+len(b.queue))
 			}
 		}
-		x.shots = append(x.shots, s)
+		x.samples = append(x.samples, s)
 	}
 }
 
-// longest is how long after the last arrival something may still be in hand.
-func (x *World) longest() Time {
-	most := Time(0)
+// maxTimeInFlight returns how long after the last arrival a job may still be in flight.
+func (x *Simulation) maxTimeInFlight() Time {
+	longest := Time(0)
 	for _, c := range x.script.Classes {
-		most = max(most, c.Terms.Deadline)
+		longest = max(longest, c.Terms.Deadline)
 	}
-	return most*Time(1+x.script.Retries) + 10e6
+	return longest*Time(1+x.script.Retries) + 10e6
 }
 
-// delay is one way between two zones.
-func (x *World) delay(a, b int, stream string) Time {
-	d := x.script.Same
+// networkDelay draws the one-way delay between two zones.
+func (x *Simulation) networkDelay(a, b int, stream string) Time {
+	d := x.script.SameZoneDelay
 	if a != b {
-		d = x.script.Cross
+		d = x.script.CrossZoneDelay
 	}
-	return Time(float64(d) * (1 + x.script.Jitter*x.rng(stream).Float64()))
+	return Time(float64(d) * (1 + x.script.Jitter*x.stream(stream).Float64()))
 }
 
-// arrivals starts the clients: a Poisson process for each scheduler, thinned by the curve.
-func (x *World) arrivals() {
+// startClients starts a Poisson process of arrivals for each scheduler, thinned to follow the rate curve.
+func (x *Simulation) startClients() {
 	for i, n := range x.nodes {
-		r := x.rng(fmt.Sprint("arrivals ", i))
+		r := x.stream(fmt.Sprint("arrivals ", i))
 		peak := slices.Max(x.script.Curve)
-		var next func()
-		next = func() {
-			x.after(Time(r.ExpFloat64()/(x.script.Rate*peak/float64(len(x.nodes)))*1e6), func() {
-				past := x.now - x.origin
-				if past >= x.script.For {
+		var scheduleNext func()
+		scheduleNext = func() {
+			x.schedule(Time(r.ExpFloat64()/(x.script.Rate*peak/float64(len(x.nodes)))*1e6), func() {
+				elapsed := x.now - x.startTime
+				if elapsed >= x.script.Duration {
 					return
 				}
-				if r.Float64()*peak < x.curve(past) {
-					x.arrive(n, r)
+				if r.Float64()*peak < x.rateFactor(elapsed) {
+					x.newJob(n, r)
 				}
-				next()
+				scheduleNext()
 			})
 		}
-		next()
+		scheduleNext()
 	}
 }
 
-// curve is the part of the rate that comes at a moment, between the points of the script.
-func (x *World) curve(past Time) float64 {
+// rateFactor returns the factor of the rate at a time, interpolated linearly between the points of the curve.
+func (x *Simulation) rateFactor(elapsed Time) float64 {
 	c := x.script.Curve
 	if len(c) == 1 {
 		return c[0]
 	}
-	at := float64(past) / float64(x.script.For) * float64(len(c)-1)
+	at := float64(elapsed) / float64(x.script.Duration) * float64(len(c)-1)
 	i := min(int(at), len(c)-2)
 	return c[i] + (c[i+1]-c[i])*(at-float64(i))
 }
 
-// try is one wish of a client, with all its requests.
-type try struct {
-	class    int
-	work     Time
-	slots    int
-	aimAt    Time
-	came     Time
-	answered bool
-	inTime   bool
-	late     bool
-	refused  bool
-	failed   bool
-	left     int // requests it may still make
-	sent     int
-	pushes   int
+// clientJob is one job of a client, with all requests that the client sends for it.
+type clientJob struct {
+	class        int
+	work         Time
+	slots        int
+	aimAt        Time
+	arrivedAt    Time
+	answered     bool
+	inTime       bool
+	late         bool
+	refused      bool
+	failed       bool
+	retriesLeft  int // requests that the client may still send
+	requestsSent int
+	pushes       int
 }
 
-func (x *World) arrive(n *node, r *rand.Rand) {
-	t := &try{came: x.now, left: x.script.Retries}
-	at := r.Float64()
+// newJob draws a job by the script's classes and sends its first request to a scheduler.
+func (x *Simulation) newJob(n *node, r *rand.Rand) {
+	job := &clientJob{arrivedAt: x.now, retriesLeft: x.script.Retries}
+	draw := r.Float64()
 	for i := range x.script.Classes {
-		t.class = i
-		if at -= x.script.Classes[i].Share; at < 0 {
+		job.class = i
+		if draw -= x.script.Classes[i].Share; draw < 0 {
 			break
 		}
 	}
-	c := &x.script.Classes[t.class]
-	// A lognormal of that mean and spread.
+	c := &x.script.Classes[job.class]
+	// The work has a lognormal distribution with the class's mean and spread.
 	sigma := math.Sqrt(math.Log(1 + c.Spread*c.Spread))
-	t.work = max(1000, Time(float64(c.Work)*math.Exp(sigma*r.NormFloat64()-sigma*sigma/2)))
-	for _, h := range x.heavy {
+	job.work = max(1000, Time(float64(c.Work)*math.Exp(sigma*r.NormFloat64()-sigma*sigma/2)))
+	for _, h := range x.heavyTails {
 		if (h.Class == "" || h.Class == c.Name) && r.Float64() < h.Part {
-			t.work = Time(float64(t.work) * h.Times)
+			job.work = Time(float64(job.work) * h.Times)
 		}
 	}
-	t.slots = c.Slots[r.IntN(len(c.Slots))]
-	t.aimAt = x.now + c.Terms.Aim + Time(c.Terms.Stretch*float64(t.work))
-	x.tries = append(x.tries, t)
-	x.happens(Happening{Kind: Arrival, Node: n.index, Class: t.class, Work: t.work, Slots: t.slots})
-	x.request(n, t)
+	job.slots = c.Slots[r.IntN(len(c.Slots))]
+	job.aimAt = x.now + c.Terms.Aim + Time(c.Terms.Stretch*float64(job.work))
+	x.jobs = append(x.jobs, job)
+	x.emit(ExternalEvent{Kind: Arrival, Node: n.index, Class: job.class, Work: job.work, Slots: job.slots})
+	x.sendRequest(n, job)
 }
 
-// request brings one request of a try to a scheduler that lives.
-func (x *World) request(n *node, t *try) {
-	if n.dead { // the front sends it to the next one
+// sendRequest delivers one request of a job to the scheduler, or to the next one that is running.
+func (x *Simulation) sendRequest(n *node, job *clientJob) {
+	if n.crashed { // a load balancer in front sends it to the next scheduler
 		for i := range x.nodes {
-			if m := x.nodes[(n.index+i)%len(x.nodes)]; !m.dead {
-				n = m
+			if other := x.nodes[(n.index+i)%len(x.nodes)]; !other.crashed {
+				n = other
 				break
 			}
 		}
 	}
-	c := &x.script.Classes[t.class]
+	c := &x.script.Classes[job.class]
 	x.lastID++
-	q := &request{id: x.lastID, try: t, node: n, giveUp: x.now + c.Terms.Deadline}
-	t.sent++
+	q := &request{id: x.lastID, job: job, node: n, giveUpAt: x.now + c.Terms.Deadline}
+	job.requestsSent++
 	n.requests[q.id] = q
-	x.note("arrive %d class=%s node=%d give_up=%d again=%d", q.id, c.Name, n.index, q.giveUp-x.origin, t.sent-1)
+	x.logEvent("arrive %d class=%s node=%d give_up=%d again=%d", q.id, c.Name, n.index, q.giveUpAt-x.startTime, job.requestsSent-1)
 	n.call(func(d dispatcher) {
-		hint := t.work
-		if x.script.NoHints {
+		hint := job.work
+		if x.script.OmitHints {
 			hint = 0
 		}
-		d.Arrive(x.now, decide.Job{ID: q.id, Class: t.class, GiveUpAt: q.giveUp, Hint: hint, Slots: float64(t.slots)})
+		d.Arrive(x.now, decide.Job{ID: q.id, Class: job.class, GiveUpAt: q.giveUpAt, Hint: hint, Slots: float64(job.slots)})
 	})
 }
 
-// answer ends a request; the client may come again.
-func (x *World) answer(q *request, how string, retryAfter Time) {
-	if q.over {
+// answer ends a request with its final answer. The client may then retry.
+func (x *Simulation) answer(q *request, result string, retryAfter Time) {
+	if q.answered {
 		return
 	}
-	q.over = true
-	x.note("answer %d %s", q.id, how)
-	t := q.try
-	q.node.forget(q)
-	if how == "served" {
-		if !t.answered {
-			t.answered = true
-			t.inTime = x.now <= t.aimAt
-			t.late = !t.inTime
+	q.answered = true
+	x.logEvent("answer %d %s", q.id, result)
+	job := q.job
+	q.node.removeIfDone(q)
+	if result == "served" {
+		if !job.answered {
+			job.answered = true
+			job.inTime = x.now <= job.aimAt
+			job.late = !job.inTime
 		}
 		return
 	}
-	// What must not run twice comes again only where it was refused; late ones only where that still earns something.
-	terms := &x.script.Classes[t.class].Terms
-	again := how == "refused" || terms.Effect != decide.Unsafe
-	if again && t.left > 0 && (x.now < t.aimAt || terms.LateWorth > 0 && x.now < t.came+terms.Deadline) {
-		t.left--
-		x.after(max(x.script.RetryWait, retryAfter), func() { x.request(q.node, t) })
+	// An unsafe job is retried only after a refusal. After the aim, a job is retried only if a late answer has worth.
+	terms := &x.script.Classes[job.class].Terms
+	mayRetry := result == "refused" || terms.Effect != decide.Unsafe
+	if mayRetry && job.retriesLeft > 0 && (x.now < job.aimAt || terms.LateWorth > 0 && x.now < job.arrivedAt+terms.Deadline) {
+		job.retriesLeft--
+		x.schedule(max(x.script.RetryWait, retryAfter), func() { x.sendRequest(q.node, job) })
 		return
 	}
-	t.refused, t.failed = how == "refused", how != "refused"
+	job.refused, job.failed = result == "refused", result != "refused"
 }
 
-// Result is what became of a run.
+// Result holds the totals of a run.
 type Result struct {
 	Events   uint64
 	Tries    int
-	InTime   float64 // worth answered in time, of all that was asked for
-	Earned   float64 // that, and what late answers earn
+	InTime   float64 // share of the worth of all jobs that was answered in time
+	Earned   float64 // InTime plus the share earned by late answers
 	Late     int
 	Refused  int
 	Failed   int
-	Unserved int // neither: their time ran out
+	Unserved int // jobs neither served, refused nor failed: their time ran out
 	Pushes   int
 	Probes   int
 	Cross    float64 // share of the pushes that crossed zones
-	Fallen   int     // boxes that were pushed over
+	Fallen   int     // boxes that collapsed from overload
 	Classes  []ClassResult
 	Windows  []Window
 	Samples  []Sample
 }
 
-// Sample is the boxes at a moment.
+// Sample is the state of the boxes at one time.
 type Sample struct {
 	At    Time  // since the start
-	Queue int   // attempts that wait at boxes
-	Free  int   // slots of boxes that are up
-	Up    int   // boxes
-	Held  []int // attempts at each of the first boxes
+	Queue int   // attempts queued at boxes
+	Free  int   // free slots of boxes that are up
+	Up    int   // boxes that are up
+	Held  []int // attempts at each of the first maxSampledBoxes boxes
 }
 
-// ClassResult is one class of a Result.
+// ClassResult holds the totals of one class of jobs.
 type ClassResult struct {
 	Name   string
 	Tries  int
-	InTime float64 // share of tries
+	InTime float64 // share of the jobs answered in time
 	Worth  float64
 }
 
-// Window is five seconds of a Result.
+// Window holds the totals of the jobs that arrived within one windowSpan.
 type Window struct {
 	From           Time
 	Tries, InTime  int
@@ -408,40 +414,40 @@
 
 const windowSpan Time = 5e6
 
-func (x *World) result() *Result {
-	r := &Result{Events: x.done, Tries: len(x.tries), Samples: x.shots}
-	worth, reached, earned := 0.0, 0.0, 0.0
+func (x *Simulation) result() *Result {
+	r := &Result{Events: x.eventCount, Tries: len(x.jobs), Samples: x.samples}
+	worth, inTimeWorth, lateWorth := 0.0, 0.0, 0.0
 	for _, c := range x.script.Classes {
 		r.Classes = append(r.Classes, ClassResult{Name: c.Name})
 	}
-	for _, t := range x.tries {
-		c := &r.Classes[t.class]
-		terms := &x.script.Classes[t.class].Terms
-		w := terms.Worth
-		if !x.script.ByRequest {
-			w *= float64(t.work) / 1e6
+	for _, job := range x.jobs {
+		c := &r.Classes[job.class]
+		terms := &x.script.Classes[job.class].Terms
+		jobWorth := terms.Worth
+		if !x.script.WorthPerJob {
+			jobWorth *= float64(job.work) / 1e6
 		}
-		i := int((t.came - x.origin) / windowSpan)
+		i := int((job.arrivedAt - x.startTime) / windowSpan)
 		for len(r.Windows) <= i {
 			r.Windows = append(r.Windows, Window{From: Time(len(r.Windows)) * windowSpan})
 		}
 		c.Tries++
-		worth += w
-		c.Worth += w
+		worth += jobWorth
+		c.Worth += jobWorth
 		r.Windows[i].Tries++
-		r.Windows[i].Worth += w
+		r.Windows[i].Worth += jobWorth
 		switch {
-		case t.inTime:
-			reached += w
+		case job.inTime:
+			inTimeWorth += jobWorth
 			c.InTime++
 			r.Windows[i].InTime++
-			r.Windows[i].Reached += w
-		case t.late:
+			r.Windows[i].Reached += jobWorth
+		case job.late:
 			r.Late++
-			earned += w * terms.LateWorth
-		case t.refused:
+			lateWorth += jobWorth * terms.LateWorth
+		case job.refused:
 			r.Refused++
-		case t.failed:
+		case job.failed:
 			r.Failed++
 		default:
 			r.Unserved++
@@ -457,12 +463,12 @@
 		cross += n.cross
 	}
 	for _, b := range x.boxes {
-		if b.fallen {
+		if b.collapsed {
 			r.Fallen++
 		}
 	}
 	r.Cross = float64(cross) / float64(max(1, r.Pushes))
-	r.InTime = reached / max(worth, 1e-9)
-	r.Earned = (reached + earned) / max(worth, 1e-9)
+	r.InTime = inTimeWorth / max(worth, 1e-9)
+	r.Earned = (inTimeWorth + lateWorth) / max(worth, 1e-9)
 	return r
 }
--- a/internal/hollow/pace_test.go
+++ b/internal/hollow/pace_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Calls come in even steps, and the last one at the end of the span.
+// Calls are made at even intervals, the last one at the end of the span.
 func TestPace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -24,21 +24,21 @@
 	})
 }
 
-// Slow calls are not made up for after the span.
-func TestPaceOfSlowCalls(t *testing.T) {
+// Calls delayed by slow ones are not made after the span.
+func TestPaceWithSlowCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls := 0
 		start := time.Now()
 		require.NoError(t, pace(t.Context(), 10*time.Second, 10, func(int) error {
 			calls++
-			return wait(t.Context(), 3500*time.Millisecond)
+			return sleep(t.Context(), 3500*time.Millisecond)
 		}))
 		assert.Less(t, calls, 5)
 		assert.Less(t, time.Since(start), 14*time.Second)
 	})
 }
 
-// Without calls it waits; a failure and the end of the context end it.
+// With a count of 0, pace sleeps for the span. A failed call and a cancelled context end it early.
 func TestPaceEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -46,8 +46,8 @@
 		assert.Equal(t, time.Second, time.Since(start))
 		failure := errors.New("no")
 		assert.ErrorIs(t, pace(t.Context(), time.Second, 2, func(int) error { return failure }), failure)
-		ended, cancel := context.WithCancel(t.Context())
+		cancelled, cancel := context.WithCancel(t.Context())
 		cancel()
-		assert.ErrorIs(t, pace(ended, time.Hour, 2, func(int) error { return nil }), context.Canceled)
+		assert.ErrorIs(t, pace(cancelled, time.Hour, 2, func(int) error { return nil }), context.Canceled)
 	})
 }
--- a/internal/hollow/table.go
+++ b/internal/hollow/table.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Row is one figure at each number of schedulers, with the line through its points.
+// Row holds the values of one metric at each number of schedulers, and the line fitted to them.
 type Row struct {
 	Name   string
 	Unit   string
@@ -14,60 +14,60 @@
 	Fit    Fit
 }
 
-// Table is what the rounds have measured, as rows of figures.
+// Table holds the measurements of all rounds, one row for each metric.
 type Table struct {
 	Schedulers []int
 	Rows       []Row
 }
 
-// NewTable works out the rows.
+// NewTable computes the rows from the rounds. All rounds must have recorded the same failures in the same order.
 func NewTable(rounds []Round) Table {
 	var table Table
 	for _, round := range rounds {
 		table.Schedulers = append(table.Schedulers, round.Schedulers)
 	}
-	for _, figure := range figures {
-		table.Rows = append(table.Rows, newRow(figure, rounds))
+	for _, metric := range metrics {
+		table.Rows = append(table.Rows, newRow(metric, rounds))
 	}
-	for i := range noticesOf(rounds) {
-		table.Rows = append(table.Rows, noticeRows(rounds, i)...)
+	for i := range recoveriesOf(rounds) {
+		table.Rows = append(table.Rows, recoveryRows(rounds, i)...)
 	}
 	return table
 }
 
-func newRow(figure figure, rounds []Round) Row {
-	row := Row{Name: figure.name, Unit: figure.unit}
+func newRow(metric metric, rounds []Round) Row {
+	row := Row{Name: metric.name, Unit: metric.unit}
 	var xs []float64
 	for i := range rounds {
 		xs = append(xs, float64(rounds[i].Schedulers))
-		row.Values = append(row.Values, figure.value(&rounds[i]))
+		row.Values = append(row.Values, metric.value(&rounds[i]))
 	}
 	row.Fit = fitLine(xs, row.Values)
 	return row
 }
 
-func noticesOf(rounds []Round) []Notice {
+func recoveriesOf(rounds []Round) []Recovery {
 	if len(rounds) == 0 {
 		return nil
 	}
-	return rounds[0].Notices
+	return rounds[0].Recoveries
 }
 
-func noticeRows(rounds []Round, i int) []Row {
-	what := rounds[0].Notices[i].What
+func recoveryRows(rounds []Round, i int) []Row {
+	failure := rounds[0].Recoveries[i].Failure
 	return []Row{
-		newRow(figure{what + ", p50", "ms", func(r *Round) float64 { return milliseconds(r.Notices[i].Took.P50) }}, rounds),
-		newRow(figure{what + ", worst", "ms", func(r *Round) float64 { return milliseconds(r.Notices[i].Took.Worst) }}, rounds),
+		newRow(metric{failure + ", p50", "ms", func(r *Round) float64 { return milliseconds(r.Recoveries[i].Took.P50) }}, rounds),
+		newRow(metric{failure + ", worst", "ms", func(r *Round) float64 { return milliseconds(r.Recoveries[i].Took.Worst) }}, rounds),
 	}
 }
 
-// figure is how one row comes of a round.
-type figure struct {
+// metric names one row of the table and computes its value for a round.
+type metric struct {
 	name, unit string
 	value      func(*Round) float64
 }
 
-var figures = []figure{
+var metrics = []metric{
 	{"agent, idle: processor", "% of a core", func(r *Round) float64 { return 100 * r.phase(phaseIdle).Agent.CPU }},
 	{"agent, idle: from controllers", "B/s", func(r *Round) float64 { return r.phase(phaseIdle).Member.In }},
 	{"agent, idle: to controllers", "B/s", func(r *Round) float64 { return r.phase(phaseIdle).Member.Out }},
@@ -115,7 +115,7 @@
 	{"changes that a router never had", "", func(r *Round) float64 { return float64(r.Missed) }},
 }
 
-// phase returns the phase of that name; an empty one if it was not played.
+// phase returns the phase with the given name, or an empty phase if it was not run.
 func (r *Round) phase(name string) Phase {
 	for _, phase := range r.Phases {
 		if phase.Name == name {
@@ -128,12 +128,12 @@
 func (r *Round) rolesMoved() int {
 	moved := 0
 	for _, phase := range r.Phases {
-		moved += phase.Roles
+		moved += phase.RolesTaken
 	}
 	return moved
 }
 
-// perConfig returns what one configuration adds to a rate of the idle phase.
+// perConfig returns a function that computes the amount that one configuration adds to a rate of the idle phase.
 func perConfig(rate func(Phase) float64) func(*Round) float64 {
 	return func(r *Round) float64 {
 		phase := r.phase(phaseConfigs)
@@ -141,7 +141,7 @@
 	}
 }
 
-// perList returns what one change of the list adds to a rate of the idle phase.
+// perList returns a function that computes the amount that one change of the worker list adds to a rate of the idle phase.
 func perList(rate func(Phase) float64) func(*Round) float64 {
 	return func(r *Round) float64 {
 		phase := r.phase(phaseLists)
@@ -149,7 +149,7 @@
 	}
 }
 
-// perChange returns the amount that each of some changes in a span adds to an idle rate.
+// perChange returns the amount beyond the idle rate over span, divided by the number of changes; 0 without changes.
 func perChange(rate, idle float64, span time.Duration, changes int) float64 {
 	if changes == 0 {
 		return 0
@@ -161,7 +161,7 @@
 
 func megabytes(bytes float64) float64 { return bytes / (1 << 20) }
 
-// Write prints the table: a row for each figure, a column for each number of schedulers, then the line of least squares.
+// Write prints the table: a row for each metric, a column for each number of schedulers, then the least-squares line.
 func (t Table) Write(w io.Writer) error {
 	const name = "%-66s %-12s"
 	header := fmt.Sprintf(name, "schedulers", "")
@@ -174,9 +174,9 @@
 	for _, row := range t.Rows {
 		line := fmt.Sprintf(name, row.Name, row.Unit)
 		for _, value := range row.Values {
-			line += fmt.Sprintf(" %10s", number(value))
+			line += fmt.Sprintf(" %10s", formatNumber(value))
 		}
-		fit := fmt.Sprintf("%s + %s n, %.2f", number(row.Fit.Base), number(row.Fit.Slope), row.Fit.R2)
+		fit := fmt.Sprintf("%s + %s n, %.2f", formatNumber(row.Fit.Base), formatNumber(row.Fit.Slope), row.Fit.R2)
 		if _, err := fmt.Fprintf(w, "%s   %s\n", line, fit); err != nil {
 			return err
 		}
@@ -184,8 +184,8 @@
 	return nil
 }
 
-// number writes a value to three digits or, where it is larger, as a whole number.
-func number(value float64) string {
+// formatNumber formats a value with three significant digits, or as a whole number if its magnitude is 1000 or more.
+func formatNumber(value float64) string {
 	if value >= 1000 || value <= -1000 {
 		return fmt.Sprintf("%.0f", value)
 	}
