--- a/internal/faults/relay.go
+++ b/internal/faults/relay.go
@@ -287,10 +287,10 @@
 			default:
 				continue
 			}
-			delayed := append([]byte(nil), data...)
+			payload := append([]byte(nil), data...)
 			time.AfterFunc(delay, func() {
 				<-h.delayed
-				h.udp.WriteToUDP(delayed, addr)
+				h.udp.WriteToUDP(payload, addr)
 			})
 		}
 	}
