--- a/internal/faults/links.go
+++ b/internal/faults/links.go
@@ -45,6 +45,7 @@
 // Traffic counts what was sent over one direction of a link, or over several. Lost counts datagrams.
 type Traffic struct{ Datagrams, Bytes, Lost int64 }
 
+// rule is a fault with the directions that it applies to.
 type rule struct {
 	match func(from, to string) bool
 	fault Fault
--- a/internal/faults/process.go
+++ b/internal/faults/process.go
@@ -155,8 +155,8 @@
 	return os.RemoveAll(p.Dir)
 }
 
-// lineLogger is an io.Writer that logs each line a process writes as an event. Longer
-// lines than maxLineBytes are split, and the byte after each piece is dropped.
+// lineLogger is an io.Writer that logs each line a process writes as an event. Lines longer than maxLineBytes are split, and
+// the byte after each piece is dropped.
 type lineLogger struct {
 	log     *Log
 	who     string
