--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine models the engine of a language-model worker, small enough for tests: batches of slots, prompts read in
-// pieces between the tokens of others, memory in blocks, cached parts of prompts, handles of read prompts, and orders. It
-// is pure: it is told the time and answers with events. It holds no clock, no socket and no goroutine.
+// Package engine is a deterministic test double of a language-model inference engine: continuous batching, chunked prefill,
+// block-based KV memory, prefix caching, handles of prefilled prompts, and stage orders. Callers pass in the time and
+// collect events; the package uses no clock, socket or goroutine.
 package engine
 
 import (
@@ -10,36 +10,36 @@
 	"time"
 )
 
-// The stages of a worker. An engine without a stage neither hands out nor fetches memory.
+// The stages of a worker. An engine without a stage neither exports nor fetches KV memory.
 const (
 	StagePrefill = "prefill"
 	StageDecode  = "decode"
 )
 
 const (
-	decodeReadSlowdown = 2 // a decode worker reads prompts at half the pace
-	decodePieceDivisor = 4 // and in pieces a quarter the size
-	maxMoveWait        = 2 * time.Second
+	decodePrefillSlowdown = 2 // a decode worker prefills at half the rate
+	decodeChunkDivisor    = 4 // a decode worker uses chunks of a quarter of the size
+	maxTransferWait       = 2 * time.Second
 )
 
-// Config describes an engine. Zero values are replaced by those that the comments name.
+// Config describes an engine. Zero values are replaced by the defaults given in the comments.
 type Config struct {
 	Stage          string
 	Slots          int           // 8
-	Queue          int           // 16: requests that wait for a slot
-	Step           time.Duration // 3 ms: one token of each running request
-	StepPerSlot    time.Duration // added for each running request
-	TokensPerMs    float64       // 100: prompt tokens read in a millisecond
-	PrefillChunk   int           // 2048: the most tokens read between two steps
-	Block          int           // 16: tokens in a block of memory
-	KvTokens       int           // 100000: the memory
+	Queue          int           // 16: requests that may wait for a slot
+	Step           time.Duration // 3 ms: the time to generate one token of each running request
+	StepPerSlot    time.Duration // added to Step for each running request
+	TokensPerMs    float64       // 100: prompt tokens prefilled in a millisecond
+	PrefillChunk   int           // 2048: the most prompt tokens prefilled in one step
+	Block          int           // 16: tokens in a block of KV memory
+	KvTokens       int           // 100000: the capacity of the KV memory
 	KvTokenBytes   int           // 35136
 	LinkMbps       float64       // 1000000
-	TransferSetup  time.Duration // before each move
-	Stride         int           // 1: tokens in one event after the first
-	ReportLag      time.Duration // how old a report is; negative: not at all; 100 ms
+	TransferSetup  time.Duration // latency before each KV transfer
+	Stride         int           // 1: tokens in each event after the first event
+	ReportLag      time.Duration // 100 ms: the age of the state that Report returns; negative: no lag
 	HandleLifetime time.Duration // 5 s
-	StageSwitch    time.Duration // from the last run's end to the new stage; 2 s
+	StageSwitch    time.Duration // 2 s: from the end of the last running job to the new stage
 	Fencing        bool
 	ModelVersion   int // 1
 }
@@ -61,96 +61,96 @@
 	c.ModelVersion = cmp.Or(c.ModelVersion, 1)
 }
 
-// Part is a part of a prompt, named by its hash. A part without an ID is never shared.
+// Part is a segment of a prompt, identified by its hash. A part without an ID is never shared through the cache.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Job is one request at the engine.
+// Job is a request submitted to the engine.
 type Job struct {
 	ID          string // unique among the jobs of this engine
 	Model       string
 	Parts       []Part // the prompt, in order
-	Output      int    // tokens to make
-	Done        int    // tokens made before, elsewhere: a resumed stream goes on after them
+	Output      int    // tokens to generate
+	Done        int    // tokens that an earlier run generated; a resumed stream continues after them
 	Priority    int    // 0 is the most urgent
 	Deadline    time.Duration
-	PrefillOnly bool          // ends in a handle rather than in tokens
-	Fetched     bool          // the prompt's memory comes by a move
-	ReadyAt     time.Duration // when the move ends
+	PrefillOnly bool          // the job ends with a handle instead of tokens
+	Fetched     bool          // the prompt's KV memory is transferred from another worker
+	ReadyAt     time.Duration // when the transfer ends
 }
 
-// Kind tells what an Event says.
+// Kind is the type of an Event.
 type Kind uint8
 
 // The kinds of events.
 const (
-	KindTokens      Kind = iota // tokens From to To were made; the first one means that the job runs
-	KindDone                    // the last token was made
-	KindPrefilled               // a ReadOnly job ended in Handle
-	KindNotExecuted             // the job left the queue without having begun: deadline or order
+	KindTokens      Kind = iota // tokens From to To were generated; the first such event shows that the job runs
+	KindDone                    // the last token was generated
+	KindPrefilled               // a PrefillOnly job ended with Handle
+	KindNotExecuted             // the job left the queue before it started, because of its deadline or an order
 )
 
-// Event is something that happened to a job.
+// Event reports progress of a job.
 type Event struct {
 	Job      string
 	Kind     Kind
 	At       time.Duration
 	From, To int
 	Handle   string
-	Tokens   int // of a KindRead
+	Tokens   int // prompt tokens, of a KindPrefilled event
 }
 
 type phase uint8
 
 const (
 	phaseQueued phase = iota
-	phaseReading
+	phasePrefilling
 	phaseDecoding
 )
 
 type task struct {
 	Job
-	phase    phase
-	order    int // of arrival
-	toRead   int // prompt tokens still to be read
-	made     int // tokens made, Done included
-	sent     int // tokens told in events
-	started  bool
-	held     []*part // parts of the cache that it holds
-	private  int     // blocks of its own
-	missing  []Part  // parts that it reads
-	refilled bool    // preempted before: reads its own tokens again
+	phase         phase
+	order         int // arrival order
+	prefillLeft   int // prompt tokens still to be prefilled
+	generated     int // tokens generated, Done included
+	reported      int // tokens reported in events
+	started       bool
+	held          []*part // cached parts that the task references
+	privateBlocks int     // blocks that only this task uses
+	uncached      []Part  // prompt parts that were not cached when the task started
+	preempted     bool    // the task was preempted and prefills its generated tokens again
 }
 
-// Stats counts work for tests.
+// Stats holds work counters for tests.
 type Stats struct {
 	TokensPrefilled, TokensCached, TokensGenerated, Preempted, Fetched, HandlesExpired int
 }
 
-// Engine is the model. It isn't safe for use by several goroutines.
+// Engine simulates an inference engine. It is not safe for concurrent use.
 type Engine struct {
-	config    Config
-	now       time.Duration
-	tasks     []*task // in order of arrival
-	arrivals  int
-	stepEnds  time.Duration // 0: no step is under way
-	decoding  []*task       // those that the step serves
-	reading   *task         // whose piece the step reads
-	piece     int
-	cache     cache
-	handles   map[string]*handle
-	madeUp    int // handles so far
-	linkFree  time.Duration
-	order     orderState
-	history   []stamped
-	stats     Stats
-	outgoing  []Event
-	handleKey string
+	config        Config
+	now           time.Duration
+	tasks         []*task // in arrival order
+	arrivals      int
+	stepEnds      time.Duration // 0: no step is running
+	decoding      []*task       // tasks that get a token in the current step
+	prefilling    *task         // task that is prefilled in the current step
+	prefillTokens int
+	cache         cache
+	handles       map[string]*handle
+	handleCount   int // handles created so far
+	linkFreeAt    time.Duration
+	order         orderState
+	history       []timedReport
+	stats         Stats
+	events        []Event
+	handleKey     string
 }
 
-// New returns an idle engine. handleKey starts the names of its handles.
+// New returns an idle engine. handleKey is the prefix of its handle IDs.
 func New(config Config, handleKey string) *Engine {
 	config.setDefaults()
 	e := &Engine{config: config, handles: map[string]*handle{}, handleKey: handleKey}
@@ -160,18 +160,18 @@
 	return e
 }
 
-// Rejection tells why a job was not taken.
+// Rejection is the reason for not accepting a job.
 type Rejection uint8
 
-// The rejections. Each means that the job has not run.
+// The rejections. A rejected job has not run.
 const (
 	Accepted Rejection = iota
 	RejectedFull
-	RejectedBusy  // an order is under way
-	RejectedStage // 421
+	RejectedBusy  // an order is in progress
+	RejectedStage // the stage can't run the job; answered with status 421
 )
 
-// Check reports whether job would be taken now.
+// Check returns Accepted if the engine would accept job now, or the reason for a rejection.
 func (e *Engine) Check(job Job) Rejection {
 	switch {
 	case e.order.busy:
@@ -185,20 +185,20 @@
 	return Accepted
 }
 
-// Submit takes a job at the time now, or says why not.
+// Submit queues a job at the time now, or returns the reason for its rejection.
 func (e *Engine) Submit(now time.Duration, job Job) Rejection {
 	e.Advance(now)
 	if reason := e.Check(job); reason != Accepted {
 		return reason
 	}
 	e.arrivals++
-	e.tasks = append(e.tasks, &task{Job: job, order: e.arrivals, made: job.Done, sent: job.Done})
+	e.tasks = append(e.tasks, &task{Job: job, order: e.arrivals, generated: job.Done, reported: job.Done})
 	e.beginStep()
 	e.record()
 	return Accepted
 }
 
-// Cancel drops a job whose client left.
+// Cancel removes a job whose client disconnected.
 func (e *Engine) Cancel(now time.Duration, id string) {
 	e.Advance(now)
 	for _, t := range e.tasks {
@@ -207,33 +207,33 @@
 			break
 		}
 	}
-	e.settleOrder()
+	e.advanceOrder()
 	e.beginStep()
 	e.record()
 }
 
-// Events returns and forgets what happened since the last call.
+// Events returns the events since the last call and clears them.
 func (e *Engine) Events() []Event {
-	out := e.outgoing
-	e.outgoing = nil
+	out := e.events
+	e.events = nil
 	return out
 }
 
-// Stats returns the counts so far.
+// Stats returns the counters.
 func (e *Engine) Stats() Stats { return e.stats }
 
-// Next returns when something happens next without new input; false means never.
+// Next returns the time of the next state change without new input. It returns false if there is none.
 func (e *Engine) Next() (time.Duration, bool) {
-	next, some := time.Duration(0), false
+	next, pending := time.Duration(0), false
 	consider := func(at time.Duration) {
-		if at > 0 && (!some || at < next) {
-			next, some = at, true
+		if at > 0 && (!pending || at < next) {
+			next, pending = at, true
 		}
 	}
 	consider(e.stepEnds)
 	consider(e.order.switchAt)
 	for _, h := range e.handles {
-		consider(h.lapses)
+		consider(h.expiresAt)
 	}
 	for _, t := range e.tasks {
 		if t.phase == phaseQueued {
@@ -243,30 +243,30 @@
 			}
 		}
 	}
-	return next, some
+	return next, pending
 }
 
-// Advance lets time pass until now.
+// Advance simulates the engine up to the time now.
 func (e *Engine) Advance(now time.Duration) {
 	for {
-		next, some := e.Next()
-		if !some || next > now {
+		next, pending := e.Next()
+		if !pending || next > now {
 			break
 		}
 		e.now = max(e.now, next)
-		e.happen()
+		e.processDue()
 	}
 	e.now = max(e.now, now)
 }
 
-// happen does what is due at e.now.
-func (e *Engine) happen() {
+// processDue handles everything that is due at e.now.
+func (e *Engine) processDue() {
 	if e.stepEnds > 0 && e.stepEnds <= e.now {
 		e.endStep()
 	}
-	e.lapseHandles()
+	e.expireHandles()
 	e.expireQueued()
-	e.settleOrder()
+	e.advanceOrder()
 	e.beginStep()
 	e.record()
 }
@@ -277,7 +277,7 @@
 			e.emit(Event{Job: t.ID, Kind: KindNotExecuted})
 			e.remove(t)
 		} else if t.phase == phaseQueued && t.Deadline > 0 && t.Deadline <= e.now {
-			e.remove(t) // preempted in midstream: its client is gone
+			e.remove(t) // preempted after it had started; past its deadline its client has left
 		}
 	}
 }
@@ -287,74 +287,74 @@
 		return
 	}
 	e.admit()
-	e.decoding, e.reading, e.piece = nil, nil, 0
+	e.decoding, e.prefilling, e.prefillTokens = nil, nil, 0
 	for _, t := range e.tasks {
 		switch {
 		case t.phase == phaseDecoding:
 			e.decoding = append(e.decoding, t)
-		case t.phase == phaseReading && (e.reading == nil || less(t, e.reading)):
-			e.reading = t
+		case t.phase == phasePrefilling && (e.prefilling == nil || less(t, e.prefilling)):
+			e.prefilling = t
 		}
 	}
-	took := time.Duration(0)
+	stepTime := time.Duration(0)
 	if n := len(e.decoding); n > 0 {
-		took += e.config.Step + time.Duration(n)*e.config.StepPerSlot
+		stepTime += e.config.Step + time.Duration(n)*e.config.StepPerSlot
 	}
-	if e.reading != nil {
-		took += e.planPiece()
+	if e.prefilling != nil {
+		stepTime += e.planPrefill()
 	}
-	if took > 0 {
-		e.stepEnds = e.now + took
+	if stepTime > 0 {
+		e.stepEnds = e.now + stepTime
 	}
 }
 
-// planPiece chooses how much of the prompt is read in this step and returns how long that takes.
-func (e *Engine) planPiece() time.Duration {
+// planPrefill sets the number of prompt tokens to prefill in this step and returns the time that takes.
+func (e *Engine) planPrefill() time.Duration {
 	size, pace := e.config.PrefillChunk, e.config.TokensPerMs
 	if e.order.stage == StageDecode {
-		size, pace = max(1, size/decodePieceDivisor), pace/decodeReadSlowdown
+		size, pace = max(1, size/decodeChunkDivisor), pace/decodePrefillSlowdown
 	}
-	e.piece = min(size, e.reading.toRead)
-	return max(time.Microsecond, time.Duration(float64(e.piece)/pace*float64(time.Millisecond)))
+	e.prefillTokens = min(size, e.prefilling.prefillLeft)
+	return max(time.Microsecond, time.Duration(float64(e.prefillTokens)/pace*float64(time.Millisecond)))
 }
 
 func (e *Engine) endStep() {
 	e.stepEnds = 0
-	if t := e.reading; t != nil && t.phase == phaseReading {
-		t.toRead -= e.piece
-		e.stats.TokensPrefilled += e.piece
-		if t.toRead <= 0 {
-			e.endReading(t)
+	if t := e.prefilling; t != nil && t.phase == phasePrefilling {
+		t.prefillLeft -= e.prefillTokens
+		e.stats.TokensPrefilled += e.prefillTokens
+		if t.prefillLeft <= 0 {
+			e.finishPrefill(t)
 		}
 	}
 	for _, t := range e.decoding {
 		if t.phase == phaseDecoding {
-			e.makeToken(t)
+			e.generateToken(t)
 		}
 	}
 }
 
-func (e *Engine) endReading(t *task) {
-	e.keepParts(t)
+func (e *Engine) finishPrefill(t *task) {
+	e.cacheParts(t)
 	if t.PrefillOnly {
 		e.makeHandle(t)
 		return
 	}
 	t.phase = phaseDecoding
-	e.makeToken(t) // the reading's end yields the first token
+	e.generateToken(t) // the end of the prefill yields the first token
 }
 
-func (e *Engine) makeToken(t *task) {
+func (e *Engine) generateToken(t *task) {
 	if !e.grow(t) {
 		return
 	}
-	t.made++
+	t.generated++
 	e.stats.TokensGenerated++
-	first, last := !t.started, t.made >= t.Output
+	first, last := !t.started, t.generated >= t.Output
 	t.started = true
-	if first || last || t.made-t.sent >= e.config.Stride {
-		e.emit(Event{Job: t.ID, Kind: KindTokens, From: t.sent + 1, To: t.made})
-		t.sent = t.made
+	if first || last || t.generated-t.reported >= e.config.Stride {
+		e.emit(Event{Job: t.ID, Kind: KindTokens, From: t.reported + 1, To: t.generated})
+		t.reported = t.generated
 	}
 	if last {
 		e.emit(Event{Job: t.ID, Kind: KindDone})
@@ -364,10 +364,10 @@
 
 func (e *Engine) emit(event Event) {
 	event.At = e.now
-	e.outgoing = append(e.outgoing, event)
+	e.events = append(e.events, event)
 }
 
-// admit starts queued jobs, the most urgent first, as long as slots and memory last.
+// admit starts queued jobs by priority, then arrival, while slots and memory are available.
 func (e *Engine) admit() {
 	var waiting []*task
 	for _, t := range e.tasks {
@@ -382,9 +382,9 @@
 		if !e.slotFree() || !e.reserve(t) {
 			return
 		}
-		t.phase = phaseReading
-		if t.toRead == 0 { // all of it is kept or fetched: the next step makes its first token
-			e.keepParts(t)
+		t.phase = phasePrefilling
+		if t.prefillLeft == 0 { // the prompt is cached or fetched: the next step generates the first token
+			e.cacheParts(t)
 			if t.PrefillOnly {
 				e.makeHandle(t)
 			} else {
@@ -410,11 +410,11 @@
 
 func (e *Engine) remove(t *task) {
 	e.release(t)
-	t.phase = phaseQueued // a step that still holds it passes it over
+	t.phase = phaseQueued // a running step that includes the task skips it
 	e.tasks = slices.DeleteFunc(e.tasks, func(other *task) bool { return other == t })
 }
 
-// less reports whether a goes before b.
+// less reports whether a has precedence over b.
 func less(a, b *task) bool {
 	return a.Priority < b.Priority || a.Priority == b.Priority && a.order < b.order
 }
@@ -429,7 +429,7 @@
 
 func (e *Engine) blocksOf(tokens int) int { return (tokens + e.config.Block - 1) / e.config.Block }
 
-// String helps a failing test.
+// String describes the engine's state in failure messages of tests.
 func (e *Engine) String() string {
 	return fmt.Sprintf("%s at %v: %d running, %d queued, %d of %d blocks used, %d handles",
 		e.order.stage, e.now, e.runningCount(), e.queued(), e.cache.used(), e.cache.total, len(e.handles))
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -26,10 +26,10 @@
 	return kinds
 }
 
-func TestAPromptIsReadAndItsTokensCome(t *testing.T) {
+func TestPrefillThenTokens(t *testing.T) {
 	e := New(Config{Stage: StageDecode, TokensPerMs: 100, PrefillChunk: 4000, Step: 3 * ms, Stride: 2}, "h")
 	require.Equal(t, Accepted, e.Submit(0, job("a", 4, Part{"p", 1000})))
-	e.Advance(19 * ms) // half the pace: 20 ms
+	e.Advance(19 * ms) // a decode worker prefills at half the rate: 20 ms
 	require.Empty(t, e.Events())
 	e.Advance(100 * ms)
 	events := e.Events()
@@ -38,11 +38,11 @@
 	require.Equal(t, Event{Job: "a", Kind: KindTokens, At: 29 * ms, From: 4, To: 4}, events[2])
 	require.Equal(t, KindDone, events[3].Kind)
 	require.True(t, e.Cached("m", Part{"p", 1000}))
-	_, some := e.Next()
-	require.False(t, some, "an idle engine waits for nothing")
+	_, pending := e.Next()
+	require.False(t, pending, "an idle engine has no next event")
 }
 
-func TestTokensComeSlowerWhenMoreRun(t *testing.T) {
+func TestStepTimeGrowsWithRunningJobs(t *testing.T) {
 	e := New(Config{Step: 3 * ms, StepPerSlot: ms}, "h")
 	for i := range 2 {
 		e.Submit(0, job(fmt.Sprint(i), 3))
@@ -54,10 +54,10 @@
 			at = append(at, event.At)
 		}
 	}
-	require.Equal(t, []time.Duration{4 * ms, 9 * ms, 14 * ms}, at, "the first step serves one, the others two")
+	require.Equal(t, []time.Duration{4 * ms, 9 * ms, 14 * ms}, at, "the first step runs one job, the others two")
 }
 
-func TestAKeptPartIsNotReadAgain(t *testing.T) {
+func TestCachedPartIsNotPrefilledAgain(t *testing.T) {
 	e := New(Config{Stage: StagePrefill}, "h")
 	prompt := []Part{{"shared", 320}, {"own", 64}}
 	read := job("a", 1, prompt...)
@@ -72,7 +72,7 @@
 	require.Equal(t, 320, e.Stats().TokensCached)
 }
 
-func TestAPartIsUsedOnlyWithAllBeforeIt(t *testing.T) {
+func TestCachedPartNeedsMatchingPrefix(t *testing.T) {
 	e := New(Config{KvTokens: 64}, "h")
 	e.Submit(0, job("a", 1, Part{"x", 16}, Part{"y", 16}))
 	e.Advance(time.Second)
@@ -81,8 +81,8 @@
 	require.False(t, e.Cached("other model", Part{"x", 16}))
 }
 
-func TestThePartsUnusedLongestGiveWay(t *testing.T) {
-	e := New(Config{KvTokens: 64}, "h") // 4 blocks, of which one is for the tokens
+func TestLeastRecentlyUsedPartsAreEvicted(t *testing.T) {
+	e := New(Config{KvTokens: 64}, "h") // 4 blocks, one of them for the generated tokens
 	for i, id := range []string{"x", "y", "x", "z", "w"} {
 		at := time.Duration(i) * time.Second
 		e.Submit(at, job(fmt.Sprint(i), 1, Part{id, 16}))
@@ -94,7 +94,7 @@
 	require.False(t, e.Cached("m", Part{"y", 16}))
 }
 
-func TestAHandleIsTakenOnceAndLapses(t *testing.T) {
+func TestHandleIsTakenOnceAndExpires(t *testing.T) {
 	e := New(Config{Stage: StagePrefill, HandleLifetime: time.Second}, "h")
 	read := func(at time.Duration, id string) string {
 		j := job(id, 1, Part{id, 160})
@@ -125,8 +125,8 @@
 	require.Zero(t, e.State().KvUsed)
 }
 
-func TestAMoveTakesItsTimeAndOneWaitsForAnother(t *testing.T) {
-	e := New(Config{Stage: StagePrefill, KvTokenBytes: 1000, LinkMbps: 8}, "h") // 1 ms for a token
+func TestTransfersShareTheLinkInSequence(t *testing.T) {
+	e := New(Config{Stage: StagePrefill, KvTokenBytes: 1000, LinkMbps: 8}, "h") // 1 ms per token
 	var handles []string
 	for i := range 4 {
 		j := job(fmt.Sprint(i), 1, Part{fmt.Sprint(i), 800})
@@ -143,14 +143,14 @@
 		require.Equal(t, wait, taken.Wait)
 	}
 	_, ok := e.TakeHandle(time.Second, handles[3], 1)
-	require.False(t, ok, "a move that would wait more than two seconds is not begun")
+	require.False(t, ok, "a transfer that would wait for more than two seconds is rejected")
 
 	decode := New(Config{Stage: StageDecode, KvTokenBytes: 1000, LinkMbps: 8}, "h")
 	require.Equal(t, 2100*ms, decode.ReserveTransfer(ms*500, 0, 800, 2))
 	require.Equal(t, 2900*ms, decode.ReserveTransfer(ms*500, 0, 800, 1))
 }
 
-func TestAFullEngineRejectsAndTheUrgentGoFirst(t *testing.T) {
+func TestFullQueueRejectsAndPriorityOrders(t *testing.T) {
 	e := New(Config{Slots: 1, Queue: 2, Step: ms}, "h")
 	late := job("late", 1)
 	late.Priority = 5
@@ -170,7 +170,7 @@
 	require.Equal(t, []string{"running", "urgent", "late"}, done)
 }
 
-func TestADeadlineInTheQueueMeansNotExecuted(t *testing.T) {
+func TestDeadlineInQueueReportsNotExecuted(t *testing.T) {
 	e := New(Config{Slots: 1, Step: ms}, "h")
 	waits := job("waits", 1)
 	waits.Deadline = 5 * ms
@@ -180,7 +180,7 @@
 	require.Equal(t, []Kind{KindNotExecuted}, kindsOf(e.Events(), "waits"))
 }
 
-func TestShortMemoryPreemptsTheNewestAndItGoesOnWhereItWas(t *testing.T) {
+func TestPreemptedJobResumesAtNextToken(t *testing.T) {
 	e := New(Config{KvTokens: 96, Step: ms}, "h")
 	e.Submit(0, job("old", 40, Part{"a", 16}))
 	e.Submit(0, job("new", 40, Part{"b", 16}))
@@ -214,13 +214,13 @@
 	mismatched.IfRevision = &wrong
 	require.Equal(t, http.StatusConflict, e.Order(ms, mismatched))
 	require.Equal(t, http.StatusAccepted, e.Order(ms, order))
-	require.Equal(t, http.StatusConflict, e.Order(ms, order), "another is under way")
+	require.Equal(t, http.StatusConflict, e.Order(ms, order), "another order is in progress")
 	require.Equal(t, []Kind{KindNotExecuted}, kindsOf(e.Events(), "waits"))
 	require.Equal(t, RejectedBusy, e.Submit(2*ms, job("comes", 1)))
 	order.FenceToken = fence(6)
 	require.Equal(t, http.StatusPreconditionFailed, e.Order(2*ms, order))
 	e.Advance(500 * ms)
-	require.Equal(t, []Kind{KindDone}, kindsOf(e.Events(), "runs")[9:], "what runs comes to its end")
+	require.Equal(t, []Kind{KindDone}, kindsOf(e.Events(), "runs")[9:], "running jobs complete before the switch")
 	require.Equal(t, StageDecode, e.Stage())
 	e.Advance(2 * time.Second)
 	require.Equal(t, StagePrefill, e.Stage())
@@ -229,7 +229,7 @@
 	require.Equal(t, RejectedStage, e.Submit(2*time.Second, job("comes", 1)))
 }
 
-func TestAReportIsOld(t *testing.T) {
+func TestReportLag(t *testing.T) {
 	e := New(Config{ReportLag: 100 * ms, Step: ms}, "h")
 	e.Advance(time.Second)
 	e.Submit(time.Second, job("a", 500))
@@ -237,7 +237,7 @@
 	require.Equal(t, 1, e.Report(1150*ms).Running)
 }
 
-// TestMemoryIsConserved plays random work and checks the books after every move.
+// TestMemoryIsConserved submits and cancels random jobs and checks the block counts after every operation.
 func TestMemoryIsConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := New(Config{Stage: StagePrefill, Slots: 4, Queue: 4, KvTokens: 640, HandleLifetime: 50 * ms, Step: ms}, "h")
@@ -258,13 +258,13 @@
 			case 2:
 				e.Cancel(now, id)
 			}
-			if e.cache.free() < 0 || e.cache.private < 0 || e.cache.used() > e.cache.total {
-				t.Fatalf("books: %v", e)
+			if e.cache.free() < 0 || e.cache.privateBlocks < 0 || e.cache.used() > e.cache.total {
+				t.Fatalf("inconsistent block counts: %v", e)
 			}
 		}
 		e.Advance(now + time.Minute)
-		if len(e.tasks) > 0 || e.cache.used() != 0 || e.cache.private != 0 {
-			t.Fatalf("something is left: %v", e)
+		if len(e.tasks) > 0 || e.cache.used() != 0 || e.cache.privateBlocks != 0 {
+			t.Fatalf("jobs or used blocks remain: %v", e)
 		}
 	})
 }
--- a/internal/standin/engine/memory.go
+++ b/internal/standin/engine/memory.go
@@ -1,28 +1,28 @@
 package engine
 
-// part is a part of some prompt in the memory. It can give way once nobody holds it.
+// part is a prompt part in the prefix cache. It can be evicted when it has no references.
 type part struct {
-	key    string
-	blocks int
-	holds  int
-	used   int // the cache's clock at its last use
+	key        string
+	blocks     int
+	references int
+	lastUsed   int // value of the cache's clock at the last use
 }
 
-// cache is the memory: the parts that are kept, and the count of blocks that single jobs hold.
+// cache is the KV memory: the cached parts and the count of blocks that belong to single jobs and handles.
 type cache struct {
-	total   int // blocks
-	private int // blocks that jobs and handles hold for themselves
-	kept    map[string]*part
-	clock   int
+	total         int // blocks
+	privateBlocks int // blocks that belong to single jobs and handles
+	cached        map[string]*part
+	clock         int
 }
 
-func newCache(blocks int) cache { return cache{total: blocks, kept: map[string]*part{}} }
+func newCache(blocks int) cache { return cache{total: blocks, cached: map[string]*part{}} }
 
-// used is the count of blocks that can't give way.
+// used returns the count of blocks that can't be evicted.
 func (c *cache) used() int {
-	n := c.private
-	for _, p := range c.kept {
-		if p.holds > 0 {
+	n := c.privateBlocks
+	for _, p := range c.cached {
+		if p.references > 0 {
 			n += p.blocks
 		}
 	}
@@ -30,123 +30,124 @@
 }
 
 func (c *cache) free() int {
-	n := c.total - c.private
-	for _, p := range c.kept {
+	n := c.total - c.privateBlocks
+	for _, p := range c.cached {
 		n -= p.blocks
 	}
 	return n
 }
 
-// makeRoom evicts the parts unused longest until blocks are free, and reports whether they are.
-func (c *cache) makeRoom(blocks int) bool {
+// evictUntilFree evicts the least recently used parts until blocks are free. It reports false, and evicts nothing, if
+// that isn't possible.
+func (c *cache) evictUntilFree(blocks int) bool {
 	if c.total-c.used() < blocks {
 		return false
 	}
 	for c.free() < blocks {
-		delete(c.kept, c.oldest().key)
+		delete(c.cached, c.leastRecentlyUsed().key)
 	}
 	return true
 }
 
-func (c *cache) oldest() *part {
-	var oldest *part
-	for _, p := range c.kept {
-		if p.holds == 0 && (oldest == nil || p.used < oldest.used) {
-			oldest = p
+func (c *cache) leastRecentlyUsed() *part {
+	var leastRecentlyUsed *part
+	for _, p := range c.cached {
+		if p.references == 0 && (leastRecentlyUsed == nil || p.lastUsed < leastRecentlyUsed.lastUsed) {
+			leastRecentlyUsed = p
 		}
 	}
-	return oldest
+	return leastRecentlyUsed
 }
 
-func (c *cache) hold(p *part) {
+func (c *cache) acquire(p *part) {
 	c.clock++
-	p.holds++
-	p.used = c.clock
+	p.references++
+	p.lastUsed = c.clock
 }
 
 func partKey(job Job, p Part) string { return job.Model + "/" + p.ID }
 
-// reserve takes the memory that a job needs to start: the leading parts that are kept, blocks for the rest of the prompt
-// and one block for its tokens. It reports whether there was room.
+// reserve allocates the memory that a job needs to start: references to the leading cached parts, and blocks for the rest
+// of the prompt, the tokens generated so far and the next one. It reports whether the memory sufficed.
 func (e *Engine) reserve(t *task) bool {
-	hit := e.keptParts(t.Job)
+	hit := e.cachedParts(t.Job)
 	for _, p := range hit {
-		e.cache.hold(p)
+		e.cache.acquire(p)
 	}
 	rest := t.Parts[len(hit):]
-	blocks := e.blocksOf(t.made + 1)
+	blocks := e.blocksOf(t.generated + 1)
 	for _, p := range rest {
 		blocks += e.blocksOf(p.Tokens)
 	}
-	if !e.cache.makeRoom(blocks) {
+	if !e.cache.evictUntilFree(blocks) {
 		for _, p := range hit {
-			p.holds--
+			p.references--
 		}
 		return false
 	}
-	t.held, t.private, t.missing = hit, blocks, rest
-	e.cache.private += blocks
-	t.toRead = 0
-	if t.Fetched && !t.refilled {
+	t.held, t.privateBlocks, t.uncached = hit, blocks, rest
+	e.cache.privateBlocks += blocks
+	t.prefillLeft = 0
+	if t.Fetched && !t.preempted {
 		e.stats.Fetched += promptTokens(t.Job)
 		return true
 	}
-	t.toRead = promptTokens(Job{Parts: rest}) + t.made
+	t.prefillLeft = promptTokens(Job{Parts: rest}) + t.generated
 	e.stats.TokensCached += promptTokens(t.Job) - promptTokens(Job{Parts: rest})
 	return true
 }
 
-// keptParts returns the leading parts of a prompt that are kept.
-func (e *Engine) keptParts(job Job) []*part {
+// cachedParts returns the leading parts of a prompt that are cached.
+func (e *Engine) cachedParts(job Job) []*part {
 	var hit []*part
 	for _, p := range job.Parts {
-		kept := e.cache.kept[partKey(job, p)]
-		if p.ID == "" || kept == nil {
+		cached := e.cache.cached[partKey(job, p)]
+		if p.ID == "" || cached == nil {
 			break
 		}
-		hit = append(hit, kept)
+		hit = append(hit, cached)
 	}
 	return hit
 }
 
-// keepParts moves the parts that a job has read from its own blocks to the cache, where others find them.
-func (e *Engine) keepParts(t *task) {
-	for _, p := range t.missing {
+// cacheParts moves the parts that a job has prefilled from its private blocks to the cache, where other jobs can use them.
+func (e *Engine) cacheParts(t *task) {
+	for _, p := range t.uncached {
 		if p.ID == "" {
 			continue
 		}
 		key, blocks := partKey(t.Job, p), e.blocksOf(p.Tokens)
-		kept := e.cache.kept[key]
-		if kept == nil {
-			kept = &part{key: key, blocks: blocks}
-			e.cache.kept[key] = kept
+		cached := e.cache.cached[key]
+		if cached == nil {
+			cached = &part{key: key, blocks: blocks}
+			e.cache.cached[key] = cached
 		}
-		e.cache.hold(kept)
-		t.held = append(t.held, kept)
-		t.private -= blocks
-		e.cache.private -= blocks
+		e.cache.acquire(cached)
+		t.held = append(t.held, cached)
+		t.privateBlocks -= blocks
+		e.cache.privateBlocks -= blocks
 	}
-	t.missing = nil
+	t.uncached = nil
 }
 
-// grow makes room for one more token, if need be by preemption. It reports whether t itself goes on.
+// grow allocates memory for one more token and preempts jobs if necessary. It reports false if t itself was preempted.
 func (e *Engine) grow(t *task) bool {
-	if t.made+1 <= e.blocksOf(t.made)*e.config.Block || t.made == t.Done {
+	if t.generated+1 <= e.blocksOf(t.generated)*e.config.Block || t.generated == t.Done {
 		return true
 	}
-	for !e.cache.makeRoom(1) {
+	for !e.cache.evictUntilFree(1) {
 		victim := e.victim()
 		e.preempt(victim)
 		if victim == t {
 			return false
 		}
 	}
-	t.private++
-	e.cache.private++
+	t.privateBlocks++
+	e.cache.privateBlocks++
 	return true
 }
 
-// victim is the newest among the least urgent jobs that hold memory.
+// victim returns the newest of the least urgent running jobs.
 func (e *Engine) victim() *task {
 	var victim *task
 	for _, t := range e.tasks {
@@ -160,19 +161,19 @@
 func (e *Engine) preempt(t *task) {
 	e.release(t)
 	t.phase = phaseQueued
-	t.refilled = true
+	t.preempted = true
 	e.stats.Preempted++
 }
 
 func (e *Engine) release(t *task) {
 	for _, p := range t.held {
-		p.holds--
+		p.references--
 	}
-	e.cache.private -= t.private
-	t.held, t.private, t.missing = nil, 0, nil
+	e.cache.privateBlocks -= t.privateBlocks
+	t.held, t.privateBlocks, t.uncached = nil, 0, nil
 }
 
-// Cached reports whether the leading parts of a prompt are kept, for tests.
+// Cached reports whether all the given leading parts of a prompt are cached. It is for tests.
 func (e *Engine) Cached(model string, parts ...Part) bool {
-	return len(e.keptParts(Job{Model: model, Parts: parts})) == len(parts)
+	return len(e.cachedParts(Job{Model: model, Parts: parts})) == len(parts)
 }
--- a/internal/standin/engine/order.go
+++ b/internal/standin/engine/order.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// OperationStage is the only operation of these engines.
+// OperationStage is the operation that changes a worker's stage, the only one that is supported.
 const OperationStage = "Stage"
 
-// Order asks a worker to change.
+// Order is a request to change a worker's stage.
 type Order struct {
 	Operation  string
 	Stage      string
@@ -21,13 +21,13 @@
 type orderState struct {
 	stage    string
 	busy     bool
-	next     string        // the stage to come
-	switchAt time.Duration // 0: still waits for runs to end
+	next     string        // the stage after the switch
+	switchAt time.Duration // 0: running jobs have not ended yet
 	sequence int
 	fence    uint64
 }
 
-// Order takes an order and returns the status of its answer.
+// Order executes an order and returns the HTTP status of the answer.
 func (e *Engine) Order(now time.Duration, order Order) int {
 	e.Advance(now)
 	switch {
@@ -47,12 +47,12 @@
 	e.order.busy, e.order.next = true, order.Stage
 	e.order.sequence++
 	e.rejectQueued()
-	e.settleOrder()
+	e.advanceOrder()
 	e.record()
 	return http.StatusAccepted
 }
 
-// rejectQueued answers what has not begun.
+// rejectQueued ends the queued jobs that have not started with KindNotExecuted.
 func (e *Engine) rejectQueued() {
 	for _, t := range slices.Clone(e.tasks) {
 		if t.phase == phaseQueued && !t.started {
@@ -62,8 +62,8 @@
 	}
 }
 
-// settleOrder carries an order on: once nothing runs the switch begins, and ends a while later.
-func (e *Engine) settleOrder() {
+// advanceOrder continues an order: the switch begins when no job is left and ends Config.StageSwitch later.
+func (e *Engine) advanceOrder() {
 	if !e.order.busy {
 		return
 	}
@@ -75,5 +75,5 @@
 	}
 }
 
-// Stage is the present stage.
+// Stage returns the current stage.
 func (e *Engine) Stage() string { return e.order.stage }
--- a/internal/standin/engine/report.go
+++ b/internal/standin/engine/report.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Report is the state of a worker as its /report tells it.
+// Report is the state of a worker as served under /report.
 type Report struct {
 	Stage      string
 	Models     []Model
@@ -15,19 +15,19 @@
 	KvHandles  int
 }
 
-// Model is a model as a report and the platform's list name it.
+// Model is a loaded model as listed in a report and in the platform's instance list.
 type Model struct {
 	Name     string
 	Version  int
 	Adapters []string
 }
 
-type stamped struct {
+type timedReport struct {
 	at time.Duration
 	Report
 }
 
-// Report returns the state as it stood ReportLag ago.
+// Report returns the state as of ReportLag before now.
 func (e *Engine) Report(now time.Duration) Report {
 	e.Advance(now)
 	lag := max(0, e.config.ReportLag)
@@ -40,7 +40,7 @@
 	return shown
 }
 
-// State returns the state of this moment.
+// State returns the current state.
 func (e *Engine) State() Report {
 	return Report{
 		Stage: e.order.stage, Busy: e.order.busy, Sequence: e.order.sequence,
@@ -49,9 +49,9 @@
 	}
 }
 
-// record keeps the present state for later reports and forgets what no report shows any more.
+// record adds the current state to the history and drops entries that are too old for any report.
 func (e *Engine) record() {
-	e.history = append(e.history, stamped{e.now, e.State()})
+	e.history = append(e.history, timedReport{e.now, e.State()})
 	for len(e.history) > 1 && e.history[1].at <= e.now-max(0, e.config.ReportLag) {
 		e.history = e.history[1:]
 	}
