--- a/internal/standin/operator/config.go
+++ b/internal/standin/operator/config.go
@@ -1,8 +1,8 @@
-// Package operator stands in for the operator of a fleet: it sends configurations to the controllers, again where an answer
-// is lost, and reads back what is in force.
+// Package operator is a test double of the operator's client. It sends configurations to the controllers, retries when an
+// answer is lost, and reads back the configuration in force.
 package operator
 
-// Config is a configuration as the operator writes it.
+// Config is a configuration in the format that the operator sends.
 type Config struct {
 	Version  int64
 	Routes   []Route
@@ -10,7 +10,7 @@
 	Limits   Limits
 }
 
-// Route leads requests of a host and prefix to a service, or to several by weight.
+// Route routes requests for a host and path prefix to one service or, by weight, to several.
 type Route struct {
 	Name            string
 	Hostname        string
@@ -27,13 +27,13 @@
 	GapAimMs        int64 `json:"gap_aim_ms,omitempty"`
 }
 
-// Weight is one service of a split route.
+// Weight is the share of one service in a traffic split.
 type Weight struct {
 	Service string
 	Weight  int64
 }
 
-// Service is a service with its workers' bounds.
+// Service is a service with the limits of its workers.
 type Service struct {
 	Name           string
 	HealthCheck    string
@@ -55,10 +55,10 @@
 	Models       []ModelName
 }
 
-// ModelName names a model.
+// ModelName is the name of a model.
 type ModelName struct{ Name string }
 
-// Limits bound clients.
+// Limits are the limits on requests and connections of clients.
 type Limits struct {
 	MaxHeaderBytes  int
 	MaxBodyBytes    int64
@@ -66,5 +66,5 @@
 	IdleTimeoutMs   int64
 }
 
-// DefaultLimits are those of the small deployments.
+// DefaultLimits are the limits of the small deployments.
 var DefaultLimits = Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 4 << 20, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000}
--- a/internal/standin/operator/operator.go
+++ b/internal/standin/operator/operator.go
@@ -15,37 +15,37 @@
 )
 
 const (
-	callTimeout  = time.Second
-	firstPause   = 50 * time.Millisecond
-	longestPause = 800 * time.Millisecond
-	mostRefusals = 3 // tries that end in another 4xx
-	mostHops     = 2 // redirections that are followed
+	callTimeout    = time.Second
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 800 * time.Millisecond
+	maxRejections  = 3 // attempts that end in a 4xx status that is neither conclusive nor retried
+	maxRedirects   = 2 // redirects that are followed
 )
 
-// ErrUnclear is returned when no clear answer came in time. The change may have been taken or not.
+// ErrUnclear is returned when no conclusive answer came in time. The change may or may not have been applied.
 var ErrUnclear = errors.New("no clear answer")
 
-// Operator calls the controllers in turn.
+// Operator calls the controllers in round-robin order.
 type Operator struct {
-	controllers func() []string
-	transport   *http.Transport
-	turn        atomic.Int64
-	lose        atomic.Int64
-	calls       atomic.Int64
+	controllers    func() []string
+	transport      *http.Transport
+	nextController atomic.Int64
+	answersToDrop  atomic.Int64
+	calls          atomic.Int64
 }
 
-// New returns an operator that chooses among controllers (Control addresses, IP:PORT).
+// New returns an operator that calls the controllers whose Control addresses (IP:PORT) the function controllers returns.
 func New(controllers func() []string) *Operator {
 	return &Operator{controllers: controllers, transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true}}
 }
 
-// DropAnswers lets the next n answers of controllers be lost on their way.
-func (o *Operator) DropAnswers(n int) { o.lose.Store(int64(n)) }
+// DropAnswers discards the next n answers of controllers.
+func (o *Operator) DropAnswers(n int) { o.answersToDrop.Store(int64(n)) }
 
-// Calls is how many calls were sent.
+// Calls returns the number of calls sent.
 func (o *Operator) Calls() int { return int(o.calls.Load()) }
 
-// Replace sends a configuration on top of base until it gets a clear answer, and returns its status.
+// Replace sends a configuration based on version base until it gets a conclusive answer, and returns its status.
 func (o *Operator) Replace(ctx context.Context, base int64, config Config) (int, error) {
 	body, err := json.Marshal(config)
 	if err != nil {
@@ -54,17 +54,17 @@
 	return o.ReplaceRaw(ctx, base, body)
 }
 
-// ReplaceRaw is Replace for any bytes.
+// ReplaceRaw is like Replace but sends body as it is.
 func (o *Operator) ReplaceRaw(ctx context.Context, base int64, body []byte) (int, error) {
 	header := http.Header{"Base-Version": {strconv.FormatInt(base, 10)}, "Content-Type": {"application/json"}}
-	status, _, err := o.untilClear(ctx, http.MethodPost, "/config/replace", header, body)
+	status, _, err := o.callUntilConclusive(ctx, http.MethodPost, "/config/replace", header, body)
 	return status, err
 }
 
 // Read returns the newest configuration.
 func (o *Operator) Read(ctx context.Context) (Config, error) {
 	var config Config
-	status, body, err := o.untilClear(ctx, http.MethodGet, "/config/read", nil, nil)
+	status, body, err := o.callUntilConclusive(ctx, http.MethodGet, "/config/read", nil, nil)
 	switch {
 	case err != nil:
 		return config, err
@@ -74,17 +74,18 @@
 	return config, json.Unmarshal(body, &config)
 }
 
-// untilClear calls one controller after the other until an answer is clear.
-func (o *Operator) untilClear(ctx context.Context, method, path string, header http.Header, body []byte) (int, []byte, error) {
-	refusals := 0
-	for wait := firstPause; ; wait = min(longestPause, wait*2) {
+// callUntilConclusive calls one controller after the other, with backoff, until an answer is conclusive or ctx is done.
+// Errors and the statuses 408, 429 and 5xx are retried without limit.
+func (o *Operator) callUntilConclusive(ctx context.Context, method, path string, header http.Header, body []byte) (int, []byte, error) {
+	rejections := 0
+	for wait := initialBackoff; ; wait = min(maxBackoff, wait*2) {
 		status, answer, err := o.call(ctx, method, path, header, body)
 		switch {
 		case err != nil, status >= 500, status == http.StatusRequestTimeout, status == http.StatusTooManyRequests:
 		case status < 300, slices.Contains([]int{400, 409, 412, 413, 422}, status):
 			return status, answer, nil
 		default:
-			if refusals++; refusals >= mostRefusals {
+			if rejections++; rejections >= maxRejections {
 				return status, answer, nil
 			}
 		}
@@ -98,7 +99,7 @@
 	}
 }
 
-// call sends one call to the controller whose turn it is.
+// call sends one call to the next controller and follows redirects.
 func (o *Operator) call(ctx context.Context, method, path string, header http.Header, body []byte) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -107,13 +108,13 @@
 	if len(controllers) == 0 {
 		return 0, nil, errors.New("no controller is known")
 	}
-	url := "http://" + controllers[int(o.turn.Add(1))%len(controllers)] + path
+	url := "http://" + controllers[int(o.nextController.Add(1))%len(controllers)] + path
 	for hop := 0; ; hop++ {
 		status, location, answer, err := o.exchange(ctx, method, url, header, body)
-		if err == nil && o.lose.Add(-1) >= 0 {
+		if err == nil && o.answersToDrop.Add(-1) >= 0 {
 			return 0, nil, errors.New("the answer was lost")
 		}
-		if status != http.StatusTemporaryRedirect || hop == mostHops {
+		if status != http.StatusTemporaryRedirect || hop == maxRedirects {
 			return status, answer, err
 		}
 		url = location
--- a/internal/standin/operator/operator_test.go
+++ b/internal/standin/operator/operator_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// controllers starts servers that answer with these statuses, one after the other, and returns their addresses.
+// controllers starts two servers that together answer with the given statuses in order. It returns their addresses and the
+// requests that they got.
 func controllers(t *testing.T, statuses ...int) (func() []string, *[]string) {
 	var addresses []string
 	bodies := &[]string{}
@@ -27,7 +28,7 @@
 	return func() []string { return addresses }, bodies
 }
 
-func TestALostAnswerIsAskedForAtAnotherController(t *testing.T) {
+func TestLostAnswerIsRetriedAtAnotherController(t *testing.T) {
 	known, bodies := controllers(t, 200, 200)
 	o := New(known)
 	o.DropAnswers(1)
@@ -37,7 +38,7 @@
 	require.ElementsMatch(t, []string{known()[0] + " 3 {}", known()[1] + " 3 {}"}, *bodies)
 }
 
-func TestClearAndUnclearAnswers(t *testing.T) {
+func TestConclusiveAndRetriedStatuses(t *testing.T) {
 	for statuses, want := range map[[2]int]int{{500, 412}: 412, {429, 200}: 200, {408, 400}: 400, {422, 200}: 422} {
 		known, _ := controllers(t, statuses[:]...)
 		status, err := New(known).ReplaceRaw(context.Background(), 0, nil)
