--- a/internal/standin/platform/entry.go
+++ b/internal/standin/platform/entry.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	readinessEvery   = time.Second
-	missesUntilOut   = 2
-	readinessTimeout = time.Second
+	probeInterval    = time.Second
+	failuresUntilOut = 2
+	probeTimeout     = time.Second
 )
 
-// Router is a router as the entry knows it.
+// Router describes a router to the entry.
 type Router struct {
 	Zone      string
 	Frontend  string // IP:PORT
 	Readiness string
 }
 
-// Entry picks routers for new connections of clients.
+// Entry is a test double of the platform's load balancer. It picks ready routers for new connections of clients.
 type Entry struct {
 	transport *http.Transport
 	stop      context.CancelFunc
@@ -28,39 +28,39 @@
 
 	mu      sync.Mutex
 	routers []*routerState
-	news    chan struct{}
+	changed chan struct{}
 }
 
 type routerState struct {
 	Router
-	in     bool
-	misses int
+	in       bool
+	failures int
 }
 
-// StartEntry starts the checks of readiness. Close ends them.
+// StartEntry starts the readiness probes of the routers. Close stops them.
 func StartEntry(routers []Router) *Entry {
 	ctx, stop := context.WithCancel(context.Background())
-	e := &Entry{transport: &http.Transport{DisableCompression: true}, stop: stop, news: make(chan struct{})}
+	e := &Entry{transport: &http.Transport{DisableCompression: true}, stop: stop, changed: make(chan struct{})}
 	for _, router := range routers {
 		state := &routerState{Router: router}
 		e.routers = append(e.routers, state)
-		e.done.Go(func() { e.watch(ctx, state) })
+		e.done.Go(func() { e.probeLoop(ctx, state) })
 	}
 	return e
 }
 
-// Close ends it.
+// Close stops the readiness probes and waits for them to end.
 func (e *Entry) Close() {
 	e.stop()
 	e.done.Wait()
 	e.transport.CloseIdleConnections()
 }
 
-func (e *Entry) watch(ctx context.Context, state *routerState) {
-	every := time.NewTicker(readinessEvery)
+func (e *Entry) probeLoop(ctx context.Context, state *routerState) {
+	every := time.NewTicker(probeInterval)
 	defer every.Stop()
 	for {
-		e.book(state, e.ask(ctx, state.Readiness))
+		e.recordProbe(state, e.probe(ctx, state.Readiness))
 		select {
 		case <-ctx.Done():
 			return
@@ -69,8 +69,8 @@
 	}
 }
 
-func (e *Entry) ask(ctx context.Context, address string) bool {
-	ctx, cancel := context.WithTimeout(ctx, readinessTimeout)
+func (e *Entry) probe(ctx context.Context, address string) bool {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/ready", nil)
 	if err != nil {
@@ -84,22 +84,22 @@
 	return response.StatusCode == http.StatusOK
 }
 
-func (e *Entry) book(state *routerState, ready bool) {
+func (e *Entry) recordProbe(state *routerState, ready bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	before := state.in
 	if ready {
-		state.in, state.misses = true, 0
-	} else if state.misses++; state.misses >= missesUntilOut {
+		state.in, state.failures = true, 0
+	} else if state.failures++; state.failures >= failuresUntilOut {
 		state.in = false
 	}
 	if before != state.in {
-		close(e.news)
-		e.news = make(chan struct{})
+		close(e.changed)
+		e.changed = make(chan struct{})
 	}
 }
 
-// Ready returns how many routers are in, and a channel that is closed when that changes.
+// Ready returns how many routers are in rotation, and a channel that is closed when that changes.
 func (e *Entry) Ready() (int, <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -109,10 +109,12 @@
 			n++
 		}
 	}
-	return n, e.news
+	return n, e.changed
 }
 
-// Pick returns the Frontend address for a new connection of a client; try is the number of its tries before.
+// Pick returns the Frontend address for a new connection of a client; try is the number of its earlier attempts. It uses
+// the routers of the zone that are in rotation, or all of the zone if fewer than half are. If none of them is, it uses the
+// routers of other zones that are in rotation, and if there are none, all routers.
 func (e *Entry) Pick(zone string, client uint64, try int) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -131,7 +133,7 @@
 	if len(in) == 0 {
 		in = e.routers
 	}
-	return in[(mix(client)+uint64(try))%uint64(len(in))].Frontend
+	return in[(hash(client)+uint64(try))%uint64(len(in))].Frontend
 }
 
 func (e *Entry) ofZone(zone string) (all, in []*routerState) {
@@ -146,8 +148,8 @@
 	return all, in
 }
 
-// mix spreads small numbers.
-func mix(n uint64) uint64 {
+// hash distributes small numbers over the whole range.
+func hash(n uint64) uint64 {
 	n = (n ^ n>>30) * 0xbf58476d1ce4e5b9
 	return n ^ n>>31
 }
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform stands in for the platform: its list of workers over HTTP, with pages, zones, a lag and a rate limit,
-// and the entry that leads new connections of clients to routers that are ready.
+// Package platform is a test double of the platform: the HTTP list of workers, with pages, zones, a lag and a rate limit,
+// and the entry that assigns new client connections to ready routers.
 package platform
 
 import (
@@ -27,7 +27,7 @@
 	Adapters []string
 }
 
-// Instance is a worker as the list shows it.
+// Instance is a worker in the list.
 type Instance struct {
 	Service         string
 	Address         string
@@ -41,24 +41,24 @@
 	ID              string  `json:"Id"`
 }
 
-// Config describes the list. Zero values mean what the comments say.
+// Config describes the list. Zero values mean the defaults given in the comments.
 type Config struct {
 	Address  string        // 127.0.0.1:0
 	PageSize int           // 50
 	RatePerS float64       // no limit
 	Lag      time.Duration // none
 	Now      func() time.Time
-	// OnListed, if set, is told when the list shows for the first time that a worker drains or is gone.
+	// OnListed, if set, is called with the time at which the list first shows that a worker is draining or removed.
 	OnListed func(id string, at time.Time)
 }
 
 type version struct {
 	number int
-	at     time.Time // from when on it is shown
+	at     time.Time // when the version becomes visible
 	list   []Instance
 }
 
-// Platform is a running stand-in.
+// Platform is a running list service. It is safe for concurrent use.
 type Platform struct {
 	config  Config
 	server  *http.Server
@@ -73,7 +73,7 @@
 	limited  int
 }
 
-// Start starts a platform with an empty list. Close ends it.
+// Start starts a platform with an empty list. Close stops it.
 func Start(config Config) (*Platform, error) {
 	if config.Address == "" {
 		config.Address = "127.0.0.1:0"
@@ -97,13 +97,13 @@
 	return p, nil
 }
 
-// Address is where it listens.
+// Address returns the address that the server listens on.
 func (p *Platform) Address() string { return p.address }
 
-// Close ends it.
+// Close stops the server.
 func (p *Platform) Close() { _ = p.server.Close() }
 
-// Put adds instances to the list or changes them, by ID.
+// Put adds instances to the list and replaces those with the same ID.
 func (p *Platform) Put(instances ...Instance) {
 	p.change(func(list []Instance) []Instance {
 		for _, instance := range instances {
@@ -130,7 +130,7 @@
 	})
 }
 
-// Remove takes an instance off the list.
+// Remove removes an instance from the list.
 func (p *Platform) Remove(id string) {
 	p.change(func(list []Instance) []Instance {
 		return slices.DeleteFunc(list, func(instance Instance) bool { return instance.ID == id })
@@ -157,24 +157,24 @@
 	}
 }
 
-// SetDown makes every call fail with 503 until it is lifted.
+// SetDown sets whether every call fails with status 503.
 func (p *Platform) SetDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
 }
 
-// Calls returns how many calls came, and how many of them were answered 429.
+// Calls returns the number of calls received, and how many of them the rate limit rejected.
 func (p *Platform) Calls() (calls, limited int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls, p.limited
 }
 
-// burst is how many calls may come at once.
+// burst returns the capacity of the token bucket.
 func (p *Platform) burst() float64 { return max(1, p.config.RatePerS) }
 
-// admit books a call; mu is held.
+// admit counts a call and takes a token from the bucket. It returns false if the bucket is empty. mu must be held.
 func (p *Platform) admit(now time.Time) bool {
 	p.calls++
 	if p.config.RatePerS <= 0 {
@@ -190,8 +190,8 @@
 	return true
 }
 
-// shown is the version that the list shows now; mu is held.
-func (p *Platform) shown(now time.Time) version {
+// visible returns the version of the list that is visible now. mu must be held.
+func (p *Platform) visible(now time.Time) version {
 	for i := len(p.versions) - 1; i > 0; i-- {
 		if !p.versions[i].at.After(now) {
 			return p.versions[i]
@@ -203,7 +203,7 @@
 func (p *Platform) serveInstances(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	now := p.config.Now()
-	down, admitted, current := p.down, p.admit(now), p.shown(now)
+	down, admitted, current := p.down, p.admit(now), p.visible(now)
 	versions := p.versions
 	p.mu.Unlock()
 	switch {
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -17,7 +17,7 @@
 	NextPageToken *string
 }
 
-// call asks for a page without a socket.
+// call requests a page from the handler, without a socket.
 func call(t *testing.T, p *Platform, query string) (int, page) {
 	t.Helper()
 	recorder := httptest.NewRecorder()
@@ -44,7 +44,7 @@
 	}
 	_, first := call(t, p, "")
 	require.Len(t, first.Instances, 2)
-	p.Remove("4") // pages that follow are of the same list
+	p.Remove("4") // later pages still come from the same version
 	_, second := call(t, p, "PageToken="+*first.NextPageToken)
 	_, third := call(t, p, "PageToken="+*second.NextPageToken)
 	require.Equal(t, "4", third.Instances[0].ID)
@@ -80,7 +80,7 @@
 	require.Equal(t, http.StatusServiceUnavailable, code)
 }
 
-func TestTheEntryFollowsReadiness(t *testing.T) {
+func TestEntryUsesReadyRouters(t *testing.T) {
 	var ready [3]atomic.Bool
 	var routers []Router
 	for i := range ready {
@@ -96,30 +96,30 @@
 	}
 	e := StartEntry(routers)
 	defer e.Close()
-	for n, news := e.Ready(); n < 3; n, news = e.Ready() {
-		<-news
+	for n, changed := e.Ready(); n < 3; n, changed = e.Ready() {
+		<-changed
 	}
 	seen := map[string]bool{}
 	for client := range uint64(50) {
 		seen[e.Pick("z0", client, 0)] = true
 		require.Equal(t, "2", e.Pick("z1", client, 0))
-		require.NotEqual(t, e.Pick("z0", client, 0), e.Pick("z0", client, 1), "a later try goes elsewhere")
+		require.NotEqual(t, e.Pick("z0", client, 0), e.Pick("z0", client, 1), "another attempt gets another router")
 	}
 	require.Equal(t, map[string]bool{"0": true, "1": true}, seen)
 }
 
-func TestTwoMissesPutARouterOut(t *testing.T) {
-	e := &Entry{news: make(chan struct{}), routers: []*routerState{{Router: Router{Zone: "z", Frontend: "0"}},
+func TestTwoFailedProbesRemoveRouter(t *testing.T) {
+	e := &Entry{changed: make(chan struct{}), routers: []*routerState{{Router: Router{Zone: "z", Frontend: "0"}},
 		{Router: Router{Zone: "y", Frontend: "1"}}}}
 	one, other := e.routers[0], e.routers[1]
-	e.book(one, true)
-	e.book(other, true)
-	e.book(one, false)
+	e.recordProbe(one, true)
+	e.recordProbe(other, true)
+	e.recordProbe(one, false)
 	require.True(t, one.in)
-	e.book(one, false)
+	e.recordProbe(one, false)
 	require.False(t, one.in)
-	require.Equal(t, "1", e.Pick("z", 1, 0), "another zone helps out")
-	e.book(other, false)
-	e.book(other, false)
-	require.NotEmpty(t, e.Pick("z", 1, 0), "with none in, all are used")
+	require.Equal(t, "1", e.Pick("z", 1, 0), "a router of another zone is used")
+	e.recordProbe(other, false)
+	e.recordProbe(other, false)
+	require.NotEmpty(t, e.Pick("z", 1, 0), "all routers are used if none is in rotation")
 }
