--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -333,7 +333,7 @@
 	// One that had no event yet may be answered 502: it may have run, and must not run again.
 	require.Equal(t, draft.Sent, draft.Cut+draft.Served+draft.Late+draft.Failed, draft.String())
 	require.Equal(t, verdict.Sent, verdict.Served+verdict.Late, "resumable streams go on elsewhere: %v", verdict)
-	require.Positive(t, b.Judge.Joined(), "within one answer")
+	require.Positive(t, b.Judge.Resumptions(), "within one answer")
 	b.noBreach() // a stream that was cut and looked complete would be a breach
 }
 
--- a/internal/standin/judge/budget.go
+++ b/internal/standin/judge/budget.go
@@ -67,7 +67,7 @@
 		first, freePrefill := true, true
 		for _, arrival := range r.arrivals {
 			switch {
-			case arrival.PrefillOnly && arrival.Taken && freePrefill:
+			case arrival.PrefillOnly && arrival.Accepted && freePrefill:
 				freePrefill = false
 			case arrival.PrefillOnly || !first:
 				out[arrival.Service] = append(out[arrival.Service], arrival.At)
--- a/internal/standin/judge/judge.go
+++ b/internal/standin/judge/judge.go
@@ -86,7 +86,7 @@
 	ID, Service, Worker string
 	At                  time.Time
 	PrefillOnly         bool // a call that only prefills the prompt
-	Taken               bool // the worker accepted the request
+	Accepted            bool // the worker accepted the request
 	Misdirected         bool // answered 421
 }
 
@@ -367,8 +367,8 @@
 	return append(out, c.checkLost()...)
 }
 
-// Joined returns how often a stream continued, within one answer, with the pieces of another run.
-func (c *Checker) Joined() int {
+// Resumptions returns how often a stream continued, within one answer, with the pieces of another run.
+func (c *Checker) Resumptions() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.resumptions
--- a/internal/standin/judge/judge_test.go
+++ b/internal/standin/judge/judge_test.go
@@ -152,7 +152,7 @@
 	resumable := request("r")
 	resumable.Idempotent, resumable.Resumable, resumable.MaxAttempts = true, true, 2
 	c.Sent(resumable)
-	c.Arrived(Arrival{ID: "r", Service: "s", Worker: "p", At: start, PrefillOnly: true, Taken: true})
+	c.Arrived(Arrival{ID: "r", Service: "s", Worker: "p", At: start, PrefillOnly: true, Accepted: true})
 	c.Ran(run("r", "w"))
 	c.Ran(run("r", "v"))
 	c.Answered(Answer{ID: "r", Status: 200, Stamp: "r@w", Complete: true, Stream: true,
--- a/internal/standin/llmworker/request.go
+++ b/internal/standin/llmworker/request.go
@@ -105,7 +105,7 @@
 // arrived tells the judge of a request at the door.
 func (w *Worker) arrived(in *incoming, taken bool) {
 	w.config.Judge.Arrived(judge.Arrival{ID: in.id, Service: w.config.Service, Worker: w.id, At: in.began,
-		PrefillOnly: in.readsOnly, Taken: taken})
+		PrefillOnly: in.readsOnly, Accepted: taken})
 }
 
 // ran tells the judge of a run.
--- a/internal/standin/operator/operator.go
+++ b/internal/standin/operator/operator.go
@@ -22,8 +22,8 @@
 	maxRedirects   = 2 // redirects that are followed
 )
 
-// ErrUnclear is returned when no conclusive answer came in time. The change may or may not have been applied.
-var ErrUnclear = errors.New("no clear answer")
+// ErrInconclusive is returned when no conclusive answer came in time. The change may or may not have been applied.
+var ErrInconclusive = errors.New("no clear answer")
 
 // Operator calls the controllers in round-robin order.
 type Operator struct {
@@ -93,7 +93,7 @@
 		select {
 		case <-ctx.Done():
 			timer.Stop()
-			return status, answer, errors.Join(ErrUnclear, err)
+			return status, answer, errors.Join(ErrInconclusive, err)
 		case <-timer.C:
 		}
 	}
