--- a/internal/standin/judge/judge_test.go
+++ b/internal/standin/judge/judge_test.go
@@ -51,12 +51,12 @@
 		"unknown request": {UnknownRun, func(c *Checker) { c.Ran(run("b", "w")) }},
 		"another body":    {UnknownRun, func(c *Checker) { r := run("a", "w"); r.Fingerprint = "g"; c.Ran(r) }},
 		"another service": {WrongService, func(c *Checker) { r := run("a", "w"); r.Service = "t"; c.Ran(r) }},
-		"refused after run": {FalseRejection, func(c *Checker) {
+		"rejected after run": {FalseRejection, func(c *Checker) {
 			c.Ran(run("a", "w"))
 			c.Answered(Answer{ID: "a", Status: 503,
 				Complete: true})
 		}},
-		"run after refusal": {FalseRejection, func(c *Checker) {
+		"run after rejection": {FalseRejection, func(c *Checker) {
 			c.Answered(Answer{ID: "a", Status: 429,
 				Complete: true})
 			c.Ran(run("a", "w"))
@@ -75,7 +75,7 @@
 			c.Answered(Answer{ID: "a", Status: 502, Stamp: "x"})
 		}},
 		"another's handle": {WrongAnswer, func(c *Checker) { c.HandleUsed("b", "a") }},
-		"stream with a hole": {StreamOrder, func(c *Checker) {
+		"stream with a gap": {StreamOrder, func(c *Checker) {
 			c.Ran(run("a", "w"))
 			c.Answered(stream("", pieces(c, "a@w", 3, 1, 2, 3)[1:]...))
 		}},
@@ -122,7 +122,7 @@
 				c.Ran(run(id, "v"))
 			}
 		}},
-		"too many repeats": {RetryBudget, func(c *Checker) {
+		"too many retries": {RetryBudget, func(c *Checker) {
 			for range DefaultBounds.RetrySlack + 3 {
 				c.Arrived(Arrival{ID: "a", Service: "s", Worker: "w", At: start})
 			}
--- a/internal/standin/platform/entry.go
+++ b/internal/standin/platform/entry.go
@@ -33,8 +33,8 @@
 
 type routerState struct {
 	Router
-	in       bool
-	failures int
+	inRotation bool
+	failures   int
 }
 
 // StartEntry starts the readiness probes of the routers. Close stops them.
@@ -87,13 +87,13 @@
 func (e *Entry) recordProbe(state *routerState, ready bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	before := state.in
+	before := state.inRotation
 	if ready {
-		state.in, state.failures = true, 0
+		state.inRotation, state.failures = true, 0
 	} else if state.failures++; state.failures >= failuresUntilOut {
-		state.in = false
+		state.inRotation = false
 	}
-	if before != state.in {
+	if before != state.inRotation {
 		close(e.changed)
 		e.changed = make(chan struct{})
 	}
@@ -105,7 +105,7 @@
 	defer e.mu.Unlock()
 	n := 0
 	for _, state := range e.routers {
-		if state.in {
+		if state.inRotation {
 			n++
 		}
 	}
@@ -125,7 +125,7 @@
 		in = all
 	default:
 		for _, state := range e.routers {
-			if state.in {
+			if state.inRotation {
 				in = append(in, state)
 			}
 		}
@@ -140,7 +140,7 @@
 	for _, state := range e.routers {
 		if state.Zone == zone {
 			all = append(all, state)
-			if state.in {
+			if state.inRotation {
 				in = append(in, state)
 			}
 		}
