--- a/internal/standin/engine/handles.go
+++ b/internal/standin/engine/handles.go
@@ -17,7 +17,8 @@
 func (e *Engine) makeHandle(t *task) {
 	e.handleCount++
 	id := fmt.Sprintf("%s%06x", e.handleKey, e.handleCount)
-	h := &handle{held: t.held, privateBlocks: t.privateBlocks, tokens: promptTokens(t.Job), job: t.ID, expiresAt: e.now + e.config.HandleLifetime}
+	h := &handle{held: t.held, privateBlocks: t.privateBlocks, tokens: promptTokens(t.Job), job: t.ID,
+		expiresAt: e.now + e.config.HandleLifetime}
 	e.handles[id] = h
 	t.held, t.privateBlocks = nil, 0
 	e.emit(Event{Job: t.ID, Kind: KindPrefilled, Handle: id, Tokens: h.tokens})
--- a/internal/standin/judge/budget.go
+++ b/internal/standin/judge/budget.go
@@ -25,7 +25,8 @@
 	if exceeding <= c.bounds.OverAttempts {
 		return nil
 	}
-	return []Violation{{RetryBudget, fmt.Sprintf("%d requests, %s among them, ran on more workers than allowed", exceeding, example)}}
+	return []Violation{{RetryBudget, fmt.Sprintf("%d requests, %s among them, ran on more workers than allowed",
+		exceeding, example)}}
 }
 
 // checkBudget finds the first window of each service in which the retries exceed the retry budget.
