--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -333,14 +333,14 @@
 	// One that had no event yet may be answered 502: it may have run, and must not run again.
 	require.Equal(t, draft.Sent, draft.Cut+draft.Served+draft.Late+draft.Failed, draft.String())
 	require.Equal(t, verdict.Sent, verdict.Served+verdict.Late, "resumable streams go on elsewhere: %v", verdict)
-	require.Positive(t, b.Judge.Joined(), "within one answer")
+	require.Positive(t, b.Judge.Resumptions(), "within one answer")
 	b.noBreach() // a stream that was cut and looked complete would be a breach
 }
 
 func TestALostAcknowledgementIsGivenAgainElsewhere(t *testing.T) {
 	b := newBed(t, Options{})
 	before := b.Operator.Calls()
-	b.Operator.LoseAnswers(2)
+	b.Operator.DropAnswers(2)
 	b.replace(1, SmallConfig(5))
 	require.Equal(t, 3, b.Operator.Calls()-before, "each controller was asked once")
 	config, err := b.Operator.Read(b.ctx)
