--- a/internal/router/generation.go
+++ b/internal/router/generation.go
@@ -42,25 +42,25 @@
 	decodeJob := q.placementJob(fleetwire.StageDecode)
 	decodeJob.RunsPrefill = q.decodeReadsPrompt()
 	if !decodeJob.RunsPrefill {
-		verdict := q.runPrefill(ctx)
-		if verdict.Decision == placement.DecisionRefused {
-			return verdict
+		outcome := q.runPrefill(ctx)
+		if outcome.Decision == placement.DecisionRefused {
+			return outcome
 		}
 		if ctx.Err() != nil {
 			q.releaseHandle()
-			return verdict
+			return outcome
 		}
 		// No prefill attempt is a run of the request. The first one does not count against MaxRuns, further ones do.
-		decodeJob.MaxRuns = max(1, decodeJob.MaxRuns-max(0, verdict.Runs-1))
+		decodeJob.MaxRuns = max(1, decodeJob.MaxRuns-max(0, outcome.Runs-1))
 		// The first arrival at a worker is free of the retry budget. A failed prefill that reached a worker has used it up.
-		decodeJob.FirstPushFree = verdict.Decision == placement.DecisionServed || verdict.Arrivals == 0
+		decodeJob.FirstPushFree = outcome.Decision == placement.DecisionServed || outcome.Arrivals == 0
 	}
 	if q.handle != nil {
 		decodeJob.PreferredZone = q.handle.zone
 	}
-	verdict := q.router.options.Placer.Place(ctx, decodeJob, q.recordResults(q.pushAndRelay(q.offerHandle)))
+	outcome := q.router.options.Placer.Place(ctx, decodeJob, q.recordResults(q.pushAndRelay(q.offerHandle)))
 	q.releaseHandle()
-	return verdict
+	return outcome
 }
 
 // decodeReadsPrompt reports whether the decode worker processes the prompt itself: the service has no ready prefill worker, or
--- a/internal/router/ingress.go
+++ b/internal/router/ingress.go
@@ -88,13 +88,13 @@
 	defer r.inFlight.remove(accepted)
 	// The write deadline keeps a client that does not read from holding the connection past the end of its request.
 	_ = accepted.clientResponse.controller.SetWriteDeadline(deadline.Add(finalWriteMargin))
-	var verdict placement.JobOutcome
+	var outcome placement.JobOutcome
 	if service.Engine != nil {
-		verdict = accepted.generate(ctx)
+		outcome = accepted.generate(ctx)
 	} else {
-		verdict = accepted.place(ctx)
+		outcome = accepted.place(ctx)
 	}
-	accepted.finish(verdict)
+	accepted.finish(outcome)
 }
 
 // drainRetryAfter is the Retry-After of a refusal during shutdown. It is short because other routers are available at once.
--- a/internal/router/reply.go
+++ b/internal/router/reply.go
@@ -81,22 +81,22 @@
 
 // finish writes the final response if the client has none yet. It panics with http.ErrAbortHandler if the response must not
 // look complete.
-func (q *request) finish(verdict placement.JobOutcome) {
+func (q *request) finish(outcome placement.JobOutcome) {
 	switch {
 	case q.clientResponse.complete:
 	case q.clientResponse.started(), q.clientGone():
 		q.logAbort()
 		panic(http.ErrAbortHandler)
 	case !q.mayHaveRun:
-		q.respondError(ErrorNoWorker, verdict.RetryAfter)
+		q.respondError(ErrorNoWorker, outcome.RetryAfter)
 	case q.clientResponse.workerFailure != nil:
 		q.relayFailure(q.clientResponse.workerFailure)
 	case q.timedOut, time.Until(q.deadline) <= 0:
 		q.respondError(ErrorTimedOut, 0)
 	case q.router.inFlight.isStopped():
 		q.respondError(ErrorAborted, 0)
-	case q.repeatable() && verdict.Decision == placement.DecisionRefused:
-		q.respondError(ErrorNoWorker, verdict.RetryAfter)
+	case q.repeatable() && outcome.Decision == placement.DecisionRefused:
+		q.respondError(ErrorNoWorker, outcome.RetryAfter)
 	default:
 		q.respondError(ErrorWorkerFailed, 0)
 	}
