--- a/coordination/lease/claim.go
+++ b/coordination/lease/claim.go
@@ -68,7 +68,7 @@
 	if record.Holder.Address == p.self.Address {
 		return true
 	}
-	if holder := p.peers[record.Holder.Address]; holder != nil && holder.life != record.Holder.Life {
+	if holder := p.peers[record.Holder.Address]; holder != nil && holder.incarnation != record.Holder.Life {
 		return true
 	}
 	if !p.holderIsSilent(now, role) {
@@ -92,7 +92,7 @@
 		if other == nil || !other.healthy || now-other.lastSeenAt >= p.timing.SilenceTimeout {
 			continue
 		}
-		if address == role.record.Holder.Address && other.life == role.record.Holder.Life {
+		if address == role.record.Holder.Address && other.incarnation == role.record.Holder.Life {
 			continue
 		}
 		candidates = append(candidates, address)
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -19,7 +19,8 @@
 	"time"
 )
 
-// Member identifies one run of a process. The address survives a restart; Life differs for each run.
+// Member identifies one incarnation of a process, that is one run of it. The address survives a restart; Life differs for each
+// incarnation.
 type Member struct {
 	Address string
 	Life    string
--- a/coordination/lease/participant.go
+++ b/coordination/lease/participant.go
@@ -35,10 +35,11 @@
 	silenceReports map[string]time.Duration
 }
 
+// peer is what a member knows of another one from its latest message.
 type peer struct {
-	life       string
-	healthy    bool
-	lastSeenAt time.Duration
+	incarnation string
+	healthy     bool
+	lastSeenAt  time.Duration
 }
 
 // New returns the participant of a member. NewGroup says that the whole group starts for the first time, so that no grants of
@@ -258,7 +259,7 @@
 		sender = &peer{}
 		p.peers[from.Address] = sender
 	}
-	sender.life = from.Life
+	sender.incarnation = from.Life
 	sender.healthy = healthy
 	sender.lastSeenAt = now
 }
--- a/coordination/lease/simulation_test.go
+++ b/coordination/lease/simulation_test.go
@@ -33,7 +33,7 @@
 // simulatedMember is one member. Its monotonic clock has its own offset.
 type simulatedMember struct {
 	participant *Participant
-	life        int
+	incarnation int
 	offset      time.Duration
 	resumesAt   time.Duration
 	isolated    bool
@@ -67,8 +67,8 @@
 
 func (s *simulation) start(address string, newGroup bool) {
 	member := s.members[address]
-	member.life++
-	self := Member{Address: address, Life: fmt.Sprint(member.life)}
+	member.incarnation++
+	self := Member{Address: address, Life: fmt.Sprint(member.incarnation)}
 	member.participant = New(self, []string{key}, timing, s.now+member.offset, newGroup)
 	s.learn(address, s.record)
 	member.participant.MarkSynced()
@@ -90,9 +90,9 @@
 	if !s.reliable && s.draw(0, 9) == 0 {
 		delay += time.Duration(s.draw(0, 150)) * simulatedStep
 	}
-	life := s.members[to].life
+	incarnation := s.members[to].incarnation
 	s.inFlight = append(s.inFlight, delivery{dueAt: s.now + delay, from: from, to: to, handle: func(member *simulatedMember) {
-		if member.life == life {
+		if member.incarnation == incarnation {
 			handle(member)
 		}
 	}})
