--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,6 +1,6 @@
 // Package controller implements the program of the core machines. It serves the operator's API on a replicated register,
-// publishes the configuration and the platform's list of instances to watchers, and competes with the other controllers for
-// the singleton roles, which are guarded by leases.
+// publishes the configuration and the platform's list of instances to subscribers, and competes with the other controllers
+// for the singleton roles, which are guarded by leases.
 package controller
 
 import (
@@ -107,9 +107,9 @@
 	}
 }
 
-// quorumAge returns the time since the last contact with a majority, for the replies to watchers. Before the first read of the
-// register it returns register.NoContact: this controller may already exchange messages with the replicas, but it does not
-// know their state yet.
+// quorumAge returns the time since the last contact with a majority, for the replies to subscribers. Before the first read of
+// the register it returns register.NoContact: this controller may already exchange messages with the replicas, but it does
+// not know their state yet.
 func (c *controller) quorumAge() time.Duration {
 	if !c.synced.Load() {
 		return register.NoContact
@@ -117,7 +117,7 @@
 	return c.node.QuorumAge()
 }
 
-// doubts returns the workers that routers of the watcher's zone complain about.
+// doubts returns the workers that routers of the subscriber's zone complain about.
 func (c *controller) doubts(request *fleetwire.WatchRequest) []fleetwire.Doubt {
 	zones := max(1, len(c.settings.Load().Zones))
 	return c.reports.doubts(request.Member.Zone, c.lists.serviceByWorker, c.routerCount(time.Now())/zones)
@@ -134,7 +134,7 @@
 // mayReadList reports whether this controller may read the platform's list now, and under which token. Normally that requires
 // the lease. While this controller holds no list, the role's record in the register suffices: only the recorded holder reads
 // under that token, and a list of any later holder replaces a list read under it. Otherwise, after a power loss of all
-// machines, the first list would have to wait until the grants of the previous lives have expired.
+// machines, the first list would have to wait until the grants of the previous incarnations have expired.
 func (c *controller) mayReadList() (uint64, bool) {
 	if token, held := c.leases.holds(roleReader); held {
 		return token, held
@@ -145,7 +145,7 @@
 	return c.leases.recorded(roleReader)
 }
 
-// publishedFleet returns the configuration and the instances that this controller publishes to its watchers.
+// publishedFleet returns the configuration and the instances that this controller publishes to its subscribers.
 func (c *controller) publishedFleet() stages.Fleet {
 	current := c.hub.Current()
 	return stages.Fleet{Config: current.Config, Instances: current.Instances}
--- a/internal/controller/firstlist_test.go
+++ b/internal/controller/firstlist_test.go
@@ -54,7 +54,7 @@
 
 	c.setRecordedReader(lease.Member{Address: c.self.Address, Life: "an earlier one"}, 4)
 	_, allowed = c.mayReadList()
-	require.False(t, allowed, "the record names an earlier life of this controller")
+	require.False(t, allowed, "the record names an earlier incarnation of this controller")
 
 	c.setRecordedReader(c.self, 5)
 	node.quorumAge = 2 * maxQuorumAge
--- a/internal/controller/lists.go
+++ b/internal/controller/lists.go
@@ -14,7 +14,7 @@
 	"weldscale/internal/instances"
 )
 
-// listStore holds the newest list of instances and publishes it to the watchers. It is safe for concurrent use.
+// listStore holds the newest list of instances and publishes it to the subscribers. It is safe for concurrent use.
 type listStore struct {
 	hub *watch.Hub
 	log *zap.Logger
--- a/internal/controller/publish.go
+++ b/internal/controller/publish.go
@@ -15,7 +15,7 @@
 // syncRetryPause is the pause between attempts of the initial read.
 const syncRetryPause = 50 * time.Millisecond
 
-// followRegister publishes each newly chosen state to the watchers and the leases until ctx is done.
+// followRegister publishes each newly chosen state to the subscribers and the leases until ctx is done.
 func (c *controller) followRegister(ctx context.Context) {
 	for {
 		changed := c.node.Changed()
--- a/internal/controller/register.go
+++ b/internal/controller/register.go
@@ -23,7 +23,7 @@
 }
 
 // maxQuorumAge is the age of the last contact with a majority beyond which a controller considers itself cut off. It then
-// rejects operators and watchers and claims no roles.
+// rejects the calls of operators and subscribers and claims no roles.
 const maxQuorumAge = 700 * time.Millisecond
 
 // hasQuorum reports whether a majority of the replicas answered recently enough.
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -18,7 +18,7 @@
 
 // servers are the two HTTP servers of a controller.
 type servers struct {
-	internal *http.Server // serves the register, heartbeats, lists and watchers
+	internal *http.Server // serves the register, heartbeats, lists and subscribers
 	control  *http.Server // serves the operator
 	failed   chan error
 }
@@ -101,7 +101,7 @@
 	return mux
 }
 
-// leave releases the roles, informs the other controllers by a heartbeat, ends the polls of the watchers, and removes this
+// leave releases the roles, informs the other controllers by a heartbeat, ends the polls of the subscribers, and removes this
 // replica from the register's set if enough others remain.
 func (c *controller) leave() {
 	c.leases.withParticipant(func(participant *lease.Participant, _ time.Duration) { participant.ReleaseAll() })
--- a/internal/controller/simulation_scenarios_test.go
+++ b/internal/controller/simulation_scenarios_test.go
@@ -58,9 +58,9 @@
 // partitionDuration is the duration of the partitions in scenarios.
 const partitionDuration = 20 * time.Second
 
-// A controller in a partition of twenty seconds must give no answer, or answer with 503. The other controllers continue, and their
-// watchers get acknowledged changes within the bound. After the partition the controller must have the newest state, also on its
-// disk.
+// A controller in a partition of twenty seconds must give no answer, or answer with 503. The other controllers continue, and
+// their subscribers get acknowledged changes within the bound. After the partition the controller must have the newest state,
+// also on its disk.
 func TestPartitionedControllerNeitherServesNorConfirms(t *testing.T) {
 	for name, partition := range map[string]func(*simSite, *simMachine) func(){
 		"from all": (*simSite).partitionFromAll, "from the controllers": (*simSite).partitionFromCores,
