--- a/coordination/lease/voter.go
+++ b/coordination/lease/voter.go
@@ -6,7 +6,7 @@
 // its previous run have expired and until it has read the current tokens from the register.
 type voter struct {
 	grantDuration time.Duration
-	mutedUntil    time.Duration
+	mutedUntil    time.Duration // when the grants of the previous run have expired; nothing is granted before
 	// formerGrantsExpireAt is when the grants given by the former voters have expired. Before it, grants are only renewed.
 	formerGrantsExpireAt time.Duration
 	synced               bool
