--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -49,7 +49,7 @@
 	ctx          context.Context // context of the whole run, for background work
 	heartbeatNow chan struct{}
 	fetchingList atomic.Bool
-	catchingUp   atomic.Bool
+	readingState atomic.Bool
 	synced       atomic.Bool // the register was read after the start
 
 	publishMutex      sync.Mutex
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -128,17 +128,18 @@
 	}
 	c.sendMissedList(now, address, received.List)
 	if received.Revision > c.node.Latest().Revision {
-		c.catchUp()
+		c.readNewerState()
 	}
 }
 
-// catchUp reads the register in the background to learn a newer state. It does nothing while an earlier read is in progress.
-func (c *controller) catchUp() {
-	if !c.catchingUp.CompareAndSwap(false, true) {
+// readNewerState reads the register in the background to learn a newer state. It does nothing while an earlier read is in
+// progress.
+func (c *controller) readNewerState() {
+	if !c.readingState.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer c.catchingUp.Store(false)
+		defer c.readingState.Store(false)
 		ctx, cancel := context.WithTimeout(c.ctx, attemptTimeout)
 		defer cancel()
 		_, _ = c.node.Read(ctx)
--- a/internal/controller/leases.go
+++ b/internal/controller/leases.go
@@ -24,8 +24,8 @@
 	participant *lease.Participant
 }
 
-func newLeases(self lease.Member, fresh bool) *leases {
-	participant := lease.New(self, roles, lease.DefaultTiming(), 0, fresh)
+func newLeases(self lease.Member, newGroup bool) *leases {
+	participant := lease.New(self, roles, lease.DefaultTiming(), 0, newGroup)
 	return &leases{started: time.Now(), participant: participant}
 }
 
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -44,52 +44,52 @@
 }
 
 // setReplicas sets the addresses of the register's replicas.
-func (r *peers) setReplicas(addresses []string) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.replicas = addresses
+func (p *peers) setReplicas(addresses []string) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.replicas = addresses
 }
 
 // setSeeds sets the addresses of the seeds.
-func (r *peers) setSeeds(addresses []string) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.seeds = addresses
+func (p *peers) setSeeds(addresses []string) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.seeds = addresses
 }
 
 // recordContact records a message from an address, which proves that the controller there is alive.
-func (r *peers) recordContact(now time.Time, address string) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.lastContact[address] = now
+func (p *peers) recordContact(now time.Time, address string) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.lastContact[address] = now
 }
 
 // addresses returns the known controllers: the replicas, this controller, and the senders of recent messages.
-func (r *peers) addresses(now time.Time) []string {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.expire(now)
-	addresses := append([]string{r.self}, r.replicas...)
-	for address := range r.lastContact {
+func (p *peers) addresses(now time.Time) []string {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.expire(now)
+	addresses := append([]string{p.self}, p.replicas...)
+	for address := range p.lastContact {
 		addresses = append(addresses, address)
 	}
 	return sortedUnique(addresses)
 }
 
 // others returns the known controllers except this one. A seed is included only if it is also a replica or sent a recent message.
-func (r *peers) others(now time.Time) []string {
-	return slices.DeleteFunc(r.addresses(now), func(address string) bool { return address == r.self })
+func (p *peers) others(now time.Time) []string {
+	return slices.DeleteFunc(p.addresses(now), func(address string) bool { return address == p.self })
 }
 
 // due returns the addresses to send a heartbeat to now and marks them as in flight. With toAll it returns every address, even if
 // a heartbeat is in flight or the backoff has not ended.
-func (r *peers) due(now time.Time, toAll bool) []string {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.expire(now)
+func (p *peers) due(now time.Time, toAll bool) []string {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.expire(now)
 	var due []string
-	for _, address := range r.targets() {
-		state := r.stateOf(address)
+	for _, address := range p.targets() {
+		state := p.stateOf(address)
 		if !toAll && (state.inFlight || now.Before(state.nextAt)) {
 			continue
 		}
@@ -100,10 +100,10 @@
 }
 
 // recordResult records the outcome of a heartbeat and schedules the next one. The backoff doubles with each failure in a row.
-func (r *peers) recordResult(now time.Time, address string, err error) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	state := r.stateOf(address)
+func (p *peers) recordResult(now time.Time, address string, err error) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	state := p.stateOf(address)
 	state.inFlight = false
 	if err == nil {
 		state.failures = 0
@@ -112,38 +112,38 @@
 	}
 	state.failures++
 	longest := maxBackoff
-	if slices.Contains(r.replicas, address) {
+	if slices.Contains(p.replicas, address) {
 		longest = maxReplicaBackoff
 	}
 	state.nextAt = now.Add(min(heartbeatInterval<<min(state.failures-1, 10), longest))
 }
 
 // stateOf returns the heartbeat state of an address. The caller must hold the lock.
-func (r *peers) stateOf(address string) *heartbeatState {
-	state := r.heartbeats[address]
+func (p *peers) stateOf(address string) *heartbeatState {
+	state := p.heartbeats[address]
 	if state == nil {
 		state = &heartbeatState{}
-		r.heartbeats[address] = state
+		p.heartbeats[address] = state
 	}
 	return state
 }
 
 // targets returns the addresses that get heartbeats. The caller must hold the lock.
-func (r *peers) targets() []string {
-	targets := slices.Concat(r.replicas, r.seeds)
-	for address := range r.lastContact {
+func (p *peers) targets() []string {
+	targets := slices.Concat(p.replicas, p.seeds)
+	for address := range p.lastContact {
 		targets = append(targets, address)
 	}
-	targets = slices.DeleteFunc(targets, func(address string) bool { return address == r.self })
+	targets = slices.DeleteFunc(targets, func(address string) bool { return address == p.self })
 	return sortedUnique(targets)
 }
 
 // expire removes the addresses without a recent message. The caller must hold the lock.
-func (r *peers) expire(now time.Time) {
-	for address, at := range r.lastContact {
+func (p *peers) expire(now time.Time) {
+	for address, at := range p.lastContact {
 		if now.Sub(at) > contactTTL {
-			delete(r.lastContact, address)
-			delete(r.heartbeats, address)
+			delete(p.lastContact, address)
+			delete(p.heartbeats, address)
 		}
 	}
 }
--- a/internal/controller/reports_test.go
+++ b/internal/controller/reports_test.go
@@ -54,21 +54,21 @@
 func TestWorkerIsAvoidedWhenEnoughRoutersOfAZoneComplain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		services := testServices(30)
-		v := newReports(time.Now())
+		r := newReports(time.Now())
 		const routers = 23
 		for i := range 3 {
-			v.recordObservations(testRouter(i, "a"), testObservation("w1", evidence.Failed, 1), services)
+			r.recordObservations(testRouter(i, "a"), testObservation("w1", evidence.Failed, 1), services)
 		}
-		require.Equal(t, []fleetwire.Doubt{{Worker: "w1"}}, v.doubts("a", constantServices(services), routers), "three complaints are too few")
-		v.recordObservations(testRouter(3, "a"), testObservation("w1", evidence.TimedOut, 1), services)
-		require.Equal(t, []string{"w1"}, avoidedWorkers(v.doubts("a", constantServices(services), routers)))
-		require.Empty(t, v.doubts("b", constantServices(services), routers), "the worker may serve another zone well")
+		require.Equal(t, []fleetwire.Doubt{{Worker: "w1"}}, r.doubts("a", constantServices(services), routers), "three complaints are too few")
+		r.recordObservations(testRouter(3, "a"), testObservation("w1", evidence.TimedOut, 1), services)
+		require.Equal(t, []string{"w1"}, avoidedWorkers(r.doubts("a", constantServices(services), routers)))
+		require.Empty(t, r.doubts("b", constantServices(services), routers), "the worker may serve another zone well")
 		for i := 4; i < 20; i++ {
-			v.recordObservations(testRouter(i, "a"), testObservation("w1", evidence.Succeeded, 1), services)
+			r.recordObservations(testRouter(i, "a"), testObservation("w1", evidence.Succeeded, 1), services)
 		}
-		require.Empty(t, avoidedWorkers(v.doubts("a", constantServices(services), routers)), "most routers report success")
+		require.Empty(t, avoidedWorkers(r.doubts("a", constantServices(services), routers)), "most routers report success")
 		time.Sleep(reportSpan)
-		require.Empty(t, v.doubts("a", constantServices(services), routers), "expired reports must not count")
+		require.Empty(t, r.doubts("a", constantServices(services), routers), "expired reports must not count")
 	})
 }
 
@@ -76,12 +76,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		services := testServices(rapid.IntRange(1, 20).Draw(t, "workers"))
 		routers := rapid.IntRange(1, 30).Draw(t, "routers")
-		v := newReports(time.Now())
+		r := newReports(time.Now())
 		for sequence := range uint64(rapid.IntRange(1, 60).Draw(t, "words")) {
 			worker := fmt.Sprintf("w%d", rapid.IntRange(0, 25).Draw(t, "worker"))
 			kind := evidence.Kind(rapid.IntRange(0, 3).Draw(t, "kind"))
-			v.recordObservations(testRouter(0, "a"), testObservation(worker, kind, sequence), services)
-			if avoidedWorkers(v.doubts("a", constantServices(services), routers)) != nil {
+			r.recordObservations(testRouter(0, "a"), testObservation(worker, kind, sequence), services)
+			if avoidedWorkers(r.doubts("a", constantServices(services), routers)) != nil {
 				t.Fatal("the reports of one router were enough to avoid a worker")
 			}
 		}
@@ -92,15 +92,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		workers := rapid.IntRange(1, 40).Draw(t, "workers")
 		services := testServices(workers)
-		v := newReports(time.Now())
+		r := newReports(time.Now())
 		for i := range 12 {
 			for sequence := range uint64(workers) {
 				if rapid.Bool().Draw(t, "complains") {
-					v.recordObservations(testRouter(i, "a"), testObservation(fmt.Sprintf("w%d", sequence), evidence.Failed, sequence+1), services)
+					r.recordObservations(testRouter(i, "a"), testObservation(fmt.Sprintf("w%d", sequence), evidence.Failed, sequence+1), services)
 				}
 			}
 		}
-		if n := len(avoidedWorkers(v.doubts("a", constantServices(services), 12))); float64(n) > maxAvoidedShare*float64(workers) {
+		if n := len(avoidedWorkers(r.doubts("a", constantServices(services), 12))); float64(n) > maxAvoidedShare*float64(workers) {
 			t.Fatalf("%d of %d workers are avoided", n, workers)
 		}
 	})
--- a/internal/controller/run.go
+++ b/internal/controller/run.go
@@ -28,10 +28,11 @@
 	releaseTimeout = 300 * time.Millisecond
 	// lastWriteTimeout bounds the wait for a disk write at shutdown.
 	lastWriteTimeout = 300 * time.Millisecond
-	// operatorGrace is how long the operator's calls in flight may take after shutdown was requested.
+	// operatorGrace is how long the operator's calls in flight may take once the servers shut down.
 	operatorGrace = 700 * time.Millisecond
 	// answerGrace is the part of operatorGrace that is reserved for sending the last answers.
-	answerGrace   = 100 * time.Millisecond
+	answerGrace = 100 * time.Millisecond
+	// internalGrace is how long other processes' calls in flight may take after those of the operator have ended.
 	internalGrace = 100 * time.Millisecond
 	// registerDirectory is the directory of the register within the data directory.
 	registerDirectory = "register"
