--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -133,7 +133,7 @@
 	return f.addMachine(f.settings[0].InternalPorts[0], int(address.Port()), false)
 }
 
-// restart starts a controller that has ended again, without bootstrap.
+// restart starts a controller again after it has ended, without bootstrap.
 func (f *fleet) restart(i int) {
 	updated := *f.settings[i]
 	updated.Bootstrap = false
--- a/internal/controller/simulation_checks_test.go
+++ b/internal/controller/simulation_checks_test.go
@@ -101,29 +101,29 @@
 }
 
 // checkChosen checks that the changes of a chosen state extend the known sequence of changes or are a part of it.
-func (c *simChecks) checkChosen(by string, state register.State) {
+func (c *simChecks) checkChosen(address string, state register.State) {
 	decoded, err := decodeState(state.Data)
 	if err != nil {
-		c.failf("%s holds a state that could not be decoded: %v", by, err)
+		c.failf("%s holds a state that could not be decoded: %v", address, err)
 		return
 	}
 	var changes []digest
-	for one := range slices.Chunk(decoded.Digests, digestBytes) {
-		changes = append(changes, digest(one))
+	for stored := range slices.Chunk(decoded.Digests, digestBytes) {
+		changes = append(changes, digest(stored))
 	}
 	dropped := int(decoded.Changes) - len(changes) // changes whose digests are no longer stored
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if dropped < 0 || dropped > len(c.committed) {
-		c.failLocked("%s holds %d changes and %d digests, but %d changes are known", by, decoded.Changes, len(changes), len(c.committed))
+		c.failLocked("%s holds %d changes and %d digests, but %d changes are known", address, decoded.Changes, len(changes), len(c.committed))
 		return
 	}
-	for i, one := range changes {
+	for i, change := range changes {
 		switch at := dropped + i; {
 		case at == len(c.committed):
-			c.committed = append(c.committed, one)
-		case c.committed[at] != one:
-			c.failLocked("%s holds a change %d that differs from the chosen one", by, at+1)
+			c.committed = append(c.committed, change)
+		case c.committed[at] != change:
+			c.failLocked("%s holds a change %d that differs from the chosen one", address, at+1)
 			return
 		}
 	}
--- a/internal/controller/simulation_faults_test.go
+++ b/internal/controller/simulation_faults_test.go
@@ -65,7 +65,7 @@
 // simRecovery is the scheduled end of a fault.
 type simRecovery struct {
 	at  time.Time
-	act func()
+	end func()
 }
 
 // injectFaults injects random faults until ctx is done, some of them right after an acknowledgement. It then ends all of them.
@@ -102,7 +102,7 @@
 	var remaining []simRecovery
 	for _, recovery := range recoveries {
 		if all || !recovery.at.After(time.Now()) {
-			recovery.act()
+			recovery.end()
 		} else {
 			remaining = append(remaining, recovery)
 		}
@@ -115,17 +115,17 @@
 	cores := s.currentCores()
 	target := cores[s.randomInt(len(cores))]
 	s.logf("-- %s: %s", fault.name, target.settings.NodeName)
-	act := fault.inject(s, target)
-	if act == nil {
+	end := fault.inject(s, target)
+	if end == nil {
 		return simRecovery{}, false
 	}
 	maxDuration := fault.maxDuration
 	if maxDuration == 0 {
 		maxDuration = maxOutage
 	}
-	return simRecovery{at: time.Now().Add(s.randomDuration(0, maxDuration)), act: func() {
+	return simRecovery{at: time.Now().Add(s.randomDuration(0, maxDuration)), end: func() {
 		s.logf("-- end of %s: %s", fault.name, target.settings.NodeName)
-		act()
+		end()
 	}}, true
 }
 
--- a/internal/controller/simulation_operator_test.go
+++ b/internal/controller/simulation_operator_test.go
@@ -20,8 +20,8 @@
 const (
 	operatorCallTimeout = time.Second // bounds one call to a controller
 	operatorGiveUpAfter = 14 * time.Second
-	minRest             = 50 * time.Millisecond
-	maxRest             = 1500 * time.Millisecond
+	minOperatorPause    = 50 * time.Millisecond
+	maxOperatorPause    = 1500 * time.Millisecond
 	burstChanges        = 25
 )
 
@@ -54,8 +54,8 @@
 // run sends changes and reads until ctx is done.
 func (o *simOperator) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		rest := minRest + time.Duration(o.random.Int64N(int64(maxRest-minRest)))
-		if !pause.For(ctx, rest) {
+		duration := minOperatorPause + time.Duration(o.random.Int64N(int64(maxOperatorPause-minOperatorPause)))
+		if !pause.For(ctx, duration) {
 			return
 		}
 		o.answerLossRate = 0.4 * o.random.Float64()
--- a/internal/controller/simulation_scenarios_test.go
+++ b/internal/controller/simulation_scenarios_test.go
@@ -185,9 +185,9 @@
 	t.Parallel()
 	changes := *missedChanges
 	runScenario(t, 1, func(s *simSite, operator *simOperator) {
-		away, restarted := s.currentCores()[1], s.currentCores()[2]
-		s.crashCore(away, (*live.Machine).LosePower)
-		operator.avoid = away
+		unpowered, restarted := s.currentCores()[1], s.currentCores()[2]
+		s.crashCore(unpowered, (*live.Machine).LosePower)
+		operator.avoid = unpowered
 		diskSize := map[int]int{} // by the number of the change
 		for i := range changes {
 			s.mustChange(operator)
@@ -206,10 +206,10 @@
 		}
 		growth := diskSize[changes-1] - diskSize[changes/4]
 		require.LessOrEqual(t, growth, digestBytes*min(changes, maxDigests)+1<<10, "only the digests may grow, up to their bound")
-		s.startCore(away)
+		s.startCore(unpowered)
 		took := s.await(simCatchUpBound, "the settled state", s.checks.unsettled)
 		t.Logf("after %d changes the site settled in %v; the disk of the machine that missed them has %d bytes",
-			changes, took, away.machine.Disk().Size())
+			changes, took, unpowered.machine.Disk().Size())
 	})
 }
 
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -19,8 +19,8 @@
 	simPollInterval  = 20 * time.Millisecond
 )
 
-// await waits until missing returns an empty string, which says what is still missing otherwise. It records a violation if that
-// takes longer than bound. It returns the time that passed, and returns early after a violation.
+// await waits until missing, which says what is still missing, returns an empty string. It records a violation if that takes
+// longer than bound. It returns the time that passed, and returns early after a violation.
 func (s *simSite) await(bound time.Duration, what string, missing func() string) time.Duration {
 	begun := time.Now()
 	for time.Since(begun) < bound {
