--- a/internal/controller/firstlist_test.go
+++ b/internal/controller/firstlist_test.go
@@ -64,5 +64,5 @@
 
 	c.setRecordedReader(lease.Member{Address: "127.0.0.3:7000", Life: "x"}, 6)
 	_, allowed = c.mayReadList()
-	require.False(t, allowed, "superseded")
+	require.False(t, allowed, "the record names another controller")
 }
--- a/internal/controller/operator_test.go
+++ b/internal/controller/operator_test.go
@@ -197,7 +197,7 @@
 	}{
 		"first change":                              {nil, nil, "0", configBody(3), 200, 3},
 		"next change":                               {[]change{testChange(0, 3)}, nil, "3", configBody(7), 200, 7},
-		"again":                                     {[]change{testChange(0, 3)}, nil, "0", configBody(3), 200, 3},
+		"resent change":                             {[]change{testChange(0, 3)}, nil, "0", configBody(3), 200, 3},
 		"resent after newer changes":                {[]change{testChange(0, 3), testChange(3, 7)}, nil, "0", configBody(3), 200, 7},
 		"outdated base":                             {[]change{testChange(0, 3)}, nil, "0", configBody(7), 412, 3},
 		"same version as the current one":           {[]change{testChange(0, 3)}, nil, "3", configBody(3), 400, 3},
--- a/internal/controller/reports_test.go
+++ b/internal/controller/reports_test.go
@@ -77,7 +77,7 @@
 		services := testServices(rapid.IntRange(1, 20).Draw(t, "workers"))
 		routers := rapid.IntRange(1, 30).Draw(t, "routers")
 		r := newReports(time.Now())
-		for sequence := range uint64(rapid.IntRange(1, 60).Draw(t, "words")) {
+		for sequence := range uint64(rapid.IntRange(1, 60).Draw(t, "reports")) {
 			worker := fmt.Sprintf("w%d", rapid.IntRange(0, 25).Draw(t, "worker"))
 			kind := evidence.Kind(rapid.IntRange(0, 3).Draw(t, "kind"))
 			r.recordObservations(testRouter(0, "a"), testObservation(worker, kind, sequence), services)
--- a/internal/controller/simulation_faults_test.go
+++ b/internal/controller/simulation_faults_test.go
@@ -37,7 +37,7 @@
 // simFaults lists the faults that are drawn with equal probability. A kind that is listed twice is drawn twice as often.
 var simFaults = []simFault{
 	{name: "kill", inject: (*simSite).kill},
-	{name: "power", inject: (*simSite).losePower},
+	{name: "power loss", inject: (*simSite).losePower},
 	{name: "all controllers killed", inject: (*simSite).killCores},
 	{name: "power loss of all controllers", inject: (*simSite).powerOffCores},
 	{name: "power loss of all machines", inject: (*simSite).powerOffAll},
--- a/internal/controller/simulation_losses_test.go
+++ b/internal/controller/simulation_losses_test.go
@@ -61,7 +61,7 @@
 // simSecondFaults lists the faults that are injected during a repair. Disks are lost only as far as the site tolerates it.
 var simSecondFaults = []simFault{
 	{name: "kill", inject: (*simSite).kill},
-	{name: "power", inject: (*simSite).losePower},
+	{name: "power loss", inject: (*simSite).losePower},
 	{name: "power loss of all", inject: (*simSite).powerOffAll},
 	{name: "partitioned from all", inject: (*simSite).partitionFromAll},
 	{name: "disk lost", inject: (*simSite).wipe},
--- a/internal/controller/simulation_scenarios_test.go
+++ b/internal/controller/simulation_scenarios_test.go
@@ -99,7 +99,7 @@
 		if read == http.StatusOK {
 			reader.handleRead(time.Now().Add(-operatorCallTimeout), body)
 		}
-		requested := newChange(operator.version, operator.version+1, []byte(simConfig(operator.version+1, "at-the-cut-one")))
+		requested := newChange(operator.version, operator.version+1, []byte(simConfig(operator.version+1, "to-partitioned")))
 		changed, _ := reader.call(s.ctx, http.MethodPost, target.control(), pathReplace, requested.Base, requested.Body)
 		if time.Since(begun) > contactGrace && (read != 0 && read != http.StatusServiceUnavailable ||
 			changed != 0 && changed != http.StatusServiceUnavailable) {
