--- a/internal/controller/simulation_scenarios_test.go
+++ b/internal/controller/simulation_scenarios_test.go
@@ -58,9 +58,9 @@
 // partitionDuration is the duration of the partitions in scenarios.
 const partitionDuration = 20 * time.Second
 
-// A controller in a partition of twenty seconds must give no answer, or answer with 503. The other controllers continue, and their
-// watchers get acknowledged changes within the bound. After the partition the controller must have the newest state, also on its
-// disk.
+// A controller in a partition of twenty seconds must give no answer, or answer with 503. The other controllers continue, and
+// their subscribers get acknowledged changes within the bound. After the partition the controller must have the newest state,
+// also on its disk.
 func TestPartitionedControllerNeitherServesNorConfirms(t *testing.T) {
 	for name, partition := range map[string]func(*simSite, *simMachine) func(){
 		"from all": (*simSite).partitionFromAll, "from the controllers": (*simSite).partitionFromCores,
@@ -99,7 +99,7 @@
 		if read == http.StatusOK {
 			reader.handleRead(time.Now().Add(-operatorCallTimeout), body)
 		}
-		requested := newChange(operator.version, operator.version+1, []byte(simConfig(operator.version+1, "at-the-cut-one")))
+		requested := newChange(operator.version, operator.version+1, []byte(simConfig(operator.version+1, "to-partitioned")))
 		changed, _ := reader.call(s.ctx, http.MethodPost, target.control(), pathReplace, requested.Base, requested.Body)
 		if time.Since(begun) > contactGrace && (read != 0 && read != http.StatusServiceUnavailable ||
 			changed != 0 && changed != http.StatusServiceUnavailable) {
@@ -185,9 +185,9 @@
 	t.Parallel()
 	changes := *missedChanges
 	runScenario(t, 1, func(s *simSite, operator *simOperator) {
-		away, restarted := s.currentCores()[1], s.currentCores()[2]
-		s.crashCore(away, (*live.Machine).LosePower)
-		operator.avoid = away
+		unpowered, restarted := s.currentCores()[1], s.currentCores()[2]
+		s.crashCore(unpowered, (*live.Machine).LosePower)
+		operator.avoid = unpowered
 		diskSize := map[int]int{} // by the number of the change
 		for i := range changes {
 			s.mustChange(operator)
@@ -206,10 +206,10 @@
 		}
 		growth := diskSize[changes-1] - diskSize[changes/4]
 		require.LessOrEqual(t, growth, digestBytes*min(changes, maxDigests)+1<<10, "only the digests may grow, up to their bound")
-		s.startCore(away)
+		s.startCore(unpowered)
 		took := s.await(simCatchUpBound, "the settled state", s.checks.unsettled)
 		t.Logf("after %d changes the site settled in %v; the disk of the machine that missed them has %d bytes",
-			changes, took, away.machine.Disk().Size())
+			changes, took, unpowered.machine.Disk().Size())
 	})
 }
 
