--- a/decide/api.go
+++ b/decide/api.go
@@ -24,7 +24,7 @@
 // reports with absurd values. The same seed and the same calls give the same actions.
 package decide
 
-// Time is a point in time or a duration in whole microseconds. The zero point in time means "unset".
+// Time is a point in time or a duration in whole microseconds. Points in time count from an arbitrary origin.
 type Time = int64
 
 // WorkerID identifies a worker. Its value carries no meaning; a restarted process keeps its ID.
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -15,8 +15,8 @@
 	reportLag       = 250 * ms   // a report may not show a younger push, unless reports prove fresher
 	noRoomSpan      = 150 * ms   // a full worker frees a slot in some hundreds of ms, and a probe costs it work
 	slotNoise       = 0.75       // slots; a worker's capacity is learned from noisy reports
-	checkInterval   = 110 * ms   // the first check is 210 ms after the push, when no report is older
-	blockedInFlight = 2.5        // jobs; one waits beside free slots only behind a wide one that waits for a 3rd
+	checkInterval   = 110 * ms   // the first check is 210 ms after the push, when no report is older than it
+	blockedInFlight = 2.5        // jobs; one waits beside free slots only behind a wide one, while a third runs
 	resetsToEject   = 3          // resets in a row; that many are caused by the worker
 	lossesToEject   = 2          // lost probes or failed checks in a row; a single one may be bad timing
 	startTimeout    = 100 * ms   // a job that has not started by then did not find a free slot
@@ -42,7 +42,7 @@
 	slowLearnRate   = 0.02       // weight per draw; a busy dispatcher draws tens of times a second
 	shortRunShare   = 0.3        // of the mean run: about one job in three is that short
 	queueShare      = 0.3        // of a worker's slots: a queue that keeps it busy until the next push
-	lowFailureRate  = 0.15       // of recent attempts: a single failure can be chance, two can't
+	lowFailureRate  = 0.15       // of recent attempts: a single failure can be chance, two rarely are
 )
 
 // Announce applies an update of the worker list.
@@ -231,7 +231,7 @@
 		(j.class.Kind < 0 || j.class.Kind == w.Kind) && d.mayRepeat(j, w)
 }
 
-// lacksRoom reports whether a probe of w for j is pointless: w was just seen full, or our jobs fill it.
+// lacksRoom reports whether probing w for j is wasted work: w was just seen too full, or our jobs fill it.
 func (d *Dispatcher) lacksRoom(j *job, w *worker) bool {
 	seenFull := d.now < w.noRoomUntil && j.Slots >= w.noRoomSlots
 	return seenFull || w.capacity > 0 && w.heldSlots+j.Slots > w.capacity+slotNoise
@@ -346,7 +346,7 @@
 	return worth / j.Slots
 }
 
-// slowness estimates by the round trip of a probe how many times slower than usual w is, whatever its slots.
+// slowness estimates from a probe's round trip how many times slower than usual w is, even with free slots.
 func (d *Dispatcher) slowness(w *worker, rtt Time) float64 {
 	baseline := max(d.medianRTT[w.Zone], float64(d.settings.RTTNoise))
 	if baseline <= 0 || float64(rtt) < slowFactor*baseline {
@@ -365,8 +365,8 @@
 }
 
 // estimateRoom subtracts our pushes that the report can't show yet. It returns the corrected load, how long
-// j would queue, and whether j fits. A worker's queue is not visible, so a job without room waits here. Where
-// it is reported and no job is wider than a slot, a short queue keeps slots from idling until the next probe.
+// j would queue, and whether j fits. A job without room waits here, not in a queue that we can't see. If the
+// queue is reported and no job is wider than a slot, a short one keeps slots busy until the next probe.
 func (d *Dispatcher) estimateRoom(j *job, w *worker, r Report) (load Report, queue float64, fits bool) {
 	// More jobs than taken slots: one that is too wide blocks the rest. Beside a job, noise must not add room.
 	if capacity := d.capacityOf(w); r.Has&HasInFlight != 0 && r.InFlight == 0 {
@@ -450,7 +450,7 @@
 	return max(min(span, Time(float64(span)*d.meanRun/float64(referenceRun))), d.settings.Tick)
 }
 
-// giveUp gives the final answer. A refusal promises that a retry is harmless, and says when to retry.
+// giveUp gives the final answer at once. A refusal promises that a retry is harmless, and says when to retry.
 func (d *Dispatcher) giveUp(j *job) {
 	refuse, safe := true, j.class.Effect == Safe || j.class.Effect == Keyed && j.class.Scope == ScopeAll
 	for _, a := range j.attempts {
@@ -520,7 +520,7 @@
 }
 
 // learnProbe ejects a worker after two lost probes in a row; the second is sent at once. A refusal means that
-// the worker drains or is gone, before the list shows it; the limit in eject for shared causes is skipped.
+// the worker drains or is gone, before the list shows it: no cause is shared, so eject's limit is skipped.
 func (d *Dispatcher) learnProbe(w *worker, s Status, rtt Time) {
 	if s == Error || s == ConnectFailed && rtt < probeTimeout {
 		w.fullUntil = d.now + d.jitter(min(refusedMin<<min(2*w.refusedProbes, 8), ejectMax))
@@ -656,7 +656,7 @@
 }
 
 // learnRefresh estimates the mean time for which a report stays the same: the intervals of probes in quick
-// succession, over the number that found a new report. Only if our own jobs there changed must it be new.
+// succession between which our own jobs there changed (a new report must differ), over the new reports found.
 func (d *Dispatcher) learnRefresh(w *worker, r Report) {
 	gap, differs := d.now-w.lastReportAt, w.inFlight != w.lastReportInFlight
 	if gap > 0 && gap <= reportLag && differs && r.FreeSlots+r.InFlight > 0 {
