--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -452,7 +452,7 @@
 	}
 }
 
-// The decision file is read in full after outages, so it has at most 630 non-blank lines of at most 110 characters.
+// The decision file is read aloud after outages, so it has at most 630 non-blank lines of at most 110 characters.
 func TestDecisionFileStaysShort(t *testing.T) {
 	file, err := os.Open("decide.go")
 	if err != nil {
--- a/decide/failures_test.go
+++ b/decide/failures_test.go
@@ -395,7 +395,7 @@
 		name    string
 		class   int
 		shown   Report
-		cancels int // cancels
+		cancels int // expected cancels
 		overdue int // overdue starts that remain
 	}{
 		{"room and next to nothing in flight", 0, Report{Has: HasFreeSlots | HasInFlight, FreeSlots: 3, InFlight: 1}, 1, 0},
@@ -419,7 +419,7 @@
 			d.ProbeResult(now+ms, w.ID, Served, ms, c.shown)
 		}
 		if n := len(r.take("cancel")); n != c.cancels || w.overdueStarts != c.overdue {
-			t.Errorf("%s: %d cancels, %d late", c.name, n, w.overdueStarts)
+			t.Errorf("%s: %d cancels, %d overdue starts", c.name, n, w.overdueStarts)
 		}
 	}
 }
@@ -476,12 +476,12 @@
 		end  func(d *Dispatcher)
 		fits bool
 	}{
-		"runs":      {func(d *Dispatcher) {}, false},
-		"started":   {func(d *Dispatcher) { d.Note(startTime+10*ms, 1, 0, NoteStarted, 0) }, false},
-		"served":    {func(d *Dispatcher) { d.Outcome(startTime+10*ms, Outcome{Job: 1, Status: Served}) }, true},
-		"failed":    {func(d *Dispatcher) { d.Outcome(startTime+10*ms, Outcome{Job: 1, Status: Full}) }, true},
-		"cancelled": {func(d *Dispatcher) { d.Hangup(startTime, 1); d.Outcome(startTime, Outcome{Job: 1, Status: Cancelled}) }, true},
-		"another's": {func(d *Dispatcher) { d.Outcome(startTime+10*ms, Outcome{Job: 1, Attempt: 1, Status: Served}) }, false},
+		"runs":                   {func(d *Dispatcher) {}, false},
+		"started":                {func(d *Dispatcher) { d.Note(startTime+10*ms, 1, 0, NoteStarted, 0) }, false},
+		"served":                 {func(d *Dispatcher) { d.Outcome(startTime+10*ms, Outcome{Job: 1, Status: Served}) }, true},
+		"failed":                 {func(d *Dispatcher) { d.Outcome(startTime+10*ms, Outcome{Job: 1, Status: Full}) }, true},
+		"cancelled":              {func(d *Dispatcher) { d.Hangup(startTime, 1); d.Outcome(startTime, Outcome{Job: 1, Status: Cancelled}) }, true},
+		"end of another attempt": {func(d *Dispatcher) { d.Outcome(startTime+10*ms, Outcome{Job: 1, Attempt: 1, Status: Served}) }, false},
 	} {
 		d, r := newDispatcher(t, testSettings(), fleet(2)...)
 		w := d.workers[pushJob(t, d, r, 0)]
@@ -785,22 +785,22 @@
 }
 
 // Where late answers have some worth, and where clients retry late, jobs that could no longer end in time once took places in
-// queues from jobs that could. A job without a hint was expected to run for the mean time, so one pushed at the last moment
-// for a short job was late.
+// queues from jobs that could. A job without a hint was expected to run for the mean time, so a short one that was pushed
+// at the last moment for a job of the mean was late.
 func TestLateJobsDoNotQueue(t *testing.T) {
 	for name, c := range map[string]struct {
 		slow, queue float64 // slowness of the worker; jobs in its queue
 		hint, late  Time    // time since the latest start
 		pushed      bool
 	}{
-		"in time":                                   {1, 0, 0, -50 * ms, true},
-		"in time, a queue":                          {1, 1, 0, -50 * ms, true},
-		"the queue is too long":                     {1, 1, 0, -10 * ms, false},
-		"late, a slot is free":                      {1, 0, 0, 50 * ms, true},
-		"late, a queue":                             {1, 1, 0, 50 * ms, false},
-		"in time, on a slow one":                    {2.5, 0, 100 * ms, -160 * ms, true},
-		"too late on a slow one":                    {2.5, 0, 100 * ms, -140 * ms, false},
-		"its running time is known: it is no short": {1, 1, 200 * ms, -30 * ms, true},
+		"in time":                                    {1, 0, 0, -50 * ms, true},
+		"in time, a queue":                           {1, 1, 0, -50 * ms, true},
+		"the queue is too long":                      {1, 1, 0, -10 * ms, false},
+		"late, a slot is free":                       {1, 0, 0, 50 * ms, true},
+		"late, a queue":                              {1, 1, 0, 50 * ms, false},
+		"in time, on a slow one":                     {2.5, 0, 100 * ms, -160 * ms, true},
+		"too late on a slow one":                     {2.5, 0, 100 * ms, -140 * ms, false},
+		"its running time is known and is not short": {1, 1, 200 * ms, -30 * ms, true},
 	} {
 		d, r := newDispatcher(t, testSettings(), fleet(4)...)
 		w := d.workers[1]
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -108,7 +108,7 @@
 
 type simulatedAttempt struct {
 	worker     Worker
-	at         Time
+	pushedAt   Time
 	end        Time
 	inFlight   bool
 	mayHaveRun bool
@@ -181,8 +181,8 @@
 			if !sim.settings.CanCancel || j == nil || a.attempt < 0 || a.attempt >= len(j.attempts) {
 				sim.fatalf("cancel of an attempt that was not sent, or though it is not allowed: %+v", a)
 			}
-			if at := &j.attempts[a.attempt]; at.inFlight {
-				at.end = sim.now // it ends as cancelled
+			if cancelled := &j.attempts[a.attempt]; cancelled.inFlight {
+				cancelled.end = sim.now // it ends as cancelled
 			}
 		case "refuse", "fail":
 			sim.checkFinal(a)
@@ -198,8 +198,8 @@
 	}
 	if a.kind == "refuse" {
 		c := sim.settings.Classes[j.Class]
-		for _, at := range j.attempts {
-			if at.mayHaveRun && c.Effect != Safe && !(c.Effect == Keyed && c.Scope == ScopeAll) {
+		for _, earlier := range j.attempts {
+			if earlier.mayHaveRun && c.Effect != Safe && !(c.Effect == Keyed && c.Scope == ScopeAll) {
 				sim.fatalf("rule 2: refusal of a job that may have run: %+v", j)
 			}
 		}
@@ -209,34 +209,34 @@
 }
 
 func (sim *simulation) checkPush(a action) {
-	j, e := sim.jobs[a.job], sim.worker(a.worker)
+	j, target := sim.jobs[a.job], sim.worker(a.worker)
 	if j == nil || j.closed {
 		sim.fatalf("rule 1: push of a finished or unknown job: %+v", a)
 	}
-	if e == nil {
+	if target == nil {
 		sim.fatalf("push to a worker that was never listed")
 	}
-	if at, informed := sim.drainSeenAt[a.worker]; informed && sim.now > at+sim.settings.DrainGrace {
-		sim.fatalf("rule 3: push to worker %d, whose drain was announced at %d", a.worker, at)
+	if informedAt, informed := sim.drainSeenAt[a.worker]; informed && sim.now > informedAt+sim.settings.DrainGrace {
+		sim.fatalf("rule 3: push to worker %d, whose drain was announced at %d", a.worker, informedAt)
 	}
 	if len(j.attempts) >= sim.settings.MaxAttempts {
 		sim.fatalf("attempt %d past the limit", len(j.attempts))
 	}
 	c := sim.settings.Classes[j.Class]
-	if c.Kind >= 0 && c.Kind != e.Kind {
+	if c.Kind >= 0 && c.Kind != target.Kind {
 		sim.fatalf("push to a worker of the wrong kind")
 	}
-	for _, at := range j.attempts {
-		if at.inFlight && !sim.settings.SecondCopies {
+	for _, earlier := range j.attempts {
+		if earlier.inFlight && !sim.settings.SecondCopies {
 			sim.fatalf("rule 2: second copy though copies are not allowed")
 		}
-		if !at.mayHaveRun || c.Effect == Safe {
+		if !earlier.mayHaveRun || c.Effect == Safe {
 			continue
 		}
-		sameScope := c.Effect == Keyed && (c.Scope == ScopeAll || c.Scope == ScopeZone && at.worker.Zone == e.Zone ||
-			c.Scope == ScopeCell && at.worker.Cell == e.Cell)
-		if !sameScope || sim.now-at.at > c.MemorySpan {
-			sim.fatalf("rule 2: repeat outside its scope or span: %+v to %+v", j, e)
+		sameScope := c.Effect == Keyed && (c.Scope == ScopeAll || c.Scope == ScopeZone && earlier.worker.Zone == target.Zone ||
+			c.Scope == ScopeCell && earlier.worker.Cell == target.Cell)
+		if !sameScope || sim.now-earlier.pushedAt > c.MemorySpan {
+			sim.fatalf("rule 2: repeat outside its scope or span: %+v to %+v", j, target)
 		}
 	}
 	sim.pushes++
@@ -244,7 +244,7 @@
 	if sim.rng.IntN(3) > 0 {
 		end = sim.now + sim.rng.Int64N(second)
 	}
-	j.attempts = append(j.attempts, simulatedAttempt{worker: *e, at: sim.now, end: min(end, sim.now+a.span),
+	j.attempts = append(j.attempts, simulatedAttempt{worker: *target, pushedAt: sim.now, end: min(end, sim.now+a.span),
 		inFlight: true, mayHaveRun: true})
 }
 
@@ -411,7 +411,7 @@
 		sim.drainSeenAt[e.ID] = sim.now
 	}
 	if sim.settings.MustAsk && !sim.watching {
-		delete(sim.drainSeenAt, e.ID) // the dispatcher can't be informed yet; the announcement below does
+		delete(sim.drainSeenAt, e.ID) // the dispatcher can't be informed yet; the announcement below informs it
 	}
 	sim.dispatcher.Announce(sim.now, ListDelta, []Worker{*e})
 	if e.State != Ready {
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -95,7 +95,7 @@
 	}
 	for _, v := range sim.dispatcher.listed {
 		if v.inFlight != 0 || v.overdueStarts != 0 || len(v.probes) != 0 || len(v.claims) > 64 {
-			t.Errorf("worker %d: out %d, late %d, probes %d, claims %d", v.ID, v.inFlight, v.overdueStarts, len(v.probes), len(v.claims))
+			t.Errorf("worker %d: in flight %d, overdue starts %d, probes %d, claims %d", v.ID, v.inFlight, v.overdueStarts, len(v.probes), len(v.claims))
 		}
 	}
 	if n := len(sim.dispatcher.freeJobs); n > 2000 {
@@ -125,12 +125,12 @@
 			recorders, dispatchers = append(recorders, r), append(dispatchers, d)
 		}
 		const run = 200 * ms
-		id, start, cold := uint32(0), now+20*second, 0
+		id, restartAt, coldPushes := uint32(0), now+20*second, 0
 		gap := 5 * ms // 200 jobs of 0.2 s per second for 10 workers of four cores, which are nearly full
 		sent := map[Time]float64{}
 		for step := range 6000 {
 			now += gap
-			if now >= start && now < start+gap {
+			if now >= restartAt && now < restartAt+gap {
 				fleet[0].StartedAt = now
 				for _, d := range dispatchers {
 					d.Announce(now, ListDelta, fleet[:1])
@@ -157,9 +157,9 @@
 						}
 						d.ProbeResult(now, a.worker, Served, 0, Report{Has: HasFreeSlots, FreeSlots: free})
 					case "push":
-						if a.worker == 1 && now >= start {
-							sent[(now-start)/second] += float64(run)
-							cold++
+						if a.worker == 1 && now >= restartAt {
+							sent[(now-restartAt)/second] += float64(run)
+							coldPushes++
 						}
 						d.Note(now, a.job, 0, NoteStarted, 0)
 						d.Outcome(now+run, Outcome{Job: a.job, Worker: a.worker, Status: Served, Closed: true})
@@ -174,7 +174,7 @@
 				t.Errorf("%d dispatchers: %.0f us of work in second %d, over a budget of %.0f", nodes, work, sec, limit)
 			}
 		}
-		if cold == 0 {
+		if coldPushes == 0 {
 			t.Errorf("%d dispatchers: the cold worker never received a job", nodes)
 		}
 	}
