--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -21,7 +21,7 @@
 type Client interface {
 	// Served answers with the result of a worker.
 	Served(result []byte)
-	// Refused answers that the job did not run and may be retried safely, after retryAfter if that is above 0.
+	// Refused answers that the job was not done and may be retried without harm, after retryAfter if that is above 0.
 	Refused(retryAfter time.Duration)
 	// Failed answers that the request failed; the job may have run.
 	Failed()
@@ -293,8 +293,8 @@
 	e.forgetGoneWorkers()
 }
 
-// OverlayChanged applies entries whose overlay has changed. It does not come from discovery, so the state of the
-// watch does not change.
+// OverlayChanged applies entries whose overlay has changed. The change does not come from discovery, so the state
+// of the watch stays as it is.
 func (e *Engine) OverlayChanged(entries []Entry) {
 	e.applyUpdate(decide.ListDelta, entries)
 }
@@ -323,15 +323,15 @@
 		return
 	}
 	e.call(func() {
-		for peer := range maxPeerReports {
+		for peer := range complaintsToEject {
 			e.dispatcher.PeerMessage(e.Now(), peer, binary.BigEndian.AppendUint64(nil, uint64(w.ID)))
 		}
 	})
 }
 
-// maxPeerReports is the number of peers whose reports the dispatcher counts. The caller of AddPeerEvidence has
-// already weighed the reports of all peers.
-const maxPeerReports = 2
+// complaintsToEject is the number of peers' complaints after which the dispatcher ejects a worker. The caller of
+// AddPeerEvidence has weighed the complaints of more peers before.
+const complaintsToEject = 2
 
 // ReadyWorkers returns the number of workers that the list has as ready.
 func (e *Engine) ReadyWorkers() (n int) {
@@ -527,7 +527,7 @@
 		e := x.engine
 		r, w := e.requests[id], e.workersByID[worker]
 		if r == nil || w == nil {
-			slog.Error("push of a request or to a worker that is not known", "request", id, "worker", worker)
+			slog.Error("push for an unknown request or worker", "request", id, "worker", worker)
 			return
 		}
 		a := &Attempt{Request: r, Worker: w, index: len(r.attempts), incarnation: w.incarnation, sentAt: e.Now(), engine: e}
--- a/internal/engine/pass.go
+++ b/internal/engine/pass.go
@@ -37,14 +37,14 @@
 
 // Export returns what another process needs to continue a request. It fails if more than one attempt is in flight.
 func (e *Engine) Export(r *Request) (h HandoverRequest, ok bool) {
-	job, tried, ok := e.dispatcher.OpenJob(r.ID)
-	if !ok || !r.open || r.inFlight > 1 || len(tried) != len(r.attempts) {
+	job, attempts, ok := e.dispatcher.OpenJob(r.ID)
+	if !ok || !r.open || r.inFlight > 1 || len(attempts) != len(r.attempts) {
 		return h, false
 	}
 	h = HandoverRequest{Class: r.Class, Key: job.Key, GiveUpAt: r.GiveUpAt, Came: r.arrivedAt, Hint: job.Hint, Slots: job.Slots, Memory: job.Memory}
-	for i, t := range tried {
+	for i, state := range attempts {
 		w := r.attempts[i].Worker
-		h.Tried = append(h.Tried, HandoverAttempt{w.Name, w.Addr, t.Sent, t.StartedAt, t.Out, t.Started, t.MayHaveRun})
+		h.Tried = append(h.Tried, HandoverAttempt{w.Name, w.Addr, state.Sent, state.StartedAt, state.Out, state.Started, state.MayHaveRun})
 	}
 	return h, true
 }
@@ -63,7 +63,7 @@
 	r := e.addRequest(h.Class, h.GiveUpAt, h.Came, payload, client)
 	e.Counts.Adopted++
 	var inFlight *Attempt
-	tried := make([]decide.AttemptState, len(h.Tried))
+	attempts := make([]decide.AttemptState, len(h.Tried))
 	for i, t := range h.Tried {
 		w := e.workersByName[t.Worker]
 		if w == nil { // no longer in the list
@@ -71,7 +71,7 @@
 			w = &Worker{ID: e.lastWorkerID, Name: t.Worker, Addr: t.Addr, State: decide.Gone}
 			e.workersByName[t.Worker], e.workersByID[w.ID] = w, w
 		}
-		tried[i] = decide.AttemptState{Worker: w.ID, Sent: t.Sent, StartedAt: t.StartedAt, Out: t.Out, Started: t.Started, MayHaveRun: t.MayHaveRun}
+		attempts[i] = decide.AttemptState{Worker: w.ID, Sent: t.Sent, StartedAt: t.StartedAt, Out: t.Out, Started: t.Started, MayHaveRun: t.MayHaveRun}
 		a := &Attempt{Request: r, Worker: w, index: i, incarnation: w.incarnation, sentAt: t.Sent, ended: !t.Out, mayHaveRun: t.MayHaveRun, engine: e}
 		r.attempts = append(r.attempts, a)
 		if t.Out {
@@ -82,10 +82,10 @@
 		}
 	}
 	if e.Trace != nil {
-		e.Trace("adopted", r.ID, "class", h.Class, "left_us", h.GiveUpAt-e.Now(), "attempts", len(tried), "out", inFlight != nil)
+		e.Trace("adopted", r.ID, "class", h.Class, "left_us", h.GiveUpAt-e.Now(), "attempts", len(attempts), "out", inFlight != nil)
 	}
 	job := decide.Job{ID: r.ID, Class: h.Class, Key: h.Key, GiveUpAt: h.GiveUpAt, Hint: h.Hint, Slots: h.Slots, Memory: h.Memory}
-	e.call(func() { e.dispatcher.Adopt(e.Now(), job, tried) })
+	e.call(func() { e.dispatcher.Adopt(e.Now(), job, attempts) })
 	return r, inFlight
 }
 
