--- a/internal/fleetdemo/demo.go
+++ b/internal/fleetdemo/demo.go
@@ -46,8 +46,8 @@
 	Options
 	out      io.Writer
 	fleet    *fleet.Fleet
-	workers  fleet.SmallWorkers
-	books    *client.Books
+	workers  fleet.SmallSiteWorkers
+	books    *client.Tallies
 	bar      *progressbar.ProgressBar
 	version  int64
 	eventErr error // joined errors of the events that failed
@@ -59,7 +59,7 @@
 	if err := options.validate(); err != nil {
 		return err
 	}
-	d := &demo{Options: options, out: out, books: client.NewBooks()}
+	d := &demo{Options: options, out: out, books: client.NewTallies()}
 	if err := d.start(ctx); err != nil {
 		return err
 	}
@@ -103,10 +103,10 @@
 			d.fleet.Close()
 		}
 	}()
-	if d.workers, err = d.fleet.AddSmallWorkers(); err != nil {
+	if d.workers, err = d.fleet.AddSmallSiteWorkers(); err != nil {
 		return err
 	}
-	if err = d.configure(ctx, fleet.SmallConfig(1)); err != nil {
+	if err = d.configure(ctx, fleet.SmallSiteConfig(1)); err != nil {
 		return err
 	}
 	return d.fleet.AwaitReady(ctx, d.Routers)
@@ -130,9 +130,9 @@
 		len(d.workers.Prefill)+len(d.workers.Decode)+len(d.workers.Plain)+len(d.workers.Other), d.For)
 	d.fleet.Judge.AllowExternal(manualIDPrefix)
 	d.printf("Look in meanwhile:\n\n  %s --control %s --internal %s status\n", filepath.Join(d.Programs, "weldfleet"),
-		d.fleet.Controls()[1], d.fleet.Internals()[1])
+		d.fleet.ControlAddresses()[1], d.fleet.InternalAddresses()[1])
 	d.printf("  curl -i -d x -H 'Host: %s' -H 'Request-Id: "+manualIDPrefix+"1' -H 'Deadline-Ms: 2000' http://%s/%s/1\n\n", fleet.Host,
-		d.fleet.Frontends()[0], fleet.KindCard)
+		d.fleet.FrontendAddresses()[0], fleet.KindPlainSafe)
 }
 
 // printf writes to the demo's output and ignores write errors.
@@ -144,7 +144,7 @@
 	defer stopLoad()
 	var clients sync.WaitGroup
 	for i, zone := range []string{"a", "b"} {
-		crowd := &client.Crowd{Name: "from-" + zone, Zone: zone, Seed: uint64(i), Pick: d.fleet.Entry.Pick, Judge: d.fleet.Judge,
+		crowd := &client.Group{Name: "from-" + zone, Zone: zone, Seed: uint64(i), SelectRouter: d.fleet.Entry.Pick, Judge: d.fleet.Judge,
 			Kinds: d.kinds(), OnResult: d.books.Add}
 		clients.Go(func() { crowd.Run(loadContext) })
 	}
@@ -155,7 +155,7 @@
 
 // kinds returns the small site's kinds of requests with their rates scaled by the demo's load.
 func (d *demo) kinds() []*client.Kind {
-	kinds := fleet.SmallKinds()
+	kinds := fleet.SmallSiteKinds()
 	for _, kind := range kinds {
 		kind.PerSecond *= d.Load
 		if kind.Route.Service == fleet.ServicePlain { // events move its route to the other service and back
@@ -221,7 +221,7 @@
 func (d *demo) events() []event {
 	return []event{
 		{0.15, "the configuration changes: cards and notices move to another service", func(ctx context.Context) error {
-			moved := fleet.SmallConfig(4)
+			moved := fleet.SmallSiteConfig(4)
 			for i := range moved.Routes {
 				if moved.Routes[i].Service == fleet.ServicePlain {
 					moved.Routes[i].Service = fleet.ServiceOther
@@ -231,7 +231,7 @@
 		}},
 		{0.35, "a controller is killed", func(context.Context) error { d.fleet.Controllers[0].Kill(); return nil }},
 		{0.45, "with a controller down, the configuration moves back", func(ctx context.Context) error {
-			return d.configure(ctx, fleet.SmallConfig(5))
+			return d.configure(ctx, fleet.SmallSiteConfig(5))
 		}},
 		{0.55, "a worker that makes tokens drains",
 			func(context.Context) error { d.fleet.DrainWorker(d.workers.Decode[1]); return nil }},
--- a/internal/fleetdemo/report.go
+++ b/internal/fleetdemo/report.go
@@ -15,7 +15,7 @@
 	rows.SetStyle(table.StyleLight)
 	rows.AppendHeader(table.Row{"kind", "sent", "in time", "late", "refused", "failed", "cut", "tried again", "p50 ms", "p99 ms"})
 	for _, kind := range d.books.Kinds() {
-		row := d.books.Row(kind)
+		row := d.books.ByKind(kind)
 		rows.AppendRow(append(countCells(kind, row), formatPercentile(row, 50), formatPercentile(row, 99)))
 	}
 	rows.AppendFooter(append(countCells("all", d.books.Total()), "", ""))
@@ -32,11 +32,11 @@
 	return ErrRuleBroken
 }
 
-func countCells(name string, row client.Row) table.Row {
-	return table.Row{name, row.Sent, row.Served, row.Late, row.Refused, row.Failed, row.Cut, row.Again}
+func countCells(name string, row client.Tally) table.Row {
+	return table.Row{name, row.Sent, row.Served, row.Late, row.Refused, row.Failed, row.Cut, row.Retries}
 }
 
 // formatPercentile formats a percentile of the row's latency, which is recorded in microseconds, in milliseconds.
-func formatPercentile(row client.Row, percent float64) string {
-	return fmt.Sprintf("%.1f", float64(row.First.ValueAtQuantile(percent))/1000)
+func formatPercentile(row client.Tally, percent float64) string {
+	return fmt.Sprintf("%.1f", float64(row.Latency.ValueAtQuantile(percent))/1000)
 }
--- a/internal/hollow/failures.go
+++ b/internal/hollow/failures.go
@@ -104,7 +104,7 @@
 	reader := r.reader(ctx)
 	most := 0
 	followers := make([][]*member, len(r.fleet.Controllers))
-	for i, address := range r.fleet.Internals() {
+	for i, address := range r.fleet.InternalAddresses() {
 		followers[i] = slices.DeleteFunc(slices.Clone(r.members), func(m *member) bool { return m.agent.Source() != address })
 		if i != reader && (len(followers[i]) > len(followers[most]) || most == reader) {
 			most = i
--- a/internal/hollow/phase.go
+++ b/internal/hollow/phase.go
@@ -175,7 +175,7 @@
 	const surveyTimeout = 2 * time.Second
 	ctx, cancel := context.WithTimeout(ctx, surveyTimeout)
 	defer cancel()
-	internals := r.fleet.Internals()
+	internals := r.fleet.InternalAddresses()
 	for _, probe := range fleetclient.Survey(ctx, internals) {
 		if probe.Err == nil && slices.Contains(probe.Status.Held, readerRole) {
 			return slices.Index(internals, probe.Address)
--- a/internal/hollow/round.go
+++ b/internal/hollow/round.go
@@ -195,7 +195,7 @@
 // addMember starts the i-th member and replaces its predecessor, if any.
 func (r *round) addMember(i int) error {
 	r.memberStarts++
-	nodeSettings := memberSettings(i, r.memberStarts, r.fleet.Subnet(), zones, r.fleet.Controls()[:3])
+	nodeSettings := memberSettings(i, r.memberStarts, r.fleet.Subnet(), zones, r.fleet.ControlAddresses()[:3])
 	started, err := startMember(context.Background(), nodeSettings, i >= r.options.Full, &r.agentTraffic, r.tracker)
 	if err != nil {
 		return err
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -22,7 +22,7 @@
 
 // Kinds returns the request kinds of the small site, and streams of several seconds.
 func Kinds() []*client.Kind {
-	kinds := fleet.SmallKinds()
+	kinds := fleet.SmallSiteKinds()
 	for _, kind := range kinds {
 		if kind.Route.Service == fleet.ServicePlain {
 			kind.Services = []string{fleet.ServicePlain, fleet.ServiceOther}
@@ -35,8 +35,8 @@
 			Route: operator.Route{Name: "r-" + name, Hostname: fleet.Host, PathPrefix: "/" + name + "/", RouteType: "streaming",
 				TimeoutMs: longDeadline.Milliseconds(), TargetLatencyMs: 500, Priority: 1, Service: fleet.ServiceModel, MaxAttempts: 1,
 				Sticky: true, GapAimMs: 300},
-			PerSecond: long.perSecond, Deadline: longDeadline, Retries: 1, Body: 1000, Output: long.tokens, Shared: 64, Subject: 64,
-			Subjects: 10, Own: 200,
+			PerSecond: long.perSecond, Deadline: longDeadline, Retries: 1, Body: 1000, Output: long.tokens, SharedTokens: 64, SubjectTokens: 64,
+			Subjects: 10, OwnTokens: 200,
 		})
 	}
 	return kinds
@@ -44,7 +44,7 @@
 
 // baseConfig returns the first configuration.
 func baseConfig() operator.Config {
-	config := fleet.SmallConfig(1)
+	config := fleet.SmallSiteConfig(1)
 	config.Routes = nil
 	for _, kind := range Kinds() {
 		config.Routes = append(config.Routes, kind.Route)
@@ -85,7 +85,7 @@
 func withProbe(config operator.Config) (operator.Config, *client.Kind) {
 	var probe client.Kind
 	for _, kind := range Kinds() {
-		if kind.Name == fleet.KindCard {
+		if kind.Name == fleet.KindPlainSafe {
 			probe = *kind
 		}
 	}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -38,7 +38,7 @@
 	Restarts   int
 	Changes    int // acknowledged changes
 	Unclear    int // changes without a clear answer
-	Requests   client.Row
+	Requests   client.Tally
 	Violations []string // broken rules
 }
 
@@ -73,13 +73,13 @@
 	fleet      *fleet.Fleet
 	supervisor *supervisor
 	changes    *configChanges
-	books      *client.Books
+	books      *client.Tallies
 	violations []string
 }
 
 // Run executes one run and reports the rules it broke. An error means that the run could not start or that ctx ended.
 func Run(ctx context.Context, options Options) (*Report, error) {
-	r := &run{Options: options, bounds: judge.DefaultBounds, books: client.NewBooks()}
+	r := &run{Options: options, bounds: judge.DefaultBounds, books: client.NewTallies()}
 	if err := r.start(ctx); err != nil {
 		return nil, err
 	}
@@ -98,7 +98,7 @@
 		return err
 	}
 	r.fleet, r.supervisor = started, newSupervisor(r.bounds.Grace)
-	r.changes = &configChanges{operator: started.Operator, controls: started.Controls}
+	r.changes = &configChanges{operator: started.Operator, controls: started.ControlAddresses}
 	err = r.prepare(ctx)
 	if err != nil {
 		started.Close()
@@ -108,7 +108,7 @@
 
 // prepare adds the workers and the first configuration, and waits until all routers are ready.
 func (r *run) prepare(ctx context.Context) error {
-	if _, err := r.fleet.AddSmallWorkers(); err != nil {
+	if _, err := r.fleet.AddSmallSiteWorkers(); err != nil {
 		return err
 	}
 	if err := r.changes.initialize(ctx); err != nil {
@@ -123,8 +123,8 @@
 	defer stopLoad()
 	var crowds sync.WaitGroup
 	for i, zone := range []string{"a", "b"} {
-		crowd := &client.Crowd{Name: fmt.Sprintf("c%d", i), Zone: zone, Seed: r.Seed*2 + uint64(i), Pick: r.fleet.Entry.Pick,
-			Judge: r.fleet.Judge, Kinds: Kinds(), OnResult: r.books.Add, Holds: true}
+		crowd := &client.Group{Name: fmt.Sprintf("c%d", i), Zone: zone, Seed: r.Seed*2 + uint64(i), SelectRouter: r.fleet.Entry.Pick,
+			Judge: r.fleet.Judge, Kinds: Kinds(), OnResult: r.books.Add, ReuseAnyConnection: true}
 		crowds.Go(func() { crowd.Run(loadCtx) })
 	}
 	stopThrottle := r.throttle(ctx)
@@ -182,13 +182,13 @@
 		stopped := time.Now()
 		r.supervisor.stop(r.fleet.Agents[event.Target])
 		if r.supervisor.stop(r.fleet.Routers[event.Target]) {
-			r.fleet.Judge.RouterTerminated(r.fleet.Frontends()[event.Target], stopped)
+			r.fleet.Judge.RouterTerminated(r.fleet.FrontendAddresses()[event.Target], stopped)
 		}
 	case ActionReloadFrontend:
 		r.supervisor.signal(r.fleet.Agents[event.Target], syscall.SIGHUP)
 		r.supervisor.signal(r.fleet.Routers[event.Target], syscall.SIGHUP)
 	case ActionKillFrontend:
-		r.fleet.Judge.RouterKilled(r.fleet.Frontends()[event.Target], time.Now())
+		r.fleet.Judge.RouterKilled(r.fleet.FrontendAddresses()[event.Target], time.Now())
 		r.supervisor.kill(r.fleet.Agents[event.Target])
 		r.supervisor.kill(r.fleet.Routers[event.Target])
 	case ActionStopController:
@@ -217,7 +217,7 @@
 		return
 	}
 	acknowledged := time.Now()
-	for i, frontend := range r.fleet.Frontends() {
+	for i, frontend := range r.fleet.FrontendAddresses() {
 		if !r.awaitServed(ctx, frontend, probe, acknowledged.Add(propagationTimeout), i) {
 			r.violations = append(r.violations, fmt.Sprintf("CONFIG: %s does not apply version %d within %v", frontend, config.Version, propagationTimeout))
 		}
@@ -228,7 +228,7 @@
 // awaitServed retries a request at one router until it is served. It reports false if a request that began after until has
 // failed or ctx is done.
 func (r *run) awaitServed(ctx context.Context, frontend string, kind *client.Kind, until time.Time, index int) bool {
-	crowd := &client.Crowd{Name: "probe", Judge: r.fleet.Judge, Pick: func(string, uint64, int) string { return frontend }}
+	crowd := &client.Group{Name: "probe", Judge: r.fleet.Judge, SelectRouter: func(string, uint64, int) string { return frontend }}
 	defer crowd.Close()
 	for attempt := 0; ; attempt++ {
 		result := crowd.Send(kind, fmt.Sprintf("probe-%d-%d", index, attempt), 1)
--- a/internal/standin/client/books.go
+++ b/internal/standin/client/books.go
@@ -11,31 +11,31 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Row is what became of the requests of one kind.
-type Row struct {
-	Sent, Served, Late, Refused, Failed, Cut, Again int
-	Unsent                                          int                     // of those cut: no connection came about in the end
-	First                                           *hdrhistogram.Histogram // microseconds to the first event or answer
-	Causes                                          map[string]int          // of what was neither served nor refused
+// Tally is what became of the requests of one kind.
+type Tally struct {
+	Sent, Served, Late, Refused, Failed, Cut, Retries int
+	Unsent                                            int                     // of those cut: no connection came about in the end
+	Latency                                           *hdrhistogram.Histogram // microseconds to the first event or answer
+	Causes                                            map[string]int          // of what was neither served nor refused
 }
 
-// Books adds results up by kind. They are safe for use by several goroutines.
-type Books struct {
+// Tallies adds results up by kind. They are safe for use by several goroutines.
+type Tallies struct {
 	mu   sync.Mutex
-	rows map[string]*Row
+	rows map[string]*Tally
 	news chan struct{} // closed with the next result
 }
 
-// NewBooks returns empty books.
-func NewBooks() *Books { return &Books{rows: map[string]*Row{}, news: make(chan struct{})} }
+// NewTallies returns empty books.
+func NewTallies() *Tallies { return &Tallies{rows: map[string]*Tally{}, news: make(chan struct{})} }
 
 // Add books a result.
-func (b *Books) Add(result Result) {
+func (b *Tallies) Add(result Result) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	row := b.rows[result.Kind.Name]
 	if row == nil {
-		row = &Row{First: hdrhistogram.New(1, time.Minute.Microseconds(), 2), Causes: map[string]int{}}
+		row = &Tally{Latency: hdrhistogram.New(1, time.Minute.Microseconds(), 2), Causes: map[string]int{}}
 		b.rows[result.Kind.Name] = row
 	}
 	row.add(result)
@@ -43,9 +43,9 @@
 	b.news = make(chan struct{})
 }
 
-func (r *Row) add(result Result) {
+func (r *Tally) add(result Result) {
 	r.Sent++
-	r.Again += result.Tries - 1
+	r.Retries += result.Attempts - 1
 	switch result.Outcome {
 	case Served:
 		r.Served++
@@ -64,25 +64,25 @@
 		r.Causes[result.Cause]++
 	}
 	if result.Outcome <= Late {
-		_ = r.First.RecordValue(result.First.Microseconds())
+		_ = r.Latency.RecordValue(result.Latency.Microseconds())
 	}
 }
 
-// Row returns a kind's row; the histogram is shared.
-func (b *Books) Row(kind string) Row {
+// ByKind returns a kind's row; the histogram is shared.
+func (b *Tallies) ByKind(kind string) Tally {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if row := b.rows[kind]; row != nil {
 		return *row
 	}
-	return Row{First: hdrhistogram.New(1, 2, 1)}
+	return Tally{Latency: hdrhistogram.New(1, 2, 1)}
 }
 
 // Total adds all rows up, without histogram.
-func (b *Books) Total() Row {
+func (b *Tallies) Total() Tally {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	total := Row{Causes: map[string]int{}}
+	total := Tally{Causes: map[string]int{}}
 	for _, row := range b.rows {
 		total.Sent += row.Sent
 		total.Served += row.Served
@@ -91,7 +91,7 @@
 		total.Failed += row.Failed
 		total.Cut += row.Cut
 		total.Unsent += row.Unsent
-		total.Again += row.Again
+		total.Retries += row.Retries
 		for cause, n := range row.Causes {
 			total.Causes[cause] += n
 		}
@@ -99,30 +99,30 @@
 	return total
 }
 
-// News returns a channel that is closed with the next result.
-func (b *Books) News() <-chan struct{} {
+// Changed returns a channel that is closed with the next result.
+func (b *Tallies) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.news
 }
 
-func (r Row) String() string {
+func (r Tally) String() string {
 	causes := slices.Sorted(maps.Keys(r.Causes))
 	return fmt.Sprintf("sent %d served %d late %d refused %d failed %d cut %d again %d %s",
-		r.Sent, r.Served, r.Late, r.Refused, r.Failed, r.Cut, r.Again, strings.Join(causes, "; "))
+		r.Sent, r.Served, r.Late, r.Refused, r.Failed, r.Cut, r.Retries, strings.Join(causes, "; "))
 }
 
 // Kinds returns the names of the kinds, sorted.
-func (b *Books) Kinds() []string {
+func (b *Tallies) Kinds() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.kinds()
 }
 
-func (b *Books) kinds() []string { return slices.Sorted(maps.Keys(b.rows)) }
+func (b *Tallies) kinds() []string { return slices.Sorted(maps.Keys(b.rows)) }
 
 // String shows the rows by kind.
-func (b *Books) String() string {
+func (b *Tallies) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var lines []string
--- a/internal/standin/client/client.go
+++ b/internal/standin/client/client.go
@@ -24,18 +24,18 @@
 
 // Kind is one kind of request.
 type Kind struct {
-	Name      string
-	Route     operator.Route
-	Services  []string // that may run it under some configuration; empty: those of Route
-	PerSecond float64
-	Deadline  time.Duration
-	Retries   int
-	Body      int // bytes
-	Output    int // tokens, of a streaming route
-	Shared    int // tokens of the first part of each prompt
-	Subject   int // tokens of the part that requests of a subject share
-	Subjects  int
-	Own       int // tokens of the request's own part
+	Name          string
+	Route         operator.Route
+	Services      []string // that may run it under some configuration; empty: those of Route
+	PerSecond     float64
+	Deadline      time.Duration
+	Retries       int
+	Body          int // bytes
+	Output        int // tokens, of a streaming route
+	SharedTokens  int // tokens of the first part of each prompt
+	SubjectTokens int // tokens of the part that requests of a subject share
+	Subjects      int
+	OwnTokens     int // tokens of the request's own part
 }
 
 func (k *Kind) services() []string {
@@ -61,15 +61,15 @@
 // prompt returns the headers of one prompt.
 func (k *Kind) prompt(rng *rand.Rand, own string) (count, hashes string) {
 	subject := rng.IntN(max(1, k.Subjects))
-	parts := []string{fmt.Sprintf("%s5:%d", hexOf(k.Name), k.Shared), fmt.Sprintf("%s%02x:%d", hexOf(k.Name), subject, k.Subject),
-		fmt.Sprintf("%s:%d", hexOf(own), k.Own)}
-	return fmt.Sprintf("%d,%d", k.Shared+k.Subject+k.Own, k.Output), strings.Join(parts, ",")
+	parts := []string{fmt.Sprintf("%s5:%d", hexOf(k.Name), k.SharedTokens), fmt.Sprintf("%s%02x:%d", hexOf(k.Name), subject, k.SubjectTokens),
+		fmt.Sprintf("%s:%d", hexOf(own), k.OwnTokens)}
+	return fmt.Sprintf("%d,%d", k.SharedTokens+k.SubjectTokens+k.OwnTokens, k.Output), strings.Join(parts, ",")
 }
 
 func hexOf(text string) string { return fmt.Sprintf("%x", text) }
 
-// Picker names a Frontend address for a new connection of a client.
-type Picker func(zone string, client uint64, try int) string
+// RouterSelector names a Frontend address for a new connection of a client.
+type RouterSelector func(zone string, client uint64, try int) string
 
 // Outcome is how a request ended.
 type Outcome uint8
@@ -85,30 +85,30 @@
 
 // Result is the end of one request.
 type Result struct {
-	Kind    *Kind
-	ID      string
-	Outcome Outcome
-	Status  int           // of the last try
-	Cause   string        // of a cut
-	Unsent  bool          // no connection came about for the last try
-	First   time.Duration // to the first event, or to the answer
-	Tries   int
-	Began   time.Time
+	Kind     *Kind
+	ID       string
+	Outcome  Outcome
+	Status   int           // of the last try
+	Cause    string        // of a cut
+	Unsent   bool          // no connection came about for the last try
+	Latency  time.Duration // to the first event, or to the answer
+	Attempts int
+	Began    time.Time
 }
 
-// Crowd is a crowd of clients in a zone.
-type Crowd struct {
-	Name  string // starts the ids
-	Zone  string
-	Seed  uint64
-	Pick  Picker
-	Judge *judge.Checker
-	Kinds []*Kind
+// Group is a crowd of clients in a zone.
+type Group struct {
+	Name         string // starts the ids
+	Zone         string
+	Seed         uint64
+	SelectRouter RouterSelector
+	Judge        *judge.Checker
+	Kinds        []*Kind
 	// OnResult, if set, is told of each end.
 	OnResult func(Result)
-	// Holds lets clients use their open connections until the routers close them. Otherwise a request goes to the router
-	// that Pick names, on a kept connection to it if there is one.
-	Holds bool
+	// ReuseAnyConnection lets clients use their open connections until the routers close them. Otherwise a request goes to the router
+	// that SelectRouter returns, on a kept connection to it if there is one.
+	ReuseAnyConnection bool
 
 	opened sync.Once
 	kept   *http.Transport
@@ -116,7 +116,7 @@
 }
 
 // Run sends requests until ctx is done, and returns once every request has ended.
-func (c *Crowd) Run(ctx context.Context) {
+func (c *Group) Run(ctx context.Context) {
 	defer c.Close()
 	var all sync.WaitGroup
 	for i, kind := range c.Kinds {
@@ -126,12 +126,12 @@
 }
 
 // transport holds the connections that the crowd keeps between requests.
-func (c *Crowd) transport() *http.Transport {
+func (c *Group) transport() *http.Transport {
 	c.open()
 	return c.kept
 }
 
-func (c *Crowd) open() {
+func (c *Group) open() {
 	c.opened.Do(func() {
 		c.kept = &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 64}
 		c.held = newConnections(c.Seed)
@@ -139,13 +139,13 @@
 }
 
 // Close closes the connections that are kept.
-func (c *Crowd) Close() {
+func (c *Group) Close() {
 	c.transport().CloseIdleConnections()
 	c.held.close()
 }
 
 // loop sends requests of a kind with exponential gaps.
-func (c *Crowd) loop(ctx context.Context, kind *Kind, rng *rand.Rand, all *sync.WaitGroup) {
+func (c *Group) loop(ctx context.Context, kind *Kind, rng *rand.Rand, all *sync.WaitGroup) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	due := time.Now()
@@ -166,7 +166,7 @@
 // request is one request with its tries.
 type request struct {
 	*Kind
-	crowd         *Crowd
+	crowd         *Group
 	id            string
 	client        uint64
 	began         time.Time
@@ -179,7 +179,7 @@
 }
 
 // Send sends one request to its end.
-func (c *Crowd) Send(kind *Kind, id string, seed uint64) Result {
+func (c *Group) Send(kind *Kind, id string, seed uint64) Result {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	q := &request{Kind: kind, crowd: c, id: id, client: seed, began: time.Now(), body: bytes.Repeat([]byte("x"), kind.Body)}
 	if kind.streaming() {
@@ -196,10 +196,10 @@
 	ctx, cancel := context.WithDeadline(context.Background(), q.began.Add(q.Deadline))
 	defer cancel()
 	out := Result{Kind: q.Kind, ID: q.id, Began: q.began}
-	for out.Tries < q.Retries+1 {
-		answer, retryAfter := q.try(ctx, out.Tries)
-		out.Tries++
-		out.Outcome, out.Status, out.Cause, out.First = q.outcome(answer), answer.Status, answer.cause, q.first
+	for out.Attempts < q.Retries+1 {
+		answer, retryAfter := q.try(ctx, out.Attempts)
+		out.Attempts++
+		out.Outcome, out.Status, out.Cause, out.Latency = q.outcome(answer), answer.Status, answer.cause, q.first
 		out.Unsent = answer.unsent
 		if !q.again(answer) || !pause.For(ctx, min(retryAfter, q.left()/3)) {
 			break
--- a/internal/standin/client/sending.go
+++ b/internal/standin/client/sending.go
@@ -21,7 +21,7 @@
 
 // send sends one try. The first may use a connection that is there; later ones open a new one.
 func (q *request) send(ctx context.Context, number int, target, id string) *sending {
-	if !q.crowd.Holds {
+	if !q.crowd.ReuseAnyConnection {
 		return q.sendPicked(ctx, number, target, id)
 	}
 	q.crowd.open()
@@ -30,7 +30,7 @@
 		sent.conn = sent.conns.take()
 	}
 	if sent.conn == nil {
-		sent.router = q.crowd.Pick(q.crowd.Zone, q.client, number)
+		sent.router = q.crowd.SelectRouter(q.crowd.Zone, q.client, number)
 		if sent.conn, sent.err = sent.conns.open(ctx, sent.router); sent.err != nil {
 			return sent
 		}
@@ -46,7 +46,7 @@
 	if number > 0 {
 		transport = &http.Transport{DisableCompression: true, DisableKeepAlives: true}
 	}
-	sent := &sending{router: q.crowd.Pick(q.crowd.Zone, q.client, number), at: time.Now()}
+	sent := &sending{router: q.crowd.SelectRouter(q.crowd.Zone, q.client, number), at: time.Now()}
 	sent.response, sent.err = transport.RoundTrip(q.message(ctx, sent.router, target, id))
 	return sent
 }
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -186,11 +186,11 @@
 // Subnet returns the first three bytes of the IPs of the fleet's machines, as in "127.0.16".
 func (f *Fleet) Subnet() string { return f.subnet }
 
-// Controls returns the addresses of the controllers for an operator.
-func (f *Fleet) Controls() []string { return f.controls() }
+// ControlAddresses returns the addresses of the controllers for an operator.
+func (f *Fleet) ControlAddresses() []string { return f.controls() }
 
-// Internals returns the addresses at which the controllers talk to the fleet.
-func (f *Fleet) Internals() []string {
+// InternalAddresses returns the addresses at which the controllers talk to the fleet.
+func (f *Fleet) InternalAddresses() []string {
 	var out []string
 	for _, controller := range f.Controllers {
 		out = append(out, address(controller.IP, portInternal))
@@ -198,8 +198,8 @@
 	return out
 }
 
-// Frontends returns the addresses of the routers for clients.
-func (f *Fleet) Frontends() []string {
+// FrontendAddresses returns the addresses of the routers for clients.
+func (f *Fleet) FrontendAddresses() []string {
 	var out []string
 	for _, router := range f.Routers {
 		out = append(out, address(router.IP, portFrontend))
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -41,8 +41,8 @@
 	*Fleet
 	t       *testing.T
 	ctx     context.Context
-	workers SmallWorkers
-	books   *client.Books
+	workers SmallSiteWorkers
+	books   *client.Tallies
 	stop    context.CancelFunc
 	crowds  sync.WaitGroup
 }
@@ -63,13 +63,13 @@
 	options.Programs = programs
 	f, err := Start(options)
 	require.NoError(t, err)
-	b := &bed{Fleet: f, t: t, ctx: ctx, books: client.NewBooks()}
+	b := &bed{Fleet: f, t: t, ctx: ctx, books: client.NewTallies()}
 	t.Cleanup(b.end)
-	b.workers, err = f.AddSmallWorkers()
+	b.workers, err = f.AddSmallSiteWorkers()
 	require.NoError(t, err)
-	b.replace(0, SmallConfig(1))
+	b.replace(0, SmallSiteConfig(1))
 	require.NoError(t, f.AwaitReady(ctx, len(f.Routers)))
-	b.awaitServed(SmallKinds()...)
+	b.awaitServed(SmallSiteKinds()...)
 	return b
 }
 
@@ -94,8 +94,8 @@
 }
 
 // crowd is a crowd of the bed that connects as pick says.
-func (b *bed) crowd(name, zone string, pick client.Picker, kinds []*client.Kind) *client.Crowd {
-	return &client.Crowd{Name: name, Zone: zone, Seed: 1, Pick: pick, Judge: b.Judge, Kinds: kinds, OnResult: b.books.Add}
+func (b *bed) crowd(name, zone string, pick client.RouterSelector, kinds []*client.Kind) *client.Group {
+	return &client.Group{Name: name, Zone: zone, Seed: 1, SelectRouter: pick, Judge: b.Judge, Kinds: kinds, OnResult: b.books.Add}
 }
 
 // load starts a crowd in each zone.
@@ -119,7 +119,7 @@
 func (b *bed) awaitSent(more int) {
 	b.t.Helper()
 	for until := b.books.Total().Sent + more; ; {
-		news := b.books.News()
+		news := b.books.Changed()
 		if b.books.Total().Sent >= until {
 			return
 		}
@@ -134,7 +134,7 @@
 // awaitServed waits until every router serves these kinds of requests, by trying: nothing else tells a client.
 func (b *bed) awaitServed(kinds ...*client.Kind) {
 	b.t.Helper()
-	for _, frontend := range b.Frontends() {
+	for _, frontend := range b.FrontendAddresses() {
 		for _, kind := range kinds {
 			var last client.Result
 			b.await(fmt.Sprintf("%s serves %s", frontend, kind.Name), func() bool {
@@ -200,7 +200,7 @@
 }
 
 func kindNamed(name string) *client.Kind {
-	for _, kind := range SmallKinds() {
+	for _, kind := range SmallSiteKinds() {
 		if kind.Name == name {
 			return kind
 		}
@@ -210,7 +210,7 @@
 
 func TestACalmFleetServesEverything(t *testing.T) {
 	b := newBed(t, Options{})
-	b.load(SmallKinds())
+	b.load(SmallSiteKinds())
 	b.awaitSent(200)
 	b.unload()
 	b.allServed()
@@ -220,35 +220,35 @@
 
 func TestAConfigurationIsInForceEverywhereInTime(t *testing.T) {
 	b := newBed(t, Options{Routers: 3})
-	kinds := SmallKinds()
+	kinds := SmallSiteKinds()
 	for _, kind := range kinds {
-		if kind.Name == KindCard || kind.Name == KindNotice {
+		if kind.Name == KindPlainSafe || kind.Name == KindPlainUnsafe {
 			kind.Services = []string{ServicePlain, ServiceOther}
 		}
 	}
 	b.load(kinds)
 	b.awaitSent(60)
 
-	next := SmallConfig(7)
+	next := SmallSiteConfig(7)
 	for i := range next.Routes {
 		if next.Routes[i].Service == ServicePlain {
 			next.Routes[i].Service = ServiceOther
 		}
 	}
-	added := *kindNamed(KindCard)
+	added := *kindNamed(KindPlainSafe)
 	added.Name, added.Services = "added", []string{ServiceOther}
 	added.Route.Name, added.Route.PathPrefix, added.Route.Service = "r-added", "/added/", ServiceOther
 	next.Routes = append(next.Routes, added.Route)
-	for _, frontend := range b.Frontends() {
+	for _, frontend := range b.FrontendAddresses() {
 		require.Equal(t, http.StatusNotFound, b.sendTo(frontend, &added).Status, "a route that isn't there yet")
 	}
 	b.replace(1, next)
 	acknowledged := time.Now()
 	b.awaitServed(&added)
 	require.Less(t, time.Since(acknowledged), inForceWithin)
-	moved := *kindNamed(KindCard)
+	moved := *kindNamed(KindPlainSafe)
 	moved.Services = []string{ServiceOther} // the judge reports a run at the old service
-	for _, frontend := range b.Frontends() {
+	for _, frontend := range b.FrontendAddresses() {
 		require.LessOrEqual(t, b.sendTo(frontend, &moved).Outcome, client.Late)
 	}
 	b.awaitSent(60)
@@ -259,18 +259,18 @@
 
 func TestAControllerIsKilled(t *testing.T) {
 	b := newBed(t, Options{})
-	b.load(SmallKinds())
+	b.load(SmallSiteKinds())
 	b.awaitSent(60)
 	b.Controllers[0].Kill()
-	next := SmallConfig(2)
-	added := *kindNamed(KindCard)
+	next := SmallSiteConfig(2)
+	added := *kindNamed(KindPlainSafe)
 	added.Route.Name, added.Route.PathPrefix = "r-added", "/added/"
 	next.Routes = append(next.Routes, added.Route)
 	b.replace(1, next)
 	b.awaitServed(&added)
 	require.NoError(t, b.Controllers[0].Start())
 	b.await("the killed controller answers", func() bool {
-		only := operator.New(func() []string { return b.Controls()[:1] })
+		only := operator.New(func() []string { return b.ControlAddresses()[:1] })
 		ctx, cancel := context.WithTimeout(b.ctx, time.Second)
 		defer cancel()
 		config, err := only.Read(ctx)
@@ -286,7 +286,7 @@
 	options.setDefaults()
 	options.Bounds.DrainWithin = time.Second // stricter than the deployments' 3 s
 	b := newBed(t, options)
-	b.load(SmallKinds())
+	b.load(SmallSiteKinds())
 	b.awaitSent(60)
 	b.DrainWorker(b.workers.Decode[0])
 	b.DrainWorker(b.workers.Prefill[0])
@@ -314,12 +314,12 @@
 			streams.Go(func() { crowd.Send(&long, fmt.Sprintf("%s-%d", name, i), uint64(i)) })
 		}
 	}
-	send(KindDraft, 1000)
-	send(KindVerdict, 600)
+	send(KindStream, 1000)
+	send(KindResumableStream, 600)
 	var dead *llmworker.Worker
 	b.await("streams of both kinds run on one worker", func() bool {
 		for _, dead = range b.workers.Decode {
-			if b.Judge.RunsAt(dead.ID(), KindDraft) >= 2 && b.Judge.RunsAt(dead.ID(), KindVerdict) >= 2 {
+			if b.Judge.RunsAt(dead.ID(), KindStream) >= 2 && b.Judge.RunsAt(dead.ID(), KindResumableStream) >= 2 {
 				return true
 			}
 		}
@@ -328,7 +328,7 @@
 	dead.Crash()
 	streams.Wait()
 	b.Platform.Remove(dead.ID())
-	draft, verdict := b.books.Row(KindDraft), b.books.Row(KindVerdict)
+	draft, verdict := b.books.ByKind(KindStream), b.books.ByKind(KindResumableStream)
 	require.Positive(t, draft.Cut, draft.String())
 	// One that had no event yet may be answered 502: it may have run, and must not run again.
 	require.Equal(t, draft.Sent, draft.Cut+draft.Served+draft.Late+draft.Failed, draft.String())
@@ -341,12 +341,12 @@
 	b := newBed(t, Options{})
 	before := b.Operator.Calls()
 	b.Operator.DropAnswers(2)
-	b.replace(1, SmallConfig(5))
+	b.replace(1, SmallSiteConfig(5))
 	require.Equal(t, 3, b.Operator.Calls()-before, "each controller was asked once")
 	config, err := b.Operator.Read(b.ctx)
 	require.NoError(t, err)
-	require.Equal(t, SmallConfig(5), config)
-	other := SmallConfig(6)
+	require.Equal(t, SmallSiteConfig(5), config)
+	other := SmallSiteConfig(6)
 	other.Limits.IdleTimeoutMs++
 	status, err := b.Operator.Replace(b.ctx, 1, other)
 	require.NoError(t, err)
@@ -358,10 +358,10 @@
 	statuses := make([]int, 2)
 	var both sync.WaitGroup
 	for i := range statuses {
-		config := SmallConfig(2)
+		config := SmallSiteConfig(2)
 		config.Limits.IdleTimeoutMs += int64(i)
 		both.Go(func() {
-			statuses[i], _ = operator.New(b.Controls).Replace(b.ctx, 1, config)
+			statuses[i], _ = operator.New(b.ControlAddresses).Replace(b.ctx, 1, config)
 		})
 	}
 	both.Wait()
@@ -372,12 +372,12 @@
 	if statuses[1] == http.StatusOK {
 		winner = 1
 	}
-	require.Equal(t, SmallConfig(2).Limits.IdleTimeoutMs+int64(winner), config.Limits.IdleTimeoutMs)
+	require.Equal(t, SmallSiteConfig(2).Limits.IdleTimeoutMs+int64(winner), config.Limits.IdleTimeoutMs)
 }
 
 func TestSIGTERMOfARouterLosesNothing(t *testing.T) {
 	b := newBed(t, Options{Routers: 4})
-	kinds := SmallKinds()
+	kinds := SmallSiteKinds()
 	b.load(kinds)
 	b.awaitSent(60)
 	require.NoError(t, b.Routers[0].Terminate(graceTimeout))
@@ -390,10 +390,10 @@
 
 func TestWorkersInTroubleBreakNoRule(t *testing.T) {
 	b := newBed(t, Options{})
-	b.load(SmallKinds())
+	b.load(SmallSiteKinds())
 	b.awaitSent(20)
-	faults := []llmworker.Fault{llmworker.FaultReset, llmworker.FaultSurplus, llmworker.FaultGarble, llmworker.FaultFailure,
-		llmworker.FaultBreakEvent, llmworker.FaultFull, llmworker.FaultSilent}
+	faults := []llmworker.Fault{llmworker.FaultReset, llmworker.FaultDuplicateAnswer, llmworker.FaultMalformed, llmworker.FaultServerError,
+		llmworker.FaultTruncate, llmworker.FaultReject, llmworker.FaultSilent}
 	for _, fault := range faults {
 		for _, worker := range []*llmworker.Worker{b.workers.Plain[0], b.workers.Plain[1], b.workers.Decode[0], b.workers.Decode[1],
 			b.workers.Prefill[0]} {
@@ -409,9 +409,9 @@
 
 func TestWhatWasAcknowledgedOutlivesAllControllers(t *testing.T) {
 	b := newBed(t, Options{})
-	b.load(SmallKinds())
+	b.load(SmallSiteKinds())
 	b.awaitSent(20)
-	b.replace(1, SmallConfig(9))
+	b.replace(1, SmallSiteConfig(9))
 	for _, controller := range b.Controllers {
 		controller.Kill()
 	}
@@ -421,8 +421,8 @@
 	}
 	config, err := b.Operator.Read(b.ctx)
 	require.NoError(t, err)
-	require.Equal(t, SmallConfig(9), config)
-	b.replace(9, SmallConfig(10))
+	require.Equal(t, SmallSiteConfig(9), config)
+	b.replace(9, SmallSiteConfig(10))
 	b.awaitSent(20)
 	b.unload()
 	b.allServed()
@@ -431,14 +431,14 @@
 
 func TestARouterServesOnWithoutItsAgent(t *testing.T) {
 	b := newBed(t, Options{})
-	b.load(SmallKinds())
+	b.load(SmallSiteKinds())
 	b.awaitSent(20)
 	b.Agents[0].Kill()
 	b.awaitSent(60)
 	require.NoError(t, b.Agents[0].Start())
-	added := *kindNamed(KindCard)
+	added := *kindNamed(KindPlainSafe)
 	added.Route.Name, added.Route.PathPrefix = "r-added", "/added/"
-	next := SmallConfig(2)
+	next := SmallSiteConfig(2)
 	next.Routes = append(next.Routes, added.Route)
 	b.replace(1, next)
 	acknowledged := time.Now()
--- a/internal/standin/fleet/site.go
+++ b/internal/standin/fleet/site.go
@@ -18,26 +18,26 @@
 
 // The names of the small site's kinds of requests.
 const (
-	KindDraft   = "draft"   // a long prompt, read by a prefill worker, and a stream that can't be resumed
-	KindVerdict = "verdict" // a short prompt, and a stream that can be resumed
-	KindNotice  = "notice"  // plain, must not run twice
-	KindCard    = "card"    // plain, may be repeated
+	KindStream          = "draft"   // a long prompt, read by a prefill worker, and a stream that can't be resumed
+	KindResumableStream = "verdict" // a short prompt, and a stream that can be resumed
+	KindPlainUnsafe     = "notice"  // plain, must not run twice
+	KindPlainSafe       = "card"    // plain, may be repeated
 )
 
 // Host is the host of the small site's routes.
 const Host = "press.example"
 
-// SmallEngine is the engine of the small site's model workers: a hundredth of a real one's size, at its pace.
-var SmallEngine = engine.Config{
+// SmallSiteEngine is the engine of the small site's model workers: a hundredth of a real one's size, at its pace.
+var SmallSiteEngine = engine.Config{
 	Slots: 16, Queue: 48, Step: 3 * time.Millisecond, StepPerSlot: 50 * time.Microsecond, TokensPerMs: 100, Stride: 4,
 	KvTokens: 60_000, LinkMbps: 1e6, TransferSetup: time.Millisecond, HandleLifetime: 5 * time.Second, StageSwitch: time.Second, Fencing: true,
 }
 
-// SmallConfig is the first configuration of the small site.
-func SmallConfig(version int64) operator.Config {
-	engineOf := operator.Engine{Slots: SmallEngine.Slots, KvTokens: SmallEngine.KvTokens, KvTokenBytes: 35_136,
-		LinkMbps: SmallEngine.LinkMbps,
-		Stride:   SmallEngine.Stride, HandleTTLS: SmallEngine.HandleLifetime.Seconds(), SwitchS: SmallEngine.StageSwitch.Seconds(),
+// SmallSiteConfig is the first configuration of the small site.
+func SmallSiteConfig(version int64) operator.Config {
+	engineOf := operator.Engine{Slots: SmallSiteEngine.Slots, KvTokens: SmallSiteEngine.KvTokens, KvTokenBytes: 35_136,
+		LinkMbps: SmallSiteEngine.LinkMbps,
+		Stride:   SmallSiteEngine.Stride, HandleTTLS: SmallSiteEngine.HandleLifetime.Seconds(), SwitchS: SmallSiteEngine.StageSwitch.Seconds(),
 		Models: []operator.ModelName{{Name: "m"}}}
 	plain := func(name string) operator.Service {
 		return operator.Service{Name: name, HealthCheck: "/healthz", MaxConnections: 350, Protocol: "h1"}
@@ -47,14 +47,14 @@
 			{Name: ServiceModel, HealthCheck: "/healthz", MaxConnections: 350, Protocol: "h1", Engine: &engineOf},
 			plain(ServicePlain), plain(ServiceOther),
 		}}
-	for _, kind := range SmallKinds() {
+	for _, kind := range SmallSiteKinds() {
 		config.Routes = append(config.Routes, kind.Route)
 	}
 	return config
 }
 
-// SmallKinds are the small site's kinds of requests, with their routes.
-func SmallKinds() []*client.Kind {
+// SmallSiteKinds are the small site's kinds of requests, with their routes.
+func SmallSiteKinds() []*client.Kind {
 	streaming := func(name string, aim, timeout, priority int64, resumable bool) operator.Route {
 		return operator.Route{Name: "r-" + name, Hostname: Host, PathPrefix: "/" + name + "/", RouteType: "streaming",
 			TimeoutMs:       timeout,
@@ -65,27 +65,27 @@
 			TargetLatencyMs: 300, Priority: 2, Service: ServicePlain, MaxAttempts: 2}
 	}
 	return []*client.Kind{
-		{Name: KindDraft, Route: streaming(KindDraft, 500, 8000, 1, false), PerSecond: 5, Deadline: 8 * time.Second,
+		{Name: KindStream, Route: streaming(KindStream, 500, 8000, 1, false), PerSecond: 5, Deadline: 8 * time.Second,
 			Retries: 1, Body: 4000,
-			Output: 36, Shared: 512, Subject: 1600, Subjects: 10, Own: 4000},
-		{Name: KindVerdict, Route: streaming(KindVerdict, 300, 5000, 0, true), PerSecond: 10, Deadline: 5 * time.Second,
+			Output: 36, SharedTokens: 512, SubjectTokens: 1600, Subjects: 10, OwnTokens: 4000},
+		{Name: KindResumableStream, Route: streaming(KindResumableStream, 300, 5000, 0, true), PerSecond: 10, Deadline: 5 * time.Second,
 			Retries: 1, Body: 1000,
-			Output: 6, Shared: 256, Subject: 240, Subjects: 20, Own: 300},
-		{Name: KindNotice, Route: plain(KindNotice, "unsafe"), PerSecond: 8, Deadline: 3 * time.Second, Retries: 1, Body: 600},
-		{Name: KindCard, Route: plain(KindCard, "safe"), PerSecond: 8, Deadline: 3 * time.Second, Retries: 1, Body: 100},
+			Output: 6, SharedTokens: 256, SubjectTokens: 240, Subjects: 20, OwnTokens: 300},
+		{Name: KindPlainUnsafe, Route: plain(KindPlainUnsafe, "unsafe"), PerSecond: 8, Deadline: 3 * time.Second, Retries: 1, Body: 600},
+		{Name: KindPlainSafe, Route: plain(KindPlainSafe, "safe"), PerSecond: 8, Deadline: 3 * time.Second, Retries: 1, Body: 100},
 	}
 }
 
-// SmallWorkers are the workers that AddSmallWorkers started.
-type SmallWorkers struct {
+// SmallSiteWorkers are the workers that AddSmallSiteWorkers started.
+type SmallSiteWorkers struct {
 	Prefill, Decode, Plain, Other []*llmworker.Worker
 }
 
-// AddSmallWorkers starts two workers for each stage of the model and two for each plain service.
-func (f *Fleet) AddSmallWorkers() (SmallWorkers, error) {
+// AddSmallSiteWorkers starts two workers for each stage of the model and two for each plain service.
+func (f *Fleet) AddSmallSiteWorkers() (SmallSiteWorkers, error) {
 	const each = 2
-	var out SmallWorkers
-	model, err := f.AddModelWorkers(ServiceModel, each, each, SmallEngine)
+	var out SmallSiteWorkers
+	model, err := f.AddModelWorkers(ServiceModel, each, each, SmallSiteEngine)
 	if err != nil {
 		return out, err
 	}
--- a/internal/standin/llmworker/faults.go
+++ b/internal/standin/llmworker/faults.go
@@ -11,19 +11,19 @@
 
 // The faults.
 const (
-	FaultNone       Fault = iota
-	FaultBreakEvent       // runs, and closes the connection within the second event, or within the body
-	FaultGarble           // runs, and sends bytes that form no answer
-	FaultSurplus          // answers, and answers once more when the next request comes on that connection
-	FaultSilent           // runs, and never answers
-	FaultReset            // runs, and resets the connection before its answer
-	FaultFailure          // runs, and answers 500
-	FaultFull             // doesn't run it: 503 with Not-Executed
+	FaultNone            Fault = iota
+	FaultTruncate              // runs, and closes the connection within the second event, or within the body
+	FaultMalformed             // runs, and sends bytes that form no answer
+	FaultDuplicateAnswer       // answers, and answers once more when the next request comes on that connection
+	FaultSilent                // runs, and never answers
+	FaultReset                 // runs, and resets the connection before its answer
+	FaultServerError           // runs, and answers 500
+	FaultReject                // doesn't run it: 503 with Not-Executed
 )
 
 // breaksOff reports whether a request gets no whole answer by the fault.
 func (f Fault) breaksOff() bool {
-	return f == FaultBreakEvent || f == FaultGarble || f == FaultSilent || f == FaultReset
+	return f == FaultTruncate || f == FaultMalformed || f == FaultSilent || f == FaultReset
 }
 
 // faultPlan holds the faults to come.
@@ -61,7 +61,7 @@
 // misbehave plays the faults that come once a request runs and before its answer. It reports whether it did.
 func (w *Worker) misbehave(rw http.ResponseWriter, r *http.Request, fault Fault) bool {
 	switch fault {
-	case FaultGarble:
+	case FaultMalformed:
 		w.raw(rw, "\x00\x01 no answer at all\r\n\r\n")
 	case FaultReset:
 		w.raw(rw, "")
@@ -71,7 +71,7 @@
 		case <-w.crashed:
 		}
 		panic(http.ErrAbortHandler)
-	case FaultFailure:
+	case FaultServerError:
 		rw.Header().Set("Content-Type", "text/plain")
 		rw.WriteHeader(http.StatusInternalServerError)
 	default:
--- a/internal/standin/llmworker/model.go
+++ b/internal/standin/llmworker/model.go
@@ -160,9 +160,9 @@
 func (s *stream) tokens(event engine.Event) {
 	piece := judge.Piece{Stamp: s.stamp, From: event.From, To: event.To, Total: s.in.output}
 	s.worker.config.Judge.MadePiece(piece)
-	text := EventText(piece)
+	text := FormatEvent(piece)
 	s.events++
-	if s.in.fault == FaultBreakEvent && s.events == 2 {
+	if s.in.fault == FaultTruncate && s.events == 2 {
 		s.write(text[:len(text)/2])
 		panic(http.ErrAbortHandler)
 	}
@@ -196,12 +196,12 @@
 	s.rw.WriteHeader(http.StatusGatewayTimeout)
 }
 
-// EventText is a piece as an event of a stream. The id is that of its last token.
-func EventText(piece judge.Piece) string {
+// FormatEvent is a piece as an event of a stream. The id is that of its last token.
+func FormatEvent(piece judge.Piece) string {
 	return fmt.Sprintf("id: %d\ndata: %s %d-%d/%d\n\n", piece.To, piece.Stamp, piece.From, piece.To, piece.Total)
 }
 
-// ParseEvent reads what EventText wrote, without its end.
+// ParseEvent reads what FormatEvent wrote, without its end.
 func ParseEvent(text string) (judge.Piece, bool) {
 	var piece judge.Piece
 	var id int
@@ -220,7 +220,7 @@
 	if _, err := fmt.Sscanf(span, "%d-%d/%d", &piece.From, &piece.To, &piece.Total); err != nil {
 		return piece, false
 	}
-	return piece, id == piece.To && "data: "+stamp+" "+span == lines[1] && EventText(piece) == strings.Join(lines, "\n")+"\n\n"
+	return piece, id == piece.To && "data: "+stamp+" "+span == lines[1] && FormatEvent(piece) == strings.Join(lines, "\n")+"\n\n"
 }
 
 func (w *Worker) serveReport(rw http.ResponseWriter, r *http.Request) {
--- a/internal/standin/llmworker/plain.go
+++ b/internal/standin/llmworker/plain.go
@@ -102,12 +102,12 @@
 	header.Set("Response-Signature", stamp)
 	header.Set("Content-Type", "application/octet-stream")
 	w.config.Judge.MadeAnswer(judge.WorkerAnswer{ID: in.id, Stamp: stamp, Status: http.StatusOK, Digest: judge.Digest(body)})
-	if in.fault == FaultSurplus {
+	if in.fault == FaultDuplicateAnswer {
 		w.answerTwice(rw, header, body)
 		return
 	}
 	header.Set("Content-Length", strconv.Itoa(len(body)))
-	if in.fault == FaultBreakEvent {
+	if in.fault == FaultTruncate {
 		_, _ = rw.Write(body[:len(body)/2])
 		_ = http.NewResponseController(rw).Flush()
 		panic(http.ErrAbortHandler)
--- a/internal/standin/llmworker/request.go
+++ b/internal/standin/llmworker/request.go
@@ -92,7 +92,7 @@
 		w.config.Judge.AnswerAborted(in.id)
 	}
 	switch {
-	case in.fault == FaultFull:
+	case in.fault == FaultReject:
 		w.arrived(in, false)
 		w.notExecuted(rw, http.StatusServiceUnavailable)
 	case w.driver == nil:
--- a/internal/standin/llmworker/worker.go
+++ b/internal/standin/llmworker/worker.go
@@ -125,8 +125,8 @@
 	return w.driver.stats()
 }
 
-// LapseHandles lets all handles lapse at once.
-func (w *Worker) LapseHandles() {
+// ExpireHandles lets all handles lapse at once.
+func (w *Worker) ExpireHandles() {
 	if w.driver != nil {
 		w.driver.do(func(e *engine.Engine, now time.Duration) { e.ExpireHandles(now) })
 	}
@@ -151,8 +151,8 @@
 // Drain makes it unhealthy and its answers close their connections; it serves on.
 func (w *Worker) Drain() { w.draining.Store(true) }
 
-// SetUnwell makes its health checks fail, or succeed again.
-func (w *Worker) SetUnwell(unwell bool) { w.unwell.Store(unwell) }
+// SetUnhealthy makes its health checks fail, or succeed again.
+func (w *Worker) SetUnhealthy(unwell bool) { w.unwell.Store(unwell) }
 
 // Restart starts a new incarnation at the same address, once this one has ended.
 func (w *Worker) Restart() (*Worker, error) {
--- a/internal/standin/llmworker/worker_test.go
+++ b/internal/standin/llmworker/worker_test.go
@@ -198,7 +198,7 @@
 		require.Equal(t, "1", response.Header.Get("Not-Executed"))
 		require.Equal(t, w.ID(), response.Header.Get("Instance-Id"))
 	}
-	w.FailNext(FaultFull)
+	w.FailNext(FaultReject)
 	response, err := b.send(w, "b")
 	b.body(response, err)
 	require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
@@ -218,7 +218,7 @@
 }
 
 func TestFaultsBreakAnswers(t *testing.T) {
-	for fault, broken := range map[Fault]string{FaultReset: "reset", FaultGarble: "malformed"} {
+	for fault, broken := range map[Fault]string{FaultReset: "reset", FaultMalformed: "malformed"} {
 		b := newBed(t)
 		w := b.start(Config{Name: "w"})
 		w.FailNext(fault)
@@ -229,7 +229,7 @@
 	for _, model := range []*engine.Config{nil, withStage(engine.StageDecode)} {
 		b := newBed(t)
 		w := b.start(Config{Name: "w", Engine: model})
-		w.FailNext(FaultBreakEvent)
+		w.FailNext(FaultTruncate)
 		response, err := b.send(w, "a", "Token-Count", "10,20")
 		require.NoError(t, err)
 		_, err = io.ReadAll(response.Body)
@@ -240,7 +240,7 @@
 func TestASurplusAnswerComesInThePlaceOfTheNext(t *testing.T) {
 	b := newBed(t)
 	w := b.start(Config{Name: "w"})
-	w.FailNext(FaultSurplus)
+	w.FailNext(FaultDuplicateAnswer)
 	conn, err := net.Dial("tcp", w.Address())
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
