--- a/internal/standin/fleet/build.go
+++ b/internal/standin/fleet/build.go
@@ -6,13 +6,13 @@
 	"path/filepath"
 )
 
-// Build builds the fleet's programs into a directory, for tests.
+// Build builds the fleet's programs into a directory.
 func Build(directory string) error {
 	build := exec.Command("go", "build", "-o", directory+string(filepath.Separator), "weldscale/cmd/weldrouter",
 		"weldscale/cmd/weldagent",
 		"weldscale/cmd/weldcontroller")
 	if out, err := build.CombinedOutput(); err != nil {
-		return fmt.Errorf("build: %w\n%s", err, out)
+		return fmt.Errorf("building the fleet's programs: %w\n%s", err, out)
 	}
 	return nil
 }
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -1,6 +1,6 @@
 // Package fleet starts a whole fleet on one machine for tests and the demo: controllers, agents and routers as processes of
-// the built programs, each machine of theirs at a loopback IP of its own so that ports are alike on all, between the
-// stand-ins of the platform, workers and operator.
+// the built programs, and test doubles of the platform, the workers and the operator. Each simulated machine has a loopback IP
+// of its own, so that all machines use the same ports.
 package fleet
 
 import (
@@ -21,9 +21,9 @@
 	"weldscale/internal/standin/platform"
 )
 
-// The ports of every machine.
+// The ports, which are the same on every machine.
 const (
-	portReserved  = 7718 // held while a fleet owns its subnet
+	portReserved  = 7718 // open while a fleet uses its subnet
 	portPlatform  = 8169
 	portInternal  = 7720
 	portLast      = 7735
@@ -32,7 +32,7 @@
 	portReadiness = 8167
 )
 
-// Options describes a fleet. Zero values mean what the comments say.
+// Options describes a fleet. The comments give the defaults that replace zero values.
 type Options struct {
 	Programs    string   // directory of the built programs
 	Zones       []string // a, b
@@ -76,7 +76,7 @@
 	}
 }
 
-// Start starts a fleet without workers and configuration. Close ends it.
+// Start starts a fleet without workers and without a configuration. Close stops it.
 func Start(options Options) (*Fleet, error) {
 	options.setDefaults()
 	f := &Fleet{options: options, Judge: judge.New(options.Bounds)}
@@ -103,7 +103,7 @@
 	if err := f.startProcesses(); err != nil {
 		return err
 	}
-	f.Operator = operator.New(f.controls)
+	f.Operator = operator.New(f.controlAddresses)
 	var routers []platform.Router
 	for i, router := range f.Routers {
 		routers = append(routers, platform.Router{Zone: f.zone(i), Frontend: address(router.IP, portFrontend),
@@ -134,11 +134,11 @@
 			}
 		}
 	}
-	return f.each(func(process *Process) error { return process.Start() })
+	return f.forEachProcess(func(process *Process) error { return process.Start() })
 }
 
-// each calls do for every process of the fleet.
-func (f *Fleet) each(do func(*Process) error) error {
+// forEachProcess calls do for every process of the fleet.
+func (f *Fleet) forEachProcess(do func(*Process) error) error {
 	var failures []error
 	for _, processes := range [][]*Process{f.Controllers, f.Agents, f.Routers} {
 		for _, process := range processes {
@@ -148,7 +148,7 @@
 	return errors.Join(failures...)
 }
 
-// The last bytes of the machines' IPs.
+// The last byte of the IP of the first machine of each class, and the range of the third byte of a fleet's subnet.
 const (
 	firstController = 10
 	firstRouter     = 30
@@ -156,17 +156,17 @@
 	lastSubnet      = 250
 )
 
-// reserveSubnet finds a subnet of 127.0.0.0/16 that no other fleet on this machine holds.
+// reserveSubnet finds a subnet of 127.0.0.0/16 that no other fleet on this machine uses. The returned listener reserves it.
 func reserveSubnet() (net.Listener, string, error) {
 	const count = lastSubnet - firstSubnet
 	var err error
 	for i := range count {
 		subnet := fmt.Sprintf("127.0.%d", firstSubnet+(os.Getpid()+i)%count)
-		listener, failure := net.Listen("tcp", fmt.Sprintf("%s.1:%d", subnet, portReserved))
-		if failure == nil {
+		listener, listenErr := net.Listen("tcp", fmt.Sprintf("%s.1:%d", subnet, portReserved))
+		if listenErr == nil {
 			return listener, subnet, nil
 		}
-		err = failure
+		err = listenErr
 	}
 	return nil, "", err
 }
@@ -175,7 +175,7 @@
 
 func address(ip string, port int) string { return fmt.Sprintf("%s:%d", ip, port) }
 
-func (f *Fleet) controls() []string {
+func (f *Fleet) controlAddresses() []string {
 	var out []string
 	for _, controller := range f.Controllers {
 		out = append(out, address(controller.IP, portControl))
@@ -186,10 +186,10 @@
 // Subnet returns the first three bytes of the IPs of the fleet's machines, as in "127.0.16".
 func (f *Fleet) Subnet() string { return f.subnet }
 
-// ControlAddresses returns the addresses of the controllers for an operator.
-func (f *Fleet) ControlAddresses() []string { return f.controls() }
+// ControlAddresses returns the addresses of the controllers for operators.
+func (f *Fleet) ControlAddresses() []string { return f.controlAddresses() }
 
-// InternalAddresses returns the addresses at which the controllers talk to the fleet.
+// InternalAddresses returns the addresses of the controllers for the rest of the fleet.
 func (f *Fleet) InternalAddresses() []string {
 	var out []string
 	for _, controller := range f.Controllers {
@@ -207,7 +207,7 @@
 	return out
 }
 
-// AddWorker starts a worker and lists it. Its zone is the i-th, round and round.
+// AddWorker starts a worker and lists it at the platform. Its zone is the i-th, counted cyclically.
 func (f *Fleet) AddWorker(config llmworker.Config, i int) (*llmworker.Worker, error) {
 	config.Judge, config.Neighbours, config.Zone = f.Judge, &f.neighbours, f.zone(i)
 	config.Address = cmp.Or(config.Address, f.subnet+".200:0")
@@ -222,7 +222,7 @@
 	return worker, nil
 }
 
-// AddModelWorkers starts workers of a model, some that read prompts and some that make tokens.
+// AddModelWorkers starts the given numbers of prefill and decode workers of a model.
 func (f *Fleet) AddModelWorkers(service string, prefill, decode int, config engine.Config) ([]*llmworker.Worker, error) {
 	var out []*llmworker.Worker
 	for i := range prefill + decode {
@@ -230,10 +230,10 @@
 		if i < prefill {
 			config.Stage = engine.StagePrefill
 		}
-		own := config
+		engineConfig := config
 		worker, err := f.AddWorker(llmworker.Config{Name: fmt.Sprintf("%s-%s-%d", service, config.Stage, i),
 			Service: service, TellsLoad: true,
-			Engine: &own}, i)
+			Engine: &engineConfig}, i)
 		if err != nil {
 			return nil, err
 		}
@@ -242,33 +242,33 @@
 	return out, nil
 }
 
-// DrainWorker lets a worker leave: the platform lists it as draining, and it serves on.
+// DrainWorker drains a worker: the platform lists it as draining, and it continues to serve.
 func (f *Fleet) DrainWorker(worker *llmworker.Worker) {
 	worker.Drain()
 	f.Platform.Drain(worker.ID())
 }
 
-// AwaitReady waits until that many routers are in.
+// AwaitReady waits until that many routers are in rotation.
 func (f *Fleet) AwaitReady(ctx context.Context, routers int) error {
 	for {
-		ready, news := f.Entry.Ready()
+		ready, changed := f.Entry.Ready()
 		if ready >= routers {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("%d of %d routers are ready: %w", ready, routers, ctx.Err())
-		case <-news:
+		case <-changed:
 		}
 	}
 }
 
-// Close ends everything.
+// Close kills all processes, stops the workers and the platform, and removes the temporary files.
 func (f *Fleet) Close() {
 	if f.Entry != nil {
 		f.Entry.Close()
 	}
-	_ = f.each(func(process *Process) error { process.Kill(); return nil })
+	_ = f.forEachProcess(func(process *Process) error { process.Kill(); return nil })
 	f.mu.Lock()
 	workers := f.workers
 	f.mu.Unlock()
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -16,7 +16,7 @@
 	"weldscale/internal/standin/operator"
 )
 
-// programs is where TestMain builds the fleet's programs.
+// programs is the directory of the fleet's programs, which TestMain builds.
 var programs string
 
 func TestMain(m *testing.M) { os.Exit(buildAndRun(m)) }
@@ -36,157 +36,158 @@
 	return m.Run()
 }
 
-// bed is a fleet that serves the small site, with clients.
-type bed struct {
+// testFleet is a fleet that serves the small site, with clients.
+type testFleet struct {
 	*Fleet
-	t       *testing.T
-	ctx     context.Context
-	workers SmallSiteWorkers
-	books   *client.Tallies
-	stop    context.CancelFunc
-	crowds  sync.WaitGroup
+	t          *testing.T
+	ctx        context.Context
+	workers    SmallSiteWorkers
+	tallies    *client.Tallies
+	cancelLoad context.CancelFunc
+	loadGroups sync.WaitGroup
 }
 
 const (
 	testTimeout  = 30 * time.Second
 	graceTimeout = 8 * time.Second
-	// inForceWithin is the bound from an acknowledgement until every router acts on it.
-	inForceWithin = 2 * time.Second
+	// propagationTimeout limits the time from the acknowledgement of a change until every router applies it.
+	propagationTimeout = 2 * time.Second
 )
 
-// newBed starts a fleet with workers and its first configuration, and waits until all routers take clients. The tests run
-// one after the other: a dozen processes on the real clock are enough for a machine that builds other things meanwhile.
-func newBed(t *testing.T, options Options) *bed {
+// startTestFleet starts a fleet with workers and its first configuration, and waits until all routers serve clients. The tests
+// don't run in parallel: a dozen processes on the real clock are enough load for a machine that also builds other packages.
+func startTestFleet(t *testing.T, options Options) *testFleet {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	t.Cleanup(cancel)
 	options.Programs = programs
-	f, err := Start(options)
+	started, err := Start(options)
 	require.NoError(t, err)
-	b := &bed{Fleet: f, t: t, ctx: ctx, books: client.NewTallies()}
-	t.Cleanup(b.end)
-	b.workers, err = f.AddSmallSiteWorkers()
+	f := &testFleet{Fleet: started, t: t, ctx: ctx, tallies: client.NewTallies()}
+	t.Cleanup(f.shutDown)
+	f.workers, err = started.AddSmallSiteWorkers()
 	require.NoError(t, err)
-	b.replace(0, SmallSiteConfig(1))
-	require.NoError(t, f.AwaitReady(ctx, len(f.Routers)))
-	b.awaitServed(SmallSiteKinds()...)
-	return b
+	f.replaceConfig(0, SmallSiteConfig(1))
+	require.NoError(t, started.AwaitReady(ctx, len(started.Routers)))
+	f.awaitServed(SmallSiteKinds()...)
+	return f
 }
 
-// end stops the fleet and shows the programs' logs where the test failed.
-func (b *bed) end() {
-	if b.stop != nil {
-		b.stop()
-		b.crowds.Wait()
+// shutDown stops the fleet and prints the programs' logs if the test failed.
+func (f *testFleet) shutDown() {
+	if f.cancelLoad != nil {
+		f.cancelLoad()
+		f.loadGroups.Wait()
 	}
-	b.Close()
-	if b.t.Failed() {
-		_ = b.each(func(process *Process) error { b.t.Logf("%s:\n%s", process.Name, process.Log()); return nil })
+	f.Close()
+	if f.t.Failed() {
+		_ = f.forEachProcess(func(process *Process) error { f.t.Logf("%s:\n%s", process.Name, process.Log()); return nil })
 	}
 }
 
-// replace sends a configuration, which must be taken.
-func (b *bed) replace(base int64, config operator.Config) {
-	b.t.Helper()
-	status, err := b.Operator.Replace(b.ctx, base, config)
-	require.NoError(b.t, err)
-	require.Equal(b.t, http.StatusOK, status)
+// replaceConfig sends a configuration, which must be accepted.
+func (f *testFleet) replaceConfig(base int64, config operator.Config) {
+	f.t.Helper()
+	status, err := f.Operator.Replace(f.ctx, base, config)
+	require.NoError(f.t, err)
+	require.Equal(f.t, http.StatusOK, status)
 }
 
-// crowd is a crowd of the bed that connects as pick says.
-func (b *bed) crowd(name, zone string, pick client.RouterSelector, kinds []*client.Kind) *client.Group {
-	return &client.Group{Name: name, Zone: zone, Seed: 1, SelectRouter: pick, Judge: b.Judge, Kinds: kinds, OnResult: b.books.Add}
+// newGroup returns a client group whose results are counted. selectRouter chooses the routers for its connections.
+func (f *testFleet) newGroup(name, zone string, selectRouter client.RouterSelector, kinds []*client.Kind) *client.Group {
+	return &client.Group{Name: name, Zone: zone, Seed: 1, SelectRouter: selectRouter, Judge: f.Judge, Kinds: kinds,
+		OnResult: f.tallies.Add}
 }
 
-// load starts a crowd in each zone.
-func (b *bed) load(kinds []*client.Kind) {
-	ctx, stop := context.WithCancel(b.ctx)
-	b.stop = stop
-	for _, zone := range b.options.Zones {
-		crowd := b.crowd("in-"+zone, zone, b.Entry.Pick, kinds)
-		b.crowds.Go(func() { crowd.Run(ctx) })
+// startLoad starts a client group in each zone.
+func (f *testFleet) startLoad(kinds []*client.Kind) {
+	ctx, cancel := context.WithCancel(f.ctx)
+	f.cancelLoad = cancel
+	for _, zone := range f.options.Zones {
+		group := f.newGroup("in-"+zone, zone, f.Entry.Pick, kinds)
+		f.loadGroups.Go(func() { group.Run(ctx) })
 	}
 }
 
-// unload stops the crowds and waits for their last answers.
-func (b *bed) unload() {
-	b.stop()
-	b.crowds.Wait()
-	b.stop = nil
+// stopLoad stops the client groups and waits for their last answers.
+func (f *testFleet) stopLoad() {
+	f.cancelLoad()
+	f.loadGroups.Wait()
+	f.cancelLoad = nil
 }
 
-// awaitSent waits until that many more requests have ended.
-func (b *bed) awaitSent(more int) {
-	b.t.Helper()
-	for until := b.books.Total().Sent + more; ; {
-		news := b.books.Changed()
-		if b.books.Total().Sent >= until {
+// awaitResults waits until that many more requests have ended.
+func (f *testFleet) awaitResults(more int) {
+	f.t.Helper()
+	for target := f.tallies.Total().Sent + more; ; {
+		changed := f.tallies.Changed()
+		if f.tallies.Total().Sent >= target {
 			return
 		}
 		select {
-		case <-news:
-		case <-b.ctx.Done():
-			require.NoError(b.t, b.ctx.Err(), "books: %v", b.books.Total())
+		case <-changed:
+		case <-f.ctx.Done():
+			require.NoError(f.t, f.ctx.Err(), "results: %v", f.tallies.Total())
 		}
 	}
 }
 
-// awaitServed waits until every router serves these kinds of requests, by trying: nothing else tells a client.
-func (b *bed) awaitServed(kinds ...*client.Kind) {
-	b.t.Helper()
-	for _, frontend := range b.FrontendAddresses() {
+// awaitServed sends requests of these kinds to every router until each is served. Clients have no other way to learn this.
+func (f *testFleet) awaitServed(kinds ...*client.Kind) {
+	f.t.Helper()
+	for _, frontend := range f.FrontendAddresses() {
 		for _, kind := range kinds {
 			var last client.Result
-			b.await(fmt.Sprintf("%s serves %s", frontend, kind.Name), func() bool {
-				last = b.sendTo(frontend, kind)
+			f.await(fmt.Sprintf("%s serves %s", frontend, kind.Name), func() bool {
+				last = f.sendTo(frontend, kind)
 				return last.Outcome <= client.Late
 			}, &last)
 		}
 	}
 }
 
-var probes counter
+var probeCount counter
 
-// sendTo sends one request to one router, outside the books.
-func (b *bed) sendTo(frontend string, kind *client.Kind) client.Result {
-	crowd := b.crowd("probe", "", func(string, uint64, int) string { return frontend }, nil)
-	crowd.OnResult = nil
-	defer crowd.Close()
+// sendTo sends one request to one router, without counting its result.
+func (f *testFleet) sendTo(frontend string, kind *client.Kind) client.Result {
+	group := f.newGroup("probe", "", func(string, uint64, int) string { return frontend }, nil)
+	group.OnResult = nil
+	defer group.Close()
 	once := *kind
 	once.Retries = 0
-	return crowd.Send(&once, fmt.Sprintf("probe-%d", probes.next()), 1)
+	return group.Send(&once, fmt.Sprintf("probe-%d", probeCount.next()), 1)
 }
 
-// await tries something that has no channel until it is so. A failure shows the hints.
-func (b *bed) await(what string, so func() bool, hints ...any) {
-	b.t.Helper()
+// await polls condition until it holds. It is for conditions that no channel signals. A failure message shows the details.
+func (f *testFleet) await(description string, condition func() bool, details ...any) {
+	f.t.Helper()
 	every := time.NewTicker(20 * time.Millisecond)
 	defer every.Stop()
-	for !so() {
+	for !condition() {
 		select {
 		case <-every.C:
-		case <-b.ctx.Done():
-			require.Fail(b.t, "never: "+what, "%+v", hints)
+		case <-f.ctx.Done():
+			require.Fail(f.t, "timed out waiting until "+description, "%+v", details)
 		}
 	}
 }
 
-// allServed checks that every request was served.
-func (b *bed) allServed() {
-	b.t.Helper()
-	total := b.books.Total()
+// requireAllServed checks that every request was served.
+func (f *testFleet) requireAllServed() {
+	f.t.Helper()
+	total := f.tallies.Total()
 	if total.Served+total.Late < total.Sent {
-		require.Fail(b.t, "not all are served", "%v\n%s", total, b.books)
+		require.Fail(f.t, "not all requests were served", "%v\n%s", total, f.tallies)
 	}
 }
 
-// noBreach checks that no rule was broken.
-func (b *bed) noBreach() {
-	b.t.Helper()
-	require.Empty(b.t, b.Judge.Report())
+// requireNoViolation checks that no rule was broken.
+func (f *testFleet) requireNoViolation() {
+	f.t.Helper()
+	require.Empty(f.t, f.Judge.Report())
 }
 
-// counter numbers things.
+// counter returns consecutive numbers.
 type counter struct {
 	mu sync.Mutex
 	n  int
@@ -205,29 +206,30 @@
 			return kind
 		}
 	}
-	panic("no kind " + name)
+	panic("no request kind " + name)
 }
 
-func TestACalmFleetServesEverything(t *testing.T) {
-	b := newBed(t, Options{})
-	b.load(SmallSiteKinds())
-	b.awaitSent(200)
-	b.unload()
-	b.allServed()
-	require.Positive(t, b.workers.Decode[0].Stats().Fetched+b.workers.Decode[1].Stats().Fetched, "prompts are handed over")
-	b.noBreach()
+func TestFleetWithoutFaultsServesAllRequests(t *testing.T) {
+	f := startTestFleet(t, Options{})
+	f.startLoad(SmallSiteKinds())
+	f.awaitResults(200)
+	f.stopLoad()
+	f.requireAllServed()
+	require.Positive(t, f.workers.Decode[0].Stats().Fetched+f.workers.Decode[1].Stats().Fetched,
+		"KV memory is transferred from prefill workers")
+	f.requireNoViolation()
 }
 
-func TestAConfigurationIsInForceEverywhereInTime(t *testing.T) {
-	b := newBed(t, Options{Routers: 3})
+func TestConfigurationReachesAllRoutersInTime(t *testing.T) {
+	f := startTestFleet(t, Options{Routers: 3})
 	kinds := SmallSiteKinds()
 	for _, kind := range kinds {
 		if kind.Name == KindPlainSafe || kind.Name == KindPlainUnsafe {
 			kind.Services = []string{ServicePlain, ServiceOther}
 		}
 	}
-	b.load(kinds)
-	b.awaitSent(60)
+	f.startLoad(kinds)
+	f.awaitResults(60)
 
 	next := SmallSiteConfig(7)
 	for i := range next.Routes {
@@ -239,134 +241,134 @@
 	added.Name, added.Services = "added", []string{ServiceOther}
 	added.Route.Name, added.Route.PathPrefix, added.Route.Service = "r-added", "/added/", ServiceOther
 	next.Routes = append(next.Routes, added.Route)
-	for _, frontend := range b.FrontendAddresses() {
-		require.Equal(t, http.StatusNotFound, b.sendTo(frontend, &added).Status, "a route that isn't there yet")
+	for _, frontend := range f.FrontendAddresses() {
+		require.Equal(t, http.StatusNotFound, f.sendTo(frontend, &added).Status, "the route doesn't exist yet")
 	}
-	b.replace(1, next)
+	f.replaceConfig(1, next)
 	acknowledged := time.Now()
-	b.awaitServed(&added)
-	require.Less(t, time.Since(acknowledged), inForceWithin)
+	f.awaitServed(&added)
+	require.Less(t, time.Since(acknowledged), propagationTimeout)
 	moved := *kindNamed(KindPlainSafe)
-	moved.Services = []string{ServiceOther} // the judge reports a run at the old service
-	for _, frontend := range b.FrontendAddresses() {
-		require.LessOrEqual(t, b.sendTo(frontend, &moved).Outcome, client.Late)
+	moved.Services = []string{ServiceOther} // the judge reports a run at the old service as a violation
+	for _, frontend := range f.FrontendAddresses() {
+		require.LessOrEqual(t, f.sendTo(frontend, &moved).Outcome, client.Late)
 	}
-	b.awaitSent(60)
-	b.unload()
-	b.allServed()
-	b.noBreach()
+	f.awaitResults(60)
+	f.stopLoad()
+	f.requireAllServed()
+	f.requireNoViolation()
 }
 
-func TestAControllerIsKilled(t *testing.T) {
-	b := newBed(t, Options{})
-	b.load(SmallSiteKinds())
-	b.awaitSent(60)
-	b.Controllers[0].Kill()
+func TestKilledControllerCatchesUpAfterRestart(t *testing.T) {
+	f := startTestFleet(t, Options{})
+	f.startLoad(SmallSiteKinds())
+	f.awaitResults(60)
+	f.Controllers[0].Kill()
 	next := SmallSiteConfig(2)
 	added := *kindNamed(KindPlainSafe)
 	added.Route.Name, added.Route.PathPrefix = "r-added", "/added/"
 	next.Routes = append(next.Routes, added.Route)
-	b.replace(1, next)
-	b.awaitServed(&added)
-	require.NoError(t, b.Controllers[0].Start())
-	b.await("the killed controller answers", func() bool {
-		only := operator.New(func() []string { return b.ControlAddresses()[:1] })
-		ctx, cancel := context.WithTimeout(b.ctx, time.Second)
+	f.replaceConfig(1, next)
+	f.awaitServed(&added)
+	require.NoError(t, f.Controllers[0].Start())
+	f.await("the killed controller returns the new configuration", func() bool {
+		restarted := operator.New(func() []string { return f.ControlAddresses()[:1] })
+		ctx, cancel := context.WithTimeout(f.ctx, time.Second)
 		defer cancel()
-		config, err := only.Read(ctx)
+		config, err := restarted.Read(ctx)
 		return err == nil && config.Version == 2
 	})
-	b.unload()
-	b.allServed()
-	b.noBreach()
+	f.stopLoad()
+	f.requireAllServed()
+	f.requireNoViolation()
 }
 
-func TestADrainingWorkerGetsNothingNew(t *testing.T) {
+func TestDrainingWorkerGetsNoNewRequests(t *testing.T) {
 	options := Options{}
 	options.setDefaults()
 	options.Bounds.DrainWithin = time.Second // stricter than the deployments' 3 s
-	b := newBed(t, options)
-	b.load(SmallSiteKinds())
-	b.awaitSent(60)
-	b.DrainWorker(b.workers.Decode[0])
-	b.DrainWorker(b.workers.Prefill[0])
-	b.DrainWorker(b.workers.Plain[0])
+	f := startTestFleet(t, options)
+	f.startLoad(SmallSiteKinds())
+	f.awaitResults(60)
+	f.DrainWorker(f.workers.Decode[0])
+	f.DrainWorker(f.workers.Prefill[0])
+	f.DrainWorker(f.workers.Plain[0])
 	drained := time.Now()
-	b.await("the bound is over", func() bool { return time.Since(drained) > 2*options.Bounds.DrainWithin })
-	for _, worker := range []*llmworker.Worker{b.workers.Decode[0], b.workers.Prefill[0], b.workers.Plain[0]} {
-		b.Platform.Remove(worker.ID())
+	f.await("twice the drain bound has passed", func() bool { return time.Since(drained) > 2*options.Bounds.DrainWithin })
+	for _, worker := range []*llmworker.Worker{f.workers.Decode[0], f.workers.Prefill[0], f.workers.Plain[0]} {
+		f.Platform.Remove(worker.ID())
 		worker.Stop()
 	}
-	b.awaitSent(60)
-	b.unload()
-	b.allServed()
-	b.noBreach()
+	f.awaitResults(60)
+	f.stopLoad()
+	f.requireAllServed()
+	f.requireNoViolation()
 }
 
 func TestAWorkerDiesWithinStreams(t *testing.T) {
-	b := newBed(t, Options{})
-	crowd := b.crowd("in", b.options.Zones[0], b.Entry.Pick, nil)
+	f := startTestFleet(t, Options{})
+	group := f.newGroup("in", f.options.Zones[0], f.Entry.Pick, nil)
 	var streams sync.WaitGroup
 	send := func(name string, tokens int) {
 		for i := range 10 {
 			long := *kindNamed(name)
 			long.Output, long.Retries = tokens, 0
-			streams.Go(func() { crowd.Send(&long, fmt.Sprintf("%s-%d", name, i), uint64(i)) })
+			streams.Go(func() { group.Send(&long, fmt.Sprintf("%s-%d", name, i), uint64(i)) })
 		}
 	}
 	send(KindStream, 1000)
 	send(KindResumableStream, 600)
-	var dead *llmworker.Worker
-	b.await("streams of both kinds run on one worker", func() bool {
-		for _, dead = range b.workers.Decode {
-			if b.Judge.RunsAt(dead.ID(), KindStream) >= 2 && b.Judge.RunsAt(dead.ID(), KindResumableStream) >= 2 {
+	var crashed *llmworker.Worker
+	f.await("two streams of each kind run on one worker", func() bool {
+		for _, crashed = range f.workers.Decode {
+			if f.Judge.RunsAt(crashed.ID(), KindStream) >= 2 && f.Judge.RunsAt(crashed.ID(), KindResumableStream) >= 2 {
 				return true
 			}
 		}
 		return false
 	})
-	dead.Crash()
+	crashed.Crash()
 	streams.Wait()
-	b.Platform.Remove(dead.ID())
-	draft, verdict := b.books.ByKind(KindStream), b.books.ByKind(KindResumableStream)
-	require.Positive(t, draft.Cut, draft.String())
-	// One that had no event yet may be answered 502: it may have run, and must not run again.
-	require.Equal(t, draft.Sent, draft.Cut+draft.Served+draft.Late+draft.Failed, draft.String())
-	require.Equal(t, verdict.Sent, verdict.Served+verdict.Late, "resumable streams go on elsewhere: %v", verdict)
-	require.Positive(t, b.Judge.Resumptions(), "within one answer")
-	b.noBreach() // a stream that was cut and looked complete would be a breach
+	f.Platform.Remove(crashed.ID())
+	stream, resumable := f.tallies.ByKind(KindStream), f.tallies.ByKind(KindResumableStream)
+	require.Positive(t, stream.Cut, stream.String())
+	// A stream without any event so far may be answered 502: it may have run, so that it must not run again.
+	require.Equal(t, stream.Sent, stream.Cut+stream.Served+stream.Late+stream.Failed, stream.String())
+	require.Equal(t, resumable.Sent, resumable.Served+resumable.Late, "other workers continue the resumable streams: %v", resumable)
+	require.Positive(t, f.Judge.Resumptions(), "a run continues another's stream within one answer")
+	f.requireNoViolation() // a cut stream that looked complete would be a violation
 }
 
-func TestALostAcknowledgementIsGivenAgainElsewhere(t *testing.T) {
-	b := newBed(t, Options{})
-	before := b.Operator.Calls()
-	b.Operator.DropAnswers(2)
-	b.replace(1, SmallSiteConfig(5))
-	require.Equal(t, 3, b.Operator.Calls()-before, "each controller was asked once")
-	config, err := b.Operator.Read(b.ctx)
+func TestLostAcknowledgementIsRepeatedByAnotherController(t *testing.T) {
+	f := startTestFleet(t, Options{})
+	before := f.Operator.Calls()
+	f.Operator.DropAnswers(2)
+	f.replaceConfig(1, SmallSiteConfig(5))
+	require.Equal(t, 3, f.Operator.Calls()-before, "each controller is asked once")
+	config, err := f.Operator.Read(f.ctx)
 	require.NoError(t, err)
 	require.Equal(t, SmallSiteConfig(5), config)
 	other := SmallSiteConfig(6)
 	other.Limits.IdleTimeoutMs++
-	status, err := b.Operator.Replace(b.ctx, 1, other)
+	status, err := f.Operator.Replace(f.ctx, 1, other)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusPreconditionFailed, status)
 }
 
-func TestTwoOperatorsRaceAndOneWins(t *testing.T) {
-	b := newBed(t, Options{})
+func TestOneOfTwoRacingOperatorsWins(t *testing.T) {
+	f := startTestFleet(t, Options{})
 	statuses := make([]int, 2)
-	var both sync.WaitGroup
+	var operators sync.WaitGroup
 	for i := range statuses {
 		config := SmallSiteConfig(2)
 		config.Limits.IdleTimeoutMs += int64(i)
-		both.Go(func() {
-			statuses[i], _ = operator.New(b.ControlAddresses).Replace(b.ctx, 1, config)
+		operators.Go(func() {
+			statuses[i], _ = operator.New(f.ControlAddresses).Replace(f.ctx, 1, config)
 		})
 	}
-	both.Wait()
+	operators.Wait()
 	require.ElementsMatch(t, []int{http.StatusOK, http.StatusPreconditionFailed}, statuses)
-	config, err := b.Operator.Read(b.ctx)
+	config, err := f.Operator.Read(f.ctx)
 	require.NoError(t, err)
 	winner := 0
 	if statuses[1] == http.StatusOK {
@@ -375,76 +377,76 @@
 	require.Equal(t, SmallSiteConfig(2).Limits.IdleTimeoutMs+int64(winner), config.Limits.IdleTimeoutMs)
 }
 
-func TestSIGTERMOfARouterLosesNothing(t *testing.T) {
-	b := newBed(t, Options{Routers: 4})
+func TestRouterLosesNoRequestAtSIGTERM(t *testing.T) {
+	f := startTestFleet(t, Options{Routers: 4})
 	kinds := SmallSiteKinds()
-	b.load(kinds)
-	b.awaitSent(60)
-	require.NoError(t, b.Routers[0].Terminate(graceTimeout))
-	b.awaitSent(60)
-	b.unload()
-	total := b.books.Total()
+	f.startLoad(kinds)
+	f.awaitResults(60)
+	require.NoError(t, f.Routers[0].Terminate(graceTimeout))
+	f.awaitResults(60)
+	f.stopLoad()
+	total := f.tallies.Total()
 	require.Zero(t, total.Cut+total.Failed, total.String())
-	b.noBreach()
+	f.requireNoViolation()
 }
 
-func TestWorkersInTroubleBreakNoRule(t *testing.T) {
-	b := newBed(t, Options{})
-	b.load(SmallSiteKinds())
-	b.awaitSent(20)
+func TestWorkerFaultsBreakNoRule(t *testing.T) {
+	f := startTestFleet(t, Options{})
+	f.startLoad(SmallSiteKinds())
+	f.awaitResults(20)
 	faults := []llmworker.Fault{llmworker.FaultReset, llmworker.FaultDuplicateAnswer, llmworker.FaultMalformed, llmworker.FaultServerError,
 		llmworker.FaultTruncate, llmworker.FaultReject, llmworker.FaultSilent}
 	for _, fault := range faults {
-		for _, worker := range []*llmworker.Worker{b.workers.Plain[0], b.workers.Plain[1], b.workers.Decode[0], b.workers.Decode[1],
-			b.workers.Prefill[0]} {
+		for _, worker := range []*llmworker.Worker{f.workers.Plain[0], f.workers.Plain[1], f.workers.Decode[0], f.workers.Decode[1],
+			f.workers.Prefill[0]} {
 			worker.FailNext(fault)
 		}
-		b.awaitSent(15)
+		f.awaitResults(15)
 	}
-	b.unload()
-	total := b.books.Total()
-	require.GreaterOrEqual(t, total.Served+total.Late, total.Sent*3/4, "%v\n%v", total, b.books)
-	b.noBreach()
+	f.stopLoad()
+	total := f.tallies.Total()
+	require.GreaterOrEqual(t, total.Served+total.Late, total.Sent*3/4, "%v\n%v", total, f.tallies)
+	f.requireNoViolation()
 }
 
-func TestWhatWasAcknowledgedOutlivesAllControllers(t *testing.T) {
-	b := newBed(t, Options{})
-	b.load(SmallSiteKinds())
-	b.awaitSent(20)
-	b.replace(1, SmallSiteConfig(9))
-	for _, controller := range b.Controllers {
+func TestAcknowledgedChangeSurvivesKillOfAllControllers(t *testing.T) {
+	f := startTestFleet(t, Options{})
+	f.startLoad(SmallSiteKinds())
+	f.awaitResults(20)
+	f.replaceConfig(1, SmallSiteConfig(9))
+	for _, controller := range f.Controllers {
 		controller.Kill()
 	}
-	b.awaitSent(40)
-	for _, controller := range b.Controllers {
+	f.awaitResults(40)
+	for _, controller := range f.Controllers {
 		require.NoError(t, controller.Start())
 	}
-	config, err := b.Operator.Read(b.ctx)
+	config, err := f.Operator.Read(f.ctx)
 	require.NoError(t, err)
 	require.Equal(t, SmallSiteConfig(9), config)
-	b.replace(9, SmallSiteConfig(10))
-	b.awaitSent(20)
-	b.unload()
-	b.allServed()
-	b.noBreach()
+	f.replaceConfig(9, SmallSiteConfig(10))
+	f.awaitResults(20)
+	f.stopLoad()
+	f.requireAllServed()
+	f.requireNoViolation()
 }
 
-func TestARouterServesOnWithoutItsAgent(t *testing.T) {
-	b := newBed(t, Options{})
-	b.load(SmallSiteKinds())
-	b.awaitSent(20)
-	b.Agents[0].Kill()
-	b.awaitSent(60)
-	require.NoError(t, b.Agents[0].Start())
+func TestRouterKeepsServingWithoutItsAgent(t *testing.T) {
+	f := startTestFleet(t, Options{})
+	f.startLoad(SmallSiteKinds())
+	f.awaitResults(20)
+	f.Agents[0].Kill()
+	f.awaitResults(60)
+	require.NoError(t, f.Agents[0].Start())
 	added := *kindNamed(KindPlainSafe)
 	added.Route.Name, added.Route.PathPrefix = "r-added", "/added/"
 	next := SmallSiteConfig(2)
 	next.Routes = append(next.Routes, added.Route)
-	b.replace(1, next)
+	f.replaceConfig(1, next)
 	acknowledged := time.Now()
-	b.awaitServed(&added)
-	require.Less(t, time.Since(acknowledged), inForceWithin)
-	b.unload()
-	b.allServed()
-	b.noBreach()
+	f.awaitServed(&added)
+	require.Less(t, time.Since(acknowledged), propagationTimeout)
+	f.stopLoad()
+	f.requireAllServed()
+	f.requireNoViolation()
 }
--- a/internal/standin/fleet/process.go
+++ b/internal/standin/fleet/process.go
@@ -14,45 +14,45 @@
 	"weldscale/internal/settings"
 )
 
-// Process is one program on one machine of the fleet. It may be started again after its end.
+// Process runs one program on one machine of the fleet. It may be started again after it has exited.
 type Process struct {
 	Name string
 	IP   string
 
-	program  string
-	settings string // path of its settings file
-	passLog  bool
+	programPath  string
+	settingsPath string
+	passLog      bool
 
 	mu      sync.Mutex
 	command *exec.Cmd
-	ended   chan struct{} // closed once the process has ended
-	err     error         // how it ended
+	ended   chan struct{} // closed once the process has exited
+	err     error         // result of exec.Cmd.Wait
 	logFile *os.File
 }
 
-// newProcess writes the settings of the i-th machine of a class.
+// newProcess writes the settings file of a program on the i-th machine of a class. It does not start the program.
 func (f *Fleet) newProcess(program, class string, i, firstIP int) (*Process, error) {
 	ip := fmt.Sprintf("%s.%d", f.subnet, firstIP+i)
 	name := fmt.Sprintf("%s-%d", program, i+1)
-	given := f.settingsOf(class, ip, i)
-	given.NodeName, given.Role = fmt.Sprintf("%s-%d", class, i+1), program
+	nodeSettings := f.settingsOf(class, ip, i)
+	nodeSettings.NodeName, nodeSettings.Role = fmt.Sprintf("%s-%d", class, i+1), program
 	if class == "core" {
-		given.DataDir = f.path(name + "-data")
-		if err := os.MkdirAll(given.DataDir, 0o755); err != nil {
+		nodeSettings.DataDir = f.path(name + "-data")
+		if err := os.MkdirAll(nodeSettings.DataDir, 0o755); err != nil {
 			return nil, err
 		}
 	}
-	text, err := json.MarshalIndent(given, "", "  ")
+	text, err := json.MarshalIndent(nodeSettings, "", "  ")
 	if err != nil {
 		return nil, err
 	}
-	process := &Process{Name: name, IP: ip, program: filepath.Join(f.options.Programs, program), settings: f.path(name + ".json"),
-		passLog: f.options.Log}
-	return process, os.WriteFile(process.settings, text, 0o644)
+	process := &Process{Name: name, IP: ip, programPath: filepath.Join(f.options.Programs, program),
+		settingsPath: f.path(name + ".json"), passLog: f.options.Log}
+	return process, os.WriteFile(process.settingsPath, text, 0o644)
 }
 
 func (f *Fleet) settingsOf(class, ip string, i int) settings.Settings {
-	given := settings.Settings{
+	nodeSettings := settings.Settings{
 		MachineClass: class, IP: ip, Zone: f.zone(i), Region: "here", Zones: map[string]string{},
 		InternalPorts: [2]int{portInternal, portLast}, Bootstrap: true, CountsForQuorum: class == "core",
 		Limits:    settings.Limits{CPUShare: 1, Cores: 1, MemoryMb: 256, MaxFds: 4096, LinkMbps: 1000, DiskMb: 128},
@@ -62,50 +62,50 @@
 		Cloud: settings.Cloud{Address: f.Platform.Address(), RatePerS: f.options.ListRate,
 			MaxLagMs: float64(f.options.ListLag.Milliseconds())},
 	}
-	given.Bounds.Fencing, given.Bounds.BudgetSlack = true, float64(f.options.Bounds.RetrySlack)
-	given.Bounds.DrainMs = float64(f.options.Bounds.DrainWithin.Milliseconds())
+	nodeSettings.Bounds.Fencing, nodeSettings.Bounds.BudgetSlack = true, float64(f.options.Bounds.RetrySlack)
+	nodeSettings.Bounds.DrainMs = float64(f.options.Bounds.DrainWithin.Milliseconds())
 	for _, zone := range f.options.Zones {
-		given.Zones[zone] = "here"
+		nodeSettings.Zones[zone] = "here"
 	}
 	for seed := range min(3, f.options.Controllers) {
-		given.Seeds = append(given.Seeds, address(fmt.Sprintf("%s.%d", f.subnet, firstController+seed), portControl))
+		nodeSettings.Seeds = append(nodeSettings.Seeds, address(fmt.Sprintf("%s.%d", f.subnet, firstController+seed), portControl))
 	}
 	if class == "core" {
-		given.Serves = []string{settings.ServesControl}
-		given.Listen.Control = address(ip, portControl)
+		nodeSettings.Serves = []string{settings.ServesControl}
+		nodeSettings.Listen.Control = address(ip, portControl)
 	} else {
-		given.Serves = []string{settings.ServesFrontend}
-		given.Listen.Frontend, given.Listen.Readiness = address(ip, portFrontend), address(ip, portReadiness)
+		nodeSettings.Serves = []string{settings.ServesFrontend}
+		nodeSettings.Listen.Frontend, nodeSettings.Listen.Readiness = address(ip, portFrontend), address(ip, portReadiness)
 	}
-	return given
+	return nodeSettings
 }
 
 // Start starts the program.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	logFile, err := os.OpenFile(p.settings+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	logFile, err := os.OpenFile(p.settingsPath+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
-	p.command = exec.Command(p.program)
-	p.command.Env = append(os.Environ(), settings.EnvVariable+"="+p.settings)
+	p.command = exec.Command(p.programPath)
+	p.command.Env = append(os.Environ(), settings.EnvVariable+"="+p.settingsPath)
 	p.command.Stderr, p.command.Stdout = logFile, logFile
 	if p.passLog {
 		p.command.Stderr = os.Stderr
 	}
-	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives a test that is killed
+	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives a test that is killed
 	p.ended, p.logFile = make(chan struct{}), logFile
 	if err := p.command.Start(); err != nil {
 		_ = logFile.Close()
 		close(p.ended)
 		return err
 	}
-	go p.await(p.command, p.ended, logFile)
+	go p.awaitExit(p.command, p.ended, logFile)
 	return nil
 }
 
-func (p *Process) await(command *exec.Cmd, ended chan struct{}, logFile *os.File) {
+func (p *Process) awaitExit(command *exec.Cmd, ended chan struct{}, logFile *os.File) {
 	err := command.Wait()
 	_ = logFile.Close()
 	p.mu.Lock()
@@ -114,7 +114,7 @@
 	close(ended)
 }
 
-// PID returns the id of the running process, or 0 before the start.
+// PID returns the id of the process started last, or 0 if there is none.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -124,7 +124,7 @@
 	return p.command.Process.Pid
 }
 
-// Signal sends a signal.
+// Signal sends a signal to the process.
 func (p *Process) Signal(signal os.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,7 +134,8 @@
 	return p.command.Process.Signal(signal)
 }
 
-// Terminate sends SIGTERM and waits for an orderly end within the span.
+// Terminate sends SIGTERM and waits for the process to exit. It returns the exit error, or an error if the process takes longer
+// than within.
 func (p *Process) Terminate(within time.Duration) error {
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -147,26 +148,26 @@
 		defer p.mu.Unlock()
 		return p.err
 	case <-timer.C:
-		return fmt.Errorf("%s is still there %v after SIGTERM", p.Name, within)
+		return fmt.Errorf("%s is still running %v after SIGTERM", p.Name, within)
 	}
 }
 
-// Kill ends it at once and waits until it is gone.
+// Kill sends SIGKILL and waits until the process has exited.
 func (p *Process) Kill() {
 	if p.Signal(syscall.SIGKILL) == nil {
 		<-p.Ended()
 	}
 }
 
-// Ended returns a channel that is closed once the process has ended.
+// Ended returns a channel that is closed once the process has exited.
 func (p *Process) Ended() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.ended
 }
 
-// Log returns what the program has logged.
+// Log returns the contents of the program's log file.
 func (p *Process) Log() string {
-	text, _ := os.ReadFile(p.settings + ".log")
+	text, _ := os.ReadFile(p.settingsPath + ".log")
 	return string(text)
 }
--- a/internal/standin/fleet/site.go
+++ b/internal/standin/fleet/site.go
@@ -13,29 +13,29 @@
 const (
 	ServiceModel = "proof-lm"
 	ServicePlain = "notices"
-	ServiceOther = "notices-b" // plain as well, for changes of configuration
+	ServiceOther = "notices-b" // a second plain service, to which configuration changes move routes
 )
 
-// The names of the small site's kinds of requests.
+// The names of the small site's request kinds.
 const (
-	KindStream          = "draft"   // a long prompt, read by a prefill worker, and a stream that can't be resumed
+	KindStream          = "draft"   // a long prompt, which a prefill worker reads, and a stream that can't be resumed
 	KindResumableStream = "verdict" // a short prompt, and a stream that can be resumed
-	KindPlainUnsafe     = "notice"  // plain, must not run twice
-	KindPlainSafe       = "card"    // plain, may be repeated
+	KindPlainUnsafe     = "notice"  // to a plain service; must not run twice
+	KindPlainSafe       = "card"    // to a plain service; may be repeated
 )
 
-// Host is the host of the small site's routes.
+// Host is the host name of the small site's routes.
 const Host = "press.example"
 
-// SmallSiteEngine is the engine of the small site's model workers: a hundredth of a real one's size, at its pace.
+// SmallSiteEngine configures the engine of the small site's model workers: a hundredth of a real engine's size, at its speed.
 var SmallSiteEngine = engine.Config{
 	Slots: 16, Queue: 48, Step: 3 * time.Millisecond, StepPerSlot: 50 * time.Microsecond, TokensPerMs: 100, Stride: 4,
 	KvTokens: 60_000, LinkMbps: 1e6, TransferSetup: time.Millisecond, HandleLifetime: 5 * time.Second, StageSwitch: time.Second, Fencing: true,
 }
 
-// SmallSiteConfig is the first configuration of the small site.
+// SmallSiteConfig returns the initial configuration of the small site, under the given version.
 func SmallSiteConfig(version int64) operator.Config {
-	engineOf := operator.Engine{Slots: SmallSiteEngine.Slots, KvTokens: SmallSiteEngine.KvTokens, KvTokenBytes: 35_136,
+	modelEngine := operator.Engine{Slots: SmallSiteEngine.Slots, KvTokens: SmallSiteEngine.KvTokens, KvTokenBytes: 35_136,
 		LinkMbps: SmallSiteEngine.LinkMbps,
 		Stride:   SmallSiteEngine.Stride, HandleTTLS: SmallSiteEngine.HandleLifetime.Seconds(), SwitchS: SmallSiteEngine.StageSwitch.Seconds(),
 		Models: []operator.ModelName{{Name: "m"}}}
@@ -44,7 +44,7 @@
 	}
 	config := operator.Config{Version: version, Limits: operator.DefaultLimits,
 		Services: []operator.Service{
-			{Name: ServiceModel, HealthCheck: "/healthz", MaxConnections: 350, Protocol: "h1", Engine: &engineOf},
+			{Name: ServiceModel, HealthCheck: "/healthz", MaxConnections: 350, Protocol: "h1", Engine: &modelEngine},
 			plain(ServicePlain), plain(ServiceOther),
 		}}
 	for _, kind := range SmallSiteKinds() {
@@ -53,12 +53,12 @@
 	return config
 }
 
-// SmallSiteKinds are the small site's kinds of requests, with their routes.
+// SmallSiteKinds returns the small site's request kinds, with their routes.
 func SmallSiteKinds() []*client.Kind {
-	streaming := func(name string, aim, timeout, priority int64, resumable bool) operator.Route {
+	streaming := func(name string, targetLatency, timeout, priority int64, resumable bool) operator.Route {
 		return operator.Route{Name: "r-" + name, Hostname: Host, PathPrefix: "/" + name + "/", RouteType: "streaming",
-			TimeoutMs:       timeout,
-			TargetLatencyMs: aim, Priority: int(priority), Service: ServiceModel, MaxAttempts: 2, Sticky: true, Resumable: resumable, GapAimMs: 300}
+			TimeoutMs: timeout, TargetLatencyMs: targetLatency, Priority: int(priority), Service: ServiceModel, MaxAttempts: 2,
+			Sticky: true, Resumable: resumable, GapAimMs: 300}
 	}
 	plain := func(name, routeType string) operator.Route {
 		return operator.Route{Name: "r-" + name, Hostname: Host, PathPrefix: "/" + name + "/", RouteType: routeType, TimeoutMs: 3000,
@@ -76,23 +76,23 @@
 	}
 }
 
-// SmallSiteWorkers are the workers that AddSmallSiteWorkers started.
+// SmallSiteWorkers holds the workers that AddSmallSiteWorkers started.
 type SmallSiteWorkers struct {
 	Prefill, Decode, Plain, Other []*llmworker.Worker
 }
 
 // AddSmallSiteWorkers starts two workers for each stage of the model and two for each plain service.
 func (f *Fleet) AddSmallSiteWorkers() (SmallSiteWorkers, error) {
-	const each = 2
+	const workersPerGroup = 2
 	var out SmallSiteWorkers
-	model, err := f.AddModelWorkers(ServiceModel, each, each, SmallSiteEngine)
+	model, err := f.AddModelWorkers(ServiceModel, workersPerGroup, workersPerGroup, SmallSiteEngine)
 	if err != nil {
 		return out, err
 	}
-	out.Prefill, out.Decode = model[:each], model[each:]
-	for i := range 2 * each {
+	out.Prefill, out.Decode = model[:workersPerGroup], model[workersPerGroup:]
+	for i := range 2 * workersPerGroup {
 		service, list := ServicePlain, &out.Plain
-		if i >= each {
+		if i >= workersPerGroup {
 			service, list = ServiceOther, &out.Other
 		}
 		worker, err := f.AddWorker(llmworker.Config{Name: service, Service: service, TellsLoad: true, Slots: 6, Queue: 24,
