--- a/internal/standin/client/client.go
+++ b/internal/standin/client/client.go
@@ -1,5 +1,5 @@
-// Package client stands in for the clients of a fleet: open loops of requests in several kinds, which are tried again as
-// the protocol lets clients do, and the books of how they ended. Each try is told to the judge.
+// Package client is a test double of a fleet's clients. It sends several kinds of requests in open loops, retries them as the
+// protocol allows and counts how they ended. It reports each attempt to the judge.
 package client
 
 import (
@@ -26,16 +26,16 @@
 type Kind struct {
 	Name          string
 	Route         operator.Route
-	Services      []string // that may run it under some configuration; empty: those of Route
-	PerSecond     float64
+	Services      []string // that may run it under some configuration; default: those of Route
+	PerSecond     float64  // mean rate
 	Deadline      time.Duration
 	Retries       int
-	Body          int // bytes
-	Output        int // tokens, of a streaming route
-	SharedTokens  int // tokens of the first part of each prompt
-	SubjectTokens int // tokens of the part that requests of a subject share
-	Subjects      int
-	OwnTokens     int // tokens of the request's own part
+	Body          int // size in bytes
+	Output        int // tokens to generate, on a streaming route
+	SharedTokens  int // size of the first part of the prompt, which all requests of the kind share
+	SubjectTokens int // size of the second part, which requests on the same subject share
+	Subjects      int // number of subjects
+	OwnTokens     int // size of the last part, which only this request has
 }
 
 func (k *Kind) services() []string {
@@ -58,18 +58,18 @@
 	return k.Route.RouteType == "safe" || k.streaming() && k.Route.Resumable
 }
 
-// prompt returns the headers of one prompt.
-func (k *Kind) prompt(rng *rand.Rand, own string) (count, hashes string) {
+// prompt returns the Token-Count and Prefix-Hash headers of a prompt. own identifies its last part.
+func (k *Kind) prompt(rng *rand.Rand, own string) (tokenCount, prefixHash string) {
 	subject := rng.IntN(max(1, k.Subjects))
-	parts := []string{fmt.Sprintf("%s5:%d", hexOf(k.Name), k.SharedTokens), fmt.Sprintf("%s%02x:%d", hexOf(k.Name), subject, k.SubjectTokens),
-		fmt.Sprintf("%s:%d", hexOf(own), k.OwnTokens)}
+	parts := []string{fmt.Sprintf("%s5:%d", hexOf(k.Name), k.SharedTokens),
+		fmt.Sprintf("%s%02x:%d", hexOf(k.Name), subject, k.SubjectTokens), fmt.Sprintf("%s:%d", hexOf(own), k.OwnTokens)}
 	return fmt.Sprintf("%d,%d", k.SharedTokens+k.SubjectTokens+k.OwnTokens, k.Output), strings.Join(parts, ",")
 }
 
 func hexOf(text string) string { return fmt.Sprintf("%x", text) }
 
-// RouterSelector names a Frontend address for a new connection of a client.
-type RouterSelector func(zone string, client uint64, try int) string
+// RouterSelector returns the Frontend address for a new connection of a client. attempt is the number of earlier attempts.
+type RouterSelector func(zone string, client uint64, attempt int) string
 
 // Outcome is how a request ended.
 type Outcome uint8
@@ -77,75 +77,75 @@
 // The outcomes.
 const (
 	Served  Outcome = iota // in time
-	Late                   // served after its objective, or with too long a pause
-	Refused                // the last try was refused with a promise
-	Failed                 // the last try was answered with another failure
-	Cut                    // the last try's connection closed before the end of an answer
+	Late                   // served, but the latency or a gap between events exceeded the target
+	Refused                // the last attempt was rejected, which means that it has not run
+	Failed                 // the last attempt was answered with another error
+	Cut                    // the last attempt's connection was closed before the end of an answer
 )
 
-// Result is the end of one request.
+// Result describes how one request ended.
 type Result struct {
 	Kind     *Kind
 	ID       string
 	Outcome  Outcome
-	Status   int           // of the last try
-	Cause    string        // of a cut
-	Unsent   bool          // no connection came about for the last try
-	Latency  time.Duration // to the first event, or to the answer
+	Status   int           // of the last attempt
+	Cause    string        // error that cut the last attempt
+	Unsent   bool          // no connection could be opened for the last attempt
+	Latency  time.Duration // to the first event, or to the complete answer if it is no stream
 	Attempts int
 	Began    time.Time
 }
 
-// Group is a crowd of clients in a zone.
+// Group is a group of clients in one zone.
 type Group struct {
-	Name         string // starts the ids
+	Name         string // prefix of the request ids
 	Zone         string
 	Seed         uint64
 	SelectRouter RouterSelector
 	Judge        *judge.Checker
 	Kinds        []*Kind
-	// OnResult, if set, is told of each end.
+	// OnResult, if set, is called at the end of each request.
 	OnResult func(Result)
-	// ReuseAnyConnection lets clients use their open connections until the routers close them. Otherwise a request goes to the router
-	// that SelectRouter returns, on a kept connection to it if there is one.
+	// ReuseAnyConnection lets a request use any idle connection of the group, whichever router it leads to, until the router closes
+	// it. Otherwise a request goes to the router that SelectRouter returns, on an idle connection to it if there is one.
 	ReuseAnyConnection bool
 
-	opened sync.Once
-	kept   *http.Transport
-	held   *connections
+	initOnce        sync.Once
+	pooledTransport *http.Transport
+	pool            *connectionPool
 }
 
 // Run sends requests until ctx is done, and returns once every request has ended.
-func (c *Group) Run(ctx context.Context) {
-	defer c.Close()
-	var all sync.WaitGroup
-	for i, kind := range c.Kinds {
-		all.Go(func() { c.loop(ctx, kind, rand.New(rand.NewPCG(c.Seed, uint64(i))), &all) })
+func (g *Group) Run(ctx context.Context) {
+	defer g.Close()
+	var running sync.WaitGroup
+	for i, kind := range g.Kinds {
+		running.Go(func() { g.sendLoop(ctx, kind, rand.New(rand.NewPCG(g.Seed, uint64(i))), &running) })
 	}
-	all.Wait()
+	running.Wait()
 }
 
-// transport holds the connections that the crowd keeps between requests.
-func (c *Group) transport() *http.Transport {
-	c.open()
-	return c.kept
+// transport returns the transport that keeps idle connections by router.
+func (g *Group) transport() *http.Transport {
+	g.initTransports()
+	return g.pooledTransport
 }
 
-func (c *Group) open() {
-	c.opened.Do(func() {
-		c.kept = &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 64}
-		c.held = newConnections(c.Seed)
+func (g *Group) initTransports() {
+	g.initOnce.Do(func() {
+		g.pooledTransport = &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 64}
+		g.pool = newConnectionPool(g.Seed)
 	})
 }
 
-// Close closes the connections that are kept.
-func (c *Group) Close() {
-	c.transport().CloseIdleConnections()
-	c.held.close()
+// Close closes the idle connections.
+func (g *Group) Close() {
+	g.transport().CloseIdleConnections()
+	g.pool.close()
 }
 
-// loop sends requests of a kind with exponential gaps.
-func (c *Group) loop(ctx context.Context, kind *Kind, rng *rand.Rand, all *sync.WaitGroup) {
+// sendLoop sends requests of a kind, at exponentially distributed intervals.
+func (g *Group) sendLoop(ctx context.Context, kind *Kind, rng *rand.Rand, running *sync.WaitGroup) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	due := time.Now()
@@ -157,37 +157,37 @@
 			return
 		case <-timer.C:
 		}
-		id := fmt.Sprintf("%s-%s-%d", c.Name, kind.Name, n)
+		id := fmt.Sprintf("%s-%s-%d", g.Name, kind.Name, n)
 		seed := rng.Uint64()
-		all.Go(func() { c.Send(kind, id, seed) })
+		running.Go(func() { g.Send(kind, id, seed) })
 	}
 }
 
-// request is one request with its tries.
+// request is one request with all its attempts.
 type request struct {
 	*Kind
-	crowd         *Group
-	id            string
-	client        uint64
-	began         time.Time
-	count, hashes string
-	body          []byte
-	had           int // tokens that the client has
-	lastEvent     time.Time
-	first         time.Duration
-	slow          bool // a pause was too long
+	group                  *Group
+	id                     string
+	client                 uint64
+	began                  time.Time
+	tokenCount, prefixHash string
+	body                   []byte
+	received               int // stream tokens received so far
+	lastEvent              time.Time
+	latency                time.Duration
+	gapExceeded            bool // a gap between two events exceeded the target
 }
 
-// Send sends one request to its end.
-func (c *Group) Send(kind *Kind, id string, seed uint64) Result {
+// Send sends one request, with retries, and returns how it ended.
+func (g *Group) Send(kind *Kind, id string, seed uint64) Result {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	q := &request{Kind: kind, crowd: c, id: id, client: seed, began: time.Now(), body: bytes.Repeat([]byte("x"), kind.Body)}
+	q := &request{Kind: kind, group: g, id: id, client: seed, began: time.Now(), body: bytes.Repeat([]byte("x"), kind.Body)}
 	if kind.streaming() {
-		q.count, q.hashes = kind.prompt(rng, id)
+		q.tokenCount, q.prefixHash = kind.prompt(rng, id)
 	}
 	result := q.run()
-	if c.OnResult != nil {
-		c.OnResult(result)
+	if g.OnResult != nil {
+		g.OnResult(result)
 	}
 	return result
 }
@@ -197,66 +197,67 @@
 	defer cancel()
 	out := Result{Kind: q.Kind, ID: q.id, Began: q.began}
 	for out.Attempts < q.Retries+1 {
-		answer, retryAfter := q.try(ctx, out.Attempts)
+		answer, retryAfter := q.runAttempt(ctx, out.Attempts)
 		out.Attempts++
-		out.Outcome, out.Status, out.Cause, out.Latency = q.outcome(answer), answer.Status, answer.cause, q.first
+		out.Outcome, out.Status, out.Cause, out.Latency = q.outcome(answer), answer.Status, answer.cause, q.latency
 		out.Unsent = answer.unsent
-		if !q.again(answer) || !pause.For(ctx, min(retryAfter, q.left()/3)) {
+		if !q.mayRetry(answer) || !pause.For(ctx, min(retryAfter, q.remaining()/3)) {
 			break
 		}
 	}
 	return out
 }
 
-func (q *request) left() time.Duration { return max(0, time.Until(q.began.Add(q.Deadline))) }
+func (q *request) remaining() time.Duration { return max(0, time.Until(q.began.Add(q.Deadline))) }
 
-// again reports whether the protocol lets a client try again after that answer.
-func (q *request) again(answer answer) bool {
+// mayRetry reports whether the protocol allows another attempt after that answer.
+func (q *request) mayRetry(answer answer) bool {
 	switch {
 	case answer.Complete && (answer.Status/100 == 2 || slices.Contains([]int{400, 401, 404, 413, 431}, answer.Status)):
 		return false
 	case q.idempotent():
 		return true
 	}
-	return answer.unsent || answer.Complete && promises(answer.Status)
+	return answer.unsent || answer.Complete && isRejection(answer.Status)
 }
 
-func promises(status int) bool { return slices.Contains([]int{408, 421, 429, 503}, status) }
+// isRejection reports whether an answer with that status means that the request has not run.
+func isRejection(status int) bool { return slices.Contains([]int{408, 421, 429, 503}, status) }
 
 func (q *request) outcome(answer answer) Outcome {
-	aim := time.Duration(q.Route.TargetLatencyMs) * time.Millisecond
+	targetLatency := time.Duration(q.Route.TargetLatencyMs) * time.Millisecond
 	switch {
 	case !answer.Complete:
 		return Cut
-	case answer.Status/100 == 2 && (q.first > aim || q.slow):
+	case answer.Status/100 == 2 && (q.latency > targetLatency || q.gapExceeded):
 		return Late
 	case answer.Status/100 == 2:
 		return Served
-	case promises(answer.Status):
+	case isRejection(answer.Status):
 		return Refused
 	}
 	return Failed
 }
 
-// answer is what one try got.
+// answer is what one attempt received.
 type answer struct {
 	judge.Answer
 	cause  string
-	unsent bool // no connection came about
+	unsent bool // no connection could be opened
 }
 
-// try sends one try and reads its answer. The first may use a kept connection; later ones open a new one.
-func (q *request) try(ctx context.Context, number int) (answer, time.Duration) {
+// runAttempt makes one attempt and reads its answer. The first attempt may use an idle connection; later ones open a new one.
+func (q *request) runAttempt(ctx context.Context, number int) (answer, time.Duration) {
 	id := fmt.Sprintf("%s.%d", q.id, number)
 	target := q.Route.PathPrefix + q.id
-	q.crowd.Judge.Sent(judge.Request{ID: id, Services: q.services(), Idempotent: q.idempotent(), Resumable: q.Route.Resumable,
+	q.group.Judge.Sent(judge.Request{ID: id, Services: q.services(), Idempotent: q.idempotent(), Resumable: q.Route.Resumable,
 		MaxAttempts: q.Route.MaxAttempts, Fingerprint: judge.Fingerprint(http.MethodPost, target,
-			q.body), ResumeAfter: q.had, At: time.Now()})
+			q.body), ResumeAfter: q.received, At: time.Now()})
 	sent := q.send(ctx, number, target, id)
 	response, err := sent.response, sent.err
 	if err != nil {
-		sent.end(false)
-		return q.judged(answer{Answer: judge.Answer{ID: id}, cause: err.Error(), unsent: sent.at.IsZero()}, sent), 0
+		sent.release(false)
+		return q.reportAnswer(answer{Answer: judge.Answer{ID: id}, cause: err.Error(), unsent: sent.at.IsZero()}, sent), 0
 	}
 	defer func() { _ = response.Body.Close() }()
 	got := answer{Answer: judge.Answer{ID: id, Status: response.StatusCode, Stamp: response.Header.Get("Response-Signature"),
@@ -269,37 +270,37 @@
 	if got.Complete = err == nil; err != nil {
 		got.cause = err.Error()
 	}
-	sent.end(got.Complete)
+	sent.release(got.Complete)
 	retryAfter, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
-	return q.judged(got, sent), time.Duration(retryAfter * float64(time.Second))
+	return q.reportAnswer(got, sent), time.Duration(retryAfter * float64(time.Second))
 }
 
-func (q *request) message(ctx context.Context, address, target, id string) *http.Request {
-	message := (&http.Request{Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: address, Path: target},
+func (q *request) newHTTPRequest(ctx context.Context, address, target, id string) *http.Request {
+	httpRequest := (&http.Request{Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: address, Path: target},
 		Host:   q.Route.Hostname,
 		Header: http.Header{}, Body: io.NopCloser(bytes.NewReader(q.body)), ContentLength: int64(len(q.body))}).WithContext(ctx)
-	message.Header.Set("Request-Id", id)
-	message.Header.Set("Deadline-Ms", strconv.FormatInt(q.left().Milliseconds(), 10))
-	message.Header["User-Agent"] = nil
+	httpRequest.Header.Set("Request-Id", id)
+	httpRequest.Header.Set("Deadline-Ms", strconv.FormatInt(q.remaining().Milliseconds(), 10))
+	httpRequest.Header["User-Agent"] = nil
 	if q.streaming() {
-		message.Header.Set("Model-Name", "m")
-		message.Header.Set("Token-Count", q.count)
-		message.Header.Set("Prefix-Hash", q.hashes)
+		httpRequest.Header.Set("Model-Name", "m")
+		httpRequest.Header.Set("Token-Count", q.tokenCount)
+		httpRequest.Header.Set("Prefix-Hash", q.prefixHash)
 	}
-	if q.had > 0 {
-		message.Header.Set("Last-Event-Id", strconv.Itoa(q.had))
+	if q.received > 0 {
+		httpRequest.Header.Set("Last-Event-Id", strconv.Itoa(q.received))
 	}
-	return message
+	return httpRequest
 }
 
 func (q *request) readBody(body io.Reader, got *answer) error {
 	text, err := io.ReadAll(body)
 	got.Digest = judge.Digest(text)
-	q.first = time.Since(q.began)
+	q.latency = time.Since(q.began)
 	return err
 }
 
-// readStream reads events as they come.
+// readStream reads the events of a stream and records when they arrive.
 func (q *request) readStream(body io.Reader, got *answer) error {
 	var rest []byte
 	buffer := make([]byte, 4096)
@@ -307,12 +308,12 @@
 		n, err := body.Read(buffer)
 		rest = append(rest, buffer[:n]...)
 		for {
-			event, after, whole := bytes.Cut(rest, []byte("\n\n"))
-			if !whole {
+			event, remainder, complete := bytes.Cut(rest, []byte("\n\n"))
+			if !complete {
 				break
 			}
-			rest = after
-			q.event(string(event), got)
+			rest = remainder
+			q.addEvent(string(event), got)
 		}
 		if err != nil {
 			got.Unparsed += string(rest)
@@ -324,19 +325,19 @@
 	}
 }
 
-func (q *request) event(text string, got *answer) {
+func (q *request) addEvent(text string, got *answer) {
 	piece, ok := llmworker.ParseEvent(text)
 	if !ok {
 		got.Unparsed += text
 		return
 	}
 	now := time.Now()
-	if q.first == 0 {
-		q.first = now.Sub(q.began)
+	if q.latency == 0 {
+		q.latency = now.Sub(q.began)
 	} else if gap := time.Duration(q.Route.GapAimMs) * time.Millisecond; gap > 0 && now.Sub(q.lastEvent) > gap {
-		q.slow = true
+		q.gapExceeded = true
 	}
 	q.lastEvent = now
-	q.had = piece.To
+	q.received = piece.To
 	got.Pieces = append(got.Pieces, piece)
 }
--- a/internal/standin/client/client_test.go
+++ b/internal/standin/client/client_test.go
@@ -13,8 +13,8 @@
 	"weldscale/internal/standin/operator"
 )
 
-// direct is a crowd that calls a worker without a fleet between them.
-func direct(t *testing.T, config llmworker.Config) (*Group, *llmworker.Worker) {
+// startDirect starts a worker and returns a client group that calls it directly, without a fleet.
+func startDirect(t *testing.T, config llmworker.Config) (*Group, *llmworker.Worker) {
 	j := judge.New(judge.DefaultBounds)
 	config.Judge, config.Service = j, "s"
 	w, err := llmworker.Start(config)
@@ -23,7 +23,7 @@
 	return &Group{Name: "c", Judge: j, SelectRouter: func(string, uint64, int) string { return w.Address() }}, w
 }
 
-func kind(routeType string, resumable bool) *Kind {
+func newKind(routeType string, resumable bool) *Kind {
 	return &Kind{Name: "k", Deadline: 10 * time.Second, Retries: 1, Body: 100, Output: 20, SharedTokens: 32, SubjectTokens: 32,
 		Subjects: 2, OwnTokens: 16,
 		PerSecond: 500,
@@ -32,52 +32,52 @@
 			TargetLatencyMs: 5000, GapAimMs: 5000}}
 }
 
-func model() llmworker.Config {
+func modelWorker() llmworker.Config {
 	return llmworker.Config{Name: "w", Engine: &engine.Config{Stage: engine.StageDecode, Step: time.Millisecond}}
 }
 
-func TestACutStreamIsTakenUpByTheClient(t *testing.T) {
-	crowd, w := direct(t, model())
+func TestClientResumesCutStream(t *testing.T) {
+	group, w := startDirect(t, modelWorker())
 	w.FailNext(llmworker.FaultTruncate)
-	result := crowd.Send(kind("streaming", true), "a", 1)
+	result := group.Send(newKind("streaming", true), "a", 1)
 	require.Equal(t, Served, result.Outcome, result.Cause)
 	require.Equal(t, 2, result.Attempts)
-	require.Empty(t, crowd.Judge.Report())
+	require.Empty(t, group.Judge.Report())
 }
 
-func TestACutStreamThatCannotBeResumedIsCut(t *testing.T) {
-	crowd, w := direct(t, model())
+func TestNonResumableStreamIsNotRetriedAfterCut(t *testing.T) {
+	group, w := startDirect(t, modelWorker())
 	w.FailNext(llmworker.FaultTruncate)
-	require.Equal(t, Cut, crowd.Send(kind("streaming", false), "a", 1).Outcome)
-	require.Empty(t, crowd.Judge.Report())
+	require.Equal(t, Cut, group.Send(newKind("streaming", false), "a", 1).Outcome)
+	require.Empty(t, group.Judge.Report())
 }
 
-func TestAnUnsafeRequestIsTriedAgainOnlyAfterAPromise(t *testing.T) {
-	crowd, w := direct(t, llmworker.Config{Name: "w"})
+func TestUnsafeRequestIsRetriedOnlyAfterRejection(t *testing.T) {
+	group, w := startDirect(t, llmworker.Config{Name: "w"})
 	w.FailNext(llmworker.FaultReject, llmworker.FaultNone, llmworker.FaultReset, llmworker.FaultNone)
-	refused := crowd.Send(kind("unsafe", false), "a", 1)
+	refused := group.Send(newKind("unsafe", false), "a", 1)
 	require.Equal(t, Served, refused.Outcome)
 	require.Equal(t, 2, refused.Attempts)
-	reset := crowd.Send(kind("unsafe", false), "b", 1)
+	reset := group.Send(newKind("unsafe", false), "b", 1)
 	require.Equal(t, Cut, reset.Outcome)
 	require.Equal(t, 1, reset.Attempts)
-	require.Empty(t, crowd.Judge.Report())
+	require.Empty(t, group.Judge.Report())
 }
 
-func TestALoadIsBookedToTheLast(t *testing.T) {
-	crowd, _ := direct(t, model())
-	books := NewTallies()
+func TestEveryRequestOfALoadIsCounted(t *testing.T) {
+	group, _ := startDirect(t, modelWorker())
+	tallies := NewTallies()
 	ctx, stop := context.WithCancel(context.Background())
-	crowd.Kinds = []*Kind{kind("streaming", false)}
-	crowd.OnResult = func(result Result) {
-		books.Add(result)
-		if books.Total().Sent == 20 {
+	group.Kinds = []*Kind{newKind("streaming", false)}
+	group.OnResult = func(result Result) {
+		tallies.Add(result)
+		if tallies.Total().Sent == 20 {
 			stop()
 		}
 	}
-	crowd.Run(ctx)
-	total := books.Total()
+	group.Run(ctx)
+	total := tallies.Total()
 	require.GreaterOrEqual(t, total.Sent, 20)
 	require.Equal(t, total.Sent, total.Served+total.Late+total.Refused, total.String())
-	require.Empty(t, crowd.Judge.Report())
+	require.Empty(t, group.Judge.Report())
 }
--- a/internal/standin/client/connections.go
+++ b/internal/standin/client/connections.go
@@ -9,85 +9,85 @@
 )
 
 const (
-	// connectTimeout is how long a client waits for a new connection.
+	// connectTimeout limits how long a client waits for a new connection.
 	connectTimeout = time.Second
-	// freshShare is the part of the requests that open a connection although others rest.
-	freshShare = 0.2
-	mostHeld   = 256
+	// newConnectionShare is the share of requests that open a new connection even if others are idle.
+	newConnectionShare = 0.2
+	maxIdle            = 256
 )
 
-// connections are those that a crowd holds between requests. A client that has one asks nobody whether its router still takes
-// new clients: it uses the connection until the router closes it.
-type connections struct {
+// connectionPool holds the idle connections of a group. A client with an open connection doesn't ask the platform whether the
+// router still accepts new clients: it uses the connection until the router closes it.
+type connectionPool struct {
 	transport *http.Transport
 
 	mu     sync.Mutex
 	rng    *rand.Rand
-	held   []*connection
+	idle   []*connection
 	closed bool
 }
 
-// connection is one connection to a router, used by one request at a time.
+// connection is a connection to a router that carries one request at a time.
 type connection struct {
 	*http.ClientConn
 	address string
 }
 
-func newConnections(seed uint64) *connections {
-	return &connections{transport: &http.Transport{DisableCompression: true}, rng: rand.New(rand.NewPCG(seed, heldStream))}
+func newConnectionPool(seed uint64) *connectionPool {
+	return &connectionPool{transport: &http.Transport{DisableCompression: true}, rng: rand.New(rand.NewPCG(seed, poolStream))}
 }
 
-// heldStream tells the numbers drawn here from those of the loads.
-const heldStream = 1 << 32
+// poolStream separates the random numbers of the pool from those of the load.
+const poolStream = 1 << 32
 
-// take returns an open connection that rests, or nil where a new one is to be opened.
-func (c *connections) take() *connection {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.rng.Float64() < freshShare {
+// take returns an idle open connection, or nil if the caller should open a new one.
+func (p *connectionPool) take() *connection {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.rng.Float64() < newConnectionShare {
 		return nil
 	}
-	for len(c.held) > 0 {
-		i, last := c.rng.IntN(len(c.held)), len(c.held)-1
-		taken := c.held[i]
-		c.held[i], c.held = c.held[last], c.held[:last]
-		if taken.Available() == 1 {
-			return taken
+	for len(p.idle) > 0 {
+		i, last := p.rng.IntN(len(p.idle)), len(p.idle)-1
+		conn := p.idle[i]
+		p.idle[i], p.idle = p.idle[last], p.idle[:last]
+		if conn.Available() == 1 {
+			return conn
 		}
-		_ = taken.Close()
+		_ = conn.Close()
 	}
 	return nil
 }
 
 // open opens a connection to a router.
-func (c *connections) open(ctx context.Context, address string) (*connection, error) {
+func (p *connectionPool) open(ctx context.Context, address string) (*connection, error) {
 	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
-	opened, err := c.transport.NewClientConn(ctx, "http", address)
+	conn, err := p.transport.NewClientConn(ctx, "http", address)
 	if err != nil {
 		return nil, err
 	}
-	return &connection{ClientConn: opened, address: address}, nil
+	return &connection{ClientConn: conn, address: address}, nil
 }
 
-// give holds a connection whose last answer was read whole. One that can carry no other request is closed.
-func (c *connections) give(back *connection) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.closed || len(c.held) >= mostHeld || back.Available() != 1 {
-		_ = back.Close()
+// put returns a connection whose last answer was read completely. A connection that can't carry another request is closed.
+func (p *connectionPool) put(conn *connection) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed || len(p.idle) >= maxIdle || conn.Available() != 1 {
+		_ = conn.Close()
 		return
 	}
-	c.held = append(c.held, back)
+	p.idle = append(p.idle, conn)
 }
 
-// close closes the connections that rest, and those in use as they are given back.
-func (c *connections) close() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.closed = true
-	for _, held := range c.held {
-		_ = held.Close()
+// close closes the idle connections, and those in use when they are returned.
+func (p *connectionPool) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.closed = true
+	for _, conn := range p.idle {
+		_ = conn.Close()
 	}
-	c.held = nil
+	p.idle = nil
 }
