--- a/internal/standin/llmworker/driver.go
+++ b/internal/standin/llmworker/driver.go
@@ -7,53 +7,53 @@
 	"weldscale/internal/standin/engine"
 )
 
-// driver runs an engine on the real clock and hands its events to those who wait for them.
+// driver runs a simulated engine on the real clock and delivers its events to the queues of their jobs.
 type driver struct {
 	began time.Time
 	stop  chan struct{}
-	kick  chan struct{} // something was submitted
+	wake  chan struct{} // wakes run after a change from outside
 
-	mu      sync.Mutex
-	engine  *engine.Engine
-	waiters map[string]*waiter
+	mu     sync.Mutex
+	engine *engine.Engine
+	queues map[string]*eventQueue
 }
 
-// waiter collects the events of one job.
-type waiter struct {
+// eventQueue holds the events of one job that have not been taken yet.
+type eventQueue struct {
 	mu     sync.Mutex
 	events []engine.Event
-	news   chan struct{} // holds one token when there are events
+	ready  chan struct{} // capacity 1; signals new events
 }
 
-func (w *waiter) add(event engine.Event) {
-	w.mu.Lock()
-	w.events = append(w.events, event)
-	w.mu.Unlock()
+func (q *eventQueue) add(event engine.Event) {
+	q.mu.Lock()
+	q.events = append(q.events, event)
+	q.mu.Unlock()
 	select {
-	case w.news <- struct{}{}:
+	case q.ready <- struct{}{}:
 	default:
 	}
 }
 
-func (w *waiter) take() []engine.Event {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	out := w.events
-	w.events = nil
+func (q *eventQueue) take() []engine.Event {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	out := q.events
+	q.events = nil
 	return out
 }
 
 func startDriver(config engine.Config, key string) *driver {
-	d := &driver{began: time.Now(), stop: make(chan struct{}), kick: make(chan struct{}, 1), engine: engine.New(config, key+"-"),
-		waiters: map[string]*waiter{}}
+	d := &driver{began: time.Now(), stop: make(chan struct{}), wake: make(chan struct{}, 1), engine: engine.New(config, key+"-"),
+		queues: map[string]*eventQueue{}}
 	go d.run()
 	return d
 }
 
 func (d *driver) close() { close(d.stop) }
 
-// do calls f with the engine at the present moment and hands out what came of it.
-func (d *driver) do(f func(e *engine.Engine, now time.Duration)) {
+// withEngine advances the engine to the present, calls f and delivers the resulting events.
+func (d *driver) withEngine(f func(e *engine.Engine, now time.Duration)) {
 	d.mu.Lock()
 	now := time.Since(d.began)
 	d.engine.Advance(now)
@@ -61,16 +61,16 @@
 	d.deliver()
 	d.mu.Unlock()
 	select {
-	case d.kick <- struct{}{}:
+	case d.wake <- struct{}{}:
 	default:
 	}
 }
 
-// deliver hands events out; mu is held.
+// deliver moves the engine's new events to the queues of their jobs. The caller holds mu.
 func (d *driver) deliver() {
 	for _, event := range d.engine.Events() {
-		if waiting := d.waiters[event.Job]; waiting != nil {
-			waiting.add(event)
+		if queue := d.queues[event.Job]; queue != nil {
+			queue.add(event)
 		}
 	}
 }
@@ -82,62 +82,62 @@
 		d.mu.Lock()
 		d.engine.Advance(time.Since(d.began))
 		d.deliver()
-		next, some := d.engine.Next()
+		next, ok := d.engine.Next()
 		d.mu.Unlock()
 		wait := time.Hour
-		if some {
+		if ok {
 			wait = max(0, next-time.Since(d.began))
 		}
 		timer.Reset(wait)
 		select {
 		case <-d.stop:
 			return
-		case <-d.kick:
+		case <-d.wake:
 		case <-timer.C:
 		}
 	}
 }
 
-// submit hands a job in; job.ID must be unique.
-func (d *driver) submit(job engine.Job) (*waiter, engine.Rejection) {
-	waiting := &waiter{news: make(chan struct{}, 1)}
+// submit submits a job, whose ID must be unique, and returns the queue of its events or the reason for its rejection.
+func (d *driver) submit(job engine.Job) (*eventQueue, engine.Rejection) {
+	queue := &eventQueue{ready: make(chan struct{}, 1)}
 	reason := engine.Accepted
-	d.do(func(e *engine.Engine, now time.Duration) {
-		d.waiters[job.ID] = waiting
+	d.withEngine(func(e *engine.Engine, now time.Duration) {
+		d.queues[job.ID] = queue
 		if reason = e.Submit(now, job); reason != engine.Accepted {
-			delete(d.waiters, job.ID)
+			delete(d.queues, job.ID)
 		}
 	})
-	return waiting, reason
+	return queue, reason
 }
 
-// forget ends a job, whether it is over or not.
-func (d *driver) forget(id string) {
-	d.do(func(e *engine.Engine, now time.Duration) {
-		delete(d.waiters, id)
+// cancel removes a job and its event queue, whether the job has ended or not.
+func (d *driver) cancel(id string) {
+	d.withEngine(func(e *engine.Engine, now time.Duration) {
+		delete(d.queues, id)
 		e.Cancel(now, id)
 	})
 }
 
 func (d *driver) state() (report engine.Report) {
-	d.do(func(e *engine.Engine, _ time.Duration) { report = e.State() })
+	d.withEngine(func(e *engine.Engine, _ time.Duration) { report = e.State() })
 	return report
 }
 
 func (d *driver) report() (report engine.Report) {
-	d.do(func(e *engine.Engine, now time.Duration) { report = e.Report(now) })
+	d.withEngine(func(e *engine.Engine, now time.Duration) { report = e.Report(now) })
 	return report
 }
 
 func (d *driver) stats() (stats engine.Stats) {
-	d.do(func(e *engine.Engine, _ time.Duration) { stats = e.Stats() })
+	d.withEngine(func(e *engine.Engine, _ time.Duration) { stats = e.Stats() })
 	return stats
 }
 
 func (d *driver) now() time.Duration { return time.Since(d.began) }
 
-// next is when the engine does something by itself.
+// next returns the time of the engine's next state change without new input.
 func (d *driver) next() (at time.Duration) {
-	d.do(func(e *engine.Engine, _ time.Duration) { at, _ = e.Next() })
+	d.withEngine(func(e *engine.Engine, _ time.Duration) { at, _ = e.Next() })
 	return at
 }
--- a/internal/standin/llmworker/faults.go
+++ b/internal/standin/llmworker/faults.go
@@ -6,34 +6,34 @@
 	"sync"
 )
 
-// Fault is something that a worker does wrong with one request.
+// Fault is a fault of a worker in serving one request.
 type Fault uint8
 
 // The faults.
 const (
 	FaultNone            Fault = iota
-	FaultTruncate              // runs, and closes the connection within the second event, or within the body
-	FaultMalformed             // runs, and sends bytes that form no answer
-	FaultDuplicateAnswer       // answers, and answers once more when the next request comes on that connection
+	FaultTruncate              // runs, and closes the connection within the second event or within the body
+	FaultMalformed             // runs, and sends bytes that are not an HTTP answer
+	FaultDuplicateAnswer       // answers, and sends the same answer to the next request on that connection
 	FaultSilent                // runs, and never answers
 	FaultReset                 // runs, and resets the connection before its answer
 	FaultServerError           // runs, and answers 500
-	FaultReject                // doesn't run it: 503 with Not-Executed
+	FaultReject                // doesn't run; answers 503 with Not-Executed
 )
 
-// breaksOff reports whether a request gets no whole answer by the fault.
-func (f Fault) breaksOff() bool {
+// abortsAnswer reports whether the fault prevents a complete answer.
+func (f Fault) abortsAnswer() bool {
 	return f == FaultTruncate || f == FaultMalformed || f == FaultSilent || f == FaultReset
 }
 
-// faultPlan holds the faults to come.
+// faultPlan holds the planned faults.
 type faultPlan struct {
 	mu     sync.Mutex
 	next   []Fault
 	always Fault
 }
 
-// FailNext plans faults for the requests that come next, one each.
+// FailNext plans faults for the next requests, one for each.
 func (w *Worker) FailNext(faults ...Fault) {
 	w.faults.mu.Lock()
 	defer w.faults.mu.Unlock()
@@ -47,7 +47,7 @@
 	w.faults.always = fault
 }
 
-func (p *faultPlan) draw() Fault {
+func (p *faultPlan) nextFault() Fault {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.next) == 0 {
@@ -58,17 +58,17 @@
 	return fault
 }
 
-// misbehave plays the faults that come once a request runs and before its answer. It reports whether it did.
-func (w *Worker) misbehave(rw http.ResponseWriter, r *http.Request, fault Fault) bool {
+// applyFault applies a fault that occurs after a request has run and before its answer. It reports whether fault is one of these.
+func (w *Worker) applyFault(rw http.ResponseWriter, r *http.Request, fault Fault) bool {
 	switch fault {
 	case FaultMalformed:
-		w.raw(rw, "\x00\x01 no answer at all\r\n\r\n")
+		w.sendRaw(rw, "\x00\x01 no answer at all\r\n\r\n")
 	case FaultReset:
-		w.raw(rw, "")
+		w.sendRaw(rw, "")
 	case FaultSilent:
 		select {
 		case <-r.Context().Done():
-		case <-w.crashed:
+		case <-w.ended:
 		}
 		panic(http.ErrAbortHandler)
 	case FaultServerError:
@@ -80,8 +80,8 @@
 	return true
 }
 
-// raw takes the connection over, writes text and resets it.
-func (w *Worker) raw(rw http.ResponseWriter, text string) {
+// sendRaw hijacks the connection, writes text and closes it. If text is empty, it resets the connection.
+func (w *Worker) sendRaw(rw http.ResponseWriter, text string) {
 	conn, buffered, err := http.NewResponseController(rw).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -95,7 +95,7 @@
 	reset(conn)
 }
 
-// answerTwice sends a whole answer, and the same once more in the place where the answer to the next request is due.
+// answerTwice sends a complete answer, and sends it again in place of the answer to the next request on the connection.
 func (w *Worker) answerTwice(rw http.ResponseWriter, header http.Header, body []byte) {
 	conn, buffered, err := http.NewResponseController(rw).Hijack()
 	if err != nil {
--- a/internal/standin/llmworker/model.go
+++ b/internal/standin/llmworker/model.go
@@ -12,89 +12,90 @@
 	"weldscale/internal/standin/judge"
 )
 
-// serveModel hands a request to the engine: to be read only, or to run from its own reading or from fetched memory.
+// serveModel submits a request to the engine: for prefill only, for prefill and decode, or for decode with KV memory that is
+// fetched from another worker.
 func (w *Worker) serveModel(rw http.ResponseWriter, r *http.Request, in *incoming) {
 	job := engine.Job{ID: fmt.Sprintf("%s#%d", in.id, w.stamps.Add(1)), Model: in.model, Parts: in.prompt, Output: in.output,
-		Done: min(in.resumeAfter, in.output-1), Priority: in.priority, Deadline: w.engineDeadline(in), PrefillOnly: in.readsOnly,
-		Fetched: in.from != ""}
+		Done: min(in.resumeAfter, in.output-1), Priority: in.priority, Deadline: w.engineDeadline(in), PrefillOnly: in.prefillOnly,
+		Fetched: in.kvFrom != ""}
 	if job.Fetched {
 		if reason := w.check(job); reason != engine.Accepted {
 			w.reject(rw, in, reason)
 			return
 		}
-		readyAt, fetched := w.fetch(in)
+		readyAt, fetched := w.fetchMemory(in)
 		if !fetched {
-			w.arrived(in, false)
-			w.notExecuted(rw, http.StatusServiceUnavailable)
+			w.reportArrival(in, false)
+			w.writeNotExecuted(rw, http.StatusServiceUnavailable)
 			return
 		}
 		job.ReadyAt = readyAt
 	}
-	waiting, reason := w.driver.submit(job)
+	queue, reason := w.driver.submit(job)
 	if reason != engine.Accepted {
 		w.reject(rw, in, reason)
 		return
 	}
-	defer w.driver.forget(job.ID)
-	w.arrived(in, true)
+	defer w.driver.cancel(job.ID)
+	w.reportArrival(in, true)
 	s := &stream{worker: w, rw: rw, in: in}
-	s.follow(r, waiting)
+	s.writeEvents(r, queue)
 }
 
 func (w *Worker) check(job engine.Job) (reason engine.Rejection) {
-	w.driver.do(func(e *engine.Engine, _ time.Duration) { reason = e.Check(job) })
+	w.driver.withEngine(func(e *engine.Engine, _ time.Duration) { reason = e.Check(job) })
 	return reason
 }
 
 func (w *Worker) reject(rw http.ResponseWriter, in *incoming, reason engine.Rejection) {
 	if reason == engine.RejectedStage {
 		w.config.Judge.Arrived(judge.Arrival{ID: in.id, Service: w.config.Service, Worker: w.id, At: in.began, Misdirected: true})
-		w.notExecuted(rw, http.StatusMisdirectedRequest)
+		w.writeNotExecuted(rw, http.StatusMisdirectedRequest)
 		return
 	}
-	w.arrived(in, false)
-	w.notExecuted(rw, http.StatusServiceUnavailable)
+	w.reportArrival(in, false)
+	w.writeNotExecuted(rw, http.StatusServiceUnavailable)
 }
 
-// The factors by which a move takes longer.
+// The factors by which the distance multiplies the time of a KV transfer.
 const (
-	sameZone       = 1
-	betweenZones   = 2
-	betweenRegions = 10
+	sameZone    = 1
+	crossZone   = 2
+	crossRegion = 10
 )
 
-// fetch takes the handle at its worker and books the move. It returns when the memory will be here.
-func (w *Worker) fetch(in *incoming) (readyAt time.Duration, ok bool) {
-	address, handle, _ := strings.Cut(in.from, "/")
-	source := w.config.Neighbours.at(address)
+// fetchMemory takes the KV handle from its worker and reserves the transfer. It returns the time at which the transfer ends.
+func (w *Worker) fetchMemory(in *incoming) (readyAt time.Duration, ok bool) {
+	address, handle, _ := strings.Cut(in.kvFrom, "/")
+	source := w.config.Neighbours.find(address)
 	if source == nil || source.driver == nil || source == w {
 		return 0, false
 	}
-	w.driver.do(func(e *engine.Engine, now time.Duration) { ok = e.CanTransfer(now) })
+	w.driver.withEngine(func(e *engine.Engine, now time.Duration) { ok = e.CanTransfer(now) })
 	if !ok {
 		return 0, false
 	}
 	factor := sameZone
 	switch {
 	case source.config.Region != w.config.Region:
-		factor = betweenRegions
+		factor = crossRegion
 	case source.config.Zone != w.config.Zone:
-		factor = betweenZones
+		factor = crossZone
 	}
 	var taken engine.TakenHandle
-	source.driver.do(func(e *engine.Engine, now time.Duration) { taken, ok = e.TakeHandle(now, handle, factor) })
+	source.driver.withEngine(func(e *engine.Engine, now time.Duration) { taken, ok = e.TakeHandle(now, handle, factor) })
 	if !ok {
 		return 0, false
 	}
 	readFor, _, _ := strings.Cut(taken.Job, "#")
 	w.config.Judge.HandleUsed(readFor, in.id)
-	w.driver.do(func(e *engine.Engine, now time.Duration) {
+	w.driver.withEngine(func(e *engine.Engine, now time.Duration) {
 		readyAt = e.ReserveTransfer(now, taken.Wait, taken.Tokens, factor)
 	})
 	return readyAt, true
 }
 
-// stream writes the answer of one job.
+// stream writes the answer to one job.
 type stream struct {
 	worker *Worker
 	rw     http.ResponseWriter
@@ -103,61 +104,61 @@
 	events int
 }
 
-// follow writes what the engine says until the job's end.
-func (s *stream) follow(r *http.Request, waiting *waiter) {
-	deadline := time.NewTimer(s.in.left())
+// writeEvents writes the job's events to the client until the job ends.
+func (s *stream) writeEvents(r *http.Request, queue *eventQueue) {
+	deadline := time.NewTimer(s.in.remaining())
 	defer deadline.Stop()
 	for {
 		select {
-		case <-waiting.news:
+		case <-queue.ready:
 		case <-r.Context().Done():
 			return
-		case <-s.worker.crashed:
-			s.cut()
+		case <-s.worker.ended:
+			s.abort()
 		case <-deadline.C:
-			s.expire(waiting)
+			s.expire(queue)
 			return
 		}
-		for _, event := range waiting.take() {
-			if over := s.on(r, event); over {
+		for _, event := range queue.take() {
+			if done := s.writeEvent(r, event); done {
 				return
 			}
 		}
 	}
 }
 
-// on writes one event of the engine and reports whether it was the last.
-func (s *stream) on(r *http.Request, event engine.Event) (over bool) {
+// writeEvent writes one event and reports whether it was the last.
+func (s *stream) writeEvent(r *http.Request, event engine.Event) (done bool) {
 	switch event.Kind {
 	case engine.KindNotExecuted:
-		s.worker.notExecuted(s.rw, http.StatusServiceUnavailable)
+		s.worker.writeNotExecuted(s.rw, http.StatusServiceUnavailable)
 	case engine.KindPrefilled:
 		s.rw.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(s.rw).Encode(map[string]any{"KvHandle": event.Handle, "Tokens": event.Tokens, "Version": 1})
 	case engine.KindTokens:
 		if s.stamp == "" {
-			s.begin(event)
-			if s.worker.misbehave(s.rw, r, s.in.fault) {
+			s.writeHeaders(event)
+			if s.worker.applyFault(s.rw, r, s.in.fault) {
 				return true
 			}
 		}
-		s.tokens(event)
+		s.writeTokens(event)
 		return false
 	}
 	return true
 }
 
-// begin writes the head: the request starts running at its first token.
-func (s *stream) begin(event engine.Event) {
-	s.stamp = s.worker.stamp()
-	s.worker.ran(s.in, s.stamp, event.From-1)
+// writeHeaders sets the headers and reports the run to the judge: a request counts as run from its first token.
+func (s *stream) writeHeaders(event engine.Event) {
+	s.stamp = s.worker.newStamp()
+	s.worker.reportRun(s.in, s.stamp, event.From-1)
 	header := s.rw.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Response-Signature", s.stamp)
 	header.Set("Versions", "1")
 }
 
-func (s *stream) tokens(event engine.Event) {
+func (s *stream) writeTokens(event engine.Event) {
 	piece := judge.Piece{Stamp: s.stamp, From: event.From, To: event.To, Total: s.in.output}
 	s.worker.config.Judge.MadePiece(piece)
 	text := FormatEvent(piece)
@@ -174,34 +175,34 @@
 	_ = http.NewResponseController(s.rw).Flush()
 }
 
-// cut breaks the stream off within an event, as a crash does.
-func (s *stream) cut() {
+// abort ends the stream within an event, as a crash does.
+func (s *stream) abort() {
 	if s.stamp != "" {
 		s.write("id: 9")
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// expire ends what reached its deadline. What waits in the queue has not run; the engine says so itself.
-func (s *stream) expire(waiting *waiter) {
+// expire ends a request at its deadline. If the request was still queued, the engine has reported that it did not run.
+func (s *stream) expire(queue *eventQueue) {
 	if s.stamp != "" {
 		panic(http.ErrAbortHandler)
 	}
-	for _, event := range waiting.take() {
+	for _, event := range queue.take() {
 		if event.Kind == engine.KindNotExecuted {
-			s.worker.notExecuted(s.rw, http.StatusServiceUnavailable)
+			s.worker.writeNotExecuted(s.rw, http.StatusServiceUnavailable)
 			return
 		}
 	}
 	s.rw.WriteHeader(http.StatusGatewayTimeout)
 }
 
-// FormatEvent is a piece as an event of a stream. The id is that of its last token.
+// FormatEvent formats a piece as an event of a stream. The event's id is the number of the last token.
 func FormatEvent(piece judge.Piece) string {
 	return fmt.Sprintf("id: %d\ndata: %s %d-%d/%d\n\n", piece.To, piece.Stamp, piece.From, piece.To, piece.Total)
 }
 
-// ParseEvent reads what FormatEvent wrote, without its end.
+// ParseEvent parses the output of FormatEvent without the blank line at its end.
 func ParseEvent(text string) (judge.Piece, bool) {
 	var piece judge.Piece
 	var id int
@@ -225,7 +226,7 @@
 
 func (w *Worker) serveReport(rw http.ResponseWriter, r *http.Request) {
 	w.probes.Add(1)
-	w.head(rw, r)
+	w.setCommonHeaders(rw, r)
 	report := w.driver.report()
 	report.Models = []engine.Model{{Name: "m", Version: 1, Adapters: []string{}}}
 	rw.Header().Set("Content-Type", "application/json")
@@ -233,10 +234,10 @@
 }
 
 func (w *Worker) serveOrder(rw http.ResponseWriter, r *http.Request) {
-	w.head(rw, r)
+	w.setCommonHeaders(rw, r)
 	var order engine.Order
-	if !w.expected(r) {
-		w.notExecuted(rw, http.StatusMisdirectedRequest)
+	if !w.matchesExpected(r) {
+		w.writeNotExecuted(rw, http.StatusMisdirectedRequest)
 		return
 	}
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
@@ -247,15 +248,15 @@
 		w.config.Judge.Ordered(w.id, order.Holder, *order.FenceToken, w.config.Engine.Fencing, time.Now())
 	}
 	var status int
-	w.driver.do(func(e *engine.Engine, now time.Duration) { status = e.Order(now, order) })
+	w.driver.withEngine(func(e *engine.Engine, now time.Duration) { status = e.Order(now, order) })
 	rw.Header().Set("Content-Length", strconv.Itoa(0))
 	rw.WriteHeader(status)
 }
 
 func (w *Worker) serveFreeHandle(rw http.ResponseWriter, r *http.Request) {
-	w.head(rw, r)
+	w.setCommonHeaders(rw, r)
 	freed := false
-	w.driver.do(func(e *engine.Engine, now time.Duration) { freed = e.FreeHandle(now, r.PathValue("id")) })
+	w.driver.withEngine(func(e *engine.Engine, now time.Duration) { freed = e.FreeHandle(now, r.PathValue("id")) })
 	if !freed {
 		rw.WriteHeader(http.StatusNotFound)
 	}
--- a/internal/standin/llmworker/plain.go
+++ b/internal/standin/llmworker/plain.go
@@ -10,73 +10,73 @@
 	"weldscale/internal/standin/judge"
 )
 
-// places are the slots and the queue of a plain worker.
-type places struct {
-	slots chan struct{}
-	mu    sync.Mutex
-	wait  int
-	most  int
+// slotQueue holds the slots and the bounded queue of a plain worker.
+type slotQueue struct {
+	inUse      chan struct{}
+	mu         sync.Mutex
+	waiting    int
+	maxWaiting int
 }
 
-func newPlaces(slots, queue int) *places {
-	return &places{slots: make(chan struct{}, slots), most: queue}
+func newSlotQueue(slots, queue int) *slotQueue {
+	return &slotQueue{inUse: make(chan struct{}, slots), maxWaiting: queue}
 }
 
-// enqueue lines up for a slot; false means that the queue is full.
-func (p *places) enqueue() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.wait >= p.most && len(p.slots) == cap(p.slots) {
+// enqueue adds a request to the queue. It reports false if the queue is full.
+func (q *slotQueue) enqueue() bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.waiting >= q.maxWaiting && len(q.inUse) == cap(q.inUse) {
 		return false
 	}
-	p.wait++
+	q.waiting++
 	return true
 }
 
-func (p *places) dequeue() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.wait--
+func (q *slotQueue) dequeue() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.waiting--
 }
 
-func (p *places) load() (running, waiting int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return len(p.slots), p.wait
+func (q *slotQueue) load() (running, waiting int) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return len(q.inUse), q.waiting
 }
 
-// servePlain works on a request of a plain worker.
+// servePlain queues a request of a plain worker and runs it once a slot is free.
 func (w *Worker) servePlain(rw http.ResponseWriter, r *http.Request, in *incoming) {
-	if !w.plain.enqueue() {
-		w.arrived(in, false)
-		w.notExecuted(rw, http.StatusServiceUnavailable)
+	if !w.slots.enqueue() {
+		w.reportArrival(in, false)
+		w.writeNotExecuted(rw, http.StatusServiceUnavailable)
 		return
 	}
-	w.arrived(in, true)
-	deadline := time.NewTimer(in.left())
+	w.reportArrival(in, true)
+	deadline := time.NewTimer(in.remaining())
 	defer deadline.Stop()
 	select {
-	case w.plain.slots <- struct{}{}:
-		w.plain.dequeue()
-		defer func() { <-w.plain.slots }()
+	case w.slots.inUse <- struct{}{}:
+		w.slots.dequeue()
+		defer func() { <-w.slots.inUse }()
 	case <-deadline.C:
-		w.plain.dequeue()
-		w.notExecuted(rw, http.StatusServiceUnavailable)
+		w.slots.dequeue()
+		w.writeNotExecuted(rw, http.StatusServiceUnavailable)
 		return
 	case <-r.Context().Done():
-		w.plain.dequeue()
+		w.slots.dequeue()
 		return
-	case <-w.crashed:
-		w.plain.dequeue()
+	case <-w.ended:
+		w.slots.dequeue()
 		panic(http.ErrAbortHandler)
 	}
-	w.work(rw, r, in, deadline)
+	w.runPlain(rw, r, in, deadline)
 }
 
-// work runs a request that has its slot.
-func (w *Worker) work(rw http.ResponseWriter, r *http.Request, in *incoming, deadline *time.Timer) {
-	stamp := w.stamp()
-	w.ran(in, stamp, 0)
+// runPlain runs a request that has a slot.
+func (w *Worker) runPlain(rw http.ResponseWriter, r *http.Request, in *incoming, deadline *time.Timer) {
+	stamp := w.newStamp()
+	w.reportRun(in, stamp, 0)
 	work := time.NewTimer(w.config.Work)
 	defer work.Stop()
 	select {
@@ -86,17 +86,17 @@
 		return
 	case <-r.Context().Done():
 		return
-	case <-w.crashed:
+	case <-w.ended:
 		panic(http.ErrAbortHandler)
 	}
-	if w.misbehave(rw, r, in.fault) {
+	if w.applyFault(rw, r, in.fault) {
 		return
 	}
-	w.answer(rw, in, stamp)
+	w.sendAnswer(rw, in, stamp)
 }
 
-// answer sends the answer of a plain worker, or what the planned fault makes of it.
-func (w *Worker) answer(rw http.ResponseWriter, in *incoming, stamp string) {
+// sendAnswer sends the answer of a plain worker, altered by the planned fault if there is one.
+func (w *Worker) sendAnswer(rw http.ResponseWriter, in *incoming, stamp string) {
 	body := bytes.Repeat([]byte(stamp+" "), w.config.AnswerBytes/(len(stamp)+1)+1)[:w.config.AnswerBytes]
 	header := rw.Header()
 	header.Set("Response-Signature", stamp)
--- a/internal/standin/llmworker/request.go
+++ b/internal/standin/llmworker/request.go
@@ -12,18 +12,18 @@
 	"weldscale/internal/standin/judge"
 )
 
-// incoming is a request that was read.
+// incoming is a request that has been read.
 type incoming struct {
 	id          string
 	fingerprint string
 	began       time.Time
-	deadline    time.Duration // since began
+	deadline    time.Duration // relative to began
 	output      int
 	prompt      []engine.Part
 	model       string
 	priority    int
-	readsOnly   bool
-	from        string // Kv-From
+	prefillOnly bool
+	kvFrom      string // value of the Kv-From header
 	resumeAfter int
 	fault       Fault
 }
@@ -33,18 +33,18 @@
 	defaultPriority = 5
 )
 
-// left is how long the worker may still work.
-func (in *incoming) left() time.Duration { return in.deadline - time.Since(in.began) }
+// remaining returns the time until the deadline.
+func (in *incoming) remaining() time.Duration { return in.deadline - time.Since(in.began) }
 
-// read takes a request in; it reports false if the request is not in the protocol.
-func (w *Worker) read(r *http.Request) (*incoming, bool) {
+// readRequest reads a request. It reports false if the body can't be read or the Request-Id header is missing.
+func (w *Worker) readRequest(r *http.Request) (*incoming, bool) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return nil, false
 	}
 	in := &incoming{id: r.Header.Get("Request-Id"), began: time.Now(), deadline: noDeadline, priority: defaultPriority,
-		model: r.Header.Get("Model-Name"), readsOnly: r.Header.Get("Serving-Stage") == engine.StagePrefill, from: r.Header.Get("Kv-From"),
-		fingerprint: judge.Fingerprint(r.Method, r.URL.RequestURI(), body)}
+		model: r.Header.Get("Model-Name"), prefillOnly: r.Header.Get("Serving-Stage") == engine.StagePrefill,
+		kvFrom: r.Header.Get("Kv-From"), fingerprint: judge.Fingerprint(r.Method, r.URL.RequestURI(), body)}
 	if ms, err := strconv.ParseFloat(r.Header.Get("Deadline-Ms"), 64); err == nil {
 		in.deadline = time.Duration(ms * float64(time.Millisecond))
 	}
@@ -52,12 +52,12 @@
 		in.priority = priority
 	}
 	in.resumeAfter, _ = strconv.Atoi(r.Header.Get("Last-Event-Id"))
-	in.prompt, in.output = prompt(r.Header.Get("Token-Count"), r.Header.Get("Prefix-Hash"))
+	in.prompt, in.output = parsePrompt(r.Header.Get("Token-Count"), r.Header.Get("Prefix-Hash"))
 	return in, in.id != ""
 }
 
-// prompt reads the parts of a prompt and the tokens to make.
-func prompt(count, hashes string) (parts []engine.Part, output int) {
+// parsePrompt returns the parts of a prompt and the number of tokens to generate, from the Token-Count and Prefix-Hash headers.
+func parsePrompt(count, hashes string) (parts []engine.Part, output int) {
 	in, out, _ := strings.Cut(count, ",")
 	total, _ := strconv.Atoi(in)
 	output, _ = strconv.Atoi(out)
@@ -74,27 +74,27 @@
 	return parts, max(1, output)
 }
 
-// serveRequest takes up whatever is no call of the protocol between schedulers and workers.
+// serveRequest serves every request that is not a call of the protocol between schedulers and workers.
 func (w *Worker) serveRequest(rw http.ResponseWriter, r *http.Request) {
-	w.head(rw, r)
-	in, proper := w.read(r)
+	w.setCommonHeaders(rw, r)
+	in, ok := w.readRequest(r)
 	switch {
-	case !proper:
-		w.notExecuted(rw, http.StatusBadRequest)
+	case !ok:
+		w.writeNotExecuted(rw, http.StatusBadRequest)
 		return
-	case !w.expected(r):
+	case !w.matchesExpected(r):
 		w.config.Judge.Arrived(judge.Arrival{ID: in.id, Service: w.config.Service, Worker: w.id, At: in.began, Misdirected: true})
-		w.notExecuted(rw, http.StatusMisdirectedRequest)
+		w.writeNotExecuted(rw, http.StatusMisdirectedRequest)
 		return
 	}
-	in.fault = w.faults.draw()
-	if in.fault.breaksOff() {
+	in.fault = w.faults.nextFault()
+	if in.fault.abortsAnswer() {
 		w.config.Judge.AnswerAborted(in.id)
 	}
 	switch {
 	case in.fault == FaultReject:
-		w.arrived(in, false)
-		w.notExecuted(rw, http.StatusServiceUnavailable)
+		w.reportArrival(in, false)
+		w.writeNotExecuted(rw, http.StatusServiceUnavailable)
 	case w.driver == nil:
 		w.servePlain(rw, r, in)
 	default:
@@ -102,23 +102,23 @@
 	}
 }
 
-// arrived tells the judge of a request at the door.
-func (w *Worker) arrived(in *incoming, taken bool) {
+// reportArrival reports to the judge that a request arrived and whether it was accepted.
+func (w *Worker) reportArrival(in *incoming, accepted bool) {
 	w.config.Judge.Arrived(judge.Arrival{ID: in.id, Service: w.config.Service, Worker: w.id, At: in.began,
-		PrefillOnly: in.readsOnly, Accepted: taken})
+		PrefillOnly: in.prefillOnly, Accepted: accepted})
 }
 
-// ran tells the judge of a run.
-func (w *Worker) ran(in *incoming, stamp string, after int) {
+// reportRun reports to the judge that a request runs.
+func (w *Worker) reportRun(in *incoming, stamp string, after int) {
 	w.config.Judge.Ran(judge.Run{ID: in.id, Service: w.config.Service, Worker: w.id, Stamp: stamp,
 		Fingerprint: in.fingerprint, After: after,
 		At: time.Now()})
 }
 
-// engineDeadline is the deadline by the engine's clock.
+// engineDeadline returns the deadline on the engine's clock.
 func (w *Worker) engineDeadline(in *incoming) time.Duration {
 	if in.deadline >= noDeadline {
 		return time.Duration(math.MaxInt64)
 	}
-	return max(1, w.driver.now()+in.left())
+	return max(1, w.driver.now()+in.remaining())
 }
--- a/internal/standin/llmworker/worker.go
+++ b/internal/standin/llmworker/worker.go
@@ -1,6 +1,6 @@
-// Package llmworker stands in for the workers of a fleet, on real sockets: those of a language model, around the pure
-// model of package engine, and plain ones that work for a while and answer. A worker tells the judge what it saw and
-// made; on demand it breaks off, garbles, falls silent, resets or answers twice.
+// Package llmworker is a test double of a fleet's workers, on real sockets: workers of a language model, which use the simulated
+// engine of package engine, and plain workers, which answer after a fixed time. A worker reports to the judge what it receives,
+// runs and answers. On demand it fails: it truncates, corrupts, withholds or duplicates an answer, or resets the connection.
 package llmworker
 
 import (
@@ -20,7 +20,7 @@
 	"weldscale/internal/standin/platform"
 )
 
-// Config describes a worker. Zero values mean what the comments say.
+// Config describes a worker. The values in the comments are the defaults that replace zero values.
 type Config struct {
 	Name           string
 	Service        string
@@ -29,21 +29,21 @@
 	Region         string
 	HealthCheck    string         // /healthz
 	MaxConnections int            // 350
-	IdleTimeout    time.Duration  // 5 s, told by Keep-Alive
-	TellsLoad      bool           // Server-Load in answers
+	IdleTimeout    time.Duration  // 5 s; sent in Keep-Alive
+	TellsLoad      bool           // send Server-Load in answers
 	Engine         *engine.Config // nil: a plain worker
 	Slots          int            // of a plain worker; 4
 	Queue          int            // of a plain worker; 16
-	Work           time.Duration  // of a plain worker, for each request
+	Work           time.Duration  // of a plain worker; the time that each request takes
 	AnswerBytes    int            // of a plain worker; 100
 	Judge          *judge.Checker
-	Neighbours     *Neighbours // where memory is fetched from; nil: nowhere
+	Neighbours     *Neighbours // the workers that KV memory can be fetched from; nil: none
 }
 
-// Neighbours finds the workers whose memory can be fetched, by address.
+// Neighbours holds the workers that KV memory can be fetched from, by address.
 type Neighbours struct{ workers sync.Map }
 
-func (n *Neighbours) at(address string) *Worker {
+func (n *Neighbours) find(address string) *Worker {
 	if n == nil {
 		return nil
 	}
@@ -52,21 +52,21 @@
 	return found
 }
 
-// Worker is one incarnation of a worker.
+// Worker is one incarnation of a worker. Restart creates another one.
 type Worker struct {
-	config   Config
-	id       string
-	address  string
-	server   *http.Server
-	driver   *driver // nil for a plain worker
-	plain    *places // nil for a worker with an engine
-	draining atomic.Bool
-	unwell   atomic.Bool
-	crashed  chan struct{}
-	ended    sync.Once
-	stamps   atomic.Int64
-	probes   atomic.Int64
-	faults   faultPlan
+	config    Config
+	id        string
+	address   string
+	server    *http.Server
+	driver    *driver    // nil for a plain worker
+	slots     *slotQueue // nil for a worker with an engine
+	draining  atomic.Bool
+	unhealthy atomic.Bool
+	ended     chan struct{} // closed by Stop and Crash
+	endOnce   sync.Once
+	stamps    atomic.Int64
+	probes    atomic.Int64
+	faults    faultPlan
 }
 
 var incarnations atomic.Int64
@@ -88,36 +88,36 @@
 		return nil, err
 	}
 	w := &Worker{config: config, id: fmt.Sprintf("i-%s-%d", config.Name, incarnations.Add(1)), address: listener.Addr().String(),
-		crashed: make(chan struct{})}
+		ended: make(chan struct{})}
 	if config.Engine != nil {
 		w.driver = startDriver(*config.Engine, w.id)
 	} else {
-		w.plain = newPlaces(config.Slots, config.Queue)
+		w.slots = newSlotQueue(config.Slots, config.Queue)
 	}
 	if config.Neighbours != nil {
 		config.Neighbours.workers.Store(w.address, w)
 	}
 	w.server = &http.Server{Handler: w.routes(), IdleTimeout: config.IdleTimeout}
-	go func() { _ = w.server.Serve(&cappedListener{Listener: listener, most: int64(config.MaxConnections)}) }()
+	go func() { _ = w.server.Serve(&cappedListener{Listener: listener, maxOpen: int64(config.MaxConnections)}) }()
 	return w, nil
 }
 
-// ID is the incarnation's id.
+// ID returns the incarnation's id.
 func (w *Worker) ID() string { return w.id }
 
-// Address is where it listens.
+// Address returns the worker's listening address.
 func (w *Worker) Address() string { return w.address }
 
-// Probes is how often it was asked for its report or its health.
+// Probes returns the number of load reports and health checks that were requested.
 func (w *Worker) Probes() int { return int(w.probes.Load()) }
 
-// Running is how many requests it works on.
+// Running returns the number of running requests.
 func (w *Worker) Running() int {
 	running, _, _ := w.load()
 	return running
 }
 
-// Stats returns the engine's counts; of a plain worker, none.
+// Stats returns the engine's counters. They are zero for a plain worker.
 func (w *Worker) Stats() engine.Stats {
 	if w.driver == nil {
 		return engine.Stats{}
@@ -125,14 +125,14 @@
 	return w.driver.stats()
 }
 
-// ExpireHandles lets all handles lapse at once.
+// ExpireHandles lets all KV handles expire at once.
 func (w *Worker) ExpireHandles() {
 	if w.driver != nil {
-		w.driver.do(func(e *engine.Engine, now time.Duration) { e.ExpireHandles(now) })
+		w.driver.withEngine(func(e *engine.Engine, now time.Duration) { e.ExpireHandles(now) })
 	}
 }
 
-// Instance is the worker as the platform lists it.
+// Instance returns the worker as the platform lists it.
 func (w *Worker) Instance() platform.Instance {
 	out := platform.Instance{Service: w.config.Service, Address: w.address, Zone: w.config.Zone, Version: "v1",
 		Slots: w.config.Slots,
@@ -148,52 +148,52 @@
 	return out
 }
 
-// Drain makes it unhealthy and its answers close their connections; it serves on.
+// Drain makes the health checks fail and the answers close their connections. The worker continues to serve.
 func (w *Worker) Drain() { w.draining.Store(true) }
 
-// SetUnhealthy makes its health checks fail, or succeed again.
-func (w *Worker) SetUnhealthy(unwell bool) { w.unwell.Store(unwell) }
+// SetUnhealthy makes the health checks fail, or succeed again.
+func (w *Worker) SetUnhealthy(unhealthy bool) { w.unhealthy.Store(unhealthy) }
 
-// Restart starts a new incarnation at the same address, once this one has ended.
+// Restart starts a new incarnation at the same address. It must be called after Stop or Crash.
 func (w *Worker) Restart() (*Worker, error) {
 	config := w.config
 	config.Address = w.address
 	return Start(config)
 }
 
-// Stop ends it; what it works on is cut off.
+// Stop ends the worker and aborts its running requests.
 func (w *Worker) Stop() {
-	w.ended.Do(func() {
+	w.endOnce.Do(func() {
 		w.config.Judge.ListedDraining(w.id, time.Now())
 		w.config.Judge.WorkerExited(w.id)
-		w.end()
+		w.shutDown()
 	})
 }
 
-// Crash ends it at once: streams are cut off within an event.
+// Crash ends the worker at once and aborts its streams within an event.
 func (w *Worker) Crash() {
-	w.ended.Do(func() {
+	w.endOnce.Do(func() {
 		w.config.Judge.WorkerCrashed(w.id)
-		w.end()
+		w.shutDown()
 	})
 }
 
-func (w *Worker) end() {
-	close(w.crashed)
+func (w *Worker) shutDown() {
+	close(w.ended)
 	if w.config.Neighbours != nil {
 		w.config.Neighbours.workers.CompareAndDelete(w.address, w)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), cutGrace)
+	ctx, cancel := context.WithTimeout(context.Background(), abortGrace)
 	defer cancel()
-	_ = w.server.Shutdown(ctx) // the handlers see that it crashed and cut what they write
+	_ = w.server.Shutdown(ctx) // the handlers see that ended is closed and abort their answers
 	_ = w.server.Close()
 	if w.driver != nil {
 		w.driver.close()
 	}
 }
 
-// cutGrace is how long the handlers may take to cut their streams.
-const cutGrace = 100 * time.Millisecond
+// abortGrace is how long the handlers may take to abort their answers.
+const abortGrace = 100 * time.Millisecond
 
 func (w *Worker) routes() http.Handler {
 	mux := http.NewServeMux()
@@ -207,8 +207,8 @@
 	return mux
 }
 
-// head sets what all answers carry.
-func (w *Worker) head(rw http.ResponseWriter, r *http.Request) {
+// setCommonHeaders sets the headers that all answers have.
+func (w *Worker) setCommonHeaders(rw http.ResponseWriter, r *http.Request) {
 	header := rw.Header()
 	header.Set("Instance-Id", w.id)
 	if id := r.Header.Get("Request-Id"); id != "" {
@@ -230,39 +230,39 @@
 		state := w.driver.state()
 		return state.Running, state.Queued, max(w.config.Engine.Slots, 1)
 	}
-	running, waiting = w.plain.load()
+	running, waiting = w.slots.load()
 	return running, waiting, w.config.Slots
 }
 
-// notExecuted answers with the promise that the request has not run.
-func (w *Worker) notExecuted(rw http.ResponseWriter, status int) {
+// writeNotExecuted answers with a rejection: the request has not run.
+func (w *Worker) writeNotExecuted(rw http.ResponseWriter, status int) {
 	rw.Header().Set("Not-Executed", "1")
 	rw.WriteHeader(status)
 }
 
 func (w *Worker) serveHealth(rw http.ResponseWriter, r *http.Request) {
 	w.probes.Add(1)
-	w.head(rw, r)
-	if w.draining.Load() || w.unwell.Load() {
+	w.setCommonHeaders(rw, r)
+	if w.draining.Load() || w.unhealthy.Load() {
 		rw.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// stamp makes the Response-Signature of a run.
-func (w *Worker) stamp() string { return fmt.Sprintf("%s.%d", w.id, w.stamps.Add(1)) }
+// newStamp returns a unique Response-Signature for a run.
+func (w *Worker) newStamp() string { return fmt.Sprintf("%s.%d", w.id, w.stamps.Add(1)) }
 
-// expected reports whether the request is for this incarnation.
-func (w *Worker) expected(r *http.Request) bool {
+// matchesExpected reports whether the request is meant for this incarnation and version.
+func (w *Worker) matchesExpected(r *http.Request) bool {
 	expected := r.Header.Get("Expected-Instance")
 	version := r.Header.Get("Expect-Version")
 	return (expected == "" || expected == w.id) && slices.Contains([]string{"", "1"}, version)
 }
 
-// cappedListener resets the connections beyond the most that it accepts.
+// cappedListener resets connections beyond the maximum number of open connections.
 type cappedListener struct {
 	net.Listener
-	most int64
-	open atomic.Int64
+	maxOpen int64
+	open    atomic.Int64
 }
 
 // Accept implements net.Listener.
@@ -272,7 +272,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.open.Add(1) <= l.most {
+		if l.open.Add(1) <= l.maxOpen {
 			return &cappedConn{Conn: conn, listener: l}, nil
 		}
 		l.open.Add(-1)
@@ -282,17 +282,17 @@
 
 type cappedConn struct {
 	net.Conn
-	listener *cappedListener
-	closed   sync.Once
+	listener  *cappedListener
+	closeOnce sync.Once
 }
 
 // Close implements net.Conn.
 func (c *cappedConn) Close() error {
-	c.closed.Do(func() { c.listener.open.Add(-1) })
+	c.closeOnce.Do(func() { c.listener.open.Add(-1) })
 	return c.Conn.Close()
 }
 
-// reset closes a connection with a reset.
+// reset closes a TCP connection with a reset.
 func reset(conn net.Conn) {
 	if capped, ok := conn.(*cappedConn); ok {
 		defer func() { _ = capped.Close() }()
--- a/internal/standin/llmworker/worker_test.go
+++ b/internal/standin/llmworker/worker_test.go
@@ -17,53 +17,53 @@
 	"weldscale/internal/standin/judge"
 )
 
-// bed is a worker with a client of its own.
-type bed struct {
-	t         *testing.T
-	judge     *judge.Checker
-	transport *http.Transport
-	neighbour *Neighbours
+// fixture starts workers and sends requests to them.
+type fixture struct {
+	t          *testing.T
+	judge      *judge.Checker
+	transport  *http.Transport
+	neighbours *Neighbours
 }
 
-func newBed(t *testing.T) *bed {
-	b := &bed{t: t, judge: judge.New(judge.DefaultBounds), transport: &http.Transport{DisableCompression: true},
-		neighbour: &Neighbours{}}
-	t.Cleanup(b.transport.CloseIdleConnections)
-	return b
+func newFixture(t *testing.T) *fixture {
+	f := &fixture{t: t, judge: judge.New(judge.DefaultBounds), transport: &http.Transport{DisableCompression: true},
+		neighbours: &Neighbours{}}
+	t.Cleanup(f.transport.CloseIdleConnections)
+	return f
 }
 
-func (b *bed) start(config Config) *Worker {
-	b.t.Helper()
-	config.Judge, config.Neighbours, config.Service = b.judge, b.neighbour, "s"
+func (f *fixture) start(config Config) *Worker {
+	f.t.Helper()
+	config.Judge, config.Neighbours, config.Service = f.judge, f.neighbours, "s"
 	w, err := Start(config)
-	require.NoError(b.t, err)
-	b.t.Cleanup(w.Stop)
+	require.NoError(f.t, err)
+	f.t.Cleanup(w.Stop)
 	return w
 }
 
-// send tells the judge of a request and sends it.
-func (b *bed) send(w *Worker, id string, headers ...string) (*http.Response, error) {
-	b.judge.Sent(judge.Request{ID: id, Services: []string{"s"}, Fingerprint: judge.Fingerprint("POST", "/p/x?q=1",
+// send reports a request to the judge and sends it.
+func (f *fixture) send(w *Worker, id string, headers ...string) (*http.Response, error) {
+	f.judge.Sent(judge.Request{ID: id, Services: []string{"s"}, Fingerprint: judge.Fingerprint("POST", "/p/x?q=1",
 		[]byte("body")), At: time.Now()})
-	return b.post(w, "/p/x?q=1", "body", append(headers, "Request-Id", id)...)
+	return f.post(w, "/p/x?q=1", "body", append(headers, "Request-Id", id)...)
 }
 
-func (b *bed) post(w *Worker, path, body string, headers ...string) (*http.Response, error) {
+func (f *fixture) post(w *Worker, path, body string, headers ...string) (*http.Response, error) {
 	request, err := http.NewRequest(http.MethodPost, "http://"+w.Address()+path, strings.NewReader(body))
-	require.NoError(b.t, err)
+	require.NoError(f.t, err)
 	for i := 0; i+1 < len(headers); i += 2 {
 		request.Header.Set(headers[i], headers[i+1])
 	}
-	return b.transport.RoundTrip(request)
+	return f.transport.RoundTrip(request)
 }
 
-// body reads an answer to its end.
-func (b *bed) body(response *http.Response, err error) string {
-	b.t.Helper()
-	require.NoError(b.t, err)
+// body reads an answer completely.
+func (f *fixture) body(response *http.Response, err error) string {
+	f.t.Helper()
+	require.NoError(f.t, err)
 	defer func() { _ = response.Body.Close() }()
 	text, err := io.ReadAll(response.Body)
-	require.NoError(b.t, err)
+	require.NoError(f.t, err)
 	return string(text)
 }
 
@@ -75,11 +75,11 @@
 	return &config
 }
 
-func TestAStreamComesWhole(t *testing.T) {
-	b := newBed(t)
-	w := b.start(Config{Name: "d", Engine: withStage(engine.StageDecode)})
-	response, err := b.send(w, "a", "Token-Count", "100,8", "Prefix-Hash", "aa:60,bb:40", "Expected-Instance", w.ID())
-	text := b.body(response, err)
+func TestStreamIsComplete(t *testing.T) {
+	f := newFixture(t)
+	w := f.start(Config{Name: "d", Engine: withStage(engine.StageDecode)})
+	response, err := f.send(w, "a", "Token-Count", "100,8", "Prefix-Hash", "aa:60,bb:40", "Expected-Instance", w.ID())
+	text := f.body(response, err)
 	require.Equal(t, "a", response.Header.Get("Request-Id"))
 	var ends []int
 	for event := range strings.SplitSeq(strings.TrimSuffix(text, "\n\n"), "\n\n") {
@@ -89,128 +89,128 @@
 		ends = append(ends, piece.To)
 	}
 	require.Equal(t, []int{1, 4, 7, 8}, ends)
-	resumed := b.body(b.send(w, "b", "Token-Count", "100,8", "Last-Event-Id", "4"))
+	resumed := f.body(f.send(w, "b", "Token-Count", "100,8", "Last-Event-Id", "4"))
 	require.True(t, strings.HasPrefix(resumed, "id: 5\n"), resumed)
-	require.Empty(t, b.judge.Report())
+	require.Empty(t, f.judge.Report())
 }
 
-func TestReadHereRunThere(t *testing.T) {
-	b := newBed(t)
-	prefill := b.start(Config{Name: "p", Engine: withStage(engine.StagePrefill)})
-	decode := b.start(Config{Name: "d", Engine: withStage(engine.StageDecode)})
+func TestPromptIsPrefilledAndDecodedByDifferentWorkers(t *testing.T) {
+	f := newFixture(t)
+	prefill := f.start(Config{Name: "p", Engine: withStage(engine.StagePrefill)})
+	decode := f.start(Config{Name: "d", Engine: withStage(engine.StageDecode)})
 	prompt := []string{"Token-Count", "100,3", "Prefix-Hash", "aa:100"}
-	var read struct {
+	var prefilled struct {
 		KvHandle        string
 		Tokens, Version int
 	}
-	require.NoError(t, json.Unmarshal([]byte(b.body(b.send(prefill, "a", append(prompt, "Serving-Stage", "prefill")...))), &read))
-	require.Equal(t, 100, read.Tokens)
-	from := []string{"Kv-From", prefill.Address() + "/" + read.KvHandle}
-	require.Contains(t, b.body(b.send(decode, "a", append(prompt, from...)...)), "1-1/3")
+	require.NoError(t, json.Unmarshal([]byte(f.body(f.send(prefill, "a", append(prompt, "Serving-Stage", "prefill")...))), &prefilled))
+	require.Equal(t, 100, prefilled.Tokens)
+	from := []string{"Kv-From", prefill.Address() + "/" + prefilled.KvHandle}
+	require.Contains(t, f.body(f.send(decode, "a", append(prompt, from...)...)), "1-1/3")
 	require.Equal(t, 100, decode.Stats().Fetched)
 	require.Zero(t, decode.Stats().TokensPrefilled)
-	again, err := b.send(decode, "a", append(prompt, from...)...)
-	b.body(again, err)
-	require.Equal(t, http.StatusServiceUnavailable, again.StatusCode)
-	require.Equal(t, "1", again.Header.Get("Not-Executed"))
+	second, err := f.send(decode, "a", append(prompt, from...)...)
+	f.body(second, err)
+	require.Equal(t, http.StatusServiceUnavailable, second.StatusCode)
+	require.Equal(t, "1", second.Header.Get("Not-Executed"))
 
-	misdirected, err := b.send(prefill, "a", prompt...)
-	b.body(misdirected, err)
+	misdirected, err := f.send(prefill, "a", prompt...)
+	f.body(misdirected, err)
 	require.Equal(t, http.StatusMisdirectedRequest, misdirected.StatusCode)
-	require.Empty(t, b.judge.Report())
+	require.Empty(t, f.judge.Report())
 }
 
-func TestTheHandleOfAnotherIsNoticed(t *testing.T) {
-	b := newBed(t)
-	prefill := b.start(Config{Name: "p", Engine: withStage(engine.StagePrefill)})
-	decode := b.start(Config{Name: "d", Engine: withStage(engine.StageDecode)})
-	var read struct{ KvHandle string }
-	require.NoError(t, json.Unmarshal([]byte(b.body(b.send(prefill, "a", "Token-Count", "10,3", "Serving-Stage",
-		"prefill"))), &read))
-	b.body(b.send(decode, "b", "Token-Count", "10,3", "Kv-From", prefill.Address()+"/"+read.KvHandle))
-	require.Contains(t, b.judge.Report(), "MIXED")
+func TestJudgeReportsHandleOfAnotherRequest(t *testing.T) {
+	f := newFixture(t)
+	prefill := f.start(Config{Name: "p", Engine: withStage(engine.StagePrefill)})
+	decode := f.start(Config{Name: "d", Engine: withStage(engine.StageDecode)})
+	var prefilled struct{ KvHandle string }
+	require.NoError(t, json.Unmarshal([]byte(f.body(f.send(prefill, "a", "Token-Count", "10,3", "Serving-Stage",
+		"prefill"))), &prefilled))
+	f.body(f.send(decode, "b", "Token-Count", "10,3", "Kv-From", prefill.Address()+"/"+prefilled.KvHandle))
+	require.Contains(t, f.judge.Report(), "MIXED")
 }
 
-func TestAHandleIsFreed(t *testing.T) {
-	b := newBed(t)
-	w := b.start(Config{Name: "p", Engine: withStage(engine.StagePrefill)})
-	var read struct{ KvHandle string }
-	require.NoError(t, json.Unmarshal([]byte(b.body(b.send(w, "a", "Token-Count", "10,3", "Serving-Stage", "prefill"))), &read))
-	request, err := http.NewRequest(http.MethodDelete, "http://"+w.Address()+"/kv-handle/"+read.KvHandle, nil)
+func TestFreeHandle(t *testing.T) {
+	f := newFixture(t)
+	w := f.start(Config{Name: "p", Engine: withStage(engine.StagePrefill)})
+	var prefilled struct{ KvHandle string }
+	require.NoError(t, json.Unmarshal([]byte(f.body(f.send(w, "a", "Token-Count", "10,3", "Serving-Stage", "prefill"))), &prefilled))
+	request, err := http.NewRequest(http.MethodDelete, "http://"+w.Address()+"/kv-handle/"+prefilled.KvHandle, nil)
 	require.NoError(t, err)
 	for _, status := range []int{http.StatusOK, http.StatusNotFound} {
-		response, err := b.transport.RoundTrip(request)
-		b.body(response, err)
+		response, err := f.transport.RoundTrip(request)
+		f.body(response, err)
 		require.Equal(t, status, response.StatusCode)
 	}
 }
 
 func TestOrdersAndReports(t *testing.T) {
-	b := newBed(t)
-	w := b.start(Config{Name: "w", Engine: withStage(engine.StageDecode)})
+	f := newFixture(t)
+	w := f.start(Config{Name: "w", Engine: withStage(engine.StageDecode)})
 	order := `{"Operation":"Stage","Stage":"prefill","Holder":"n","FenceToken":1}`
-	response, err := b.post(w, "/order", order)
-	b.body(response, err)
+	response, err := f.post(w, "/order", order)
+	f.body(response, err)
 	require.Equal(t, http.StatusAccepted, response.StatusCode)
 	for w.driver.state().Busy {
 		next := w.driver.next()
 		timer := time.NewTimer(max(0, next-w.driver.now()))
 		<-timer.C
 	}
-	response, err = b.post(w, "/order", order)
-	b.body(response, err)
+	response, err = f.post(w, "/order", order)
+	f.body(response, err)
 	require.Equal(t, http.StatusOK, response.StatusCode)
 	require.Equal(t, engine.StagePrefill, w.Instance().Stage)
-	report, err := b.transport.RoundTrip(mustGet(t, w, "/report"))
-	require.Contains(t, b.body(report, err), `"KvCapacity":100000`)
+	report, err := f.transport.RoundTrip(newGetRequest(t, w, "/report"))
+	require.Contains(t, f.body(report, err), `"KvCapacity":100000`)
 	require.Equal(t, 1, w.Probes())
 }
 
-func mustGet(t *testing.T, w *Worker, path string) *http.Request {
+func newGetRequest(t *testing.T, w *Worker, path string) *http.Request {
 	request, err := http.NewRequest(http.MethodGet, "http://"+w.Address()+path, nil)
 	require.NoError(t, err)
 	return request
 }
 
-func TestAPlainWorkerAnswers(t *testing.T) {
-	b := newBed(t)
-	w := b.start(Config{Name: "w", TellsLoad: true, AnswerBytes: 800})
-	response, err := b.send(w, "a")
-	body := b.body(response, err)
+func TestPlainWorkerAnswers(t *testing.T) {
+	f := newFixture(t)
+	w := f.start(Config{Name: "w", TellsLoad: true, AnswerBytes: 800})
+	response, err := f.send(w, "a")
+	body := f.body(response, err)
 	require.Len(t, body, 800)
-	b.judge.Answered(judge.Answer{ID: "a", Status: 200, Stamp: response.Header.Get("Response-Signature"),
+	f.judge.Answered(judge.Answer{ID: "a", Status: 200, Stamp: response.Header.Get("Response-Signature"),
 		Digest: judge.Digest([]byte(body)), Complete: true})
 	require.Equal(t, "1,0,4", strings.Replace(response.Header.Get("Server-Load"), "0,0", "1,0", 1))
 	require.Equal(t, "timeout=5", response.Header.Get("Keep-Alive"))
-	require.Empty(t, b.judge.Report())
+	require.Empty(t, f.judge.Report())
 }
 
-func TestWhatIsNotExecutedSaysSo(t *testing.T) {
-	b := newBed(t)
-	w := b.start(Config{Name: "w"})
+func TestRejectionsHaveNotExecutedHeader(t *testing.T) {
+	f := newFixture(t)
+	w := f.start(Config{Name: "w"})
 	for status, headers := range map[int][]string{
 		http.StatusBadRequest:         {},
 		http.StatusMisdirectedRequest: {"Request-Id", "a", "Expected-Instance", "i-other"},
 	} {
-		response, err := b.post(w, "/p/x", "", headers...)
-		b.body(response, err)
+		response, err := f.post(w, "/p/x", "", headers...)
+		f.body(response, err)
 		require.Equal(t, status, response.StatusCode)
 		require.Equal(t, "1", response.Header.Get("Not-Executed"))
 		require.Equal(t, w.ID(), response.Header.Get("Instance-Id"))
 	}
 	w.FailNext(FaultReject)
-	response, err := b.send(w, "b")
-	b.body(response, err)
+	response, err := f.send(w, "b")
+	f.body(response, err)
 	require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
-	require.Empty(t, b.judge.Runs("b"))
+	require.Empty(t, f.judge.Runs("b"))
 }
 
 func TestHealth(t *testing.T) {
-	b := newBed(t)
-	w := b.start(Config{Name: "w"})
+	f := newFixture(t)
+	w := f.start(Config{Name: "w"})
 	for _, status := range []int{http.StatusOK, http.StatusServiceUnavailable} {
-		response, err := b.transport.RoundTrip(mustGet(t, w, "/healthz"))
-		b.body(response, err)
+		response, err := f.transport.RoundTrip(newGetRequest(t, w, "/healthz"))
+		f.body(response, err)
 		require.Equal(t, status, response.StatusCode)
 		require.Equal(t, w.ID(), response.Header.Get("Instance-Id"))
 		w.Drain()
@@ -219,27 +219,27 @@
 
 func TestFaultsBreakAnswers(t *testing.T) {
 	for fault, broken := range map[Fault]string{FaultReset: "reset", FaultMalformed: "malformed"} {
-		b := newBed(t)
-		w := b.start(Config{Name: "w"})
+		f := newFixture(t)
+		w := f.start(Config{Name: "w"})
 		w.FailNext(fault)
-		_, err := b.send(w, "a")
+		_, err := f.send(w, "a")
 		require.ErrorContains(t, err, broken)
-		require.Len(t, b.judge.Runs("a"), 1)
+		require.Len(t, f.judge.Runs("a"), 1)
 	}
 	for _, model := range []*engine.Config{nil, withStage(engine.StageDecode)} {
-		b := newBed(t)
-		w := b.start(Config{Name: "w", Engine: model})
+		f := newFixture(t)
+		w := f.start(Config{Name: "w", Engine: model})
 		w.FailNext(FaultTruncate)
-		response, err := b.send(w, "a", "Token-Count", "10,20")
+		response, err := f.send(w, "a", "Token-Count", "10,20")
 		require.NoError(t, err)
 		_, err = io.ReadAll(response.Body)
 		require.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	}
 }
 
-func TestASurplusAnswerComesInThePlaceOfTheNext(t *testing.T) {
-	b := newBed(t)
-	w := b.start(Config{Name: "w"})
+func TestDuplicateAnswerReplacesTheNextAnswer(t *testing.T) {
+	f := newFixture(t)
+	w := f.start(Config{Name: "w"})
 	w.FailNext(FaultDuplicateAnswer)
 	conn, err := net.Dial("tcp", w.Address())
 	require.NoError(t, err)
@@ -254,10 +254,10 @@
 	}
 }
 
-func TestACrashCutsAStreamWithinAnEvent(t *testing.T) {
-	b := newBed(t)
-	w := b.start(Config{Name: "w", Engine: withStage(engine.StageDecode)})
-	response, err := b.send(w, "a", "Token-Count", "10,50000")
+func TestCrashAbortsStreamWithinAnEvent(t *testing.T) {
+	f := newFixture(t)
+	w := f.start(Config{Name: "w", Engine: withStage(engine.StageDecode)})
+	response, err := f.send(w, "a", "Token-Count", "10,50000")
 	require.NoError(t, err)
 	w.Crash()
 	text, err := io.ReadAll(response.Body)
@@ -270,26 +270,26 @@
 	require.Equal(t, w.Address(), next.Address())
 }
 
-func TestConnectionsBeyondTheMostAreReset(t *testing.T) {
-	b := newBed(t)
-	w := b.start(Config{Name: "w", MaxConnections: 1})
+func TestConnectionsBeyondTheMaximumAreReset(t *testing.T) {
+	f := newFixture(t)
+	w := f.start(Config{Name: "w", MaxConnections: 1})
 	first, err := net.Dial("tcp", w.Address())
 	require.NoError(t, err)
 	defer func() { _ = first.Close() }()
 	second, err := net.Dial("tcp", w.Address())
-	if err == nil { // else the reset came before the dialer looked
+	if err == nil { // otherwise the reset arrived before Dial returned
 		defer func() { _ = second.Close() }()
 		_, err = second.Read(make([]byte, 1))
 	}
 	require.ErrorContains(t, err, "reset")
 }
 
-func TestAtTheDeadlineAWorkerStops(t *testing.T) {
-	b := newBed(t)
-	w := b.start(Config{Name: "w", Work: time.Minute})
-	response, err := b.send(w, "a", "Deadline-Ms", "5")
-	b.body(response, err)
+func TestPlainWorkerStopsAtDeadline(t *testing.T) {
+	f := newFixture(t)
+	w := f.start(Config{Name: "w", Work: time.Minute})
+	response, err := f.send(w, "a", "Deadline-Ms", "5")
+	f.body(response, err)
 	require.Equal(t, http.StatusGatewayTimeout, response.StatusCode)
 	require.Empty(t, response.Header.Get("Not-Executed"))
-	require.Len(t, b.judge.Runs("a"), 1)
+	require.Len(t, f.judge.Runs("a"), 1)
 }
