--- a/cmd/weldscale/cli_test.go
+++ b/cmd/weldscale/cli_test.go
@@ -195,7 +195,7 @@
 func TestFileAlone(t *testing.T) {
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
 	addr, file := freeAddr(t), filepath.Join(t.TempDir(), "w.hcl")
-	text := block("shop", "", w)
+	text := serviceBlock("shop", "", w)
 	require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 	_, stderr, status := command(t, []string{"GW_CONFIG="}, "serve", "--config", file)
 	assert.Equal(t, 1, status)
--- a/cmd/weldscale/early_amd64_test.go
+++ b/cmd/weldscale/early_amd64_test.go
@@ -82,7 +82,7 @@
 		writeConfig(t, path, site)
 		require.NoError(t, syscall.Kill(pid, syscall.SIGHUP))
 	})
-	addr := log.listens(t)
+	addr := log.awaitAddr(t)
 	status, _, err := standin.Ask(client(), addr, "", "one", &standin.Kind{Class: "view", Budget: patience, Body: 5})
 	require.NoError(t, err)
 	assert.Equal(t, 200, status)
--- a/cmd/weldscale/fleet_test.go
+++ b/cmd/weldscale/fleet_test.go
@@ -40,7 +40,7 @@
 		}
 		text := fmt.Sprintf("scheduler {\n name = %q\n listen = %q\n}\ncontrol {\n socket = %q\n}\nfleet \"print\" {\n bind = %q\n"+
 			" join = [%q, %q, %q]\n members = %d\n keepers = [\"a\", \"b\", \"c\"]\n term = \"800ms\"\n burst = %v\n}\n", name, listen,
-			socket(name), binds[i], binds[0], binds[1], binds[2], members, burst) + block("shop", fmt.Sprintf("  limits { fleet_rate = %d }\n", rate), w)
+			socket(name), binds[i], binds[0], binds[1], binds[2], members, burst) + serviceBlock("shop", fmt.Sprintf("  limits { fleet_rate = %d }\n", rate), w)
 		file := socket(name + ".hcl")
 		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 		cmd, log := program(t, "program", "GW_CONFIG=", "WELDSCALE_FILE="+file)
@@ -170,7 +170,7 @@
 func TestFleetOverFaultyLinks(t *testing.T) {
 	const rate, burst, members = 60, 0.5, 5
 	w := startWorker(t, standin.WorkerConfig{Name: "w", Slots: 256, Queue: 256})
-	f := startMembers(t, members, fmt.Sprintf(" term = \"600ms\"\n burst = %v\n", burst), block("shop", fmt.Sprintf("  limits { fleet_rate = %d }\n", rate), w))
+	f := startMembers(t, members, fmt.Sprintf(" term = \"600ms\"\n burst = %v\n", burst), serviceBlock("shop", fmt.Sprintf("  limits { fleet_rate = %d }\n", rate), w))
 	halt := f.load(t, 8*time.Millisecond, f.serve...)
 	settled := func(why string) {
 		from := time.Now()
@@ -225,7 +225,7 @@
 		mu.Unlock()
 		standin.Done(r, c)
 	}})
-	f := startMembers(t, 3, " term = \"600ms\"\n use = \"3s\"\n", block("shop", fmt.Sprintf("  limits { fleet_open = %d }\n", most), w))
+	f := startMembers(t, 3, " term = \"600ms\"\n use = \"3s\"\n", serviceBlock("shop", fmt.Sprintf("  limits { fleet_open = %d }\n", most), w))
 	for range 10 {
 		f.load(t, time.Millisecond, f.serve...)
 	}
@@ -274,7 +274,7 @@
 	for i := range 5 {
 		all = append(all, startWorker(t, standin.WorkerConfig{Name: fmt.Sprint("good", i), Slots: 64}))
 	}
-	f := startMembers(t, 4, "", block("shop", "", all...))
+	f := startMembers(t, 4, "", serviceBlock("shop", "", all...))
 	halt := f.load(t, 5*time.Millisecond, f.serve[:3]...)
 	heard := assert.Eventually(t, func() bool {
 		text, _, _ := command(t, nil, "fleet", filepath.Join(f.dir, "d"))
--- a/cmd/weldscale/moments_clients_test.go
+++ b/cmd/weldscale/moments_clients_test.go
@@ -143,7 +143,7 @@
 			stops := &standin.Stops{}
 			stops.Hold("probe")
 			w := startWorker(t, standin.WorkerConfig{Name: "w", Stops: stops})
-			b := startBenchWith(t, nil, func(c *config) { c.file = readFile(t, block("shop", "  limits { open = 1 }\n", w)) })
+			b := startBenchWith(t, nil, func(c *config) { c.file = operatorFile(t, serviceBlock("shop", "  limits { open = 1 }\n", w)) })
 			job := func(id string) string {
 				return strings.Replace(standin.Job(id, "view", 8*time.Second, "x"), "app.svc", "shop.example.org", 1)
 			}
--- a/cmd/weldscale/moments_stop_test.go
+++ b/cmd/weldscale/moments_stop_test.go
@@ -164,7 +164,7 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeConfig(t, path, standin.Site{Discovery: d.Addr(), Known: d.Known()})
 	cmd, log := program(t, "program", "GW_CONFIG="+path)
-	addr := log.listens(t)
+	addr := log.awaitAddr(t)
 	c, err := standin.Call(addr)
 	require.NoError(t, err)
 	defer c.Close()
--- a/cmd/weldscale/services_test.go
+++ b/cmd/weldscale/services_test.go
@@ -19,8 +19,8 @@
 	"weldscale/internal/standin"
 )
 
-// readFile reads an operator's file from its text.
-func readFile(t *testing.T, text string) operator.File {
+// operatorFile parses the text of an operator's file.
+func operatorFile(t *testing.T, text string) operator.File {
 	path := filepath.Join(t.TempDir(), "weldscale.hcl")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	f, err := operator.Read(path, 64<<20)
@@ -28,8 +28,8 @@
 	return f
 }
 
-// block is a service block for a host with these workers.
-func block(name string, more string, workers ...*standin.Worker) string {
+// serviceBlock returns the service block of the host NAME.example.org with these workers and the further lines more.
+func serviceBlock(name string, more string, workers ...*standin.Worker) string {
 	list := ""
 	for _, w := range workers {
 		list += fmt.Sprintf("    worker %q { address = %q }\n", w.Name(), w.Addr())
@@ -66,8 +66,8 @@
 func TestServices(t *testing.T) {
 	main, shop, proofs := startWorker(t, standin.WorkerConfig{Name: "m"}), startWorker(t, standin.WorkerConfig{Name: "w"}),
 		startWorker(t, standin.WorkerConfig{Name: "w"})
-	f := readFile(t, "platform {\n match { host = \"app.svc\" }\n}\n"+block("shop", "  limits { rate = 0.01 }\n", shop)+
-		block("proofs", "", proofs))
+	f := operatorFile(t, "platform {\n match { host = \"app.svc\" }\n}\n"+serviceBlock("shop", "  limits { rate = 0.01 }\n", shop)+
+		serviceBlock("proofs", "", proofs))
 	b := startBenchWith(t, []standin.Entry{main.Entry("SERVING")}, func(c *config) { c.file = f })
 	for i, c := range []struct {
 		host, path, class string
@@ -108,7 +108,7 @@
 	gone, well := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "b"})
 	silent := startWorker(t, standin.WorkerConfig{Name: "c"})
 	b := startBenchWith(t, nil, func(c *config) {
-		c.file = readFile(t, block("gone", "", gone)+block("silent", "", silent)+block("well", "", well))
+		c.file = operatorFile(t, serviceBlock("gone", "", gone)+serviceBlock("silent", "", silent)+serviceBlock("well", "", well))
 	})
 	gone.Close()
 	silent.Silence()
@@ -141,14 +141,14 @@
 		standin.Done(r, c)
 	}}
 	old, other, third := startWorker(t, held), startWorker(t, standin.WorkerConfig{Name: "z"}), startWorker(t, standin.WorkerConfig{Name: "z"})
-	b := startBenchWith(t, nil, func(c *config) { c.file = readFile(t, block("shop", "", old)) })
+	b := startBenchWith(t, nil, func(c *config) { c.file = operatorFile(t, serviceBlock("shop", "", old)) })
 	answered := make(chan int)
 	go func() {
 		status, _, _ := b.to("shop.example.org", "/api/1", "held", "send", patience)
 		answered <- status
 	}()
 	require.Eventually(t, func() bool { return slices.Contains(old.IDs(), "held") }, patience, time.Millisecond)
-	bad := readFile(t, block("shop", "", other))
+	bad := operatorFile(t, serviceBlock("shop", "", other))
 	bad.Services[0].Classes[0].Terms.Deadline = 0
 	assert.ErrorContains(t, b.apply(bad), "deadline")
 	status, _, _ := b.to("shop.example.org", "/api/1", "1", "view", patience)
@@ -156,17 +156,17 @@
 	assert.Contains(t, old.IDs(), "1")
 
 	// Other workers under the same terms: the same service goes on.
-	require.NoError(t, b.apply(readFile(t, block("shop", "", other))))
+	require.NoError(t, b.apply(operatorFile(t, serviceBlock("shop", "", other))))
 	status, _, _ = b.to("shop.example.org", "/api/1", "2", "view", patience)
 	assert.Equal(t, 200, status)
 	assert.Equal(t, []string{"2"}, other.IDs())
 
 	// Other classes: another service of that name; then none.
-	require.NoError(t, b.apply(readFile(t, block("shop", "class \"more\" { effect = \"safe\" }\n", third))))
+	require.NoError(t, b.apply(operatorFile(t, serviceBlock("shop", "class \"more\" { effect = \"safe\" }\n", third))))
 	status, _, _ = b.to("shop.example.org", "/api/1", "3", "more", patience)
 	assert.Equal(t, 200, status)
 	assert.Equal(t, []string{"3"}, third.IDs())
-	require.NoError(t, b.apply(readFile(t, block("desks", "", other))))
+	require.NoError(t, b.apply(operatorFile(t, serviceBlock("desks", "", other))))
 	status, _, _ = b.to("shop.example.org", "/api/1", "4", "view", patience)
 	assert.Equal(t, 421, status)
 	b.s.loop.Do(func() { assert.Equal(t, 1, b.s.openRequests()) })
@@ -190,8 +190,8 @@
 		return fmt.Sprintf(`{"endpoints":[{"name":%q,"address":%q,"status":%q}]}`, w.Name(), w.Addr(), status)
 	}
 	write(list(a, "SERVING"))
-	text := strings.Replace(block("shop", ""), "workers {\n", fmt.Sprintf("workers {\n file = %q\n", path), 1)
-	b := startBenchWith(t, nil, func(c *config) { c.file = readFile(t, text) })
+	text := strings.Replace(serviceBlock("shop", ""), "workers {\n", fmt.Sprintf("workers {\n file = %q\n", path), 1)
+	b := startBenchWith(t, nil, func(c *config) { c.file = operatorFile(t, text) })
 	names := func() (out []string) {
 		b.s.loop.Do(func() { b.s.services["shop"].engine.EachReadyAddr(func(addr string) { out = append(out, addr) }) })
 		return out
@@ -205,6 +205,6 @@
 	require.Eventually(t, func() bool { return slices.Equal(names(), []string{z.Addr()}) }, patience, time.Millisecond)
 	write(list(z, "DRAINING"))
 	require.Eventually(t, func() bool { return len(names()) == 0 }, patience, time.Millisecond)
-	f := readFile(t, strings.Replace(text, "workers.json", "nowhere.json", 1))
+	f := operatorFile(t, strings.Replace(text, "workers.json", "nowhere.json", 1))
 	assert.ErrorContains(t, b.apply(f), "no such file")
 }
--- a/cmd/weldscale/signals_test.go
+++ b/cmd/weldscale/signals_test.go
@@ -19,8 +19,8 @@
 
 // Signals that come at rare moments, to a process of its own.
 
-// listens waits until the program serves and returns where: a port that was free before may be another's by then.
-func (l *logged) listens(t testing.TB) string {
+// awaitAddr waits until the program serves and returns its listen address. A port chosen before the start could be taken by then.
+func (l *logged) awaitAddr(t testing.TB) string {
 	l.await(t, "serving")
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -39,7 +39,7 @@
 	site := standin.Site{Discovery: first.Addr(), Known: first.Known()}
 	writeConfig(t, path, site)
 	cmd, log := program(t, "program", "GW_CONFIG="+path)
-	addr := log.listens(t)
+	addr := log.awaitAddr(t)
 	answered := make(chan int, 1)
 	go func() {
 		status, _, _ := standin.Ask(client(), addr, "", "open", &standin.Kind{Class: "view", Budget: patience, Body: 5})
@@ -100,7 +100,7 @@
 			path := filepath.Join(t.TempDir(), "config.json")
 			require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 			cmd, log := program(t, "program", "GW_CONFIG="+path)
-			addr := log.listens(t)
+			addr := log.awaitAddr(t)
 			status := 0
 			require.Eventually(t, func() bool { // nothing known: until the list has come
 				status, _, _ = standin.Ask(client(), addr, "", standin.Result(name, 0)+time.Now().String()[:26], &standin.Kind{Class: c.class, Budget: patience, Body: 5})
