--- a/cmd/weldscale/upgrade_test.go
+++ b/cmd/weldscale/upgrade_test.go
@@ -23,55 +23,55 @@
 	"weldscale/internal/standin"
 )
 
-// place is where processes of one scheduler run: a listening socket that is passed to each, and a common directory.
-type place struct {
-	t      *testing.T
-	dir    string
-	socket *os.File
-	addr   string
-	site   standin.Site
-	files  int // descriptors that a process may have; 0: as here
+// testPlatform runs processes of one scheduler, which share a listening socket that is passed to each, and a directory.
+type testPlatform struct {
+	t        *testing.T
+	dir      string
+	socket   *os.File
+	addr     string
+	site     standin.Site
+	maxFiles int // limit of open descriptors of a process; 0: the limit of this one
 }
 
-// process is one of them.
+// process is one process of a scheduler.
 type process struct {
-	p    *place
-	cmd  *exec.Cmd
-	mgmt string
-	said *logged
+	platform *testPlatform
+	cmd      *exec.Cmd
+	mgmt     string // its management address
+	log      *logged
 }
 
-func newPlace(t *testing.T, d *standin.Discovery) *place {
+func newTestPlatform(t *testing.T, d *standin.Discovery) *testPlatform {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	socket, err := ln.(*net.TCPListener).File()
 	require.NoError(t, err)
 	ln.Close()
 	t.Cleanup(func() { socket.Close() })
-	// Longer than a socket's name may be.
+	// The path is longer than the address of a Unix socket may be.
 	dir := filepath.Join(t.TempDir(), strings.Repeat("long", 20))
 	require.NoError(t, os.Mkdir(dir, 0o700))
-	return &place{t: t, dir: dir, socket: socket, addr: ln.Addr().String(),
+	return &testPlatform{t: t, dir: dir, socket: socket, addr: ln.Addr().String(),
 		site: standin.Site{Listen: ln.Addr().String(), Discovery: d.Addr(), Known: d.Known()}}
 }
 
-var processes atomic.Int64 // that were started
+var processesStarted atomic.Int64
 
-// run starts a process; what it is told differs by env.
-func (p *place) run(env ...string) *process {
-	// An address of its own: a port of the common one that is free now may be another's by the time that the process asks.
-	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 100+os.Getpid()%100, os.Getpid()/100%250, 1+processes.Add(1)%250))
+// start starts a process with further environment variables.
+func (p *testPlatform) start(env ...string) *process {
+	// Each process gets an IP address of its own, because a free port of a common one could be taken before the process binds it.
+	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 100+os.Getpid()%100, os.Getpid()/100%250, 1+processesStarted.Add(1)%250))
 	require.NoError(p.t, err)
 	ln.Close()
-	x := &process{p: p, mgmt: ln.Addr().String(), cmd: exec.Command(os.Args[0]), said: &logged{news: make(chan struct{}, 1)}}
-	if p.files > 0 {
-		x.cmd = exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", p.files, os.Args[0]))
+	x := &process{platform: p, mgmt: ln.Addr().String(), cmd: exec.Command(os.Args[0]), log: &logged{news: make(chan struct{}, 1)}}
+	if p.maxFiles > 0 {
+		x.cmd = exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", p.maxFiles, os.Args[0]))
 	}
 	config := filepath.Join(p.t.TempDir(), "config.json")
 	writeConfig(p.t, config, p.site)
 	x.cmd.Env = append(append(os.Environ(), "WELDSCALE_TEST=program", "GW_CONFIG="+config, "GW_MGMT="+x.mgmt, "TMPDIR="+p.dir,
 		"GW_PASSED_SOCKET=3"), env...)
-	x.cmd.ExtraFiles, x.cmd.Stderr = []*os.File{p.socket}, x.said
+	x.cmd.ExtraFiles, x.cmd.Stderr = []*os.File{p.socket}, x.log
 	require.NoError(p.t, x.cmd.Start())
 	p.t.Cleanup(func() {
 		if x.cmd.ProcessState == nil {
@@ -79,15 +79,15 @@
 			_ = x.cmd.Wait()
 		}
 		if p.t.Failed() {
-			p.t.Log(x.said.String())
+			p.t.Log(x.log.String())
 		}
 	})
 	return x
 }
 
-// ready waits until the process says so.
-func (x *process) ready() *process {
-	require.Eventually(x.p.t, func() bool {
+// awaitReady waits until the process reports that it is ready.
+func (x *process) awaitReady() *process {
+	require.Eventually(x.platform.t, func() bool {
 		resp, err := http.Get("http://" + x.mgmt + "/control/ready")
 		if err != nil {
 			return false
@@ -98,43 +98,44 @@
 	return x
 }
 
-func (x *process) hand(worker, verb string) int {
-	resp, err := http.Post("http://"+x.mgmt+"/control/workers/"+worker+"/"+verb, "", nil)
-	require.NoError(x.p.t, err)
+// workerCommand takes a worker offline or online with a call of the management address and returns the status.
+func (x *process) workerCommand(worker, action string) int {
+	resp, err := http.Post("http://"+x.mgmt+"/control/workers/"+worker+"/"+action, "", nil)
+	require.NoError(x.platform.t, err)
 	resp.Body.Close()
 	return resp.StatusCode
 }
 
-// stop ends the process as a platform does, and expects it to end well.
+// stop sends SIGTERM, as a platform does, and expects the process to exit with status 0.
 func (x *process) stop() {
-	require.NoError(x.p.t, x.cmd.Process.Signal(syscall.SIGTERM))
-	assert.NoError(x.p.t, x.cmd.Wait(), x.said.String())
+	require.NoError(x.platform.t, x.cmd.Process.Signal(syscall.SIGTERM))
+	assert.NoError(x.platform.t, x.cmd.Wait(), x.log.String())
 }
 
-// crowd is clients that ask one job after another, each on a connection that it keeps.
-type crowd struct {
-	stop   atomic.Bool
-	wg     sync.WaitGroup
-	mu     sync.Mutex
-	served int
-	other  map[string]int
-	dials  atomic.Int64
+// testClients are clients that send one job after another, each on its own persistent connection.
+type testClients struct {
+	stop       atomic.Bool
+	wg         sync.WaitGroup
+	mu         sync.Mutex
+	served     int
+	unexpected map[string]int // number of other results, by status and error
+	dials      atomic.Int64
 }
 
-func (p *place) crowd(name string, n int) *crowd {
-	c := &crowd{other: map[string]int{}}
+func (p *testPlatform) startClients(name string, n int) *testClients {
+	c := &testClients{unexpected: map[string]int{}}
 	for i := range n {
 		c.wg.Go(func() {
-			// One connection at a time: a further dial says that the one before ended.
-			transport := &http.Transport{DialContext: (&counting{&c.dials}).dial, MaxConnsPerHost: 1}
+			// With one connection at a time, a further dial means that the one before was closed.
+			transport := &http.Transport{DialContext: (&countingDialer{&c.dials}).dial, MaxConnsPerHost: 1}
 			defer transport.CloseIdleConnections()
 			client := &http.Client{Timeout: patience, Transport: transport}
 			for k := 0; !c.stop.Load(); k++ {
 				id := fmt.Sprint(name, i, "-", k)
 				kind := &standin.Kind{Class: "send", Budget: patience, Body: 5}
 				status, body, err := standin.Ask(client, p.addr, "", id, kind)
-				// Where the machine is busy a start may come late and a job be refused: nothing ran, and the client comes again.
-				for again := time.Now(); err == nil && status == 503 && time.Since(again) < patience; {
+				// On a busy machine a worker may report a job's start late, so that a job is refused. It has not run, so the client retries.
+				for firstRefusal := time.Now(); err == nil && status == 503 && time.Since(firstRefusal) < patience; {
 					time.Sleep(10 * time.Millisecond)
 					id += "r"
 					status, body, err = standin.Ask(client, p.addr, "", id, kind)
@@ -143,7 +144,7 @@
 				if err == nil && status == 200 && body == "made of "+id {
 					c.served++
 				} else {
-					c.other[fmt.Sprint(status, " ", err)]++
+					c.unexpected[fmt.Sprint(status, " ", err)]++
 				}
 				c.mu.Unlock()
 				time.Sleep(time.Millisecond)
@@ -153,23 +154,23 @@
 	return c
 }
 
-// done is how many jobs were served, once all have ended.
-func (c *crowd) done() (served int, other map[string]int) {
+// finish stops the clients, waits for their last jobs and returns the results.
+func (c *testClients) finish() (served int, unexpected map[string]int) {
 	c.stop.Store(true)
 	c.wg.Wait()
-	return c.served, c.other
+	return c.served, c.unexpected
 }
 
-// Three processes take one another's place under load: no job is lost, turned back or run twice, kept connections live on,
-// a job that must not run twice and outlasts the stop is answered, and who was taken out stays out.
+// Each of three processes replaces the one before under load. No job is lost, refused or run twice, and no client connection
+// is closed. A job that must not run twice and lasts longer than the shutdowns is answered, and an offline worker stays offline.
 func TestUpgradesUnderLoad(t *testing.T) {
-	release := make(chan struct{})
-	work := func(c standin.WorkerConfig) *standin.Worker {
+	releaseLong := make(chan struct{})
+	startLargeWorker := func(c standin.WorkerConfig) *standin.Worker {
 		c.Slots, c.TellsStart = 64, true
 		return startWorker(t, c)
 	}
-	out := work(standin.WorkerConfig{Name: "out"})
-	w := work(standin.WorkerConfig{Name: "w", Answer: func(r *http.Request, c net.Conn) {
+	offline := startLargeWorker(standin.WorkerConfig{Name: "out"})
+	w := startLargeWorker(standin.WorkerConfig{Name: "w", Answer: func(r *http.Request, c net.Conn) {
 		id := r.Header.Get("X-Call-Id")
 		if id != "long" {
 			time.Sleep(5 * time.Millisecond)
@@ -178,74 +179,74 @@
 		}
 		head := []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		_, _ = c.Write(standin.AppendLines(head, fmt.Sprintf(`{"id":%q,"state":"started"}`, id)))
-		<-release
+		<-releaseLong
 		_, _ = c.Write(append(standin.AppendLines(nil, fmt.Sprintf(`{"id":%q,"state":"done","result":"at last"}`, id)), "0\r\n\r\n"...))
 	}})
-	p := newPlace(t, startDiscovery(t, w.Entry("SERVING"), out.Entry("SERVING")))
-	first := p.run().ready()
-	require.Equal(t, 200, first.hand("out", "offline"))
-	last := make(chan string)
+	p := newTestPlatform(t, startDiscovery(t, w.Entry("SERVING"), offline.Entry("SERVING")))
+	first := p.start().awaitReady()
+	require.Equal(t, 200, first.workerCommand("out", "offline"))
+	longAnswer := make(chan string)
 	go func() {
 		status, body, err := standin.Ask(&http.Client{Timeout: patience}, p.addr, "", "long", &standin.Kind{Class: "send", Budget: patience, Body: 9})
-		last <- fmt.Sprint(status, body, err)
+		longAnswer <- fmt.Sprint(status, body, err)
 	}()
 	require.Eventually(t, func() bool { return slices.Contains(w.IDs(), "long") }, patience, time.Millisecond)
-	c := p.crowd("c", 8)
-	second := p.run().ready()
+	clients := p.startClients("c", 8)
+	second := p.start().awaitReady()
 	first.stop()
-	assert.Contains(t, first.said.String(), `"msg":"all passed on"`)
-	third := p.run().ready()
-	require.Equal(t, 404, third.hand("nobody", "offline"))
+	assert.Contains(t, first.log.String(), `"msg":"all passed on"`)
+	third := p.start().awaitReady()
+	require.Equal(t, 404, third.workerCommand("nobody", "offline"))
 	second.stop()
-	assert.Contains(t, second.said.String(), `"msg":"all passed on"`)
-	assert.NotContains(t, second.said.String(), `"jobs":0`, "the long job went on twice")
-	close(release)
-	assert.Equal(t, "200at last<nil>", <-last)
-	served, other := c.done()
+	assert.Contains(t, second.log.String(), `"msg":"all passed on"`)
+	assert.NotContains(t, second.log.String(), `"jobs":0`, "the long job was handed over a second time")
+	close(releaseLong)
+	assert.Equal(t, "200at last<nil>", <-longAnswer)
+	served, unexpected := clients.finish()
 	assert.Greater(t, served, 100)
-	assert.Empty(t, other)
-	assert.EqualValues(t, 8, c.dials.Load(), "kept connections live on")
-	assert.Empty(t, out.IDs(), "taken out two processes ago")
+	assert.Empty(t, unexpected)
+	assert.EqualValues(t, 8, clients.dials.Load(), "no connection was closed")
+	assert.Empty(t, offline.IDs(), "taken offline two processes ago")
 	ids := w.IDs()
 	slices.Sort(ids)
 	assert.Len(t, slices.Compact(slices.Clone(ids)), len(ids), "no job ran twice")
-	require.Equal(t, 200, third.hand("out", "online"))
+	require.Equal(t, 200, third.workerCommand("out", "online"))
 	third.stop()
 }
 
-// counting dials and counts.
-type counting struct{ n *atomic.Int64 }
+// countingDialer counts the connections that it dials.
+type countingDialer struct{ n *atomic.Int64 }
 
-func (d *counting) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+func (d *countingDialer) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	d.n.Add(1)
 	return (&net.Dialer{}).DialContext(ctx, network, addr)
 }
 
-// A call at one process binds the other: who is taken out at the new one gets nothing from the old one either.
-func TestTakenOutInBothProcesses(t *testing.T) {
+// A worker that one process takes offline gets no jobs from the other process either.
+func TestOfflineInBothProcesses(t *testing.T) {
 	a, b := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "b"})
-	p := newPlace(t, startDiscovery(t, a.Entry("SERVING"), b.Entry("SERVING")))
-	older := p.run().ready()
-	younger := p.run().ready()
-	require.Equal(t, 200, younger.hand("a", "offline"))
-	c := p.crowd("e", 4) // both take connections
+	p := newTestPlatform(t, startDiscovery(t, a.Entry("SERVING"), b.Entry("SERVING")))
+	old := p.start().awaitReady()
+	successor := p.start().awaitReady()
+	require.Equal(t, 200, successor.workerCommand("a", "offline"))
+	clients := p.startClients("e", 4) // both take connections
 	time.Sleep(300 * time.Millisecond)
-	_, other := c.done()
-	assert.Empty(t, other)
+	_, unexpected := clients.finish()
+	assert.Empty(t, unexpected)
 	assert.Empty(t, a.IDs())
-	require.Equal(t, 200, older.hand("a", "online"))
-	c = p.crowd("f", 4)
+	require.Equal(t, 200, old.workerCommand("a", "online"))
+	clients = p.startClients("f", 4)
 	require.Eventually(t, func() bool { return len(a.IDs()) > 0 }, patience, time.Millisecond)
-	_, other = c.done()
-	assert.Empty(t, other)
+	_, unexpected = clients.finish()
+	assert.Empty(t, unexpected)
 }
 
-// With every descriptor that clients may have in use the second address answers still, and what was taken is served.
-func TestSecondAddressAtTheDescriptorLimit(t *testing.T) {
+// The management address answers while clients use every descriptor that they may have, and accepted requests are served.
+func TestManagementAddressAtDescriptorLimit(t *testing.T) {
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
-	p := newPlace(t, startDiscovery(t, w.Entry("SERVING")))
-	p.files, p.site.Sockets = 96, 96
-	x := p.run().ready()
+	p := newTestPlatform(t, startDiscovery(t, w.Entry("SERVING")))
+	p.maxFiles, p.site.Sockets = 96, 96
+	x := p.start().awaitReady()
 	for range 300 {
 		c, err := net.Dial("tcp", p.addr)
 		require.NoError(t, err)
@@ -260,282 +261,287 @@
 		resp.Body.Close()
 		assert.Equal(t, 200, resp.StatusCode)
 		if i == 0 {
-			assert.Equal(t, 200, x.hand("a", "offline"))
-			assert.Equal(t, 200, x.hand("a", "online"))
+			assert.Equal(t, 200, x.workerCommand("a", "offline"))
+			assert.Equal(t, 200, x.workerCommand("a", "online"))
 		}
 	}
-	c := p.crowd("d", 2)
+	clients := p.startClients("d", 2)
 	time.Sleep(50 * time.Millisecond)
-	served, _ := c.done()
+	served, _ := clients.finish()
 	assert.Positive(t, served)
 	x.stop()
-	assert.NotContains(t, x.said.String(), "too many open files")
+	assert.NotContains(t, x.log.String(), "too many open files")
 }
 
-// A new process that can't start changes nothing, and one that is killed outright leaves no trace but its ban.
+// A new process that can't start changes nothing. A process that is killed leaves nothing behind except its offline workers,
+// which stay offline in the next process.
 func TestBrokenUpgrades(t *testing.T) {
 	a, b := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "b"})
-	p := newPlace(t, startDiscovery(t, a.Entry("SERVING"), b.Entry("SERVING")))
-	old := p.run().ready()
-	for env, says := range map[string]string{"GW_PASSED_SOCKET=9": "descriptor 9 is no listening socket", "GW_PASSED_SOCKET=x": "is not the number",
+	p := newTestPlatform(t, startDiscovery(t, a.Entry("SERVING"), b.Entry("SERVING")))
+	old := p.start().awaitReady()
+	for env, wantLog := range map[string]string{"GW_PASSED_SOCKET=9": "descriptor 9 is no listening socket", "GW_PASSED_SOCKET=x": "is not the number",
 		"GW_CONFIG=/nowhere": "no such file", "GW_MGMT=" + old.mgmt: "address already in use"} {
-		broken := p.run(env)
+		broken := p.start(env)
 		err := broken.cmd.Wait()
 		assert.Error(t, err, env)
-		assert.Contains(t, broken.said.String(), says)
+		assert.Contains(t, broken.log.String(), wantLog)
 	}
-	c := p.crowd("k", 2)
+	clients := p.startClients("k", 2)
 	time.Sleep(50 * time.Millisecond)
-	served, other := c.done()
+	served, unexpected := clients.finish()
 	assert.Positive(t, served)
-	assert.Empty(t, other)
-	require.Equal(t, 200, old.hand("a", "offline"))
+	assert.Empty(t, unexpected)
+	require.Equal(t, 200, old.workerCommand("a", "offline"))
 	require.NoError(t, old.cmd.Process.Kill())
 	_ = old.cmd.Wait()
-	seen := len(a.IDs())
-	next := p.run().ready()
-	c = p.crowd("l", 2)
+	jobsBefore := len(a.IDs())
+	next := p.start().awaitReady()
+	clients = p.startClients("l", 2)
 	time.Sleep(50 * time.Millisecond)
-	served, other = c.done()
+	served, unexpected = clients.finish()
 	assert.Positive(t, served)
-	assert.Empty(t, other)
-	assert.Len(t, a.IDs(), seen, "out before the kill")
+	assert.Empty(t, unexpected)
+	assert.Len(t, a.IDs(), jobsBefore, "taken offline before the kill")
 
-	// The old one is killed while it passes its connections on: the new one serves on, with the same ones out.
-	newer := p.run().ready()
-	c = p.crowd("o", 4)
+	// The old process is killed during the handover of its connections. The new one serves, with the same workers offline.
+	newer := p.start().awaitReady()
+	clients = p.startClients("o", 4)
 	require.NoError(t, next.cmd.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, next.cmd.Process.Kill())
 	_ = next.cmd.Wait()
-	c.done() // those of the old one's connections that it had not passed on yet broke
-	c = p.crowd("p", 4)
+	clients.finish() // connections that were not handed over yet were lost, so failures are allowed
+	clients = p.startClients("p", 4)
 	time.Sleep(50 * time.Millisecond)
-	served, other = c.done()
+	served, unexpected = clients.finish()
 	assert.Positive(t, served)
-	assert.Empty(t, other)
-	assert.Len(t, a.IDs(), seen)
+	assert.Empty(t, unexpected)
+	assert.Len(t, a.IDs(), jobsBefore)
 	next = newer
 
-	// A file that makes no sense is a line in the log.
+	// An unreadable file of offline workers only causes a log line.
 	require.NoError(t, next.cmd.Process.Kill())
 	_ = next.cmd.Wait()
 	for _, text := range []string{`{"v":1,"out":["a"`, `{"v":99,"out":["a"]}`, `hello`} {
 		require.NoError(t, os.WriteFile(filepath.Join(p.dir, "weldscale-n0.out"), []byte(text), 0o600))
-		x := p.run().ready()
+		x := p.start().awaitReady()
 		x.stop()
-		assert.Contains(t, x.said.String(), "workers taken out earlier can't be read")
+		assert.Contains(t, x.log.String(), "workers taken out earlier can't be read")
 	}
 }
 
-// inFlight is how many requests the process has in hand.
+// inFlight returns the number of requests in flight in the process, or -1 if it can't be read.
 func (x *process) inFlight() (n int) {
 	resp, err := http.Get("http://" + x.mgmt + "/control/counters")
 	if err != nil {
 		return -1
 	}
 	defer resp.Body.Close()
-	var f struct {
+	var counters struct {
 		InFlight int `json:"in_flight"`
 	}
-	if json.NewDecoder(resp.Body).Decode(&f) != nil {
+	if json.NewDecoder(resp.Body).Decode(&counters) != nil {
 		return -1
 	}
-	return f.InFlight
+	return counters.InFlight
 }
 
-func (x *process) signal(sig syscall.Signal) { require.NoError(x.p.t, x.cmd.Process.Signal(sig)) }
+func (x *process) signal(sig syscall.Signal) {
+	require.NoError(x.platform.t, x.cmd.Process.Signal(sig))
+}
 
-// handover is an upgrade under way: an old process with a kept connection, a job on a worker that must not run twice and a
-// job that waits for a worker, and a young one to which all of it passes.
-type handoverRig struct {
-	*place
-	w, room             *standin.Worker
-	d                   *standin.Discovery
-	old, young          *process
-	kept, long, waits   *standin.Caller
-	release, left       chan struct{} // of the long job; left: its attempt has been given up
-	longEnds, waitsEnds bool          // their clients have gone
+// handoverTest is an upgrade in progress: an old process with an idle connection, a running job that must not run twice and a
+// job that waits for a worker, and its successor, to which it hands over all of them.
+type handoverTest struct {
+	*testPlatform
+	worker, spare       *standin.Worker // the long job runs on worker; spare has room for the waiting job
+	discovery           *standin.Discovery
+	old, successor      *process
+	idle, long, waiting *standin.Caller
+	// The test closes releaseLong to let the long job end. longAborted is closed when the connection of its attempt has ended.
+	releaseLong, longAborted chan struct{}
+	longLeft, waitingLeft    bool // the client of the job has disconnected
 }
 
-func newHandover(t *testing.T) *handoverRig {
-	g := &handoverRig{release: make(chan struct{}), left: make(chan struct{})}
-	g.w = startWorker(t, standin.WorkerConfig{Name: "w", Slots: 1, Answer: func(r *http.Request, c net.Conn) {
+func startHandoverTest(t *testing.T) *handoverTest {
+	g := &handoverTest{releaseLong: make(chan struct{}), longAborted: make(chan struct{})}
+	g.worker = startWorker(t, standin.WorkerConfig{Name: "w", Slots: 1, Answer: func(r *http.Request, c net.Conn) {
 		if r.Header.Get("X-Call-Id") != "long" {
 			standin.Done(r, c)
 			return
 		}
 		standin.Start(r, c)
-		go func() { // the scheduler sends nothing more on it: what comes is its end
+		go func() { // the scheduler sends nothing more on the connection, so Read returns only at its end
 			_, _ = c.Read(make([]byte, 1))
-			close(g.left)
+			close(g.longAborted)
 		}()
 		select {
-		case <-g.release:
+		case <-g.releaseLong:
 			standin.Finish(r, c)
-		case <-g.left:
+		case <-g.longAborted:
 		}
-		<-g.left // the connection is the reader's above
+		<-g.longAborted // the goroutine above still reads the connection
 	}})
-	g.room = startWorker(t, standin.WorkerConfig{Name: "room", TellsStart: true})
-	g.d = startDiscovery(t, g.w.Entry("SERVING"), g.room.Entry("DRAINING"))
-	g.place = newPlace(t, g.d)
-	g.old = g.run().ready()
-	call := func() *standin.Caller {
+	g.spare = startWorker(t, standin.WorkerConfig{Name: "room", TellsStart: true})
+	g.discovery = startDiscovery(t, g.worker.Entry("SERVING"), g.spare.Entry("DRAINING"))
+	g.testPlatform = newTestPlatform(t, g.discovery)
+	g.old = g.start().awaitReady()
+	dial := func() *standin.Caller {
 		c, err := standin.Call(g.addr)
 		require.NoError(t, err)
 		t.Cleanup(c.Close)
 		return c
 	}
-	require.Eventually(t, func() bool { return len(g.d.Calls()) >= 2 }, patience, time.Millisecond) // the watch is held
-	g.kept, g.long = call(), call()
-	require.NoError(t, g.kept.Send(standin.Job("warm", "view", patience, "x")))
-	status, _, err := g.kept.Answer(patience)
+	require.Eventually(t, func() bool { return len(g.discovery.Calls()) >= 2 }, patience, time.Millisecond) // discovery holds the poll
+	g.idle, g.long = dial(), dial()
+	require.NoError(t, g.idle.Send(standin.Job("warm", "view", patience, "x")))
+	status, _, err := g.idle.Answer(patience)
 	require.NoError(t, err)
 	require.Equal(t, 200, status)
 	require.NoError(t, g.long.Send(standin.Job("long", "send", patience, "x")))
-	require.Eventually(t, func() bool { return slices.Contains(g.w.IDs(), "long") }, patience, time.Millisecond)
-	g.d.Set(g.w.Entry("DRAINING")) // nobody has room
-	require.Eventually(t, func() bool { return len(g.d.Calls()) >= 3 }, patience, time.Millisecond)
-	g.waits = call()
-	require.NoError(t, g.waits.Send(standin.Job("waits", "view", patience, "x")))
+	require.Eventually(t, func() bool { return slices.Contains(g.worker.IDs(), "long") }, patience, time.Millisecond)
+	g.discovery.Set(g.worker.Entry("DRAINING")) // no worker has room
+	require.Eventually(t, func() bool { return len(g.discovery.Calls()) >= 3 }, patience, time.Millisecond)
+	g.waiting = dial()
+	require.NoError(t, g.waiting.Send(standin.Job("waits", "view", patience, "x")))
 	require.Eventually(t, func() bool { return g.old.inFlight() == 2 }, patience, time.Millisecond)
-	g.young = g.run().ready()
+	g.successor = g.start().awaitReady()
 	g.old.signal(syscall.SIGTERM)
-	g.old.said.await(t, "stopping")
+	g.old.log.await(t, "stopping")
 	return g
 }
 
-// passed waits until the young process has the jobs.
-func (g *handoverRig) passed(n int) {
-	require.Eventually(g.t, func() bool { return g.young.inFlight() == n }, patience, 5*time.Millisecond)
+// awaitHandover waits until the successor has n jobs in flight.
+func (g *handoverTest) awaitHandover(n int) {
+	require.Eventually(g.t, func() bool { return g.successor.inFlight() == n }, patience, 5*time.Millisecond)
 }
 
-// serves has room again for what waits, lets the long job end, and expects each that still has a client to be answered once.
-func (g *handoverRig) serves() {
-	g.d.Set(g.room.Entry("SERVING"))
-	close(g.release)
-	if !g.longEnds {
+// expectAnswers gives the waiting job a worker, lets the long job end, and expects an answer to each whose client is connected.
+func (g *handoverTest) expectAnswers() {
+	g.discovery.Set(g.spare.Entry("SERVING"))
+	close(g.releaseLong)
+	if !g.longLeft {
 		status, body, err := g.long.Answer(patience)
 		require.NoError(g.t, err)
 		assert.Equal(g.t, "200 made of long", fmt.Sprint(status, " ", body))
 	}
-	if !g.waitsEnds {
-		status, body, err := g.waits.Answer(patience)
+	if !g.waitingLeft {
+		status, body, err := g.waiting.Answer(patience)
 		require.NoError(g.t, err)
 		assert.Equal(g.t, "200 made of waits", fmt.Sprint(status, " ", body))
 	}
 }
 
-// keeps expects the kept connection to live on at the process.
-func (g *handoverRig) keeps(id string) {
-	require.NoError(g.t, g.kept.Send(standin.Job(id, "view", patience, "x")))
-	status, _, err := g.kept.Answer(patience)
+// expectIdleConnection expects the idle connection to serve a further job.
+func (g *handoverTest) expectIdleConnection(id string) {
+	require.NoError(g.t, g.idle.Send(standin.Job(id, "view", patience, "x")))
+	status, _, err := g.idle.Answer(patience)
 	require.NoError(g.t, err)
 	assert.Equal(g.t, 200, status)
 }
 
-// ends waits for a process to end well.
-func (x *process) ends() { assert.NoError(x.p.t, x.cmd.Wait(), x.said.String()) }
+// awaitExit waits for the process and expects exit status 0.
+func (x *process) awaitExit() { assert.NoError(x.platform.t, x.cmd.Wait(), x.log.String()) }
 
-// An upgrade is cut into by a signal, a death or a client's end, before its jobs have passed and after: what was taken is
-// answered once by whoever has it, nothing is sent for a client that has gone, and both processes end well.
+// An upgrade is interrupted by a signal, a kill or the end of the clients, before the handover of its jobs or after it. Each
+// accepted job is answered once by the process that has it, no job is sent for a client that has disconnected, and processes
+// that were not killed exit with status 0.
 func TestUpgradeInterrupted(t *testing.T) {
-	for name, f := range map[string]func(g *handoverRig){
-		"nothing": func(g *handoverRig) {
-			g.passed(2)
-			g.old.ends()
-			g.serves()
-			g.keeps("again")
-			g.young.stop()
+	for name, interrupt := range map[string]func(g *handoverTest){
+		"nothing": func(g *handoverTest) {
+			g.awaitHandover(2)
+			g.old.awaitExit()
+			g.expectAnswers()
+			g.expectIdleConnection("again")
+			g.successor.stop()
 		},
-		"the old one is told twice, and to reload": func(g *handoverRig) {
+		"the old process gets SIGTERM twice and SIGHUP": func(g *handoverTest) {
 			g.old.signal(syscall.SIGHUP)
 			g.old.signal(syscall.SIGTERM)
-			g.young.signal(syscall.SIGHUP)
-			g.passed(2)
-			g.young.signal(syscall.SIGHUP)
-			g.old.ends()
-			g.serves()
-			g.keeps("again")
-			g.young.stop()
+			g.successor.signal(syscall.SIGHUP)
+			g.awaitHandover(2)
+			g.successor.signal(syscall.SIGHUP)
+			g.old.awaitExit()
+			g.expectAnswers()
+			g.expectIdleConnection("again")
+			g.successor.stop()
 		},
-		"the young one is told to end too": func(g *handoverRig) {
-			g.young.signal(syscall.SIGTERM)
-			g.serves()
-			g.old.ends()
-			g.young.ends()
-			third := g.run().ready()
-			c := g.crowd("c", 1)
-			require.Eventually(g.t, func() bool { c.mu.Lock(); defer c.mu.Unlock(); return c.served > 0 }, patience, time.Millisecond)
-			_, other := c.done()
-			assert.Empty(g.t, other)
+		"the successor gets SIGTERM before the handover of the jobs": func(g *handoverTest) {
+			g.successor.signal(syscall.SIGTERM)
+			g.expectAnswers()
+			g.old.awaitExit()
+			g.successor.awaitExit()
+			third := g.start().awaitReady()
+			clients := g.startClients("c", 1)
+			require.Eventually(g.t, func() bool { clients.mu.Lock(); defer clients.mu.Unlock(); return clients.served > 0 }, patience, time.Millisecond)
+			_, unexpected := clients.finish()
+			assert.Empty(g.t, unexpected)
 			third.stop()
 		},
-		"the young one is told to end once it has the jobs": func(g *handoverRig) {
-			g.passed(2)
-			g.young.signal(syscall.SIGTERM)
-			g.serves()
-			g.old.ends()
-			g.young.ends()
+		"the successor gets SIGTERM after the handover of the jobs": func(g *handoverTest) {
+			g.awaitHandover(2)
+			g.successor.signal(syscall.SIGTERM)
+			g.expectAnswers()
+			g.old.awaitExit()
+			g.successor.awaitExit()
 		},
-		"the young one is killed": func(g *handoverRig) {
-			g.young.signal(syscall.SIGKILL)
-			_ = g.young.cmd.Wait()
-			if strings.Contains(g.old.said.String(), `"jobs":0`) || !strings.Contains(g.old.said.String(), `"jobs":`) {
-				g.serves() // a machine too slow to kill it before the jobs had passed has lost them with it
+		"the successor is killed": func(g *handoverTest) {
+			g.successor.signal(syscall.SIGKILL)
+			_ = g.successor.cmd.Wait()
+			if strings.Contains(g.old.log.String(), `"jobs":0`) || !strings.Contains(g.old.log.String(), `"jobs":`) {
+				g.expectAnswers() // on a slow machine the jobs may be handed over before the kill, and then they are lost
 			}
-			g.old.ends()
+			g.old.awaitExit()
 		},
-		"the old one is killed once it has passed them": func(g *handoverRig) {
-			g.passed(2)
+		"the old process is killed after the handover of the jobs": func(g *handoverTest) {
+			g.awaitHandover(2)
 			g.old.signal(syscall.SIGKILL)
 			_ = g.old.cmd.Wait()
-			g.serves()
-			g.keeps("again")
-			g.young.stop()
+			g.expectAnswers()
+			g.expectIdleConnection("again")
+			g.successor.stop()
 		},
-		"a third comes and the second ends": func(g *handoverRig) {
-			g.passed(2)
-			g.old.ends()
-			third := g.run().ready()
-			g.young.signal(syscall.SIGTERM)
+		"a third process replaces the successor": func(g *handoverTest) {
+			g.awaitHandover(2)
+			g.old.awaitExit()
+			third := g.start().awaitReady()
+			g.successor.signal(syscall.SIGTERM)
 			require.Eventually(g.t, func() bool { return third.inFlight() == 2 }, patience, 5*time.Millisecond)
-			g.young.ends()
-			g.serves()
-			g.keeps("again")
+			g.successor.awaitExit()
+			g.expectAnswers()
+			g.expectIdleConnection("again")
 			third.stop()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			g := newHandover(t)
-			f(g)
-			assert.Equal(t, 1, strings.Count(strings.Join(g.w.IDs(), " "), "long"), "it must not run twice")
+			g := startHandoverTest(t)
+			interrupt(g)
+			assert.Equal(t, 1, strings.Count(strings.Join(g.worker.IDs(), " "), "long"), "it must not run twice")
 		})
 	}
-	for how, away := range leave {
+	for how, disconnect := range leave {
 		for _, after := range []bool{false, true} {
-			t.Run(fmt.Sprintf("clients go, %s, after the jobs have passed %v", how, after), func(t *testing.T) {
+			t.Run(fmt.Sprintf("clients disconnect by %s, after the handover of the jobs %v", how, after), func(t *testing.T) {
 				t.Parallel()
-				g := newHandover(t)
+				g := startHandoverTest(t)
 				if after {
-					g.passed(2)
+					g.awaitHandover(2)
 				}
-				g.longEnds, g.waitsEnds = true, true
-				away(g.long)
-				away(g.waits)
+				g.longLeft, g.waitingLeft = true, true
+				disconnect(g.long)
+				disconnect(g.waiting)
 				select {
-				case <-g.left:
+				case <-g.longAborted:
 				case <-time.After(patience):
-					require.FailNow(t, "the attempt of a client that has gone is out still")
+					require.FailNow(t, "the attempt of a disconnected client is still running")
 				}
-				g.passed(0)
-				g.old.ends()
-				g.serves()
-				g.keeps("again")
-				g.young.stop()
-				assert.NotContains(t, g.room.IDs(), "waits", "its client had gone")
-				assert.Contains(t, g.young.said.String(), "open\":0")
+				g.awaitHandover(0)
+				g.old.awaitExit()
+				g.expectAnswers()
+				g.expectIdleConnection("again")
+				g.successor.stop()
+				assert.NotContains(t, g.spare.IDs(), "waits", "its client had disconnected")
+				assert.Contains(t, g.successor.log.String(), "open\":0")
 			})
 		}
 	}
