--- a/cmd/weldscale/fleet_test.go
+++ b/cmd/weldscale/fleet_test.go
@@ -23,18 +23,18 @@
 	"weldscale/internal/standin"
 )
 
-// Three schedulers of a fleet, each a process of its own, have one rate between them. All demand is at one: it gets nearly
-// all; it goes on as one keeper is killed with all it knew; without a majority it is left its floor; and never does it
-// begin more than the rate and its burst allow.
+// Three schedulers of a fleet, each in its own process, share one rate limit. All requests come to one of them. It gets nearly
+// the whole rate, also after one voter of the budget has been killed and has lost its state. Without a majority of the voters
+// it keeps only its floor. It never starts more jobs than the rate and the burst allow.
 func TestFleetRate(t *testing.T) {
 	const rate, burst, members = 40, 0.5, 3
 	w := startWorker(t, standin.WorkerConfig{Name: "w", Slots: 64})
 	dir := t.TempDir()
 	binds := []string{freeAddr(t), freeAddr(t), freeAddr(t)}
-	serves := freeAddr(t)
+	clientAddr := freeAddr(t) // of the scheduler that gets the requests
 	socket := func(name string) string { return filepath.Join(dir, name) }
 	start := func(i int) *os.Process {
-		name, listen := string(rune('a'+i)), serves
+		name, listen := string(rune('a'+i)), clientAddr
 		if i > 0 {
 			listen = freeAddr(t)
 		}
@@ -47,21 +47,21 @@
 		log.await(t, "serving")
 		return cmd.Process
 	}
-	part := func() (v float64) {
+	share := func() (share float64) {
 		text, stderr, status := command(t, nil, "fleet", socket("a"))
 		require.Zero(t, status, stderr)
 		_, after, _ := strings.Cut(text, "part=")
-		fmt.Sscan(after, &v)
-		return v
+		fmt.Sscan(after, &share)
+		return share
 	}
-	begun := time.Now()
+	started := time.Now()
 	start(0)
 	b, c := start(1), start(2)
 
 	var served atomic.Int64
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
-	from := &bench{t: t, addr: serves}
+	first := &bench{t: t, addr: clientAddr}
 	for i := range 4 {
 		clients.Go(func() {
 			for n := 0; ; n++ {
@@ -70,42 +70,43 @@
 					return
 				case <-time.After(5 * time.Millisecond):
 				}
-				if status, _, _ := from.to("shop.example.org", "/api/1", fmt.Sprint(i, "-", n), "view", patience); status == 200 {
+				if status, _, _ := first.to("shop.example.org", "/api/1", fmt.Sprint(i, "-", n), "view", patience); status == 200 {
 					served.Add(1)
 				}
 			}
 		})
 	}
-	most := func(why string) {
-		require.Eventually(t, func() bool { return part() > 0.75*rate }, patience, 100*time.Millisecond, why)
+	awaitLargeShare := func(why string) {
+		require.Eventually(t, func() bool { return share() > 0.75*rate }, patience, 100*time.Millisecond, why)
 	}
-	most("all demand is here")
+	awaitLargeShare("all requests come here")
 	require.NoError(t, c.Kill())
 	time.Sleep(2 * time.Second)
-	most("two of three keepers are a majority")
+	awaitLargeShare("two of three voters are a majority")
 	require.NoError(t, b.Signal(syscall.SIGSTOP))
-	require.Eventually(t, func() bool { return part() < 0.1*rate }, patience, 50*time.Millisecond, "no majority: the floor is left")
+	require.Eventually(t, func() bool { return share() < 0.1*rate }, patience, 50*time.Millisecond, "without a majority only the floor is left")
 	require.NoError(t, b.Signal(syscall.SIGCONT))
-	most("the second keeper is back")
+	awaitLargeShare("the second voter is back")
 	start(2)
-	most("so is the third, which knows nothing")
+	awaitLargeShare("the third voter is back without its state")
 	close(stop)
 	clients.Wait()
-	assert.LessOrEqual(t, float64(served.Load()), 1.02*rate*(time.Since(begun).Seconds()+burst)+members)
+	assert.LessOrEqual(t, float64(served.Load()), 1.02*rate*(time.Since(started).Seconds()+burst)+members)
 	assert.Greater(t, served.Load(), int64(rate))
 }
 
-// testFleet is schedulers of one fleet, each a process of its own, with a relay on each link between them.
+// testFleet is schedulers of one fleet, each in its own process, with a relay on each link between them.
 type testFleet struct {
-	all   []*faults.Process
-	serve []string // where clients come
-	dir   string
-	links *faults.Links
-	log   *faults.Log
+	processes []*faults.Process
+	addrs     []string // for clients, in the order of processes
+	dir       string
+	links     *faults.Links
+	log       *faults.Log
 }
 
-// startMembers starts some whose names are a, b and so on; a, b and c are keepers.
-func startMembers(t *testing.T, members int, terms, services string) *testFleet {
+// startTestFleet starts schedulers that are named a, b and so on. The voters of the budgets are a, b and c. fleetSettings are
+// further lines of the fleet block, services are the service blocks.
+func startTestFleet(t *testing.T, members int, fleetSettings, services string) *testFleet {
 	f := &testFleet{dir: t.TempDir(), links: faults.NewLinks(7), log: faults.NewLog(1 << 16)}
 	names, binds := map[string]string{}, []string{}
 	for i := range members {
@@ -119,7 +120,7 @@
 		name, listen := names[binds[i]], freeAddr(t)
 		text := fmt.Sprintf("scheduler {\n name = %q\n listen = %q\n}\ncontrol {\n socket = %q\n}\nfleet \"print\" {\n bind = %q\n via = %q\n"+
 			" join = [%q, %q]\n members = %d\n keepers = [\"a\", \"b\", \"c\"]\n%s}\n", name, listen, filepath.Join(f.dir, name), binds[i], hub.Addr(),
-			binds[0], binds[members-1], members, terms) + services
+			binds[0], binds[members-1], members, fleetSettings) + services
 		file := filepath.Join(f.dir, name+".hcl")
 		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 		p := &faults.Process{Name: name, Path: os.Args[0], Dir: filepath.Join(f.dir, "of-"+name),
@@ -132,23 +133,23 @@
 			}}
 		require.NoError(t, p.Start(f.log))
 		t.Cleanup(p.Kill)
-		f.all, f.serve = append(f.all, p), append(f.serve, listen)
+		f.processes, f.addrs = append(f.processes, p), append(f.addrs, listen)
 	}
-	up, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
-	for _, p := range f.all {
-		require.NoError(t, p.AwaitReady(up))
+	for _, p := range f.processes {
+		require.NoError(t, p.AwaitReady(ctx))
 	}
 	return f
 }
 
-// load has a client at each of these addresses ask for jobs, one after the other, until the returned function is called.
-func (f *testFleet) load(t *testing.T, pause time.Duration, serve ...string) (halt func()) {
+// startClients starts a client for each of these addresses. It sends one job after another, until stopClients is called.
+func (f *testFleet) startClients(t *testing.T, pause time.Duration, addrs ...string) (stopClients func()) {
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
-	halt = sync.OnceFunc(func() { close(stop); clients.Wait() })
-	t.Cleanup(halt)
-	for i, addr := range serve {
+	stopClients = sync.OnceFunc(func() { close(stop); clients.Wait() })
+	t.Cleanup(stopClients)
+	for i, addr := range addrs {
 		client := &http.Client{Timeout: 10 * time.Second}
 		clients.Go(func() {
 			for n := 0; ; n++ {
@@ -161,30 +162,30 @@
 			}
 		})
 	}
-	return halt
+	return stopClients
 }
 
-// Five schedulers with one rate between them: a split with a majority of the keepers on the smaller side, one dead direction,
-// datagrams lost, doubled and out of order, a stall for longer than any term, a keeper killed with its directory, all restarted
-// one after the other. What workers saw never goes beyond the rate; when all is over the whole rate is in use again.
+// Five schedulers share one rate limit during a partition with a majority of the budget's voters on the smaller side, a one-way
+// partition, loss, duplication and reordering of datagrams, a stall longer than any lease, a kill of a voter that also deletes
+// its directory, and a rolling restart. The workers never get jobs beyond the rate, and afterwards most of the rate is used.
 func TestFleetOverFaultyLinks(t *testing.T) {
 	const rate, burst, members = 60, 0.5, 5
 	w := startWorker(t, standin.WorkerConfig{Name: "w", Slots: 256, Queue: 256})
-	f := startMembers(t, members, fmt.Sprintf(" term = \"600ms\"\n burst = %v\n", burst), serviceBlock("shop", fmt.Sprintf("  limits { fleet_rate = %d }\n", rate), w))
-	halt := f.load(t, 8*time.Millisecond, f.serve...)
-	settled := func(why string) {
-		from := time.Now()
+	f := startTestFleet(t, members, fmt.Sprintf(" term = \"600ms\"\n burst = %v\n", burst), serviceBlock("shop", fmt.Sprintf("  limits { fleet_rate = %d }\n", rate), w))
+	stopClients := f.startClients(t, 8*time.Millisecond, f.addrs...)
+	awaitFullRate := func(why string) {
+		waitingSince := time.Now()
 		require.Eventually(t, func() bool {
-			n := 0
+			recent := 0
 			for _, s := range w.Seen() {
 				if s.At.After(time.Now().Add(-2 * time.Second)) {
-					n++
+					recent++
 				}
 			}
-			return time.Since(from) > 2*time.Second && float64(n) > 0.75*2*rate
+			return time.Since(waitingSince) > 2*time.Second && float64(recent) > 0.75*2*rate
 		}, patience, 100*time.Millisecond, why)
 	}
-	settled("all are up")
+	awaitFullRate("all schedulers run")
 	path := filepath.Join(f.dir, "script.hcl")
 	require.NoError(t, os.WriteFile(path, []byte("trouble \"split\" {\n for = \"4s\"\n who = \"a b\"\n}\n"+
 		"trouble \"silence\" {\n from = \"5s\"\n for = \"2s\"\n who = \"c\"\n toward = \"a\"\n way = \"out\"\n}\n"+
@@ -194,109 +195,111 @@
 		"trouble \"rolling\" {\n from = \"14s\"\n for = \"1s\"\n part = 1\n every = \"100ms\"\n}\n"), 0o600))
 	script, err := faults.ReadScript(path)
 	require.NoError(t, err)
-	require.NoError(t, script.Play(t.Context(), 7, f.all, f.links, f.log))
-	settled("all is over")
-	halt()
+	require.NoError(t, script.Play(t.Context(), 7, f.processes, f.links, f.log))
+	awaitFullRate("all faults have ended")
+	stopClients()
 	for _, s := range w.Seen() {
 		f.log.AddAt(s.At, "w", "begun", 1, "")
 	}
 	events, lost := f.log.Events()
 	require.Zero(t, lost)
-	// A job may reach its worker up to a second after it was let begin; a part that was spent twice in the split would be four.
-	over, at := faults.CheckRate(events, "begun", rate, rate*(burst+1)+members)
-	assert.LessOrEqual(t, over, 0.0, at)
+	// A job may reach its worker up to a second after its admission, so one second of the rate is added to the burst. A share
+	// that was spent twice during the partition would add four seconds.
+	excess, at := faults.CheckRate(events, "begun", rate, rate*(burst+1)+members)
+	assert.LessOrEqual(t, excess, 0.0, at)
 	assert.Positive(t, f.links.TrafficFrom("a").Lost)
 }
 
-// Three schedulers may have twelve jobs in hand between them. One is killed, one stands still and goes on, one is cut off: what
-// workers have at a time is never more, and most of it is used again in the end.
+// Three schedulers share a limit of twelve jobs in flight. One is killed and restarted, one is paused and continued, and one is
+// partitioned from the others for a time. The workers never have more jobs at once, and afterwards most of the limit is used.
 func TestFleetOpen(t *testing.T) {
-	const most = 12
+	const limit = 12
 	var mu sync.Mutex
-	now, peak := 0, 0
+	running, peak := 0, 0
 	w := startWorker(t, standin.WorkerConfig{Name: "w", Answer: func(r *http.Request, c net.Conn) {
 		mu.Lock()
-		now++
-		peak = max(peak, now)
+		running++
+		peak = max(peak, running)
 		mu.Unlock()
 		time.Sleep(100 * time.Millisecond)
 		mu.Lock()
-		now-- // before the scheduler can know
+		running-- // before the scheduler learns of the end
 		mu.Unlock()
 		standin.Done(r, c)
 	}})
-	f := startMembers(t, 3, " term = \"600ms\"\n use = \"3s\"\n", serviceBlock("shop", fmt.Sprintf("  limits { fleet_open = %d }\n", most), w))
+	f := startTestFleet(t, 3, " term = \"600ms\"\n use = \"3s\"\n", serviceBlock("shop", fmt.Sprintf("  limits { fleet_open = %d }\n", limit), w))
 	for range 10 {
-		f.load(t, time.Millisecond, f.serve...)
+		f.startClients(t, time.Millisecond, f.addrs...)
 	}
-	used := func(why string) {
+	awaitUse := func(why string) {
 		mu.Lock()
 		peak = 0
 		mu.Unlock()
-		require.Eventually(t, func() bool { mu.Lock(); defer mu.Unlock(); return peak >= 2*most/3 }, patience, 10*time.Millisecond, why)
+		require.Eventually(t, func() bool { mu.Lock(); defer mu.Unlock(); return peak >= 2*limit/3 }, patience, 10*time.Millisecond, why)
 	}
-	used("all are up")
+	awaitUse("all schedulers run")
 	script := &faults.Script{Troubles: []faults.Trouble{{Kind: "kill", Targets: []string{"b"}, To: 2 * time.Second},
 		{Kind: "stall", Targets: []string{"c"}, From: 3 * time.Second, To: 6 * time.Second},
 		{Kind: "split", Targets: []string{"a"}, From: 7 * time.Second, To: 13 * time.Second, Fault: faults.Fault{Blackhole: true}}}}
-	worst := 0
+	highest := 0
 	stop := make(chan struct{})
-	watched := make(chan struct{})
+	watcherDone := make(chan struct{})
 	go func() {
-		defer close(watched)
+		defer close(watcherDone)
 		for {
 			select {
 			case <-stop:
 				return
 			case <-time.After(time.Millisecond):
 				mu.Lock()
-				worst = max(worst, now)
+				highest = max(highest, running)
 				mu.Unlock()
 			}
 		}
 	}()
-	require.NoError(t, script.Play(t.Context(), 1, f.all, f.links, f.log))
-	used("all is over")
+	require.NoError(t, script.Play(t.Context(), 1, f.processes, f.links, f.log))
+	awaitUse("all faults have ended")
 	close(stop)
-	<-watched
-	assert.LessOrEqual(t, worst, most)
+	<-watcherDone
+	assert.LessOrEqual(t, highest, limit)
 	text, _, _ := command(t, nil, "fleet", filepath.Join(f.dir, "a"))
 	assert.Contains(t, text, `budget="shop open" `)
 }
 
-// A worker fails every job at once, and so always looks idle. Three schedulers find out; the fourth, which has no job until
-// then, hears of it and sends it none of its own.
+// A worker fails every job immediately and therefore always looks idle. Three schedulers detect it. The fourth has had no jobs
+// until then. It gets their evidence and sends the worker none of its own jobs.
 func TestEvidenceIsShared(t *testing.T) {
 	bad := startWorker(t, standin.WorkerConfig{Name: "bad", Answer: func(_ *http.Request, c net.Conn) {
 		_, _ = io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
 	}})
-	all := []*standin.Worker{bad}
+	workers := []*standin.Worker{bad}
 	for i := range 5 {
-		all = append(all, startWorker(t, standin.WorkerConfig{Name: fmt.Sprint("good", i), Slots: 64}))
+		workers = append(workers, startWorker(t, standin.WorkerConfig{Name: fmt.Sprint("good", i), Slots: 64}))
 	}
-	f := startMembers(t, 4, "", serviceBlock("shop", "", all...))
-	halt := f.load(t, 5*time.Millisecond, f.serve[:3]...)
-	heard := assert.Eventually(t, func() bool {
+	f := startTestFleet(t, 4, "", serviceBlock("shop", "", workers...))
+	stopClients := f.startClients(t, 5*time.Millisecond, f.addrs[:3]...)
+	received := assert.Eventually(t, func() bool {
 		text, _, _ := command(t, nil, "fleet", filepath.Join(f.dir, "d"))
 		return strings.Contains(text, "evidence against=shop/bad ")
 	}, patience, 20*time.Millisecond)
-	if !heard {
-		for _, member := range f.all {
+	if !received {
+		for _, member := range f.processes {
 			text, _, _ := command(t, nil, "fleet", filepath.Join(f.dir, member.Name))
 			t.Logf("member %s says:\n%s", member.Name, text)
 		}
 		t.FailNow()
 	}
-	from := &bench{t: t, addr: f.serve[3]}
+	fourth := &bench{t: t, addr: f.addrs[3]}
 	for n := range 40 {
-		status, _, _ := from.to("shop.example.org", "/api/1", fmt.Sprint("d-", n), "view", patience)
+		status, _, _ := fourth.to("shop.example.org", "/api/1", fmt.Sprint("d-", n), "view", patience)
 		assert.Equal(t, 200, status)
 	}
 	assert.NotContains(t, strings.Join(bad.IDs(), " "), "d-")
-	halt()
+	stopClients()
 }
 
-func TestFleetFaults(t *testing.T) {
+// An invalid fleet block, or a fleet limit without one, is rejected with the position in the file.
+func TestFleetConfigErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"fleet \"x\" {\n members = 3\n keepers = [\"a\"]\n}":                                        "fleet \"x\" has no bind",
 		"fleet \"x\" {\n bind = \"here:1\"\n members = 3\n keepers = [\"a\"]\n}":                    "names are not looked up",
--- a/cmd/weldscale/signals_test.go
+++ b/cmd/weldscale/signals_test.go
@@ -19,7 +19,7 @@
 
 // Signals that come at rare moments, to a process of its own.
 
-// awaitAddr waits until the program serves and returns its listen address. A port chosen before the start could be taken by then.
+// awaitAddr waits until the program serves and returns its address. A port chosen before the start could be taken by then.
 func (l *logged) awaitAddr(t testing.TB) string {
 	l.await(t, "serving")
 	l.mu.Lock()
--- a/cmd/weldscale/upgrade_test.go
+++ b/cmd/weldscale/upgrade_test.go
@@ -134,7 +134,7 @@
 				id := fmt.Sprint(name, i, "-", k)
 				kind := &standin.Kind{Class: "send", Budget: patience, Body: 5}
 				status, body, err := standin.Ask(client, p.addr, "", id, kind)
-				// On a busy machine a worker may report a job's start late, so that a job is refused. It has not run, so the client retries.
+				// On a busy machine the report of a start may be late, so that a job is refused. It has not run, so the client retries.
 				for firstRefusal := time.Now(); err == nil && status == 503 && time.Since(firstRefusal) < patience; {
 					time.Sleep(10 * time.Millisecond)
 					id += "r"
@@ -161,8 +161,8 @@
 	return c.served, c.unexpected
 }
 
-// Each of three processes replaces the one before under load. No job is lost, refused or run twice, and no client connection
-// is closed. A job that must not run twice and lasts longer than the shutdowns is answered, and an offline worker stays offline.
+// Processes replace one another twice under load. No job is lost, refused or run twice, and no client connection is closed. A
+// job that must not run twice and lasts longer than the shutdowns is answered, and an offline worker stays offline.
 func TestUpgradesUnderLoad(t *testing.T) {
 	releaseLong := make(chan struct{})
 	startLargeWorker := func(c standin.WorkerConfig) *standin.Worker {
