--- a/cmd/weldscale/cli_test.go
+++ b/cmd/weldscale/cli_test.go
@@ -204,10 +204,10 @@
 	cmd, log := program(t, "program", "GW_CONFIG=", "WELDSCALE_FILE="+file)
 	log.await(t, "serving")
 	b := &bench{t: t, addr: addr}
-	code, body, _ := b.to("shop.example.org", "/api/1", "1", "view", patience)
+	code, body, _ := b.askService("shop.example.org", "/api/1", "1", "view", patience)
 	assert.Equal(t, 200, code)
 	assert.Equal(t, "made of 1", body)
-	code, _, _ = b.to("other.example.org", "/api/1", "2", "view", patience)
+	code, _, _ = b.askService("other.example.org", "/api/1", "2", "view", patience)
 	assert.Equal(t, 421, code)
 	resp, err := http.Get("http://" + addr + "/-/ready")
 	require.NoError(t, err)
--- a/cmd/weldscale/fleet_test.go
+++ b/cmd/weldscale/fleet_test.go
@@ -70,7 +70,7 @@
 					return
 				case <-time.After(5 * time.Millisecond):
 				}
-				if status, _, _ := first.to("shop.example.org", "/api/1", fmt.Sprint(i, "-", n), "view", patience); status == 200 {
+				if status, _, _ := first.askService("shop.example.org", "/api/1", fmt.Sprint(i, "-", n), "view", patience); status == 200 {
 					served.Add(1)
 				}
 			}
@@ -291,7 +291,7 @@
 	}
 	fourth := &bench{t: t, addr: f.addrs[3]}
 	for n := range 40 {
-		status, _, _ := fourth.to("shop.example.org", "/api/1", fmt.Sprint("d-", n), "view", patience)
+		status, _, _ := fourth.askService("shop.example.org", "/api/1", fmt.Sprint("d-", n), "view", patience)
 		assert.Equal(t, 200, status)
 	}
 	assert.NotContains(t, strings.Join(bad.IDs(), " "), "d-")
--- a/cmd/weldscale/operate_test.go
+++ b/cmd/weldscale/operate_test.go
@@ -17,10 +17,10 @@
 	"weldscale/internal/standin"
 )
 
-func withSecond(c *config) { c.Mgmt = "127.0.0.1:0" }
+func withManagement(c *config) { c.Mgmt = "127.0.0.1:0" }
 
-// operator makes a call of the second address.
-func (b *bench) operator(method, path string) (int, string) {
+// callManagement sends a request to the management address and returns status and body.
+func (b *bench) callManagement(method, path string) (int, string) {
 	client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
 	req, err := http.NewRequest(method, "http://"+b.s.management.Addr()+path, nil)
 	require.NoError(b.t, err)
@@ -32,33 +32,34 @@
 	return resp.StatusCode, string(text)
 }
 
+// figures returns the counters that the management address shows.
 func (b *bench) figures() (f mgmt.Figures) {
-	status, text := b.operator("GET", "/control/counters")
+	status, text := b.callManagement("GET", "/control/counters")
 	require.Equal(b.t, 200, status)
 	require.NoError(b.t, json.Unmarshal([]byte(text), &f))
 	return f
 }
 
-// A worker taken out by hand gets nothing, whatever the list says, until it is put back; and all of it can be read.
-func TestWorkerTakenOutByHand(t *testing.T) {
+// An offline worker gets no jobs, whatever the worker list says, until it is online again. The counters show it.
+func TestOfflineWorkerGetsNoJobs(t *testing.T) {
 	a, w := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "w"})
-	b := startBenchWith(t, []standin.Entry{a.Entry("SERVING"), w.Entry("SERVING")}, withSecond)
-	status, _ := b.operator("GET", "/control/ready")
+	b := startBenchWith(t, []standin.Entry{a.Entry("SERVING"), w.Entry("SERVING")}, withManagement)
+	status, _ := b.callManagement("GET", "/control/ready")
 	assert.Equal(t, 200, status)
 	for _, path := range []string{"/control/workers/nobody/offline", "/control/workers/nobody/online", "/control/else"} {
-		status, _ := b.operator("POST", path)
+		status, _ := b.callManagement("POST", path)
 		assert.Equal(t, 404, status, path)
 	}
-	for range 2 { // twice is once
-		status, _ := b.operator("POST", "/control/workers/a/offline")
+	for range 2 { // the second call changes nothing
+		status, _ := b.callManagement("POST", "/control/workers/a/offline")
 		require.Equal(t, 200, status)
 	}
 	b.discovery.Set(standin.Entry{Name: "a", Status: "DELETED"})
-	b.discovery.Set(a.Entry("SERVING")) // as it says while the worker is restarted
+	b.discovery.Set(a.Entry("SERVING")) // the updates that a restart of the worker causes
 	b.discovery.Set(standin.Entry{Name: "last", Address: "127.0.0.1:1", Status: "DRAINING"})
 	require.Eventually(t, func() bool { return b.figures().WorkersKnown == 3 }, patience, time.Millisecond)
 	for i := range 20 {
-		status, _ := b.ask("out"+itoa(i), "view", patience)
+		status, _ := b.ask("out"+twoLetters(i), "view", patience)
 		assert.Equal(t, 200, status)
 	}
 	assert.Empty(t, a.IDs())
@@ -66,24 +67,25 @@
 	assert.Equal(t, map[string]int{"view": 20, "send": 0}, f.Served)
 	assert.Equal(t, []int{20, 0, 3, 1}, []int{f.Attempts, f.InFlight, f.WorkersKnown, f.WorkersExcluded})
 
-	status, _ = b.operator("POST", "/control/workers/a/online")
+	status, _ = b.callManagement("POST", "/control/workers/a/online")
 	require.Equal(t, 200, status)
 	for i := 0; len(a.IDs()) == 0 && i < 200; i++ {
-		status, _ := b.ask("back"+itoa(i), "view", patience)
+		status, _ := b.ask("back"+twoLetters(i), "view", patience)
 		assert.Equal(t, 200, status)
 	}
 	assert.NotEmpty(t, a.IDs())
 	assert.Zero(t, b.figures().WorkersExcluded)
 	b.s.loop.Post(b.s.stop)
-	require.Eventually(t, func() bool { status, _ := b.operator("GET", "/control/ready"); return status == 503 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { status, _ := b.callManagement("GET", "/control/ready"); return status == 503 }, patience, time.Millisecond)
 }
 
-func itoa(n int) string { return string(rune('a'+n/26)) + string(rune('a'+n%26)) }
+func twoLetters(n int) string { return string(rune('a'+n/26)) + string(rune('a'+n%26)) }
 
-// The second address answers beside callers that say nothing or half a call, and while the loop has a long queue.
-func TestSecondAddressUnderLoad(t *testing.T) {
+// The management address answers while other callers send nothing or only part of a request, and while the loop has a long
+// queue.
+func TestManagementAddressUnderLoad(t *testing.T) {
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
-	b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, withSecond)
+	b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, withManagement)
 	for i := range 3 * 16 {
 		c, err := net.Dial("tcp", b.s.management.Addr())
 		require.NoError(t, err)
@@ -92,10 +94,10 @@
 			_, _ = c.Write([]byte("GET /control/re"))
 		}
 	}
-	status, _ := b.operator("GET", "/control/ready")
+	status, _ := b.callManagement("GET", "/control/ready")
 	assert.Equal(t, 200, status)
 
-	// While the loop is at a piece of work a queue forms; the call comes right after that piece.
+	// A queue forms while the loop is busy with one task. The call runs right after that task.
 	begun, release, order := make(chan struct{}), make(chan struct{}), make(chan string, 2000)
 	b.s.loop.Post(func() { close(begun); <-release })
 	<-begun
@@ -109,17 +111,17 @@
 	assert.True(t, <-called)
 	assert.Equal(t, "call", <-order)
 
-	// What can't be done in time is not done later either.
+	// A call that the loop does not reach in time is not run later.
 	begun, release = make(chan struct{}), make(chan struct{})
 	b.s.loop.Post(func() { close(begun); <-release })
 	<-begun
-	status, _ = b.operator("POST", "/control/workers/a/offline")
+	status, _ = b.callManagement("POST", "/control/workers/a/offline")
 	assert.Equal(t, 503, status)
 	close(release)
 	assert.Zero(t, b.figures().WorkersExcluded)
 }
 
-// Every request taken is served, refused, failed, left or in flight, whatever became of it.
+// Each accepted request counts as exactly one of served, refused, failed, hung up by its client, or in flight.
 func TestFiguresAddUp(t *testing.T) {
 	release := make(chan struct{})
 	w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) {
@@ -133,11 +135,11 @@
 			standin.Done(r, c)
 		}
 	}})
-	b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, withSecond)
-	stayed := make(chan int)
-	defer func() { close(release); <-stayed }()
+	b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, withManagement)
+	answered := make(chan int)
+	defer func() { close(release); <-answered }()
 	b.ask("ok", "view", patience)
-	go func() { status, _ := b.ask("stay", "send", patience); stayed <- status }()
+	go func() { status, _ := b.ask("stay", "send", patience); answered <- status }()
 	require.Eventually(t, func() bool { return slices.Contains(w.IDs(), "stay") }, patience, time.Millisecond)
 	gone, err := net.Dial("tcp", b.addr)
 	require.NoError(t, err)
--- a/cmd/weldscale/services_test.go
+++ b/cmd/weldscale/services_test.go
@@ -38,8 +38,8 @@
 		"  class \"send\" { effect = \"once\" }\n%s}\n", name, name, list, more)
 }
 
-// to asks for a job of a service and returns status, body and the advised wait.
-func (b *bench) to(host, path, id, class string, budget time.Duration) (int, string, string) {
+// askService sends a request with this Host header and returns the status, the start of the body and the Retry-After header.
+func (b *bench) askService(host, path, id, class string, budget time.Duration) (int, string, string) {
 	r, err := http.NewRequest("POST", "http://"+b.addr+path, strings.NewReader("sheet"))
 	require.NoError(b.t, err)
 	r.Host = host
@@ -56,13 +56,13 @@
 	return resp.StatusCode, string(body[:n]), resp.Header.Get("Retry-After")
 }
 
-// apply puts a file in force, as a reload does.
-func (b *bench) apply(f operator.File) (err error) {
+// applyFile applies an operator's file, as a reload does.
+func (b *bench) applyFile(f operator.File) (err error) {
 	b.s.loop.Do(func() { err = b.s.applyServices(f) })
 	return err
 }
 
-// A request goes to the workers of its service and no others; one that matches no route gets a clear refusal.
+// A request goes only to the workers of its service. One that matches no route is refused with an error that says so.
 func TestServices(t *testing.T) {
 	main, shop, proofs := startWorker(t, standin.WorkerConfig{Name: "m"}), startWorker(t, standin.WorkerConfig{Name: "w"}),
 		startWorker(t, standin.WorkerConfig{Name: "w"})
@@ -72,7 +72,7 @@
 	for i, c := range []struct {
 		host, path, class string
 		status            int
-		says              string
+		wantBody          string
 	}{
 		{"app.svc", "/api/1", "view", 200, "made of 0"},
 		{"shop.example.org:80", "/api/1", "view", 200, "made of 1"},
@@ -80,11 +80,11 @@
 		{"proofs.example.org", "/api/1", "view", 200, "made of 3"},
 		{"proofs.example.org", "/api/1", "other", 400, "unknown class"},
 		{"elsewhere.example.org", "/api/1", "view", 421, "no service for this host"},
-		{"", "/api/1", "view", 421, "no service for this host"}, // the address it was sent to
+		{"", "/api/1", "view", 421, "no service for this host"}, // the Host header is the address of the scheduler
 	} {
-		status, body, wait := b.to(c.host, c.path, fmt.Sprint(i), c.class, patience)
+		status, body, wait := b.askService(c.host, c.path, fmt.Sprint(i), c.class, patience)
 		assert.Equal(t, c.status, status, "%+v", c)
-		assert.Contains(t, body, c.says, "%+v", c)
+		assert.Contains(t, body, c.wantBody, "%+v", c)
 		assert.Equal(t, status == 429, wait != "", "%+v: %s", c, wait)
 	}
 	assert.Equal(t, []string{"0"}, main.IDs())
@@ -97,14 +97,15 @@
 	head := make([]byte, 12)
 	_, err = c.Read(head)
 	require.NoError(t, err)
-	assert.Equal(t, "HTTP/1.1 400", string(head), "no Host")
+	assert.Equal(t, "HTTP/1.1 400", string(head), "a request without Host")
 	var stats string
 	b.s.loop.Do(func() { stats = b.s.server.Stats() })
 	assert.Contains(t, stats, "\nservice=shop open=0 begun=1 over_rate=1")
 }
 
-// A service whose boxes are all gone, and then all silent, answers its own requests and costs its neighbour none.
-func TestOnePoolLosesAllItsBoxes(t *testing.T) {
+// The worker of one service has ended, that of another never answers. Both services answer their own requests with errors, and
+// a third service serves all of its requests.
+func TestServicesWithoutWorkingWorkers(t *testing.T) {
 	gone, well := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "b"})
 	silent := startWorker(t, standin.WorkerConfig{Name: "c"})
 	b := startBenchWith(t, nil, func(c *config) {
@@ -112,73 +113,73 @@
 	})
 	gone.Close()
 	silent.Silence()
-	var all sync.WaitGroup
+	var requests sync.WaitGroup
 	for i := range 30 {
 		for _, host := range []string{"gone", "silent"} {
-			all.Go(func() {
-				status, _, _ := b.to(host+".example.org", "/api/1", fmt.Sprint(host, i), "send", 2*time.Second)
+			requests.Go(func() {
+				status, _, _ := b.askService(host+".example.org", "/api/1", fmt.Sprint(host, i), "send", 2*time.Second)
 				assert.Contains(t, []int{500, 503}, status)
 			})
 		}
-		all.Go(func() {
-			status, _, _ := b.to("well.example.org", "/api/1", fmt.Sprint("well", i), "send", patience)
+		requests.Go(func() {
+			status, _, _ := b.askService("well.example.org", "/api/1", fmt.Sprint("well", i), "send", patience)
 			assert.Equal(t, 200, status)
 		})
 	}
-	all.Wait()
+	requests.Wait()
 	assert.Len(t, well.IDs(), 30)
 	b.s.loop.Do(func() { assert.Zero(t, b.s.openRequests()) })
 }
 
-// Services come, change and go while requests are in hand: what was taken ends where it is, what is new goes by the
-// new table, and a file that can't be used changes nothing.
+// Services are added, changed and removed while a request is open. It is finished in the service that accepted it, later
+// requests use the new routing table, and an invalid file changes nothing.
 func TestReloadOfServices(t *testing.T) {
 	release := make(chan struct{})
-	held := standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) {
+	holding := standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) {
 		if r.Header.Get("X-Call-Id") == "held" {
 			<-release
 		}
 		standin.Done(r, c)
 	}}
-	old, other, third := startWorker(t, held), startWorker(t, standin.WorkerConfig{Name: "z"}), startWorker(t, standin.WorkerConfig{Name: "z"})
+	old, other, third := startWorker(t, holding), startWorker(t, standin.WorkerConfig{Name: "z"}), startWorker(t, standin.WorkerConfig{Name: "z"})
 	b := startBenchWith(t, nil, func(c *config) { c.file = operatorFile(t, serviceBlock("shop", "", old)) })
 	answered := make(chan int)
 	go func() {
-		status, _, _ := b.to("shop.example.org", "/api/1", "held", "send", patience)
+		status, _, _ := b.askService("shop.example.org", "/api/1", "held", "send", patience)
 		answered <- status
 	}()
 	require.Eventually(t, func() bool { return slices.Contains(old.IDs(), "held") }, patience, time.Millisecond)
-	bad := operatorFile(t, serviceBlock("shop", "", other))
-	bad.Services[0].Classes[0].Terms.Deadline = 0
-	assert.ErrorContains(t, b.apply(bad), "deadline")
-	status, _, _ := b.to("shop.example.org", "/api/1", "1", "view", patience)
+	invalid := operatorFile(t, serviceBlock("shop", "", other))
+	invalid.Services[0].Classes[0].Terms.Deadline = 0
+	assert.ErrorContains(t, b.applyFile(invalid), "deadline")
+	status, _, _ := b.askService("shop.example.org", "/api/1", "1", "view", patience)
 	assert.Equal(t, 200, status)
 	assert.Contains(t, old.IDs(), "1")
 
-	// Other workers under the same terms: the same service goes on.
-	require.NoError(t, b.apply(operatorFile(t, serviceBlock("shop", "", other))))
-	status, _, _ = b.to("shop.example.org", "/api/1", "2", "view", patience)
+	// With other workers and unchanged classes the same service continues.
+	require.NoError(t, b.applyFile(operatorFile(t, serviceBlock("shop", "", other))))
+	status, _, _ = b.askService("shop.example.org", "/api/1", "2", "view", patience)
 	assert.Equal(t, 200, status)
 	assert.Equal(t, []string{"2"}, other.IDs())
 
-	// Other classes: another service of that name; then none.
-	require.NoError(t, b.apply(operatorFile(t, serviceBlock("shop", "class \"more\" { effect = \"safe\" }\n", third))))
-	status, _, _ = b.to("shop.example.org", "/api/1", "3", "more", patience)
+	// Other classes make another service of that name. Then the service is removed.
+	require.NoError(t, b.applyFile(operatorFile(t, serviceBlock("shop", "class \"more\" { effect = \"safe\" }\n", third))))
+	status, _, _ = b.askService("shop.example.org", "/api/1", "3", "more", patience)
 	assert.Equal(t, 200, status)
 	assert.Equal(t, []string{"3"}, third.IDs())
-	require.NoError(t, b.apply(operatorFile(t, serviceBlock("desks", "", other))))
-	status, _, _ = b.to("shop.example.org", "/api/1", "4", "view", patience)
+	require.NoError(t, b.applyFile(operatorFile(t, serviceBlock("desks", "", other))))
+	status, _, _ = b.askService("shop.example.org", "/api/1", "4", "view", patience)
 	assert.Equal(t, 421, status)
 	b.s.loop.Do(func() { assert.Equal(t, 1, b.s.openRequests()) })
 	close(release)
 	assert.Equal(t, 200, <-answered)
-	require.Eventually(t, func() (left bool) {
-		b.s.loop.Do(func() { left = len(b.s.draining) == 0 })
-		return left
+	require.Eventually(t, func() (done bool) {
+		b.s.loop.Do(func() { done = len(b.s.draining) == 0 })
+		return done
 	}, patience, 10*time.Millisecond)
 }
 
-// A worker file is watched; one that is half written, or lists a worker without an address, changes nothing.
+// Changes of a worker file are followed. An incomplete file, or one with a worker without address, changes nothing.
 func TestWorkerFile(t *testing.T) {
 	a, z := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
 	path := filepath.Join(t.TempDir(), "workers.json")
@@ -192,19 +193,19 @@
 	write(list(a, "SERVING"))
 	text := strings.Replace(serviceBlock("shop", ""), "workers {\n", fmt.Sprintf("workers {\n file = %q\n", path), 1)
 	b := startBenchWith(t, nil, func(c *config) { c.file = operatorFile(t, text) })
-	names := func() (out []string) {
-		b.s.loop.Do(func() { b.s.services["shop"].engine.EachReadyAddr(func(addr string) { out = append(out, addr) }) })
-		return out
+	readyAddrs := func() (addrs []string) {
+		b.s.loop.Do(func() { b.s.services["shop"].engine.EachReadyAddr(func(addr string) { addrs = append(addrs, addr) }) })
+		return addrs
 	}
-	require.Eventually(t, func() bool { return slices.Equal(names(), []string{a.Addr()}) }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return slices.Equal(readyAddrs(), []string{a.Addr()}) }, patience, time.Millisecond)
 	write(`{"endpoints":[`)
 	write(`{"endpoints":[{"name":"z"}]}`)
-	status, _, _ := b.to("shop.example.org", "/api/1", "1", "view", patience)
+	status, _, _ := b.askService("shop.example.org", "/api/1", "1", "view", patience)
 	assert.Equal(t, 200, status)
 	write(list(z, "SERVING"))
-	require.Eventually(t, func() bool { return slices.Equal(names(), []string{z.Addr()}) }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return slices.Equal(readyAddrs(), []string{z.Addr()}) }, patience, time.Millisecond)
 	write(list(z, "DRAINING"))
-	require.Eventually(t, func() bool { return len(names()) == 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(readyAddrs()) == 0 }, patience, time.Millisecond)
 	f := operatorFile(t, strings.Replace(text, "workers.json", "nowhere.json", 1))
-	assert.ErrorContains(t, b.apply(f), "no such file")
+	assert.ErrorContains(t, b.applyFile(f), "no such file")
 }
