--- a/cmd/weldscale/cli_test.go
+++ b/cmd/weldscale/cli_test.go
@@ -18,8 +18,8 @@
 	"weldscale/internal/standin"
 )
 
-// command runs the program with arguments and returns what it said, and how it ended.
-func command(t *testing.T, env []string, args ...string) (stdout, stderr string, status int) {
+// runProgram runs the program with these arguments and returns its output and exit status.
+func runProgram(t *testing.T, env []string, args ...string) (stdout, stderr string, status int) {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(append(os.Environ(), "WELDSCALE_TEST=program", "WELDSCALE_ARGS="+strings.Join(args, "\n")), env...)
 	var out, errs strings.Builder
@@ -31,7 +31,7 @@
 	return out.String(), errs.String(), cmd.ProcessState.ExitCode()
 }
 
-// Bad input gets plain lines that name the fault, and a status that is not zero; nothing is started.
+// Invalid input causes one line for each error and an exit status other than zero. Nothing is started.
 func TestBadCommandLines(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
@@ -42,79 +42,79 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
-	good := file("good.json", string(standin.Site{Discovery: "127.0.0.1:1"}.Config()))
-	used := file("used.json", string(standin.Site{Discovery: "127.0.0.1:1", Listen: ln.Addr().String()}.Config()))
-	ten := file("ten.hcl", "slow_peers {\n"+strings.Repeat("", 1)+"  grace_in = 1\n  span_in = 1\n  total = \"x\"\n  most = 0.5\n  hurry = 2\n  fresh = 3\n"+
+	valid := file("good.json", string(standin.Site{Discovery: "127.0.0.1:1"}.Config()))
+	portInUse := file("used.json", string(standin.Site{Discovery: "127.0.0.1:1", Listen: ln.Addr().String()}.Config()))
+	tenErrors := file("ten.hcl", "slow_peers {\n"+strings.Repeat("", 1)+"  grace_in = 1\n  span_in = 1\n  total = \"x\"\n  most = 0.5\n  hurry = 2\n  fresh = 3\n"+
 		"  crowd = 200\n  remember = 0\n  forgive = true\n  no_such = 1\n}\n")
 	for name, c := range map[string]struct {
 		env   string
 		args  []string
 		lines int
-		says  string
+		want  string
 	}{
-		"no configuration":   {"", nil, 1, "weldscale: config: GW_CONFIG is not set"},
-		"unknown flag":       {"", []string{"--speed", "9"}, 1, "unknown flag --speed"},
-		"unknown command":    {"", []string{"fly"}, 1, "fly"},
-		"bad level":          {"", []string{"--log-level", "loud"}, 1, "--log-level must be one of"},
-		"no file":            {good, []string{"serve", "--config", filepath.Join(dir, "nowhere.hcl")}, 1, "no such file"},
-		"a folder":           {good, []string{"serve", "--config", dir}, 1, "is a directory"},
-		"a folder for JSON":  {dir, nil, 1, "is a directory"},
-		"ten faults":         {good, []string{"serve", "--config", ten}, 10, ":11:3: no_such: no such setting"},
-		"ten faults, check":  {"", []string{"check", ten}, 10, ":2:14: allowed is a span"},
-		"port in use":        {used, nil, 1, "address already in use"},
-		"nobody there":       {"", []string{"stats", filepath.Join(dir, "no.sock")}, 1, "no scheduler answers there"},
-		"load without a way": {"", []string{"load", "127.0.0.1:1", "--clients", "0"}, 1, "--clients at least 1"},
+		"no configuration":     {"", nil, 1, "weldscale: config: GW_CONFIG is not set"},
+		"unknown flag":         {"", []string{"--speed", "9"}, 1, "unknown flag --speed"},
+		"unknown command":      {"", []string{"fly"}, 1, "fly"},
+		"bad level":            {"", []string{"--log-level", "loud"}, 1, "--log-level must be one of"},
+		"no such file":         {valid, []string{"serve", "--config", filepath.Join(dir, "nowhere.hcl")}, 1, "no such file"},
+		"a directory":          {valid, []string{"serve", "--config", dir}, 1, "is a directory"},
+		"a directory as JSON":  {dir, nil, 1, "is a directory"},
+		"ten errors":           {valid, []string{"serve", "--config", tenErrors}, 10, ":11:3: no_such: no such setting"},
+		"ten errors, check":    {"", []string{"check", tenErrors}, 10, ":2:14: allowed is a span"},
+		"port in use":          {portInUse, nil, 1, "address already in use"},
+		"no scheduler":         {"", []string{"stats", filepath.Join(dir, "no.sock")}, 1, "no scheduler answers there"},
+		"load without clients": {"", []string{"load", "127.0.0.1:1", "--clients", "0"}, 1, "--clients at least 1"},
 	} {
-		stdout, stderr, status := command(t, []string{"GW_CONFIG=" + c.env}, c.args...)
+		stdout, stderr, status := runProgram(t, []string{"GW_CONFIG=" + c.env}, c.args...)
 		assert.NotZero(t, status, name)
 		assert.Empty(t, stdout, name)
-		assert.Contains(t, stderr, c.says, name)
+		assert.Contains(t, stderr, c.want, name)
 		assert.Len(t, strings.Split(strings.TrimSpace(stderr), "\n"), c.lines, "%s: %s", name, stderr)
 	}
-	stdout, _, status := command(t, nil, "check", good)
+	stdout, _, status := runProgram(t, nil, "check", valid)
 	assert.Zero(t, status)
 	assert.Contains(t, stdout, "view, send")
-	stdout, _, status = command(t, nil, "check", "../../deploy/weldscale.hcl")
+	stdout, _, status = runProgram(t, nil, "check", "../../deploy/weldscale.hcl")
 	assert.Zero(t, status)
 	assert.Regexp(t, `slow_peers.hurry +250ms +default`, stdout)
 }
 
-// The control socket is the owner's alone, is replaced when its owner has ended, and not while one runs.
+// Only its owner may access the control socket. One left behind by a killed process is replaced, that of a running one is not.
 func TestControlSocket(t *testing.T) {
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
-	list := startDiscovery(t, w.Entry("SERVING"))
+	discovery := startDiscovery(t, w.Entry("SERVING"))
 	dir := t.TempDir()
 	socket, file := filepath.Join(dir, "control"), filepath.Join(dir, "w.hcl")
 	write := func(text string) { require.NoError(t, os.WriteFile(file, []byte(text), 0o600)) }
-	good := "control { socket = \"" + socket + "\" }\nmetrics {}\n"
-	write(good)
-	left, err := net.Listen("unix", socket) // of one that was killed
+	valid := "control { socket = \"" + socket + "\" }\nmetrics {}\n"
+	write(valid)
+	stale, err := net.Listen("unix", socket) // as a killed process leaves it
 	require.NoError(t, err)
-	left.(*net.UnixListener).SetUnlinkOnClose(false)
-	left.Close()
-	site := standin.Site{Discovery: list.Addr(), Known: list.Known()}
+	stale.(*net.UnixListener).SetUnlinkOnClose(false)
+	stale.Close()
+	site := standin.Site{Discovery: discovery.Addr(), Known: discovery.Known()}
 	cmd, addr := startProgram(t, site, "WELDSCALE_FILE="+file)
 	info, err := os.Stat(socket)
 	require.NoError(t, err)
 	assert.Equal(t, os.FileMode(0o600), info.Mode().Perm())
 
-	say := func(args ...string) (string, string, int) { return command(t, nil, args...) }
-	stdout, _, status := say("stats", socket)
+	runCommand := func(args ...string) (string, string, int) { return runProgram(t, nil, args...) }
+	stdout, _, status := runCommand("stats", socket)
 	assert.Zero(t, status)
 	assert.Contains(t, stdout, "taken=0")
-	for _, c := range []struct{ verb, worker, says string }{{"ready", "", "ready"}, {"offline", "a", "done"}, {"counters", "", `"workers_excluded":1`},
+	for _, c := range []struct{ command, worker, want string }{{"ready", "", "ready"}, {"offline", "a", "done"}, {"counters", "", `"workers_excluded":1`},
 		{"online", "a", "done"}, {"counters", "", `"workers_excluded":0`}} {
-		stdout, _, status := say(strings.Fields(c.verb + " " + socket + " " + c.worker)...)
+		stdout, _, status := runCommand(strings.Fields(c.command + " " + socket + " " + c.worker)...)
 		assert.Zero(t, status)
-		assert.Contains(t, stdout, c.says)
+		assert.Contains(t, stdout, c.want)
 	}
-	_, unknown, status := say("offline", socket, "nobody")
+	_, unknownWorker, status := runCommand("offline", socket, "nobody")
 	assert.Equal(t, 1, status)
-	assert.Contains(t, unknown, "no such worker")
-	_, _, status = say("level", socket, "debug")
+	assert.Contains(t, unknownWorker, "no such worker")
+	_, _, status = runCommand("level", socket, "debug")
 	assert.Zero(t, status)
-	k := standin.Kind{Class: "view", Budget: patience}
-	code, _, err := standin.Ask(http.DefaultClient, addr, "", "traced", &k)
+	kind := standin.Kind{Class: "view", Budget: patience}
+	code, _, err := standin.Ask(http.DefaultClient, addr, "", "traced", &kind)
 	require.NoError(t, err)
 	assert.Equal(t, 200, code)
 	log := cmd.Stderr.(*logged)
@@ -122,10 +122,10 @@
 		`"msg":"attempt"`, `"outcome":"served"`} {
 		log.await(t, line)
 	}
-	_, stderr, status := say("reload", socket)
+	_, stderr, status := runCommand("reload", socket)
 	assert.Zero(t, status, stderr)
-	write(good + "slow_peers { most = 0 }")
-	_, stderr, status = say("reload", socket)
+	write(valid + "slow_peers { most = 0 }")
+	_, stderr, status = runCommand("reload", socket)
 	assert.Equal(t, 1, status)
 	assert.Contains(t, stderr, "w.hcl:3:21: out of range")
 
@@ -136,7 +136,7 @@
 	assert.Contains(t, string(text), `weldscale_answer_seconds_count{class="view",outcome="served",service=""} 1`)
 	assert.Contains(t, string(text), `weldscale_taken{service=""} 1`)
 
-	stdout, _, status = say("load", addr, "--for=1s", "--clients=2", "--slow-senders=2", "--slow-readers=2", "--slow-rate=100000")
+	stdout, _, status = runCommand("load", addr, "--for=1s", "--clients=2", "--slow-senders=2", "--slow-readers=2", "--slow-rate=100000")
 	assert.Zero(t, status)
 	for _, line := range []string{"slow senders: came=", "slow readers: came="} {
 		assert.Contains(t, stdout, line)
@@ -144,17 +144,18 @@
 
 	path := filepath.Join(dir, "second.json")
 	require.NoError(t, os.WriteFile(path, site.Config(), 0o600))
-	write(good)
-	_, stderr, status = command(t, []string{"GW_CONFIG=" + path}, "serve", "--config", file)
+	write(valid)
+	_, stderr, status = runProgram(t, []string{"GW_CONFIG=" + path}, "serve", "--config", file)
 	assert.Equal(t, 1, status)
 	assert.Contains(t, stderr, "in use by a running program")
-	_, _, status = say("drain", socket)
+	_, _, status = runCommand("drain", socket)
 	assert.Zero(t, status)
 	assert.NoError(t, cmd.Wait())
 	_, err = os.Stat(socket)
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
 
+// Without a metrics block there is no metrics page.
 func TestNoMetricsUnlessAsked(t *testing.T) {
 	b := startBench(t, startWorker(t, standin.WorkerConfig{Name: "a"}).Entry("SERVING"))
 	resp, err := http.Get("http://" + b.addr + "/-/metrics")
@@ -163,7 +164,7 @@
 	assert.Equal(t, 404, resp.StatusCode)
 }
 
-// The load command's figures against a worker that answers all, in both kinds of loop.
+// The results of the load command against workers that answer every job, with open and with closed loops.
 func TestLoadCommand(t *testing.T) {
 	f := startFleet(t, 2, standin.WorkerConfig{Queue: 100, TellsStart: true})
 	b := startBench(t, f.Entries()...)
@@ -180,7 +181,7 @@
 	}
 }
 
-// The reference page is what the code says; UPDATE_REFERENCE=1 writes it anew.
+// The reference page matches the code. UPDATE_REFERENCE=1 generates it again.
 func TestReferencePage(t *testing.T) {
 	const page = "../../docs/REFERENCE.md"
 	if os.Getenv("UPDATE_REFERENCE") != "" {
@@ -191,13 +192,13 @@
 	assert.Equal(t, reference(), string(text), "run UPDATE_REFERENCE=1 go test ./cmd/weldscale -run Reference")
 }
 
-// An operator's file with a scheduler block is enough to start with.
+// The scheduler starts with only an operator's file if that has a scheduler block.
 func TestFileAlone(t *testing.T) {
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
 	addr, file := freeAddr(t), filepath.Join(t.TempDir(), "w.hcl")
 	text := serviceBlock("shop", "", w)
 	require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
-	_, stderr, status := command(t, []string{"GW_CONFIG="}, "serve", "--config", file)
+	_, stderr, status := runProgram(t, []string{"GW_CONFIG="}, "serve", "--config", file)
 	assert.Equal(t, 1, status)
 	assert.Contains(t, stderr, "no scheduler block to stand in for it")
 	require.NoError(t, os.WriteFile(file, []byte("scheduler {\n listen = \""+addr+"\"\n}\n"+text), 0o600))
--- a/cmd/weldscale/config_test.go
+++ b/cmd/weldscale/config_test.go
@@ -31,45 +31,45 @@
 	}
 }
 
-// A configuration that can't be used is refused with one line that names the fault.
+// An invalid configuration is rejected with a single line that names the invalid setting.
 func TestBadConfig(t *testing.T) {
-	good := string(standin.Site{Name: "n", Discovery: "127.0.0.1:1"}.Config())
+	valid := string(standin.Site{Name: "n", Discovery: "127.0.0.1:1"}.Config())
 	for name, c := range map[string]struct{ old, new, want string }{
-		"good":             {"", "", ""},
-		"no name":          {`"name":"n",`, "", "-"},
-		"not JSON":         {"{", "[", "config"},
-		"no listen":        {`"listen":"127.0.0.1:0",`, "", "listen"},
-		"bad seed":         {`"seed":"1"`, `"seed":"wxyz"`, "seed"},
-		"few sockets":      {"1024", "10", "sockets"},
-		"no settings":      {`"settings"`, `"sittings"`, "settings"},
-		"a setting lacks":  {`"max_attempts":4,`, "", "max_attempts"},
-		"no port":          {"127.0.0.1:1\"", "127.0.0.1\"", "discovery"},
-		"unknown effect":   {"read_like", "harmless", "effect"},
-		"a figure is text": {`"balancers":1`, `"balancers":"many"`, "balancers"},
-		"no connect time":  {`"connect_timeout_us":250000,`, "", "limits.connect_timeout_us"},
-		"no time at all":   {`"connect_timeout_us":250000`, `"connect_timeout_us":0`, "limits.connect_timeout_us"},
-		"no idle time":     {`"conn_idle_us":10000000,`, "", "limits.conn_idle_us"},
-		"idle before now":  {`"conn_idle_us":10000000`, `"conn_idle_us":-5`, "limits.conn_idle_us"},
-		"a nameless class": {`"name":"view",`, "", "classes.0.name"},
-		"a class twice":    {`"name":"send"`, `"name":"view"`, "classes.1.name"},
-		"no classes":       {`"classes":[`, `"classes_":[`, "classes.count"},
-		"no deadline":      {`"deadline_us":9000000`, `"deadline_us":0`, "classes.0"},
-		"no attempt":       {`"max_attempts":4`, `"max_attempts":0`, "max_attempts"},
+		"good":                 {"", "", ""},
+		"no name":              {`"name":"n",`, "", "-"},
+		"not JSON":             {"{", "[", "config"},
+		"no listen":            {`"listen":"127.0.0.1:0",`, "", "listen"},
+		"bad seed":             {`"seed":"1"`, `"seed":"wxyz"`, "seed"},
+		"few sockets":          {"1024", "10", "sockets"},
+		"no settings":          {`"settings"`, `"sittings"`, "settings"},
+		"a missing setting":    {`"max_attempts":4,`, "", "max_attempts"},
+		"no port":              {"127.0.0.1:1\"", "127.0.0.1\"", "discovery"},
+		"unknown effect":       {"read_like", "harmless", "effect"},
+		"text for a number":    {`"balancers":1`, `"balancers":"many"`, "balancers"},
+		"no connect timeout":   {`"connect_timeout_us":250000,`, "", "limits.connect_timeout_us"},
+		"connect timeout 0":    {`"connect_timeout_us":250000`, `"connect_timeout_us":0`, "limits.connect_timeout_us"},
+		"no idle time":         {`"conn_idle_us":10000000,`, "", "limits.conn_idle_us"},
+		"negative idle time":   {`"conn_idle_us":10000000`, `"conn_idle_us":-5`, "limits.conn_idle_us"},
+		"a class without name": {`"name":"view",`, "", "classes.0.name"},
+		"a duplicate class":    {`"name":"send"`, `"name":"view"`, "classes.1.name"},
+		"no classes":           {`"classes":[`, `"classes_":[`, "classes.count"},
+		"deadline 0":           {`"deadline_us":9000000`, `"deadline_us":0`, "classes.0"},
+		"no attempts":          {`"max_attempts":4`, `"max_attempts":0`, "max_attempts"},
 	} {
 		path := filepath.Join(t.TempDir(), "config.json")
-		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(good, c.old, c.new, 1)), 0o600))
+		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(valid, c.old, c.new, 1)), 0o600))
 		conf, err := loadConfig(func(key string) string {
 			return map[string]string{"GW_CONFIG": path, "GW_NAME": "other", "GW_DISCOVERY": "127.0.0.1:2"}[key]
 		})
 		if c.want == "-" {
 			require.NoError(t, err, name)
-			assert.Equal(t, "other", conf.Name, "the variable stands in")
+			assert.Equal(t, "other", conf.Name, "the environment variable is used")
 			continue
 		}
 		if c.want == "" {
 			require.NoError(t, err, name)
-			assert.Equal(t, "n", conf.Name, "the file wins")
-			assert.Equal(t, "127.0.0.1:1", conf.Discovery, "a restart must not go back to where discovery once was")
+			assert.Equal(t, "n", conf.Name, "the file has precedence")
+			assert.Equal(t, "127.0.0.1:1", conf.Discovery, "a restart must not return to an earlier address of discovery")
 			assert.Equal(t, []string{"view", "send"}, conf.classes)
 			assert.EqualValues(t, 2000000, conf.engine.Settings.MaxRetryAfter)
 			assert.Equal(t, "10s", conf.idleLimit.String())
@@ -83,13 +83,13 @@
 	assert.EqualError(t, err, "config: GW_CONFIG is not set")
 }
 
-// Whatever is wrong with any one figure of the settings - it is not there, has another type, is below or beyond all sense - the
-// program either has no need of it or says so in one line that names it; and what it takes it can start with.
-func TestEveryFigureOfTheSettings(t *testing.T) {
+// Each setting in turn is missing, of the wrong type, too small or too large. The program either accepts the configuration, and
+// then an engine can start with it, or rejects it with a single line that names the setting.
+func TestEachSettingInvalid(t *testing.T) {
 	var site map[string]any
 	require.NoError(t, json.Unmarshal(standin.Site{Name: "n", Discovery: "127.0.0.1:1"}.Config(), &site))
 	path := filepath.Join(t.TempDir(), "config.json")
-	judge := func(name, key string, value any) {
+	check := func(name, key string, value any) {
 		text, err := json.Marshal(site)
 		require.NoError(t, err)
 		require.NoError(t, os.WriteFile(path, text, 0o600))
@@ -116,16 +116,16 @@
 			}
 		default:
 			key := path[strings.LastIndexByte(path, '.')+1:]
-			if _, err := strconv.Atoi(key); err == nil { // one of a list: the list is named
+			if _, err := strconv.Atoi(key); err == nil { // for an element of a list, the error names the list
 				key = ""
 			}
 			if remove != nil {
 				remove()
-				judge(path, key, "nothing")
+				check(path, key, "nothing")
 			}
 			for _, bad := range []any{nil, "soon", "", -1, -1e18, 0, 0.5, 1e30, 9e18, true, []any{}, map[string]any{}} {
 				set(bad)
-				judge(path, key, bad)
+				check(path, key, bad)
 			}
 			set(v)
 		}
--- a/cmd/weldscale/fleet_test.go
+++ b/cmd/weldscale/fleet_test.go
@@ -48,7 +48,7 @@
 		return cmd.Process
 	}
 	share := func() (share float64) {
-		text, stderr, status := command(t, nil, "fleet", socket("a"))
+		text, stderr, status := runProgram(t, nil, "fleet", socket("a"))
 		require.Zero(t, status, stderr)
 		_, after, _ := strings.Cut(text, "part=")
 		fmt.Sscan(after, &share)
@@ -262,7 +262,7 @@
 	close(stop)
 	<-watcherDone
 	assert.LessOrEqual(t, highest, limit)
-	text, _, _ := command(t, nil, "fleet", filepath.Join(f.dir, "a"))
+	text, _, _ := runProgram(t, nil, "fleet", filepath.Join(f.dir, "a"))
 	assert.Contains(t, text, `budget="shop open" `)
 }
 
@@ -279,12 +279,12 @@
 	f := startTestFleet(t, 4, "", serviceBlock("shop", "", workers...))
 	stopClients := f.startClients(t, 5*time.Millisecond, f.addrs[:3]...)
 	received := assert.Eventually(t, func() bool {
-		text, _, _ := command(t, nil, "fleet", filepath.Join(f.dir, "d"))
+		text, _, _ := runProgram(t, nil, "fleet", filepath.Join(f.dir, "d"))
 		return strings.Contains(text, "evidence against=shop/bad ")
 	}, patience, 20*time.Millisecond)
 	if !received {
 		for _, member := range f.processes {
-			text, _, _ := command(t, nil, "fleet", filepath.Join(f.dir, member.Name))
+			text, _, _ := runProgram(t, nil, "fleet", filepath.Join(f.dir, member.Name))
 			t.Logf("member %s says:\n%s", member.Name, text)
 		}
 		t.FailNow()
