--- a/cmd/weldscale/early_amd64_test.go
+++ b/cmd/weldscale/early_amd64_test.go
@@ -17,12 +17,13 @@
 	"weldscale/internal/standin"
 )
 
-// The moment before the program's handlers stand. System calls are told apart by amd64's registers.
+// These tests send signals before the program has installed its signal handlers. They find system calls by amd64's registers.
 
-// startHeld starts the program and holds it at its first system call of that number. The first of Go's own start is
-// SCHED_GETAFFINITY: its libraries are loaded, and none of its Go code has run yet. then is called there, before it goes on.
-func startHeld(t *testing.T, path string, log *logged, point uint64, then func(pid int)) *exec.Cmd {
-	runtime.LockOSThread() // the tracer is one thread
+// startPausedAt starts the program, pauses it at its first system call with this number, calls whilePaused and lets it run on.
+// The Go runtime's start begins with SCHED_GETAFFINITY. At that point the libraries are loaded, and none of the program's Go
+// code has run yet.
+func startPausedAt(t *testing.T, path string, log *logged, syscallNumber uint64, whilePaused func(pid int)) *exec.Cmd {
+	runtime.LockOSThread() // ptrace requests must come from the tracing thread
 	defer runtime.UnlockOSThread()
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "WELDSCALE_TEST=program", "GW_CONFIG="+path)
@@ -34,51 +35,51 @@
 	var status syscall.WaitStatus
 	_, err := syscall.Wait4(pid, &status, 0, nil)
 	require.NoError(t, err)
-	for held := false; !held; {
+	for paused := false; !paused; {
 		require.NoError(t, syscall.PtraceSyscall(pid, 0))
 		_, err = syscall.Wait4(pid, &status, 0, nil)
 		require.NoError(t, err)
-		require.False(t, status.Exited() || status.Signaled(), "it ended before")
+		require.False(t, status.Exited() || status.Signaled(), "the program ended before the system call")
 		var regs syscall.PtraceRegs
 		require.NoError(t, syscall.PtraceGetRegs(pid, &regs))
-		held = regs.Orig_rax == point
+		paused = regs.Orig_rax == syscallNumber
 	}
-	then(pid)
-	if err := syscall.PtraceDetach(pid); err != syscall.ESRCH { // another thread of it may have taken the signal, and ended it
+	whilePaused(pid)
+	if err := syscall.PtraceDetach(pid); err != syscall.ESRCH { // another thread may have received the signal and ended the process
 		require.NoError(t, err)
 	}
 	return cmd
 }
 
-// A stop that is asked for before the program's handlers stand ended it by the system's default, as a crash does. Nothing was
-// taken: it ends with 0, before any of Go's code has run and after.
-func TestStopBeforeTheHandlersStand(t *testing.T) {
-	for _, point := range []uint64{unix.SYS_SCHED_GETAFFINITY, unix.SYS_SIGALTSTACK, unix.SYS_EPOLL_CREATE1} {
+// A stop signal that arrived before the signal handlers were installed once ended the program by the default action, like a
+// crash. No request has been accepted by then, so the exit status must be 0, before any Go code has run and after.
+func TestStopBeforeSignalHandlers(t *testing.T) {
+	for _, syscallNumber := range []uint64{unix.SYS_SCHED_GETAFFINITY, unix.SYS_SIGALTSTACK, unix.SYS_EPOLL_CREATE1} {
 		for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT} {
 			path := filepath.Join(t.TempDir(), "config.json")
 			writeConfig(t, path, standin.Site{Discovery: "127.0.0.1:1"})
 			log := &logged{news: make(chan struct{}, 1)}
-			cmd := startHeld(t, path, log, point, func(pid int) {
+			cmd := startPausedAt(t, path, log, syscallNumber, func(pid int) {
 				for _, s := range []syscall.Signal{syscall.SIGUSR1, syscall.SIGHUP, sig} {
 					require.NoError(t, syscall.Kill(pid, s))
 				}
 			})
-			assert.NoError(t, cmd.Wait(), "%v at system call %d: %s", sig, point, log.text)
+			assert.NoError(t, cmd.Wait(), "%v at system call %d: %s", sig, syscallNumber, log.text)
 		}
 	}
 }
 
-// A reload that is asked for before the program's handlers stand ended it by the system's default. What was asked for is in
-// force once it serves, and so is what is asked for later.
-func TestReloadBeforeTheHandlersStand(t *testing.T) {
-	a := startWorker(t, standin.WorkerConfig{Name: "a"})
-	old, d := startDiscovery(t), startDiscovery(t, a.Entry("SERVING"))
+// A reload signal that arrived before the signal handlers were installed once ended the program by the default action. The
+// program must serve with the new configuration, and must also handle a later reload.
+func TestReloadBeforeSignalHandlers(t *testing.T) {
+	w := startWorker(t, standin.WorkerConfig{Name: "a"})
+	oldDiscovery, newDiscovery := startDiscovery(t), startDiscovery(t, w.Entry("SERVING"))
 	path := filepath.Join(t.TempDir(), "config.json")
-	site := standin.Site{Discovery: old.Addr()}
+	site := standin.Site{Discovery: oldDiscovery.Addr()}
 	writeConfig(t, path, site)
 	log := &logged{news: make(chan struct{}, 1)}
-	cmd := startHeld(t, path, log, unix.SYS_SCHED_GETAFFINITY, func(pid int) {
-		site.Discovery, site.Known = d.Addr(), d.Known()
+	cmd := startPausedAt(t, path, log, unix.SYS_SCHED_GETAFFINITY, func(pid int) {
+		site.Discovery, site.Known = newDiscovery.Addr(), newDiscovery.Known()
 		writeConfig(t, path, site)
 		require.NoError(t, syscall.Kill(pid, syscall.SIGHUP))
 	})
@@ -90,5 +91,5 @@
 	log.await(t, "new configuration")
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 	assert.NoError(t, cmd.Wait())
-	assert.Empty(t, old.Calls())
+	assert.Empty(t, oldDiscovery.Calls())
 }
--- a/cmd/weldscale/experiment_test.go
+++ b/cmd/weldscale/experiment_test.go
@@ -12,13 +12,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An experiment goes on where it was stopped: cells that are written down are not played again, half a line is.
+// An interrupted experiment continues: cells in the output are not run again, and one with an incomplete line is.
 func TestExperimentGoesOn(t *testing.T) {
 	dir := t.TempDir()
-	calm, err := os.ReadFile("../../deploy/rehearsals/calm.hcl")
+	script, err := os.ReadFile("../../deploy/rehearsals/calm.hcl")
 	require.NoError(t, err)
-	short := strings.Replace(string(calm), `for        = "60s"`, `for        = "5s"`, 1)
-	require.NoError(t, os.WriteFile(filepath.Join(dir, "short.hcl"), []byte(short), 0o600))
+	shortScript := strings.Replace(string(script), `for        = "60s"`, `for        = "5s"`, 1)
+	require.NoError(t, os.WriteFile(filepath.Join(dir, "short.hcl"), []byte(shortScript), 0o600))
 	file, out := filepath.Join(dir, "e.hcl"), filepath.Join(dir, "out.jsonl")
 	require.NoError(t, os.WriteFile(file, []byte("experiment {\n  scripts = \"short.hcl\"\n  policies = \"module random\"\n  scale = \"0.5 1\"\n  seeds = 2\n}\n"), 0o600))
 	c := experimentCmd{File: file, Out: out}
@@ -28,9 +28,9 @@
 	lines := strings.SplitAfter(strings.TrimSpace(string(text)), "\n")
 	require.Len(t, lines, 8)
 	require.NoError(t, os.WriteFile(out, []byte(strings.Join(lines[:5], "")+lines[5][:20]), 0o600))
-	stopped, stop := context.WithCancel(context.Background())
-	stop()
-	assert.ErrorIs(t, c.Run(stopped), context.Canceled)
+	canceled, cancel := context.WithCancel(context.Background())
+	cancel()
+	assert.ErrorIs(t, c.Run(canceled), context.Canceled)
 	require.NoError(t, c.Run(context.Background()))
 	done, err := readOutcomes(out)
 	require.NoError(t, err)
@@ -44,7 +44,7 @@
 	assert.True(t, math.IsNaN(rows[0].deficit) && !math.IsNaN(rows[1].deficit))
 }
 
-func TestInterval(t *testing.T) {
+func TestConfidenceInterval(t *testing.T) {
 	mean, half := confidenceInterval([]float64{1, 2, 3})
 	assert.InDelta(t, 2, mean, 1e-9)
 	assert.InDelta(t, 4.3027/math.Sqrt(3), half, 1e-3)
@@ -52,7 +52,8 @@
 	assert.True(t, math.IsNaN(half))
 }
 
-func TestExperimentFaults(t *testing.T) {
+// An invalid experiment file is rejected with an error that names the setting.
+func TestExperimentFileErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                                       "an experiment block is missing",
 		"experiment {}":                          "scripts: allowed are paths",
--- a/cmd/weldscale/signals_test.go
+++ b/cmd/weldscale/signals_test.go
@@ -17,24 +17,24 @@
 	"weldscale/internal/standin"
 )
 
-// Signals that come at rare moments, to a process of its own.
+// These tests send signals to a separate process at moments that are rare in service.
 
 // awaitAddr waits until the program serves and returns its address. A port chosen before the start could be taken by then.
 func (l *logged) awaitAddr(t testing.TB) string {
 	l.await(t, "serving")
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at := regexp.MustCompile(`"?listen"?[:=]"?(127\.0\.0\.1:\d+)`).FindStringSubmatch(l.text)
-	require.Len(t, at, 2, l.text)
-	return at[1]
+	match := regexp.MustCompile(`"?listen"?[:=]"?(127\.0\.0\.1:\d+)`).FindStringSubmatch(l.text)
+	require.Len(t, match, 2, l.text)
+	return match[1]
 }
 
-// Reloads and stops in one another's way: two reloads at once, a bad file between two good ones, a reload in the instant of
-// a stop, a second stop. What was taken is answered, and the program ends with 0.
-func TestSignalsInOneAnothersWay(t *testing.T) {
+// Signals overlap: two reloads at once, a reload of an invalid file between valid ones, a reload just before a stop and one
+// after it, a second stop. An accepted request is answered, and the program exits with status 0.
+func TestOverlappingSignals(t *testing.T) {
 	release := make(chan struct{})
-	a := startWorker(t, standin.WorkerConfig{Name: "a", Answer: holdFinish(release)})
-	first, second := startDiscovery(t, a.Entry("SERVING")), startDiscovery(t, a.Entry("SERVING"))
+	w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: holdFinish(release)})
+	first, second := startDiscovery(t, w.Entry("SERVING")), startDiscovery(t, w.Entry("SERVING"))
 	path := filepath.Join(t.TempDir(), "config.json")
 	site := standin.Site{Discovery: first.Addr(), Known: first.Known()}
 	writeConfig(t, path, site)
@@ -45,7 +45,7 @@
 		status, _, _ := standin.Ask(client(), addr, "", "open", &standin.Kind{Class: "view", Budget: patience, Body: 5})
 		answered <- status
 	}()
-	require.Eventually(t, func() bool { return len(a.IDs()) == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(w.IDs()) == 1 }, patience, time.Millisecond)
 	require.NoError(t, os.WriteFile(path, []byte(`{"half`), 0o600))
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 	log.await(t, "new configuration not taken")
@@ -65,29 +65,29 @@
 	assert.NoError(t, cmd.Wait())
 }
 
-// Settings of other customers: the program serves a job under each, and unknown keys are passed over.
+// The program serves a job with the settings that other customers may have, and ignores unknown keys.
 func TestOtherSettings(t *testing.T) {
 	base := string(standin.Site{Discovery: "DISCOVERY", Known: []byte(`"KNOWN"`)}.Config())
-	one := `"classes":[{"name":"view","effect":"read_like","worth":1,"aim_stretch":2,"aim_us":5000000,"deadline_us":9000000}]`
+	oneClass := `"classes":[{"name":"view","effect":"read_like","worth":1,"aim_stretch":2,"aim_us":5000000,"deadline_us":9000000}]`
 	classes := base[strings.Index(base, `"classes":`):]
 	classes = classes[:strings.Index(classes, "]")+1]
 	for name, c := range map[string]struct{ old, new, class string }{
-		"as it is":          {"", "", "view"},
+		"no change":         {"", "", "view"},
 		"unknown keys":      {`"settings":{`, `"settings":{"colour":"red","deep":{"er":[1,{"x":2}]},`, "view"},
-		"one class":         {classes, one, "view"},
+		"one class":         {classes, oneClass, "view"},
 		"a shared prefix":   {`"name":"send"`, `"name":"view-send"`, "view-send"},
 		"an odd name":       {`"name":"view"`, `"name":"view, large (A3)"`, "view, large (A3)"},
-		"zones in one word": {`"zones":["here"]`, `"zones":"there,here"`, "view"},
+		"zones as a string": {`"zones":["here"]`, `"zones":"there,here"`, "view"},
 		"an odd zone":       {`"zones":["here"]`, `"zones":["over, there","here"]`, "view"},
 		"another effect":    {`"name":"view"`, `"name":"read-only"`, "read-only"},
 		"short deadlines":   {`"deadline_us":9000000`, `"deadline_us":150000`, "view"},
-		"nothing known":     {`"known":"KNOWN"`, `"known":{}`, "view"},
+		"no known workers":  {`"known":"KNOWN"`, `"known":{}`, "view"},
 		"no zones":          {`"zones":["here"]`, `"zones":[]`, "view"},
 		"no probes":         {`"probes":true`, `"probes":false`, "view"},
 		"one attempt":       {`"max_attempts":4`, `"max_attempts":1`, "view"},
 		"no cancelling":     {`"cancel":true`, `"cancel":false`, "view"},
-		"the least sockets": {`"sockets":1024`, `"sockets":64`, "view"},
-		"the least memory":  {`"memory_mb":192`, `"memory_mb":16`, "view"},
+		"fewest sockets":    {`"sockets":1024`, `"sockets":64`, "view"},
+		"least memory":      {`"memory_mb":192`, `"memory_mb":16`, "view"},
 		"no advice":         {`"retry_after":true`, `"retry_after":false`, "view"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -95,14 +95,14 @@
 			a := startWorker(t, standin.WorkerConfig{Name: "a"})
 			d := startDiscovery(t, a.Entry("SERVING"))
 			text := strings.Replace(base, c.old, c.new, 1)
-			require.True(t, c.old == "" || text != base, "the change is none")
+			require.True(t, c.old == "" || text != base, "the replacement changes nothing")
 			text = strings.NewReplacer("DISCOVERY", d.Addr(), `"KNOWN"`, string(d.Known())).Replace(text)
 			path := filepath.Join(t.TempDir(), "config.json")
 			require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 			cmd, log := program(t, "program", "GW_CONFIG="+path)
 			addr := log.awaitAddr(t)
 			status := 0
-			require.Eventually(t, func() bool { // nothing known: until the list has come
+			require.Eventually(t, func() bool { // refused while no worker is known, until the list arrives
 				status, _, _ = standin.Ask(client(), addr, "", standin.Result(name, 0)+time.Now().String()[:26], &standin.Kind{Class: c.class, Budget: patience, Body: 5})
 				return status != 503
 			}, patience, 10*time.Millisecond)
@@ -111,13 +111,13 @@
 			assert.NoError(t, cmd.Wait())
 		})
 	}
-	// A fault of it is one plain line, and no start.
+	// With an invalid setting the program logs a single line and does not start.
 	path := filepath.Join(t.TempDir(), "bad.json")
 	require.NoError(t, os.WriteFile(path, []byte(strings.Replace(strings.Replace(base, "DISCOVERY", "127.0.0.1:1", 1), `"conn_idle_us":10000000`, `"conn_idle_us":"soon"`, 1)), 0o600))
 	cmd := exec.Command(os.Args[0])
-	var said bytes.Buffer
-	cmd.Env, cmd.Stderr = append(os.Environ(), "WELDSCALE_TEST=program", "GW_CONFIG="+path), &said
+	var output bytes.Buffer
+	cmd.Env, cmd.Stderr = append(os.Environ(), "WELDSCALE_TEST=program", "GW_CONFIG="+path), &output
 	assert.Error(t, cmd.Run())
-	assert.Equal(t, 1, strings.Count(said.String(), "\n"), said.String())
-	assert.Contains(t, said.String(), "conn_idle_us")
+	assert.Equal(t, 1, strings.Count(output.String(), "\n"), output.String())
+	assert.Contains(t, output.String(), "conn_idle_us")
 }
