--- a/cmd/weldscale/experiment.go
+++ b/cmd/weldscale/experiment.go
@@ -92,11 +92,11 @@
 		settings.Field{Name: "scale", Unit: settings.Word, To: &scales}, settings.Field{Name: "schedulers", Unit: settings.Word, To: &schedulers},
 		settings.Field{Name: "refresh_ms", Unit: settings.Word, To: &refresh},
 		settings.Field{Name: "seeds", Unit: settings.Count, Min: 1, Max: 1000, To: &m.seeds})
-	numbers := func(name, text string, most float64) (out []float64) {
+	numbers := func(name, text string, highest float64) (out []float64) {
 		for _, word := range strings.Fields(text) {
 			v, err := strconv.ParseFloat(word, 64)
-			if err != nil || !(v >= 0 && v <= most) {
-				r.AddError(body, "%s: %q; allowed are numbers from 0 to %g with spaces between", name, word, most)
+			if err != nil || !(v >= 0 && v <= highest) {
+				r.AddError(body, "%s: %q; allowed are numbers from 0 to %g with spaces between", name, word, highest)
 			}
 			out = append(out, v)
 		}
@@ -109,11 +109,11 @@
 		}
 		m.policies = append(m.policies, p)
 	}
-	var faults []error
+	var errs []error
 	for _, name := range strings.Fields(scripts) {
 		s, err := emulator.Read(filepath.Join(filepath.Dir(path), name))
 		if err != nil {
-			faults = append(faults, err)
+			errs = append(errs, err)
 			continue
 		}
 		short := strings.TrimSuffix(filepath.Base(name), ".hcl")
@@ -123,7 +123,7 @@
 	if len(strings.Fields(scripts)) == 0 {
 		r.AddError(body, "scripts: allowed are paths from this file, with spaces between")
 	}
-	return m, errors.Join(r.Err(), errors.Join(faults...))
+	return m, errors.Join(r.Err(), errors.Join(errs...))
 }
 
 // cells returns all cells of the matrix, ordered by scale as in the file.
@@ -191,7 +191,7 @@
 	}
 	fmt.Printf("%d cells, %d of them done before\n", len(m.cells()), len(m.cells())-len(remaining))
 	var mu sync.Mutex
-	var faults []error
+	var errs []error
 	var all sync.WaitGroup
 	next := make(chan cell)
 	for range runtime.GOMAXPROCS(0) {
@@ -205,7 +205,7 @@
 					_, err = f.Write(append(text, '\n'))
 				}
 				if err != nil {
-					faults = append(faults, err)
+					errs = append(errs, err)
 				}
 				mu.Unlock()
 			}
@@ -219,7 +219,7 @@
 	}
 	close(next)
 	all.Wait()
-	if err := errors.Join(append(faults, ctx.Err())...); err != nil {
+	if err := errors.Join(append(errs, ctx.Err())...); err != nil {
 		return err
 	}
 	rows := m.rows(done)
--- a/cmd/weldscale/load.go
+++ b/cmd/weldscale/load.go
@@ -145,33 +145,33 @@
 		head = append(head, "before", "now / before")
 	}
 	out.AppendHeader(head)
-	row := func(name, form string, now, was float64) {
-		r := table.Row{name, fmt.Sprintf(form, now)}
+	row := func(name, format string, now, before float64) {
+		r := table.Row{name, fmt.Sprintf(format, now)}
 		if previous != nil {
-			r = append(r, fmt.Sprintf(form, was))
-			if was != 0 {
-				r = append(r, fmt.Sprintf("%.2f", now/was))
+			r = append(r, fmt.Sprintf(format, before))
+			if before != 0 {
+				r = append(r, fmt.Sprintf("%.2f", now/before))
 			}
 		}
 		out.AppendRow(r)
 	}
-	b := figures{}
+	before := figures{}
 	if previous != nil {
-		b = *previous
+		before = *previous
 	}
-	row("sent", "%.0f", float64(f.Sent), float64(b.Sent))
-	row("served", "%.0f", float64(f.Served), float64(b.Served))
-	row("refused", "%.0f", float64(f.Refused), float64(b.Refused))
-	row("failed", "%.0f", float64(f.Failed), float64(b.Failed))
-	row("broken", "%.0f", float64(f.Broken), float64(b.Broken))
-	row("wrong", "%.0f", float64(f.Wrong), float64(b.Wrong))
-	row("in time", "%.4f", f.InTime, b.InTime)
-	row("served a second", "%.0f", f.Rate, b.Rate)
-	row("p50 ms", "%.2f", f.P50, b.P50)
-	row("p90 ms", "%.2f", f.P90, b.P90)
-	row("p99 ms", "%.2f", f.P99, b.P99)
-	row("p99.9 ms", "%.2f", f.P999, b.P999)
-	row("max ms", "%.2f", f.Max, b.Max)
+	row("sent", "%.0f", float64(f.Sent), float64(before.Sent))
+	row("served", "%.0f", float64(f.Served), float64(before.Served))
+	row("refused", "%.0f", float64(f.Refused), float64(before.Refused))
+	row("failed", "%.0f", float64(f.Failed), float64(before.Failed))
+	row("broken", "%.0f", float64(f.Broken), float64(before.Broken))
+	row("wrong", "%.0f", float64(f.Wrong), float64(before.Wrong))
+	row("in time", "%.4f", f.InTime, before.InTime)
+	row("served a second", "%.0f", f.Rate, before.Rate)
+	row("p50 ms", "%.2f", f.P50, before.P50)
+	row("p90 ms", "%.2f", f.P90, before.P90)
+	row("p99 ms", "%.2f", f.P99, before.P99)
+	row("p99.9 ms", "%.2f", f.P999, before.P999)
+	row("max ms", "%.2f", f.Max, before.Max)
 	out.Render()
 }
 
--- a/cmd/weldscale/operate.go
+++ b/cmd/weldscale/operate.go
@@ -64,16 +64,16 @@
 // figures returns consistent totals of all services. It must be called on the loop.
 func (s *scheduler) figures() mgmt.Figures {
 	f := mgmt.Figures{Served: map[string]int{}, Refused: map[string]int{}, Failed: map[string]int{}}
-	for _, p := range s.serviceViews() {
-		for i, class := range p.classes {
+	for _, view := range s.serviceViews() {
+		for i, class := range view.classes {
 			for outcome, by := range []map[string]int{f.Served, f.Refused, f.Failed} {
-				by[class] += p.engine.Counts.Ended[outcome][i]
+				by[class] += view.engine.Counts.Ended[outcome][i]
 			}
 		}
-		f.Attempts += p.engine.Counts.Written
-		f.InFlight += p.engine.OpenRequests()
-		f.WorkersKnown += p.overlay.KnownWorkers()
-		f.WorkersExcluded += p.overlay.ExcludedWorkers()
+		f.Attempts += view.engine.Counts.Written
+		f.InFlight += view.engine.OpenRequests()
+		f.WorkersKnown += view.overlay.KnownWorkers()
+		f.WorkersExcluded += view.overlay.ExcludedWorkers()
 	}
 	return f
 }
@@ -96,8 +96,8 @@
 // offlineWorkers returns the sorted names of the offline workers of all services.
 func (s *scheduler) offlineWorkers() []string {
 	var names []string
-	for _, p := range s.serviceViews() {
-		names = append(names, p.overlay.Offline()...)
+	for _, view := range s.serviceViews() {
+		names = append(names, view.overlay.Offline()...)
 	}
 	slices.Sort(names)
 	return slices.Compact(names)
@@ -105,8 +105,8 @@
 
 // restoreOffline takes workers offline in every service, whether they are listed or not.
 func (s *scheduler) restoreOffline(names []string) {
-	for _, p := range s.serviceViews() {
-		p.overlay.RestoreOffline(names)
+	for _, view := range s.serviceViews() {
+		view.overlay.RestoreOffline(names)
 	}
 }
 
@@ -114,9 +114,9 @@
 // knows the worker.
 func (s *scheduler) setOffline(worker string, offline bool) bool {
 	known := false
-	for _, p := range s.serviceViews() {
-		known = p.overlay.SetOffline(worker, offline) || known
+	for _, view := range s.serviceViews() {
+		known = view.overlay.SetOffline(worker, offline) || known
 	}
-	slog.Info("worker by hand", "worker", worker, "out", offline, "known", known)
+	slog.Info("operator set a worker offline or online", "worker", worker, "out", offline, "known", known)
 	return known
 }
--- a/cmd/weldscale/rehearse.go
+++ b/cmd/weldscale/rehearse.go
@@ -64,19 +64,19 @@
 		}
 		scripts = append(scripts, s)
 	}
-	per := c.Seeds * len(policies)
-	runs := make([]rehearsal, len(scripts)*per)
+	runsPerScript := c.Seeds * len(policies)
+	runs := make([]rehearsal, len(scripts)*runsPerScript)
 	var all sync.WaitGroup
 	cores := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for i := range runs {
 		r := &runs[i]
-		r.Script, r.Policy = strings.TrimSuffix(filepath.Base(c.Scripts[i/per]), ".hcl"), policies[i%len(policies)]
-		r.Seed = c.Seed + uint64(i%per/len(policies))
+		r.Script, r.Policy = strings.TrimSuffix(filepath.Base(c.Scripts[i/runsPerScript]), ".hcl"), policies[i%len(policies)]
+		r.Seed = c.Seed + uint64(i%runsPerScript/len(policies))
 		all.Go(func() {
 			cores <- struct{}{}
 			defer func() { <-cores }()
 			if r.err = ctx.Err(); r.err == nil {
-				c.run(r, scripts[i/per])
+				c.run(r, scripts[i/runsPerScript])
 			}
 		})
 	}
--- a/cmd/weldscale/services.go
+++ b/cmd/weldscale/services.go
@@ -96,7 +96,7 @@
 	v.share, v.timeShare = s.inFlightBudget.Share(v.conf.Reserve), s.timeBudget.Share(s.loop.Now(), v.conf.Weight)
 	p := pool.New(v.conf.Name, v.conf.Limits, v.conf.ClassLimits(), v.share, v.timeShare)
 	if err := s.fleet.share(v.conf, p); err != nil { // the limits themselves were checked with the file
-		slog.Error("no part of the fleet's limits", "service", v.conf.Name, "why", err)
+		slog.Error("the service has no share of the fleet's limits", "service", v.conf.Name, "why", err)
 	}
 	s.attachPool(v.jobs, v.engine, p, v.timeShare)
 	s.fleet.watch(v, s.loop)
@@ -126,7 +126,7 @@
 func (s *scheduler) applyServices(file operator.File) error {
 	next := map[string]*service{}
 	var built []*service
-	var faults []error
+	var errs []error
 	for _, conf := range file.Services {
 		if old := s.services[conf.Name]; old != nil && old.conf.Compatible(&conf) {
 			next[conf.Name] = old
@@ -134,17 +134,17 @@
 		}
 		v, err := s.buildService(conf)
 		if err != nil {
-			faults = append(faults, err)
+			errs = append(errs, err)
 			continue
 		}
 		next[conf.Name] = v
 		built = append(built, v)
 	}
-	if len(faults) > 0 {
+	if len(errs) > 0 {
 		for _, v := range built {
 			v.stop()
 		}
-		return errors.Join(faults...)
+		return errors.Join(errs...)
 	}
 	// An open request uses the descriptor of its client's connection and more for its attempt and probes.
 	total := cmp.Or(file.InFlight, s.config.Limits.Sockets/3)
