--- a/cmd/weldscale/operate.go
+++ b/cmd/weldscale/operate.go
@@ -117,6 +117,6 @@
 	for _, view := range s.serviceViews() {
 		known = view.overlay.SetOffline(worker, offline) || known
 	}
-	slog.Info("operator set a worker offline or online", "worker", worker, "out", offline, "known", known)
+	slog.Info("worker by hand", "worker", worker, "out", offline, "known", known)
 	return known
 }
--- a/cmd/weldscale/services.go
+++ b/cmd/weldscale/services.go
@@ -96,7 +96,7 @@
 	v.share, v.timeShare = s.inFlightBudget.Share(v.conf.Reserve), s.timeBudget.Share(s.loop.Now(), v.conf.Weight)
 	p := pool.New(v.conf.Name, v.conf.Limits, v.conf.ClassLimits(), v.share, v.timeShare)
 	if err := s.fleet.share(v.conf, p); err != nil { // the limits themselves were checked with the file
-		slog.Error("the service has no share of the fleet's limits", "service", v.conf.Name, "why", err)
+		slog.Error("no part of the fleet's limits", "service", v.conf.Name, "why", err)
 	}
 	s.attachPool(v.jobs, v.engine, p, v.timeShare)
 	s.fleet.watch(v, s.loop)
--- a/cmd/weldscale/upgrade.go
+++ b/cmd/weldscale/upgrade.go
@@ -77,7 +77,7 @@
 			slog.Warn("the learned state of the other process can't be read", "why", err)
 		}
 		s.engine.RestoreLearned(l)
-		slog.Info("linked to another process of this scheduler", "other", oldest.Process, "out", offline, "list", s.discovery.Index())
+		slog.Info("beside another process", "other", oldest.Process, "out", offline, "list", s.discovery.Index())
 	}
 	s.restoreOffline(offline)
 	return nil
@@ -262,7 +262,7 @@
 		select {
 		case <-done:
 		case <-timeout:
-			slog.Warn("another process has not confirmed in time that a worker is offline or online", "worker", worker, "out", offline)
+			slog.Warn("another process does not say that it has a worker out", "worker", worker, "out", offline)
 			timeout = nil
 		}
 		if timeout == nil {
@@ -310,7 +310,7 @@
 	s := u.s
 	to := u.successor()
 	if to == nil || time.Since(s.stopping) > handoverPeriod { // continue as without a successor
-		slog.Warn("handover ended with connections left", "other_lives", to != nil, "peers", s.server.Pace.Counts().Peers, "open", s.openRequests(),
+		slog.Warn("connections left at the stop", "other_lives", to != nil, "peers", s.server.Pace.Counts().Peers, "open", s.openRequests(),
 			"clients", u.clients, "jobs", u.jobs)
 		s.server.StartClosing()
 		s.continueStop()
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -527,7 +527,7 @@
 		e := x.engine
 		r, w := e.requests[id], e.workersByID[worker]
 		if r == nil || w == nil {
-			slog.Error("push for an unknown request or worker", "request", id, "worker", worker)
+			slog.Error("push of a request or to a worker that is not known", "request", id, "worker", worker)
 			return
 		}
 		a := &Attempt{Request: r, Worker: w, index: len(r.attempts), incarnation: w.incarnation, sentAt: e.Now(), engine: e}
