--- a/cmd/weldscale/cli_test.go
+++ b/cmd/weldscale/cli_test.go
@@ -93,7 +93,7 @@
 	left.(*net.UnixListener).SetUnlinkOnClose(false)
 	left.Close()
 	site := standin.Site{Discovery: list.Addr(), Known: list.Known()}
-	cmd, addr := startProgram(t, site, "WELDSCALE_FILE="+file)
+	cmd, addr := startSchedulerProcess(t, site, "WELDSCALE_FILE="+file)
 	info, err := os.Stat(socket)
 	require.NoError(t, err)
 	assert.Equal(t, os.FileMode(0o600), info.Mode().Perm())
@@ -113,11 +113,11 @@
 	assert.Contains(t, unknown, "no such worker")
 	_, _, status = say("level", socket, "debug")
 	assert.Zero(t, status)
-	k := standin.Kind{Class: "view", Budget: patience}
+	k := standin.Kind{Class: "view", Budget: testTimeout}
 	code, _, err := standin.Ask(http.DefaultClient, addr, "", "traced", &k)
 	require.NoError(t, err)
 	assert.Equal(t, 200, code)
-	log := cmd.Stderr.(*logged)
+	log := cmd.Stderr.(*programLog)
 	for _, line := range []string{`"call_id":"traced"`, `"msg":"probe","service":"","request":1`, `"msg":"probe ended","service":"","request":1`,
 		`"msg":"attempt"`, `"outcome":"served"`} {
 		log.await(t, line)
@@ -156,7 +156,7 @@
 }
 
 func TestNoMetricsUnlessAsked(t *testing.T) {
-	b := startBench(t, startWorker(t, standin.WorkerConfig{Name: "a"}).Entry("SERVING"))
+	b := startScheduler(t, startWorker(t, standin.WorkerConfig{Name: "a"}).Entry("SERVING"))
 	resp, err := http.Get("http://" + b.addr + "/-/metrics")
 	require.NoError(t, err)
 	defer resp.Body.Close()
@@ -166,10 +166,10 @@
 // The load command's figures against a worker that answers all, in both kinds of loop.
 func TestLoadCommand(t *testing.T) {
 	f := startFleet(t, 2, standin.WorkerConfig{Queue: 100, TellsStart: true})
-	b := startBench(t, f.Entries()...)
+	b := startScheduler(t, f.Entries()...)
 	out := filepath.Join(t.TempDir(), "figures.json")
 	for _, c := range []loadCmd{{Rate: 50}, {Clients: 4}, {Clients: 4, Against: out}} {
-		c.Target, c.For, c.Class, c.Budget, c.JSON, c.HDR = b.addr, time.Second, "view", patience, out, out+".hdr"
+		c.Target, c.For, c.Class, c.Budget, c.JSON, c.HDR = b.addr, time.Second, "view", testTimeout, out, out+".hdr"
 		require.NoError(t, c.Run(context.Background()))
 		text, err := os.ReadFile(out)
 		require.NoError(t, err)
@@ -201,13 +201,13 @@
 	assert.Equal(t, 1, status)
 	assert.Contains(t, stderr, "no scheduler block to stand in for it")
 	require.NoError(t, os.WriteFile(file, []byte("scheduler {\n listen = \""+addr+"\"\n}\n"+text), 0o600))
-	cmd, log := program(t, "program", "GW_CONFIG=", "WELDSCALE_FILE="+file)
+	cmd, log := startTestBinary(t, "program", "GW_CONFIG=", "WELDSCALE_FILE="+file)
 	log.await(t, "serving")
-	b := &bench{t: t, addr: addr}
-	code, body, _ := b.to("shop.example.org", "/api/1", "1", "view", patience)
+	b := &testScheduler{t: t, addr: addr}
+	code, body, _ := b.to("shop.example.org", "/api/1", "1", "view", testTimeout)
 	assert.Equal(t, 200, code)
 	assert.Equal(t, "made of 1", body)
-	code, _, _ = b.to("other.example.org", "/api/1", "2", "view", patience)
+	code, _, _ = b.to("other.example.org", "/api/1", "2", "view", testTimeout)
 	assert.Equal(t, 421, code)
 	resp, err := http.Get("http://" + addr + "/-/ready")
 	require.NoError(t, err)
--- a/cmd/weldscale/early_amd64_test.go
+++ b/cmd/weldscale/early_amd64_test.go
@@ -21,7 +21,7 @@
 
 // startHeld starts the program and holds it at its first system call of that number. The first of Go's own start is
 // SCHED_GETAFFINITY: its libraries are loaded, and none of its Go code has run yet. then is called there, before it goes on.
-func startHeld(t *testing.T, path string, log *logged, point uint64, then func(pid int)) *exec.Cmd {
+func startHeld(t *testing.T, path string, log *programLog, point uint64, then func(pid int)) *exec.Cmd {
 	runtime.LockOSThread() // the tracer is one thread
 	defer runtime.UnlockOSThread()
 	cmd := exec.Command(os.Args[0])
@@ -57,7 +57,7 @@
 		for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT} {
 			path := filepath.Join(t.TempDir(), "config.json")
 			writeConfig(t, path, standin.Site{Discovery: "127.0.0.1:1"})
-			log := &logged{news: make(chan struct{}, 1)}
+			log := &programLog{changed: make(chan struct{}, 1)}
 			cmd := startHeld(t, path, log, point, func(pid int) {
 				for _, s := range []syscall.Signal{syscall.SIGUSR1, syscall.SIGHUP, sig} {
 					require.NoError(t, syscall.Kill(pid, s))
@@ -76,14 +76,14 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	site := standin.Site{Discovery: old.Addr()}
 	writeConfig(t, path, site)
-	log := &logged{news: make(chan struct{}, 1)}
+	log := &programLog{changed: make(chan struct{}, 1)}
 	cmd := startHeld(t, path, log, unix.SYS_SCHED_GETAFFINITY, func(pid int) {
 		site.Discovery, site.Known = d.Addr(), d.Known()
 		writeConfig(t, path, site)
 		require.NoError(t, syscall.Kill(pid, syscall.SIGHUP))
 	})
 	addr := log.listens(t)
-	status, _, err := standin.Ask(client(), addr, "", "one", &standin.Kind{Class: "view", Budget: patience, Body: 5})
+	status, _, err := standin.Ask(client(), addr, "", "one", &standin.Kind{Class: "view", Budget: testTimeout, Body: 5})
 	require.NoError(t, err)
 	assert.Equal(t, 200, status)
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
--- a/cmd/weldscale/fleet_test.go
+++ b/cmd/weldscale/fleet_test.go
@@ -43,7 +43,7 @@
 			socket(name), binds[i], binds[0], binds[1], binds[2], members, burst) + block("shop", fmt.Sprintf("  limits { fleet_rate = %d }\n", rate), w)
 		file := socket(name + ".hcl")
 		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
-		cmd, log := program(t, "program", "GW_CONFIG=", "WELDSCALE_FILE="+file)
+		cmd, log := startTestBinary(t, "program", "GW_CONFIG=", "WELDSCALE_FILE="+file)
 		log.await(t, "serving")
 		return cmd.Process
 	}
@@ -61,7 +61,7 @@
 	var served atomic.Int64
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
-	from := &bench{t: t, addr: serves}
+	from := &testScheduler{t: t, addr: serves}
 	for i := range 4 {
 		clients.Go(func() {
 			for n := 0; ; n++ {
@@ -70,21 +70,21 @@
 					return
 				case <-time.After(5 * time.Millisecond):
 				}
-				if status, _, _ := from.to("shop.example.org", "/api/1", fmt.Sprint(i, "-", n), "view", patience); status == 200 {
+				if status, _, _ := from.to("shop.example.org", "/api/1", fmt.Sprint(i, "-", n), "view", testTimeout); status == 200 {
 					served.Add(1)
 				}
 			}
 		})
 	}
 	most := func(why string) {
-		require.Eventually(t, func() bool { return part() > 0.75*rate }, patience, 100*time.Millisecond, why)
+		require.Eventually(t, func() bool { return part() > 0.75*rate }, testTimeout, 100*time.Millisecond, why)
 	}
 	most("all demand is here")
 	require.NoError(t, c.Kill())
 	time.Sleep(2 * time.Second)
 	most("two of three keepers are a majority")
 	require.NoError(t, b.Signal(syscall.SIGSTOP))
-	require.Eventually(t, func() bool { return part() < 0.1*rate }, patience, 50*time.Millisecond, "no majority: the floor is left")
+	require.Eventually(t, func() bool { return part() < 0.1*rate }, testTimeout, 50*time.Millisecond, "no majority: the floor is left")
 	require.NoError(t, b.Signal(syscall.SIGCONT))
 	most("the second keeper is back")
 	start(2)
@@ -134,7 +134,7 @@
 		t.Cleanup(p.Kill)
 		f.all, f.serve = append(f.all, p), append(f.serve, listen)
 	}
-	up, cancel := context.WithTimeout(t.Context(), patience)
+	up, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	for _, p := range f.all {
 		require.NoError(t, p.AwaitReady(up))
@@ -182,7 +182,7 @@
 				}
 			}
 			return time.Since(from) > 2*time.Second && float64(n) > 0.75*2*rate
-		}, patience, 100*time.Millisecond, why)
+		}, testTimeout, 100*time.Millisecond, why)
 	}
 	settled("all are up")
 	path := filepath.Join(f.dir, "script.hcl")
@@ -233,7 +233,7 @@
 		mu.Lock()
 		peak = 0
 		mu.Unlock()
-		require.Eventually(t, func() bool { mu.Lock(); defer mu.Unlock(); return peak >= 2*most/3 }, patience, 10*time.Millisecond, why)
+		require.Eventually(t, func() bool { mu.Lock(); defer mu.Unlock(); return peak >= 2*most/3 }, testTimeout, 10*time.Millisecond, why)
 	}
 	used("all are up")
 	script := &faults.Script{Troubles: []faults.Trouble{{Kind: "kill", Targets: []string{"b"}, To: 2 * time.Second},
@@ -279,7 +279,7 @@
 	heard := assert.Eventually(t, func() bool {
 		text, _, _ := command(t, nil, "fleet", filepath.Join(f.dir, "d"))
 		return strings.Contains(text, "evidence against=shop/bad ")
-	}, patience, 20*time.Millisecond)
+	}, testTimeout, 20*time.Millisecond)
 	if !heard {
 		for _, member := range f.all {
 			text, _, _ := command(t, nil, "fleet", filepath.Join(f.dir, member.Name))
@@ -287,9 +287,9 @@
 		}
 		t.FailNow()
 	}
-	from := &bench{t: t, addr: f.serve[3]}
+	from := &testScheduler{t: t, addr: f.serve[3]}
 	for n := range 40 {
-		status, _, _ := from.to("shop.example.org", "/api/1", fmt.Sprint("d-", n), "view", patience)
+		status, _, _ := from.to("shop.example.org", "/api/1", fmt.Sprint("d-", n), "view", testTimeout)
 		assert.Equal(t, 200, status)
 	}
 	assert.NotContains(t, strings.Join(bad.IDs(), " "), "d-")
--- a/cmd/weldscale/moments_clients_test.go
+++ b/cmd/weldscale/moments_clients_test.go
@@ -19,24 +19,24 @@
 	"weldscale/internal/standin"
 )
 
-// open is how many requests are in hand.
-func (b *bench) open() (n int) {
-	b.onLoop(func() { n = b.s.openRequests() })
+// openRequests returns the number of requests in flight.
+func (b *testScheduler) openRequests() (n int) {
+	b.onLoop(func() { n = b.scheduler.openRequests() })
 	return n
 }
 
 // A client that leaves while its request waits for room takes it along.
 func TestClientLeavesWaitingForRoom(t *testing.T) {
-	quietly(t, func(t *testing.T, away func(*standin.Caller), change func(*config)) {
+	forEachDisconnect(t, func(t *testing.T, away func(*standin.Caller), change func(*config)) {
 		w := startWorker(t, standin.WorkerConfig{Name: "a", Slots: 1, TellsStart: true})
-		b := startBenchWith(t, []standin.Entry{w.Entry("DRAINING")}, change)
-		c := b.call()
+		b := startSchedulerWith(t, []standin.Entry{w.Entry("DRAINING")}, change)
+		c := b.connect()
 		require.NoError(t, c.Send(standin.Job("gone", "view", 8*time.Second, "x")))
-		b.arrived(1)
+		b.awaitAccepted(1)
 		away(c)
-		b.settled()
+		b.awaitIdle()
 		b.discovery.Set(w.Entry("SERVING"))
-		status, _ := b.ask("next", "view", patience)
+		status, _ := b.ask("next", "view", testTimeout)
 		assert.Equal(t, 200, status)
 		assert.Equal(t, []string{"next"}, w.IDs())
 	})
@@ -44,18 +44,18 @@
 
 // ... while its worker is asked for its load.
 func TestClientLeavesDuringTheProbe(t *testing.T) {
-	quietly(t, func(t *testing.T, away func(*standin.Caller), change func(*config)) {
+	forEachDisconnect(t, func(t *testing.T, away func(*standin.Caller), change func(*config)) {
 		stops := &standin.Stops{}
 		stops.Hold("probe")
 		w := startWorker(t, standin.WorkerConfig{Name: "a", Stops: stops})
-		b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, change)
-		c := b.call()
+		b := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, change)
+		c := b.connect()
 		require.NoError(t, c.Send(standin.Job("gone", "view", 8*time.Second, "x")))
-		reached(t, stops, "probe")
+		awaitReached(t, stops, "probe")
 		away(c)
-		b.settled()
+		b.awaitIdle()
 		stops.Free("probe")
-		status, _ := b.ask("next", "view", patience)
+		status, _ := b.ask("next", "view", testTimeout)
 		assert.Equal(t, 200, status)
 		assert.Equal(t, []string{"next"}, w.IDs())
 	})
@@ -63,22 +63,22 @@
 
 // ... while a connection to its worker is being opened. What was booked for it is free at once, not when the dial ends.
 func TestClientLeavesDuringTheDial(t *testing.T) {
-	quietly(t, func(t *testing.T, away func(*standin.Caller), change func(*config)) {
+	forEachDisconnect(t, func(t *testing.T, away func(*standin.Caller), change func(*config)) {
 		stops := &standin.Stops{}
 		w := startWorker(t, standin.WorkerConfig{Name: "a"})
-		b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, change, withoutProbes)
+		b := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, change, withoutProbes)
 		stops.Hold("dial")
-		b.heldDials(stops, nil)
-		c := b.call()
+		b.holdDials(stops, nil)
+		c := b.connect()
 		require.NoError(t, c.Send(standin.Job("gone", "send", 8*time.Second, "x")))
-		reached(t, stops, "dial")
+		awaitReached(t, stops, "dial")
 		away(c)
-		b.settled()
+		b.awaitIdle()
 		b.onLoop(func() {
-			assert.Equal(t, 1, b.s.engine.Counts.Outcomes[decide.NotSent]+b.s.engine.Counts.Outcomes[decide.Cancelled], "the attempt is over while the dial is under way")
+			assert.Equal(t, 1, b.scheduler.engine.Counts.Outcomes[decide.NotSent]+b.scheduler.engine.Counts.Outcomes[decide.Cancelled], "the attempt is over while the dial is under way")
 		})
 		stops.Free("dial")
-		status, _ := b.ask("next", "view", patience)
+		status, _ := b.ask("next", "view", testTimeout)
 		assert.Equal(t, 200, status)
 		assert.Equal(t, []string{"next"}, w.IDs())
 	})
@@ -89,24 +89,24 @@
 
 // ... while a part of its request waits here, since the system takes no more: its last byte never goes out.
 func TestClientLeavesDuringTheWrite(t *testing.T) {
-	quietly(t, func(t *testing.T, away func(*standin.Caller), change func(*config)) {
+	forEachDisconnect(t, func(t *testing.T, away func(*standin.Caller), change func(*config)) {
 		stops := &standin.Stops{}
 		stops.Hold("accepted") // nothing is read
 		w := startWorker(t, standin.WorkerConfig{Name: "a", Stops: stops, Receive: 4 << 10})
-		b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, change, withoutProbes)
-		b.heldDials(stops, func(c netpoll.Connection) {
+		b := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, change, withoutProbes)
+		b.holdDials(stops, func(c netpoll.Connection) {
 			_ = unix.SetsockoptInt(c.(netpoll.Conn).Fd(), unix.SOL_SOCKET, unix.SO_SNDBUF, 4<<10)
 		})
-		c := b.call()
+		c := b.connect()
 		require.NoError(t, c.Send(standin.Job("gone", "view", 8*time.Second, strings.Repeat("x", 60<<10))))
-		reached(t, stops, "accepted")
-		b.arrived(1)
-		require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.driver.Unsent() > 0 }); return is }, patience, time.Millisecond)
+		awaitReached(t, stops, "accepted")
+		b.awaitAccepted(1)
+		require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.scheduler.driver.Unsent() > 0 }); return is }, testTimeout, time.Millisecond)
 		away(c)
-		b.settled()
-		b.onLoop(func() { assert.Zero(t, b.s.driver.Unsent(), "nothing of it waits any more") })
+		b.awaitIdle()
+		b.onLoop(func() { assert.Zero(t, b.scheduler.driver.Unsent(), "nothing of it waits any more") })
 		stops.Free("accepted")
-		status, _ := b.ask("next", "view", patience)
+		status, _ := b.ask("next", "view", testTimeout)
 		assert.Equal(t, 200, status)
 		assert.Equal(t, []string{"next"}, w.IDs())
 	})
@@ -114,21 +114,21 @@
 
 // ... before its request was read: behind a long queue of the loop it comes together with its client's end.
 func TestClientLeavesBeforeItIsRead(t *testing.T) {
-	quietly(t, func(t *testing.T, away func(*standin.Caller), change func(*config)) {
+	forEachDisconnect(t, func(t *testing.T, away func(*standin.Caller), change func(*config)) {
 		w := startWorker(t, standin.WorkerConfig{Name: "a"})
-		b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, change, withoutProbes)
-		status, _ := b.ask("first", "view", patience) // its connection to the worker is kept: nothing is left to wait for
+		b := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, change, withoutProbes)
+		status, _ := b.ask("first", "view", testTimeout) // its connection to the worker is kept: nothing is left to wait for
 		assert.Equal(t, 200, status)
-		c := b.call()
+		c := b.connect()
 		b.onLoop(func() {})
-		free := b.held()
+		free := b.holdLoop()
 		require.NoError(t, c.Send(standin.Job("gone", "view", 8*time.Second, "x")))
-		require.Eventually(t, func() bool { return b.s.loop.QueueLen() > 0 }, patience, time.Millisecond)
+		require.Eventually(t, func() bool { return b.scheduler.loop.QueueLen() > 0 }, testTimeout, time.Millisecond)
 		away(c) // on the loopback its end is there by the time that the call returns
 		free()
-		b.arrived(2)
-		b.settled()
-		status, _ = b.ask("next", "view", patience)
+		b.awaitAccepted(2)
+		b.awaitIdle()
+		status, _ = b.ask("next", "view", testTimeout)
 		assert.Equal(t, 200, status)
 		assert.Equal(t, []string{"first", "next"}, w.IDs())
 	})
@@ -137,36 +137,36 @@
 // ... while it is the one that its service's pool bears: who comes meanwhile is refused at once, not held, and the place is free
 // again once, with the id's and the service's own counts.
 func TestClientLeavesItsPlaceInAPool(t *testing.T) {
-	for name, away := range leave {
+	for name, away := range disconnects {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			stops := &standin.Stops{}
 			stops.Hold("probe")
 			w := startWorker(t, standin.WorkerConfig{Name: "w", Stops: stops})
-			b := startBenchWith(t, nil, func(c *config) { c.file = readFile(t, block("shop", "  limits { open = 1 }\n", w)) })
+			b := startSchedulerWith(t, nil, func(c *config) { c.file = readFile(t, block("shop", "  limits { open = 1 }\n", w)) })
 			job := func(id string) string {
 				return strings.Replace(standin.Job(id, "view", 8*time.Second, "x"), "app.svc", "shop.example.org", 1)
 			}
 			shop := func() (open, engine, begun int) {
 				b.onLoop(func() {
-					v := b.s.services["shop"]
+					v := b.scheduler.services["shop"]
 					open, engine, begun = v.jobs.Pool.InFlight(), v.engine.OpenRequests(), v.jobs.Pool.Counts.Admitted
 				})
 				return
 			}
-			gone, other := b.call(), b.call()
+			gone, other := b.connect(), b.connect()
 			require.NoError(t, gone.Send(job("gone")))
-			reached(t, stops, "probe")
+			awaitReached(t, stops, "probe")
 			require.NoError(t, other.Send(job("early")))
-			status, body, err := other.Answer(patience)
+			status, body, err := other.Answer(testTimeout)
 			require.NoError(t, err)
 			assert.Equal(t, "503 too many in hand\n", fmt.Sprint(status, " ", body))
 			away(gone)
-			require.Eventually(t, func() bool { open, engine, begun := shop(); return open == 0 && engine == 0 && begun == 1 }, patience, time.Millisecond)
+			require.Eventually(t, func() bool { open, engine, begun := shop(); return open == 0 && engine == 0 && begun == 1 }, testTimeout, time.Millisecond)
 			stops.Free("probe")
 			for _, id := range []string{"next", "last"} { // the place is free once, and once more
 				require.NoError(t, other.Send(job(id)))
-				status, _, err = other.Answer(patience)
+				status, _, err = other.Answer(testTimeout)
 				require.NoError(t, err)
 				assert.Equal(t, 200, status)
 			}
@@ -182,26 +182,26 @@
 	stops := &standin.Stops{}
 	stops.Hold("probe")
 	w := startWorker(t, standin.WorkerConfig{Name: "a", Slots: 400, Stops: stops})
-	b := startBench(t, w.Entry("SERVING"))
+	b := startScheduler(t, w.Entry("SERVING"))
 	const n = 200
 	calls := make([]*standin.Caller, n)
 	for i := range calls {
-		calls[i] = b.call()
+		calls[i] = b.connect()
 		require.NoError(t, calls[i].Send(standin.Job(fmt.Sprint("gone", i), "view", 8*time.Second, "x")))
 	}
-	b.arrived(n)
-	free := b.held()
+	b.awaitAccepted(n)
+	free := b.holdLoop()
 	for i, c := range calls {
 		[]func(*standin.Caller){(*standin.Caller).Close, (*standin.Caller).Reset, (*standin.Caller).HalfClose}[i%3](c)
 	}
 	free()
-	b.settled()
+	b.awaitIdle()
 	b.onLoop(func() {
-		assert.Equal(t, n, b.s.engine.Counts.Hangups)
-		assert.Zero(t, b.s.engine.Counts.Pushes)
+		assert.Equal(t, n, b.scheduler.engine.Counts.Hangups)
+		assert.Zero(t, b.scheduler.engine.Counts.Pushes)
 	})
 	stops.Free("probe")
-	status, _ := b.ask("next", "view", patience)
+	status, _ := b.ask("next", "view", testTimeout)
 	assert.Equal(t, 200, status)
 	for _, id := range w.IDs() { // a slow machine may have it tried again
 		assert.Equal(t, "next", id)
@@ -224,14 +224,14 @@
 				standin.Finish(r, c)
 				written.Store(true)
 			}})
-			b := startBench(t, w.Entry("SERVING"))
-			c := b.call()
+			b := startScheduler(t, w.Entry("SERVING"))
+			c := b.connect()
 			require.NoError(t, c.Send(standin.Job("both", "view", 8*time.Second, "x")))
-			require.Eventually(t, func() bool { return len(w.IDs()) == 1 }, patience, time.Millisecond)
+			require.Eventually(t, func() bool { return len(w.IDs()) == 1 }, testTimeout, time.Millisecond)
 			b.onLoop(func() {})
-			free := b.held()
+			free := b.holdLoop()
 			comes := func(n int) {
-				require.Eventually(t, func() bool { return b.s.loop.QueueLen() >= n }, patience, time.Millisecond)
+				require.Eventually(t, func() bool { return b.scheduler.loop.QueueLen() >= n }, testTimeout, time.Millisecond)
 			}
 			if answerFirst {
 				close(finish)
@@ -241,15 +241,15 @@
 				c.Close()
 				comes(1)
 				close(finish)
-				require.Eventually(t, written.Load, patience, time.Millisecond)
+				require.Eventually(t, written.Load, testTimeout, time.Millisecond)
 			}
 			free()
-			b.settled()
-			status, _ := b.ask("next", "view", patience)
+			b.awaitIdle()
+			status, _ := b.ask("next", "view", testTimeout)
 			assert.Equal(t, 200, status)
 			assert.Equal(t, []string{"both", "next"}, w.IDs())
 			b.onLoop(func() {
-				n := b.s.engine.Counts
+				n := b.scheduler.engine.Counts
 				assert.Equal(t, n.Accepted, n.Served+n.Hangups+n.Refused+n.Failed)
 				assert.Zero(t, n.Refused+n.Failed)
 			})
@@ -294,10 +294,10 @@
 				z := startWorker(t, standin.WorkerConfig{Name: "z", Zone: "there", Answer: answer("z")})
 				ea, ez := a.Entry("SERVING"), z.Entry("SERVING")
 				ez.Group = 1 // a cell of its own
-				b := startBenchWith(t, []standin.Entry{ea, ez}, twoZones, func(c *config) { set(&c.engine.Settings.Classes[0]) })
-				c := b.call()
+				b := startSchedulerWith(t, []standin.Entry{ea, ez}, twoZones, func(c *config) { set(&c.engine.Settings.Classes[0]) })
+				c := b.connect()
 				require.NoError(t, c.Send(standin.Job("job", "view", 6*time.Second, "x", "Idempotency-Key: k")))
-				status, _, err := c.Answer(patience)
+				status, _, err := c.Answer(testTimeout)
 				require.NoError(t, err)
 				starts := len(a.IDs()) + len(z.IDs())
 				switch {
@@ -333,7 +333,7 @@
 							if first {
 								out, at = c, worker
 							} else {
-								if open(out) {
+								if connectionOpen(out) {
 									beside++
 								}
 								if worker != at {
@@ -350,13 +350,13 @@
 					z := startWorker(t, standin.WorkerConfig{Name: "z", Zone: "there", Answer: answer("z")})
 					ea, ez := a.Entry("SERVING"), z.Entry("SERVING")
 					ez.Group = 1 // a cell of its own
-					b := startBenchWith(t, []standin.Entry{ea, ez}, twoZones, func(c *config) {
+					b := startSchedulerWith(t, []standin.Entry{ea, ez}, twoZones, func(c *config) {
 						set(&c.engine.Settings.Classes[0])
 						c.engine.Settings.SecondCopies, c.engine.Settings.CanCancel = copies, cancel
 					})
-					c := b.call()
+					c := b.connect()
 					require.NoError(t, c.Send(standin.Job("job", "view", 4*time.Second, "x", "Idempotency-Key: k")))
-					status, _, err := c.Answer(patience)
+					status, _, err := c.Answer(testTimeout)
 					require.NoError(t, err)
 					mu.Lock()
 					defer mu.Unlock()
@@ -379,8 +379,8 @@
 	}
 }
 
-// open reports whether the other side has neither ended nor reset a connection of a stand-in.
-func open(c net.Conn) bool {
+// connectionOpen reports whether the peer has neither closed nor reset a stand-in's connection.
+func connectionOpen(c net.Conn) bool {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return false
@@ -393,7 +393,7 @@
 // An attempt waits for a descriptor of its service's part; its client leaves. It is out of every account, and the descriptor
 // that comes free is another's.
 func TestClientLeavesWaitingForADescriptor(t *testing.T) {
-	for name, away := range leave {
+	for name, away := range disconnects {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			release := make(chan struct{})
@@ -406,22 +406,22 @@
 				}
 				standin.Done(r, c)
 			}})
-			b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes, func(c *config) { c.engine.Settings.CanCancel = false })
-			dials := b.s.driver.Dialer(1)
-			b.onLoop(func() { b.s.workers.Dialer = dials })
-			holds, gone := b.call(), b.call()
+			b := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes, func(c *config) { c.engine.Settings.CanCancel = false })
+			dials := b.scheduler.driver.Dialer(1)
+			b.onLoop(func() { b.scheduler.workers.Dialer = dials })
+			holds, gone := b.connect(), b.connect()
 			require.NoError(t, holds.Send(standin.Job("holds", "view", 8*time.Second, "x")))
-			require.Eventually(t, func() bool { return len(w.IDs()) == 1 }, patience, time.Millisecond)
+			require.Eventually(t, func() bool { return len(w.IDs()) == 1 }, testTimeout, time.Millisecond)
 			require.NoError(t, gone.Send(standin.Job("gone", "view", 8*time.Second, "x")))
-			require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.engine.Counts.Pushes == 2 }); return is }, patience, time.Millisecond)
+			require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.scheduler.engine.Counts.Pushes == 2 }); return is }, testTimeout, time.Millisecond)
 			away(gone)
-			require.Eventually(t, func() bool { return b.open() == 1 }, patience, time.Millisecond)
-			b.onLoop(func() { assert.Equal(t, 1, b.s.engine.Counts.Outcomes[decide.NotSent]) })
+			require.Eventually(t, func() bool { return b.openRequests() == 1 }, testTimeout, time.Millisecond)
+			b.onLoop(func() { assert.Equal(t, 1, b.scheduler.engine.Counts.Outcomes[decide.NotSent]) })
 			close(release)
-			status, _, err := holds.Answer(patience)
+			status, _, err := holds.Answer(testTimeout)
 			require.NoError(t, err)
 			assert.Equal(t, 200, status)
-			status, _ = b.ask("next", "view", patience)
+			status, _ = b.ask("next", "view", testTimeout)
 			assert.Equal(t, 200, status)
 			assert.Equal(t, []string{"holds", "next"}, w.IDs())
 			assert.Equal(t, 1, dials.OpenConns())
@@ -431,20 +431,20 @@
 
 // A client that leaves with half of its answer taken ends its connection, and nothing else.
 func TestClientLeavesWithHalfAnAnswer(t *testing.T) {
-	for name, away := range leave {
+	for name, away := range disconnects {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			w := startWorker(t, standin.WorkerConfig{Name: "a"})
-			b := startBench(t, w.Entry("SERVING"))
-			c := b.call()
+			b := startScheduler(t, w.Entry("SERVING"))
+			c := b.connect()
 			job := strings.Replace(standin.Job("big", "view", 8*time.Second, "x"), "/api/1", "/api/1?run=1us&slots=1&size=200000", 1)
 			require.NoError(t, c.Send(job))
 			require.NoError(t, c.Some(1000))
-			b.settled()
+			b.awaitIdle()
 			away(c)
-			require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.server.Pace.Counts().Peers == 0 }); return is }, patience, time.Millisecond)
-			b.onLoop(func() { assert.Zero(t, b.s.driver.Unsent()) })
-			status, _ := b.ask("next", "view", patience)
+			require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.scheduler.server.Pace.Counts().Peers == 0 }); return is }, testTimeout, time.Millisecond)
+			b.onLoop(func() { assert.Zero(t, b.scheduler.driver.Unsent()) })
+			status, _ := b.ask("next", "view", testTimeout)
 			assert.Equal(t, 200, status)
 		})
 	}
--- a/cmd/weldscale/moments_discovery_test.go
+++ b/cmd/weldscale/moments_discovery_test.go
@@ -15,9 +15,9 @@
 	"weldscale/internal/standin"
 )
 
-// calls waits until discovery has had so many calls.
-func (b *bench) calls(n int) []string {
-	require.Eventually(b.t, func() bool { return len(b.discovery.Calls()) >= n }, patience, time.Millisecond)
+// awaitDiscoveryCalls waits until discovery has had n calls and returns all that it has had.
+func (b *testScheduler) awaitDiscoveryCalls(n int) []string {
+	require.Eventually(b.t, func() bool { return len(b.discovery.Calls()) >= n }, testTimeout, time.Millisecond)
 	return b.discovery.Calls()
 }
 
@@ -40,9 +40,9 @@
 				gaveUp <- struct{}{}
 				return true
 			})
-			b := startBenchAt(t, d, d.Known())
+			b := startSchedulerAt(t, d, d.Known())
 			if silent[0] == 3 {
-				b.calls(2)
+				b.awaitDiscoveryCalls(2)
 				d.Set(z.Entry("SERVING")) // an answer
 			}
 			<-fell
@@ -51,16 +51,16 @@
 			if name != "twice running" {
 				b.onLoop(func() {
 					// In the turn that gave it up; on a slow machine it has been answered, and the watch renewed, by now.
-					assert.GreaterOrEqual(t, b.s.engine.Counts.ListCalls, silent[0]+1)
+					assert.GreaterOrEqual(t, b.scheduler.engine.Counts.ListCalls, silent[0]+1)
 				})
 			}
 			require.Eventually(t, func() (is bool) {
-				b.onLoop(func() { is = b.s.engine.ReadyWorkers() == 1 })
+				b.onLoop(func() { is = b.scheduler.engine.ReadyWorkers() == 1 })
 				return is
-			}, patience, time.Millisecond)
+			}, testTimeout, time.Millisecond)
 			assert.Contains(t, b.discovery.Calls()[silent[0]], "hold_ms=1", "answered at once")
 			for i := range 10 {
-				status, _ := b.ask(fmt.Sprint(i), "view", patience)
+				status, _ := b.ask(fmt.Sprint(i), "view", testTimeout)
 				assert.Equal(t, 200, status)
 			}
 			assert.Empty(t, a.IDs())
@@ -93,12 +93,12 @@
 		}
 		return true
 	})
-	b := startBenchAt(t, d, known)
+	b := startSchedulerAt(t, d, known)
 	require.Eventually(t, func() (is bool) {
-		b.onLoop(func() { is = b.s.engine.ReadyWorkers() == 0 })
+		b.onLoop(func() { is = b.scheduler.engine.ReadyWorkers() == 0 })
 		return is
-	}, patience, time.Millisecond)
-	b.onLoop(func() { assert.Equal(t, 2, b.s.engine.Counts.ListFailed) })
+	}, testTimeout, time.Millisecond)
+	b.onLoop(func() { assert.Equal(t, 2, b.scheduler.engine.Counts.ListFailed) })
 }
 
 // Changes up to a version older than ours bring nothing back to life: the whole list is asked for.
@@ -113,24 +113,24 @@
 		fmt.Fprintf(w, `{"index":1,"snapshot":false,"endpoints":[{"name":"a","address":%q,"zone":"here","type":"box","status":"SERVING","weight":1,"since_ms":0}]}`, a.Addr())
 		return true
 	})
-	b := startBenchAt(t, d, d.Known())
-	calls := b.calls(3)
+	b := startSchedulerAt(t, d, d.Known())
+	calls := b.awaitDiscoveryCalls(3)
 	assert.Equal(t, "", calls[2], "the whole list")
-	require.Eventually(t, func() bool { return len(b.discovery.Calls()) >= 4 }, patience, time.Millisecond)
-	b.onLoop(func() { assert.Equal(t, 1, b.s.engine.ReadyWorkers(), "the drain stands") })
+	require.Eventually(t, func() bool { return len(b.discovery.Calls()) >= 4 }, testTimeout, time.Millisecond)
+	b.onLoop(func() { assert.Equal(t, 1, b.scheduler.engine.ReadyWorkers(), "the drain stands") })
 }
 
-// pushed has the lists pushed: the discovery is an agent's.
-func pushed(c *config) { c.engine.Settings.MustAsk, c.engine.Settings.AskWithin = false, 0 }
+// withPushedList configures a scheduler whose discovery is an agent to which the list is pushed.
+func withPushedList(c *config) { c.engine.Settings.MustAsk, c.engine.Settings.AskWithin = false, 0 }
 
 // Where lists are pushed nobody tells us to watch, and yet what the agent has counts as told: from the first moment of the
 // process on, whatever became of the calls before. Without probes nothing else would keep jobs from a worker that drains.
 func TestPushedListIsHeard(t *testing.T) {
 	for name, spoil := range map[string]func(n int, w http.ResponseWriter, r *http.Request) bool{
 		"at once":            func(int, http.ResponseWriter, *http.Request) bool { return false },
-		"first call silent":  func(n int, _ http.ResponseWriter, r *http.Request) bool { return n == 1 && silence(r) },
-		"silent three times": func(n int, _ http.ResponseWriter, r *http.Request) bool { return n <= 3 && silence(r) },
-		"the watch silent":   func(n int, _ http.ResponseWriter, r *http.Request) bool { return n == 2 && silence(r) },
+		"first call silent":  func(n int, _ http.ResponseWriter, r *http.Request) bool { return n == 1 && neverAnswer(r) },
+		"silent three times": func(n int, _ http.ResponseWriter, r *http.Request) bool { return n <= 3 && neverAnswer(r) },
+		"the watch silent":   func(n int, _ http.ResponseWriter, r *http.Request) bool { return n == 2 && neverAnswer(r) },
 		"503 and a reset": func(n int, w http.ResponseWriter, r *http.Request) bool {
 			if n == 1 || n == 3 {
 				w.WriteHeader(http.StatusServiceUnavailable)
@@ -159,34 +159,34 @@
 			known := d.Known()
 			d.Set(a.Entry("DRAINING"), z.Entry("SERVING"))
 			d.Take(spoil)
-			b := startBenchWith(t, nil, pushed, withoutProbes, func(c *config) { c.Discovery, c.Known = d.Addr(), known })
+			b := startSchedulerWith(t, nil, withPushedList, withoutProbes, func(c *config) { c.Discovery, c.Known = d.Addr(), known })
 			ready := func(n int, on string) {
 				require.Eventually(t, func() (is bool) {
 					b.onLoop(func() {
 						at := ""
-						b.s.engine.EachReadyAddr(func(addr string) { at = addr })
-						is = b.s.engine.ReadyWorkers() == n && at == on
+						b.scheduler.engine.EachReadyAddr(func(addr string) { at = addr })
+						is = b.scheduler.engine.ReadyWorkers() == n && at == on
 					})
 					return is
-				}, patience, time.Millisecond)
+				}, testTimeout, time.Millisecond)
 			}
 			ready(1, z.Addr())
 			for i := range 5 {
-				status, _ := b.ask(fmt.Sprint(i), "view", patience)
+				status, _ := b.ask(fmt.Sprint(i), "view", testTimeout)
 				assert.Equal(t, 200, status)
 			}
 			assert.Empty(t, a.IDs())
 			d.Set(a.Entry("SERVING"), z.Entry("DELETED")) // and whatever comes later
 			ready(1, a.Addr())
-			status, _ := b.ask("later", "view", patience)
+			status, _ := b.ask("later", "view", testTimeout)
 			assert.Equal(t, 200, status)
 			assert.Equal(t, []string{"later"}, a.IDs())
 		})
 	}
 }
 
-// silence answers a call with nothing until its caller gives it up.
-func silence(r *http.Request) bool {
+// neverAnswer holds a call without an answer until its caller cancels it.
+func neverAnswer(r *http.Request) bool {
 	<-r.Context().Done()
 	return true
 }
@@ -204,21 +204,21 @@
 		}
 		down.Store(true)
 		met <- struct{}{}
-		return silence(r)
+		return neverAnswer(r)
 	})
-	b := startBenchWith(t, nil, pushed, withoutProbes, func(c *config) { c.Discovery, c.Known = d.Addr(), d.Known() })
+	b := startSchedulerWith(t, nil, withPushedList, withoutProbes, func(c *config) { c.Discovery, c.Known = d.Addr(), d.Known() })
 	for range 4 { // the watch, and three calls anew
 		select {
 		case <-met:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			require.FailNow(t, "no call")
 		}
 	}
 	down.Store(false)
 	d.Set(a.Entry("DRAINING"))
-	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.engine.ReadyWorkers() == 1 }); return is }, patience, time.Millisecond)
+	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.scheduler.engine.ReadyWorkers() == 1 }); return is }, testTimeout, time.Millisecond)
 	for i := range 5 {
-		status, _ := b.ask(fmt.Sprint(i), "view", patience)
+		status, _ := b.ask(fmt.Sprint(i), "view", testTimeout)
 		assert.Equal(t, 200, status)
 	}
 	assert.Empty(t, a.IDs())
@@ -227,32 +227,32 @@
 // A reload moves the agent's address: the new one is asked at once for the whole list, and its news goes on coming.
 func TestPushedListMoves(t *testing.T) {
 	a, z := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
-	b := startBenchWith(t, []standin.Entry{a.Entry("SERVING")}, pushed)
-	b.calls(2)
+	b := startSchedulerWith(t, []standin.Entry{a.Entry("SERVING")}, withPushedList)
+	b.awaitDiscoveryCalls(2)
 	second := startDiscovery(t, a.Entry("DRAINING"), z.Entry("SERVING"))
-	second.Take(func(n int, _ http.ResponseWriter, r *http.Request) bool { return n == 1 && silence(r) })
-	b.onLoop(func() { b.s.discovery.Move(second.Addr()) })
-	require.Eventually(t, func() bool { return len(second.Calls()) > 2 }, patience, time.Millisecond)
+	second.Take(func(n int, _ http.ResponseWriter, r *http.Request) bool { return n == 1 && neverAnswer(r) })
+	b.onLoop(func() { b.scheduler.discovery.Move(second.Addr()) })
+	require.Eventually(t, func() bool { return len(second.Calls()) > 2 }, testTimeout, time.Millisecond)
 	assert.Equal(t, []string{"", ""}, second.Calls()[:2], "the whole list, until it has come")
 	second.Set(z.Entry("DRAINING"))
-	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.engine.ReadyWorkers() == 0 }); return is }, patience, time.Millisecond)
+	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.scheduler.engine.ReadyWorkers() == 0 }); return is }, testTimeout, time.Millisecond)
 }
 
 // A whole list that is asked for while a call is open is asked for once that has ended.
 func TestReloadDuringACall(t *testing.T) {
 	a := startWorker(t, standin.WorkerConfig{Name: "a"})
-	b := startBench(t, a.Entry("SERVING"))
-	b.calls(2) // the watch is held
-	b.onLoop(func() { b.s.discovery.Reload(); b.s.discovery.Reload() })
+	b := startScheduler(t, a.Entry("SERVING"))
+	b.awaitDiscoveryCalls(2) // the watch is held
+	b.onLoop(func() { b.scheduler.discovery.Reload(); b.scheduler.discovery.Reload() })
 	assert.Len(t, b.discovery.Calls(), 2, "never two calls out")
 	b.discovery.Set(a.Entry("SERVING")) // ends it
-	assert.Equal(t, "", b.calls(3)[2])
-	assert.Contains(t, b.calls(4)[3], "hold_ms=8000", "once, then the watch goes on")
+	assert.Equal(t, "", b.awaitDiscoveryCalls(3)[2])
+	assert.Contains(t, b.awaitDiscoveryCalls(4)[3], "hold_ms=8000", "once, then the watch goes on")
 }
 
-// startBenchAt starts a scheduler at a discovery of the test's.
-func startBenchAt(t *testing.T, d *standin.Discovery, known []byte) *bench {
-	b := startBenchWith(t, nil, func(c *config) {
+// startSchedulerAt starts a scheduler that asks this discovery stand-in.
+func startSchedulerAt(t *testing.T, d *standin.Discovery, known []byte) *testScheduler {
+	b := startSchedulerWith(t, nil, func(c *config) {
 		c.Discovery = d.Addr()
 		if known != nil {
 			c.Known = known
@@ -289,12 +289,12 @@
 				ended <- time.Now()
 				return true
 			})
-			b := startBenchAt(t, d, d.Known())
-			b.calls(2)
+			b := startSchedulerAt(t, d, d.Known())
+			b.awaitDiscoveryCalls(2)
 			close(let)
 			at := <-ended
 			d.Set(a.Entry("DRAINING"))
-			require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.engine.ReadyWorkers() == 1 }); return is }, patience, time.Millisecond)
+			require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.scheduler.engine.ReadyWorkers() == 1 }); return is }, testTimeout, time.Millisecond)
 			assert.Less(t, d.CalledAt()[2].Sub(at), 10*time.Second)
 		})
 	}
@@ -304,17 +304,17 @@
 // once, for the whole list.
 func TestDiscoveryMovesWhileDown(t *testing.T) {
 	a, z := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
-	b := startBench(t, a.Entry("SERVING"))
-	b.calls(2)
+	b := startScheduler(t, a.Entry("SERVING"))
+	b.awaitDiscoveryCalls(2)
 	b.discovery.Down(true)
-	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.engine.Counts.ListFailed > 0 }); return is }, patience, time.Millisecond)
+	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.scheduler.engine.Counts.ListFailed > 0 }); return is }, testTimeout, time.Millisecond)
 	second := startDiscovery(t, z.Entry("SERVING"))
 	moved := time.Now()
-	b.onLoop(func() { b.s.discovery.Move(second.Addr()) })
-	require.Eventually(t, func() bool { return len(second.Calls()) > 1 }, patience, time.Millisecond)
+	b.onLoop(func() { b.scheduler.discovery.Move(second.Addr()) })
+	require.Eventually(t, func() bool { return len(second.Calls()) > 1 }, testTimeout, time.Millisecond)
 	assert.Equal(t, "", second.Calls()[0])
 	assert.Less(t, second.CalledAt()[0].Sub(moved), 4*time.Second)
-	status, _ := b.ask("next", "view", patience)
+	status, _ := b.ask("next", "view", testTimeout)
 	assert.Equal(t, 200, status)
 	assert.Equal(t, []string{"next"}, z.IDs())
 }
--- a/cmd/weldscale/moments_stop_test.go
+++ b/cmd/weldscale/moments_stop_test.go
@@ -33,35 +33,35 @@
 // last request came within it.
 func stopWithUnread(t *testing.T, fresh bool) bool {
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
-	b := startBench(t, w.Entry("SERVING"))
-	c, poller := b.call(), b.call()
+	b := startScheduler(t, w.Entry("SERVING"))
+	c, poller := b.connect(), b.connect()
 	for i, x := range []*standin.Caller{c, poller} {
 		require.NoError(t, x.Send(standin.Job(fmt.Sprint("warm", i), "view", 8*time.Second, "x")))
-		status, _, err := x.Answer(patience)
+		status, _, err := x.Answer(testTimeout)
 		require.NoError(t, err)
 		require.Equal(t, 200, status)
 	}
 	at, let := make(chan struct{}), make(chan struct{})
-	b.s.loop.Post(func() { b.s.stop(); close(at); <-let })
+	b.scheduler.loop.Post(func() { b.scheduler.stop(); close(at); <-let })
 	<-at
 	began := time.Now()
 	// The poller waits with what one client has sent until the loop takes it: it accepts and reads nobody else.
 	require.NoError(t, poller.Send("POST /"))
-	require.Eventually(t, func() bool { return b.s.loop.QueueLen() > 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return b.scheduler.loop.QueueLen() > 0 }, testTimeout, time.Millisecond)
 	if fresh {
-		c = b.call()
+		c = b.connect()
 	}
 	require.NoError(t, c.Send(standin.Job("last", "view", 8*time.Second, "x")))
 	within := time.Since(began) < gracePeriod-50*time.Millisecond
 	time.Sleep(time.Until(began.Add(gracePeriod + 50*time.Millisecond))) // the loop comes late to the end of the grace
 	close(let)
-	status, _, err := c.Answer(patience)
+	status, _, err := c.Answer(testTimeout)
 	if within {
 		require.NoError(t, err, "an answer, not a reset")
 		assert.Contains(t, []int{200, 503}, status)
 	}
 	poller.Close()
-	<-b.end
+	<-b.ended
 	return within
 }
 
@@ -69,32 +69,32 @@
 // and on one that never brought any. Both are answered.
 func TestRoomIsNotMadeOverARequest(t *testing.T) {
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
-	b := startBench(t, w.Entry("SERVING"))
-	kept, fresh, poller := b.call(), b.call(), b.call()
+	b := startScheduler(t, w.Entry("SERVING"))
+	kept, fresh, poller := b.connect(), b.connect(), b.connect()
 	require.NoError(t, kept.Send(standin.Job("warm", "view", 8*time.Second, "x")))
-	status, _, err := kept.Answer(patience)
+	status, _, err := kept.Answer(testTimeout)
 	require.NoError(t, err)
 	require.Equal(t, 200, status)
-	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.server.Pace.Counts().Peers == 3 }); return is }, patience, time.Millisecond)
+	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.scheduler.server.Pace.Counts().Peers == 3 }); return is }, testTimeout, time.Millisecond)
 	at, let := make(chan struct{}), make(chan struct{})
-	b.s.loop.Post(func() {
+	b.scheduler.loop.Post(func() {
 		close(at)
 		<-let
 		l := pace.Defaults(1 << 20)
 		l.NewPeerGrace, l.EvictionGrace = 0, 0
-		b.s.server.Pace.SetLimits(l)
-		assert.Zero(t, b.s.server.EvictClients(9, false))
+		b.scheduler.server.Pace.SetLimits(l)
+		assert.Zero(t, b.scheduler.server.EvictClients(9, false))
 	})
 	<-at
 	// The poller waits with what one client has sent until the loop takes it: it reads nobody else.
 	require.NoError(t, poller.Send("POST /"))
-	require.Eventually(t, func() bool { return b.s.loop.QueueLen() > 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return b.scheduler.loop.QueueLen() > 0 }, testTimeout, time.Millisecond)
 	for id, c := range map[string]*standin.Caller{"kept": kept, "fresh": fresh} {
 		require.NoError(t, c.Send(standin.Job(id, "view", 8*time.Second, "x")))
 	}
 	close(let)
 	for _, c := range []*standin.Caller{kept, fresh} {
-		status, _, err := c.Answer(patience)
+		status, _, err := c.Answer(testTimeout)
 		require.NoError(t, err, "an answer, not a reset")
 		assert.Equal(t, 200, status)
 	}
@@ -104,27 +104,27 @@
 func TestStopGivesUpInTime(t *testing.T) {
 	t.Parallel()
 	w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) { standin.Start(r, c) }})
-	b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, func(c *config) {
+	b := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, func(c *config) {
 		for i := range c.engine.Settings.Classes {
 			c.engine.Settings.Classes[i].Deadline = 25e6
 		}
 	})
-	hanging, waiting := b.call(), b.call()
+	hanging, waiting := b.connect(), b.connect()
 	require.NoError(t, hanging.Send(standin.Job("hangs", "send", 25*time.Second, "x")))
-	require.Eventually(t, func() bool { return len(w.IDs()) == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(w.IDs()) == 1 }, testTimeout, time.Millisecond)
 	b.discovery.Set(w.Entry("DRAINING"))
-	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.engine.ReadyWorkers() == 0 }); return is }, patience, time.Millisecond)
+	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.scheduler.engine.ReadyWorkers() == 0 }); return is }, testTimeout, time.Millisecond)
 	require.NoError(t, waiting.Send(standin.Job("waits", "send", 25*time.Second, "x")))
-	b.arrived(2)
+	b.awaitAccepted(2)
 	began := time.Now()
-	b.s.loop.Post(b.s.stop)
-	status, _, err := waiting.Answer(patience)
+	b.scheduler.loop.Post(b.scheduler.stop)
+	status, _, err := waiting.Answer(testTimeout)
 	require.NoError(t, err)
 	assert.Equal(t, 503, status)
-	status, _, err = hanging.Answer(patience)
+	status, _, err = hanging.Answer(testTimeout)
 	require.NoError(t, err)
 	assert.Equal(t, 500, status)
-	<-b.end
+	<-b.ended
 	assert.Less(t, time.Since(began), 10*time.Second, "long before their clients would have given up")
 	assert.Equal(t, []string{"hangs"}, w.IDs())
 }
@@ -142,18 +142,18 @@
 func TestStopDuringADial(t *testing.T) {
 	stops := &standin.Stops{}
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
-	b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes)
+	b := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes)
 	stops.Hold("dial")
-	b.heldDials(stops, nil)
-	c := b.call()
+	b.holdDials(stops, nil)
+	c := b.connect()
 	require.NoError(t, c.Send(standin.Job("job", "send", 8*time.Second, "x")))
-	reached(t, stops, "dial")
-	b.s.loop.Do(b.s.stop)
+	awaitReached(t, stops, "dial")
+	b.scheduler.loop.Do(b.scheduler.stop)
 	stops.Free("dial")
-	status, _, err := c.Answer(patience)
+	status, _, err := c.Answer(testTimeout)
 	require.NoError(t, err)
 	assert.Equal(t, 200, status)
-	<-b.end
+	<-b.ended
 	assert.Equal(t, []string{"job"}, w.IDs())
 }
 
@@ -163,17 +163,17 @@
 	d := startDiscovery(t, w.Entry("SERVING"))
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeConfig(t, path, standin.Site{Discovery: d.Addr(), Known: d.Known()})
-	cmd, log := program(t, "program", "GW_CONFIG="+path)
+	cmd, log := startTestBinary(t, "program", "GW_CONFIG="+path)
 	addr := log.listens(t)
 	c, err := standin.Call(addr)
 	require.NoError(t, err)
 	defer c.Close()
-	require.NoError(t, c.Send(standin.Job("job", "view", patience, "x")))
-	require.Eventually(t, func() bool { return len(w.IDs()) == 1 }, patience, time.Millisecond)
+	require.NoError(t, c.Send(standin.Job("job", "view", testTimeout, "x")))
+	require.Eventually(t, func() bool { return len(w.IDs()) == 1 }, testTimeout, time.Millisecond)
 	require.NoError(t, c.Send("POST /half"))
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 	assert.NoError(t, cmd.Wait())
-	status, body, err := c.Answer(patience)
+	status, body, err := c.Answer(testTimeout)
 	require.NoError(t, err)
 	assert.Equal(t, 200, status)
 	assert.Equal(t, "made of job", body)
--- a/cmd/weldscale/moments_test.go
+++ b/cmd/weldscale/moments_test.go
@@ -17,58 +17,58 @@
 // The rare moments, each caused on purpose: a party holds a byte, an answer or its end until the test lets it go, or the
 // loop itself is held so that what comes meanwhile waits in a known order. docs/MOMENTS.md says what holds in each.
 
-// held keeps the loop at work until it is let go.
-func (b *bench) held() (free func()) {
+// holdLoop blocks the loop until the returned function is called.
+func (b *testScheduler) holdLoop() (free func()) {
 	at, let := make(chan struct{}), make(chan struct{})
-	b.s.loop.Post(func() { close(at); <-let })
+	b.scheduler.loop.Post(func() { close(at); <-let })
 	<-at
 	return sync.OnceFunc(func() { close(let) })
 }
 
 // onLoop runs f on the loop.
-func (b *bench) onLoop(f func()) { b.s.loop.Do(f) }
+func (b *testScheduler) onLoop(f func()) { b.scheduler.loop.Do(f) }
 
-// settled waits until nothing is in hand, and everything that follows from it has happened.
-func (b *bench) settled() {
-	require.Eventually(b.t, func() bool { return b.open() == 0 }, patience, time.Millisecond)
+// awaitIdle waits until no request is in flight and the loop has done what was queued by then.
+func (b *testScheduler) awaitIdle() {
+	require.Eventually(b.t, func() bool { return b.openRequests() == 0 }, testTimeout, time.Millisecond)
 	b.onLoop(func() {})
 }
 
-func (b *bench) call() *standin.Caller {
+func (b *testScheduler) connect() *standin.Caller {
 	c, err := standin.Call(b.addr)
 	require.NoError(b.t, err)
 	b.t.Cleanup(c.Close)
 	return c
 }
 
-// arrived waits until the loop has taken a request.
-func (b *bench) arrived(n int) {
+// awaitAccepted waits until the engine has accepted n requests.
+func (b *testScheduler) awaitAccepted(n int) {
 	require.Eventually(b.t, func() (is bool) {
-		b.onLoop(func() { is = b.s.engine.Counts.Accepted >= n })
+		b.onLoop(func() { is = b.scheduler.engine.Counts.Accepted >= n })
 		return is
-	}, patience, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 }
 
-// reached waits until somebody has come to a point.
-func reached(t *testing.T, stops *standin.Stops, name string) {
+// awaitReached waits until a stand-in or a dial has come to this point.
+func awaitReached(t *testing.T, stops *standin.Stops, name string) {
 	select {
 	case <-stops.Reached(name):
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		require.FailNow(t, "nobody came to "+name)
 	}
 }
 
-// leave are the ways in which a client goes.
-var leave = map[string]func(c *standin.Caller){
+// disconnects are the ways in which a client disconnects.
+var disconnects = map[string]func(c *standin.Caller){
 	"close": (*standin.Caller).Close, "reset": (*standin.Caller).Reset, "half-close": (*standin.Caller).HalfClose,
 }
 
-// heldDials has the scheduler's dials wait at the point "dial".
-func (b *bench) heldDials(stops *standin.Stops, then func(netpoll.Connection)) {
+// holdDials makes the scheduler's dials to workers wait at the point "dial", and calls then, if given, with each connection.
+func (b *testScheduler) holdDials(stops *standin.Stops, then func(netpoll.Connection)) {
 	b.onLoop(func() {
-		dial := b.s.driver.Dial
-		b.s.driver.Dial = func(addr string, timeout time.Duration) (netpoll.Connection, error) {
-			if addr != b.s.discovery.Addr {
+		dial := b.scheduler.driver.Dial
+		b.scheduler.driver.Dial = func(addr string, timeout time.Duration) (netpoll.Connection, error) {
+			if addr != b.scheduler.discovery.Addr {
 				stops.At("dial")
 			}
 			c, err := dial(addr, timeout)
@@ -80,9 +80,9 @@
 	})
 }
 
-// quietly runs f for each way to go and with attempts that may be cancelled and that may not.
-func quietly(t *testing.T, f func(t *testing.T, go_ func(*standin.Caller), change func(*config))) {
-	for name, away := range leave {
+// forEachDisconnect runs f for each way to disconnect, with settings that allow attempts to be cancelled and that do not.
+func forEachDisconnect(t *testing.T, f func(t *testing.T, go_ func(*standin.Caller), change func(*config))) {
+	for name, away := range disconnects {
 		for _, cancel := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, cancel %v", name, cancel), func(t *testing.T) {
 				t.Parallel()
@@ -99,7 +99,7 @@
 	c.engine.Zones, c.engine.Settings.Zones = []string{"here", "there"}, 2
 }
 
-func client() *http.Client { return &http.Client{Timeout: patience} }
+func client() *http.Client { return &http.Client{Timeout: testTimeout} }
 
 // effects are what a class may allow, with each scope of a key.
 var effects = map[string]func(c *decide.Class){
--- a/cmd/weldscale/moments_workers_test.go
+++ b/cmd/weldscale/moments_workers_test.go
@@ -40,18 +40,18 @@
 				standin.Done(r, c)
 				conns <- c
 			}})
-			b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes)
-			status, _ := b.ask("first", "view", patience)
+			b := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes)
+			status, _ := b.ask("first", "view", testTimeout)
 			assert.Equal(t, 200, status)
 			kept := <-conns
-			c := b.call()
+			c := b.connect()
 			b.onLoop(func() {})
-			free := b.held()
+			free := b.holdLoop()
 			require.NoError(t, c.Send(standin.Job("next", "view", 8*time.Second, "x")))
-			require.Eventually(t, func() bool { return b.s.loop.QueueLen() > 0 }, patience, time.Millisecond)
+			require.Eventually(t, func() bool { return b.scheduler.loop.QueueLen() > 0 }, testTimeout, time.Millisecond)
 			say(kept)
 			free()
-			status, body, err := c.Answer(patience)
+			status, body, err := c.Answer(testTimeout)
 			require.NoError(t, err)
 			assert.Equal(t, 200, status)
 			assert.Equal(t, "made of next", body)
@@ -78,16 +78,16 @@
 					fmt.Sprintf(`{"id":%q,"state":"done","result":%q}`, id, standin.Result(id, 0))), "0\r\n\r\n"...))
 				end(c.(*net.TCPConn))
 			}})
-			b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes)
+			b := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes)
 			for i := range 20 { // where its end crosses the next job that goes again: it is a view
 				id := fmt.Sprint(i)
-				status, body := b.ask(id, "view", patience)
+				status, body := b.ask(id, "view", testTimeout)
 				if name == "reset" && status != 200 {
 					continue // it may overtake each try's answer
 				}
 				assert.Equal(t, "200 made of "+id, fmt.Sprint(status, " ", body))
 			}
-			b.onLoop(func() { assert.Zero(t, b.s.engine.Avoided()) })
+			b.onLoop(func() { assert.Zero(t, b.scheduler.engine.Avoided()) })
 		})
 	}
 }
@@ -98,19 +98,19 @@
 	release := make(chan struct{})
 	old := startWorker(t, standin.WorkerConfig{Name: "a", Answer: holdFinish(release)})
 	moved := startWorker(t, standin.WorkerConfig{Name: "a"})
-	b := startBench(t, old.Entry("SERVING"))
-	b.calls(2)
-	c := b.call()
+	b := startScheduler(t, old.Entry("SERVING"))
+	b.awaitDiscoveryCalls(2)
+	c := b.connect()
 	require.NoError(t, c.Send(standin.Job("out", "send", 8*time.Second, "x")))
-	require.Eventually(t, func() bool { return len(old.IDs()) == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(old.IDs()) == 1 }, testTimeout, time.Millisecond)
 	e := moved.Entry("SERVING")
 	e.SinceMS = time.Now().Add(-time.Hour).UnixMilli()
 	b.discovery.Set(e)
-	b.calls(3)
-	status, _ := b.ask("next", "view", patience)
+	b.awaitDiscoveryCalls(3)
+	status, _ := b.ask("next", "view", testTimeout)
 	assert.Equal(t, 200, status)
 	close(release)
-	status, body, err := c.Answer(patience)
+	status, body, err := c.Answer(testTimeout)
 	require.NoError(t, err)
 	assert.Equal(t, "200 made of out", fmt.Sprint(status, " ", body))
 	assert.Equal(t, []string{"out"}, old.IDs())
@@ -149,9 +149,9 @@
 					standin.Done(r, c)
 				}
 			}})
-			b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes)
+			b := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes)
 			for _, id := range []string{"spoilt", "next"} {
-				status, _ := b.ask(id, "view", patience)
+				status, _ := b.ask(id, "view", testTimeout)
 				if name == "done, then reset" && id == "spoilt" && status != 200 {
 					continue // the reset may overtake the line; it is one answer all the same
 				}
@@ -160,7 +160,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			assert.NotEqual(t, on["spoilt"], on["next"])
-			b.onLoop(func() { assert.Zero(t, b.s.engine.Avoided()) })
+			b.onLoop(func() { assert.Zero(t, b.scheduler.engine.Avoided()) })
 		})
 	}
 }
@@ -173,12 +173,12 @@
 			t.Parallel()
 			stops := &standin.Stops{}
 			old, other := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "b"})
-			b := startBenchWith(t, []standin.Entry{old.Entry("SERVING")}, withoutProbes)
+			b := startSchedulerWith(t, []standin.Entry{old.Entry("SERVING")}, withoutProbes)
 			stops.Hold("dial")
-			b.heldDials(stops, nil)
-			c, began := b.call(), time.Now()
+			b.holdDials(stops, nil)
+			c, began := b.connect(), time.Now()
 			require.NoError(t, c.Send(standin.Job("job", "send", 8*time.Second, "x")))
-			reached(t, stops, "dial")
+			awaitReached(t, stops, "dial")
 			e := old.Entry("SERVING")
 			switch name {
 			case "drains":
@@ -192,12 +192,12 @@
 			}
 			b.discovery.Set(e)
 			var index int64
-			require.Eventually(t, func() bool { b.onLoop(func() { index = b.s.discovery.Index() }); return index >= 3 }, patience, time.Millisecond)
+			require.Eventually(t, func() bool { b.onLoop(func() { index = b.scheduler.discovery.Index() }); return index >= 3 }, testTimeout, time.Millisecond)
 			stops.Free("dial")
 			if name != "moves" {
 				b.discovery.Set(other.Entry("SERVING"))
 			}
-			status, _, err := c.Answer(patience)
+			status, _, err := c.Answer(testTimeout)
 			require.NoError(t, err)
 			if status == 200 {
 				assert.Equal(t, []string{"job"}, other.IDs())
@@ -228,20 +228,20 @@
 				}
 				standin.Done(r, c)
 			}})
-			b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes, func(c *config) {
+			b := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes, func(c *config) {
 				s := &c.engine.Settings.Classes[0]
 				s.Effect, s.Scope, s.MemorySpan = decide.Keyed, decide.ScopeAll, decide.Time(span/time.Microsecond)
 			})
-			b.heldDials(stops, nil)
-			c := b.call()
+			b.holdDials(stops, nil)
+			c := b.connect()
 			require.NoError(t, c.Send(standin.Job("job", "view", 8*time.Second, "x", "Idempotency-Key: k")))
-			reached(t, stops, "dial")
+			awaitReached(t, stops, "dial")
 			if late {
 				at := time.Unix(0, first.Load()).Add(span)
 				time.Sleep(time.Until(at)) // the span is over, however busy the machine
 			}
 			stops.Free("dial")
-			status, _, err := c.Answer(patience)
+			status, _, err := c.Answer(testTimeout)
 			require.NoError(t, err)
 			if late {
 				assert.NotEqual(t, 200, status)
--- a/cmd/weldscale/rules_test.go
+++ b/cmd/weldscale/rules_test.go
@@ -24,7 +24,7 @@
 // The four rules on real sockets. One scheduler runs against stand-ins of discovery and of workers. Nothing here is
 // judged by how long it takes.
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func startWorker(t *testing.T, c standin.WorkerConfig) *standin.Worker {
 	w, err := standin.StartWorker(c)
@@ -40,25 +40,27 @@
 	return d
 }
 
-// bench is one scheduler and its surroundings.
-type bench struct {
+// testScheduler is a scheduler that runs in the test's process, with its discovery stand-in.
+type testScheduler struct {
 	t         *testing.T
-	s         *scheduler
+	scheduler *scheduler
 	addr      string
 	discovery *standin.Discovery
-	end       chan struct{} // closed when the loop has ended
+	ended     chan struct{} // closed when the loop has ended
 }
 
 func writeConfig(t *testing.T, path string, s standin.Site) {
 	require.NoError(t, os.WriteFile(path, s.Config(), 0o600))
 }
 
-// startBench starts a scheduler that knows these workers.
-func startBench(t *testing.T, entries ...standin.Entry) *bench { return startBenchWith(t, entries) }
+// startScheduler starts a scheduler whose discovery lists these workers.
+func startScheduler(t *testing.T, entries ...standin.Entry) *testScheduler {
+	return startSchedulerWith(t, entries)
+}
 
-// startBenchWith does so with changes to its configuration.
-func startBenchWith(t *testing.T, entries []standin.Entry, change ...func(*config)) *bench {
-	b := &bench{t: t, end: make(chan struct{}), discovery: startDiscovery(t, entries...)}
+// startSchedulerWith starts one with changes to its configuration.
+func startSchedulerWith(t *testing.T, entries []standin.Entry, change ...func(*config)) *testScheduler {
+	b := &testScheduler{t: t, ended: make(chan struct{}), discovery: startDiscovery(t, entries...)}
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeConfig(t, path, standin.Site{Discovery: b.discovery.Addr(), Known: b.discovery.Known()})
 	c, err := loadConfig(func(key string) string { return map[string]string{"GW_CONFIG": path}[key] })
@@ -67,24 +69,24 @@
 	for _, f := range change {
 		f(c)
 	}
-	b.s, err = start(c)
+	b.scheduler, err = start(c)
 	require.NoError(t, err)
-	b.addr = b.s.driver.Addr()
-	go func() { b.s.loop.Run(); close(b.end) }()
+	b.addr = b.scheduler.driver.Addr()
+	go func() { b.scheduler.loop.Run(); close(b.ended) }()
 	t.Cleanup(func() {
 		select {
-		case <-b.end:
+		case <-b.ended:
 		default:
-			b.s.loop.Post(b.s.loop.Stop)
-			<-b.end
+			b.scheduler.loop.Post(b.scheduler.loop.Stop)
+			<-b.ended
 		}
 	})
 	return b
 }
 
 // ask sends one request and returns status and body of its answer.
-func (b *bench) ask(id, class string, budget time.Duration) (int, string) {
-	status, body, err := standin.Ask(&http.Client{Timeout: patience}, b.addr, "", id, &standin.Kind{Class: class, Budget: budget, Body: 5})
+func (b *testScheduler) ask(id, class string, budget time.Duration) (int, string) {
+	status, body, err := standin.Ask(&http.Client{Timeout: testTimeout}, b.addr, "", id, &standin.Kind{Class: class, Budget: budget, Body: 5})
 	assert.NoError(b.t, err)
 	return status, body
 }
@@ -102,8 +104,8 @@
 			standin.Done(r, c)
 		}
 	}})
-	b := startBench(t, w.Entry("SERVING"))
-	status, body := b.ask("plain", "view", patience)
+	b := startScheduler(t, w.Entry("SERVING"))
+	status, body := b.ask("plain", "view", testTimeout)
 	assert.Equal(t, 200, status)
 	assert.Equal(t, "made of plain", body)
 	status, _ = b.ask("silent", "send", 2*time.Second)
@@ -114,15 +116,15 @@
 	}
 
 	answered := make(chan int)
-	go func() { status, _ := b.ask("late", "view", patience); answered <- status }()
-	require.Eventually(t, func() bool { return slices.Contains(w.IDs(), "late") }, patience, time.Millisecond)
-	b.s.loop.Post(b.s.stop)
-	status, _ = b.ask("after the signal", "view", patience)
+	go func() { status, _ := b.ask("late", "view", testTimeout); answered <- status }()
+	require.Eventually(t, func() bool { return slices.Contains(w.IDs(), "late") }, testTimeout, time.Millisecond)
+	b.scheduler.loop.Post(b.scheduler.stop)
+	status, _ = b.ask("after the signal", "view", testTimeout)
 	assert.Equal(t, 200, status, "clients are served while they still come")
 	close(release)
 	assert.Equal(t, 200, <-answered)
-	<-b.end
-	assert.Zero(t, b.s.engine.OpenRequests())
+	<-b.ended
+	assert.Zero(t, b.scheduler.engine.OpenRequests())
 }
 
 // The door of a stopping scheduler once stayed open as long as anyone still came, and what it then took was lost at
@@ -130,28 +132,28 @@
 func TestTheDoorClosesWhoeverComes(t *testing.T) {
 	release := make(chan struct{})
 	w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: holdFinish(release)})
-	b := startBench(t, w.Entry("SERVING"))
+	b := startScheduler(t, w.Entry("SERVING"))
 	answered := make(chan int)
-	go func() { status, _ := b.ask("open", "view", patience); answered <- status }()
-	require.Eventually(t, func() bool { return len(w.IDs()) == 1 }, patience, time.Millisecond)
-	b.s.loop.Post(b.s.stop)
+	go func() { status, _ := b.ask("open", "view", testTimeout); answered <- status }()
+	require.Eventually(t, func() bool { return len(w.IDs()) == 1 }, testTimeout, time.Millisecond)
+	b.scheduler.loop.Post(b.scheduler.stop)
 	require.Eventually(t, func() bool {
-		c, err := net.Dial("tcp", b.s.driver.Addr())
+		c, err := net.Dial("tcp", b.scheduler.driver.Addr())
 		if err == nil {
 			c.Close()
 		}
 		return err != nil
-	}, patience, 10*time.Millisecond)
+	}, testTimeout, 10*time.Millisecond)
 	close(release)
 	assert.Equal(t, 200, <-answered)
-	<-b.end
+	<-b.ended
 }
 
 // Rule 2: what may have run is sent again only if its class allows, and never while an attempt is out.
 func TestNoEffectTwice(t *testing.T) {
 	w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) { c.Close() }})
-	b := startBench(t, w.Entry("SERVING"))
-	status, _ := b.ask("unsafe", "send", patience)
+	b := startScheduler(t, w.Entry("SERVING"))
+	status, _ := b.ask("unsafe", "send", testTimeout)
 	assert.Equal(t, 500, status)
 	assert.Equal(t, []string{"unsafe"}, w.IDs())
 
@@ -163,8 +165,8 @@
 		}
 		standin.Done(r, c)
 	}})
-	b = startBench(t, w2.Entry("SERVING"))
-	status, _ = b.ask("turned away", "send", patience)
+	b = startScheduler(t, w2.Entry("SERVING"))
+	status, _ = b.ask("turned away", "send", testTimeout)
 	assert.Equal(t, 200, status)
 	assert.Equal(t, []string{"turned away", "turned away"}, w2.IDs(), "it never ran, so it may go again")
 }
@@ -172,16 +174,16 @@
 // Rule 3: nothing new goes to a worker once discovery has told that it drains.
 func TestNothingNewToADrainingWorker(t *testing.T) {
 	a, z := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
-	b := startBench(t, a.Entry("SERVING"), z.Entry("SERVING"))
+	b := startScheduler(t, a.Entry("SERVING"), z.Entry("SERVING"))
 	b.discovery.Set(a.Entry("DRAINING"))
 	require.Eventually(t, func() bool {
 		told := make(chan int)
-		b.s.loop.Post(func() { n := 0; b.s.engine.EachReadyAddr(func(string) { n++ }); told <- n })
+		b.scheduler.loop.Post(func() { n := 0; b.scheduler.engine.EachReadyAddr(func(string) { n++ }); told <- n })
 		return <-told == 1
-	}, patience, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 	before := len(a.IDs())
 	for i := range 20 {
-		status, _ := b.ask(fmt.Sprint(i), "view", patience)
+		status, _ := b.ask(fmt.Sprint(i), "view", testTimeout)
 		assert.Equal(t, 200, status)
 	}
 	assert.Len(t, a.IDs(), before)
@@ -194,20 +196,20 @@
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
 	entry := w.Entry("SERVING")
 	entry.SinceMS = time.Now().UnixMilli()
-	b := startBench(t, entry)
+	b := startScheduler(t, entry)
 	status, _ := b.ask("1", "view", 500*time.Millisecond)
 	assert.Equal(t, 503, status, "the only worker is cold")
 	assert.Empty(t, w.IDs())
 	entry.SinceMS = time.Now().Add(-time.Hour).UnixMilli()
-	b = startBench(t, entry)
-	status, _ = b.ask("2", "view", patience)
+	b = startScheduler(t, entry)
+	status, _ = b.ask("2", "view", testTimeout)
 	assert.Equal(t, 200, status)
 }
 
 // An almost idle fleet once refused every job of a closed loop of short ones. How fast it goes is for the benchmark.
 func TestShortJobsFindRoom(t *testing.T) {
 	f := startFleet(t, 4, standin.WorkerConfig{Queue: 8, TellsStart: true})
-	b := startBench(t, f.Entries()...)
+	b := startScheduler(t, f.Entries()...)
 	kind := standin.Kind{Class: "view", Share: 1, Task: standin.Task{Run: time.Millisecond}, Budget: 5 * time.Second}
 	r := standin.Load{Target: b.addr, Seed: 1, For: time.Second, Clients: 8, Kinds: []standin.Kind{kind}}.Run(t.Context())
 	assert.Equal(t, r.Sent, r.Served, r)
@@ -250,27 +252,27 @@
 	z := startWorker(t, standin.WorkerConfig{Name: "z"})
 	first, second := startDiscovery(t, a.Entry("SERVING")), startDiscovery(t, z.Entry("SERVING"))
 
-	b := &bench{t: t, addr: freeAddr(t)}
+	b := &testScheduler{t: t, addr: freeAddr(t)}
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeConfig(t, path, standin.Site{Listen: b.addr, Discovery: first.Addr(), Known: first.Known()})
-	cmd, log := program(t, "program", "GW_CONFIG="+path, "GW_DISCOVERY="+first.Addr())
+	cmd, log := startTestBinary(t, "program", "GW_CONFIG="+path, "GW_DISCOVERY="+first.Addr())
 	log.await(t, "serving")
 	require.Eventually(t, func() bool { // until the watch is held
 		return slices.ContainsFunc(first.Calls(), func(q string) bool { return strings.HasSuffix(q, "hold_ms=8000") })
-	}, patience, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 	answered := make(chan int)
-	go func() { status, _ := b.ask("open", "view", patience); answered <- status }()
-	require.Eventually(t, func() bool { return slices.Contains(a.IDs(), "open") }, patience, time.Millisecond)
+	go func() { status, _ := b.ask("open", "view", testTimeout); answered <- status }()
+	require.Eventually(t, func() bool { return slices.Contains(a.IDs(), "open") }, testTimeout, time.Millisecond)
 
 	require.NoError(t, os.WriteFile(path, []byte(`{"half`), 0o600))
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 	log.await(t, "new configuration not taken")
 	writeConfig(t, path, standin.Site{Listen: b.addr, Discovery: second.Addr(), Known: first.Known()})
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
-	require.Eventually(t, func() bool { return len(second.Calls()) > 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(second.Calls()) > 1 }, testTimeout, time.Millisecond)
 	assert.Equal(t, "", second.Calls()[0], "the whole list: the other's index means nothing here")
 	assert.Contains(t, second.Calls()[1], "from=2&", "then the watch")
-	status, body := b.ask("next", "view", patience)
+	status, body := b.ask("next", "view", testTimeout)
 	assert.Equal(t, 200, status)
 	assert.Equal(t, "made of next", body)
 	assert.Equal(t, []string{"next"}, z.IDs())
@@ -280,32 +282,32 @@
 	assert.NoError(t, cmd.Wait())
 }
 
-// logged is the log of a program that is running.
-type logged struct {
-	mu   sync.Mutex
-	text string
-	news chan struct{}
+// programLog collects the log of a running program.
+type programLog struct {
+	mu      sync.Mutex
+	text    string
+	changed chan struct{}
 }
 
-func (l *logged) Write(b []byte) (int, error) {
+func (l *programLog) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.text += string(b)
 	select {
-	case l.news <- struct{}{}:
+	case l.changed <- struct{}{}:
 	default:
 	}
 	return len(b), nil
 }
 
-func (l *logged) String() string {
+func (l *programLog) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text
 }
 
-func (l *logged) await(t testing.TB, text string) {
-	for limit := time.After(patience); ; {
+func (l *programLog) await(t testing.TB, text string) {
+	for limit := time.After(testTimeout); ; {
 		l.mu.Lock()
 		all := l.text
 		l.mu.Unlock()
@@ -313,7 +315,7 @@
 			return
 		}
 		select {
-		case <-l.news:
+		case <-l.changed:
 		case <-limit:
 			require.Contains(t, all, text)
 		}
--- a/cmd/weldscale/services_test.go
+++ b/cmd/weldscale/services_test.go
@@ -39,14 +39,14 @@
 }
 
 // to asks for a job of a service and returns status, body and the advised wait.
-func (b *bench) to(host, path, id, class string, budget time.Duration) (int, string, string) {
+func (b *testScheduler) to(host, path, id, class string, budget time.Duration) (int, string, string) {
 	r, err := http.NewRequest("POST", "http://"+b.addr+path, strings.NewReader("sheet"))
 	require.NoError(b.t, err)
 	r.Host = host
 	r.Header.Set("X-Call-Id", id)
 	r.Header.Set("X-Call-Class", class)
 	r.Header.Set("X-Budget", fmt.Sprintf("%dm", budget.Milliseconds()))
-	resp, err := (&http.Client{Timeout: patience}).Do(r)
+	resp, err := (&http.Client{Timeout: testTimeout}).Do(r)
 	if !assert.NoError(b.t, err) {
 		return 0, "", ""
 	}
@@ -57,8 +57,8 @@
 }
 
 // apply puts a file in force, as a reload does.
-func (b *bench) apply(f operator.File) (err error) {
-	b.s.loop.Do(func() { err = b.s.applyServices(f) })
+func (b *testScheduler) apply(f operator.File) (err error) {
+	b.scheduler.loop.Do(func() { err = b.scheduler.applyServices(f) })
 	return err
 }
 
@@ -68,7 +68,7 @@
 		startWorker(t, standin.WorkerConfig{Name: "w"})
 	f := readFile(t, "platform {\n match { host = \"app.svc\" }\n}\n"+block("shop", "  limits { rate = 0.01 }\n", shop)+
 		block("proofs", "", proofs))
-	b := startBenchWith(t, []standin.Entry{main.Entry("SERVING")}, func(c *config) { c.file = f })
+	b := startSchedulerWith(t, []standin.Entry{main.Entry("SERVING")}, func(c *config) { c.file = f })
 	for i, c := range []struct {
 		host, path, class string
 		status            int
@@ -82,7 +82,7 @@
 		{"elsewhere.example.org", "/api/1", "view", 421, "no service for this host"},
 		{"", "/api/1", "view", 421, "no service for this host"}, // the address it was sent to
 	} {
-		status, body, wait := b.to(c.host, c.path, fmt.Sprint(i), c.class, patience)
+		status, body, wait := b.to(c.host, c.path, fmt.Sprint(i), c.class, testTimeout)
 		assert.Equal(t, c.status, status, "%+v", c)
 		assert.Contains(t, body, c.says, "%+v", c)
 		assert.Equal(t, status == 429, wait != "", "%+v: %s", c, wait)
@@ -99,7 +99,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, "HTTP/1.1 400", string(head), "no Host")
 	var stats string
-	b.s.loop.Do(func() { stats = b.s.server.Stats() })
+	b.scheduler.loop.Do(func() { stats = b.scheduler.server.Stats() })
 	assert.Contains(t, stats, "\nservice=shop open=0 begun=1 over_rate=1")
 }
 
@@ -107,7 +107,7 @@
 func TestOnePoolLosesAllItsBoxes(t *testing.T) {
 	gone, well := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "b"})
 	silent := startWorker(t, standin.WorkerConfig{Name: "c"})
-	b := startBenchWith(t, nil, func(c *config) {
+	b := startSchedulerWith(t, nil, func(c *config) {
 		c.file = readFile(t, block("gone", "", gone)+block("silent", "", silent)+block("well", "", well))
 	})
 	gone.Close()
@@ -121,13 +121,13 @@
 			})
 		}
 		all.Go(func() {
-			status, _, _ := b.to("well.example.org", "/api/1", fmt.Sprint("well", i), "send", patience)
+			status, _, _ := b.to("well.example.org", "/api/1", fmt.Sprint("well", i), "send", testTimeout)
 			assert.Equal(t, 200, status)
 		})
 	}
 	all.Wait()
 	assert.Len(t, well.IDs(), 30)
-	b.s.loop.Do(func() { assert.Zero(t, b.s.openRequests()) })
+	b.scheduler.loop.Do(func() { assert.Zero(t, b.scheduler.openRequests()) })
 }
 
 // Services come, change and go while requests are in hand: what was taken ends where it is, what is new goes by the
@@ -141,41 +141,41 @@
 		standin.Done(r, c)
 	}}
 	old, other, third := startWorker(t, held), startWorker(t, standin.WorkerConfig{Name: "z"}), startWorker(t, standin.WorkerConfig{Name: "z"})
-	b := startBenchWith(t, nil, func(c *config) { c.file = readFile(t, block("shop", "", old)) })
+	b := startSchedulerWith(t, nil, func(c *config) { c.file = readFile(t, block("shop", "", old)) })
 	answered := make(chan int)
 	go func() {
-		status, _, _ := b.to("shop.example.org", "/api/1", "held", "send", patience)
+		status, _, _ := b.to("shop.example.org", "/api/1", "held", "send", testTimeout)
 		answered <- status
 	}()
-	require.Eventually(t, func() bool { return slices.Contains(old.IDs(), "held") }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return slices.Contains(old.IDs(), "held") }, testTimeout, time.Millisecond)
 	bad := readFile(t, block("shop", "", other))
 	bad.Services[0].Classes[0].Terms.Deadline = 0
 	assert.ErrorContains(t, b.apply(bad), "deadline")
-	status, _, _ := b.to("shop.example.org", "/api/1", "1", "view", patience)
+	status, _, _ := b.to("shop.example.org", "/api/1", "1", "view", testTimeout)
 	assert.Equal(t, 200, status)
 	assert.Contains(t, old.IDs(), "1")
 
 	// Other workers under the same terms: the same service goes on.
 	require.NoError(t, b.apply(readFile(t, block("shop", "", other))))
-	status, _, _ = b.to("shop.example.org", "/api/1", "2", "view", patience)
+	status, _, _ = b.to("shop.example.org", "/api/1", "2", "view", testTimeout)
 	assert.Equal(t, 200, status)
 	assert.Equal(t, []string{"2"}, other.IDs())
 
 	// Other classes: another service of that name; then none.
 	require.NoError(t, b.apply(readFile(t, block("shop", "class \"more\" { effect = \"safe\" }\n", third))))
-	status, _, _ = b.to("shop.example.org", "/api/1", "3", "more", patience)
+	status, _, _ = b.to("shop.example.org", "/api/1", "3", "more", testTimeout)
 	assert.Equal(t, 200, status)
 	assert.Equal(t, []string{"3"}, third.IDs())
 	require.NoError(t, b.apply(readFile(t, block("desks", "", other))))
-	status, _, _ = b.to("shop.example.org", "/api/1", "4", "view", patience)
+	status, _, _ = b.to("shop.example.org", "/api/1", "4", "view", testTimeout)
 	assert.Equal(t, 421, status)
-	b.s.loop.Do(func() { assert.Equal(t, 1, b.s.openRequests()) })
+	b.scheduler.loop.Do(func() { assert.Equal(t, 1, b.scheduler.openRequests()) })
 	close(release)
 	assert.Equal(t, 200, <-answered)
 	require.Eventually(t, func() (left bool) {
-		b.s.loop.Do(func() { left = len(b.s.draining) == 0 })
+		b.scheduler.loop.Do(func() { left = len(b.scheduler.draining) == 0 })
 		return left
-	}, patience, 10*time.Millisecond)
+	}, testTimeout, 10*time.Millisecond)
 }
 
 // A worker file is watched; one that is half written, or lists a worker without an address, changes nothing.
@@ -191,20 +191,22 @@
 	}
 	write(list(a, "SERVING"))
 	text := strings.Replace(block("shop", ""), "workers {\n", fmt.Sprintf("workers {\n file = %q\n", path), 1)
-	b := startBenchWith(t, nil, func(c *config) { c.file = readFile(t, text) })
+	b := startSchedulerWith(t, nil, func(c *config) { c.file = readFile(t, text) })
 	names := func() (out []string) {
-		b.s.loop.Do(func() { b.s.services["shop"].engine.EachReadyAddr(func(addr string) { out = append(out, addr) }) })
+		b.scheduler.loop.Do(func() {
+			b.scheduler.services["shop"].engine.EachReadyAddr(func(addr string) { out = append(out, addr) })
+		})
 		return out
 	}
-	require.Eventually(t, func() bool { return slices.Equal(names(), []string{a.Addr()}) }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return slices.Equal(names(), []string{a.Addr()}) }, testTimeout, time.Millisecond)
 	write(`{"endpoints":[`)
 	write(`{"endpoints":[{"name":"z"}]}`)
-	status, _, _ := b.to("shop.example.org", "/api/1", "1", "view", patience)
+	status, _, _ := b.to("shop.example.org", "/api/1", "1", "view", testTimeout)
 	assert.Equal(t, 200, status)
 	write(list(z, "SERVING"))
-	require.Eventually(t, func() bool { return slices.Equal(names(), []string{z.Addr()}) }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return slices.Equal(names(), []string{z.Addr()}) }, testTimeout, time.Millisecond)
 	write(list(z, "DRAINING"))
-	require.Eventually(t, func() bool { return len(names()) == 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(names()) == 0 }, testTimeout, time.Millisecond)
 	f := readFile(t, strings.Replace(text, "workers.json", "nowhere.json", 1))
 	assert.ErrorContains(t, b.apply(f), "no such file")
 }
--- a/cmd/weldscale/signals_test.go
+++ b/cmd/weldscale/signals_test.go
@@ -20,7 +20,7 @@
 // Signals that come at rare moments, to a process of its own.
 
 // listens waits until the program serves and returns where: a port that was free before may be another's by then.
-func (l *logged) listens(t testing.TB) string {
+func (l *programLog) listens(t testing.TB) string {
 	l.await(t, "serving")
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -38,14 +38,14 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	site := standin.Site{Discovery: first.Addr(), Known: first.Known()}
 	writeConfig(t, path, site)
-	cmd, log := program(t, "program", "GW_CONFIG="+path)
+	cmd, log := startTestBinary(t, "program", "GW_CONFIG="+path)
 	addr := log.listens(t)
 	answered := make(chan int, 1)
 	go func() {
-		status, _, _ := standin.Ask(client(), addr, "", "open", &standin.Kind{Class: "view", Budget: patience, Body: 5})
+		status, _, _ := standin.Ask(client(), addr, "", "open", &standin.Kind{Class: "view", Budget: testTimeout, Body: 5})
 		answered <- status
 	}()
-	require.Eventually(t, func() bool { return len(a.IDs()) == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(a.IDs()) == 1 }, testTimeout, time.Millisecond)
 	require.NoError(t, os.WriteFile(path, []byte(`{"half`), 0o600))
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 	log.await(t, "new configuration not taken")
@@ -54,7 +54,7 @@
 	for range 2 {
 		require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 	}
-	require.Eventually(t, func() bool { return len(second.Calls()) > 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(second.Calls()) > 1 }, testTimeout, time.Millisecond)
 	assert.Equal(t, "", second.Calls()[0])
 	for _, sig := range []os.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
 		require.NoError(t, cmd.Process.Signal(sig))
@@ -99,13 +99,13 @@
 			text = strings.NewReplacer("DISCOVERY", d.Addr(), `"KNOWN"`, string(d.Known())).Replace(text)
 			path := filepath.Join(t.TempDir(), "config.json")
 			require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-			cmd, log := program(t, "program", "GW_CONFIG="+path)
+			cmd, log := startTestBinary(t, "program", "GW_CONFIG="+path)
 			addr := log.listens(t)
 			status := 0
 			require.Eventually(t, func() bool { // nothing known: until the list has come
-				status, _, _ = standin.Ask(client(), addr, "", standin.Result(name, 0)+time.Now().String()[:26], &standin.Kind{Class: c.class, Budget: patience, Body: 5})
+				status, _, _ = standin.Ask(client(), addr, "", standin.Result(name, 0)+time.Now().String()[:26], &standin.Kind{Class: c.class, Budget: testTimeout, Body: 5})
 				return status != 503
-			}, patience, 10*time.Millisecond)
+			}, testTimeout, 10*time.Millisecond)
 			assert.Equal(t, 200, status)
 			require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 			assert.NoError(t, cmd.Wait())
--- a/cmd/weldscale/slow_test.go
+++ b/cmd/weldscale/slow_test.go
@@ -17,9 +17,9 @@
 	"weldscale/internal/standin"
 )
 
-// counts reads the account of slow peers on the loop.
-func (b *bench) counts() (c pace.Counts) {
-	b.s.loop.Do(func() { c = b.s.server.Pace.Counts() })
+// slowPeerCounts reads the counts of slow peers on the loop.
+func (b *testScheduler) slowPeerCounts() (c pace.Counts) {
+	b.scheduler.loop.Do(func() { c = b.scheduler.server.Pace.Counts() })
 	return c
 }
 
@@ -27,11 +27,11 @@
 // request whose answer nobody took is not tried again.
 func TestSlowPeers(t *testing.T) {
 	f := startFleet(t, 4, standin.WorkerConfig{Queue: 8, TellsStart: true})
-	b := startBenchWith(t, f.Entries(), func(c *config) {
+	b := startSchedulerWith(t, f.Entries(), func(c *config) {
 		c.file.SlowPeers.Links = []pace.Link{{Name: "murun", Prefixes: []netip.Prefix{netip.MustParsePrefix("127.0.3.0/24")},
 			In: 64, Out: 64}}
 	})
-	ctx, stop := context.WithTimeout(t.Context(), patience)
+	ctx, stop := context.WithTimeout(t.Context(), testTimeout)
 	defer stop()
 	kind := func(class string, body, size int) standin.Kind {
 		return standin.Kind{Class: class, Budget: 9 * time.Second, Body: body, Task: standin.Task{Size: size}}
@@ -53,8 +53,8 @@
 		}
 		group.Go(func() { ends[i] = c.Run(ctx) })
 	}
-	cut := func() int { c := b.counts(); return c.CutIn + c.CutOut + c.CutCrowd }
-	require.Eventually(t, func() bool { return cut() == 40 }, patience, 10*time.Millisecond)
+	cut := func() int { c := b.slowPeerCounts(); return c.CutIn + c.CutOut + c.CutCrowd }
+	require.Eventually(t, func() bool { return cut() == 40 }, testTimeout, 10*time.Millisecond)
 	honest.Wait()
 	stop() // the system may yet hand the deaf what it holds
 	slow.Wait()
@@ -66,7 +66,7 @@
 		assert.Equal(t, c.Peers, ends[i].Served, "%s: %v", c.Name, ends[i])
 	}
 	assert.Equal(t, 40, cut())
-	assert.Positive(t, b.counts().CutOut)
+	assert.Positive(t, b.slowPeerCounts().CutOut)
 	var ids []string
 	for _, w := range f.Workers {
 		ids = append(ids, w.IDs()...)
@@ -74,13 +74,13 @@
 	slices.Sort(ids)
 	assert.Len(t, ids, 29, "20 deaf and 9 honest ones")
 	assert.Len(t, slices.Compact(ids), 29, "none runs twice")
-	require.Eventually(t, func() bool { return b.counts().Bytes == 0 }, patience, time.Millisecond, "nothing of them stays")
+	require.Eventually(t, func() bool { return b.slowPeerCounts().Bytes == 0 }, testTimeout, time.Millisecond, "nothing of them stays")
 }
 
 // A scheduler that stops waits for answers that are being taken, though slowly.
 func TestStopWhileAnAnswerIsTakenSlowly(t *testing.T) {
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
-	b := startBench(t, w.Entry("SERVING"))
+	b := startScheduler(t, w.Entry("SERVING"))
 	c, err := (&net.Dialer{}).Dial("tcp", b.addr)
 	require.NoError(t, err)
 	defer c.Close()
@@ -88,12 +88,15 @@
 	const size = 250000
 	_, err = io.WriteString(c, "POST /api/1?size=250000 HTTP/1.1\r\nHost: a\r\nX-Call-Id: 1\r\nX-Call-Class: send\r\nX-Budget: 9000m\r\nConnection: close\r\n\r\n")
 	require.NoError(t, err)
-	unsent := func() (n int) { b.s.loop.Do(func() { n = b.s.driver.Unsent() }); return n }
-	require.Eventually(t, func() bool { return unsent() == 1 }, patience, time.Millisecond, "a part waits here")
-	b.s.loop.Post(b.s.stop)
-	require.Eventually(t, func() (closed bool) { b.s.loop.Do(func() { closed = b.s.listenerClosed }); return closed }, patience, time.Millisecond)
+	unsent := func() (n int) { b.scheduler.loop.Do(func() { n = b.scheduler.driver.Unsent() }); return n }
+	require.Eventually(t, func() bool { return unsent() == 1 }, testTimeout, time.Millisecond, "a part waits here")
+	b.scheduler.loop.Post(b.scheduler.stop)
+	require.Eventually(t, func() (closed bool) {
+		b.scheduler.loop.Do(func() { closed = b.scheduler.listenerClosed })
+		return closed
+	}, testTimeout, time.Millisecond)
 	got, err := io.ReadAll(c)
 	require.NoError(t, err)
 	assert.Greater(t, len(got), size)
-	<-b.end
+	<-b.ended
 }
--- a/cmd/weldscale/throughput_test.go
+++ b/cmd/weldscale/throughput_test.go
@@ -28,9 +28,9 @@
 //
 //	go test ./cmd/weldscale -run '^$' -bench Serve -benchtime 1x
 
-// program starts this test binary in a mode of TestMain and returns it with its log.
-func program(t testing.TB, mode string, env ...string) (*exec.Cmd, *logged) {
-	log := &logged{news: make(chan struct{}, 1)}
+// startTestBinary starts this test binary in a mode of TestMain and returns the process and its log.
+func startTestBinary(t testing.TB, mode string, env ...string) (*exec.Cmd, *programLog) {
+	log := &programLog{changed: make(chan struct{}, 1)}
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(append(os.Environ(), "WELDSCALE_TEST="+mode), env...)
 	cmd.Stderr = log
@@ -63,12 +63,12 @@
 	return ""
 }
 
-// startProgram starts a scheduler in a process of its own and waits until it serves.
-func startProgram(t testing.TB, site standin.Site, env ...string) (*exec.Cmd, string) {
+// startSchedulerProcess starts a scheduler in a process of its own and waits until it serves.
+func startSchedulerProcess(t testing.TB, site standin.Site, env ...string) (*exec.Cmd, string) {
 	site.Listen = freeAddr(t)
 	path := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(path, site.Config(), 0o600))
-	cmd, log := program(t, "program", append(env, "GW_CONFIG="+path)...)
+	cmd, log := startTestBinary(t, "program", append(env, "GW_CONFIG="+path)...)
 	log.await(t, "serving")
 	return cmd, site.Listen
 }
@@ -94,8 +94,8 @@
 	_ = http.Serve(ln, proxy)
 }
 
-// cpuOf is the processor time that a process has used.
-func cpuOf(t testing.TB, pid int) time.Duration {
+// processCPUTime returns the CPU time that a process has used.
+func processCPUTime(t testing.TB, pid int) time.Duration {
 	var clock unix.Timespec
 	require.NoError(t, unix.ClockGettime(int32(^pid<<3|2), &clock)) // the process's CPU clock, as clock_getcpuclockid(3)
 	return time.Duration(clock.Nano())
@@ -123,12 +123,12 @@
 		for _, report := range []time.Duration{0, 100 * time.Millisecond} {
 			b.Run(fmt.Sprintf("%s/reports=%v", c.name, report), func(b *testing.B) {
 				f := startFleet(b, 8, standin.WorkerConfig{Queue: 16, TellsStart: true, Refresh: report})
-				cmd, addr := startProgram(b, standin.Site{Discovery: f.Discovery.Addr(), Known: f.Discovery.Known()})
+				cmd, addr := startSchedulerProcess(b, standin.Site{Discovery: f.Discovery.Addr(), Known: f.Discovery.Known()})
 				proxyAddr, to := freeAddr(b), ""
 				for _, w := range f.Workers {
 					to += w.Addr() + " "
 				}
-				proxy, log := program(b, "proxy", "PROXY_LISTEN="+proxyAddr, "PROXY_TO="+to)
+				proxy, log := startTestBinary(b, "proxy", "PROXY_LISTEN="+proxyAddr, "PROXY_TO="+to)
 				log.await(b, "serving")
 				load := c.load
 				load.For, load.Seed = 5*time.Second, 1
@@ -139,10 +139,10 @@
 						pid  int
 					}{{addr, cmd.Process.Pid}, {proxyAddr, proxy.Process.Pid}} {
 						load.Target, load.Name = target.addr, fmt.Sprint("b", i)
-						before := cpuOf(b, target.pid)
+						before := processCPUTime(b, target.pid)
 						r := load.Run(context.Background())
 						rate[i] = float64(r.Served) / r.Took.Seconds()
-						cpu[i] = float64((cpuOf(b, target.pid) - before).Microseconds()) / float64(max(1, r.Sent))
+						cpu[i] = float64((processCPUTime(b, target.pid) - before).Microseconds()) / float64(max(1, r.Sent))
 						if i == 0 {
 							b.ReportMetric(float64(r.Served), "served")
 							b.ReportMetric(float64(r.Refused), "refused")
@@ -164,7 +164,7 @@
 
 // What the load command's clients drive on two cores, against a stand-in worker in a process of its own.
 func BenchmarkLoad(b *testing.B) {
-	_, log := program(b, "worker")
+	_, log := startTestBinary(b, "worker")
 	log.await(b, "now")
 	addr := strings.Fields(log.text)[2]
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(2))
--- a/cmd/weldscale/upgrade_test.go
+++ b/cmd/weldscale/upgrade_test.go
@@ -38,7 +38,7 @@
 	p    *place
 	cmd  *exec.Cmd
 	mgmt string
-	said *logged
+	said *programLog
 }
 
 func newPlace(t *testing.T, d *standin.Discovery) *place {
@@ -63,7 +63,7 @@
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 100+os.Getpid()%100, os.Getpid()/100%250, 1+processes.Add(1)%250))
 	require.NoError(p.t, err)
 	ln.Close()
-	x := &process{p: p, mgmt: ln.Addr().String(), cmd: exec.Command(os.Args[0]), said: &logged{news: make(chan struct{}, 1)}}
+	x := &process{p: p, mgmt: ln.Addr().String(), cmd: exec.Command(os.Args[0]), said: &programLog{changed: make(chan struct{}, 1)}}
 	if p.files > 0 {
 		x.cmd = exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", p.files, os.Args[0]))
 	}
@@ -94,7 +94,7 @@
 		}
 		resp.Body.Close()
 		return resp.StatusCode == 200
-	}, patience, 5*time.Millisecond)
+	}, testTimeout, 5*time.Millisecond)
 	return x
 }
 
@@ -128,13 +128,13 @@
 			// One connection at a time: a further dial says that the one before ended.
 			transport := &http.Transport{DialContext: (&counting{&c.dials}).dial, MaxConnsPerHost: 1}
 			defer transport.CloseIdleConnections()
-			client := &http.Client{Timeout: patience, Transport: transport}
+			client := &http.Client{Timeout: testTimeout, Transport: transport}
 			for k := 0; !c.stop.Load(); k++ {
 				id := fmt.Sprint(name, i, "-", k)
-				kind := &standin.Kind{Class: "send", Budget: patience, Body: 5}
+				kind := &standin.Kind{Class: "send", Budget: testTimeout, Body: 5}
 				status, body, err := standin.Ask(client, p.addr, "", id, kind)
 				// Where the machine is busy a start may come late and a job be refused: nothing ran, and the client comes again.
-				for again := time.Now(); err == nil && status == 503 && time.Since(again) < patience; {
+				for again := time.Now(); err == nil && status == 503 && time.Since(again) < testTimeout; {
 					time.Sleep(10 * time.Millisecond)
 					id += "r"
 					status, body, err = standin.Ask(client, p.addr, "", id, kind)
@@ -186,10 +186,10 @@
 	require.Equal(t, 200, first.hand("out", "offline"))
 	last := make(chan string)
 	go func() {
-		status, body, err := standin.Ask(&http.Client{Timeout: patience}, p.addr, "", "long", &standin.Kind{Class: "send", Budget: patience, Body: 9})
+		status, body, err := standin.Ask(&http.Client{Timeout: testTimeout}, p.addr, "", "long", &standin.Kind{Class: "send", Budget: testTimeout, Body: 9})
 		last <- fmt.Sprint(status, body, err)
 	}()
-	require.Eventually(t, func() bool { return slices.Contains(w.IDs(), "long") }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return slices.Contains(w.IDs(), "long") }, testTimeout, time.Millisecond)
 	c := p.crowd("c", 8)
 	second := p.run().ready()
 	first.stop()
@@ -235,7 +235,7 @@
 	assert.Empty(t, a.IDs())
 	require.Equal(t, 200, older.hand("a", "online"))
 	c = p.crowd("f", 4)
-	require.Eventually(t, func() bool { return len(a.IDs()) > 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(a.IDs()) > 0 }, testTimeout, time.Millisecond)
 	_, other = c.done()
 	assert.Empty(t, other)
 }
@@ -386,19 +386,19 @@
 		t.Cleanup(c.Close)
 		return c
 	}
-	require.Eventually(t, func() bool { return len(g.d.Calls()) >= 2 }, patience, time.Millisecond) // the watch is held
+	require.Eventually(t, func() bool { return len(g.d.Calls()) >= 2 }, testTimeout, time.Millisecond) // the watch is held
 	g.kept, g.long = call(), call()
-	require.NoError(t, g.kept.Send(standin.Job("warm", "view", patience, "x")))
-	status, _, err := g.kept.Answer(patience)
+	require.NoError(t, g.kept.Send(standin.Job("warm", "view", testTimeout, "x")))
+	status, _, err := g.kept.Answer(testTimeout)
 	require.NoError(t, err)
 	require.Equal(t, 200, status)
-	require.NoError(t, g.long.Send(standin.Job("long", "send", patience, "x")))
-	require.Eventually(t, func() bool { return slices.Contains(g.w.IDs(), "long") }, patience, time.Millisecond)
+	require.NoError(t, g.long.Send(standin.Job("long", "send", testTimeout, "x")))
+	require.Eventually(t, func() bool { return slices.Contains(g.w.IDs(), "long") }, testTimeout, time.Millisecond)
 	g.d.Set(g.w.Entry("DRAINING")) // nobody has room
-	require.Eventually(t, func() bool { return len(g.d.Calls()) >= 3 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(g.d.Calls()) >= 3 }, testTimeout, time.Millisecond)
 	g.waits = call()
-	require.NoError(t, g.waits.Send(standin.Job("waits", "view", patience, "x")))
-	require.Eventually(t, func() bool { return g.old.inFlight() == 2 }, patience, time.Millisecond)
+	require.NoError(t, g.waits.Send(standin.Job("waits", "view", testTimeout, "x")))
+	require.Eventually(t, func() bool { return g.old.inFlight() == 2 }, testTimeout, time.Millisecond)
 	g.young = g.run().ready()
 	g.old.signal(syscall.SIGTERM)
 	g.old.said.await(t, "stopping")
@@ -407,7 +407,7 @@
 
 // passed waits until the young process has the jobs.
 func (g *handoverRig) passed(n int) {
-	require.Eventually(g.t, func() bool { return g.young.inFlight() == n }, patience, 5*time.Millisecond)
+	require.Eventually(g.t, func() bool { return g.young.inFlight() == n }, testTimeout, 5*time.Millisecond)
 }
 
 // serves has room again for what waits, lets the long job end, and expects each that still has a client to be answered once.
@@ -415,12 +415,12 @@
 	g.d.Set(g.room.Entry("SERVING"))
 	close(g.release)
 	if !g.longEnds {
-		status, body, err := g.long.Answer(patience)
+		status, body, err := g.long.Answer(testTimeout)
 		require.NoError(g.t, err)
 		assert.Equal(g.t, "200 made of long", fmt.Sprint(status, " ", body))
 	}
 	if !g.waitsEnds {
-		status, body, err := g.waits.Answer(patience)
+		status, body, err := g.waits.Answer(testTimeout)
 		require.NoError(g.t, err)
 		assert.Equal(g.t, "200 made of waits", fmt.Sprint(status, " ", body))
 	}
@@ -428,8 +428,8 @@
 
 // keeps expects the kept connection to live on at the process.
 func (g *handoverRig) keeps(id string) {
-	require.NoError(g.t, g.kept.Send(standin.Job(id, "view", patience, "x")))
-	status, _, err := g.kept.Answer(patience)
+	require.NoError(g.t, g.kept.Send(standin.Job(id, "view", testTimeout, "x")))
+	status, _, err := g.kept.Answer(testTimeout)
 	require.NoError(g.t, err)
 	assert.Equal(g.t, 200, status)
 }
@@ -466,7 +466,7 @@
 			g.young.ends()
 			third := g.run().ready()
 			c := g.crowd("c", 1)
-			require.Eventually(g.t, func() bool { c.mu.Lock(); defer c.mu.Unlock(); return c.served > 0 }, patience, time.Millisecond)
+			require.Eventually(g.t, func() bool { c.mu.Lock(); defer c.mu.Unlock(); return c.served > 0 }, testTimeout, time.Millisecond)
 			_, other := c.done()
 			assert.Empty(g.t, other)
 			third.stop()
@@ -499,7 +499,7 @@
 			g.old.ends()
 			third := g.run().ready()
 			g.young.signal(syscall.SIGTERM)
-			require.Eventually(g.t, func() bool { return third.inFlight() == 2 }, patience, 5*time.Millisecond)
+			require.Eventually(g.t, func() bool { return third.inFlight() == 2 }, testTimeout, 5*time.Millisecond)
 			g.young.ends()
 			g.serves()
 			g.keeps("again")
@@ -513,7 +513,7 @@
 			assert.Equal(t, 1, strings.Count(strings.Join(g.w.IDs(), " "), "long"), "it must not run twice")
 		})
 	}
-	for how, away := range leave {
+	for how, away := range disconnects {
 		for _, after := range []bool{false, true} {
 			t.Run(fmt.Sprintf("clients go, %s, after the jobs have passed %v", how, after), func(t *testing.T) {
 				t.Parallel()
@@ -526,7 +526,7 @@
 				away(g.waits)
 				select {
 				case <-g.left:
-				case <-time.After(patience):
+				case <-time.After(testTimeout):
 					require.FailNow(t, "the attempt of a client that has gone is out still")
 				}
 				g.passed(0)
