--- a/cmd/weldscale/rules_test.go
+++ b/cmd/weldscale/rules_test.go
@@ -21,8 +21,8 @@
 	"weldscale/internal/standin"
 )
 
-// The four rules on real sockets. One scheduler runs against stand-ins of discovery and of workers. Nothing here is
-// judged by how long it takes.
+// These tests check the four rules of job dispatch over real sockets: one scheduler runs against stand-ins of discovery and
+// of workers. None of them asserts how long something takes.
 
 const testTimeout = 20 * time.Second
 
@@ -60,38 +60,38 @@
 
 // startSchedulerWith starts one with changes to its configuration.
 func startSchedulerWith(t *testing.T, entries []standin.Entry, change ...func(*config)) *testScheduler {
-	b := &testScheduler{t: t, ended: make(chan struct{}), discovery: startDiscovery(t, entries...)}
+	ts := &testScheduler{t: t, ended: make(chan struct{}), discovery: startDiscovery(t, entries...)}
 	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, standin.Site{Discovery: b.discovery.Addr(), Known: b.discovery.Known()})
+	writeConfig(t, path, standin.Site{Discovery: ts.discovery.Addr(), Known: ts.discovery.Known()})
 	c, err := loadConfig(func(key string) string { return map[string]string{"GW_CONFIG": path}[key] })
 	require.NoError(t, err)
 	c.file = operator.Default(c.Limits.MemoryMB << 20)
 	for _, f := range change {
 		f(c)
 	}
-	b.scheduler, err = start(c)
+	ts.scheduler, err = start(c)
 	require.NoError(t, err)
-	b.addr = b.scheduler.driver.Addr()
-	go func() { b.scheduler.loop.Run(); close(b.ended) }()
+	ts.addr = ts.scheduler.driver.Addr()
+	go func() { ts.scheduler.loop.Run(); close(ts.ended) }()
 	t.Cleanup(func() {
 		select {
-		case <-b.ended:
+		case <-ts.ended:
 		default:
-			b.scheduler.loop.Post(b.scheduler.loop.Stop)
-			<-b.ended
+			ts.scheduler.loop.Post(ts.scheduler.loop.Stop)
+			<-ts.ended
 		}
 	})
-	return b
+	return ts
 }
 
 // ask sends one request and returns status and body of its answer.
-func (b *testScheduler) ask(id, class string, budget time.Duration) (int, string) {
-	status, body, err := standin.Ask(&http.Client{Timeout: testTimeout}, b.addr, "", id, &standin.Kind{Class: class, Budget: budget, Body: 5})
-	assert.NoError(b.t, err)
+func (ts *testScheduler) ask(id, class string, budget time.Duration) (int, string) {
+	status, body, err := standin.Ask(&http.Client{Timeout: testTimeout}, ts.addr, "", id, &standin.Kind{Class: class, Budget: budget, Body: 5})
+	assert.NoError(ts.t, err)
 	return status, body
 }
 
-// Rule 1: every request that was taken gets its one answer, whatever the worker does, and also across SIGTERM.
+// Rule 1: each accepted request gets exactly one answer, whatever its worker does, also during a shutdown by SIGTERM.
 func TestNoRequestIsDropped(t *testing.T) {
 	release := make(chan struct{})
 	w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) {
@@ -104,41 +104,41 @@
 			standin.Done(r, c)
 		}
 	}})
-	b := startScheduler(t, w.Entry("SERVING"))
-	status, body := b.ask("plain", "view", testTimeout)
+	ts := startScheduler(t, w.Entry("SERVING"))
+	status, body := ts.ask("plain", "view", testTimeout)
 	assert.Equal(t, 200, status)
 	assert.Equal(t, "made of plain", body)
-	status, _ = b.ask("silent", "send", 2*time.Second)
+	status, _ = ts.ask("silent", "send", 2*time.Second)
 	if slices.Contains(w.IDs(), "silent") {
-		assert.Equal(t, 500, status, "it may have run: no refusal")
-	} else { // a machine too busy to send it in time
+		assert.Equal(t, 500, status, "a job that may have run is not refused")
+	} else { // the machine was too busy to send it in time
 		assert.Equal(t, 503, status)
 	}
 
 	answered := make(chan int)
-	go func() { status, _ := b.ask("late", "view", testTimeout); answered <- status }()
+	go func() { status, _ := ts.ask("late", "view", testTimeout); answered <- status }()
 	require.Eventually(t, func() bool { return slices.Contains(w.IDs(), "late") }, testTimeout, time.Millisecond)
-	b.scheduler.loop.Post(b.scheduler.stop)
-	status, _ = b.ask("after the signal", "view", testTimeout)
-	assert.Equal(t, 200, status, "clients are served while they still come")
+	ts.scheduler.loop.Post(ts.scheduler.stop)
+	status, _ = ts.ask("after the signal", "view", testTimeout)
+	assert.Equal(t, 200, status, "requests that arrive early in the shutdown are served")
 	close(release)
 	assert.Equal(t, 200, <-answered)
-	<-b.ended
-	assert.Zero(t, b.scheduler.engine.OpenRequests())
+	<-ts.ended
+	assert.Zero(t, ts.scheduler.engine.OpenRequests())
 }
 
-// The door of a stopping scheduler once stayed open as long as anyone still came, and what it then took was lost at
-// its end.
-func TestTheDoorClosesWhoeverComes(t *testing.T) {
+// A scheduler in shutdown once kept its listener open as long as clients still connected, and lost the requests that it then
+// accepted when it ended.
+func TestStopClosesListenerWhileClientsConnect(t *testing.T) {
 	release := make(chan struct{})
 	w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: holdFinish(release)})
-	b := startScheduler(t, w.Entry("SERVING"))
+	ts := startScheduler(t, w.Entry("SERVING"))
 	answered := make(chan int)
-	go func() { status, _ := b.ask("open", "view", testTimeout); answered <- status }()
+	go func() { status, _ := ts.ask("open", "view", testTimeout); answered <- status }()
 	require.Eventually(t, func() bool { return len(w.IDs()) == 1 }, testTimeout, time.Millisecond)
-	b.scheduler.loop.Post(b.scheduler.stop)
+	ts.scheduler.loop.Post(ts.scheduler.stop)
 	require.Eventually(t, func() bool {
-		c, err := net.Dial("tcp", b.scheduler.driver.Addr())
+		c, err := net.Dial("tcp", ts.scheduler.driver.Addr())
 		if err == nil {
 			c.Close()
 		}
@@ -146,82 +146,82 @@
 	}, testTimeout, 10*time.Millisecond)
 	close(release)
 	assert.Equal(t, 200, <-answered)
-	<-b.ended
+	<-ts.ended
 }
 
-// Rule 2: what may have run is sent again only if its class allows, and never while an attempt is out.
+// Rule 2: a job that may have run is sent again only if its class allows that, and never while an attempt is in flight.
 func TestNoEffectTwice(t *testing.T) {
 	w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) { c.Close() }})
-	b := startScheduler(t, w.Entry("SERVING"))
-	status, _ := b.ask("unsafe", "send", testTimeout)
+	ts := startScheduler(t, w.Entry("SERVING"))
+	status, _ := ts.ask("unsafe", "send", testTimeout)
 	assert.Equal(t, 500, status)
 	assert.Equal(t, []string{"unsafe"}, w.IDs())
 
-	var turned atomic.Int64
+	var attempts atomic.Int64
 	w2 := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) {
-		if turned.Add(1) == 1 {
+		if attempts.Add(1) == 1 {
 			fmt.Fprint(c, "HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")
 			return
 		}
 		standin.Done(r, c)
 	}})
-	b = startScheduler(t, w2.Entry("SERVING"))
-	status, _ = b.ask("turned away", "send", testTimeout)
+	ts = startScheduler(t, w2.Entry("SERVING"))
+	status, _ = ts.ask("rejected by worker", "send", testTimeout)
 	assert.Equal(t, 200, status)
-	assert.Equal(t, []string{"turned away", "turned away"}, w2.IDs(), "it never ran, so it may go again")
+	assert.Equal(t, []string{"rejected by worker", "rejected by worker"}, w2.IDs(), "it never ran, so it may be sent again")
 }
 
-// Rule 3: nothing new goes to a worker once discovery has told that it drains.
+// Rule 3: once discovery has reported that a worker drains, no new job goes to it.
 func TestNothingNewToADrainingWorker(t *testing.T) {
 	a, z := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
-	b := startScheduler(t, a.Entry("SERVING"), z.Entry("SERVING"))
-	b.discovery.Set(a.Entry("DRAINING"))
+	ts := startScheduler(t, a.Entry("SERVING"), z.Entry("SERVING"))
+	ts.discovery.Set(a.Entry("DRAINING"))
 	require.Eventually(t, func() bool {
-		told := make(chan int)
-		b.scheduler.loop.Post(func() { n := 0; b.scheduler.engine.EachReadyAddr(func(string) { n++ }); told <- n })
-		return <-told == 1
+		ready := make(chan int)
+		ts.scheduler.loop.Post(func() { n := 0; ts.scheduler.engine.EachReadyAddr(func(string) { n++ }); ready <- n })
+		return <-ready == 1
 	}, testTimeout, time.Millisecond)
 	before := len(a.IDs())
 	for i := range 20 {
-		status, _ := b.ask(fmt.Sprint(i), "view", testTimeout)
+		status, _ := ts.ask(fmt.Sprint(i), "view", testTimeout)
 		assert.Equal(t, 200, status)
 	}
 	assert.Len(t, a.IDs(), before)
 	assert.Len(t, z.IDs(), 20)
 }
 
-// Rule 4: a worker's start is a wall time; read as a moment of our clock it keeps a cold worker from work
-// that nobody has yet seen a warm one carry.
-func TestColdWorkerIsNotPushedOver(t *testing.T) {
+// Rule 4: a worker in its cold start gets no load that no warm worker has been seen to bear yet. Its start time comes from the
+// wall clock and is converted to the scheduler's monotonic clock.
+func TestColdWorkerIsNotOverloaded(t *testing.T) {
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
 	entry := w.Entry("SERVING")
 	entry.SinceMS = time.Now().UnixMilli()
-	b := startScheduler(t, entry)
-	status, _ := b.ask("1", "view", 500*time.Millisecond)
+	ts := startScheduler(t, entry)
+	status, _ := ts.ask("1", "view", 500*time.Millisecond)
 	assert.Equal(t, 503, status, "the only worker is cold")
 	assert.Empty(t, w.IDs())
 	entry.SinceMS = time.Now().Add(-time.Hour).UnixMilli()
-	b = startScheduler(t, entry)
-	status, _ = b.ask("2", "view", testTimeout)
+	ts = startScheduler(t, entry)
+	status, _ = ts.ask("2", "view", testTimeout)
 	assert.Equal(t, 200, status)
 }
 
-// An almost idle fleet once refused every job of a closed loop of short ones. How fast it goes is for the benchmark.
+// A closed loop of short jobs was once refused entirely by an almost idle fleet. BenchmarkServe measures the throughput.
 func TestShortJobsFindRoom(t *testing.T) {
 	f := startFleet(t, 4, standin.WorkerConfig{Queue: 8, TellsStart: true})
-	b := startScheduler(t, f.Entries()...)
+	ts := startScheduler(t, f.Entries()...)
 	kind := standin.Kind{Class: "view", Share: 1, Task: standin.Task{Run: time.Millisecond}, Budget: 5 * time.Second}
-	r := standin.Load{Target: b.addr, Seed: 1, For: time.Second, Clients: 8, Kinds: []standin.Kind{kind}}.Run(t.Context())
+	r := standin.Load{Target: ts.addr, Seed: 1, For: time.Second, Clients: 8, Kinds: []standin.Kind{kind}}.Run(t.Context())
 	assert.Equal(t, r.Sent, r.Served, r)
 	assert.Zero(t, r.Wrong)
 	assert.Greater(t, r.Sent, 100)
 }
 
-// TestMain lets a test start this program as a process of its own, which signals go to.
+// TestMain lets a test start this test binary as the program, a worker or a proxy, in a process that it can send signals to.
 func TestMain(m *testing.M) {
 	switch os.Getenv("WELDSCALE_TEST") {
 	case "program":
-		os.Args = os.Args[:1] // of the test binary's flags
+		os.Args = os.Args[:1] // without the test binary's flags
 		if args := os.Getenv("WELDSCALE_ARGS"); args != "" {
 			os.Args = append(os.Args, strings.Split(args, "\n")...)
 		}
@@ -244,40 +244,40 @@
 	os.Exit(m.Run())
 }
 
-// SIGHUP once ended the program with all it had taken. It moves the watch, with a call that the old discovery
-// holds or not, keeps what is open, and leaves all as it is where the new file can't be used.
+// SIGHUP once ended the program with all its open requests. It must move the watch to the new discovery, even while the old
+// one holds a call, keep the open requests, and change nothing if the new file is invalid.
 func TestReload(t *testing.T) {
 	release := make(chan struct{})
 	a := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) { <-release; standin.Done(r, c) }})
 	z := startWorker(t, standin.WorkerConfig{Name: "z"})
 	first, second := startDiscovery(t, a.Entry("SERVING")), startDiscovery(t, z.Entry("SERVING"))
 
-	b := &testScheduler{t: t, addr: freeAddr(t)}
+	ts := &testScheduler{t: t, addr: freeAddr(t)}
 	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, standin.Site{Listen: b.addr, Discovery: first.Addr(), Known: first.Known()})
+	writeConfig(t, path, standin.Site{Listen: ts.addr, Discovery: first.Addr(), Known: first.Known()})
 	cmd, log := startTestBinary(t, "program", "GW_CONFIG="+path, "GW_DISCOVERY="+first.Addr())
 	log.await(t, "serving")
-	require.Eventually(t, func() bool { // until the watch is held
+	require.Eventually(t, func() bool { // until discovery holds the watch
 		return slices.ContainsFunc(first.Calls(), func(q string) bool { return strings.HasSuffix(q, "hold_ms=8000") })
 	}, testTimeout, time.Millisecond)
 	answered := make(chan int)
-	go func() { status, _ := b.ask("open", "view", testTimeout); answered <- status }()
+	go func() { status, _ := ts.ask("open", "view", testTimeout); answered <- status }()
 	require.Eventually(t, func() bool { return slices.Contains(a.IDs(), "open") }, testTimeout, time.Millisecond)
 
 	require.NoError(t, os.WriteFile(path, []byte(`{"half`), 0o600))
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 	log.await(t, "new configuration not taken")
-	writeConfig(t, path, standin.Site{Listen: b.addr, Discovery: second.Addr(), Known: first.Known()})
+	writeConfig(t, path, standin.Site{Listen: ts.addr, Discovery: second.Addr(), Known: first.Known()})
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 	require.Eventually(t, func() bool { return len(second.Calls()) > 1 }, testTimeout, time.Millisecond)
-	assert.Equal(t, "", second.Calls()[0], "the whole list: the other's index means nothing here")
+	assert.Equal(t, "", second.Calls()[0], "the whole list, as the index of the other discovery does not apply here")
 	assert.Contains(t, second.Calls()[1], "from=2&", "then the watch")
-	status, body := b.ask("next", "view", testTimeout)
+	status, body := ts.ask("next", "view", testTimeout)
 	assert.Equal(t, 200, status)
 	assert.Equal(t, "made of next", body)
 	assert.Equal(t, []string{"next"}, z.IDs())
 	close(release)
-	assert.Equal(t, 200, <-answered, "what was open is answered")
+	assert.Equal(t, 200, <-answered, "the open request is answered")
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 	assert.NoError(t, cmd.Wait())
 }
--- a/cmd/weldscale/throughput_test.go
+++ b/cmd/weldscale/throughput_test.go
@@ -23,8 +23,8 @@
 	"weldscale/internal/standin"
 )
 
-// What a fleet of eight workers of four slots serves through the scheduler, and through a plain reverse proxy that
-// deals round, as processes of their own over the same workers in the same run. Run on demand:
+// BenchmarkServe measures what a fleet of eight workers with four slots each serves through the scheduler, and through a plain
+// round-robin reverse proxy. Both are processes of their own and use the same workers in the same run. Run it on demand:
 //
 //	go test ./cmd/weldscale -run '^$' -bench Serve -benchtime 1x
 
@@ -73,16 +73,16 @@
 	return cmd, site.Listen
 }
 
-// plainProxy is the yardstick: the standard library's proxy, dealing round over the workers named in PROXY_TO.
+// plainProxy is the baseline of BenchmarkServe: the standard library's reverse proxy, round-robin over the workers in PROXY_TO.
 func plainProxy() {
-	runtime.GOMAXPROCS(2) // as the scheduler has
-	var to []*url.URL
+	runtime.GOMAXPROCS(2) // the same as the scheduler
+	var workers []*url.URL
 	for addr := range strings.FieldsSeq(os.Getenv("PROXY_TO")) {
-		to = append(to, &url.URL{Scheme: "http", Host: addr})
+		workers = append(workers, &url.URL{Scheme: "http", Host: addr})
 	}
-	var n atomic.Int64
+	var requests atomic.Int64
 	proxy := &httputil.ReverseProxy{
-		Rewrite:   func(r *httputil.ProxyRequest) { r.SetURL(to[int(n.Add(1))%len(to)]) },
+		Rewrite:   func(r *httputil.ProxyRequest) { r.SetURL(workers[int(requests.Add(1))%len(workers)]) },
 		Transport: &http.Transport{MaxIdleConnsPerHost: 64},
 	}
 	ln, err := net.Listen("tcp", os.Getenv("PROXY_LISTEN"))
@@ -124,11 +124,11 @@
 			b.Run(fmt.Sprintf("%s/reports=%v", c.name, report), func(b *testing.B) {
 				f := startFleet(b, 8, standin.WorkerConfig{Queue: 16, TellsStart: true, Refresh: report})
 				cmd, addr := startSchedulerProcess(b, standin.Site{Discovery: f.Discovery.Addr(), Known: f.Discovery.Known()})
-				proxyAddr, to := freeAddr(b), ""
+				proxyAddr, workerAddrs := freeAddr(b), ""
 				for _, w := range f.Workers {
-					to += w.Addr() + " "
+					workerAddrs += w.Addr() + " "
 				}
-				proxy, log := startTestBinary(b, "proxy", "PROXY_LISTEN="+proxyAddr, "PROXY_TO="+to)
+				proxy, log := startTestBinary(b, "proxy", "PROXY_LISTEN="+proxyAddr, "PROXY_TO="+workerAddrs)
 				log.await(b, "serving")
 				load := c.load
 				load.For, load.Seed = 5*time.Second, 1
@@ -162,7 +162,8 @@
 	}
 }
 
-// What the load command's clients drive on two cores, against a stand-in worker in a process of its own.
+// BenchmarkLoad measures how many requests a second the load command's clients send on two cores. The stand-in worker runs in
+// a process of its own.
 func BenchmarkLoad(b *testing.B) {
 	_, log := startTestBinary(b, "worker")
 	log.await(b, "now")
