--- a/cmd/weldscale/moments_test.go
+++ b/cmd/weldscale/moments_test.go
@@ -14,38 +14,39 @@
 	"weldscale/internal/standin"
 )
 
-// The rare moments, each caused on purpose: a party holds a byte, an answer or its end until the test lets it go, or the
-// loop itself is held so that what comes meanwhile waits in a known order. docs/MOMENTS.md says what holds in each.
+// The tests in the moments_*_test.go files cause rare interleavings on purpose. A peer holds back a byte, an answer or the
+// close of its connection until the test releases it, or the event loop is blocked, so that what arrives meanwhile is queued
+// in a known order. docs/MOMENTS.md lists the interleavings and what must hold in each.
 
 // holdLoop blocks the loop until the returned function is called.
-func (b *testScheduler) holdLoop() (free func()) {
-	at, let := make(chan struct{}), make(chan struct{})
-	b.scheduler.loop.Post(func() { close(at); <-let })
-	<-at
-	return sync.OnceFunc(func() { close(let) })
+func (ts *testScheduler) holdLoop() (release func()) {
+	blocked, resume := make(chan struct{}), make(chan struct{})
+	ts.scheduler.loop.Post(func() { close(blocked); <-resume })
+	<-blocked
+	return sync.OnceFunc(func() { close(resume) })
 }
 
 // onLoop runs f on the loop.
-func (b *testScheduler) onLoop(f func()) { b.scheduler.loop.Do(f) }
+func (ts *testScheduler) onLoop(f func()) { ts.scheduler.loop.Do(f) }
 
 // awaitIdle waits until no request is in flight and the loop has done what was queued by then.
-func (b *testScheduler) awaitIdle() {
-	require.Eventually(b.t, func() bool { return b.openRequests() == 0 }, testTimeout, time.Millisecond)
-	b.onLoop(func() {})
+func (ts *testScheduler) awaitIdle() {
+	require.Eventually(ts.t, func() bool { return ts.openRequests() == 0 }, testTimeout, time.Millisecond)
+	ts.onLoop(func() {})
 }
 
-func (b *testScheduler) connect() *standin.Caller {
-	c, err := standin.Call(b.addr)
-	require.NoError(b.t, err)
-	b.t.Cleanup(c.Close)
+func (ts *testScheduler) connect() *standin.Caller {
+	c, err := standin.Call(ts.addr)
+	require.NoError(ts.t, err)
+	ts.t.Cleanup(c.Close)
 	return c
 }
 
 // awaitAccepted waits until the engine has accepted n requests.
-func (b *testScheduler) awaitAccepted(n int) {
-	require.Eventually(b.t, func() (is bool) {
-		b.onLoop(func() { is = b.scheduler.engine.Counts.Accepted >= n })
-		return is
+func (ts *testScheduler) awaitAccepted(n int) {
+	require.Eventually(ts.t, func() (ok bool) {
+		ts.onLoop(func() { ok = ts.scheduler.engine.Counts.Accepted >= n })
+		return ok
 	}, testTimeout, time.Millisecond)
 }
 
@@ -54,7 +55,7 @@
 	select {
 	case <-stops.Reached(name):
 	case <-time.After(testTimeout):
-		require.FailNow(t, "nobody came to "+name)
+		require.FailNow(t, "nothing reached the point "+name)
 	}
 }
 
@@ -63,17 +64,18 @@
 	"close": (*standin.Caller).Close, "reset": (*standin.Caller).Reset, "half-close": (*standin.Caller).HalfClose,
 }
 
-// holdDials makes the scheduler's dials to workers wait at the point "dial", and calls then, if given, with each connection.
-func (b *testScheduler) holdDials(stops *standin.Stops, then func(netpoll.Connection)) {
-	b.onLoop(func() {
-		dial := b.scheduler.driver.Dial
-		b.scheduler.driver.Dial = func(addr string, timeout time.Duration) (netpoll.Connection, error) {
-			if addr != b.scheduler.discovery.Addr {
+// holdDials makes the scheduler's dials to workers wait at the point "dial". It calls onConnect, if set, with each
+// connection that comes up.
+func (ts *testScheduler) holdDials(stops *standin.Stops, onConnect func(netpoll.Connection)) {
+	ts.onLoop(func() {
+		dial := ts.scheduler.driver.Dial
+		ts.scheduler.driver.Dial = func(addr string, timeout time.Duration) (netpoll.Connection, error) {
+			if addr != ts.scheduler.discovery.Addr {
 				stops.At("dial")
 			}
 			c, err := dial(addr, timeout)
-			if err == nil && then != nil {
-				then(c)
+			if err == nil && onConnect != nil {
+				onConnect(c)
 			}
 			return c, err
 		}
@@ -81,12 +83,12 @@
 }
 
 // forEachDisconnect runs f for each way to disconnect, with settings that allow attempts to be cancelled and that do not.
-func forEachDisconnect(t *testing.T, f func(t *testing.T, go_ func(*standin.Caller), change func(*config))) {
-	for name, away := range disconnects {
-		for _, cancel := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s, cancel %v", name, cancel), func(t *testing.T) {
+func forEachDisconnect(t *testing.T, f func(t *testing.T, disconnect func(*standin.Caller), change func(*config))) {
+	for name, disconnect := range disconnects {
+		for _, canCancel := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%s, cancel %v", name, canCancel), func(t *testing.T) {
 				t.Parallel()
-				f(t, away, func(c *config) { c.engine.Settings.CanCancel = cancel })
+				f(t, disconnect, func(c *config) { c.engine.Settings.CanCancel = canCancel })
 			})
 		}
 	}
@@ -94,14 +96,14 @@
 
 const head200 = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// twoZones has the settings know a second zone.
+// twoZones adds a second zone to the settings.
 func twoZones(c *config) {
 	c.engine.Zones, c.engine.Settings.Zones = []string{"here", "there"}, 2
 }
 
 func client() *http.Client { return &http.Client{Timeout: testTimeout} }
 
-// effects are what a class may allow, with each scope of a key.
+// effects are the effects that a class may have; for keyed jobs, one for each scope of the key.
 var effects = map[string]func(c *decide.Class){
 	"read_like": func(c *decide.Class) { c.Effect = decide.Safe },
 	"key, all":  func(c *decide.Class) { c.Effect, c.Scope, c.MemorySpan = decide.Keyed, decide.ScopeAll, 60e6 },
--- a/cmd/weldscale/moments_workers_test.go
+++ b/cmd/weldscale/moments_workers_test.go
@@ -17,10 +17,10 @@
 	"weldscale/internal/standin"
 )
 
-// What a kept connection brings in the moment in which it is to be used - a second answer, a 408, the worker's end - is not
-// the answer of the next job, nor does that job go along with it.
+// A worker sends a second answer, a 408 or a lone byte on an idle connection, or closes it, just as the connection is to be
+// used again. Those bytes must not be taken as the answer of the next job, and that job must not be lost.
 func TestKeptConnectionEndsAsItIsUsed(t *testing.T) {
-	for name, say := range map[string]func(c net.Conn){
+	for name, interfere := range map[string]func(c net.Conn){
 		"a second answer": func(c net.Conn) {
 			fmt.Fprint(c, "HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")
 		},
@@ -31,41 +31,42 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var mu sync.Mutex
-			var on []string // id and connection
+			var attempts []string // id and connection
 			conns := make(chan net.Conn, 8)
 			w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) {
 				mu.Lock()
-				on = append(on, r.Header.Get("X-Call-Id")+" "+c.RemoteAddr().String())
+				attempts = append(attempts, r.Header.Get("X-Call-Id")+" "+c.RemoteAddr().String())
 				mu.Unlock()
 				standin.Done(r, c)
 				conns <- c
 			}})
-			b := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes)
-			status, _ := b.ask("first", "view", testTimeout)
+			ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes)
+			status, _ := ts.ask("first", "view", testTimeout)
 			assert.Equal(t, 200, status)
-			kept := <-conns
-			c := b.connect()
-			b.onLoop(func() {})
-			free := b.holdLoop()
+			idle := <-conns
+			c := ts.connect()
+			ts.onLoop(func() {})
+			release := ts.holdLoop()
 			require.NoError(t, c.Send(standin.Job("next", "view", 8*time.Second, "x")))
-			require.Eventually(t, func() bool { return b.scheduler.loop.QueueLen() > 0 }, testTimeout, time.Millisecond)
-			say(kept)
-			free()
+			require.Eventually(t, func() bool { return ts.scheduler.loop.QueueLen() > 0 }, testTimeout, time.Millisecond)
+			interfere(idle)
+			release()
 			status, body, err := c.Answer(testTimeout)
 			require.NoError(t, err)
 			assert.Equal(t, 200, status)
 			assert.Equal(t, "made of next", body)
 			mu.Lock()
 			defer mu.Unlock()
-			require.Len(t, on, 2, "sent once")
-			assert.NotEqual(t, strings.Fields(on[0])[1], strings.Fields(on[1])[1], "on a connection of its own")
+			require.Len(t, attempts, 2, "sent once")
+			assert.NotEqual(t, strings.Fields(attempts[0])[1], strings.Fields(attempts[1])[1], "on another connection")
 		})
 	}
 }
 
-// A worker says that it keeps the connection, and ends it at once: that says nothing of the worker, and no job is lost with it.
+// A worker announces that it keeps the connection, then closes or resets it at once after its answer. The worker must not
+// become suspect for that, and no job may be lost.
 func TestKeepAliveThenTheEnd(t *testing.T) {
-	for name, end := range map[string]func(c *net.TCPConn){
+	for name, closeConn := range map[string]func(c *net.TCPConn){
 		"FIN":   func(c *net.TCPConn) { _ = c.CloseWrite() },
 		"close": func(c *net.TCPConn) { c.Close() },
 		"reset": func(c *net.TCPConn) { _ = c.SetLinger(0); c.Close() },
@@ -76,38 +77,38 @@
 				id := r.Header.Get("X-Call-Id")
 				_, _ = c.Write(append(standin.AppendLines([]byte(head200), fmt.Sprintf(`{"id":%q,"state":"started"}`, id),
 					fmt.Sprintf(`{"id":%q,"state":"done","result":%q}`, id, standin.Result(id, 0))), "0\r\n\r\n"...))
-				end(c.(*net.TCPConn))
+				closeConn(c.(*net.TCPConn))
 			}})
-			b := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes)
-			for i := range 20 { // where its end crosses the next job that goes again: it is a view
+			ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes)
+			for i := range 20 { // a job that crosses the close is sent again, since its class is view
 				id := fmt.Sprint(i)
-				status, body := b.ask(id, "view", testTimeout)
+				status, body := ts.ask(id, "view", testTimeout)
 				if name == "reset" && status != 200 {
-					continue // it may overtake each try's answer
+					continue // the reset may overtake the answer of each attempt
 				}
 				assert.Equal(t, "200 made of "+id, fmt.Sprint(status, " ", body))
 			}
-			b.onLoop(func() { assert.Zero(t, b.scheduler.engine.Avoided()) })
+			ts.onLoop(func() { assert.Zero(t, ts.scheduler.engine.Avoided()) })
 		})
 	}
 }
 
-// A worker moves to a new address, or its process starts anew by the list, while it has a job: the answer on the connection
-// that is open counts, and what comes next goes to the new address.
+// The list gives a worker a new address and a new start time while a job runs on it. The answer on the open connection still
+// counts, and the next job goes to the new address.
 func TestWorkerMovesWithAJobOut(t *testing.T) {
 	release := make(chan struct{})
 	old := startWorker(t, standin.WorkerConfig{Name: "a", Answer: holdFinish(release)})
 	moved := startWorker(t, standin.WorkerConfig{Name: "a"})
-	b := startScheduler(t, old.Entry("SERVING"))
-	b.awaitDiscoveryCalls(2)
-	c := b.connect()
+	ts := startScheduler(t, old.Entry("SERVING"))
+	ts.awaitDiscoveryCalls(2)
+	c := ts.connect()
 	require.NoError(t, c.Send(standin.Job("out", "send", 8*time.Second, "x")))
 	require.Eventually(t, func() bool { return len(old.IDs()) == 1 }, testTimeout, time.Millisecond)
 	e := moved.Entry("SERVING")
 	e.SinceMS = time.Now().Add(-time.Hour).UnixMilli()
-	b.discovery.Set(e)
-	b.awaitDiscoveryCalls(3)
-	status, _ := b.ask("next", "view", testTimeout)
+	ts.discovery.Set(e)
+	ts.awaitDiscoveryCalls(3)
+	status, _ := ts.ask("next", "view", testTimeout)
 	assert.Equal(t, 200, status)
 	close(release)
 	status, body, err := c.Answer(testTimeout)
@@ -117,14 +118,14 @@
 	assert.Equal(t, []string{"next"}, moved.IDs())
 }
 
-// A worker that says done twice, or more than its answer, has said which bytes are next in a way that can't be told: its
-// connection is not used again, and it is not taken for dead.
-func TestSpoiltAnswersEndTheirConnection(t *testing.T) {
+// A worker reports a job as done twice, resets the connection after that, or leaves its answer without an end. What follows on
+// the connection can't be told apart then, so it must not be used again; but the worker must not become suspect.
+func TestMalformedAnswerEndsItsConnection(t *testing.T) {
 	done := func(r *http.Request) string {
 		id := r.Header.Get("X-Call-Id")
 		return fmt.Sprintf(`{"id":%q,"state":"done","result":%q}`, id, standin.Result(id, 0))
 	}
-	for name, spoil := range map[string]func(r *http.Request, c net.Conn){
+	for name, answer := range map[string]func(r *http.Request, c net.Conn){
 		"done twice": func(r *http.Request, c net.Conn) {
 			_, _ = c.Write(append(standin.AppendLines([]byte(head200), done(r), done(r)), "0\r\n\r\n"...))
 		},
@@ -138,45 +139,45 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var mu sync.Mutex
-			on := map[string]string{}
+			connections := map[string]string{}
 			w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) {
 				mu.Lock()
-				on[r.Header.Get("X-Call-Id")] = c.RemoteAddr().String()
+				connections[r.Header.Get("X-Call-Id")] = c.RemoteAddr().String()
 				mu.Unlock()
 				if r.Header.Get("X-Call-Id") == "spoilt" {
-					spoil(r, c)
+					answer(r, c)
 				} else {
 					standin.Done(r, c)
 				}
 			}})
-			b := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes)
+			ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes)
 			for _, id := range []string{"spoilt", "next"} {
-				status, _ := b.ask(id, "view", testTimeout)
+				status, _ := ts.ask(id, "view", testTimeout)
 				if name == "done, then reset" && id == "spoilt" && status != 200 {
-					continue // the reset may overtake the line; it is one answer all the same
+					continue // the reset may overtake the line; the client gets one answer all the same
 				}
 				assert.Equal(t, 200, status, id)
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			assert.NotEqual(t, on["spoilt"], on["next"])
-			b.onLoop(func() { assert.Zero(t, b.scheduler.engine.Avoided()) })
+			assert.NotEqual(t, connections["spoilt"], connections["next"])
+			ts.onLoop(func() { assert.Zero(t, ts.scheduler.engine.Avoided()) })
 		})
 	}
 }
 
-// News of a worker while a connection to it is being opened: a drain, another process under its name at another address, a
-// cold start at the same. Nothing goes where the list no longer points.
-func TestNewsOfAWorkerInMidDial(t *testing.T) {
-	for _, name := range []string{"drains", "moves", "starts anew", "is gone"} {
+// The list changes while a connection to a worker is being opened: the worker drains, is removed, starts again at the same
+// address, or another process has its name at another address. No job may go to a worker that the list no longer gives.
+func TestWorkerChangesDuringTheDial(t *testing.T) {
+	for _, name := range []string{"drains", "moves", "starts again", "is removed"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			stops := &standin.Stops{}
 			old, other := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "b"})
-			b := startSchedulerWith(t, []standin.Entry{old.Entry("SERVING")}, withoutProbes)
+			ts := startSchedulerWith(t, []standin.Entry{old.Entry("SERVING")}, withoutProbes)
 			stops.Hold("dial")
-			b.holdDials(stops, nil)
-			c, began := b.connect(), time.Now()
+			ts.holdDials(stops, nil)
+			c, began := ts.connect(), time.Now()
 			require.NoError(t, c.Send(standin.Job("job", "send", 8*time.Second, "x")))
 			awaitReached(t, stops, "dial")
 			e := old.Entry("SERVING")
@@ -185,23 +186,23 @@
 				e.Status = "DRAINING"
 			case "moves":
 				e.Address = other.Addr()
-			case "starts anew":
+			case "starts again":
 				e.SinceMS = time.Now().UnixMilli()
-			case "is gone":
+			case "is removed":
 				e.Status = "DELETED"
 			}
-			b.discovery.Set(e)
+			ts.discovery.Set(e)
 			var index int64
-			require.Eventually(t, func() bool { b.onLoop(func() { index = b.scheduler.discovery.Index() }); return index >= 3 }, testTimeout, time.Millisecond)
+			require.Eventually(t, func() bool { ts.onLoop(func() { index = ts.scheduler.discovery.Index() }); return index >= 3 }, testTimeout, time.Millisecond)
 			stops.Free("dial")
 			if name != "moves" {
-				b.discovery.Set(other.Entry("SERVING"))
+				ts.discovery.Set(other.Entry("SERVING"))
 			}
 			status, _, err := c.Answer(testTimeout)
 			require.NoError(t, err)
 			if status == 200 {
 				assert.Equal(t, []string{"job"}, other.IDs())
-			} else { // a machine too slow for the job to be in time elsewhere
+			} else { // the machine was too slow for the job to be in time on the other worker
 				assert.Equal(t, 503, status)
 				assert.Greater(t, time.Since(began), 2*time.Second)
 				assert.Empty(t, other.IDs())
@@ -211,34 +212,34 @@
 	}
 }
 
-// A worker knows a key only for a time. A repeat that was decided within it and whose connection comes up after it is not
-// sent: the worker would take it for a new job.
-func TestRepeatComesUpAfterTheKeysSpan(t *testing.T) {
+// A worker remembers an idempotency key only for its memory span. A second attempt that was decided within the span, but whose
+// connection comes up after it, must not be sent: the worker would take it for a new job.
+func TestRepeatConnectsAfterTheMemorySpan(t *testing.T) {
 	const span = 3 * time.Second
 	for _, late := range []bool{true, false} {
 		t.Run(fmt.Sprint("late ", late), func(t *testing.T) {
 			t.Parallel()
 			stops := &standin.Stops{}
-			var first atomic.Int64
+			var firstAttempt atomic.Int64
 			w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) {
-				if first.CompareAndSwap(0, time.Now().UnixNano()) {
+				if firstAttempt.CompareAndSwap(0, time.Now().UnixNano()) {
 					stops.Hold("dial")
-					c.Close() // it may have run
+					c.Close() // the job may have run
 					return
 				}
 				standin.Done(r, c)
 			}})
-			b := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes, func(c *config) {
+			ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes, func(c *config) {
 				s := &c.engine.Settings.Classes[0]
 				s.Effect, s.Scope, s.MemorySpan = decide.Keyed, decide.ScopeAll, decide.Time(span/time.Microsecond)
 			})
-			b.holdDials(stops, nil)
-			c := b.connect()
+			ts.holdDials(stops, nil)
+			c := ts.connect()
 			require.NoError(t, c.Send(standin.Job("job", "view", 8*time.Second, "x", "Idempotency-Key: k")))
 			awaitReached(t, stops, "dial")
 			if late {
-				at := time.Unix(0, first.Load()).Add(span)
-				time.Sleep(time.Until(at)) // the span is over, however busy the machine
+				at := time.Unix(0, firstAttempt.Load()).Add(span)
+				time.Sleep(time.Until(at)) // the span is over, even on a busy machine
 			}
 			stops.Free("dial")
 			status, _, err := c.Answer(testTimeout)
@@ -246,7 +247,7 @@
 			if late {
 				assert.NotEqual(t, 200, status)
 				assert.Len(t, w.IDs(), 1, "never two starts")
-			} else if status != 200 { // a machine too busy for the repeat within its span
+			} else if status != 200 { // the machine was too busy for a second attempt within the span
 				assert.Len(t, w.IDs(), 1)
 			}
 		})
