--- a/cmd/weldscale/moments_clients_test.go
+++ b/cmd/weldscale/moments_clients_test.go
@@ -20,197 +20,204 @@
 )
 
 // openRequests returns the number of requests in flight.
-func (b *testScheduler) openRequests() (n int) {
-	b.onLoop(func() { n = b.scheduler.openRequests() })
+func (ts *testScheduler) openRequests() (n int) {
+	ts.onLoop(func() { n = ts.scheduler.openRequests() })
 	return n
 }
 
-// A client that leaves while its request waits for room takes it along.
+// A client disconnects while its request waits for room on a worker: the request is dropped and never sent.
 func TestClientLeavesWaitingForRoom(t *testing.T) {
-	forEachDisconnect(t, func(t *testing.T, away func(*standin.Caller), change func(*config)) {
+	forEachDisconnect(t, func(t *testing.T, disconnect func(*standin.Caller), change func(*config)) {
 		w := startWorker(t, standin.WorkerConfig{Name: "a", Slots: 1, TellsStart: true})
-		b := startSchedulerWith(t, []standin.Entry{w.Entry("DRAINING")}, change)
-		c := b.connect()
+		ts := startSchedulerWith(t, []standin.Entry{w.Entry("DRAINING")}, change)
+		c := ts.connect()
 		require.NoError(t, c.Send(standin.Job("gone", "view", 8*time.Second, "x")))
-		b.awaitAccepted(1)
-		away(c)
-		b.awaitIdle()
-		b.discovery.Set(w.Entry("SERVING"))
-		status, _ := b.ask("next", "view", testTimeout)
+		ts.awaitAccepted(1)
+		disconnect(c)
+		ts.awaitIdle()
+		ts.discovery.Set(w.Entry("SERVING"))
+		status, _ := ts.ask("next", "view", testTimeout)
 		assert.Equal(t, 200, status)
 		assert.Equal(t, []string{"next"}, w.IDs())
 	})
 }
 
-// ... while its worker is asked for its load.
+// A client disconnects while its worker is probed for its load: the request is dropped and never sent.
 func TestClientLeavesDuringTheProbe(t *testing.T) {
-	forEachDisconnect(t, func(t *testing.T, away func(*standin.Caller), change func(*config)) {
+	forEachDisconnect(t, func(t *testing.T, disconnect func(*standin.Caller), change func(*config)) {
 		stops := &standin.Stops{}
 		stops.Hold("probe")
 		w := startWorker(t, standin.WorkerConfig{Name: "a", Stops: stops})
-		b := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, change)
-		c := b.connect()
+		ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, change)
+		c := ts.connect()
 		require.NoError(t, c.Send(standin.Job("gone", "view", 8*time.Second, "x")))
 		awaitReached(t, stops, "probe")
-		away(c)
-		b.awaitIdle()
+		disconnect(c)
+		ts.awaitIdle()
 		stops.Free("probe")
-		status, _ := b.ask("next", "view", testTimeout)
+		status, _ := ts.ask("next", "view", testTimeout)
 		assert.Equal(t, 200, status)
 		assert.Equal(t, []string{"next"}, w.IDs())
 	})
 }
 
-// ... while a connection to its worker is being opened. What was booked for it is free at once, not when the dial ends.
+// A client disconnects while a connection to its worker is being opened. The slot that its job reserved must be free at once,
+// not when the dial ends.
 func TestClientLeavesDuringTheDial(t *testing.T) {
-	forEachDisconnect(t, func(t *testing.T, away func(*standin.Caller), change func(*config)) {
+	forEachDisconnect(t, func(t *testing.T, disconnect func(*standin.Caller), change func(*config)) {
 		stops := &standin.Stops{}
 		w := startWorker(t, standin.WorkerConfig{Name: "a"})
-		b := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, change, withoutProbes)
+		ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, change, withoutProbes)
 		stops.Hold("dial")
-		b.holdDials(stops, nil)
-		c := b.connect()
+		ts.holdDials(stops, nil)
+		c := ts.connect()
 		require.NoError(t, c.Send(standin.Job("gone", "send", 8*time.Second, "x")))
 		awaitReached(t, stops, "dial")
-		away(c)
-		b.awaitIdle()
-		b.onLoop(func() {
-			assert.Equal(t, 1, b.scheduler.engine.Counts.Outcomes[decide.NotSent]+b.scheduler.engine.Counts.Outcomes[decide.Cancelled], "the attempt is over while the dial is under way")
+		disconnect(c)
+		ts.awaitIdle()
+		ts.onLoop(func() {
+			assert.Equal(t, 1, ts.scheduler.engine.Counts.Outcomes[decide.NotSent]+ts.scheduler.engine.Counts.Outcomes[decide.Cancelled], "the attempt has ended while the dial goes on")
 		})
 		stops.Free("dial")
-		status, _ := b.ask("next", "view", testTimeout)
+		status, _ := ts.ask("next", "view", testTimeout)
 		assert.Equal(t, 200, status)
 		assert.Equal(t, []string{"next"}, w.IDs())
 	})
 }
 
-// withoutProbes has a request pushed in the turn of the loop in which it came.
+// withoutProbes disables probes, so that a request is sent in the same loop iteration in which it arrives.
 func withoutProbes(c *config) { c.engine.Settings.CanProbe = false }
 
-// ... while a part of its request waits here, since the system takes no more: its last byte never goes out.
+// A client disconnects while part of its request is buffered here, since the socket's send buffer is full: the rest of the
+// request is never sent.
 func TestClientLeavesDuringTheWrite(t *testing.T) {
-	forEachDisconnect(t, func(t *testing.T, away func(*standin.Caller), change func(*config)) {
+	forEachDisconnect(t, func(t *testing.T, disconnect func(*standin.Caller), change func(*config)) {
 		stops := &standin.Stops{}
-		stops.Hold("accepted") // nothing is read
+		stops.Hold("accepted") // the worker reads nothing
 		w := startWorker(t, standin.WorkerConfig{Name: "a", Stops: stops, Receive: 4 << 10})
-		b := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, change, withoutProbes)
-		b.holdDials(stops, func(c netpoll.Connection) {
+		ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, change, withoutProbes)
+		ts.holdDials(stops, func(c netpoll.Connection) {
 			_ = unix.SetsockoptInt(c.(netpoll.Conn).Fd(), unix.SOL_SOCKET, unix.SO_SNDBUF, 4<<10)
 		})
-		c := b.connect()
+		c := ts.connect()
 		require.NoError(t, c.Send(standin.Job("gone", "view", 8*time.Second, strings.Repeat("x", 60<<10))))
 		awaitReached(t, stops, "accepted")
-		b.awaitAccepted(1)
-		require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.scheduler.driver.Unsent() > 0 }); return is }, testTimeout, time.Millisecond)
-		away(c)
-		b.awaitIdle()
-		b.onLoop(func() { assert.Zero(t, b.scheduler.driver.Unsent(), "nothing of it waits any more") })
+		ts.awaitAccepted(1)
+		require.Eventually(t, func() (ok bool) { ts.onLoop(func() { ok = ts.scheduler.driver.Unsent() > 0 }); return ok }, testTimeout, time.Millisecond)
+		disconnect(c)
+		ts.awaitIdle()
+		ts.onLoop(func() { assert.Zero(t, ts.scheduler.driver.Unsent(), "no part of the request stays buffered") })
 		stops.Free("accepted")
-		status, _ := b.ask("next", "view", testTimeout)
+		status, _ := ts.ask("next", "view", testTimeout)
 		assert.Equal(t, 200, status)
 		assert.Equal(t, []string{"next"}, w.IDs())
 	})
 }
 
-// ... before its request was read: behind a long queue of the loop it comes together with its client's end.
+// A client disconnects before its request was read: the loop is busy, and finds the request and the end of the connection
+// together.
 func TestClientLeavesBeforeItIsRead(t *testing.T) {
-	forEachDisconnect(t, func(t *testing.T, away func(*standin.Caller), change func(*config)) {
+	forEachDisconnect(t, func(t *testing.T, disconnect func(*standin.Caller), change func(*config)) {
 		w := startWorker(t, standin.WorkerConfig{Name: "a"})
-		b := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, change, withoutProbes)
-		status, _ := b.ask("first", "view", testTimeout) // its connection to the worker is kept: nothing is left to wait for
+		ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, change, withoutProbes)
+		status, _ := ts.ask("first", "view", testTimeout) // leaves an idle connection to the worker, so that the next request needs no dial
 		assert.Equal(t, 200, status)
-		c := b.connect()
-		b.onLoop(func() {})
-		free := b.holdLoop()
+		c := ts.connect()
+		ts.onLoop(func() {})
+		release := ts.holdLoop()
 		require.NoError(t, c.Send(standin.Job("gone", "view", 8*time.Second, "x")))
-		require.Eventually(t, func() bool { return b.scheduler.loop.QueueLen() > 0 }, testTimeout, time.Millisecond)
-		away(c) // on the loopback its end is there by the time that the call returns
-		free()
-		b.awaitAccepted(2)
-		b.awaitIdle()
-		status, _ = b.ask("next", "view", testTimeout)
+		require.Eventually(t, func() bool { return ts.scheduler.loop.QueueLen() > 0 }, testTimeout, time.Millisecond)
+		disconnect(c) // over loopback the close has arrived when the call returns
+		release()
+		ts.awaitAccepted(2)
+		ts.awaitIdle()
+		status, _ = ts.ask("next", "view", testTimeout)
 		assert.Equal(t, 200, status)
 		assert.Equal(t, []string{"first", "next"}, w.IDs())
 	})
 }
 
-// ... while it is the one that its service's pool bears: who comes meanwhile is refused at once, not held, and the place is free
-// again once, with the id's and the service's own counts.
-func TestClientLeavesItsPlaceInAPool(t *testing.T) {
-	for name, away := range disconnects {
+// A client disconnects while its request is the only one that its service's pool admits. A request that comes meanwhile is
+// refused at once and not queued. The place in the pool, and the counts of the request id and of the service, must each be
+// released exactly once.
+func TestClientLeavesAFullPool(t *testing.T) {
+	for name, disconnect := range disconnects {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			stops := &standin.Stops{}
 			stops.Hold("probe")
 			w := startWorker(t, standin.WorkerConfig{Name: "w", Stops: stops})
-			b := startSchedulerWith(t, nil, func(c *config) { c.file = readFile(t, block("shop", "  limits { open = 1 }\n", w)) })
+			ts := startSchedulerWith(t, nil, func(c *config) { c.file = readFile(t, block("shop", "  limits { open = 1 }\n", w)) })
 			job := func(id string) string {
 				return strings.Replace(standin.Job(id, "view", 8*time.Second, "x"), "app.svc", "shop.example.org", 1)
 			}
-			shop := func() (open, engine, begun int) {
-				b.onLoop(func() {
-					v := b.scheduler.services["shop"]
-					open, engine, begun = v.jobs.Pool.InFlight(), v.engine.OpenRequests(), v.jobs.Pool.Counts.Admitted
+			shopCounts := func() (inPool, inEngine, admitted int) {
+				ts.onLoop(func() {
+					shop := ts.scheduler.services["shop"]
+					inPool, inEngine, admitted = shop.jobs.Pool.InFlight(), shop.engine.OpenRequests(), shop.jobs.Pool.Counts.Admitted
 				})
 				return
 			}
-			gone, other := b.connect(), b.connect()
+			gone, other := ts.connect(), ts.connect()
 			require.NoError(t, gone.Send(job("gone")))
 			awaitReached(t, stops, "probe")
 			require.NoError(t, other.Send(job("early")))
 			status, body, err := other.Answer(testTimeout)
 			require.NoError(t, err)
 			assert.Equal(t, "503 too many in hand\n", fmt.Sprint(status, " ", body))
-			away(gone)
-			require.Eventually(t, func() bool { open, engine, begun := shop(); return open == 0 && engine == 0 && begun == 1 }, testTimeout, time.Millisecond)
+			disconnect(gone)
+			require.Eventually(t, func() bool {
+				inPool, inEngine, admitted := shopCounts()
+				return inPool == 0 && inEngine == 0 && admitted == 1
+			}, testTimeout, time.Millisecond)
 			stops.Free("probe")
-			for _, id := range []string{"next", "last"} { // the place is free once, and once more
+			for _, id := range []string{"next", "last"} { // the place is free for each of them in turn
 				require.NoError(t, other.Send(job(id)))
 				status, _, err = other.Answer(testTimeout)
 				require.NoError(t, err)
 				assert.Equal(t, 200, status)
 			}
 			assert.Equal(t, []string{"next", "last"}, w.IDs())
-			open, engine, begun := shop()
-			assert.Equal(t, []int{0, 0, 3}, []int{open, engine, begun})
+			inPool, inEngine, admitted := shopCounts()
+			assert.Equal(t, []int{0, 0, 3}, []int{inPool, inEngine, admitted})
 		})
 	}
 }
 
-// 200 clients that leave in the same instant: none of their requests is sent, and all that was booked is free once.
+// 200 clients disconnect at the same moment: none of their requests is sent, and each reservation is released exactly once.
 func TestBurstOfClientsLeaves(t *testing.T) {
 	stops := &standin.Stops{}
 	stops.Hold("probe")
 	w := startWorker(t, standin.WorkerConfig{Name: "a", Slots: 400, Stops: stops})
-	b := startScheduler(t, w.Entry("SERVING"))
+	ts := startScheduler(t, w.Entry("SERVING"))
 	const n = 200
-	calls := make([]*standin.Caller, n)
-	for i := range calls {
-		calls[i] = b.connect()
-		require.NoError(t, calls[i].Send(standin.Job(fmt.Sprint("gone", i), "view", 8*time.Second, "x")))
+	clients := make([]*standin.Caller, n)
+	for i := range clients {
+		clients[i] = ts.connect()
+		require.NoError(t, clients[i].Send(standin.Job(fmt.Sprint("gone", i), "view", 8*time.Second, "x")))
 	}
-	b.awaitAccepted(n)
-	free := b.holdLoop()
-	for i, c := range calls {
+	ts.awaitAccepted(n)
+	release := ts.holdLoop()
+	for i, c := range clients {
 		[]func(*standin.Caller){(*standin.Caller).Close, (*standin.Caller).Reset, (*standin.Caller).HalfClose}[i%3](c)
 	}
-	free()
-	b.awaitIdle()
-	b.onLoop(func() {
-		assert.Equal(t, n, b.scheduler.engine.Counts.Hangups)
-		assert.Zero(t, b.scheduler.engine.Counts.Pushes)
+	release()
+	ts.awaitIdle()
+	ts.onLoop(func() {
+		assert.Equal(t, n, ts.scheduler.engine.Counts.Hangups)
+		assert.Zero(t, ts.scheduler.engine.Counts.Pushes)
 	})
 	stops.Free("probe")
-	status, _ := b.ask("next", "view", testTimeout)
+	status, _ := ts.ask("next", "view", testTimeout)
 	assert.Equal(t, 200, status)
-	for _, id := range w.IDs() { // a slow machine may have it tried again
+	for _, id := range w.IDs() { // a slow machine may send it a second time
 		assert.Equal(t, "next", id)
 	}
 }
 
-// The worker's last line and the client's end in one turn of the loop, either first: one outcome, and the worker's connection
-// is kept or closed but never in doubt.
-func TestAnswerAgainstDeparture(t *testing.T) {
+// The last line of the worker's answer and the client's disconnect are handled in one loop iteration, in either order. The
+// request gets one outcome, and the worker's connection is kept or closed, never left in an unknown state.
+func TestAnswerRacesDisconnect(t *testing.T) {
 	for _, answerFirst := range []bool{true, false} {
 		t.Run(fmt.Sprint("answer first ", answerFirst), func(t *testing.T) {
 			t.Parallel()
@@ -224,67 +231,67 @@
 				standin.Finish(r, c)
 				written.Store(true)
 			}})
-			b := startScheduler(t, w.Entry("SERVING"))
-			c := b.connect()
+			ts := startScheduler(t, w.Entry("SERVING"))
+			c := ts.connect()
 			require.NoError(t, c.Send(standin.Job("both", "view", 8*time.Second, "x")))
 			require.Eventually(t, func() bool { return len(w.IDs()) == 1 }, testTimeout, time.Millisecond)
-			b.onLoop(func() {})
-			free := b.holdLoop()
-			comes := func(n int) {
-				require.Eventually(t, func() bool { return b.scheduler.loop.QueueLen() >= n }, testTimeout, time.Millisecond)
+			ts.onLoop(func() {})
+			release := ts.holdLoop()
+			awaitQueued := func(n int) {
+				require.Eventually(t, func() bool { return ts.scheduler.loop.QueueLen() >= n }, testTimeout, time.Millisecond)
 			}
 			if answerFirst {
 				close(finish)
-				comes(1)
+				awaitQueued(1)
 				c.Close()
 			} else {
 				c.Close()
-				comes(1)
+				awaitQueued(1)
 				close(finish)
 				require.Eventually(t, written.Load, testTimeout, time.Millisecond)
 			}
-			free()
-			b.awaitIdle()
-			status, _ := b.ask("next", "view", testTimeout)
+			release()
+			ts.awaitIdle()
+			status, _ := ts.ask("next", "view", testTimeout)
 			assert.Equal(t, 200, status)
 			assert.Equal(t, []string{"both", "next"}, w.IDs())
-			b.onLoop(func() {
-				n := b.scheduler.engine.Counts
-				assert.Equal(t, n.Accepted, n.Served+n.Hangups+n.Refused+n.Failed)
-				assert.Zero(t, n.Refused+n.Failed)
+			ts.onLoop(func() {
+				counts := ts.scheduler.engine.Counts
+				assert.Equal(t, counts.Accepted, counts.Served+counts.Hangups+counts.Refused+counts.Failed)
+				assert.Zero(t, counts.Refused+counts.Failed)
 			})
 		})
 	}
 }
 
-// Wherever a worker breaks an attempt, and whatever the class allows: the rule's starts and no more, counted at the workers.
+// An attempt fails at each stage, for each effect of the class. The workers must see no more starts than rule 2 allows.
 func TestNeverTwoStarts(t *testing.T) {
-	// Whether what each breaks may have run, by what had gone out.
-	breaks := map[string]struct {
-		answer func(r *http.Request, c net.Conn)
-		ran    bool
+	// Each failure, and whether the job may have run then.
+	failures := map[string]struct {
+		answer     func(r *http.Request, c net.Conn)
+		mayHaveRun bool
 	}{
 		"after the last byte": {func(r *http.Request, c net.Conn) { c.Close() }, true},
-		"reset after it":      {func(r *http.Request, c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); c.Close() }, true},
+		"reset after that":    {func(r *http.Request, c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); c.Close() }, true},
 		"in mid-answer":       {func(r *http.Request, c net.Conn) { standin.Start(r, c); c.Close() }, true},
 		"failed": {func(r *http.Request, c net.Conn) {
 			fmt.Fprint(c, "HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n")
 		}, true},
-		"turned away": {func(r *http.Request, c net.Conn) {
+		"rejected by worker": {func(r *http.Request, c net.Conn) {
 			fmt.Fprint(c, "HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")
 		}, false},
 	}
-	for effect, set := range effects {
-		for name, broken := range breaks {
+	for effect, setEffect := range effects {
+		for name, failure := range failures {
 			t.Run(effect+", "+name, func(t *testing.T) {
 				t.Parallel()
-				var first atomic.Bool
-				var at atomic.Value // the name of the worker that broke it
+				var hasFailed atomic.Bool
+				var failedWorker atomic.Value // the name of the worker that failed the attempt
 				answer := func(worker string) func(r *http.Request, c net.Conn) {
 					return func(r *http.Request, c net.Conn) {
-						if first.CompareAndSwap(false, true) {
-							at.Store(worker)
-							broken.answer(r, c)
+						if hasFailed.CompareAndSwap(false, true) {
+							failedWorker.Store(worker)
+							failure.answer(r, c)
 							return
 						}
 						standin.Done(r, c)
@@ -292,20 +299,20 @@
 				}
 				a := startWorker(t, standin.WorkerConfig{Name: "a", Answer: answer("a")})
 				z := startWorker(t, standin.WorkerConfig{Name: "z", Zone: "there", Answer: answer("z")})
-				ea, ez := a.Entry("SERVING"), z.Entry("SERVING")
-				ez.Group = 1 // a cell of its own
-				b := startSchedulerWith(t, []standin.Entry{ea, ez}, twoZones, func(c *config) { set(&c.engine.Settings.Classes[0]) })
-				c := b.connect()
+				entryA, entryZ := a.Entry("SERVING"), z.Entry("SERVING")
+				entryZ.Group = 1 // another cell
+				ts := startSchedulerWith(t, []standin.Entry{entryA, entryZ}, twoZones, func(c *config) { setEffect(&c.engine.Settings.Classes[0]) })
+				c := ts.connect()
 				require.NoError(t, c.Send(standin.Job("job", "view", 6*time.Second, "x", "Idempotency-Key: k")))
 				status, _, err := c.Answer(testTimeout)
 				require.NoError(t, err)
 				starts := len(a.IDs()) + len(z.IDs())
 				switch {
-				case broken.ran && effect == "once":
+				case failure.mayHaveRun && effect == "once":
 					assert.Equal(t, 500, status)
 					assert.Equal(t, 1, starts)
-				case broken.ran && (effect == "key, cell" || effect == "key, zone"):
-					assert.LessOrEqual(t, min(len(a.IDs()), len(z.IDs())), 0, "the other cell or zone does not know the key")
+				case failure.mayHaveRun && (effect == "key, cell" || effect == "key, zone"):
+					assert.LessOrEqual(t, min(len(a.IDs()), len(z.IDs())), 0, "the worker in the other cell or zone does not know the key")
 				default:
 					assert.Contains(t, []int{200, 503}, status)
 					assert.Equal(t, status == 200, starts == 2)
@@ -315,29 +322,29 @@
 	}
 }
 
-// The first worker says nothing of a job. A second copy goes out beside it only where the settings and the class's effect allow
-// that, and inside the key's scope; elsewhere nothing starts while the first is out on an open connection.
+// The first worker never answers a job. A second copy is sent only where the settings and the effect of the class allow
+// hedging, and only within the key's scope. Otherwise nothing starts while the first attempt's connection is open.
 func TestSecondCopies(t *testing.T) {
-	for effect, set := range effects {
+	for effect, setEffect := range effects {
 		for _, copies := range []bool{false, true} {
-			for _, cancel := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%s, copies %v, cancel %v", effect, copies, cancel), func(t *testing.T) {
+			for _, canCancel := range []bool{false, true} {
+				t.Run(fmt.Sprintf("%s, copies %v, cancel %v", effect, copies, canCancel), func(t *testing.T) {
 					t.Parallel()
 					var mu sync.Mutex
-					var out net.Conn // of the first attempt, and the worker that has it
-					at, beside, elsewhere := "", 0, 0
+					var firstConn net.Conn // of the first attempt; firstWorker is the worker that has it
+					firstWorker, concurrent, onOtherWorker := "", 0, 0
 					answer := func(worker string) func(r *http.Request, c net.Conn) {
 						return func(r *http.Request, c net.Conn) {
 							mu.Lock()
-							first := out == nil
+							first := firstConn == nil
 							if first {
-								out, at = c, worker
+								firstConn, firstWorker = c, worker
 							} else {
-								if connectionOpen(out) {
-									beside++
+								if connectionOpen(firstConn) {
+									concurrent++
 								}
-								if worker != at {
-									elsewhere++
+								if worker != firstWorker {
+									onOtherWorker++
 								}
 							}
 							mu.Unlock()
@@ -348,13 +355,13 @@
 					}
 					a := startWorker(t, standin.WorkerConfig{Name: "a", Answer: answer("a")})
 					z := startWorker(t, standin.WorkerConfig{Name: "z", Zone: "there", Answer: answer("z")})
-					ea, ez := a.Entry("SERVING"), z.Entry("SERVING")
-					ez.Group = 1 // a cell of its own
-					b := startSchedulerWith(t, []standin.Entry{ea, ez}, twoZones, func(c *config) {
-						set(&c.engine.Settings.Classes[0])
-						c.engine.Settings.SecondCopies, c.engine.Settings.CanCancel = copies, cancel
+					entryA, entryZ := a.Entry("SERVING"), z.Entry("SERVING")
+					entryZ.Group = 1 // another cell
+					ts := startSchedulerWith(t, []standin.Entry{entryA, entryZ}, twoZones, func(c *config) {
+						setEffect(&c.engine.Settings.Classes[0])
+						c.engine.Settings.SecondCopies, c.engine.Settings.CanCancel = copies, canCancel
 					})
-					c := b.connect()
+					c := ts.connect()
 					require.NoError(t, c.Send(standin.Job("job", "view", 4*time.Second, "x", "Idempotency-Key: k")))
 					status, _, err := c.Answer(testTimeout)
 					require.NoError(t, err)
@@ -365,12 +372,13 @@
 						assert.Equal(t, 1, starts)
 					}
 					if effect == "key, cell" || effect == "key, zone" {
-						assert.Zero(t, elsewhere, "the other cell or zone does not know the key")
+						assert.Zero(t, onOtherWorker, "the worker in the other cell or zone does not know the key")
 					}
 					if !copies {
-						assert.Zero(t, beside, "one at a time")
+						assert.Zero(t, concurrent, "one attempt at a time")
 					} else if effect == "read_like" || effect == "key, all" {
-						// A machine too slow for reports to be fresh sends none; whom the first leaves unserved only a copy serves.
+						// Without fresh load reports (a slow machine) no copy is sent. Since the first attempt is not answered, only a
+						// copy can serve the job.
 						assert.Equal(t, status == 200, starts == 2)
 					}
 				})
@@ -385,15 +393,15 @@
 	if err != nil {
 		return false
 	}
-	p := []unix.PollFd{{Events: unix.POLLRDHUP}}
-	err = raw.Control(func(fd uintptr) { p[0].Fd = int32(fd); _, err = unix.Poll(p, 0) })
-	return err == nil && p[0].Revents == 0
+	poll := []unix.PollFd{{Events: unix.POLLRDHUP}}
+	err = raw.Control(func(fd uintptr) { poll[0].Fd = int32(fd); _, err = unix.Poll(poll, 0) })
+	return err == nil && poll[0].Revents == 0
 }
 
-// An attempt waits for a descriptor of its service's part; its client leaves. It is out of every account, and the descriptor
-// that comes free is another's.
+// A client disconnects while its attempt waits for a file descriptor of its service's quota. The attempt must leave all counts,
+// and the descriptor that becomes free must go to another request.
 func TestClientLeavesWaitingForADescriptor(t *testing.T) {
-	for name, away := range disconnects {
+	for name, disconnect := range disconnects {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			release := make(chan struct{})
@@ -406,45 +414,45 @@
 				}
 				standin.Done(r, c)
 			}})
-			b := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes, func(c *config) { c.engine.Settings.CanCancel = false })
-			dials := b.scheduler.driver.Dialer(1)
-			b.onLoop(func() { b.scheduler.workers.Dialer = dials })
-			holds, gone := b.connect(), b.connect()
+			ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes, func(c *config) { c.engine.Settings.CanCancel = false })
+			dialer := ts.scheduler.driver.Dialer(1)
+			ts.onLoop(func() { ts.scheduler.workers.Dialer = dialer })
+			holds, gone := ts.connect(), ts.connect()
 			require.NoError(t, holds.Send(standin.Job("holds", "view", 8*time.Second, "x")))
 			require.Eventually(t, func() bool { return len(w.IDs()) == 1 }, testTimeout, time.Millisecond)
 			require.NoError(t, gone.Send(standin.Job("gone", "view", 8*time.Second, "x")))
-			require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.scheduler.engine.Counts.Pushes == 2 }); return is }, testTimeout, time.Millisecond)
-			away(gone)
-			require.Eventually(t, func() bool { return b.openRequests() == 1 }, testTimeout, time.Millisecond)
-			b.onLoop(func() { assert.Equal(t, 1, b.scheduler.engine.Counts.Outcomes[decide.NotSent]) })
+			require.Eventually(t, func() (ok bool) { ts.onLoop(func() { ok = ts.scheduler.engine.Counts.Pushes == 2 }); return ok }, testTimeout, time.Millisecond)
+			disconnect(gone)
+			require.Eventually(t, func() bool { return ts.openRequests() == 1 }, testTimeout, time.Millisecond)
+			ts.onLoop(func() { assert.Equal(t, 1, ts.scheduler.engine.Counts.Outcomes[decide.NotSent]) })
 			close(release)
 			status, _, err := holds.Answer(testTimeout)
 			require.NoError(t, err)
 			assert.Equal(t, 200, status)
-			status, _ = b.ask("next", "view", testTimeout)
+			status, _ = ts.ask("next", "view", testTimeout)
 			assert.Equal(t, 200, status)
 			assert.Equal(t, []string{"holds", "next"}, w.IDs())
-			assert.Equal(t, 1, dials.OpenConns())
+			assert.Equal(t, 1, dialer.OpenConns())
 		})
 	}
 }
 
-// A client that leaves with half of its answer taken ends its connection, and nothing else.
+// A client disconnects after it has read part of its answer. Its connection is closed, and nothing else is affected.
 func TestClientLeavesWithHalfAnAnswer(t *testing.T) {
-	for name, away := range disconnects {
+	for name, disconnect := range disconnects {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			w := startWorker(t, standin.WorkerConfig{Name: "a"})
-			b := startScheduler(t, w.Entry("SERVING"))
-			c := b.connect()
+			ts := startScheduler(t, w.Entry("SERVING"))
+			c := ts.connect()
 			job := strings.Replace(standin.Job("big", "view", 8*time.Second, "x"), "/api/1", "/api/1?run=1us&slots=1&size=200000", 1)
 			require.NoError(t, c.Send(job))
 			require.NoError(t, c.Some(1000))
-			b.awaitIdle()
-			away(c)
-			require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.scheduler.server.Pace.Counts().Peers == 0 }); return is }, testTimeout, time.Millisecond)
-			b.onLoop(func() { assert.Zero(t, b.scheduler.driver.Unsent()) })
-			status, _ := b.ask("next", "view", testTimeout)
+			ts.awaitIdle()
+			disconnect(c)
+			require.Eventually(t, func() (ok bool) { ts.onLoop(func() { ok = ts.scheduler.server.Pace.Counts().Peers == 0 }); return ok }, testTimeout, time.Millisecond)
+			ts.onLoop(func() { assert.Zero(t, ts.scheduler.driver.Unsent()) })
+			status, _ := ts.ask("next", "view", testTimeout)
 			assert.Equal(t, 200, status)
 		})
 	}
