--- a/cmd/weldscale/moments_discovery_test.go
+++ b/cmd/weldscale/moments_discovery_test.go
@@ -16,51 +16,52 @@
 )
 
 // awaitDiscoveryCalls waits until discovery has had n calls and returns all that it has had.
-func (b *testScheduler) awaitDiscoveryCalls(n int) []string {
-	require.Eventually(b.t, func() bool { return len(b.discovery.Calls()) >= n }, testTimeout, time.Millisecond)
-	return b.discovery.Calls()
+func (ts *testScheduler) awaitDiscoveryCalls(n int) []string {
+	require.Eventually(ts.t, func() bool { return len(ts.discovery.Calls()) >= n }, testTimeout, time.Millisecond)
+	return ts.discovery.Calls()
 }
 
-// A watch that falls silent is opened anew before what it misses counts as told, two seconds after its hold: one that was
-// silent from its opening, one after an answer, and one of which the next call meets silence too. That this is in time follows
-// from the spans, which TestCadenceBounds bounds.
+// A watch gets no answer: from its start, after an earlier answer, or twice in a row. The scheduler must start another before
+// it counts as informed of the changes that this one missed, which is two seconds after the hold time. The test does not
+// measure that; TestCadenceBounds bounds the time spans from which it follows.
 func TestWatchFallsSilent(t *testing.T) {
-	for name, silent := range map[string][]int{"at its opening": {2}, "after an answer": {3}, "twice running": {2, 3}} {
+	for name, silentCalls := range map[string][]int{"at its start": {2}, "after an answer": {3}, "twice in a row": {2, 3}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			a, z := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
 			d := startDiscovery(t, a.Entry("SERVING"), z.Entry("SERVING"))
-			fell, gaveUp := make(chan struct{}, 9), make(chan struct{}, 9)
+			silenced, cancelled := make(chan struct{}, 9), make(chan struct{}, 9)
 			d.Take(func(n int, w http.ResponseWriter, r *http.Request) bool {
-				if !slices.Contains(silent, n) {
+				if !slices.Contains(silentCalls, n) {
 					return false
 				}
-				fell <- struct{}{}
-				<-r.Context().Done() // not a word, until the scheduler gives it up
-				gaveUp <- struct{}{}
+				silenced <- struct{}{}
+				<-r.Context().Done() // no byte until the scheduler gives the call up
+				cancelled <- struct{}{}
 				return true
 			})
-			b := startSchedulerAt(t, d, d.Known())
-			if silent[0] == 3 {
-				b.awaitDiscoveryCalls(2)
-				d.Set(z.Entry("SERVING")) // an answer
+			ts := startSchedulerAt(t, d, d.Known())
+			if silentCalls[0] == 3 {
+				ts.awaitDiscoveryCalls(2)
+				d.Set(z.Entry("SERVING")) // answers the watch
 			}
-			<-fell
+			<-silenced
 			d.Set(a.Entry("DRAINING"))
-			<-gaveUp
-			if name != "twice running" {
-				b.onLoop(func() {
-					// In the turn that gave it up; on a slow machine it has been answered, and the watch renewed, by now.
-					assert.GreaterOrEqual(t, b.scheduler.engine.Counts.ListCalls, silent[0]+1)
+			<-cancelled
+			if name != "twice in a row" {
+				ts.onLoop(func() {
+					// The loop iteration that gave the call up sent the next. On a slow machine that has been answered by now, and another
+					// watch has been started.
+					assert.GreaterOrEqual(t, ts.scheduler.engine.Counts.ListCalls, silentCalls[0]+1)
 				})
 			}
-			require.Eventually(t, func() (is bool) {
-				b.onLoop(func() { is = b.scheduler.engine.ReadyWorkers() == 1 })
-				return is
+			require.Eventually(t, func() (ok bool) {
+				ts.onLoop(func() { ok = ts.scheduler.engine.ReadyWorkers() == 1 })
+				return ok
 			}, testTimeout, time.Millisecond)
-			assert.Contains(t, b.discovery.Calls()[silent[0]], "hold_ms=1", "answered at once")
+			assert.Contains(t, ts.discovery.Calls()[silentCalls[0]], "hold_ms=1", "a call that is answered at once")
 			for i := range 10 {
-				status, _ := b.ask(fmt.Sprint(i), "view", testTimeout)
+				status, _ := ts.ask(fmt.Sprint(i), "view", testTimeout)
 				assert.Equal(t, 200, status)
 			}
 			assert.Empty(t, a.IDs())
@@ -68,8 +69,8 @@
 	}
 }
 
-// The first call, and the next after it, meet silence: the third brings the list. That this is within 6 s where few share
-// discovery follows from the spans, which TestCadenceBounds bounds.
+// The first two calls get no whole answer, and the third brings the list. The test does not measure that this takes less than
+// 6 s where few schedulers share discovery; TestCadenceBounds bounds the time spans from which it follows.
 func TestFirstCallsAreSilent(t *testing.T) {
 	t.Parallel()
 	a := startWorker(t, standin.WorkerConfig{Name: "a"})
@@ -80,7 +81,7 @@
 		switch n {
 		case 1:
 			<-r.Context().Done()
-		case 2: // in mid-body
+		case 2: // silent in the middle of the body
 			c, _, err := http.NewResponseController(w).Hijack()
 			if err != nil {
 				return true
@@ -93,15 +94,16 @@
 		}
 		return true
 	})
-	b := startSchedulerAt(t, d, known)
-	require.Eventually(t, func() (is bool) {
-		b.onLoop(func() { is = b.scheduler.engine.ReadyWorkers() == 0 })
-		return is
+	ts := startSchedulerAt(t, d, known)
+	require.Eventually(t, func() (ok bool) {
+		ts.onLoop(func() { ok = ts.scheduler.engine.ReadyWorkers() == 0 })
+		return ok
 	}, testTimeout, time.Millisecond)
-	b.onLoop(func() { assert.Equal(t, 2, b.scheduler.engine.Counts.ListFailed) })
+	ts.onLoop(func() { assert.Equal(t, 2, ts.scheduler.engine.Counts.ListFailed) })
 }
 
-// Changes up to a version older than ours bring nothing back to life: the whole list is asked for.
+// An answer whose version is older than the scheduler's must not make a draining worker ready again. The scheduler ignores it
+// and requests the whole list.
 func TestListGoesBack(t *testing.T) {
 	a, z := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
 	d := startDiscovery(t, a.Entry("SERVING"), z.Entry("SERVING"))
@@ -113,20 +115,21 @@
 		fmt.Fprintf(w, `{"index":1,"snapshot":false,"endpoints":[{"name":"a","address":%q,"zone":"here","type":"box","status":"SERVING","weight":1,"since_ms":0}]}`, a.Addr())
 		return true
 	})
-	b := startSchedulerAt(t, d, d.Known())
-	calls := b.awaitDiscoveryCalls(3)
+	ts := startSchedulerAt(t, d, d.Known())
+	calls := ts.awaitDiscoveryCalls(3)
 	assert.Equal(t, "", calls[2], "the whole list")
-	require.Eventually(t, func() bool { return len(b.discovery.Calls()) >= 4 }, testTimeout, time.Millisecond)
-	b.onLoop(func() { assert.Equal(t, 1, b.scheduler.engine.ReadyWorkers(), "the drain stands") })
+	require.Eventually(t, func() bool { return len(ts.discovery.Calls()) >= 4 }, testTimeout, time.Millisecond)
+	ts.onLoop(func() { assert.Equal(t, 1, ts.scheduler.engine.ReadyWorkers(), "the worker is still draining") })
 }
 
 // withPushedList configures a scheduler whose discovery is an agent to which the list is pushed.
 func withPushedList(c *config) { c.engine.Settings.MustAsk, c.engine.Settings.AskWithin = false, 0 }
 
-// Where lists are pushed nobody tells us to watch, and yet what the agent has counts as told: from the first moment of the
-// process on, whatever became of the calls before. Without probes nothing else would keep jobs from a worker that drains.
-func TestPushedListIsHeard(t *testing.T) {
-	for name, spoil := range map[string]func(n int, w http.ResponseWriter, r *http.Request) bool{
+// Where the list is pushed to an agent, the scheduler counts as informed of whatever the agent has, from its start on, though
+// no setting tells it to watch. So it must learn each change, whatever happened to its earlier calls. Probes are disabled, as
+// they would also keep jobs from a worker that drains.
+func TestPushedListIsFollowed(t *testing.T) {
+	for name, intercept := range map[string]func(n int, w http.ResponseWriter, r *http.Request) bool{
 		"at once":            func(int, http.ResponseWriter, *http.Request) bool { return false },
 		"first call silent":  func(n int, _ http.ResponseWriter, r *http.Request) bool { return n == 1 && neverAnswer(r) },
 		"silent three times": func(n int, _ http.ResponseWriter, r *http.Request) bool { return n <= 3 && neverAnswer(r) },
@@ -147,7 +150,7 @@
 			}
 			c, _, _ := http.NewResponseController(w).Hijack()
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{\"index\":9,\"sna")
-			_, _ = c.Read(make([]byte, 1)) // its end
+			_, _ = c.Read(make([]byte, 1)) // until the peer closes
 			c.Close()
 			return true
 		},
@@ -158,27 +161,27 @@
 			d := startDiscovery(t, a.Entry("SERVING"))
 			known := d.Known()
 			d.Set(a.Entry("DRAINING"), z.Entry("SERVING"))
-			d.Take(spoil)
-			b := startSchedulerWith(t, nil, withPushedList, withoutProbes, func(c *config) { c.Discovery, c.Known = d.Addr(), known })
-			ready := func(n int, on string) {
-				require.Eventually(t, func() (is bool) {
-					b.onLoop(func() {
-						at := ""
-						b.scheduler.engine.EachReadyAddr(func(addr string) { at = addr })
-						is = b.scheduler.engine.ReadyWorkers() == n && at == on
+			d.Take(intercept)
+			ts := startSchedulerWith(t, nil, withPushedList, withoutProbes, func(c *config) { c.Discovery, c.Known = d.Addr(), known })
+			awaitReady := func(n int, wantAddr string) {
+				require.Eventually(t, func() (ok bool) {
+					ts.onLoop(func() {
+						readyAddr := ""
+						ts.scheduler.engine.EachReadyAddr(func(addr string) { readyAddr = addr })
+						ok = ts.scheduler.engine.ReadyWorkers() == n && readyAddr == wantAddr
 					})
-					return is
+					return ok
 				}, testTimeout, time.Millisecond)
 			}
-			ready(1, z.Addr())
+			awaitReady(1, z.Addr())
 			for i := range 5 {
-				status, _ := b.ask(fmt.Sprint(i), "view", testTimeout)
+				status, _ := ts.ask(fmt.Sprint(i), "view", testTimeout)
 				assert.Equal(t, 200, status)
 			}
 			assert.Empty(t, a.IDs())
-			d.Set(a.Entry("SERVING"), z.Entry("DELETED")) // and whatever comes later
-			ready(1, a.Addr())
-			status, _ := b.ask("later", "view", testTimeout)
+			d.Set(a.Entry("SERVING"), z.Entry("DELETED")) // later changes are learned too
+			awaitReady(1, a.Addr())
+			status, _ := ts.ask("later", "view", testTimeout)
 			assert.Equal(t, 200, status)
 			assert.Equal(t, []string{"later"}, a.IDs())
 		})
@@ -191,86 +194,86 @@
 	return true
 }
 
-// The agent is silent for as long as discovery is down, under a watch that is held and under every call that follows, and
-// has new entries at the return: the first call from then on brings them, and no call waits out a silence that is over.
+// The agent answers no call while discovery is down: neither the watch that it holds nor the calls that follow. Once it is back
+// with new entries, the next call must bring them, and no call may go on waiting because of an outage that is over.
 func TestPushedListAfterAnOutage(t *testing.T) {
 	a, z := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
 	d := startDiscovery(t, a.Entry("SERVING"), z.Entry("SERVING"))
 	var down atomic.Bool
-	met := make(chan struct{}, 64) // calls that met the silence
+	silentCalls := make(chan struct{}, 64) // calls that got no answer
 	d.Take(func(n int, _ http.ResponseWriter, r *http.Request) bool {
 		if n < 2 || n > 2 && !down.Load() {
 			return false
 		}
 		down.Store(true)
-		met <- struct{}{}
+		silentCalls <- struct{}{}
 		return neverAnswer(r)
 	})
-	b := startSchedulerWith(t, nil, withPushedList, withoutProbes, func(c *config) { c.Discovery, c.Known = d.Addr(), d.Known() })
-	for range 4 { // the watch, and three calls anew
+	ts := startSchedulerWith(t, nil, withPushedList, withoutProbes, func(c *config) { c.Discovery, c.Known = d.Addr(), d.Known() })
+	for range 4 { // the watch and three further calls
 		select {
-		case <-met:
+		case <-silentCalls:
 		case <-time.After(testTimeout):
-			require.FailNow(t, "no call")
+			require.FailNow(t, "no call came")
 		}
 	}
 	down.Store(false)
 	d.Set(a.Entry("DRAINING"))
-	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.scheduler.engine.ReadyWorkers() == 1 }); return is }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() (ok bool) { ts.onLoop(func() { ok = ts.scheduler.engine.ReadyWorkers() == 1 }); return ok }, testTimeout, time.Millisecond)
 	for i := range 5 {
-		status, _ := b.ask(fmt.Sprint(i), "view", testTimeout)
+		status, _ := ts.ask(fmt.Sprint(i), "view", testTimeout)
 		assert.Equal(t, 200, status)
 	}
 	assert.Empty(t, a.IDs())
 }
 
-// A reload moves the agent's address: the new one is asked at once for the whole list, and its news goes on coming.
-func TestPushedListMoves(t *testing.T) {
+// A reload changes the agent's address: the new agent is asked at once for the whole list, and its later changes arrive too.
+func TestPushedListAddressChanges(t *testing.T) {
 	a, z := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
-	b := startSchedulerWith(t, []standin.Entry{a.Entry("SERVING")}, withPushedList)
-	b.awaitDiscoveryCalls(2)
+	ts := startSchedulerWith(t, []standin.Entry{a.Entry("SERVING")}, withPushedList)
+	ts.awaitDiscoveryCalls(2)
 	second := startDiscovery(t, a.Entry("DRAINING"), z.Entry("SERVING"))
 	second.Take(func(n int, _ http.ResponseWriter, r *http.Request) bool { return n == 1 && neverAnswer(r) })
-	b.onLoop(func() { b.scheduler.discovery.Move(second.Addr()) })
+	ts.onLoop(func() { ts.scheduler.discovery.Move(second.Addr()) })
 	require.Eventually(t, func() bool { return len(second.Calls()) > 2 }, testTimeout, time.Millisecond)
 	assert.Equal(t, []string{"", ""}, second.Calls()[:2], "the whole list, until it has come")
 	second.Set(z.Entry("DRAINING"))
-	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.scheduler.engine.ReadyWorkers() == 0 }); return is }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() (ok bool) { ts.onLoop(func() { ok = ts.scheduler.engine.ReadyWorkers() == 0 }); return ok }, testTimeout, time.Millisecond)
 }
 
-// A whole list that is asked for while a call is open is asked for once that has ended.
+// A reload that is requested while a call is open is sent when that call has ended, and only once.
 func TestReloadDuringACall(t *testing.T) {
 	a := startWorker(t, standin.WorkerConfig{Name: "a"})
-	b := startScheduler(t, a.Entry("SERVING"))
-	b.awaitDiscoveryCalls(2) // the watch is held
-	b.onLoop(func() { b.scheduler.discovery.Reload(); b.scheduler.discovery.Reload() })
-	assert.Len(t, b.discovery.Calls(), 2, "never two calls out")
-	b.discovery.Set(a.Entry("SERVING")) // ends it
-	assert.Equal(t, "", b.awaitDiscoveryCalls(3)[2])
-	assert.Contains(t, b.awaitDiscoveryCalls(4)[3], "hold_ms=8000", "once, then the watch goes on")
+	ts := startScheduler(t, a.Entry("SERVING"))
+	ts.awaitDiscoveryCalls(2) // the watch is held
+	ts.onLoop(func() { ts.scheduler.discovery.Reload(); ts.scheduler.discovery.Reload() })
+	assert.Len(t, ts.discovery.Calls(), 2, "never two open calls")
+	ts.discovery.Set(a.Entry("SERVING")) // ends the call
+	assert.Equal(t, "", ts.awaitDiscoveryCalls(3)[2])
+	assert.Contains(t, ts.awaitDiscoveryCalls(4)[3], "hold_ms=8000", "one reload, then the watch again")
 }
 
 // startSchedulerAt starts a scheduler that asks this discovery stand-in.
 func startSchedulerAt(t *testing.T, d *standin.Discovery, known []byte) *testScheduler {
-	b := startSchedulerWith(t, nil, func(c *config) {
+	ts := startSchedulerWith(t, nil, func(c *config) {
 		c.Discovery = d.Addr()
 		if known != nil {
 			c.Known = known
 		}
 	})
-	b.discovery = d
-	return b
+	ts.discovery = d
+	return ts
 }
 
-// A watch that is reset just before a worker drains, and a discovery that is down just as the watch is renewed and back while
-// we pause: the drain is obeyed within the time that the settings give for asking (10 s), counted from the last call.
+// A watch is reset just before a worker drains, or discovery is down just as the watch is renewed and up again before the next
+// call. The drain must be learned within the time that the settings allow between two calls (10 s), counted from the last call.
 func TestWatchEndsBeforeADrain(t *testing.T) {
 	for _, name := range []string{"reset", "down at the renewal"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			a, z := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
 			d := startDiscovery(t, a.Entry("SERVING"), z.Entry("SERVING"))
-			let, ended := make(chan struct{}), make(chan time.Time, 1)
+			release, endedAt := make(chan struct{}), make(chan time.Time, 1)
 			d.Take(func(n int, w http.ResponseWriter, r *http.Request) bool {
 				if n != 2 {
 					return false
@@ -280,41 +283,41 @@
 					return false
 				}
 				if name == "reset" {
-					<-let
+					<-release
 					_ = c.(*net.TCPConn).SetLinger(0)
-				} else { // the renewal goes out, and discovery goes down under it
+				} else { // discovery goes down as the renewed watch arrives
 					fmt.Fprint(c, "HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")
 				}
 				c.Close()
-				ended <- time.Now()
+				endedAt <- time.Now()
 				return true
 			})
-			b := startSchedulerAt(t, d, d.Known())
-			b.awaitDiscoveryCalls(2)
-			close(let)
-			at := <-ended
+			ts := startSchedulerAt(t, d, d.Known())
+			ts.awaitDiscoveryCalls(2)
+			close(release)
+			watchEnd := <-endedAt
 			d.Set(a.Entry("DRAINING"))
-			require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.scheduler.engine.ReadyWorkers() == 1 }); return is }, testTimeout, time.Millisecond)
-			assert.Less(t, d.CalledAt()[2].Sub(at), 10*time.Second)
+			require.Eventually(t, func() (ok bool) { ts.onLoop(func() { ok = ts.scheduler.engine.ReadyWorkers() == 1 }); return ok }, testTimeout, time.Millisecond)
+			assert.Less(t, d.CalledAt()[2].Sub(watchEnd), 10*time.Second)
 		})
 	}
 }
 
-// A reload that moves discovery while the old one is down, and while we pause after its failures: the new one is asked at
-// once, for the whole list.
+// A reload changes the address of discovery while the old one is down and the scheduler pauses after failed calls. The new one
+// is asked at once, for the whole list.
 func TestDiscoveryMovesWhileDown(t *testing.T) {
 	a, z := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
-	b := startScheduler(t, a.Entry("SERVING"))
-	b.awaitDiscoveryCalls(2)
-	b.discovery.Down(true)
-	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.scheduler.engine.Counts.ListFailed > 0 }); return is }, testTimeout, time.Millisecond)
+	ts := startScheduler(t, a.Entry("SERVING"))
+	ts.awaitDiscoveryCalls(2)
+	ts.discovery.Down(true)
+	require.Eventually(t, func() (ok bool) { ts.onLoop(func() { ok = ts.scheduler.engine.Counts.ListFailed > 0 }); return ok }, testTimeout, time.Millisecond)
 	second := startDiscovery(t, z.Entry("SERVING"))
 	moved := time.Now()
-	b.onLoop(func() { b.scheduler.discovery.Move(second.Addr()) })
+	ts.onLoop(func() { ts.scheduler.discovery.Move(second.Addr()) })
 	require.Eventually(t, func() bool { return len(second.Calls()) > 1 }, testTimeout, time.Millisecond)
 	assert.Equal(t, "", second.Calls()[0])
 	assert.Less(t, second.CalledAt()[0].Sub(moved), 4*time.Second)
-	status, _ := b.ask("next", "view", testTimeout)
+	status, _ := ts.ask("next", "view", testTimeout)
 	assert.Equal(t, 200, status)
 	assert.Equal(t, []string{"next"}, z.IDs())
 }
