--- a/cmd/weldscale/known_red_test.go
+++ b/cmd/weldscale/known_red_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The list of tests that are known to fail is read as it says: a line too many, one without command, finding or issue and a
-// test that there is not are faults; what it names is left out of the verdict and printed with its result; nothing else is.
+// The script .ci/known-red rejects a list with more than three lines, a line without command, finding or issue, or a test that
+// does not exist. It leaves exactly the listed tests out of the verdict, and prints them with their results.
 func TestKnownRed(t *testing.T) {
 	script, err := filepath.Abs("../../.ci/known-red")
 	require.NoError(t, err)
@@ -38,7 +38,7 @@
 		"no such test":                  {"TestRedd | go test | it is so | 7\n", false, []string{"no test TestRedd"}},
 		"a fourth line": {"TestRed | a | a | 1\nTestGreen | a | a | 1\nTestA | a | a | 1\nTestB | a | a | 1\n", false,
 			[]string{"three at most"}},
-		"a part of names": {"TestGreen | a | a | 1\nTestRe | a | a | 1\n", false, []string{"no test TestRe"}},
+		"part of a name": {"TestGreen | a | a | 1\nTestRe | a | a | 1\n", false, []string{"no test TestRe"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -57,7 +57,7 @@
 	}
 }
 
-// Each test that docs/MOMENTS.md names is there.
+// Each test that docs/MOMENTS.md names exists, and each line of its table has a state and, unless it is open, a test.
 func TestMomentsAreTested(t *testing.T) {
 	page, err := os.ReadFile("../../docs/MOMENTS.md")
 	require.NoError(t, err)
--- a/cmd/weldscale/moments_stop_test.go
+++ b/cmd/weldscale/moments_stop_test.go
@@ -16,83 +16,83 @@
 	"weldscale/internal/standin"
 )
 
-// A request that has come whole within the grace of a stop gets an answer though the loop is late: on a kept connection
-// that is about to be closed, and on one that waits with the system to be accepted.
+// A request that arrives in full within gracePeriod of a shutdown gets an answer, even if the loop is late: both on an idle
+// connection that is about to be closed, and on a new one that the scheduler has not accepted yet.
 func TestStopLeavesNothingUnread(t *testing.T) {
 	for _, fresh := range []bool{false, true} {
 		t.Run(fmt.Sprint("fresh ", fresh), func(t *testing.T) {
 			t.Parallel()
-			for !stopWithUnread(t, fresh) {
-				t.Log("the machine was too slow for the request to come within the grace; once more")
+			for !stopWithUnreadRequest(t, fresh) {
+				t.Log("the machine was too slow for the request to arrive within the grace period; trying again")
 			}
 		})
 	}
 }
 
-// stopWithUnread stops a scheduler whose loop does not come to anything until its grace is over, and reports whether the
-// last request came within it.
-func stopWithUnread(t *testing.T, fresh bool) bool {
+// stopWithUnreadRequest stops a scheduler whose loop is blocked until its grace period is over. It reports whether the last
+// request was sent within that period.
+func stopWithUnreadRequest(t *testing.T, fresh bool) bool {
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
-	b := startScheduler(t, w.Entry("SERVING"))
-	c, poller := b.connect(), b.connect()
-	for i, x := range []*standin.Caller{c, poller} {
-		require.NoError(t, x.Send(standin.Job(fmt.Sprint("warm", i), "view", 8*time.Second, "x")))
-		status, _, err := x.Answer(testTimeout)
+	ts := startScheduler(t, w.Entry("SERVING"))
+	c, poller := ts.connect(), ts.connect()
+	for i, client := range []*standin.Caller{c, poller} {
+		require.NoError(t, client.Send(standin.Job(fmt.Sprint("warm", i), "view", 8*time.Second, "x")))
+		status, _, err := client.Answer(testTimeout)
 		require.NoError(t, err)
 		require.Equal(t, 200, status)
 	}
-	at, let := make(chan struct{}), make(chan struct{})
-	b.scheduler.loop.Post(func() { b.scheduler.stop(); close(at); <-let })
-	<-at
+	blocked, resume := make(chan struct{}), make(chan struct{})
+	ts.scheduler.loop.Post(func() { ts.scheduler.stop(); close(blocked); <-resume })
+	<-blocked
 	began := time.Now()
-	// The poller waits with what one client has sent until the loop takes it: it accepts and reads nobody else.
+	// The network poller waits until the loop takes what this client has sent; until then it accepts and reads no other client.
 	require.NoError(t, poller.Send("POST /"))
-	require.Eventually(t, func() bool { return b.scheduler.loop.QueueLen() > 0 }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return ts.scheduler.loop.QueueLen() > 0 }, testTimeout, time.Millisecond)
 	if fresh {
-		c = b.connect()
+		c = ts.connect()
 	}
 	require.NoError(t, c.Send(standin.Job("last", "view", 8*time.Second, "x")))
-	within := time.Since(began) < gracePeriod-50*time.Millisecond
-	time.Sleep(time.Until(began.Add(gracePeriod + 50*time.Millisecond))) // the loop comes late to the end of the grace
-	close(let)
+	inTime := time.Since(began) < gracePeriod-50*time.Millisecond
+	time.Sleep(time.Until(began.Add(gracePeriod + 50*time.Millisecond))) // the loop is late for the end of the grace period
+	close(resume)
 	status, _, err := c.Answer(testTimeout)
-	if within {
+	if inTime {
 		require.NoError(t, err, "an answer, not a reset")
 		assert.Contains(t, []int{200, 503}, status)
 	}
 	poller.Close()
-	<-b.ended
-	return within
+	<-ts.ended
+	return inTime
 }
 
-// Connections are let go as descriptors run short, while a request has come on them that nobody has read: on one that was kept
-// and on one that never brought any. Both are answered.
-func TestRoomIsNotMadeOverARequest(t *testing.T) {
+// Descriptors run short while an unread request is on two client connections: on an idle one, and on a new one that has not
+// brought a request yet. Neither may be evicted; both requests are answered.
+func TestEvictionSparesUnreadRequests(t *testing.T) {
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
-	b := startScheduler(t, w.Entry("SERVING"))
-	kept, fresh, poller := b.connect(), b.connect(), b.connect()
+	ts := startScheduler(t, w.Entry("SERVING"))
+	kept, fresh, poller := ts.connect(), ts.connect(), ts.connect()
 	require.NoError(t, kept.Send(standin.Job("warm", "view", 8*time.Second, "x")))
 	status, _, err := kept.Answer(testTimeout)
 	require.NoError(t, err)
 	require.Equal(t, 200, status)
-	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.scheduler.server.Pace.Counts().Peers == 3 }); return is }, testTimeout, time.Millisecond)
-	at, let := make(chan struct{}), make(chan struct{})
-	b.scheduler.loop.Post(func() {
-		close(at)
-		<-let
-		l := pace.Defaults(1 << 20)
-		l.NewPeerGrace, l.EvictionGrace = 0, 0
-		b.scheduler.server.Pace.SetLimits(l)
-		assert.Zero(t, b.scheduler.server.EvictClients(9, false))
+	require.Eventually(t, func() (ok bool) { ts.onLoop(func() { ok = ts.scheduler.server.Pace.Counts().Peers == 3 }); return ok }, testTimeout, time.Millisecond)
+	blocked, resume := make(chan struct{}), make(chan struct{})
+	ts.scheduler.loop.Post(func() {
+		close(blocked)
+		<-resume
+		limits := pace.Defaults(1 << 20)
+		limits.NewPeerGrace, limits.EvictionGrace = 0, 0
+		ts.scheduler.server.Pace.SetLimits(limits)
+		assert.Zero(t, ts.scheduler.server.EvictClients(9, false))
 	})
-	<-at
-	// The poller waits with what one client has sent until the loop takes it: it reads nobody else.
+	<-blocked
+	// The network poller waits until the loop takes what this client has sent; until then it reads no other client.
 	require.NoError(t, poller.Send("POST /"))
-	require.Eventually(t, func() bool { return b.scheduler.loop.QueueLen() > 0 }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return ts.scheduler.loop.QueueLen() > 0 }, testTimeout, time.Millisecond)
 	for id, c := range map[string]*standin.Caller{"kept": kept, "fresh": fresh} {
 		require.NoError(t, c.Send(standin.Job(id, "view", 8*time.Second, "x")))
 	}
-	close(let)
+	close(resume)
 	for _, c := range []*standin.Caller{kept, fresh} {
 		status, _, err := c.Answer(testTimeout)
 		require.NoError(t, err, "an answer, not a reset")
@@ -100,36 +100,37 @@
 	}
 }
 
-// A stop answers what hanging workers leave, before the platform kills: what may have run fails, what can't have is refused.
+// A shutdown answers the requests that hanging workers leave open before the platform kills the process: a job that may have
+// run fails, one that can't have run is refused.
 func TestStopGivesUpInTime(t *testing.T) {
 	t.Parallel()
 	w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) { standin.Start(r, c) }})
-	b := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, func(c *config) {
+	ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, func(c *config) {
 		for i := range c.engine.Settings.Classes {
 			c.engine.Settings.Classes[i].Deadline = 25e6
 		}
 	})
-	hanging, waiting := b.connect(), b.connect()
+	hanging, waiting := ts.connect(), ts.connect()
 	require.NoError(t, hanging.Send(standin.Job("hangs", "send", 25*time.Second, "x")))
 	require.Eventually(t, func() bool { return len(w.IDs()) == 1 }, testTimeout, time.Millisecond)
-	b.discovery.Set(w.Entry("DRAINING"))
-	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.scheduler.engine.ReadyWorkers() == 0 }); return is }, testTimeout, time.Millisecond)
+	ts.discovery.Set(w.Entry("DRAINING"))
+	require.Eventually(t, func() (ok bool) { ts.onLoop(func() { ok = ts.scheduler.engine.ReadyWorkers() == 0 }); return ok }, testTimeout, time.Millisecond)
 	require.NoError(t, waiting.Send(standin.Job("waits", "send", 25*time.Second, "x")))
-	b.awaitAccepted(2)
+	ts.awaitAccepted(2)
 	began := time.Now()
-	b.scheduler.loop.Post(b.scheduler.stop)
+	ts.scheduler.loop.Post(ts.scheduler.stop)
 	status, _, err := waiting.Answer(testTimeout)
 	require.NoError(t, err)
 	assert.Equal(t, 503, status)
 	status, _, err = hanging.Answer(testTimeout)
 	require.NoError(t, err)
 	assert.Equal(t, 500, status)
-	<-b.ended
-	assert.Less(t, time.Since(began), 10*time.Second, "long before their clients would have given up")
+	<-ts.ended
+	assert.Less(t, time.Since(began), 10*time.Second, "well before the clients would have given up")
 	assert.Equal(t, []string{"hangs"}, w.IDs())
 }
 
-// holdFinish starts each job and ends it once it is let.
+// holdFinish starts each job and finishes it once release is closed.
 func holdFinish(release chan struct{}) func(*http.Request, net.Conn) {
 	return func(r *http.Request, c net.Conn) {
 		standin.Start(r, c)
@@ -138,26 +139,26 @@
 	}
 }
 
-// A stop finds a dial under way: the job is sent once that comes up, and answered.
+// A shutdown begins during a dial: the job is sent when the connection comes up, and answered.
 func TestStopDuringADial(t *testing.T) {
 	stops := &standin.Stops{}
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
-	b := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes)
+	ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes)
 	stops.Hold("dial")
-	b.holdDials(stops, nil)
-	c := b.connect()
+	ts.holdDials(stops, nil)
+	c := ts.connect()
 	require.NoError(t, c.Send(standin.Job("job", "send", 8*time.Second, "x")))
 	awaitReached(t, stops, "dial")
-	b.scheduler.loop.Do(b.scheduler.stop)
+	ts.scheduler.loop.Do(ts.scheduler.stop)
 	stops.Free("dial")
 	status, _, err := c.Answer(testTimeout)
 	require.NoError(t, err)
 	assert.Equal(t, 200, status)
-	<-b.ended
+	<-ts.ended
 	assert.Equal(t, []string{"job"}, w.IDs())
 }
 
-// A client that has gone on sending does not take its answer before the process is gone: it gets it whole, no reset over it.
+// A client sends more data and reads its answer only after the process has ended. It must get the whole answer, not a reset.
 func TestAnswerOutlivesTheProcess(t *testing.T) {
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
 	d := startDiscovery(t, w.Entry("SERVING"))
--- a/cmd/weldscale/slow_test.go
+++ b/cmd/weldscale/slow_test.go
@@ -18,16 +18,16 @@
 )
 
 // slowPeerCounts reads the counts of slow peers on the loop.
-func (b *testScheduler) slowPeerCounts() (c pace.Counts) {
-	b.scheduler.loop.Do(func() { c = b.scheduler.server.Pace.Counts() })
+func (ts *testScheduler) slowPeerCounts() (c pace.Counts) {
+	ts.scheduler.loop.Do(func() { c = ts.scheduler.server.Pace.Counts() })
 	return c
 }
 
-// Slow senders and readers are cut, whatever their job; honest lines, one of them known to be slow, are not, and a
-// request whose answer nobody took is not tried again.
+// Peers that send or read too slowly are cut, whatever their job. Peers that keep the pace are not, nor those on a link that is
+// configured as slow. A request whose answer was not read is not sent to a worker again.
 func TestSlowPeers(t *testing.T) {
 	f := startFleet(t, 4, standin.WorkerConfig{Queue: 8, TellsStart: true})
-	b := startSchedulerWith(t, f.Entries(), func(c *config) {
+	ts := startSchedulerWith(t, f.Entries(), func(c *config) {
 		c.file.SlowPeers.Links = []pace.Link{{Name: "murun", Prefixes: []netip.Prefix{netip.MustParsePrefix("127.0.3.0/24")},
 			In: 64, Out: 64}}
 	})
@@ -43,60 +43,60 @@
 		{Name: "known", From: "127.0.3.1", Peers: 3, Kind: kind("view", 2000, 2000), Send: 1000, Read: 1000, Once: true},
 		{Name: "pauses", From: "127.0.5.1", Peers: 3, Kind: kind("view", 10, 250000), Read: 400000, Pause: time.Second / 2, Once: true},
 	}
-	ends := make([]*standin.SlowTally, len(crowds))
-	var honest, slow sync.WaitGroup
+	tallies := make([]*standin.SlowTally, len(crowds))
+	var onPace, slow sync.WaitGroup
 	for i, c := range crowds {
-		c.Target = b.addr
+		c.Target = ts.addr
 		group := &slow
 		if c.Once {
-			group = &honest
+			group = &onPace
 		}
-		group.Go(func() { ends[i] = c.Run(ctx) })
+		group.Go(func() { tallies[i] = c.Run(ctx) })
 	}
-	cut := func() int { c := b.slowPeerCounts(); return c.CutIn + c.CutOut + c.CutCrowd }
+	cut := func() int { c := ts.slowPeerCounts(); return c.CutIn + c.CutOut + c.CutCrowd }
 	require.Eventually(t, func() bool { return cut() == 40 }, testTimeout, 10*time.Millisecond)
-	honest.Wait()
-	stop() // the system may yet hand the deaf what it holds
+	onPace.Wait()
+	stop() // the kernel may still deliver what it has buffered for the slow readers
 	slow.Wait()
 	for i, c := range crowds {
 		if i < 2 {
-			assert.Zero(t, ends[i].Served, "%s: %v", c.Name, ends[i])
+			assert.Zero(t, tallies[i].Served, "%s: %v", c.Name, tallies[i])
 			continue
 		}
-		assert.Equal(t, c.Peers, ends[i].Served, "%s: %v", c.Name, ends[i])
+		assert.Equal(t, c.Peers, tallies[i].Served, "%s: %v", c.Name, tallies[i])
 	}
 	assert.Equal(t, 40, cut())
-	assert.Positive(t, b.slowPeerCounts().CutOut)
+	assert.Positive(t, ts.slowPeerCounts().CutOut)
 	var ids []string
 	for _, w := range f.Workers {
 		ids = append(ids, w.IDs()...)
 	}
 	slices.Sort(ids)
-	assert.Len(t, ids, 29, "20 deaf and 9 honest ones")
-	assert.Len(t, slices.Compact(ids), 29, "none runs twice")
-	require.Eventually(t, func() bool { return b.slowPeerCounts().Bytes == 0 }, testTimeout, time.Millisecond, "nothing of them stays")
+	assert.Len(t, ids, 29, "20 slow readers and 9 that keep the pace")
+	assert.Len(t, slices.Compact(ids), 29, "no job runs twice")
+	require.Eventually(t, func() bool { return ts.slowPeerCounts().Bytes == 0 }, testTimeout, time.Millisecond, "no bytes stay counted")
 }
 
-// A scheduler that stops waits for answers that are being taken, though slowly.
+// A scheduler in shutdown waits for clients that read their answers, even slowly.
 func TestStopWhileAnAnswerIsTakenSlowly(t *testing.T) {
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
-	b := startScheduler(t, w.Entry("SERVING"))
-	c, err := (&net.Dialer{}).Dial("tcp", b.addr)
+	ts := startScheduler(t, w.Entry("SERVING"))
+	c, err := (&net.Dialer{}).Dial("tcp", ts.addr)
 	require.NoError(t, err)
 	defer c.Close()
 	require.NoError(t, c.(*net.TCPConn).SetReadBuffer(4<<10))
 	const size = 250000
 	_, err = io.WriteString(c, "POST /api/1?size=250000 HTTP/1.1\r\nHost: a\r\nX-Call-Id: 1\r\nX-Call-Class: send\r\nX-Budget: 9000m\r\nConnection: close\r\n\r\n")
 	require.NoError(t, err)
-	unsent := func() (n int) { b.scheduler.loop.Do(func() { n = b.scheduler.driver.Unsent() }); return n }
-	require.Eventually(t, func() bool { return unsent() == 1 }, testTimeout, time.Millisecond, "a part waits here")
-	b.scheduler.loop.Post(b.scheduler.stop)
+	unsent := func() (n int) { ts.scheduler.loop.Do(func() { n = ts.scheduler.driver.Unsent() }); return n }
+	require.Eventually(t, func() bool { return unsent() == 1 }, testTimeout, time.Millisecond, "part of the answer is buffered here")
+	ts.scheduler.loop.Post(ts.scheduler.stop)
 	require.Eventually(t, func() (closed bool) {
-		b.scheduler.loop.Do(func() { closed = b.scheduler.listenerClosed })
+		ts.scheduler.loop.Do(func() { closed = ts.scheduler.listenerClosed })
 		return closed
 	}, testTimeout, time.Millisecond)
 	got, err := io.ReadAll(c)
 	require.NoError(t, err)
 	assert.Greater(t, len(got), size)
-	<-b.ended
+	<-ts.ended
 }
