--- a/cmd/weldscale/early_amd64_test.go
+++ b/cmd/weldscale/early_amd64_test.go
@@ -22,7 +22,7 @@
 // startPausedAt starts the program, pauses it at its first system call with this number, calls whilePaused and lets it run on.
 // The Go runtime's start begins with SCHED_GETAFFINITY. At that point the libraries are loaded, and none of the program's Go
 // code has run yet.
-func startPausedAt(t *testing.T, path string, log *logged, syscallNumber uint64, whilePaused func(pid int)) *exec.Cmd {
+func startPausedAt(t *testing.T, path string, log *programLog, syscallNumber uint64, whilePaused func(pid int)) *exec.Cmd {
 	runtime.LockOSThread() // ptrace requests must come from the tracing thread
 	defer runtime.UnlockOSThread()
 	cmd := exec.Command(os.Args[0])
@@ -58,7 +58,7 @@
 		for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT} {
 			path := filepath.Join(t.TempDir(), "config.json")
 			writeConfig(t, path, standin.Site{Discovery: "127.0.0.1:1"})
-			log := &logged{news: make(chan struct{}, 1)}
+			log := &programLog{changed: make(chan struct{}, 1)}
 			cmd := startPausedAt(t, path, log, syscallNumber, func(pid int) {
 				for _, s := range []syscall.Signal{syscall.SIGUSR1, syscall.SIGHUP, sig} {
 					require.NoError(t, syscall.Kill(pid, s))
@@ -77,14 +77,14 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	site := standin.Site{Discovery: oldDiscovery.Addr()}
 	writeConfig(t, path, site)
-	log := &logged{news: make(chan struct{}, 1)}
+	log := &programLog{changed: make(chan struct{}, 1)}
 	cmd := startPausedAt(t, path, log, unix.SYS_SCHED_GETAFFINITY, func(pid int) {
 		site.Discovery, site.Known = newDiscovery.Addr(), newDiscovery.Known()
 		writeConfig(t, path, site)
 		require.NoError(t, syscall.Kill(pid, syscall.SIGHUP))
 	})
 	addr := log.awaitAddr(t)
-	status, _, err := standin.Ask(client(), addr, "", "one", &standin.Kind{Class: "view", Budget: patience, Body: 5})
+	status, _, err := standin.Ask(client(), addr, "", "one", &standin.Kind{Class: "view", Budget: testTimeout, Body: 5})
 	require.NoError(t, err)
 	assert.Equal(t, 200, status)
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
--- a/cmd/weldscale/fleet_test.go
+++ b/cmd/weldscale/fleet_test.go
@@ -43,7 +43,7 @@
 			socket(name), binds[i], binds[0], binds[1], binds[2], members, burst) + serviceBlock("shop", fmt.Sprintf("  limits { fleet_rate = %d }\n", rate), w)
 		file := socket(name + ".hcl")
 		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
-		cmd, log := program(t, "program", "GW_CONFIG=", "WELDSCALE_FILE="+file)
+		cmd, log := startTestBinary(t, "program", "GW_CONFIG=", "WELDSCALE_FILE="+file)
 		log.await(t, "serving")
 		return cmd.Process
 	}
@@ -61,7 +61,7 @@
 	var served atomic.Int64
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
-	first := &bench{t: t, addr: clientAddr}
+	first := &testScheduler{t: t, addr: clientAddr}
 	for i := range 4 {
 		clients.Go(func() {
 			for n := 0; ; n++ {
@@ -70,21 +70,21 @@
 					return
 				case <-time.After(5 * time.Millisecond):
 				}
-				if status, _, _ := first.askService("shop.example.org", "/api/1", fmt.Sprint(i, "-", n), "view", patience); status == 200 {
+				if status, _, _ := first.askService("shop.example.org", "/api/1", fmt.Sprint(i, "-", n), "view", testTimeout); status == 200 {
 					served.Add(1)
 				}
 			}
 		})
 	}
 	awaitLargeShare := func(why string) {
-		require.Eventually(t, func() bool { return share() > 0.75*rate }, patience, 100*time.Millisecond, why)
+		require.Eventually(t, func() bool { return share() > 0.75*rate }, testTimeout, 100*time.Millisecond, why)
 	}
 	awaitLargeShare("all requests come here")
 	require.NoError(t, c.Kill())
 	time.Sleep(2 * time.Second)
 	awaitLargeShare("two of three voters are a majority")
 	require.NoError(t, b.Signal(syscall.SIGSTOP))
-	require.Eventually(t, func() bool { return share() < 0.1*rate }, patience, 50*time.Millisecond, "without a majority only the floor is left")
+	require.Eventually(t, func() bool { return share() < 0.1*rate }, testTimeout, 50*time.Millisecond, "without a majority only the floor is left")
 	require.NoError(t, b.Signal(syscall.SIGCONT))
 	awaitLargeShare("the second voter is back")
 	start(2)
@@ -135,7 +135,7 @@
 		t.Cleanup(p.Kill)
 		f.processes, f.addrs = append(f.processes, p), append(f.addrs, listen)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	for _, p := range f.processes {
 		require.NoError(t, p.AwaitReady(ctx))
@@ -183,7 +183,7 @@
 				}
 			}
 			return time.Since(waitingSince) > 2*time.Second && float64(recent) > 0.75*2*rate
-		}, patience, 100*time.Millisecond, why)
+		}, testTimeout, 100*time.Millisecond, why)
 	}
 	awaitFullRate("all schedulers run")
 	path := filepath.Join(f.dir, "script.hcl")
@@ -235,7 +235,7 @@
 		mu.Lock()
 		peak = 0
 		mu.Unlock()
-		require.Eventually(t, func() bool { mu.Lock(); defer mu.Unlock(); return peak >= 2*limit/3 }, patience, 10*time.Millisecond, why)
+		require.Eventually(t, func() bool { mu.Lock(); defer mu.Unlock(); return peak >= 2*limit/3 }, testTimeout, 10*time.Millisecond, why)
 	}
 	awaitUse("all schedulers run")
 	script := &faults.Script{Troubles: []faults.Trouble{{Kind: "kill", Targets: []string{"b"}, To: 2 * time.Second},
@@ -281,7 +281,7 @@
 	received := assert.Eventually(t, func() bool {
 		text, _, _ := runProgram(t, nil, "fleet", filepath.Join(f.dir, "d"))
 		return strings.Contains(text, "evidence against=shop/bad ")
-	}, patience, 20*time.Millisecond)
+	}, testTimeout, 20*time.Millisecond)
 	if !received {
 		for _, member := range f.processes {
 			text, _, _ := runProgram(t, nil, "fleet", filepath.Join(f.dir, member.Name))
@@ -289,9 +289,9 @@
 		}
 		t.FailNow()
 	}
-	fourth := &bench{t: t, addr: f.addrs[3]}
+	fourth := &testScheduler{t: t, addr: f.addrs[3]}
 	for n := range 40 {
-		status, _, _ := fourth.askService("shop.example.org", "/api/1", fmt.Sprint("d-", n), "view", patience)
+		status, _, _ := fourth.askService("shop.example.org", "/api/1", fmt.Sprint("d-", n), "view", testTimeout)
 		assert.Equal(t, 200, status)
 	}
 	assert.NotContains(t, strings.Join(bad.IDs(), " "), "d-")
--- a/cmd/weldscale/services_test.go
+++ b/cmd/weldscale/services_test.go
@@ -39,15 +39,15 @@
 }
 
 // askService sends a request with this Host header and returns the status, the start of the body and the Retry-After header.
-func (b *bench) askService(host, path, id, class string, budget time.Duration) (int, string, string) {
-	r, err := http.NewRequest("POST", "http://"+b.addr+path, strings.NewReader("sheet"))
-	require.NoError(b.t, err)
+func (ts *testScheduler) askService(host, path, id, class string, budget time.Duration) (int, string, string) {
+	r, err := http.NewRequest("POST", "http://"+ts.addr+path, strings.NewReader("sheet"))
+	require.NoError(ts.t, err)
 	r.Host = host
 	r.Header.Set("X-Call-Id", id)
 	r.Header.Set("X-Call-Class", class)
 	r.Header.Set("X-Budget", fmt.Sprintf("%dm", budget.Milliseconds()))
-	resp, err := (&http.Client{Timeout: patience}).Do(r)
-	if !assert.NoError(b.t, err) {
+	resp, err := (&http.Client{Timeout: testTimeout}).Do(r)
+	if !assert.NoError(ts.t, err) {
 		return 0, "", ""
 	}
 	defer resp.Body.Close()
@@ -57,8 +57,8 @@
 }
 
 // applyFile applies an operator's file, as a reload does.
-func (b *bench) applyFile(f operator.File) (err error) {
-	b.s.loop.Do(func() { err = b.s.applyServices(f) })
+func (ts *testScheduler) applyFile(f operator.File) (err error) {
+	ts.scheduler.loop.Do(func() { err = ts.scheduler.applyServices(f) })
 	return err
 }
 
@@ -68,7 +68,7 @@
 		startWorker(t, standin.WorkerConfig{Name: "w"})
 	f := operatorFile(t, "platform {\n match { host = \"app.svc\" }\n}\n"+serviceBlock("shop", "  limits { rate = 0.01 }\n", shop)+
 		serviceBlock("proofs", "", proofs))
-	b := startBenchWith(t, []standin.Entry{main.Entry("SERVING")}, func(c *config) { c.file = f })
+	ts := startSchedulerWith(t, []standin.Entry{main.Entry("SERVING")}, func(c *config) { c.file = f })
 	for i, c := range []struct {
 		host, path, class string
 		status            int
@@ -82,7 +82,7 @@
 		{"elsewhere.example.org", "/api/1", "view", 421, "no service for this host"},
 		{"", "/api/1", "view", 421, "no service for this host"}, // the Host header is the address of the scheduler
 	} {
-		status, body, wait := b.askService(c.host, c.path, fmt.Sprint(i), c.class, patience)
+		status, body, wait := ts.askService(c.host, c.path, fmt.Sprint(i), c.class, testTimeout)
 		assert.Equal(t, c.status, status, "%+v", c)
 		assert.Contains(t, body, c.wantBody, "%+v", c)
 		assert.Equal(t, status == 429, wait != "", "%+v: %s", c, wait)
@@ -90,7 +90,7 @@
 	assert.Equal(t, []string{"0"}, main.IDs())
 	assert.Equal(t, []string{"1"}, shop.IDs())
 	assert.Equal(t, []string{"3"}, proofs.IDs())
-	c, err := net.Dial("tcp", b.addr)
+	c, err := net.Dial("tcp", ts.addr)
 	require.NoError(t, err)
 	defer c.Close()
 	fmt.Fprint(c, "POST /api/1 HTTP/1.1\r\nX-Call-Id: x\r\nX-Call-Class: view\r\nX-Budget: 9m\r\nContent-Length: 0\r\n\r\n")
@@ -99,7 +99,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, "HTTP/1.1 400", string(head), "a request without Host")
 	var stats string
-	b.s.loop.Do(func() { stats = b.s.server.Stats() })
+	ts.scheduler.loop.Do(func() { stats = ts.scheduler.server.Stats() })
 	assert.Contains(t, stats, "\nservice=shop open=0 begun=1 over_rate=1")
 }
 
@@ -108,7 +108,7 @@
 func TestServicesWithoutWorkingWorkers(t *testing.T) {
 	gone, well := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "b"})
 	silent := startWorker(t, standin.WorkerConfig{Name: "c"})
-	b := startBenchWith(t, nil, func(c *config) {
+	ts := startSchedulerWith(t, nil, func(c *config) {
 		c.file = operatorFile(t, serviceBlock("gone", "", gone)+serviceBlock("silent", "", silent)+serviceBlock("well", "", well))
 	})
 	gone.Close()
@@ -117,18 +117,18 @@
 	for i := range 30 {
 		for _, host := range []string{"gone", "silent"} {
 			requests.Go(func() {
-				status, _, _ := b.askService(host+".example.org", "/api/1", fmt.Sprint(host, i), "send", 2*time.Second)
+				status, _, _ := ts.askService(host+".example.org", "/api/1", fmt.Sprint(host, i), "send", 2*time.Second)
 				assert.Contains(t, []int{500, 503}, status)
 			})
 		}
 		requests.Go(func() {
-			status, _, _ := b.askService("well.example.org", "/api/1", fmt.Sprint("well", i), "send", patience)
+			status, _, _ := ts.askService("well.example.org", "/api/1", fmt.Sprint("well", i), "send", testTimeout)
 			assert.Equal(t, 200, status)
 		})
 	}
 	requests.Wait()
 	assert.Len(t, well.IDs(), 30)
-	b.s.loop.Do(func() { assert.Zero(t, b.s.openRequests()) })
+	ts.scheduler.loop.Do(func() { assert.Zero(t, ts.scheduler.openRequests()) })
 }
 
 // Services are added, changed and removed while a request is open. It is finished in the service that accepted it, later
@@ -142,41 +142,41 @@
 		standin.Done(r, c)
 	}}
 	old, other, third := startWorker(t, holding), startWorker(t, standin.WorkerConfig{Name: "z"}), startWorker(t, standin.WorkerConfig{Name: "z"})
-	b := startBenchWith(t, nil, func(c *config) { c.file = operatorFile(t, serviceBlock("shop", "", old)) })
+	ts := startSchedulerWith(t, nil, func(c *config) { c.file = operatorFile(t, serviceBlock("shop", "", old)) })
 	answered := make(chan int)
 	go func() {
-		status, _, _ := b.askService("shop.example.org", "/api/1", "held", "send", patience)
+		status, _, _ := ts.askService("shop.example.org", "/api/1", "held", "send", testTimeout)
 		answered <- status
 	}()
-	require.Eventually(t, func() bool { return slices.Contains(old.IDs(), "held") }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return slices.Contains(old.IDs(), "held") }, testTimeout, time.Millisecond)
 	invalid := operatorFile(t, serviceBlock("shop", "", other))
 	invalid.Services[0].Classes[0].Terms.Deadline = 0
-	assert.ErrorContains(t, b.applyFile(invalid), "deadline")
-	status, _, _ := b.askService("shop.example.org", "/api/1", "1", "view", patience)
+	assert.ErrorContains(t, ts.applyFile(invalid), "deadline")
+	status, _, _ := ts.askService("shop.example.org", "/api/1", "1", "view", testTimeout)
 	assert.Equal(t, 200, status)
 	assert.Contains(t, old.IDs(), "1")
 
 	// With other workers and unchanged classes the same service continues.
-	require.NoError(t, b.applyFile(operatorFile(t, serviceBlock("shop", "", other))))
-	status, _, _ = b.askService("shop.example.org", "/api/1", "2", "view", patience)
+	require.NoError(t, ts.applyFile(operatorFile(t, serviceBlock("shop", "", other))))
+	status, _, _ = ts.askService("shop.example.org", "/api/1", "2", "view", testTimeout)
 	assert.Equal(t, 200, status)
 	assert.Equal(t, []string{"2"}, other.IDs())
 
 	// Other classes make another service of that name. Then the service is removed.
-	require.NoError(t, b.applyFile(operatorFile(t, serviceBlock("shop", "class \"more\" { effect = \"safe\" }\n", third))))
-	status, _, _ = b.askService("shop.example.org", "/api/1", "3", "more", patience)
+	require.NoError(t, ts.applyFile(operatorFile(t, serviceBlock("shop", "class \"more\" { effect = \"safe\" }\n", third))))
+	status, _, _ = ts.askService("shop.example.org", "/api/1", "3", "more", testTimeout)
 	assert.Equal(t, 200, status)
 	assert.Equal(t, []string{"3"}, third.IDs())
-	require.NoError(t, b.applyFile(operatorFile(t, serviceBlock("desks", "", other))))
-	status, _, _ = b.askService("shop.example.org", "/api/1", "4", "view", patience)
+	require.NoError(t, ts.applyFile(operatorFile(t, serviceBlock("desks", "", other))))
+	status, _, _ = ts.askService("shop.example.org", "/api/1", "4", "view", testTimeout)
 	assert.Equal(t, 421, status)
-	b.s.loop.Do(func() { assert.Equal(t, 1, b.s.openRequests()) })
+	ts.scheduler.loop.Do(func() { assert.Equal(t, 1, ts.scheduler.openRequests()) })
 	close(release)
 	assert.Equal(t, 200, <-answered)
 	require.Eventually(t, func() (done bool) {
-		b.s.loop.Do(func() { done = len(b.s.draining) == 0 })
+		ts.scheduler.loop.Do(func() { done = len(ts.scheduler.draining) == 0 })
 		return done
-	}, patience, 10*time.Millisecond)
+	}, testTimeout, 10*time.Millisecond)
 }
 
 // Changes of a worker file are followed. An incomplete file, or one with a worker without address, changes nothing.
@@ -192,20 +192,22 @@
 	}
 	write(list(a, "SERVING"))
 	text := strings.Replace(serviceBlock("shop", ""), "workers {\n", fmt.Sprintf("workers {\n file = %q\n", path), 1)
-	b := startBenchWith(t, nil, func(c *config) { c.file = operatorFile(t, text) })
+	ts := startSchedulerWith(t, nil, func(c *config) { c.file = operatorFile(t, text) })
 	readyAddrs := func() (addrs []string) {
-		b.s.loop.Do(func() { b.s.services["shop"].engine.EachReadyAddr(func(addr string) { addrs = append(addrs, addr) }) })
+		ts.scheduler.loop.Do(func() {
+			ts.scheduler.services["shop"].engine.EachReadyAddr(func(addr string) { addrs = append(addrs, addr) })
+		})
 		return addrs
 	}
-	require.Eventually(t, func() bool { return slices.Equal(readyAddrs(), []string{a.Addr()}) }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return slices.Equal(readyAddrs(), []string{a.Addr()}) }, testTimeout, time.Millisecond)
 	write(`{"endpoints":[`)
 	write(`{"endpoints":[{"name":"z"}]}`)
-	status, _, _ := b.askService("shop.example.org", "/api/1", "1", "view", patience)
+	status, _, _ := ts.askService("shop.example.org", "/api/1", "1", "view", testTimeout)
 	assert.Equal(t, 200, status)
 	write(list(z, "SERVING"))
-	require.Eventually(t, func() bool { return slices.Equal(readyAddrs(), []string{z.Addr()}) }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return slices.Equal(readyAddrs(), []string{z.Addr()}) }, testTimeout, time.Millisecond)
 	write(list(z, "DRAINING"))
-	require.Eventually(t, func() bool { return len(readyAddrs()) == 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(readyAddrs()) == 0 }, testTimeout, time.Millisecond)
 	f := operatorFile(t, strings.Replace(text, "workers.json", "nowhere.json", 1))
-	assert.ErrorContains(t, b.applyFile(f), "no such file")
+	assert.ErrorContains(t, ts.applyFile(f), "no such file")
 }
--- a/cmd/weldscale/upgrade_test.go
+++ b/cmd/weldscale/upgrade_test.go
@@ -38,7 +38,7 @@
 	platform *testPlatform
 	cmd      *exec.Cmd
 	mgmt     string // its management address
-	log      *logged
+	log      *programLog
 }
 
 func newTestPlatform(t *testing.T, d *standin.Discovery) *testPlatform {
@@ -63,7 +63,7 @@
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 100+os.Getpid()%100, os.Getpid()/100%250, 1+processesStarted.Add(1)%250))
 	require.NoError(p.t, err)
 	ln.Close()
-	x := &process{platform: p, mgmt: ln.Addr().String(), cmd: exec.Command(os.Args[0]), log: &logged{news: make(chan struct{}, 1)}}
+	x := &process{platform: p, mgmt: ln.Addr().String(), cmd: exec.Command(os.Args[0]), log: &programLog{changed: make(chan struct{}, 1)}}
 	if p.maxFiles > 0 {
 		x.cmd = exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", p.maxFiles, os.Args[0]))
 	}
@@ -94,7 +94,7 @@
 		}
 		resp.Body.Close()
 		return resp.StatusCode == 200
-	}, patience, 5*time.Millisecond)
+	}, testTimeout, 5*time.Millisecond)
 	return x
 }
 
@@ -129,13 +129,13 @@
 			// With one connection at a time, a further dial means that the one before was closed.
 			transport := &http.Transport{DialContext: (&countingDialer{&c.dials}).dial, MaxConnsPerHost: 1}
 			defer transport.CloseIdleConnections()
-			client := &http.Client{Timeout: patience, Transport: transport}
+			client := &http.Client{Timeout: testTimeout, Transport: transport}
 			for k := 0; !c.stop.Load(); k++ {
 				id := fmt.Sprint(name, i, "-", k)
-				kind := &standin.Kind{Class: "send", Budget: patience, Body: 5}
+				kind := &standin.Kind{Class: "send", Budget: testTimeout, Body: 5}
 				status, body, err := standin.Ask(client, p.addr, "", id, kind)
 				// On a busy machine the report of a start may be late, so that a job is refused. It has not run, so the client retries.
-				for firstRefusal := time.Now(); err == nil && status == 503 && time.Since(firstRefusal) < patience; {
+				for firstRefusal := time.Now(); err == nil && status == 503 && time.Since(firstRefusal) < testTimeout; {
 					time.Sleep(10 * time.Millisecond)
 					id += "r"
 					status, body, err = standin.Ask(client, p.addr, "", id, kind)
@@ -187,10 +187,10 @@
 	require.Equal(t, 200, first.workerCommand("out", "offline"))
 	longAnswer := make(chan string)
 	go func() {
-		status, body, err := standin.Ask(&http.Client{Timeout: patience}, p.addr, "", "long", &standin.Kind{Class: "send", Budget: patience, Body: 9})
+		status, body, err := standin.Ask(&http.Client{Timeout: testTimeout}, p.addr, "", "long", &standin.Kind{Class: "send", Budget: testTimeout, Body: 9})
 		longAnswer <- fmt.Sprint(status, body, err)
 	}()
-	require.Eventually(t, func() bool { return slices.Contains(w.IDs(), "long") }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return slices.Contains(w.IDs(), "long") }, testTimeout, time.Millisecond)
 	clients := p.startClients("c", 8)
 	second := p.start().awaitReady()
 	first.stop()
@@ -236,7 +236,7 @@
 	assert.Empty(t, a.IDs())
 	require.Equal(t, 200, old.workerCommand("a", "online"))
 	clients = p.startClients("f", 4)
-	require.Eventually(t, func() bool { return len(a.IDs()) > 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(a.IDs()) > 0 }, testTimeout, time.Millisecond)
 	_, unexpected = clients.finish()
 	assert.Empty(t, unexpected)
 }
@@ -391,19 +391,19 @@
 		t.Cleanup(c.Close)
 		return c
 	}
-	require.Eventually(t, func() bool { return len(g.discovery.Calls()) >= 2 }, patience, time.Millisecond) // discovery holds the poll
+	require.Eventually(t, func() bool { return len(g.discovery.Calls()) >= 2 }, testTimeout, time.Millisecond) // discovery holds the poll
 	g.idle, g.long = dial(), dial()
-	require.NoError(t, g.idle.Send(standin.Job("warm", "view", patience, "x")))
-	status, _, err := g.idle.Answer(patience)
+	require.NoError(t, g.idle.Send(standin.Job("warm", "view", testTimeout, "x")))
+	status, _, err := g.idle.Answer(testTimeout)
 	require.NoError(t, err)
 	require.Equal(t, 200, status)
-	require.NoError(t, g.long.Send(standin.Job("long", "send", patience, "x")))
-	require.Eventually(t, func() bool { return slices.Contains(g.worker.IDs(), "long") }, patience, time.Millisecond)
+	require.NoError(t, g.long.Send(standin.Job("long", "send", testTimeout, "x")))
+	require.Eventually(t, func() bool { return slices.Contains(g.worker.IDs(), "long") }, testTimeout, time.Millisecond)
 	g.discovery.Set(g.worker.Entry("DRAINING")) // no worker has room
-	require.Eventually(t, func() bool { return len(g.discovery.Calls()) >= 3 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(g.discovery.Calls()) >= 3 }, testTimeout, time.Millisecond)
 	g.waiting = dial()
-	require.NoError(t, g.waiting.Send(standin.Job("waits", "view", patience, "x")))
-	require.Eventually(t, func() bool { return g.old.inFlight() == 2 }, patience, time.Millisecond)
+	require.NoError(t, g.waiting.Send(standin.Job("waits", "view", testTimeout, "x")))
+	require.Eventually(t, func() bool { return g.old.inFlight() == 2 }, testTimeout, time.Millisecond)
 	g.successor = g.start().awaitReady()
 	g.old.signal(syscall.SIGTERM)
 	g.old.log.await(t, "stopping")
@@ -412,7 +412,7 @@
 
 // awaitHandover waits until the successor has n jobs in flight.
 func (g *handoverTest) awaitHandover(n int) {
-	require.Eventually(g.t, func() bool { return g.successor.inFlight() == n }, patience, 5*time.Millisecond)
+	require.Eventually(g.t, func() bool { return g.successor.inFlight() == n }, testTimeout, 5*time.Millisecond)
 }
 
 // expectAnswers gives the waiting job a worker, lets the long job end, and expects an answer to each whose client is connected.
@@ -420,12 +420,12 @@
 	g.discovery.Set(g.spare.Entry("SERVING"))
 	close(g.releaseLong)
 	if !g.longLeft {
-		status, body, err := g.long.Answer(patience)
+		status, body, err := g.long.Answer(testTimeout)
 		require.NoError(g.t, err)
 		assert.Equal(g.t, "200 made of long", fmt.Sprint(status, " ", body))
 	}
 	if !g.waitingLeft {
-		status, body, err := g.waiting.Answer(patience)
+		status, body, err := g.waiting.Answer(testTimeout)
 		require.NoError(g.t, err)
 		assert.Equal(g.t, "200 made of waits", fmt.Sprint(status, " ", body))
 	}
@@ -433,8 +433,8 @@
 
 // expectIdleConnection expects the idle connection to serve a further job.
 func (g *handoverTest) expectIdleConnection(id string) {
-	require.NoError(g.t, g.idle.Send(standin.Job(id, "view", patience, "x")))
-	status, _, err := g.idle.Answer(patience)
+	require.NoError(g.t, g.idle.Send(standin.Job(id, "view", testTimeout, "x")))
+	status, _, err := g.idle.Answer(testTimeout)
 	require.NoError(g.t, err)
 	assert.Equal(g.t, 200, status)
 }
@@ -472,7 +472,7 @@
 			g.successor.awaitExit()
 			third := g.start().awaitReady()
 			clients := g.startClients("c", 1)
-			require.Eventually(g.t, func() bool { clients.mu.Lock(); defer clients.mu.Unlock(); return clients.served > 0 }, patience, time.Millisecond)
+			require.Eventually(g.t, func() bool { clients.mu.Lock(); defer clients.mu.Unlock(); return clients.served > 0 }, testTimeout, time.Millisecond)
 			_, unexpected := clients.finish()
 			assert.Empty(g.t, unexpected)
 			third.stop()
@@ -505,7 +505,7 @@
 			g.old.awaitExit()
 			third := g.start().awaitReady()
 			g.successor.signal(syscall.SIGTERM)
-			require.Eventually(g.t, func() bool { return third.inFlight() == 2 }, patience, 5*time.Millisecond)
+			require.Eventually(g.t, func() bool { return third.inFlight() == 2 }, testTimeout, 5*time.Millisecond)
 			g.successor.awaitExit()
 			g.expectAnswers()
 			g.expectIdleConnection("again")
@@ -519,7 +519,7 @@
 			assert.Equal(t, 1, strings.Count(strings.Join(g.worker.IDs(), " "), "long"), "it must not run twice")
 		})
 	}
-	for how, disconnect := range leave {
+	for how, disconnect := range disconnects {
 		for _, after := range []bool{false, true} {
 			t.Run(fmt.Sprintf("clients disconnect by %s, after the handover of the jobs %v", how, after), func(t *testing.T) {
 				t.Parallel()
@@ -532,7 +532,7 @@
 				disconnect(g.waiting)
 				select {
 				case <-g.longAborted:
-				case <-time.After(patience):
+				case <-time.After(testTimeout):
 					require.FailNow(t, "the attempt of a disconnected client is still running")
 				}
 				g.awaitHandover(0)
