--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -20,7 +20,7 @@
 	// zone, as a fraction of its slots: the transfer within the zone is shorter and costs half.
 	nearZoneAdvantage = 1.0 / 16
 	// secondProbeThreshold is the load of the prefix holder above which a second worker is probed, in units and less what the
-	// cached prefix saves. Below it another worker can't be better by more than the probe costs.
+	// cached prefix saves. Below it, even an idle worker isn't better by more than the probe costs.
 	secondProbeThreshold = 4.0
 	// prefillCapacity is how many units may wait at a prefill worker, whatever its request slots: about one second of work.
 	prefillCapacity = 128.0
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,6 +1,6 @@
 // Package placement chooses the worker for each stage of a request by the power of two choices: it probes two random ready
 // workers with a dispatcher of package decide and picks the less loaded one. It owns the retry budget and the table of workers;
-// its caller sends the request to the chosen worker and reports the result.
+// its caller sends the request to the chosen worker and reports the result, so it never sees the client's message.
 package placement
 
 import (
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -300,6 +300,8 @@
 	})
 }
 
+// Guards against taking workers for slow, and so delaying jobs, only because a busy router handles the answers of its probes
+// late.
 func TestSlowProbesOnBusyRouterDoNotDelayJobs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		prober := &fakeProber{}
@@ -433,10 +435,10 @@
 	countRetries(t, 3)
 }
 
-// countRetries places requests with a rejected prefill in one of shedOneIn pushes and a rejected decode in half of them. It
+// countRetries places requests with a rejected prefill in one of rejectOneIn pushes and a rejected decode in half of them. It
 // returns the number of retries and checks that the budget allowed each. The first rejected push can't be avoided, but counts as
 // an extra arrival.
-func countRetries(t *testing.T, shedOneIn int) int {
+func countRetries(t *testing.T, rejectOneIn int) int {
 	t.Helper()
 	retries := 0
 	synctest.Test(t, func(t *testing.T) {
@@ -457,7 +459,7 @@
 				if pushes++; pushes > 1 {
 					countRetry(request)
 				}
-				if rand.IntN(shedOneIn) == 0 {
+				if rand.IntN(rejectOneIn) == 0 {
 					extras++
 					return ResultNotExecuted
 				}
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -18,8 +18,8 @@
 	// answerLoadReuse is how long the load that came with an answer is reused. It may be longer than probeReuse, since this load
 	// was current when the answer was sent, not some 100 ms old, and took no probe.
 	answerLoadReuse = 350 * time.Millisecond
-	// maxReportAge is how long the loads of answers may update a report. They don't include memory, so a new report is needed
-	// then.
+	// maxReportAge is how long the loads of answers may update a report. They don't include memory, so an older report must be
+	// requested again.
 	maxReportAge      = time.Second
 	maxPushes         = 8                     // limit for one stage of a request, including pushes rejected without a run
 	runGuessDivisor   = 4                     // before the first jobs, a stage is assumed to take the target latency divided by this
--- a/internal/placement/spread_test.go
+++ b/internal/placement/spread_test.go
@@ -42,37 +42,37 @@
 	return fleet
 }
 
-func (w *spreadFleet) Probe(_ context.Context, target fleetwire.Instance) (Report, error) {
+func (f *spreadFleet) Probe(_ context.Context, target fleetwire.Instance) (Report, error) {
 	time.Sleep(time.Millisecond)
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	report := Report{Stage: fleetwire.StageDecode}
-	if len(w.reported) > 0 {
-		report.Running = w.reported[0][w.ids[target.ID]]
+	if len(f.reported) > 0 {
+		report.Running = f.reported[0][f.ids[target.ID]]
 	}
 	return report, nil
 }
 
-func (w *spreadFleet) add(worker, n int) (running int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.running[worker] += n
-	return w.running[worker]
+func (f *spreadFleet) add(worker, n int) (running int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.running[worker] += n
+	return f.running[worker]
 }
 
 // tick records the running jobs for later reports and returns the load of the busiest worker divided by the mean load.
-func (w *spreadFleet) tick(interval time.Duration) (busiest float64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.reported = append(w.reported, slices.Clone(w.running))
-	if len(w.reported) > int(spreadReportAge/interval) {
-		w.reported = w.reported[1:]
+func (f *spreadFleet) tick(interval time.Duration) (busiest float64) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.reported = append(f.reported, slices.Clone(f.running))
+	if len(f.reported) > int(spreadReportAge/interval) {
+		f.reported = f.reported[1:]
 	}
 	total := 0
-	for _, n := range w.running {
+	for _, n := range f.running {
 		total += n
 	}
-	return float64(slices.Max(w.running)) * float64(len(w.running)) / float64(max(1, total))
+	return float64(slices.Max(f.running)) * float64(len(f.running)) / float64(max(1, total))
 }
 
 // spread simulates generations that arrive at the given number of routers. It returns the mean over time of the busiest worker's
--- a/internal/placement/urgency_test.go
+++ b/internal/placement/urgency_test.go
@@ -33,32 +33,32 @@
 	begin    chan struct{}
 }
 
-func (c *saturatedWorkers) Probe(_ context.Context, target fleetwire.Instance) (Report, error) {
+func (s *saturatedWorkers) Probe(_ context.Context, target fleetwire.Instance) (Report, error) {
 	time.Sleep(time.Millisecond)
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	worker := c.worker(target.ID)
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	worker := s.worker(target.ID)
 	return Report{Running: worker.running, Queued: len(worker.waiting)}, nil
 }
 
-func (c *saturatedWorkers) worker(id string) *saturatedWorker {
-	if c.workers[id] == nil {
-		c.workers[id] = &saturatedWorker{}
+func (s *saturatedWorkers) worker(id string) *saturatedWorker {
+	if s.workers[id] == nil {
+		s.workers[id] = &saturatedWorker{}
 	}
-	return c.workers[id]
+	return s.workers[id]
 }
 
 // take starts a job or queues it. It returns nil if the queue is full.
-func (c *saturatedWorkers) take(id string, priority int) *waitingJob {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	worker := c.worker(id)
+func (s *saturatedWorkers) take(id string, priority int) *waitingJob {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	worker := s.worker(id)
 	job := &waitingJob{priority: priority, begin: make(chan struct{})}
 	switch {
-	case worker.running < c.slots:
+	case worker.running < s.slots:
 		worker.running++
 		close(job.begin)
-	case len(worker.waiting) < c.queue:
+	case len(worker.waiting) < s.queue:
 		worker.waiting = append(worker.waiting, job)
 		slices.SortStableFunc(worker.waiting, func(a, b *waitingJob) int { return a.priority - b.priority })
 	default:
@@ -68,10 +68,10 @@
 }
 
 // leave removes a queued job, or passes the slot of a finished job to the first queued one.
-func (c *saturatedWorkers) leave(id string, left *waitingJob) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	worker := c.worker(id)
+func (s *saturatedWorkers) leave(id string, left *waitingJob) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	worker := s.worker(id)
 	if index := slices.Index(worker.waiting, left); index >= 0 {
 		worker.waiting = slices.Delete(worker.waiting, index, index+1)
 		return
@@ -85,23 +85,23 @@
 }
 
 // push returns a Push for a job of the given priority.
-func (c *saturatedWorkers) push(priority int) Push {
+func (s *saturatedWorkers) push(priority int) Push {
 	return func(ctx context.Context, target fleetwire.Instance, ready func() bool) Result {
 		if !ready() {
 			return ResultNotExecuted
 		}
 		time.Sleep(time.Millisecond)
-		job := c.take(target.ID, priority)
+		job := s.take(target.ID, priority)
 		if job == nil {
 			return ResultNotExecuted
 		}
-		defer c.leave(target.ID, job)
+		defer s.leave(target.ID, job)
 		select {
 		case <-job.begin:
 		case <-ctx.Done():
 			return ResultTimedOut
 		}
-		time.Sleep(c.runTime)
+		time.Sleep(s.runTime)
 		return ResultServed
 	}
 }
