--- a/internal/jobs/client.go
+++ b/internal/jobs/client.go
@@ -612,7 +612,7 @@
 		x.close()
 		return
 	}
-	if !x.keepAlive { // pipelined data has been dropped
+	if !x.keepAlive { // pipelined data may have been dropped
 		x.unregister()
 		x.conn.CloseAfterWrite()
 		return
--- a/internal/jobs/discovery.go
+++ b/internal/jobs/discovery.go
@@ -144,7 +144,8 @@
 }
 
 // Answered records that a call was answered after the given time. If queued is set, the answer was available before
-// the call, so the time shows how long discovery's queue is. Otherwise it includes the wait for a change.
+// the call, so the time shows how long discovery's queue is; otherwise it includes the wait for a change. The load
+// that the other schedulers put on discovery thus decides how far apart this one calls.
 func (c *Cadence) Answered(took time.Duration, queued bool) {
 	c.lastFailed = false
 	switch {
@@ -158,7 +159,7 @@
 }
 
 // FirstDelay returns the delay before the first call; jitter is from 0 to 1. New schedulers have the oldest list and
-// use a shorter delay. The call is made before AskWithin has passed.
+// use a shorter delay. The call is made before AskWithin has passed, after which changes count as delivered.
 func (c *Cadence) FirstDelay(jitter float64) time.Duration {
 	if c.Span() <= burstSpan {
 		return 0
--- a/internal/jobs/overlay.go
+++ b/internal/jobs/overlay.go
@@ -60,15 +60,15 @@
 
 // updateUnlisted recomputes which offline names are missing from the list and enforces maxOffline.
 func (o *Overlay) updateUnlisted() {
-	present := map[string]bool{}
+	alreadyUnlisted := map[string]bool{}
 	o.unlisted = slices.DeleteFunc(o.unlisted, func(name string) bool {
 		_, listed := o.listed[name]
-		present[name] = true
+		alreadyUnlisted[name] = true
 		return listed || !o.offline[name]
 	})
 	var added []string
 	for name := range o.offline {
-		if _, listed := o.listed[name]; !listed && !present[name] {
+		if _, listed := o.listed[name]; !listed && !alreadyUnlisted[name] {
 			added = append(added, name)
 		}
 	}
--- a/internal/jobs/pass.go
+++ b/internal/jobs/pass.go
@@ -113,7 +113,7 @@
 	}
 	s.claimCallID(x, p.ID)
 	x.service, x.class, x.bookedBytes = service, class, len(p.Body)
-	if service.Pool != nil { // without the booking, its end would be subtracted from the other requests
+	if service.Pool != nil { // without the booking, its end would free capacity that others have booked
 		x.unbooked = service.Pool.Adopt(class, x.bookedBytes)
 	}
 	p.Job.Class = class
@@ -146,7 +146,7 @@
 	}
 }
 
-// addClient returns a client for a connection.
+// addClient makes a client of a connection and starts its pace accounting.
 func (s *Server) addClient(c Conn) *client {
 	x := &client{server: s, conn: c, parser: http1.NewRequestParser()}
 	x.peer = s.Pace.Open(s.Loop.Now(), c.Peer(), x)
