--- a/internal/jobs/client.go
+++ b/internal/jobs/client.go
@@ -276,7 +276,7 @@
 }
 
 // reserveMemory accounts for n bytes of request data that the connection holds, and reports whether they are within
-// the limits. If necessary, connections of peers that are too slow are evicted first.
+// the limits. If necessary, idle unproven peers and peers that are too slow are evicted first.
 func (x *client) reserveMemory(n int) bool {
 	if x.peer.HoldIn(n) {
 		return true
@@ -285,14 +285,14 @@
 	return !x.closed && x.peer.HoldIn(n)
 }
 
-// evictForMemory evicts slow peers until n more bytes are within the limits, as far as there are slow peers.
+// evictForMemory evicts idle unproven and slow peers until n more bytes are within the limits, as far as there are any.
 func (s *Server) evictForMemory(n int) {
 	for _, p := range s.Pace.VictimsForBytes(s.Loop.Now(), n) {
 		p.Owner.(*client).evict()
 	}
 }
 
-// unregister ends the accounting of the connection.
+// unregister marks the connection as closed and ends its pace accounting.
 func (x *client) unregister() {
 	x.closed = true
 	x.peer.Close()
