--- a/internal/placement/budget.go
+++ b/internal/placement/budget.go
@@ -6,8 +6,8 @@
 const windowBuckets = 20
 
 // RetryBudget limits the extra arrivals at a service, which are all arrivals beyond the first of each request, within a sliding
-// window. Each router has its own budget: as long as every router spends at most the ratio of its own requests, the sum over all
-// routers stays within the ratio, so routers need not coordinate. A RetryBudget is not safe for concurrent use.
+// window. Each router has its own budget: as long as every router spends at most the ratio of its own requests, the sum over
+// all routers stays within the ratio, so routers need not coordinate. A RetryBudget is not safe for concurrent use.
 type RetryBudget struct {
 	ratio      float64
 	slack      float64
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -9,8 +9,9 @@
 	"weldscale/internal/fleetwire"
 )
 
-// The dispatcher compares workers by free slots. A slot of a prefill worker stands for a unit of tokensPerUnit tokens that it has
-// yet to process: it processes prompts one after the other, so a short prompt waits until the long ones ahead of it are done.
+// The dispatcher compares workers by free slots. A slot of a prefill worker stands for a unit of tokensPerUnit tokens that it
+// has yet to process: it processes prompts one after the other, so a short prompt waits until the long ones ahead of it are
+// done.
 
 const (
 	// cachedPrefixWeight multiplies the units that a cached prefix saves in the choice of a prefill worker. It is above 1 since
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -436,8 +436,8 @@
 }
 
 // countRetries places requests with a rejected prefill in one of rejectOneIn pushes and a rejected decode in half of them. It
-// returns the number of retries and checks that the budget allowed each. The first rejected push can't be avoided, but counts as
-// an extra arrival.
+// returns the number of retries and checks that the budget allowed each. The first rejected push can't be avoided, but counts
+// as an extra arrival.
 func countRetries(t *testing.T, rejectOneIn int) int {
 	t.Helper()
 	retries := 0
@@ -575,8 +575,8 @@
 }
 
 // Guards against overloading one worker: the load of an answer before the router's own push does not include this push, and the
-// dispatcher adds it only for a short time. With a longer reuse, a burst of long generations went to the workers with the lowest
-// stated load.
+// dispatcher adds it only for a short time. With a longer reuse, a burst of long generations went to the workers with the
+// lowest stated load.
 func TestLoadOfAnswerBeforePushExpiresEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		instances := workers("decode", 1)
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -217,7 +217,8 @@
 	}
 }
 
-// countRequest counts a request in the retry budget of its service. The prefill of a prompt does not count as a separate request.
+// countRequest counts a request in the retry budget of its service. The prefill of a prompt does not count as a separate
+// request.
 func (p *Placer) countRequest(job *Job) {
 	if job.Stage == fleetwire.StagePrefill {
 		return
@@ -277,8 +278,8 @@
 	p.budgetFor(job.Service).Refund()
 }
 
-// refusedOutcome returns the outcome of a job that is not pushed any more: refused with a random Retry-After if no worker has run
-// it, else failed.
+// refusedOutcome returns the outcome of a job that is not pushed any more: refused with a random Retry-After if no worker has
+// run it, else failed.
 func (p *Placer) refusedOutcome(job *Job, runs int) JobOutcome {
 	if runs > 0 {
 		return JobOutcome{Decision: DecisionFailed, Runs: runs}
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -27,8 +27,8 @@
 	maxClasses        = 512                   // jobs share a class beyond it, since routes change and classes are never removed
 )
 
-// pool chooses workers for the jobs of one service and stage. It drives a dispatcher: it serializes the calls, provides the clock
-// and the timers, and carries out the dispatcher's actions.
+// pool chooses workers for the jobs of one service and stage. It drives a dispatcher: it serializes the calls, provides the
+// clock and the timers, and carries out the dispatcher's actions.
 type pool struct {
 	settings           poolSettings
 	mu                 sync.Mutex // guards the dispatcher and all fields below
@@ -340,7 +340,8 @@
 	w.reusableUntil = now + answerLoadReuse.Microseconds()
 }
 
-// poolActions implements decide.Actions. The dispatcher calls it under the pool's lock, so actions that need the lock run later.
+// poolActions implements decide.Actions. The dispatcher calls it under the pool's lock, so actions that need the lock run
+// later.
 type poolActions pool
 
 // afterCall queues an action until the current call of the dispatcher has returned.
--- a/internal/placement/prefix.go
+++ b/internal/placement/prefix.go
@@ -13,8 +13,8 @@
 // prefillUnits returns the slots that the prefill of this many tokens takes.
 func prefillUnits(tokens int) float64 { return float64(tokens) / tokensPerUnit }
 
-// sharedPrefix returns the ID and the tokens of the longest prefix of a prompt that other requests may share. That is all but the
-// last part, which belongs to one request or session.
+// sharedPrefix returns the ID and the tokens of the longest prefix of a prompt that other requests may share. That is all but
+// the last part, which belongs to one request or session.
 func sharedPrefix(parts []PromptPart) (id string, tokens int) {
 	if len(parts) < 2 {
 		return "", 0
--- a/internal/placement/spread_test.go
+++ b/internal/placement/spread_test.go
@@ -75,8 +75,8 @@
 	return float64(slices.Max(f.running)) * float64(len(f.running)) / float64(max(1, total))
 }
 
-// spread simulates generations that arrive at the given number of routers. It returns the mean over time of the busiest worker's
-// load divided by the mean load. With 0 routers each generation goes to a random worker.
+// spread simulates generations that arrive at the given number of routers. It returns the mean over time of the busiest
+// worker's load divided by the mean load. With 0 routers each generation goes to a random worker.
 func spread(t *testing.T, routers int) (busiest float64) {
 	synctest.Test(t, func(t *testing.T) {
 		instances := workers("decode", spreadWorkers)
--- a/internal/placement/urgency_test.go
+++ b/internal/placement/urgency_test.go
@@ -177,8 +177,8 @@
 	})
 }
 
-// Guards against priority inversion under overload: slots have no price, so no job is held back for a more urgent one, and a job
-// with a longer timeout tries workers more often than a more urgent one with a shorter timeout.
+// Guards against priority inversion under overload: slots have no price, so no job is held back for a more urgent one, and a
+// job with a longer timeout tries workers more often than a more urgent one with a shorter timeout.
 func TestTheMoreUrgentWithLessTimeAreServedNoLessOften(t *testing.T) {
 	requireUrgency(t, [2]Job{jobOfUrgency(0, 300, 2500), jobOfUrgency(1, 500, 10_000)})
 }
