--- a/internal/router/upstream/pool.go
+++ b/internal/router/upstream/pool.go
@@ -81,13 +81,13 @@
 }
 
 func (p *Pool) connect(ctx context.Context, address string) (*Conn, error) {
-	slot := &dialSlot{}
+	result := &dialResult{}
 	started := time.Now()
-	clientConn, err := p.transport.NewClientConn(context.WithValue(ctx, dialSlotKey{}, slot), "http", address)
+	clientConn, err := p.transport.NewClientConn(context.WithValue(ctx, dialResultKey{}, result), "http", address)
 	if err != nil {
 		return nil, eris.Wrapf(ErrConnect, "%s: %v", address, err)
 	}
-	return &Conn{pool: p, address: address, clientConn: clientConn, tracked: slot.conn, idleTimeout: p.options.IdleTimeout,
+	return &Conn{pool: p, address: address, clientConn: clientConn, tracked: result.conn, idleTimeout: p.options.IdleTimeout,
 		connectTime: time.Since(started)}, nil
 }
 
--- a/internal/router/upstream/stale.go
+++ b/internal/router/upstream/stale.go
@@ -14,7 +14,8 @@
 	// After a stale connection, the new idle limit is its idle time divided by staleIdleDivisor, because the worker may have
 	// dropped it long before it was used.
 	staleIdleDivisor = 4
-	minIdleLimit     = 50 * time.Millisecond
+	// minIdleLimit is the lowest idle limit. A connection that was idle for less never counts as stale.
+	minIdleLimit = 50 * time.Millisecond
 	// staleLimitDuration is how long the lower idle limit applies after a stale connection.
 	staleLimitDuration = 15 * time.Second
 )
--- a/internal/router/upstream/upstream.go
+++ b/internal/router/upstream/upstream.go
@@ -1,6 +1,6 @@
-// Package upstream pools the router's HTTP/1.1 connections to workers. Each connection is a net/http ClientConn, because an
-// http.Transport retries requests by itself on reused connections that turn out to be dead. A connection also records whether
-// any byte of its request may have been sent.
+// Package upstream pools the router's HTTP/1.1 connections to workers. Each connection is a net/http ClientConn, which never
+// sends a request again by itself. An http.Transport does so on reused connections that turn out to be dead. A connection also
+// records whether any byte of its request may have been sent.
 package upstream
 
 import (
@@ -74,10 +74,10 @@
 	return c.Conn.Write(data)
 }
 
-// dialSlot passes the dialled connection to the caller of NewClientConn, which does not expose it.
-type dialSlot struct{ conn *trackedConn }
+// dialResult passes the dialled connection to the caller of NewClientConn, which does not expose it.
+type dialResult struct{ conn *trackedConn }
 
-type dialSlotKey struct{}
+type dialResultKey struct{}
 
 func newTransport(options Options) *http.Transport {
 	dialer := &net.Dialer{
@@ -100,8 +100,8 @@
 				return nil, err
 			}
 			tracked := &trackedConn{Conn: conn}
-			if slot, ok := ctx.Value(dialSlotKey{}).(*dialSlot); ok {
-				slot.conn = tracked
+			if result, ok := ctx.Value(dialResultKey{}).(*dialResult); ok {
+				result.conn = tracked
 			}
 			return tracked, nil
 		},
