--- a/internal/router/forward.go
+++ b/internal/router/forward.go
@@ -36,7 +36,7 @@
 	mayHaveRun bool             // a worker may have started to process the request
 	timedOut   bool             // the last push ended at the deadline
 	sentAt     time.Time        // when the last push was sent
-	usedConns  []*upstream.Conn // connections that carried it; a late response on one would match its Request-Id
+	usedConns  []*upstream.Conn // connections that carried this request; a late response on one would match its Request-Id
 }
 
 // nonRepeatableMaxIdle is the maximum idle time of a connection for a request that can't be repeated. A worker may be closing
--- a/internal/router/generation.go
+++ b/internal/router/generation.go
@@ -27,7 +27,7 @@
 // Constants of the engine protocol and limits of handing a KV cache over from a prefill worker to a decode worker.
 const (
 	maxHandleResponseBytes = 4 << 10
-	maxHandleOffers        = 2 // if a second worker can't fetch the KV cache, the cache is gone; the worker is not just full
+	maxHandleOffers        = 2 // one worker that does not take it may be full; after a second one, the KV cache counts as gone
 	handleFreeTimeout      = 500 * time.Millisecond
 	defaultHandleTTL       = 2 * time.Second
 	lowestPriority         = 9
--- a/internal/router/headers.go
+++ b/internal/router/headers.go
@@ -109,8 +109,8 @@
 	return info
 }
 
-// sessionKey returns the key by which a sticky route groups requests: the ID of the last prompt part, which is specific to
-// the session. It is empty without prompt parts.
+// sessionKey returns the key by which a sticky route groups requests: the ID of the last prompt part, which belongs to one
+// request or session. It is empty without prompt parts.
 func (p *promptInfo) sessionKey() string {
 	if len(p.parts) == 0 {
 		return ""
--- a/internal/router/observations.go
+++ b/internal/router/observations.go
@@ -33,16 +33,17 @@
 	incarnation uint64
 
 	mutex         sync.Mutex
-	book          *evidence.Aggregator
+	aggregator    *evidence.Aggregator
 	doubtSequence uint64
 	suspectedAt   map[string]time.Duration // when each suspected worker was last passed to Options.OnSuspects
 }
 
 func newObservations() *observations {
-	book, _ := evidence.NewAggregator(evidence.Config{
-		MaxMembers: maxReporters, MaxWorkers: maxWorkers, MaxAge: observationSpan, MinRepeatInterval: observationInterval, SampleSize: 1, MinComplaintShare: 1, MaxSuspectShare: 1,
+	aggregator, _ := evidence.NewAggregator(evidence.Config{
+		MaxMembers: maxReporters, MaxWorkers: maxWorkers, MaxAge: observationSpan, MinRepeatInterval: observationInterval,
+		SampleSize: 1, MinComplaintShare: 1, MaxSuspectShare: 1,
 	}, "", "", 0)
-	return &observations{started: time.Now(), incarnation: rand.Uint64(), book: book, suspectedAt: map[string]time.Duration{}}
+	return &observations{started: time.Now(), incarnation: rand.Uint64(), aggregator: aggregator, suspectedAt: map[string]time.Duration{}}
 }
 
 // record records the result of a push to a worker.
@@ -53,7 +54,7 @@
 	}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.book.Record(time.Since(o.started), worker, kind)
+	o.aggregator.Record(time.Since(o.started), worker, kind)
 }
 
 // evidenceKind returns what a result shows about the worker. It returns false if it shows nothing.
@@ -76,7 +77,7 @@
 func (o *observations) addTo(request *fleetwire.WatchRequest) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	reports := o.book.DueReports(time.Since(o.started))
+	reports := o.aggregator.DueReports(time.Since(o.started))
 	for _, report := range reports[:min(len(reports), maxObservationsPerPoll)] {
 		request.Observations = append(request.Observations, fleetwire.Observation{
 			Worker:   report.Worker,
@@ -97,7 +98,7 @@
 	var suspects []string
 	for _, doubt := range doubts {
 		o.doubtSequence++
-		o.book.Receive(now, evidence.Report{From: otherRouters, Worker: doubt.Worker, Seq: o.doubtSequence, Kind: evidence.Failed})
+		o.aggregator.Receive(now, evidence.Report{From: otherRouters, Worker: doubt.Worker, Seq: o.doubtSequence, Kind: evidence.Failed})
 		if !doubt.Avoid {
 			continue
 		}
--- a/internal/router/reply.go
+++ b/internal/router/reply.go
@@ -15,7 +15,7 @@
 	headWritten bool   // the status and header have been written
 	complete    bool   // the whole response has been written
 	writeFailed bool   // a write to the client failed
-	lastID      string // ID of the last whole event that was relayed
+	lastID      string // ID of the last relayed event that has one
 	eventCount  int    // number of relayed events
 
 	workerFailure *workerFailure // a worker's error response, relayed if no other attempt succeeds
--- a/internal/router/routes.go
+++ b/internal/router/routes.go
@@ -83,11 +83,11 @@
 	if directory == "" {
 		return nil
 	}
-	position, miss := v.table.Match(route.Request{Host: host, Path: directory})
+	ruleService, miss := v.table.Match(route.Request{Host: host, Path: directory})
 	if miss != route.Matched {
 		return nil
 	}
-	index, err := strconv.Atoi(position)
+	index, err := strconv.Atoi(ruleService)
 	if err != nil {
 		return nil
 	}
@@ -95,7 +95,8 @@
 }
 
 // pickService picks the service of a request at random by the route's weights. A sticky route picks the same service for all
-// requests of a session. It returns nil if no service of several has a positive weight or the service is not configured.
+// requests of a session. A route with one service ignores the weight. pickService returns nil if none of several services has
+// a positive weight, or if the picked service is not configured.
 func (v *view) pickService(chosen *fleetwire.Route, session string) *fleetwire.Service {
 	if len(chosen.Split) == 1 {
 		return v.services[chosen.Split[0].Service]
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// beginShutdown makes the router not ready. From then on it refuses requests whose deadline is after abortAt, and it closes each
-// client's connection after the response.
+// beginShutdown makes the router not ready. From then on it refuses requests whose deadline is after abortAt, and it closes
+// each client's connection after the response.
 func (r *Router) beginShutdown(abortAt time.Time) { r.abortAt.Store(&abortAt) }
 
 // shuttingDown reports whether the shutdown has begun.
