--- a/internal/stages/balance.go
+++ b/internal/stages/balance.go
@@ -63,8 +63,8 @@
 	a.share = min(max(a.share+step, minPrefillShare), maxPrefillShare)
 }
 
-// decodeDeficit returns the share of the workers that decode needs in addition to get down to busyDecodeOccupancy, within the
-// limits of one step.
+// decodeDeficit returns the share of the workers that decode needs in addition to get down to busyDecodeOccupancy, but at least
+// shareStep and at most maxShareDecrease.
 func (a *ShareAdjuster) decodeDeficit(load Load) float64 {
 	deficit := (1 - a.share) * (load.DecodeOccupancy/busyDecodeOccupancy - 1)
 	return min(max(deficit, shareStep), maxShareDecrease)
--- a/internal/stages/plan.go
+++ b/internal/stages/plan.go
@@ -45,7 +45,8 @@
 // NewPlanner returns a planner without pending orders.
 func NewPlanner() *Planner { return &Planner{pending: map[string]pendingOrder{}} }
 
-// Plan returns the orders that bring the workers of a service closer to the given share of prefill workers. They become pending.
+// Plan returns the orders that bring the workers of a service closer to the given share of prefill workers. The orders become
+// pending.
 func (p *Planner) Plan(now time.Duration, workers []fleetwire.Instance, prefillShare float64) []Order {
 	ready := slices.DeleteFunc(slices.Clone(workers), func(w fleetwire.Instance) bool {
 		return w.State != fleetwire.InstanceReady || w.Stage == ""
--- a/internal/stages/rebalancer.go
+++ b/internal/stages/rebalancer.go
@@ -46,7 +46,8 @@
 	// TakeoverDelay is how long a new lease holder waits before its first order. All orders of the previous holder must have
 	// arrived by then.
 	TakeoverDelay time.Duration
-	// Bootstrap says that the whole system starts for the first time, so the first lease holder need not wait.
+	// Bootstrap says that the whole system starts for the first time. No order can have been sent before, so the first lease
+	// holder need not wait.
 	Bootstrap bool
 	Log       *zap.Logger
 }
