--- a/internal/stages/rebalancer_test.go
+++ b/internal/stages/rebalancer_test.go
@@ -23,7 +23,7 @@
 	held  bool
 }
 
-func (l *fakeLease) lease() (uint64, bool) { return l.token, l.held }
+func (l *fakeLease) current() (uint64, bool) { return l.token, l.held }
 
 // orderRecorder is a worker that records its orders and answers them with a fixed status.
 type orderRecorder struct {
@@ -49,7 +49,7 @@
 }
 
 // newTestRebalancer returns a rebalancer of 18 workers, which all have the address of one recorder.
-func newTestRebalancer(t *testing.T, held *fakeLease, worker *orderRecorder, bootstrap bool) *Rebalancer {
+func newTestRebalancer(t *testing.T, lease *fakeLease, worker *orderRecorder, bootstrap bool) *Rebalancer {
 	server := httptest.NewServer(worker)
 	t.Cleanup(server.Close)
 	instances := workers(2, 16)
@@ -57,15 +57,15 @@
 		instances[i].Address = strings.TrimPrefix(server.URL, "http://")
 	}
 	config := &fleetwire.Config{Services: []fleetwire.Service{{Name: "llm", Engine: &fleetwire.Engine{}}, {Name: "plain"}}}
-	return NewRebalancer(Options{Holder: "core-1", Lease: held.lease, Bootstrap: bootstrap, TakeoverDelay: 3 * time.Second, Log: zap.NewNop(),
+	return NewRebalancer(Options{Holder: "core-1", Lease: lease.current, Bootstrap: bootstrap, TakeoverDelay: 3 * time.Second, Log: zap.NewNop(),
 		Fleet:  func() Fleet { return Fleet{Config: config, Instances: instances} },
 		Prober: failingProber{}})
 }
 
 func TestOrdersCarryHolderAndToken(t *testing.T) {
 	worker := &orderRecorder{status: http.StatusAccepted}
-	held := &fakeLease{token: 4, held: true}
-	rebalancer := newTestRebalancer(t, held, worker, false)
+	lease := &fakeLease{token: 4, held: true}
+	rebalancer := newTestRebalancer(t, lease, worker, false)
 	rebalancer.token = 4
 	rebalancer.issueOrders(t.Context(), 0)
 	require.Len(t, worker.orders, 3)
@@ -79,10 +79,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			worker := &orderRecorder{status: http.StatusAccepted}
-			held := &fakeLease{token: 4, held: true}
-			rebalancer := newTestRebalancer(t, held, worker, false)
+			lease := &fakeLease{token: 4, held: true}
+			rebalancer := newTestRebalancer(t, lease, worker, false)
 			rebalancer.token = 4
-			change(held)
+			change(lease)
 			rebalancer.issueOrders(t.Context(), 0)
 			require.Empty(t, worker.orders)
 		})
@@ -90,30 +90,30 @@
 }
 
 func TestNewLeaseHolderWaitsForTakeoverDelay(t *testing.T) {
-	held := &fakeLease{token: 2, held: true}
-	rebalancer := newTestRebalancer(t, held, &orderRecorder{}, true)
+	lease := &fakeLease{token: 2, held: true}
+	rebalancer := newTestRebalancer(t, lease, &orderRecorder{}, true)
 	start := time.Now()
 	require.False(t, rebalancer.mayIssueOrders(start))
 	require.False(t, rebalancer.mayIssueOrders(start.Add(2900*time.Millisecond)))
 	require.True(t, rebalancer.mayIssueOrders(start.Add(3*time.Second)))
-	held.held = false
+	lease.held = false
 	require.False(t, rebalancer.mayIssueOrders(start.Add(4*time.Second)))
-	held.held = true
+	lease.held = true
 	require.False(t, rebalancer.mayIssueOrders(start.Add(5*time.Second)), "another holder may have sent orders in between")
 	require.True(t, rebalancer.mayIssueOrders(start.Add(8*time.Second)))
 }
 
 func TestBootstrapHolderOrdersAtOnce(t *testing.T) {
-	held := &fakeLease{token: 1, held: true}
-	require.True(t, newTestRebalancer(t, held, &orderRecorder{}, true).mayIssueOrders(time.Now()))
-	require.False(t, newTestRebalancer(t, held, &orderRecorder{}, false).mayIssueOrders(time.Now()), "after a restart, a process can't know that it is the first holder")
+	lease := &fakeLease{token: 1, held: true}
+	require.True(t, newTestRebalancer(t, lease, &orderRecorder{}, true).mayIssueOrders(time.Now()))
+	require.False(t, newTestRebalancer(t, lease, &orderRecorder{}, false).mayIssueOrders(time.Now()), "after a restart, a process can't know that it is the first holder")
 }
 
 // Guards against orders under a fencing token that a worker has rejected: another process holds the lease under a higher token.
 func TestNoOrdersUnderFencedToken(t *testing.T) {
 	worker := &orderRecorder{status: http.StatusPreconditionFailed}
-	held := &fakeLease{token: 4, held: true}
-	rebalancer := newTestRebalancer(t, held, worker, false)
+	lease := &fakeLease{token: 4, held: true}
+	rebalancer := newTestRebalancer(t, lease, worker, false)
 	var fenced []uint64
 	rebalancer.options.OnFenced = func(token uint64) { fenced = append(fenced, token) }
 	start := time.Now()
@@ -123,12 +123,12 @@
 	rebalancer.issueOrders(t.Context(), time.Hour)
 	require.Len(t, worker.orders, 1, "the first rejection must stop the orders")
 	require.Equal(t, []uint64{4}, fenced)
-	held.held = false
+	lease.held = false
 	require.False(t, rebalancer.mayIssueOrders(later))
-	held.held = true
+	lease.held = true
 	require.False(t, rebalancer.mayIssueOrders(later.Add(time.Hour)))
 	require.False(t, rebalancer.mayIssueOrders(later.Add(2*time.Hour)), "the lease is held again under the same token")
-	held.token = 5
+	lease.token = 5
 	require.False(t, rebalancer.mayIssueOrders(later.Add(3*time.Hour)))
 	require.True(t, rebalancer.mayIssueOrders(later.Add(4*time.Hour)))
 }
