--- a/internal/router/upstream/pool_test.go
+++ b/internal/router/upstream/pool_test.go
@@ -101,7 +101,7 @@
 func TestReleaseClosesUnreadOrClosingConnection(t *testing.T) {
 	for name, serve := range map[string]http.HandlerFunc{
 		"unread": func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") },
-		"leaving": func(w http.ResponseWriter, _ *http.Request) {
+		"closing": func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Connection", "close")
 		},
 	} {
--- a/internal/router/upstream/stale_test.go
+++ b/internal/router/upstream/stale_test.go
@@ -65,8 +65,8 @@
 func TestStaleConnectionLimitsIdleTimeOfAllWorkers(t *testing.T) {
 	resettingAddress, otherAddress := startResettingServer(t), startServer(t, func(http.ResponseWriter, *http.Request) {})
 	pool := New(Options{})
-	acquire := func(resettingAddress string) *Conn {
-		conn, err := pool.Acquire(context.Background(), resettingAddress, 2, AnyIdleTime)
+	acquire := func(address string) *Conn {
+		conn, err := pool.Acquire(context.Background(), address, 2, AnyIdleTime)
 		require.NoError(t, err)
 		return conn
 	}
