--- a/internal/router/calls_test.go
+++ b/internal/router/calls_test.go
@@ -20,8 +20,8 @@
 // workerBehavior is what a worker does with the request under test, over a real socket.
 type workerBehavior struct {
 	name string
-	// serve serves the connection after the response to the warm-up request, if there is one. Once it has read bytes of the request
-	// under test, it calls received before it writes anything.
+	// serve serves the connection after the response to the warm-up request, if there is one. Once it has read bytes of the
+	// request under test, it calls received before it writes anything.
 	serve func(conn net.Conn, reader *bufio.Reader, received func())
 	// outcome is what the worker's response means for the request.
 	outcome responseOutcome
@@ -112,7 +112,7 @@
 	{name: "truncated chunk", serve: respondWith("HTTP/1.1 200 OK\r\nRequest-Id: ID\r\n" + signatureLine + "Transfer-Encoding: chunked\r\n\r\n9\r\nid: 1\nda")},
 	{name: "response after 100 and 103", outcome: outcomeServed,
 		serve: respondWith("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n" + responseHead("200 OK", signatureLine, len(firstBody)) + firstBody)},
-	{name: "answer", outcome: outcomeServed, serve: respondWith(responseHead("200 OK", signatureLine, len(firstBody)) + firstBody)},
+	{name: "valid response", outcome: outcomeServed, serve: respondWith(responseHead("200 OK", signatureLine, len(firstBody)) + firstBody)},
 	{name: "response and a surplus one", outcome: outcomeServed,
 		serve: respondWith(responseHead("200 OK", signatureLine, len(firstBody)) + firstBody + responseHead("200 OK", signatureLine, 6) + "second")},
 	{name: "rejection", outcome: outcomeRejected, serve: respondWith(responseHead("503 Full", "Not-Executed: 1\r\n", 0))},
@@ -162,8 +162,8 @@
 	requestTimeout = 700 * time.Millisecond
 )
 
-// serveFirst serves a connection of the first worker. It answers the warm-up request, if there is one, and leaves the rest of the
-// connection to behavior.
+// serveFirst serves a connection of the first worker. It answers the warm-up request, if there is one, and leaves the rest of
+// the connection to behavior.
 func (c *requestCase) serveFirst(conn net.Conn) {
 	reader := bufio.NewReader(conn)
 	if c.reused {
@@ -200,7 +200,8 @@
 	return ""
 }
 
-// sendKind sends a request of the case's kind and reads the response. An error means that the connection was closed before its end.
+// sendKind sends a request of the case's kind and reads the response. An error means that the connection was closed before the
+// end of the response.
 func (c *requestCase) sendKind(id string) (*http.Response, string, error) {
 	body := "body of " + id
 	if c.kind.method == http.MethodGet {
@@ -298,8 +299,8 @@
 	}
 }
 
-// Guards against a corrupted body. A worker may respond before it has read a long body, keep the connection open and read on later. If
-// the router then sent the next request on the connection, the worker would read it as the rest of that body.
+// Guards against a corrupted body. A worker may respond before it has read a long body, keep the connection open and read on
+// later. If the router then sent the next request on the connection, the worker would read it as the rest of that body.
 func TestEarlyResponseDoesNotCorruptBody(t *testing.T) {
 	const bodyBytes = 8 << 20
 	for _, path := range []string{"/unsafe/x", "/safe/x"} {
--- a/internal/router/clientconns_test.go
+++ b/internal/router/clientconns_test.go
@@ -75,12 +75,12 @@
 	return size, err
 }
 
-// Guards against a violation of the LOST rule: a request was forwarded that had been read from a connection just as the
-// connection was closed as idle, so that no response could be sent.
+// Guards against lost requests (rule LOST of package judge). A request was forwarded that had been read from a connection just
+// as the connection was closed as idle, so that no response could be sent.
 func TestRequestReadFromClosedConnIsNotForwarded(t *testing.T) {
 	for name, closeConns := range map[string]func(*clientConns){
-		"idle":    func(conns *clientConns) { conns.closeIdle(-1) },
-		"leaving": (*clientConns).drain,
+		"idle":  func(conns *clientConns) { conns.closeIdle(-1) },
+		"drain": (*clientConns).drain,
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/router/forward_test.go
+++ b/internal/router/forward_test.go
@@ -141,8 +141,8 @@
 	require.Equal(t, []placement.Result{placement.ResultConnectionBroken}, f.placer.pushResults())
 }
 
-// A valid load report in a response is passed on whether the request ran or not. A malformed one, and one in a response to another
-// request, is not.
+// A valid load report in a response is passed on whether the request ran or not. A malformed one, and one in a response to
+// another request, is not.
 func TestLoadReportInResponseIsPassedOn(t *testing.T) {
 	for _, test := range []struct {
 		serverLoad   string
@@ -203,7 +203,7 @@
 		"no signature":    "HTTP/1.1 200 OK\r\nRequest-Id: id\r\nContent-Length: 2\r\n\r\nok",
 		"no length":       "HTTP/1.1 200 OK\r\nRequest-Id: id\r\nResponse-Signature: s\r\nConnection: close\r\n\r\nok",
 		"encoded":         "HTTP/1.1 200 OK\r\nRequest-Id: id\r\nResponse-Signature: s\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n\r\nok",
-		"cut":             "HTTP/1.1 200 OK\r\nRequest-Id: id\r\nResponse-Signature: s\r\nContent-Length: 20\r\n\r\nok",
+		"truncated body":  "HTTP/1.1 200 OK\r\nRequest-Id: id\r\nResponse-Signature: s\r\nContent-Length: 20\r\n\r\nok",
 		"truncated chunk": "HTTP/1.1 200 OK\r\nRequest-Id: id\r\nResponse-Signature: s\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nok",
 		"no response":     "garbage\r\n\r\n",
 		"silence":         "",
@@ -281,8 +281,8 @@
 	}
 }
 
-// Guards against a worker that sends a rejection twice. The late second one carries the request's ID, so that a retry on the same
-// connection would take it for its response.
+// Guards against a retry that takes a late response for its own. If a worker sends a rejection twice, the second one carries
+// the request's ID too, so that a retry on the same connection would take it for its response.
 func TestRetryDoesNotReuseItsConnection(t *testing.T) {
 	f := newFixture(t)
 	accepted := make(chan struct{}, 4)
--- a/internal/router/generation_test.go
+++ b/internal/router/generation_test.go
@@ -15,8 +15,8 @@
 	"weldscale/internal/placement"
 )
 
-// prefillWorker returns a prefill worker that answers each prompt with a KV handle and sends the handles that it is asked to free
-// to freed.
+// prefillWorker returns a prefill worker that answers each prompt with a KV handle and sends the handles that it is asked to
+// free to freed.
 func prefillWorker(freed chan<- string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if handle, found := strings.CutPrefix(r.URL.Path, "/kv-handle/"); found && r.Method == http.MethodDelete {
@@ -122,8 +122,8 @@
 		prefill       http.HandlerFunc
 		firstPushFree bool
 	}{
-		"read":   {prefillWorker(make(chan string, 1)), true},
-		"broken": {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, false},
+		"prefill succeeds": {prefillWorker(make(chan string, 1)), true},
+		"prefill breaks":   {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -151,8 +151,8 @@
 	return address
 }
 
-// addRawWorker starts a worker that writes raw bytes: serve gets each connection and a function that reads its next request. That
-// function returns nil if there is none.
+// addRawWorker starts a worker that writes raw bytes: serve gets each connection and a function that reads its next request.
+// That function returns nil if there is none.
 func (f *fixture) addRawWorker(stage string, serve func(conn net.Conn, next func() *http.Request)) string {
 	f.t.Helper()
 	return f.addConnWorker(stage, func(conn net.Conn) {
--- a/internal/router/observations_test.go
+++ b/internal/router/observations_test.go
@@ -32,7 +32,7 @@
 		o.record("hangs", placement.ResultTimedOut)
 		o.record("gone", placement.ResultConnectFailed)
 		o.record("full", placement.ResultNotExecuted)
-		o.record("left", placement.ResultCancelled)
+		o.record("cancelled", placement.ResultCancelled)
 		o.record("serves", placement.ResultServed)
 		require.Equal(t, map[string]evidence.Kind{
 			"fails": evidence.Failed, "breaks": evidence.Failed, "hangs": evidence.TimedOut, "gone": evidence.Unreachable,
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -146,7 +146,8 @@
 	})
 }
 
-// Guards against a violation of the LOST rule: a request that a draining router accepted was aborted when the process exited.
+// Guards against lost requests (rule LOST of package judge). A request that a draining router had accepted was aborted when the
+// process exited.
 func TestDrainRefusesRequestsThatMayOutlastShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startShutdownFixture(6 * time.Second)
@@ -225,8 +226,8 @@
 	})
 }
 
-// Guards against a violation of the LOST rule: the write deadline of a request cut off the response to the next request on the same
-// connection.
+// Guards against lost requests (rule LOST of package judge). The write deadline of a request must not cut off the response to
+// the next request on the same connection.
 func TestWriteDeadlineDoesNotAffectNextRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startShutdownFixture(10 * time.Millisecond)
