--- a/coordination/register/catchup.go
+++ b/coordination/register/catchup.go
@@ -18,21 +18,21 @@
 }
 
 // tick starts to write the newest chosen value if that is due. The write runs in the background because a disk may hang.
-func (k *diskCatchUp) tick(ctx context.Context, n *Node, now time.Time) {
-	if k.write.busy() {
+func (c *diskCatchUp) tick(ctx context.Context, n *Node, now time.Time) {
+	if c.write.busy() {
 		return
 	}
 	if !n.diskLacksChosen() {
-		k.behindSince = time.Time{}
+		c.behindSince = time.Time{}
 		return
 	}
-	if k.behindSince.IsZero() {
-		k.behindSince = now
+	if c.behindSince.IsZero() {
+		c.behindSince = now
 	}
-	if now.Sub(k.behindSince) < catchUpAfter {
+	if now.Sub(c.behindSince) < catchUpAfter {
 		return
 	}
-	k.write.start(func() { n.catchUpDisk(ctx) })
+	c.write.start(func() { n.catchUpDisk(ctx) })
 }
 
 // diskLacksChosen reports whether the local replica is a member and does not hold the chosen value.
--- a/coordination/register/exchange.go
+++ b/coordination/register/exchange.go
@@ -11,7 +11,7 @@
 	node        *Node
 	replies     chan Reply
 	closed      chan struct{}
-	outstanding int // calls without a reply; the driver decrements it for each reply
+	outstanding int // calls without a reply; only queryRound decrements and reads it
 }
 
 func newExchange(node *Node) *exchange {
--- a/coordination/register/options.go
+++ b/coordination/register/options.go
@@ -19,7 +19,8 @@
 	DefaultRemoveAfter = 1200 * time.Millisecond
 )
 
-// Options configures a Node. Zero values of all fields but the directory or files and the address select the defaults.
+// Options configures a Node. Address and either Directory or Files are required. Zero values of the other fields select the
+// defaults.
 type Options struct {
 	Directory string // directory of the disk
 	// Files are the files of the disk. If nil, Directory is opened.
--- a/coordination/register/peers.go
+++ b/coordination/register/peers.go
@@ -16,8 +16,8 @@
 	// quorumLostAfter is the QuorumAge above which the node also sends heartbeats to seeds and to all known peers. The set may
 	// have been reconfigured without this node, to machines that it does not know.
 	quorumLostAfter = 600 * time.Millisecond
-	// failedCallsForSilence is the number of consecutive failed calls after which a replica counts as silent. It does not
-	// depend on their duration, because a process that was frozen finds all its calls timed out once.
+	// failedCallsForSilence is the number of consecutive failed calls after which a replica counts as silent, however long they
+	// took. A single timeout does not suffice, because a process that was frozen finds each of its open calls timed out.
 	failedCallsForSilence = 3
 )
 
--- a/coordination/register/upkeep.go
+++ b/coordination/register/upkeep.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	// upkeepInterval is the tick of Run while the disk has no identity, the node joins or the set is reconfigured.
+	// upkeepInterval is the tick of Run while the disk has no identity, the node joins, the set is reconfigured or a value is in
+	// doubt.
 	upkeepInterval = 50 * time.Millisecond
 	// joinProbeTimeout is how long a joining node waits for replies of all members, to know which of them can be replaced.
 	joinProbeTimeout = 500 * time.Millisecond
