--- a/coordination/register/acceptor_test.go
+++ b/coordination/register/acceptor_test.go
@@ -117,9 +117,9 @@
 	require.Nil(t, a.Begin(Request{Kind: Query}).Reply.Value)
 	require.NotNil(t, a.Begin(Request{Kind: Query, WantValue: true, Known: ballot(3)}).Reply.Value)
 	require.Nil(t, a.Begin(Request{Kind: Query, WantValue: true, Known: ballot(4)}).Reply.Value)
-	knows := prepare(5)
-	knows.Known = ballot(4)
-	require.Nil(t, beginAndFinish(t, a, knows).Value)
+	request := prepare(5)
+	request.Known = ballot(4)
+	require.Nil(t, beginAndFinish(t, a, request).Value)
 	require.Equal(t, "four", string(beginAndFinish(t, a, prepare(6)).Value.Data))
 }
 
--- a/coordination/register/exhaustive_test.go
+++ b/coordination/register/exhaustive_test.go
@@ -21,9 +21,9 @@
 // The exhaustive search explores all runs of a few events, breadth first: all orders in which requests arrive or get lost, lost
 // replies, proposers that give up and retry, a lost disk, and a replica that writes a chosen value that it was not asked to
 // accept, at any moment. An event is the arrival of a request, with its reply delivered at once or lost. A request that never
-// arrives needs no event, because each run is checked after each event. The search leaves out replies that are delivered later
-// than at once (they count as lost), duplicated requests (acceptors reply to them in the same way) and commits (they only tell
-// earlier what replies tell later).
+// arrives needs no event, because each run is checked after each event. The search leaves out delayed replies (they count as
+// lost), duplicated requests (acceptors reply to them in the same way) and commits (they only tell earlier what replies tell
+// later).
 
 // searchState is one state of the search.
 type searchState struct {
@@ -69,7 +69,7 @@
 type searchScenario struct {
 	name      string
 	proposers [][]Change
-	// joiningProposer is the index of the proposer that begins at the replica whose disk is lost, or -1 for none.
+	// joiningProposer is the index of the proposer that begins when a disk is lost, at that replica, or -1 for none.
 	joiningProposer int
 	wipes           int
 	learns          int
@@ -144,8 +144,8 @@
 		}
 		state.replicas = append(state.replicas, searchReplica{acceptor: *NewAcceptor(replica, Ballot{}, accepted)})
 	}
-	for index, plan := range s.scenario.proposers {
-		p := searchProposer{operations: plan, retriesLeft: s.scenario.retries, replica: state.replicas[index].acceptor.self}
+	for index, operations := range s.scenario.proposers {
+		p := searchProposer{operations: operations, retriesLeft: s.scenario.retries, replica: state.replicas[index].acceptor.self}
 		p.ballots = NewBallotGenerator(uint64(index + 1))
 		state.proposers = append(state.proposers, p)
 	}
@@ -229,11 +229,11 @@
 // expand enqueues the states that follow by each possible event.
 func (s *stateSearch) expand(state *searchState) {
 	for at := range state.inFlight {
-		for _, answered := range []bool{true, false} {
+		for _, replyArrives := range []bool{true, false} {
 			next := state.clone()
 			message := next.inFlight[at]
 			next.inFlight = slices.Delete(next.inFlight, at, at+1)
-			s.deliver(&next, message, answered)
+			s.deliver(&next, message, replyArrives)
 			s.enqueue(next)
 		}
 	}
@@ -301,7 +301,7 @@
 	s.recordAccept(state, acceptor.self.ID, chosen)
 }
 
-func (s *stateSearch) deliver(state *searchState, message searchMessage, answered bool) {
+func (s *stateSearch) deliver(state *searchState, message searchMessage, replyArrives bool) {
 	replica := &state.replicas[message.to]
 	step := replica.acceptor.Begin(*message.request)
 	reply := step.Reply
@@ -314,7 +314,7 @@
 	if reply.Refusal == IdentityMismatch {
 		reply.From.ID = message.request.To
 	}
-	if p := &state.proposers[message.from]; answered && !p.done {
+	if p := &state.proposers[message.from]; replyArrives && !p.done {
 		s.handleOutput(state, message.from, p.current.Deliver(reply))
 	}
 }
@@ -376,9 +376,9 @@
 		into = append(into, encoding...)
 	}
 	into = append(into, byte(state.wipesLeft), byte(state.learnsLeft))
-	accepts := slices.Clone(state.acceptances)
-	slices.SortFunc(accepts, func(a, b acceptance) int { return lo.Ternary(a.accepted.Ballot.Less(b.accepted.Ballot), -1, 1) })
-	for _, known := range accepts {
+	acceptances := slices.Clone(state.acceptances)
+	slices.SortFunc(acceptances, func(a, b acceptance) int { return lo.Ternary(a.accepted.Ballot.Less(b.accepted.Ballot), -1, 1) })
+	for _, known := range acceptances {
 		into = appendBallot(into, known.accepted.Ballot)
 		for _, id := range slices.Sorted(slices.Values(known.ids)) {
 			into = append(into, id...)
@@ -396,10 +396,10 @@
 	into = appendBallot(into, c.doubtful.origins...)
 	into = binary.AppendUvarint(into, c.proposal.Revision)
 	for _, id := range slices.Sorted(maps.Keys(c.requested)) {
-		answer, answered := c.replies[id]
+		reply, replied := c.replies[id]
 		into = append(into, id...)
-		into = append(into, lo.Ternary[byte](answered, 1, 0), byte(answer.Refusal))
-		into = appendBallot(into, answer.Accepted)
+		into = append(into, lo.Ternary[byte](replied, 1, 0), byte(reply.Refusal))
+		into = appendBallot(into, reply.Accepted)
 	}
 	return into
 }
--- a/coordination/register/model_test.go
+++ b/coordination/register/model_test.go
@@ -361,10 +361,10 @@
 
 func (w *modelWorld) finish(n *modelNode, value Value) {
 	if at := n.operation.historyIndex; at >= 0 {
-		r := &w.history[at]
-		r.finished, r.ended, r.result = true, w.tick(), string(value.Data)
-		if r.id != "" && !strings.Contains(r.result, r.id) {
-			w.violation = fmt.Sprintf("append of %s was acknowledged, but the value lacks it: %s", r.id, r.result)
+		entry := &w.history[at]
+		entry.finished, entry.ended, entry.result = true, w.tick(), string(value.Data)
+		if entry.id != "" && !strings.Contains(entry.result, entry.id) {
+			w.violation = fmt.Sprintf("append of %s was acknowledged, but the value lacks it: %s", entry.id, entry.result)
 		}
 	}
 	n.operation = nil
@@ -563,12 +563,12 @@
 // check verifies that the history is linearizable.
 func (w *modelWorld) check() error {
 	var operations []porcupine.Operation
-	for client, r := range w.history {
-		if r.excluded || r.id == "" && !r.finished {
+	for client, entry := range w.history {
+		if entry.excluded || entry.id == "" && !entry.finished {
 			continue
 		}
-		operation := porcupine.Operation{ClientId: client, Input: r.id, Output: r.result, Call: r.called, Return: r.ended}
-		if !r.finished {
+		operation := porcupine.Operation{ClientId: client, Input: entry.id, Output: entry.result, Call: entry.called, Return: entry.ended}
+		if !entry.finished {
 			operation.Return = math.MaxInt64
 		}
 		operations = append(operations, operation)
@@ -597,7 +597,7 @@
 		w.catchesUp = true
 		require.NoError(t, w.run())
 		require.NoError(t, w.runRecovery())
-		finished += lo.CountBy(w.history, func(r historyEntry) bool { return r.finished })
+		finished += lo.CountBy(w.history, func(entry historyEntry) bool { return entry.finished })
 		lost += w.wipeCount
 		runs++
 	})
@@ -610,8 +610,8 @@
 // failed.
 func TestModelOnRegressionSeeds(t *testing.T) {
 	for name, seed := range map[string]uint64{
-		"a majority holds a value only after such a restart": 0x11b9,
-		"a promise was made before such a write reappeared":  0x70c,
+		"a majority holds a value only after a failed write reappeared": 0x11b9,
+		"a promise was made before a failed write reappeared":           0x70c,
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newModelWorld(rand.New(rand.NewPCG(seed, 0)).IntN, replicaDefects{})
--- a/coordination/register/node_test.go
+++ b/coordination/register/node_test.go
@@ -444,6 +444,7 @@
 	require.Eventually(t, fresh, testDeadline, time.Millisecond)
 }
 
+// A node that was stopped while the other founders were replaced must find the new set through a seed that it did not know.
 func TestReconfiguredSetIsFoundThroughSeeds(t *testing.T) {
 	machines := newMachines(t, 6, 3, 3)
 	startAll(machines[:3])
@@ -454,8 +455,8 @@
 	stopped.stop()
 	for at, m := range machines[3:] {
 		m.options.Bootstrap = false
-		before := machines[max(1, at)] // a machine that is still running
-		m.options.Seeds = func() []string { return []string{before.address, machines[2].address, machines[3].address} }
+		founder := machines[max(1, at)] // runs only while the first machine joins; the later ones have another seed that runs
+		m.options.Seeds = func() []string { return []string{founder.address, machines[2].address, machines[3].address} }
 		m.start()
 		await(t, m.node, func(s State) bool { return hasID(s, m.node.ID()) })
 		require.NoError(t, m.node.WaitFormed(ctx))
--- a/coordination/register/proposer_test.go
+++ b/coordination/register/proposer_test.go
@@ -51,7 +51,7 @@
 	for len(queue) > 0 && !output.Done && !output.Retry {
 		message := queue[0]
 		queue = queue[1:]
-		if reply, answered := c.deliver(message); answered {
+		if reply, replied := c.deliver(message); replied {
 			output = p.Deliver(reply)
 			queue = append(queue, output.Messages...)
 		}
--- a/coordination/register/quorum_age_test.go
+++ b/coordination/register/quorum_age_test.go
@@ -38,16 +38,16 @@
 		ages  map[string]time.Duration
 		want  time.Duration
 	}{
-		"alone":                        {Value{Replicas: members("a1")}, nil, 0},
-		"no set":                       {Value{}, map[string]time.Duration{"b1": recent}, NoContact},
-		"no replies":                   {Value{Replicas: members("a1", "b1", "c1")}, nil, NoContact},
-		"one of two":                   {Value{Replicas: members("a1", "b1", "c1")}, map[string]time.Duration{"b1": recent}, recent},
-		"the most recent of two":       {Value{Replicas: members("a1", "b1", "c1")}, map[string]time.Duration{"b1": old, "c1": recent}, recent},
-		"two of four are needed":       {Value{Replicas: members("a1", "b1", "c1", "d1")}, map[string]time.Duration{"b1": recent, "c1": old}, old},
-		"another disk at the address":  {Value{Replicas: members("a1", "b1", "c1")}, map[string]time.Duration{"b2": recent}, NoContact},
-		"not a member itself":          {Value{Replicas: members("b1", "c1", "d1")}, map[string]time.Duration{"b1": recent}, NoContact},
-		"majority of the new set only": {Value{Replicas: members("a1", "d1", "e1"), Previous: members("a1", "b1", "c1")}, map[string]time.Duration{"d1": recent}, NoContact},
-		"majorities of both sets":      {Value{Replicas: members("a1", "d1", "e1"), Previous: members("a1", "b1", "c1")}, map[string]time.Duration{"d1": recent, "c1": old}, old},
+		"alone":                         {Value{Replicas: members("a1")}, nil, 0},
+		"no set":                        {Value{}, map[string]time.Duration{"b1": recent}, NoContact},
+		"no replies":                    {Value{Replicas: members("a1", "b1", "c1")}, nil, NoContact},
+		"one of two others":             {Value{Replicas: members("a1", "b1", "c1")}, map[string]time.Duration{"b1": recent}, recent},
+		"the most recent of two others": {Value{Replicas: members("a1", "b1", "c1")}, map[string]time.Duration{"b1": old, "c1": recent}, recent},
+		"four members need two others":  {Value{Replicas: members("a1", "b1", "c1", "d1")}, map[string]time.Duration{"b1": recent, "c1": old}, old},
+		"another disk at the address":   {Value{Replicas: members("a1", "b1", "c1")}, map[string]time.Duration{"b2": recent}, NoContact},
+		"not a member itself":           {Value{Replicas: members("b1", "c1", "d1")}, map[string]time.Duration{"b1": recent}, NoContact},
+		"majority of the new set only":  {Value{Replicas: members("a1", "d1", "e1"), Previous: members("a1", "b1", "c1")}, map[string]time.Duration{"d1": recent}, NoContact},
+		"majorities of both sets":       {Value{Replicas: members("a1", "d1", "e1"), Previous: members("a1", "b1", "c1")}, map[string]time.Duration{"d1": recent, "c1": old}, old},
 	} {
 		t.Run(name, func(t *testing.T) {
 			age := nodeWithContacts(test.value, test.ages).QuorumAge()
