--- a/coordination/store/faults_test.go
+++ b/coordination/store/faults_test.go
@@ -16,8 +16,8 @@
 	machine      *sim.Machine
 	store        *FileStore
 	acknowledged int // newest version that a Save acknowledged or a Load returned
-	attempted    int
-	full, failed int
+	attempted    int // newest version that was given to Save
+	full, failed int // numbers of operations that ended with ErrFull and with ErrIO
 }
 
 func encodeNumber(number int) []byte { return []byte{byte(number >> 8), byte(number), 0xff, 0xff} }
