--- a/coordination/handoff/handoff_test.go
+++ b/coordination/handoff/handoff_test.go
@@ -96,15 +96,15 @@
 		now := time.Duration(0)
 		peers, keys := rapid.SampledFrom([]string{"a", "b", "c"}), rapid.SampledFrom([]string{"x", "y"})
 		t.Repeat(map[string]func(*rapid.T){
-			"keep": func(t *rapid.T) {
+			"add": func(t *rapid.T) {
 				peer := peers.Draw(t, "peer")
 				hint := hint{Key: keys.Draw(t, "key"), Version: number(rapid.IntRange(0, 20).Draw(t, "version")),
-					Bytes: rapid.IntRange(0, 70).Draw(t, "weight")}
+					Bytes: rapid.IntRange(0, 70).Draw(t, "payload bytes")}
 				if store.Add(now, peer, hint) {
 					newest[[2]string{peer, hint.Key}] = hint.Version
 				}
 			},
-			"holds": func(t *rapid.T) {
+			"mark delivered": func(t *rapid.T) {
 				peer, key, version := peers.Draw(t, "peer"), keys.Draw(t, "key"), number(rapid.IntRange(0, 20).Draw(t, "version"))
 				store.MarkDelivered(peer, key, version)
 				for _, hint := range store.HintsFor(now, peer) {
@@ -185,7 +185,7 @@
 		received := map[string]number{}
 		var sender *publisher
 		stopped := false
-		world.AddMachine("teller").Start(func(process *sim.Process) {
+		world.AddMachine("publisher").Start(func(process *sim.Process) {
 			sender = &publisher{process: process, store: New[number, string](largeLimits)}
 			process.OnMessage(func(from string, _ any) {
 				for _, message := range sender.store.HintsFor(process.Monotonic(), from) {
@@ -204,7 +204,7 @@
 					received[name] = max(received[name], request.(hint).Version)
 					answer(nil)
 				})
-				process.Every(500*time.Millisecond, func() { process.Send("teller", "alive") })
+				process.Every(500*time.Millisecond, func() { process.Send("publisher", "alive") })
 			})
 		}
 		for range 10 {
--- a/coordination/rendezvous/rendezvous_test.go
+++ b/coordination/rendezvous/rendezvous_test.go
@@ -31,7 +31,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		all := candidates(rapid.IntRange(2, 20).Draw(t, "candidates"))
 		key := rapid.String().Draw(t, "key")
-		departed := rapid.SampledFrom(all).Draw(t, "gone")
+		departed := rapid.SampledFrom(all).Draw(t, "departed")
 		without := func(from []string) []string {
 			return slices.DeleteFunc(slices.Clone(from), func(candidate string) bool { return candidate == departed })
 		}
