--- a/coordination/watch/follower.go
+++ b/coordination/watch/follower.go
@@ -42,9 +42,9 @@
 	Log      *zap.Logger // nil: no logging
 }
 
-// Follower keeps a snapshot up to date by polling one of several sources. Run drives it. A simulation may instead call NextPoll,
-// HandleReply and HandleFailure, which take the time as an argument and use no clock, socket or goroutine. Current, QuorumAge
-// and Source are safe for concurrent use.
+// Follower keeps a snapshot up to date by polling one of several sources. Run drives it. A simulation may instead call
+// NextPoll, HandleReply and HandleFailure, which take the time as an argument and use no clock, socket or goroutine. Current,
+// QuorumAge and Source are safe for concurrent use.
 type Follower struct {
 	options          FollowerOptions
 	selector         *SourceSelector
@@ -82,8 +82,8 @@
 // Current returns the newest snapshot, or nil before the first one.
 func (f *Follower) Current() *Snapshot { return f.current.Load() }
 
-// QuorumAge returns the time since the latest contact of a source with a majority of the replicas that this follower has
-// received.
+// QuorumAge returns the time since the latest contact of any source with a majority of the replicas, as far as the replies to
+// this follower tell it.
 func (f *Follower) QuorumAge() time.Duration { return f.quorumAgeAt(time.Now()) }
 
 func (f *Follower) quorumAgeAt(now time.Time) time.Duration {
@@ -323,7 +323,8 @@
 	}
 }
 
-// install makes a state the current one, relays it, and calls OnChange if the version, controllers or number of routers changed.
+// install makes a state the current one, relays it, and calls OnChange if the version, controllers or number of routers
+// changed.
 func (f *Follower) install(next *state, now time.Time) {
 	previous := f.state.snapshot
 	first := f.current.Load() == nil
--- a/coordination/watch/follower_test.go
+++ b/coordination/watch/follower_test.go
@@ -111,8 +111,8 @@
 	})
 }
 
-// TestFollowerFailsOverFromEachFault makes the source fail in several ways, at different moments of a poll, while the other hubs
-// publish a new configuration. The follower must fail over and receive it within the propagation bound.
+// TestFollowerFailsOverFromEachFault makes the source fail in several ways, at different moments of a poll, while the other
+// hubs publish a new configuration. The follower must fail over and receive it within the propagation bound.
 func TestFollowerFailsOverFromEachFault(t *testing.T) {
 	faults := map[string]func(f *hubFleet, address string){
 		"partitioned from the follower": func(f *hubFleet, address string) { f.network.setLink(address, linkSilent) },
--- a/coordination/watch/fuzz_test.go
+++ b/coordination/watch/fuzz_test.go
@@ -9,8 +9,8 @@
 	"weldscale/internal/fleetwire"
 )
 
-// FuzzAnswers applies arbitrary replies to a follower. The follower applies or rejects each of them, and the version of its state
-// never decreases.
+// FuzzAnswers applies arbitrary replies to a follower. The follower applies or rejects each of them, and the version of its
+// state never decreases.
 func FuzzAnswers(f *testing.F) {
 	config, err := pack(&fleetwire.Config{Version: 3})
 	require.NoError(f, err)
--- a/coordination/watch/hub.go
+++ b/coordination/watch/hub.go
@@ -21,8 +21,8 @@
 	// DefaultMaxQuorumAge is the age of the last quorum contact beyond which a hub counts as stale. It covers a few missed
 	// heartbeats of the replicas and leaves subscribers time to fail over to another hub within the propagation bound.
 	DefaultMaxQuorumAge = time.Second
-	// RelayMaxQuorumAge is the bound for a hub that is fed by a follower, and for its subscribers. It covers the quorum age that
-	// a healthy source may report, the time that a poll is held and a failover to another source.
+	// RelayMaxQuorumAge is the bound for a hub that is fed by a follower, and for its subscribers. It covers the quorum age
+	// that a healthy source may report, the time that a poll is held and a failover to another source.
 	RelayMaxQuorumAge = 2 * time.Second
 )
 
@@ -163,8 +163,8 @@
 	return next.decoded, nil
 }
 
-// nextList returns the list to publish after the current one. It adds a step if both lists are sorted by ID and the step is much
-// smaller than the full list. Otherwise it starts from a new full list.
+// nextList returns the list to publish after the current one. It adds a step if both lists are sorted by ID and the step is
+// much smaller than the full list. Otherwise it starts from a new full list.
 func nextList(current *state, version fleetwire.ListVersion, instances []fleetwire.Instance) (instanceList, error) {
 	if current.packedList != nil && sortedByID(current.snapshot.Instances) && sortedByID(instances) {
 		step, decoded, err := newStep(current, version, instances)
@@ -259,8 +259,8 @@
 }
 
 // Serve answers one poll. It replies at once if the hub has a newer version than the subscriber or its quorum contact is stale.
-// Otherwise it holds the poll until one of these occurs, the hub is closed or the requested wait is over. It returns an error if
-// ctx is done first.
+// Otherwise it holds the poll until one of these occurs, the hub is closed or the requested wait is over. It returns an error
+// if ctx is done first.
 func (h *Hub) Serve(ctx context.Context, request fleetwire.WatchRequest) (fleetwire.WatchReply, error) {
 	received := time.Now()
 	if h.options.OnPoll != nil {
@@ -282,7 +282,8 @@
 	}
 }
 
-// waitForChange returns nil once changed is closed, the hub is closed or the timeout is over, and an error if ctx is done first.
+// waitForChange returns nil once changed is closed, the hub is closed or the timeout is over, and an error if ctx is done
+// first.
 func (h *Hub) waitForChange(ctx context.Context, changed <-chan struct{}, timeout time.Duration) error {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
--- a/coordination/watch/list.go
+++ b/coordination/watch/list.go
@@ -26,7 +26,7 @@
 	version     fleetwire.ListVersion
 	base        fleetwire.Packed // the full list at baseVersion
 	baseVersion fleetwire.ListVersion
-	steps       []fleetwire.ListStep             // the most recent ones, with all from baseVersion to version
+	steps       []fleetwire.ListStep             // the most recent ones; they include all from baseVersion to version
 	full        func() (fleetwire.Packed, error) // returns the full list at version, built once
 }
 
--- a/coordination/watch/list_test.go
+++ b/coordination/watch/list_test.go
@@ -39,8 +39,8 @@
 	return reply
 }
 
-// TestHubSendsSteps checks that a subscriber receives the steps from its version, and the full list if it accepts no steps, holds
-// no list or holds a version whose steps are no longer kept.
+// TestHubSendsSteps checks that a subscriber receives the steps from its version, and the full list if it accepts no steps,
+// holds no list or holds a version whose steps are no longer kept.
 func TestHubSendsSteps(t *testing.T) {
 	const last = 2*maxKeptSteps + 5
 	hub := NewHub(HubOptions{})
@@ -53,7 +53,7 @@
 	require.Less(t, len(reply.Steps[0].Body), 200)
 	require.Len(t, pollHub(t, hub, last-3, true).Steps, 3)
 	for name, reply := range map[string]fleetwire.WatchReply{
-		"accepts no steps": pollHub(t, hub, last-1, false), "no list": pollHub(t, hub, 0, true), "away": pollHub(t, hub, 2, true),
+		"accepts no steps": pollHub(t, hub, last-1, false), "no list": pollHub(t, hub, 0, true), "steps not kept": pollHub(t, hub, 2, true),
 	} {
 		require.Empty(t, reply.Steps, name)
 		var list []fleetwire.Instance
@@ -62,7 +62,8 @@
 	}
 }
 
-// TestHubSendsFullLists checks that a list is sent in full if it differs in most instances from the previous one or is not sorted.
+// TestHubSendsFullLists checks that a list is sent in full if it differs in most instances from the previous one or is not
+// sorted.
 func TestHubSendsFullLists(t *testing.T) {
 	hub := NewHub(HubOptions{})
 	require.NoError(t, hub.PublishInstances(listVersion(1), largeList(100, -1, "")))
@@ -85,7 +86,7 @@
 
 func newManualChain() *manualChain {
 	c := &manualChain{origin: NewHub(HubOptions{}), relay: NewHub(HubOptions{})}
-	c.agent = NewFollower(FollowerOptions{Relay: c.relay, Sources: func() []string { return []string{"top"} }})
+	c.agent = NewFollower(FollowerOptions{Relay: c.relay, Sources: func() []string { return []string{"origin"} }})
 	c.newRouter()
 	return c
 }
@@ -112,8 +113,8 @@
 	follower.HandleReply(time.Now(), sent, poll, &reply)
 }
 
-// TestChainHoldsNewestList runs random publications, polls and restarts. After each poll, the agent and the router must hold the
-// newest list of the hub that they polled.
+// TestChainHoldsNewestList runs random publications, polls and restarts. After each poll, the agent and the router must hold
+// the newest list of the hub that they polled.
 func TestChainHoldsNewestList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newManualChain()
@@ -156,10 +157,10 @@
 // follower then requests the full list and accepts steps again.
 func TestFollowerRequestsFullListAfterInvalidSteps(t *testing.T) {
 	corruptions := map[string]func(*fleetwire.WatchReply){
-		"digest":  func(reply *fleetwire.WatchReply) { reply.Steps[0].Digest++ },
-		"body":    func(reply *fleetwire.WatchReply) { reply.Steps[0].Body = fleetwire.Packed{9} },
-		"version": func(reply *fleetwire.WatchReply) { reply.Steps[0].From = listVersion(77) },
-		"end":     func(reply *fleetwire.WatchReply) { reply.Now.Instances = listVersion(99) },
+		"digest":            func(reply *fleetwire.WatchReply) { reply.Steps[0].Digest++ },
+		"body":              func(reply *fleetwire.WatchReply) { reply.Steps[0].Body = fleetwire.Packed{9} },
+		"base version":      func(reply *fleetwire.WatchReply) { reply.Steps[0].From = listVersion(77) },
+		"announced version": func(reply *fleetwire.WatchReply) { reply.Now.Instances = listVersion(99) },
 	}
 	for name, corrupt := range corruptions {
 		c := newManualChain()
@@ -179,8 +180,8 @@
 	}
 }
 
-// TestRelayRecoversFromInvalidSteps checks a relay that receives invalid steps. It detects them only when it builds the full list
-// for a subscriber. It must then fail that poll and request the full list itself.
+// TestRelayRecoversFromInvalidSteps checks a relay that receives invalid steps. It detects them only when it builds the full
+// list for a subscriber. It must then fail that poll and request the full list itself.
 func TestRelayRecoversFromInvalidSteps(t *testing.T) {
 	c := newManualChain()
 	require.NoError(t, c.origin.PublishInstances(listVersion(1), largeList(900, 1, "a")))
--- a/coordination/watch/network_test.go
+++ b/coordination/watch/network_test.go
@@ -99,15 +99,15 @@
 	}
 	done := make(chan outcome, 1)
 	go func() {
-		answer, err := hub.Serve(ctx, *request.(*fleetwire.WatchRequest))
-		done <- outcome{answer, err}
+		watchReply, err := hub.Serve(ctx, *request.(*fleetwire.WatchRequest))
+		done <- outcome{watchReply, err}
 	}()
 	select {
-	case answer := <-done:
-		if answer.err != nil {
-			return answer.err
+	case result := <-done:
+		if result.err != nil {
+			return result.err
 		}
-		return copyEncoded(answer.reply, reply)
+		return copyEncoded(result.reply, reply)
 	case <-down:
 		if n.linkOf(address) == linkRefused {
 			return errRefused
@@ -134,25 +134,25 @@
 	lost  time.Time // when contact was lost; zero: there is contact
 }
 
-func (t *quorumLink) age() time.Duration {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	if t.lost.IsZero() {
+func (q *quorumLink) age() time.Duration {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	if q.lost.IsZero() {
 		return 0
 	}
-	return time.Since(t.lost)
+	return time.Since(q.lost)
 }
 
-func (t *quorumLink) lose() {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.lost = time.Now()
+func (q *quorumLink) lose() {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	q.lost = time.Now()
 }
 
-func (t *quorumLink) regain() {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.lost = time.Time{}
+func (q *quorumLink) regain() {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	q.lost = time.Time{}
 }
 
 // testConfig returns a configuration whose version is the given revision.
--- a/coordination/watch/selector.go
+++ b/coordination/watch/selector.go
@@ -178,9 +178,9 @@
 	return min(start, limit)
 }
 
-// RecordReply records a reply. quorumAge is the age of the quorum contact that the reply reports, and behind reports whether the
-// source holds an older configuration than the subscriber. A reply with stale quorum contact, or from a source that has lagged
-// for longer than maxConfigLag, counts as a failure.
+// RecordReply records a reply. quorumAge is the age of the quorum contact that the reply reports, and behind reports whether
+// the source holds an older configuration than the subscriber. A reply with stale quorum contact, or from a source that has
+// lagged for longer than maxConfigLag, counts as a failure.
 func (s *SourceSelector) RecordReply(now time.Time, poll Poll, quorumAge time.Duration, behind bool) {
 	source := s.source(poll.Address)
 	if !behind {
