--- a/coordination/membership/detector.go
+++ b/coordination/membership/detector.go
@@ -100,9 +100,9 @@
 	}
 }
 
-// Tick must be called once per interval. It returns the heartbeats to the monitors, the probes of silent members, and a probe of
-// one member in rotation, dead or alive. The rotating probe lets members find each other again after a network partition, and
-// detects the death of a member whose monitors died with it.
+// Tick must be called once per interval. It returns the heartbeats to the monitors, the probes of silent members, and a probe
+// of one member in rotation, dead or alive. The rotating probe lets members find each other again after a network partition,
+// and detects the death of a member whose monitors died with it.
 func (d *Detector) Tick(now time.Time) []Envelope {
 	noneReceived := !d.lastReceivedAt.After(d.lastTick)
 	d.watchUnresponsive(now)
@@ -328,7 +328,8 @@
 	}
 }
 
-// sharedNotice returns the notice as it is sent to others. A suspect is sent as alive, because suspicion is local to the monitor.
+// sharedNotice returns the notice as it is sent to others. A suspect is sent as alive, because suspicion is local to the
+// monitor.
 func (r *record) sharedNotice() Notice {
 	notice := r.Notice
 	if notice.State == StateSuspect {
--- a/coordination/membership/detector_test.go
+++ b/coordination/membership/detector_test.go
@@ -149,8 +149,8 @@
 	})
 }
 
-// TestMessageCountDoesNotGrowWithFleetSize counts the messages that a member sends unprompted. Without faults these are heartbeats to
-// its monitors and one rotating probe.
+// TestMessageCountDoesNotGrowWithFleetSize counts the messages that a member sends unprompted. Without faults these are
+// heartbeats to its monitors and one rotating probe.
 func TestMessageCountDoesNotGrowWithFleetSize(t *testing.T) {
 	for _, fleet := range []int{5, 20, 60} {
 		s := newSimulation(uint64(fleet), fleet)
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -41,7 +41,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		live := namesOf(rapid.IntRange(5, 40).Draw(t, "fleet"))
 		name := live[0]
-		departed := rapid.SampledFrom(live[1:]).Draw(t, "gone")
+		departed := rapid.SampledFrom(live[1:]).Draw(t, "departed")
 		before := Monitors(name, live, DefaultMonitors)
 		after := Monitors(name, slices.DeleteFunc(slices.Clone(live), func(n string) bool { return n == departed }), DefaultMonitors)
 		for _, monitor := range before {
--- a/coordination/membership/simulation_test.go
+++ b/coordination/membership/simulation_test.go
@@ -135,8 +135,8 @@
 	return s.nodes[slices.IndexFunc(s.nodes, func(node *simulatedNode) bool { return node.member.Name == name })]
 }
 
-// disagreement returns the first mismatch in the member lists of the running nodes, which should contain exactly the other running
-// nodes, or "".
+// disagreement returns the first difference between the live members of a running node and the other running nodes, or "" if
+// there is none.
 func (s *simulation) disagreement() string {
 	for _, node := range s.nodes {
 		if node.down || node.suspended {
