--- a/coordination/sim/live/disk.go
+++ b/coordination/sim/live/disk.go
@@ -100,7 +100,7 @@
 	return d.current
 }
 
-// detach ends the access of the running process. The step in progress may be partly done; no further step is.
+// detach ends the access of the running process. The step in progress may be partly done, and no further step is done.
 func (d *Disk) detach() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/coordination/sim/sim_test.go
+++ b/coordination/sim/sim_test.go
@@ -63,7 +63,8 @@
 	require.NotEqual(t, runTrace(1), runTrace(2))
 }
 
-// A call must end exactly once, also if its request or reply is duplicated or lost or its target is killed.
+// TestCallEndsExactlyOnce checks that a call ends exactly once, even if its request or reply is duplicated or lost or its
+// target is killed.
 func TestCallEndsExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		world, a, b, _ := newEchoPair(rapid.Uint64().Draw(t, "seed"))
@@ -162,7 +163,8 @@
 	require.Equal(t, time.Second-time.Hour, a.Process().WallTime().Sub(wall))
 }
 
-// Timers, calls and disk operations of a process must not reach the next process on the same machine.
+// TestEndedProcessGetsNoCallbacks checks that timers, calls and disk operations of an ended process do not reach the next
+// process on the same machine.
 func TestEndedProcessGetsNoCallbacks(t *testing.T) {
 	world, a, b, received := newEchoPair(1)
 	ended := b.Process()
@@ -178,7 +180,8 @@
 	require.Len(t, *received, 1)
 }
 
-// Synced data must survive a power loss. Unsynced data may be kept, torn or lost, and each outcome must occur for some seed.
+// TestPowerLossKeepsSyncedData checks that synced data survives a power loss. Unsynced data may be kept, torn or lost, and each
+// outcome must occur for some seed.
 func TestPowerLossKeepsSyncedData(t *testing.T) {
 	outcomes := map[string]int{}
 	for seed := range uint64(200) {
@@ -194,10 +197,10 @@
 		data, err := files.Read("synced")
 		require.NoError(t, err)
 		require.Equal(t, "data", string(data))
-		_, first := files.Read("renamed")
-		_, second := files.Read("other")
-		require.NotEqual(t, first == nil, second == nil)
-		outcomes[fmt.Sprint("renamed ", second == nil)]++
+		_, oldNameErr := files.Read("renamed")
+		_, newNameErr := files.Read("other")
+		require.NotEqual(t, oldNameErr == nil, newNameErr == nil)
+		outcomes[fmt.Sprint("renamed ", newNameErr == nil)]++
 		data, err = files.Read("unsynced")
 		switch {
 		case err != nil:
--- a/coordination/sim/simtest/simtest.go
+++ b/coordination/sim/simtest/simtest.go
@@ -1,5 +1,5 @@
-// Package simtest runs simulations in tests over fixed and fresh random seeds. A failed test logs the command that runs its seed
-// again:
+// Package simtest runs simulations in tests over fixed and fresh random seeds. A failed test logs the command that runs its
+// seed again:
 //
 //	go test ./path -run TestName -sim.seed 1234
 package simtest
