--- a/coordination/systemtest/checker_test.go
+++ b/coordination/systemtest/checker_test.go
@@ -126,8 +126,8 @@
 	c.contentByVersion[message.Version] = message.Content
 }
 
-// checkSnapshot checks a new snapshot of a follower. Its version never decreases, its configuration was chosen, and its list was
-// read under that version.
+// checkSnapshot checks a new snapshot of a follower. Its version never decreases, its configuration was chosen, and its list
+// was read under that version.
 func (c *checker) checkSnapshot(name string, before, after *watch.Snapshot) {
 	if before != nil && (after.Version.ConfigRevision < before.Version.ConfigRevision ||
 		after.Version.Instances.Less(before.Version.Instances)) {
--- a/coordination/systemtest/defects_test.go
+++ b/coordination/systemtest/defects_test.go
@@ -28,15 +28,15 @@
 	return runFailures(seed, defects, lo.Filter(failures, func(f failure, _ int) bool { return f.name == "power loss of all" }))
 }
 
-// registerViolations are parts of the violations that a defect of the register may cause.
+// registerViolations are texts of the violations that a defect of the register may cause.
 var registerViolations = []string{"two values chosen", "does not extend", "is lost", "linearizable", "was learned as chosen"}
 
-// Each defect is injected into a driver of the state machines. One of the expected checks must detect it.
+// TestChecksDetectDefects injects each defect into a driver of the state machines. One of the expected checks must detect it.
 func TestChecksDetectDefects(t *testing.T) {
 	for name, test := range map[string]struct {
 		defects    injectedDefects
 		run        scenario
-		violations []string // parts of violations, of which the first detected one must contain at least one
+		violations []string // texts; the detected violation must contain one of them
 	}{
 		"replies before the sync":                {injectedDefects{repliesBeforeSync: true}, runPowerLosses, registerViolations},
 		"keeps its identity when wiped":          {injectedDefects{keepsIdentity: true}, runWipes, registerViolations},
@@ -52,16 +52,16 @@
 	}
 }
 
-// firstDetectingSeed returns the first seed whose run ends with one of the violations, and the error of that run. It returns an
-// empty error text if there is no such seed.
+// firstDetectingSeed returns the first seed whose run ends with an error that contains one of the texts, and the text of that
+// error. It returns an empty error text if there is no such seed.
 func firstDetectingSeed(run scenario, defects injectedDefects, violations []string) (uint64, string) {
 	for seed := uint64(1); seed <= maxSeeds; seed++ {
 		_, err := run(seed, defects)
 		if err == nil {
 			continue
 		}
-		for _, part := range violations {
-			if strings.Contains(err.Error(), part) {
+		for _, text := range violations {
+			if strings.Contains(err.Error(), text) {
 				return seed, err.Error()
 			}
 		}
@@ -69,7 +69,7 @@
 	return 0, ""
 }
 
-// A failure can be reproduced only if two runs with the same seed are equal.
+// TestSeedIsReproducible checks that two runs with the same seed are equal. Only then can a failure be reproduced.
 func TestSeedIsReproducible(t *testing.T) {
 	simtest.Run(t, simtest.Seeds{Fixed: 3, Fresh: 3}, func(t *testing.T, seed uint64) {
 		first, err := runAllFaults(seed, injectedDefects{})
--- a/coordination/systemtest/deployment_test.go
+++ b/coordination/systemtest/deployment_test.go
@@ -43,12 +43,12 @@
 	world              *sim.World
 	defects            injectedDefects
 	checker            *checker
-	founders           []string
-	seeds              []string
-	bootstrap          bool
+	founders           []string // addresses of the first replica set
+	seeds              []string // configured addresses of controllers
+	bootstrap          bool     // it starts for the first time; founders with an empty disk form the replica set
 	hosts              []*host
 	operator           *sim.Process
-	changeCount        int
+	changeCount        int  // changes that got an identifier; the operator stops at maxChanges
 	idle               bool // the operator sends no requests by itself
 	clocksNeverStopped bool // no monotonic clock has been stopped
 	wipeCount          int  // disks that were lost
@@ -209,8 +209,8 @@
 	return d.violationError()
 }
 
-// waitFor advances the simulation until a condition holds. It returns an error if that takes longer than the timeout or if a rule
-// was violated.
+// waitFor advances the simulation until a condition holds. It returns an error if that takes longer than the timeout or if a
+// rule was violated.
 func (d *deployment) waitFor(timeout time.Duration, condition string, holds func() bool) error {
 	from := d.world.Now()
 	d.world.RunUntil(timeout, func() bool { return d.checker.violation != "" || holds() })
--- a/coordination/systemtest/faults_test.go
+++ b/coordination/systemtest/faults_test.go
@@ -144,8 +144,8 @@
 	}
 }
 
-// mayWipe reports whether a disk may be lost: the chosen set contains the current disk of each controller, so that no other disk
-// is missing.
+// mayWipe reports whether a disk may be lost: the chosen set contains the current disk of each controller, so that no other
+// disk is missing.
 func (d *deployment) mayWipe() bool { return d.formed() }
 
 // replaceHost removes a controller permanently and starts another one at a new address.
--- a/coordination/systemtest/frontend_test.go
+++ b/coordination/systemtest/frontend_test.go
@@ -9,7 +9,7 @@
 	"weldscale/internal/fleetwire"
 )
 
-// detectorInterval is the probe interval of the failure detectors.
+// detectorInterval is the interval between heartbeats of the failure detectors.
 const detectorInterval = 250 * time.Millisecond
 
 // frontend is a subscriber of the controllers that detects failures of the other frontends.
--- a/coordination/systemtest/node_test.go
+++ b/coordination/systemtest/node_test.go
@@ -13,7 +13,7 @@
 	"weldscale/coordination/sim"
 )
 
-// Timeouts, intervals and limits of a node, in accordance with register.Node.
+// Timeouts, intervals and limits of a node, as in register.Node.
 const (
 	roundTimeout          = register.DefaultRoundTimeout
 	registerHeartbeat     = register.DefaultHeartbeat
--- a/coordination/systemtest/system_test.go
+++ b/coordination/systemtest/system_test.go
@@ -105,7 +105,8 @@
 	return d, nil
 }
 
-// Random faults of all kinds but suspensions violate no rule, and more than half of the changes are acknowledged.
+// TestDeploymentIsConsistentUnderFaults checks that random faults of all kinds but suspensions violate no rule, and that more
+// than half of the changes are acknowledged.
 func TestDeploymentIsConsistentUnderFaults(t *testing.T) {
 	var acknowledged, submitted int
 	simtest.Run(t, simtest.Seeds{Fixed: 60, Fresh: 20}, func(t *testing.T, seed uint64) {
@@ -117,7 +118,8 @@
 	require.Greater(t, 2*acknowledged, submitted)
 }
 
-// Machines that lose their disk or are replaced during partitions change the replica set while requests are in flight.
+// TestDeploymentIsConsistentDuringReconfigurations lets machines lose their disk or be replaced during partitions, so that the
+// replica set changes while requests are in flight.
 func TestDeploymentIsConsistentDuringReconfigurations(t *testing.T) {
 	wipeCount := 0
 	simtest.Run(t, simtest.Seeds{Fixed: 60, Fresh: 20}, func(t *testing.T, seed uint64) {
@@ -129,7 +131,8 @@
 	require.Positive(t, wipeCount)
 }
 
-// A process whose monotonic clock was stopped may act on expired grants. Fencing tokens must make its actions harmless.
+// TestTokensFenceSuspendedProcesses checks that fencing tokens make the actions of a process harmless that acts on expired
+// grants because its monotonic clock was stopped.
 func TestTokensFenceSuspendedProcesses(t *testing.T) {
 	simtest.Run(t, simtest.Seeds{Fixed: 20, Fresh: 10}, func(t *testing.T, seed uint64) {
 		_, err := runUnderFaults(seed, injectedDefects{}, slices.Concat(allFaults, suspendFaults))
--- a/coordination/systemtest/tolerance_test.go
+++ b/coordination/systemtest/tolerance_test.go
@@ -16,8 +16,8 @@
 	maxOutage       = 3 * time.Second
 )
 
-// failure is one that a deployment without other faults must tolerate. While it lasts, changes are acknowledged and propagated to
-// all frontends in time. After its end, the deployment recovers in time.
+// failure is a kind of failure that a deployment without other faults must tolerate. While it lasts, changes are acknowledged
+// and propagated to all frontends in time. After its end, the deployment recovers in time.
 type failure struct {
 	name  string
 	begin func(d *deployment, target *host) (end func())
@@ -159,7 +159,8 @@
 	return d, d.checkHistory()
 }
 
-// The failure of any controller, or a short outage of all, loses no acknowledged change and leaves the service available in time.
+// TestDeploymentToleratesFailureOfAnyController checks that neither the failure of a controller nor a short outage of all loses
+// an acknowledged change, and that changes are acknowledged and propagated in time.
 func TestDeploymentToleratesFailureOfAnyController(t *testing.T) {
 	simtest.Run(t, simtest.Seeds{Fixed: 60, Fresh: 20}, func(t *testing.T, seed uint64) {
 		_, err := runFailures(seed, injectedDefects{}, failures)
--- a/coordination/systemtest/upkeep_test.go
+++ b/coordination/systemtest/upkeep_test.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// mayChange reports whether a reconfiguration may be proposed now. A joint set is finished by its proposer unless that takes too
-// long, and a joining node first waits for replies of all members.
+// mayChange reports whether a reconfiguration may be proposed now. A joint set is finished by its proposer unless that takes
+// too long, and a joining node first waits for replies of all members.
 func (n *node) mayChange(chosen register.Value) bool {
 	now := n.process.Monotonic()
 	if chosen.Joint() {
@@ -118,8 +118,8 @@
 	})
 }
 
-// dueCompletion returns the change that completes a value that stays in doubt, or that learns the chosen value after a start. It
-// returns nil if none is due.
+// dueCompletion returns the change that completes a value that stays in doubt, or that learns the chosen value after a start.
+// It returns nil if none is due.
 func (n *node) dueCompletion() register.Change {
 	known := n.known()
 	peerAhead := lo.SomeBy(slices.Collect(maps.Values(n.peers)), func(p *peer) bool { return n.chosen.Ballot.Less(p.accepted) })
--- a/coordination/systemtest/wiped_test.go
+++ b/coordination/systemtest/wiped_test.go
@@ -11,8 +11,8 @@
 
 const wipeRounds = 3
 
-// runWipes lets two of three replicas accept a change, then wipes one of them and isolates the other. The third replica does not
-// know the change. It and the empty disk must not form a quorum, which would lose the change.
+// runWipes lets two of three replicas accept a change, then wipes one of them and isolates the other. The third replica does
+// not know the change. It and the empty disk must not form a quorum, which would lose the change.
 func runWipes(seed uint64, defects injectedDefects) (*deployment, error) {
 	d := newDeployment(seed, defects)
 	if err := d.waitFormed(); err != nil {
@@ -29,7 +29,8 @@
 	return d, d.checkHistory()
 }
 
-// wipeAfterChange has a change acknowledged while one replica is isolated, and then wipes another one. It finally reconnects all.
+// wipeAfterChange has a change acknowledged while one replica is isolated, and then wipes another one. It finally reconnects
+// all.
 func (d *deployment) wipeAfterChange() error {
 	hosts := d.replicaHosts()
 	shuffle(d, hosts)
@@ -64,8 +65,8 @@
 	}
 }
 
-// A replica that restarts with an empty disk must not count as the replica that it was before, because it has lost the values
-// that it accepted.
+// TestWipedReplicaLosesNoChange checks that a replica that restarts with an empty disk does not count as the replica that it
+// was before, because it has lost the values that it accepted.
 func TestWipedReplicaLosesNoChange(t *testing.T) {
 	simtest.Run(t, simtest.Seeds{Fixed: 40, Fresh: 10}, func(t *testing.T, seed uint64) {
 		_, err := runWipes(seed, injectedDefects{})
