--- a/coordination/systemtest/deployment_test.go
+++ b/coordination/systemtest/deployment_test.go
@@ -79,7 +79,7 @@
 func (d *deployment) add(name string, core bool) *host {
 	added := &host{machine: d.world.AddMachine(name), core: core}
 	d.hosts = append(d.hosts, added)
-	// The operator's links neither lose nor duplicate messages, so a refused call has certainly had no effect.
+	// Apart from cuts, the operator's links neither lose nor duplicate messages, so a refused call has certainly had no effect.
 	d.world.Network().SetLink(operatorName, name, sim.DefaultLink())
 	d.world.Network().SetLink(name, operatorName, sim.DefaultLink())
 	return added
