--- a/coordination/systemtest/deployment_test.go
+++ b/coordination/systemtest/deployment_test.go
@@ -43,12 +43,12 @@
 	world              *sim.World
 	defects            injectedDefects
 	checker            *checker
-	founders           []string
-	seeds              []string
-	bootstrap          bool
+	founders           []string // addresses of the first replica set
+	seeds              []string // configured addresses of controllers
+	bootstrap          bool     // it starts for the first time; founders with an empty disk form the replica set
 	hosts              []*host
 	operator           *sim.Process
-	changeCount        int
+	changeCount        int  // changes that got an identifier; the operator stops at maxChanges
 	idle               bool // the operator sends no requests by itself
 	clocksNeverStopped bool // no monotonic clock has been stopped
 	wipeCount          int  // disks that were lost
@@ -79,7 +79,7 @@
 func (d *deployment) add(name string, core bool) *host {
 	added := &host{machine: d.world.AddMachine(name), core: core}
 	d.hosts = append(d.hosts, added)
-	// The operator's links neither lose nor duplicate messages, so a refused call has certainly had no effect.
+	// Apart from cuts, the operator's links neither lose nor duplicate messages, so a refused call has certainly had no effect.
 	d.world.Network().SetLink(operatorName, name, sim.DefaultLink())
 	d.world.Network().SetLink(name, operatorName, sim.DefaultLink())
 	return added
@@ -209,8 +209,8 @@
 	return d.violationError()
 }
 
-// waitFor advances the simulation until a condition holds. It returns an error if that takes longer than the timeout or if a rule
-// was violated.
+// waitFor advances the simulation until a condition holds. It returns an error if that takes longer than the timeout or if a
+// rule was violated.
 func (d *deployment) waitFor(timeout time.Duration, condition string, holds func() bool) error {
 	from := d.world.Now()
 	d.world.RunUntil(timeout, func() bool { return d.checker.violation != "" || holds() })
