--- a/internal/net/second.go
+++ b/internal/net/management.go
@@ -92,8 +92,8 @@
 func (s *ManagementServer) removeIncomplete(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, w := range s.incomplete {
-		if w == c {
+	for i, listed := range s.incomplete {
+		if listed == c {
 			s.incomplete = append(s.incomplete[:i:i], s.incomplete[i+1:]...)
 			return true
 		}
--- a/internal/net/net.go
+++ b/internal/net/net.go
@@ -31,7 +31,7 @@
 	bufferSize          = 4 << 10  // initial read buffer of a connection
 	receiveBuffer       = 64 << 10 // SO_RCVBUF of client connections
 	sendBuffer          = 64 << 10 // SO_SNDBUF of client connections, which bounds unread answers; the system doubles it
-	maxUnread           = 2 << 20  // for netpoll to buffer per connection; it reads on while the loop is busy, except from clients
+	maxUnread           = 2 << 20  // netpoll's buffer per connection; it reads on while the loop is busy, except from clients
 	maxDiscarded        = 1 << 20  // bytes that a client may send after its last answer
 	maxHosts            = 256      // hosts without idle connections and waiters are removed beyond that
 )
@@ -61,8 +61,8 @@
 
 	// Accepted is called with each new client connection.
 	Accepted func(jobs.Conn)
-	// ShedIdle closes up to n idle client connections and returns how many it closed. With unproven it closes only
-	// those of clients that have not sent a job.
+	// ShedIdle closes up to n client connections that are idle or behind their rate, and returns how many it closed.
+	// With unproven it spares idle clients that have sent a job and those that have just connected.
 	ShedIdle func(n int, unproven bool) int
 	// Dial opens a connection to a worker and may block. It is netpoll's unless a test replaces it.
 	Dial func(addr string, timeout time.Duration) (netpoll.Connection, error)
@@ -542,8 +542,8 @@
 	c.idleTimer = d.loop.After(d.maxIdleTime(), c.Close)
 }
 
-// maxIdleTime returns how long a connection to a worker may be idle. A request on a connection that the worker is about
-// to close could be lost, so it must end before the worker's limit.
+// maxIdleTime returns how long a connection to a worker may be idle. It is shorter than the worker's limit, because a
+// request on a connection that the worker is about to close could be lost.
 func (d *Driver) maxIdleTime() time.Duration { return d.config.IdleLimit * 7 / 10 }
 
 // idleHandler handles the events of an idle connection.
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -155,7 +155,8 @@
 	return c.Conn.Fd()
 }
 
-// The loop may close a connection, so it must not get one before netpoll has registered it.
+// The loop must not get a connection before netpoll has registered it. If the loop closed it earlier, netpoll would
+// register it after its end, under a descriptor that may belong to another connection by then.
 func TestAcceptedOnlyAfterRegistration(t *testing.T) {
 	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
 	accepted := make(chan jobs.Conn, 1)
@@ -321,8 +322,8 @@
 	}
 }
 
-// When descriptors run short, idle connections to workers are shed first, then those of clients. A client connection
-// above the hard limit is closed at once.
+// When descriptors run short and no unproven client is idle, idle connections to workers are shed first, then those of
+// proven clients. A client connection above the hard limit is closed at once.
 func TestDescriptorBudget(t *testing.T) {
 	addr, conns := listen(t)
 	const room = 4
@@ -343,7 +344,7 @@
 	}
 	g.do(func() { require.NoError(t, g.d.Listen("127.0.0.1:0")) })
 	idle := g.get(addr)
-	worker := <-conns
+	workerSide := <-conns
 	g.do(func() { g.d.Put(addr, idle) })
 	var clients []stdnet.Conn
 	for range room + 1 {
@@ -352,7 +353,7 @@
 		defer c.Close()
 		clients = append(clients, c)
 	}
-	requireEnded(t, worker)
+	requireEnded(t, workerSide)
 	c, err := stdnet.Dial("tcp", g.d.Addr())
 	require.NoError(t, err)
 	defer c.Close()
@@ -439,7 +440,7 @@
 		d.Get(addr, true, func(c jobs.Conn) { third <- c })
 		giveUp()
 	})
-	assert.NotNil(t, get(other), "the quota of another service")
+	assert.NotNil(t, get(other), "another service has a quota of its own")
 	assert.Equal(t, 2, d.OpenConns())
 	assert.Empty(t, third, "the third dial waits")
 	g.do(first.Close)
@@ -492,7 +493,7 @@
 	addr, conns := listen(t)
 	g := newTestDriver(t, Config{Descriptors: 1024, ConnectTimeout: testTimeout, IdleLimit: time.Hour})
 	c := g.get(addr)
-	worker := <-conns
+	workerSide := <-conns
 	again := make(chan jobs.Conn, 1)
 	g.do(func() {
 		c.SetHandler(onData(func() {
@@ -500,7 +501,7 @@
 			g.d.Get(addr, false, func(c jobs.Conn) { again <- c })
 		}))
 	})
-	_, err := worker.Write([]byte("x"))
+	_, err := workerSide.Write([]byte("x"))
 	require.NoError(t, err)
 	assert.Same(t, c, <-again)
 }
--- a/internal/net/write.go
+++ b/internal/net/write.go
@@ -138,8 +138,8 @@
 // Unsent returns the number of connections with data that the system has not accepted.
 func (d *Driver) Unsent() int { return d.unsent }
 
-// writeWatcher waits with epoll for sockets to become writable. All fields are for the loop only; its goroutine uses
-// only loop and the epoll descriptor.
+// writeWatcher waits with epoll for sockets to become writable. Its goroutine uses only loop and epoll; the other fields
+// are used on the loop only.
 type writeWatcher struct {
 	loop   *engine.Loop
 	epoll  int
@@ -151,9 +151,9 @@
 	return &writeWatcher{loop: loop, epoll: -1, conns: map[uint64]*Conn{}}
 }
 
-// add waits for one event. Connections are identified by IDs and not by descriptors, since a descriptor may belong to
-// another connection by the time an event is read. The system removes a descriptor from the epoll set when it is
-// closed.
+// add registers the connection for one event. Connections are identified by IDs and not by descriptors, since a
+// descriptor may belong to another connection by the time an event is read. The system removes a descriptor from the
+// epoll set when it is closed.
 func (w *writeWatcher) add(c *Conn, fd int) error {
 	if w.epoll < 0 {
 		epoll, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
@@ -185,7 +185,7 @@
 	for {
 		n, err := unix.EpollWait(w.epoll, events, -1)
 		if err != nil && err != unix.EINTR {
-			slog.Error("epoll of descriptors ended", "why", err)
+			slog.Error("waiting for writable sockets failed", "why", err)
 			return
 		}
 		if n <= 0 {
