--- a/internal/pace/keeper.go
+++ b/internal/pace/keeper.go
@@ -109,7 +109,7 @@
 	CutCrowd                        int // slow while too many peers were slow
 	Evicted                         int // slow or idle while memory or descriptors ran short
 	Spared                          int // transfers of a slow link that would have been cut by the general rate
-	Refused                         int // reservations refused because a cap was reached
+	Refused                         int // calls of HoldIn refused because a cap was reached
 	Peers, Slow, Bytes, PeakBytes   int // current values, and the peak of Bytes
 	StruckAddrs, Prefixes, PeakSlow int
 }
@@ -171,10 +171,10 @@
 		p.Link, p.in.Least, p.out.Least = l.Name, l.In, l.Out
 	}
 	k.peers = append(k.peers, p)
-	at := k.prefix(addr)
-	if p.group = k.groups[at]; p.group == nil {
-		p.group = &prefixGroup{prefix: at}
-		k.groups[at] = p.group
+	network := k.prefix(addr)
+	if p.group = k.groups[network]; p.group == nil {
+		p.group = &prefixGroup{prefix: network}
+		k.groups[network] = p.group
 	}
 	p.group.peers++
 	p.meter.Begin(now, k.shortenGrace(now, addr, p.in))
@@ -319,7 +319,7 @@
 	return p.meter.Deadline()
 }
 
-// Extend extends the deadline of the current transfer by span, for a time in which the caller could not observe it.
+// Extend moves the deadline of the current transfer by span: a time in which the caller could not observe it does not count.
 func (p *Peer) Extend(span Time) {
 	if p.meter.Running() {
 		p.meter.Extend(span)
@@ -509,7 +509,8 @@
 }
 
 // rankVictims returns the peers that may be evicted, in the order of eviction. Peers behind their rate are ordered by
-// cost times the number of peers of their prefix.
+// cost times the number of peers of their prefix, the highest first; peers of the other kinds by idle time, the longest
+// first.
 func (k *Keeper) rankVictims(now Time, unprovenOnly bool) []*Peer {
 	type candidate struct {
 		p    *Peer
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -4,9 +4,9 @@
 // that pass and when, and closes the peers that it returns. It never returns a peer whose request is a job in flight,
 // nor one that keeps its rate.
 //
-// Each transfer has one figure, the time until which the peer may be silent. It starts one grace after the start of the
-// transfer, moves on with each byte by the time that a byte takes at the least rate, and is never further ahead than
-// the span. So a peer that keeps its rate is never cut, however unevenly its bytes arrive within the span, and one that
+// Each transfer is measured by one value, the time until which the peer may be silent. It starts one grace after the start
+// of the transfer, moves on with each byte by the time that a byte takes at the least rate, and is never further ahead
+// than the span. So a peer that keeps its rate is never cut, however unevenly its bytes arrive within the span, and one that
 // stops is cut one span later at the latest, whatever it did before. Apache's mod_reqtimeout extends a timeout by a
 // rate in the same way but without the span, so that a fast start there allows silence later.
 package pace
@@ -73,7 +73,7 @@
 	m.cutAfter = max(m.cutAfter, min(m.cutAfter+float64(n)/m.rate.Least*float64(second), latest))
 }
 
-// Extend moves the deadline by span, for a time in which the caller could not observe the transfer.
+// Extend moves the deadline by span: a time in which the caller could not observe the transfer does not count.
 func (m *Meter) Extend(span Time) { m.start += span }
 
 // Deadline returns when the transfer is cut if nothing more passes, or Never if none is measured.
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -156,8 +156,8 @@
 			op := rapid.IntRange(0, 9).Draw(t, "op")
 			if op == 0 || len(live) == 0 {
 				m := &model{}
-				at := fmt.Sprintf("127.0.%d.%d", rapid.IntRange(1, 3).Draw(t, "net"), rapid.IntRange(1, 2).Draw(t, "host"))
-				m.p = k.Open(now, netip.MustParseAddr(at), m)
+				addr := fmt.Sprintf("127.0.%d.%d", rapid.IntRange(1, 3).Draw(t, "net"), rapid.IntRange(1, 2).Draw(t, "host"))
+				m.p = k.Open(now, netip.MustParseAddr(addr), m)
 				begin(m, m.p.in.Least)
 				all = append(all, m)
 				continue
