--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -372,7 +372,7 @@
 // it is, a pool that has used more than its part must wait until its debt is paid off.
 type TimeBudget struct {
 	busy   float64 // recent work in microseconds, which decays over loadWindow
-	at     Time
+	at     Time    // the time up to which the decay is applied
 	weight float64 // sum of the weights of all shares
 }
 
@@ -389,7 +389,7 @@
 	budget *TimeBudget
 	weight float64
 	credit float64 // microseconds the share may use; negative: debt
-	at     Time
+	at     Time    // the time up to which credit is earned
 }
 
 // Share returns a new share with the given weight.
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -169,20 +169,20 @@
 func TestFleetLimits(t *testing.T) {
 	limits := Limits{FleetRate: 9, FleetInFlight: 3, FleetRetries: 1}
 	p := New("p", limits, []Limits{{FleetInFlight: 2}, {Rate: 1}}, nil, nil)
-	open, remaining := map[int]int{}, map[FleetKind]int{FleetRate: 4, FleetRetries: 1}
+	taken, remaining := map[int]int{}, map[FleetKind]int{FleetRate: 4, FleetRetries: 1}
 	p.TakeFleet = func(k FleetKind, class int) bool {
 		if k == FleetInFlight {
 			limit := map[int]int{-1: 3, 0: 2}[class]
-			if open[class] >= limit {
+			if taken[class] >= limit {
 				return false
 			}
-			open[class]++
+			taken[class]++
 			return true
 		}
 		remaining[k]--
 		return remaining[k] >= 0
 	}
-	p.ReturnFleet = func(class int) { open[class]-- }
+	p.ReturnFleet = func(class int) { taken[class]-- }
 	admit := func(class, status int) {
 		t.Helper()
 		assert.Equal(t, status, p.Admit(0, class, 1).Status)
@@ -190,7 +190,7 @@
 	admit(0, 0)
 	admit(0, 0)
 	admit(0, 503)
-	assert.Equal(t, map[int]int{-1: 2, 0: 2}, open, "the unit of the service was returned")
+	assert.Equal(t, map[int]int{-1: 2, 0: 2}, taken, "the unit of the service was returned")
 	admit(1, 0)
 	admit(1, 429) // refused by the class's own rate, before a fleet unit is taken
 	p.SetLimits(Limits{}, []Limits{{}, {}})
@@ -199,10 +199,10 @@
 	admit(0, 0)
 	p.Done(0, 1, Unbooked{})
 	admit(0, 429)
-	assert.Equal(t, map[int]int{-1: 2, 0: 1}, open, "nothing stays taken when the fleet rate is used up")
+	assert.Equal(t, map[int]int{-1: 2, 0: 1}, taken, "nothing stays taken when the fleet rate is used up")
 	p.Done(0, 1, Unbooked{})
 	p.Done(1, 1, Unbooked{})
-	assert.Equal(t, map[int]int{-1: 0, 0: 0}, open)
+	assert.Equal(t, map[int]int{-1: 0, 0: 0}, taken)
 	assert.True(t, p.AdmitRetry(0, 0))
 	assert.False(t, p.AdmitRetry(0, 0))
 	assert.Equal(t, 1, p.Counts.RetriesDenied)
