--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,6 +1,6 @@
 // Package route maps requests to services by host, path, class and header fields. Tables are immutable: a new table replaces
 // the old one as a whole, and holders of the old one can go on using it. There is no default service: a request that
-// matches no rule is reported as a miss.
+// matches no rule is reported as a miss. The package does no I/O and does not parse messages.
 package route
 
 import (
@@ -131,7 +131,7 @@
 }
 
 // compareSpecificity orders the rules of one host and prefix: rules with a class first, then by the number of header fields.
-// Rules with different fields but equally many keep their order in the file.
+// Rules that ask for equally many but different fields keep their order in the file, so that the first one wins if both match.
 func compareSpecificity(a, b Rule) int {
 	return cmp.Or(cmp.Compare(min(1, len(b.Class)), min(1, len(a.Class))), cmp.Compare(len(b.Header), len(a.Header)))
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -77,8 +77,8 @@
 	want := []string{"f:2: the same match as that of service \"a\" at f:1", "f:3: the same match as at f:1", "f:4: \"x.org:80\" is not a valid host",
 		"f:5: \"*\" is not a valid host", "f:6: \"p\" is not a valid path", "f:7: paths below /-/ are reserved", "f:8: \"/a?b\" is not a valid path"}
 	require.Len(t, errs, len(want))
-	for i, f := range errs {
-		assert.ErrorContains(t, f, want[i])
+	for i, err := range errs {
+		assert.ErrorContains(t, err, want[i])
 	}
 }
 
