--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -41,7 +41,7 @@
 	Number  uint64          `json:"number,omitempty"` // matches a KindApplied message to the KindOffline message that it answers
 	Hello   *Hello          `json:"hello,omitempty"`
 	Worker  string          `json:"worker,omitempty"` // for KindOffline: the name of the worker
-	Away    bool            `json:"away,omitempty"`   // for KindOffline: whether the worker is set offline or online
+	Away    bool            `json:"away,omitempty"`   // for KindOffline: the worker is set offline (true) or online (false)
 	Index   int64           `json:"index,omitempty"`  // for KindList: the index of the update
 	List    json.RawMessage `json:"list,omitempty"`
 	Job     json.RawMessage `json:"job,omitempty"`
