--- a/cmd/weldscale/cli_test.go
+++ b/cmd/weldscale/cli_test.go
@@ -42,8 +42,8 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
-	valid := file("good.json", string(standin.Site{Discovery: "127.0.0.1:1"}.Config()))
-	portInUse := file("used.json", string(standin.Site{Discovery: "127.0.0.1:1", Listen: ln.Addr().String()}.Config()))
+	valid := file("good.json", string(standin.SchedulerConfig{Discovery: "127.0.0.1:1"}.JSON()))
+	portInUse := file("used.json", string(standin.SchedulerConfig{Discovery: "127.0.0.1:1", Listen: ln.Addr().String()}.JSON()))
 	tenErrors := file("ten.hcl", "slow_peers {\n"+strings.Repeat("", 1)+"  grace_in = 1\n  span_in = 1\n  total = \"x\"\n  most = 0.5\n  hurry = 2\n  fresh = 3\n"+
 		"  crowd = 200\n  remember = 0\n  forgive = true\n  no_such = 1\n}\n")
 	for name, c := range map[string]struct {
@@ -92,7 +92,7 @@
 	require.NoError(t, err)
 	stale.(*net.UnixListener).SetUnlinkOnClose(false)
 	stale.Close()
-	site := standin.Site{Discovery: discovery.Addr(), Known: discovery.Known()}
+	site := standin.SchedulerConfig{Discovery: discovery.Addr(), Known: discovery.Known()}
 	cmd, addr := startSchedulerProcess(t, site, "WELDSCALE_FILE="+file)
 	info, err := os.Stat(socket)
 	require.NoError(t, err)
@@ -113,8 +113,8 @@
 	assert.Contains(t, unknownWorker, "no such worker")
 	_, _, status = runCommand("level", socket, "debug")
 	assert.Zero(t, status)
-	kind := standin.Kind{Class: "view", Budget: testTimeout}
-	code, _, err := standin.Ask(http.DefaultClient, addr, "", "traced", &kind)
+	kind := standin.JobKind{Class: "view", Budget: testTimeout}
+	code, _, err := standin.SendJob(http.DefaultClient, addr, "", "traced", &kind)
 	require.NoError(t, err)
 	assert.Equal(t, 200, code)
 	log := cmd.Stderr.(*programLog)
@@ -143,7 +143,7 @@
 	}
 
 	path := filepath.Join(dir, "second.json")
-	require.NoError(t, os.WriteFile(path, site.Config(), 0o600))
+	require.NoError(t, os.WriteFile(path, site.JSON(), 0o600))
 	write(valid)
 	_, stderr, status = runProgram(t, []string{"GW_CONFIG=" + path}, "serve", "--config", file)
 	assert.Equal(t, 1, status)
--- a/cmd/weldscale/config_test.go
+++ b/cmd/weldscale/config_test.go
@@ -33,7 +33,7 @@
 
 // An invalid configuration is rejected with a single line that names the invalid setting.
 func TestBadConfig(t *testing.T) {
-	valid := string(standin.Site{Name: "n", Discovery: "127.0.0.1:1"}.Config())
+	valid := string(standin.SchedulerConfig{Name: "n", Discovery: "127.0.0.1:1"}.JSON())
 	for name, c := range map[string]struct{ old, new, want string }{
 		"good":                 {"", "", ""},
 		"no name":              {`"name":"n",`, "", "-"},
@@ -87,7 +87,7 @@
 // then an engine can start with it, or rejects it with a single line that names the setting.
 func TestEachSettingInvalid(t *testing.T) {
 	var site map[string]any
-	require.NoError(t, json.Unmarshal(standin.Site{Name: "n", Discovery: "127.0.0.1:1"}.Config(), &site))
+	require.NoError(t, json.Unmarshal(standin.SchedulerConfig{Name: "n", Discovery: "127.0.0.1:1"}.JSON(), &site))
 	path := filepath.Join(t.TempDir(), "config.json")
 	check := func(name, key string, value any) {
 		text, err := json.Marshal(site)
--- a/cmd/weldscale/early_amd64_test.go
+++ b/cmd/weldscale/early_amd64_test.go
@@ -57,7 +57,7 @@
 	for _, syscallNumber := range []uint64{unix.SYS_SCHED_GETAFFINITY, unix.SYS_SIGALTSTACK, unix.SYS_EPOLL_CREATE1} {
 		for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT} {
 			path := filepath.Join(t.TempDir(), "config.json")
-			writeConfig(t, path, standin.Site{Discovery: "127.0.0.1:1"})
+			writeConfig(t, path, standin.SchedulerConfig{Discovery: "127.0.0.1:1"})
 			log := &programLog{changed: make(chan struct{}, 1)}
 			cmd := startPausedAt(t, path, log, syscallNumber, func(pid int) {
 				for _, s := range []syscall.Signal{syscall.SIGUSR1, syscall.SIGHUP, sig} {
@@ -75,7 +75,7 @@
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
 	oldDiscovery, newDiscovery := startDiscovery(t), startDiscovery(t, w.Entry("SERVING"))
 	path := filepath.Join(t.TempDir(), "config.json")
-	site := standin.Site{Discovery: oldDiscovery.Addr()}
+	site := standin.SchedulerConfig{Discovery: oldDiscovery.Addr()}
 	writeConfig(t, path, site)
 	log := &programLog{changed: make(chan struct{}, 1)}
 	cmd := startPausedAt(t, path, log, unix.SYS_SCHED_GETAFFINITY, func(pid int) {
@@ -84,7 +84,7 @@
 		require.NoError(t, syscall.Kill(pid, syscall.SIGHUP))
 	})
 	addr := log.awaitAddr(t)
-	status, _, err := standin.Ask(client(), addr, "", "one", &standin.Kind{Class: "view", Budget: testTimeout, Body: 5})
+	status, _, err := standin.SendJob(client(), addr, "", "one", &standin.JobKind{Class: "view", Budget: testTimeout, Body: 5})
 	require.NoError(t, err)
 	assert.Equal(t, 200, status)
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
--- a/cmd/weldscale/fleet_test.go
+++ b/cmd/weldscale/fleet_test.go
@@ -158,7 +158,7 @@
 					return
 				case <-time.After(pause):
 				}
-				_, _, _ = standin.Ask(client, addr, "shop.example.org", fmt.Sprint(i, "-", n), &standin.Kind{Class: "view", Budget: 2 * time.Second, Body: 5})
+				_, _, _ = standin.SendJob(client, addr, "shop.example.org", fmt.Sprint(i, "-", n), &standin.JobKind{Class: "view", Budget: 2 * time.Second, Body: 5})
 			}
 		})
 	}
@@ -177,7 +177,7 @@
 		waitingSince := time.Now()
 		require.Eventually(t, func() bool {
 			recent := 0
-			for _, s := range w.Seen() {
+			for _, s := range w.ReceivedJobs() {
 				if s.At.After(time.Now().Add(-2 * time.Second)) {
 					recent++
 				}
@@ -198,7 +198,7 @@
 	require.NoError(t, script.Play(t.Context(), 7, f.processes, f.links, f.log))
 	awaitFullRate("all faults have ended")
 	stopClients()
-	for _, s := range w.Seen() {
+	for _, s := range w.ReceivedJobs() {
 		f.log.AddAt(s.At, "w", "begun", 1, "")
 	}
 	events, lost := f.log.Events()
@@ -225,7 +225,7 @@
 		mu.Lock()
 		running-- // before the scheduler learns of the end
 		mu.Unlock()
-		standin.Done(r, c)
+		standin.WriteAnswer(r, c)
 	}})
 	f := startTestFleet(t, 3, " term = \"600ms\"\n use = \"3s\"\n", serviceBlock("shop", fmt.Sprintf("  limits { fleet_open = %d }\n", limit), w))
 	for range 10 {
--- a/cmd/weldscale/moments_clients_test.go
+++ b/cmd/weldscale/moments_clients_test.go
@@ -27,11 +27,11 @@
 
 // A client disconnects while its request waits for room on a worker: the request is dropped and never sent.
 func TestClientLeavesWaitingForRoom(t *testing.T) {
-	forEachDisconnect(t, func(t *testing.T, disconnect func(*standin.Caller), change func(*config)) {
+	forEachDisconnect(t, func(t *testing.T, disconnect func(*standin.ClientConn), change func(*config)) {
 		w := startWorker(t, standin.WorkerConfig{Name: "a", Slots: 1, TellsStart: true})
 		ts := startSchedulerWith(t, []standin.Entry{w.Entry("DRAINING")}, change)
 		c := ts.connect()
-		require.NoError(t, c.Send(standin.Job("gone", "view", 8*time.Second, "x")))
+		require.NoError(t, c.Send(standin.RequestText("gone", "view", 8*time.Second, "x")))
 		ts.awaitAccepted(1)
 		disconnect(c)
 		ts.awaitIdle()
@@ -44,17 +44,17 @@
 
 // A client disconnects while its worker is probed for its load: the request is dropped and never sent.
 func TestClientLeavesDuringTheProbe(t *testing.T) {
-	forEachDisconnect(t, func(t *testing.T, disconnect func(*standin.Caller), change func(*config)) {
-		stops := &standin.Stops{}
+	forEachDisconnect(t, func(t *testing.T, disconnect func(*standin.ClientConn), change func(*config)) {
+		stops := &standin.SyncPoints{}
 		stops.Hold("probe")
 		w := startWorker(t, standin.WorkerConfig{Name: "a", Stops: stops})
 		ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, change)
 		c := ts.connect()
-		require.NoError(t, c.Send(standin.Job("gone", "view", 8*time.Second, "x")))
+		require.NoError(t, c.Send(standin.RequestText("gone", "view", 8*time.Second, "x")))
 		awaitReached(t, stops, "probe")
 		disconnect(c)
 		ts.awaitIdle()
-		stops.Free("probe")
+		stops.Release("probe")
 		status, _ := ts.ask("next", "view", testTimeout)
 		assert.Equal(t, 200, status)
 		assert.Equal(t, []string{"next"}, w.IDs())
@@ -64,21 +64,21 @@
 // A client disconnects while a connection to its worker is being opened. The slot that its job reserved must be free at once,
 // not when the dial ends.
 func TestClientLeavesDuringTheDial(t *testing.T) {
-	forEachDisconnect(t, func(t *testing.T, disconnect func(*standin.Caller), change func(*config)) {
-		stops := &standin.Stops{}
+	forEachDisconnect(t, func(t *testing.T, disconnect func(*standin.ClientConn), change func(*config)) {
+		stops := &standin.SyncPoints{}
 		w := startWorker(t, standin.WorkerConfig{Name: "a"})
 		ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, change, withoutProbes)
 		stops.Hold("dial")
 		ts.holdDials(stops, nil)
 		c := ts.connect()
-		require.NoError(t, c.Send(standin.Job("gone", "send", 8*time.Second, "x")))
+		require.NoError(t, c.Send(standin.RequestText("gone", "send", 8*time.Second, "x")))
 		awaitReached(t, stops, "dial")
 		disconnect(c)
 		ts.awaitIdle()
 		ts.onLoop(func() {
 			assert.Equal(t, 1, ts.scheduler.engine.Counts.Outcomes[decide.NotSent]+ts.scheduler.engine.Counts.Outcomes[decide.Cancelled], "the attempt has ended while the dial goes on")
 		})
-		stops.Free("dial")
+		stops.Release("dial")
 		status, _ := ts.ask("next", "view", testTimeout)
 		assert.Equal(t, 200, status)
 		assert.Equal(t, []string{"next"}, w.IDs())
@@ -91,8 +91,8 @@
 // A client disconnects while part of its request is buffered here, since the socket's send buffer is full: the rest of the
 // request is never sent.
 func TestClientLeavesDuringTheWrite(t *testing.T) {
-	forEachDisconnect(t, func(t *testing.T, disconnect func(*standin.Caller), change func(*config)) {
-		stops := &standin.Stops{}
+	forEachDisconnect(t, func(t *testing.T, disconnect func(*standin.ClientConn), change func(*config)) {
+		stops := &standin.SyncPoints{}
 		stops.Hold("accepted") // the worker reads nothing
 		w := startWorker(t, standin.WorkerConfig{Name: "a", Stops: stops, Receive: 4 << 10})
 		ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, change, withoutProbes)
@@ -100,14 +100,14 @@
 			_ = unix.SetsockoptInt(c.(netpoll.Conn).Fd(), unix.SOL_SOCKET, unix.SO_SNDBUF, 4<<10)
 		})
 		c := ts.connect()
-		require.NoError(t, c.Send(standin.Job("gone", "view", 8*time.Second, strings.Repeat("x", 60<<10))))
+		require.NoError(t, c.Send(standin.RequestText("gone", "view", 8*time.Second, strings.Repeat("x", 60<<10))))
 		awaitReached(t, stops, "accepted")
 		ts.awaitAccepted(1)
 		require.Eventually(t, func() (ok bool) { ts.onLoop(func() { ok = ts.scheduler.driver.Unsent() > 0 }); return ok }, testTimeout, time.Millisecond)
 		disconnect(c)
 		ts.awaitIdle()
 		ts.onLoop(func() { assert.Zero(t, ts.scheduler.driver.Unsent(), "no part of the request stays buffered") })
-		stops.Free("accepted")
+		stops.Release("accepted")
 		status, _ := ts.ask("next", "view", testTimeout)
 		assert.Equal(t, 200, status)
 		assert.Equal(t, []string{"next"}, w.IDs())
@@ -117,7 +117,7 @@
 // A client disconnects before its request was read: the loop is busy, and finds the request and the end of the connection
 // together.
 func TestClientLeavesBeforeItIsRead(t *testing.T) {
-	forEachDisconnect(t, func(t *testing.T, disconnect func(*standin.Caller), change func(*config)) {
+	forEachDisconnect(t, func(t *testing.T, disconnect func(*standin.ClientConn), change func(*config)) {
 		w := startWorker(t, standin.WorkerConfig{Name: "a"})
 		ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, change, withoutProbes)
 		status, _ := ts.ask("first", "view", testTimeout) // leaves an idle connection to the worker, so that the next request needs no dial
@@ -125,7 +125,7 @@
 		c := ts.connect()
 		ts.onLoop(func() {})
 		release := ts.holdLoop()
-		require.NoError(t, c.Send(standin.Job("gone", "view", 8*time.Second, "x")))
+		require.NoError(t, c.Send(standin.RequestText("gone", "view", 8*time.Second, "x")))
 		require.Eventually(t, func() bool { return ts.scheduler.loop.QueueLen() > 0 }, testTimeout, time.Millisecond)
 		disconnect(c) // over loopback the close has arrived when the call returns
 		release()
@@ -144,12 +144,12 @@
 	for name, disconnect := range disconnects {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			stops := &standin.Stops{}
+			stops := &standin.SyncPoints{}
 			stops.Hold("probe")
 			w := startWorker(t, standin.WorkerConfig{Name: "w", Stops: stops})
 			ts := startSchedulerWith(t, nil, func(c *config) { c.file = operatorFile(t, serviceBlock("shop", "  limits { open = 1 }\n", w)) })
 			job := func(id string) string {
-				return strings.Replace(standin.Job(id, "view", 8*time.Second, "x"), "app.svc", "shop.example.org", 1)
+				return strings.Replace(standin.RequestText(id, "view", 8*time.Second, "x"), "app.svc", "shop.example.org", 1)
 			}
 			shopCounts := func() (inPool, inEngine, admitted int) {
 				ts.onLoop(func() {
@@ -162,7 +162,7 @@
 			require.NoError(t, gone.Send(job("gone")))
 			awaitReached(t, stops, "probe")
 			require.NoError(t, other.Send(job("early")))
-			status, body, err := other.Answer(testTimeout)
+			status, body, err := other.ReadAnswer(testTimeout)
 			require.NoError(t, err)
 			assert.Equal(t, "503 too many in hand\n", fmt.Sprint(status, " ", body))
 			disconnect(gone)
@@ -170,10 +170,10 @@
 				inPool, inEngine, admitted := shopCounts()
 				return inPool == 0 && inEngine == 0 && admitted == 1
 			}, testTimeout, time.Millisecond)
-			stops.Free("probe")
+			stops.Release("probe")
 			for _, id := range []string{"next", "last"} { // the place is free for each of them in turn
 				require.NoError(t, other.Send(job(id)))
-				status, _, err = other.Answer(testTimeout)
+				status, _, err = other.ReadAnswer(testTimeout)
 				require.NoError(t, err)
 				assert.Equal(t, 200, status)
 			}
@@ -186,20 +186,20 @@
 
 // 200 clients disconnect at the same moment: none of their requests is sent, and each reservation is released exactly once.
 func TestBurstOfClientsLeaves(t *testing.T) {
-	stops := &standin.Stops{}
+	stops := &standin.SyncPoints{}
 	stops.Hold("probe")
 	w := startWorker(t, standin.WorkerConfig{Name: "a", Slots: 400, Stops: stops})
 	ts := startScheduler(t, w.Entry("SERVING"))
 	const n = 200
-	clients := make([]*standin.Caller, n)
+	clients := make([]*standin.ClientConn, n)
 	for i := range clients {
 		clients[i] = ts.connect()
-		require.NoError(t, clients[i].Send(standin.Job(fmt.Sprint("gone", i), "view", 8*time.Second, "x")))
+		require.NoError(t, clients[i].Send(standin.RequestText(fmt.Sprint("gone", i), "view", 8*time.Second, "x")))
 	}
 	ts.awaitAccepted(n)
 	release := ts.holdLoop()
 	for i, c := range clients {
-		[]func(*standin.Caller){(*standin.Caller).Close, (*standin.Caller).Reset, (*standin.Caller).HalfClose}[i%3](c)
+		[]func(*standin.ClientConn){(*standin.ClientConn).Close, (*standin.ClientConn).Reset, (*standin.ClientConn).HalfClose}[i%3](c)
 	}
 	release()
 	ts.awaitIdle()
@@ -207,7 +207,7 @@
 		assert.Equal(t, n, ts.scheduler.engine.Counts.Hangups)
 		assert.Zero(t, ts.scheduler.engine.Counts.Pushes)
 	})
-	stops.Free("probe")
+	stops.Release("probe")
 	status, _ := ts.ask("next", "view", testTimeout)
 	assert.Equal(t, 200, status)
 	for _, id := range w.IDs() { // a slow machine may send it a second time
@@ -224,16 +224,16 @@
 			finish := make(chan struct{})
 			var written atomic.Bool
 			w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) {
-				standin.Start(r, c)
+				standin.WriteStarted(r, c)
 				if r.Header.Get("X-Call-Id") == "both" {
 					<-finish
 				}
-				standin.Finish(r, c)
+				standin.WriteDone(r, c)
 				written.Store(true)
 			}})
 			ts := startScheduler(t, w.Entry("SERVING"))
 			c := ts.connect()
-			require.NoError(t, c.Send(standin.Job("both", "view", 8*time.Second, "x")))
+			require.NoError(t, c.Send(standin.RequestText("both", "view", 8*time.Second, "x")))
 			require.Eventually(t, func() bool { return len(w.IDs()) == 1 }, testTimeout, time.Millisecond)
 			ts.onLoop(func() {})
 			release := ts.holdLoop()
@@ -273,7 +273,7 @@
 	}{
 		"after the last byte": {func(r *http.Request, c net.Conn) { c.Close() }, true},
 		"reset after that":    {func(r *http.Request, c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); c.Close() }, true},
-		"in mid-answer":       {func(r *http.Request, c net.Conn) { standin.Start(r, c); c.Close() }, true},
+		"in mid-answer":       {func(r *http.Request, c net.Conn) { standin.WriteStarted(r, c); c.Close() }, true},
 		"failed": {func(r *http.Request, c net.Conn) {
 			fmt.Fprint(c, "HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n")
 		}, true},
@@ -294,7 +294,7 @@
 							failure.answer(r, c)
 							return
 						}
-						standin.Done(r, c)
+						standin.WriteAnswer(r, c)
 					}
 				}
 				a := startWorker(t, standin.WorkerConfig{Name: "a", Answer: answer("a")})
@@ -303,8 +303,8 @@
 				entryZ.Group = 1 // another cell
 				ts := startSchedulerWith(t, []standin.Entry{entryA, entryZ}, twoZones, func(c *config) { setEffect(&c.engine.Settings.Classes[0]) })
 				c := ts.connect()
-				require.NoError(t, c.Send(standin.Job("job", "view", 6*time.Second, "x", "Idempotency-Key: k")))
-				status, _, err := c.Answer(testTimeout)
+				require.NoError(t, c.Send(standin.RequestText("job", "view", 6*time.Second, "x", "Idempotency-Key: k")))
+				status, _, err := c.ReadAnswer(testTimeout)
 				require.NoError(t, err)
 				starts := len(a.IDs()) + len(z.IDs())
 				switch {
@@ -349,7 +349,7 @@
 							}
 							mu.Unlock()
 							if !first {
-								standin.Done(r, c)
+								standin.WriteAnswer(r, c)
 							}
 						}
 					}
@@ -362,8 +362,8 @@
 						c.engine.Settings.SecondCopies, c.engine.Settings.CanCancel = copies, canCancel
 					})
 					c := ts.connect()
-					require.NoError(t, c.Send(standin.Job("job", "view", 4*time.Second, "x", "Idempotency-Key: k")))
-					status, _, err := c.Answer(testTimeout)
+					require.NoError(t, c.Send(standin.RequestText("job", "view", 4*time.Second, "x", "Idempotency-Key: k")))
+					status, _, err := c.ReadAnswer(testTimeout)
 					require.NoError(t, err)
 					mu.Lock()
 					defer mu.Unlock()
@@ -407,26 +407,26 @@
 			release := make(chan struct{})
 			w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) {
 				if r.Header.Get("X-Call-Id") == "holds" {
-					standin.Start(r, c)
+					standin.WriteStarted(r, c)
 					<-release
-					standin.Finish(r, c)
+					standin.WriteDone(r, c)
 					return
 				}
-				standin.Done(r, c)
+				standin.WriteAnswer(r, c)
 			}})
 			ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes, func(c *config) { c.engine.Settings.CanCancel = false })
 			dialer := ts.scheduler.driver.Dialer(1)
 			ts.onLoop(func() { ts.scheduler.workers.Dialer = dialer })
 			holds, gone := ts.connect(), ts.connect()
-			require.NoError(t, holds.Send(standin.Job("holds", "view", 8*time.Second, "x")))
+			require.NoError(t, holds.Send(standin.RequestText("holds", "view", 8*time.Second, "x")))
 			require.Eventually(t, func() bool { return len(w.IDs()) == 1 }, testTimeout, time.Millisecond)
-			require.NoError(t, gone.Send(standin.Job("gone", "view", 8*time.Second, "x")))
+			require.NoError(t, gone.Send(standin.RequestText("gone", "view", 8*time.Second, "x")))
 			require.Eventually(t, func() (ok bool) { ts.onLoop(func() { ok = ts.scheduler.engine.Counts.Pushes == 2 }); return ok }, testTimeout, time.Millisecond)
 			disconnect(gone)
 			require.Eventually(t, func() bool { return ts.openRequests() == 1 }, testTimeout, time.Millisecond)
 			ts.onLoop(func() { assert.Equal(t, 1, ts.scheduler.engine.Counts.Outcomes[decide.NotSent]) })
 			close(release)
-			status, _, err := holds.Answer(testTimeout)
+			status, _, err := holds.ReadAnswer(testTimeout)
 			require.NoError(t, err)
 			assert.Equal(t, 200, status)
 			status, _ = ts.ask("next", "view", testTimeout)
@@ -445,9 +445,9 @@
 			w := startWorker(t, standin.WorkerConfig{Name: "a"})
 			ts := startScheduler(t, w.Entry("SERVING"))
 			c := ts.connect()
-			job := strings.Replace(standin.Job("big", "view", 8*time.Second, "x"), "/api/1", "/api/1?run=1us&slots=1&size=200000", 1)
+			job := strings.Replace(standin.RequestText("big", "view", 8*time.Second, "x"), "/api/1", "/api/1?run=1us&slots=1&size=200000", 1)
 			require.NoError(t, c.Send(job))
-			require.NoError(t, c.Some(1000))
+			require.NoError(t, c.ReadN(1000))
 			ts.awaitIdle()
 			disconnect(c)
 			require.Eventually(t, func() (ok bool) { ts.onLoop(func() { ok = ts.scheduler.server.Pace.Counts().Peers == 0 }); return ok }, testTimeout, time.Millisecond)
--- a/cmd/weldscale/moments_discovery_test.go
+++ b/cmd/weldscale/moments_discovery_test.go
@@ -31,7 +31,7 @@
 			a, z := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
 			d := startDiscovery(t, a.Entry("SERVING"), z.Entry("SERVING"))
 			silenced, cancelled := make(chan struct{}, 9), make(chan struct{}, 9)
-			d.Take(func(n int, w http.ResponseWriter, r *http.Request) bool {
+			d.Intercept(func(n int, w http.ResponseWriter, r *http.Request) bool {
 				if !slices.Contains(silentCalls, n) {
 					return false
 				}
@@ -77,7 +77,7 @@
 	d := startDiscovery(t, a.Entry("SERVING"))
 	known := d.Known()
 	d.Set(a.Entry("DRAINING"))
-	d.Take(func(n int, w http.ResponseWriter, r *http.Request) bool {
+	d.Intercept(func(n int, w http.ResponseWriter, r *http.Request) bool {
 		switch n {
 		case 1:
 			<-r.Context().Done()
@@ -108,7 +108,7 @@
 	a, z := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
 	d := startDiscovery(t, a.Entry("SERVING"), z.Entry("SERVING"))
 	d.Set(a.Entry("DRAINING"))
-	d.Take(func(n int, w http.ResponseWriter, r *http.Request) bool {
+	d.Intercept(func(n int, w http.ResponseWriter, r *http.Request) bool {
 		if n != 2 {
 			return false
 		}
@@ -161,7 +161,7 @@
 			d := startDiscovery(t, a.Entry("SERVING"))
 			known := d.Known()
 			d.Set(a.Entry("DRAINING"), z.Entry("SERVING"))
-			d.Take(intercept)
+			d.Intercept(intercept)
 			ts := startSchedulerWith(t, nil, withPushedList, withoutProbes, func(c *config) { c.Discovery, c.Known = d.Addr(), known })
 			awaitReady := func(n int, wantAddr string) {
 				require.Eventually(t, func() (ok bool) {
@@ -201,7 +201,7 @@
 	d := startDiscovery(t, a.Entry("SERVING"), z.Entry("SERVING"))
 	var down atomic.Bool
 	silentCalls := make(chan struct{}, 64) // calls that got no answer
-	d.Take(func(n int, _ http.ResponseWriter, r *http.Request) bool {
+	d.Intercept(func(n int, _ http.ResponseWriter, r *http.Request) bool {
 		if n < 2 || n > 2 && !down.Load() {
 			return false
 		}
@@ -233,7 +233,7 @@
 	ts := startSchedulerWith(t, []standin.Entry{a.Entry("SERVING")}, withPushedList)
 	ts.awaitDiscoveryCalls(2)
 	second := startDiscovery(t, a.Entry("DRAINING"), z.Entry("SERVING"))
-	second.Take(func(n int, _ http.ResponseWriter, r *http.Request) bool { return n == 1 && neverAnswer(r) })
+	second.Intercept(func(n int, _ http.ResponseWriter, r *http.Request) bool { return n == 1 && neverAnswer(r) })
 	ts.onLoop(func() { ts.scheduler.discovery.Move(second.Addr()) })
 	require.Eventually(t, func() bool { return len(second.Calls()) > 2 }, testTimeout, time.Millisecond)
 	assert.Equal(t, []string{"", ""}, second.Calls()[:2], "the whole list, until it has come")
@@ -274,7 +274,7 @@
 			a, z := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
 			d := startDiscovery(t, a.Entry("SERVING"), z.Entry("SERVING"))
 			release, endedAt := make(chan struct{}), make(chan time.Time, 1)
-			d.Take(func(n int, w http.ResponseWriter, r *http.Request) bool {
+			d.Intercept(func(n int, w http.ResponseWriter, r *http.Request) bool {
 				if n != 2 {
 					return false
 				}
@@ -298,7 +298,7 @@
 			watchEnd := <-endedAt
 			d.Set(a.Entry("DRAINING"))
 			require.Eventually(t, func() (ok bool) { ts.onLoop(func() { ok = ts.scheduler.engine.ReadyWorkers() == 1 }); return ok }, testTimeout, time.Millisecond)
-			assert.Less(t, d.CalledAt()[2].Sub(watchEnd), 10*time.Second)
+			assert.Less(t, d.CallTimes()[2].Sub(watchEnd), 10*time.Second)
 		})
 	}
 }
@@ -309,14 +309,14 @@
 	a, z := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
 	ts := startScheduler(t, a.Entry("SERVING"))
 	ts.awaitDiscoveryCalls(2)
-	ts.discovery.Down(true)
+	ts.discovery.SetDown(true)
 	require.Eventually(t, func() (ok bool) { ts.onLoop(func() { ok = ts.scheduler.engine.Counts.ListFailed > 0 }); return ok }, testTimeout, time.Millisecond)
 	second := startDiscovery(t, z.Entry("SERVING"))
 	moved := time.Now()
 	ts.onLoop(func() { ts.scheduler.discovery.Move(second.Addr()) })
 	require.Eventually(t, func() bool { return len(second.Calls()) > 1 }, testTimeout, time.Millisecond)
 	assert.Equal(t, "", second.Calls()[0])
-	assert.Less(t, second.CalledAt()[0].Sub(moved), 4*time.Second)
+	assert.Less(t, second.CallTimes()[0].Sub(moved), 4*time.Second)
 	status, _ := ts.ask("next", "view", testTimeout)
 	assert.Equal(t, 200, status)
 	assert.Equal(t, []string{"next"}, z.IDs())
--- a/cmd/weldscale/moments_stop_test.go
+++ b/cmd/weldscale/moments_stop_test.go
@@ -35,9 +35,9 @@
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
 	ts := startScheduler(t, w.Entry("SERVING"))
 	c, poller := ts.connect(), ts.connect()
-	for i, client := range []*standin.Caller{c, poller} {
-		require.NoError(t, client.Send(standin.Job(fmt.Sprint("warm", i), "view", 8*time.Second, "x")))
-		status, _, err := client.Answer(testTimeout)
+	for i, client := range []*standin.ClientConn{c, poller} {
+		require.NoError(t, client.Send(standin.RequestText(fmt.Sprint("warm", i), "view", 8*time.Second, "x")))
+		status, _, err := client.ReadAnswer(testTimeout)
 		require.NoError(t, err)
 		require.Equal(t, 200, status)
 	}
@@ -51,11 +51,11 @@
 	if fresh {
 		c = ts.connect()
 	}
-	require.NoError(t, c.Send(standin.Job("last", "view", 8*time.Second, "x")))
+	require.NoError(t, c.Send(standin.RequestText("last", "view", 8*time.Second, "x")))
 	inTime := time.Since(began) < gracePeriod-50*time.Millisecond
 	time.Sleep(time.Until(began.Add(gracePeriod + 50*time.Millisecond))) // the loop is late for the end of the grace period
 	close(resume)
-	status, _, err := c.Answer(testTimeout)
+	status, _, err := c.ReadAnswer(testTimeout)
 	if inTime {
 		require.NoError(t, err, "an answer, not a reset")
 		assert.Contains(t, []int{200, 503}, status)
@@ -71,8 +71,8 @@
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
 	ts := startScheduler(t, w.Entry("SERVING"))
 	kept, fresh, poller := ts.connect(), ts.connect(), ts.connect()
-	require.NoError(t, kept.Send(standin.Job("warm", "view", 8*time.Second, "x")))
-	status, _, err := kept.Answer(testTimeout)
+	require.NoError(t, kept.Send(standin.RequestText("warm", "view", 8*time.Second, "x")))
+	status, _, err := kept.ReadAnswer(testTimeout)
 	require.NoError(t, err)
 	require.Equal(t, 200, status)
 	require.Eventually(t, func() (ok bool) { ts.onLoop(func() { ok = ts.scheduler.server.Pace.Counts().Peers == 3 }); return ok }, testTimeout, time.Millisecond)
@@ -89,12 +89,12 @@
 	// The network poller waits until the loop takes what this client has sent; until then it reads no other client.
 	require.NoError(t, poller.Send("POST /"))
 	require.Eventually(t, func() bool { return ts.scheduler.loop.QueueLen() > 0 }, testTimeout, time.Millisecond)
-	for id, c := range map[string]*standin.Caller{"kept": kept, "fresh": fresh} {
-		require.NoError(t, c.Send(standin.Job(id, "view", 8*time.Second, "x")))
+	for id, c := range map[string]*standin.ClientConn{"kept": kept, "fresh": fresh} {
+		require.NoError(t, c.Send(standin.RequestText(id, "view", 8*time.Second, "x")))
 	}
 	close(resume)
-	for _, c := range []*standin.Caller{kept, fresh} {
-		status, _, err := c.Answer(testTimeout)
+	for _, c := range []*standin.ClientConn{kept, fresh} {
+		status, _, err := c.ReadAnswer(testTimeout)
 		require.NoError(t, err, "an answer, not a reset")
 		assert.Equal(t, 200, status)
 	}
@@ -104,25 +104,25 @@
 // run fails, one that can't have run is refused.
 func TestStopGivesUpInTime(t *testing.T) {
 	t.Parallel()
-	w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) { standin.Start(r, c) }})
+	w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) { standin.WriteStarted(r, c) }})
 	ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, func(c *config) {
 		for i := range c.engine.Settings.Classes {
 			c.engine.Settings.Classes[i].Deadline = 25e6
 		}
 	})
 	hanging, waiting := ts.connect(), ts.connect()
-	require.NoError(t, hanging.Send(standin.Job("hangs", "send", 25*time.Second, "x")))
+	require.NoError(t, hanging.Send(standin.RequestText("hangs", "send", 25*time.Second, "x")))
 	require.Eventually(t, func() bool { return len(w.IDs()) == 1 }, testTimeout, time.Millisecond)
 	ts.discovery.Set(w.Entry("DRAINING"))
 	require.Eventually(t, func() (ok bool) { ts.onLoop(func() { ok = ts.scheduler.engine.ReadyWorkers() == 0 }); return ok }, testTimeout, time.Millisecond)
-	require.NoError(t, waiting.Send(standin.Job("waits", "send", 25*time.Second, "x")))
+	require.NoError(t, waiting.Send(standin.RequestText("waits", "send", 25*time.Second, "x")))
 	ts.awaitAccepted(2)
 	began := time.Now()
 	ts.scheduler.loop.Post(ts.scheduler.stop)
-	status, _, err := waiting.Answer(testTimeout)
+	status, _, err := waiting.ReadAnswer(testTimeout)
 	require.NoError(t, err)
 	assert.Equal(t, 503, status)
-	status, _, err = hanging.Answer(testTimeout)
+	status, _, err = hanging.ReadAnswer(testTimeout)
 	require.NoError(t, err)
 	assert.Equal(t, 500, status)
 	<-ts.ended
@@ -133,25 +133,25 @@
 // holdFinish starts each job and finishes it once release is closed.
 func holdFinish(release chan struct{}) func(*http.Request, net.Conn) {
 	return func(r *http.Request, c net.Conn) {
-		standin.Start(r, c)
+		standin.WriteStarted(r, c)
 		<-release
-		standin.Finish(r, c)
+		standin.WriteDone(r, c)
 	}
 }
 
 // A shutdown begins during a dial: the job is sent when the connection comes up, and answered.
 func TestStopDuringADial(t *testing.T) {
-	stops := &standin.Stops{}
+	stops := &standin.SyncPoints{}
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
 	ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes)
 	stops.Hold("dial")
 	ts.holdDials(stops, nil)
 	c := ts.connect()
-	require.NoError(t, c.Send(standin.Job("job", "send", 8*time.Second, "x")))
+	require.NoError(t, c.Send(standin.RequestText("job", "send", 8*time.Second, "x")))
 	awaitReached(t, stops, "dial")
 	ts.scheduler.loop.Do(ts.scheduler.stop)
-	stops.Free("dial")
-	status, _, err := c.Answer(testTimeout)
+	stops.Release("dial")
+	status, _, err := c.ReadAnswer(testTimeout)
 	require.NoError(t, err)
 	assert.Equal(t, 200, status)
 	<-ts.ended
@@ -163,18 +163,18 @@
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
 	d := startDiscovery(t, w.Entry("SERVING"))
 	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, standin.Site{Discovery: d.Addr(), Known: d.Known()})
+	writeConfig(t, path, standin.SchedulerConfig{Discovery: d.Addr(), Known: d.Known()})
 	cmd, log := startTestBinary(t, "program", "GW_CONFIG="+path)
 	addr := log.awaitAddr(t)
-	c, err := standin.Call(addr)
+	c, err := standin.Dial(addr)
 	require.NoError(t, err)
 	defer c.Close()
-	require.NoError(t, c.Send(standin.Job("job", "view", testTimeout, "x")))
+	require.NoError(t, c.Send(standin.RequestText("job", "view", testTimeout, "x")))
 	require.Eventually(t, func() bool { return len(w.IDs()) == 1 }, testTimeout, time.Millisecond)
 	require.NoError(t, c.Send("POST /half"))
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 	assert.NoError(t, cmd.Wait())
-	status, body, err := c.Answer(testTimeout)
+	status, body, err := c.ReadAnswer(testTimeout)
 	require.NoError(t, err)
 	assert.Equal(t, 200, status)
 	assert.Equal(t, "made of job", body)
--- a/cmd/weldscale/moments_test.go
+++ b/cmd/weldscale/moments_test.go
@@ -35,8 +35,8 @@
 	ts.onLoop(func() {})
 }
 
-func (ts *testScheduler) connect() *standin.Caller {
-	c, err := standin.Call(ts.addr)
+func (ts *testScheduler) connect() *standin.ClientConn {
+	c, err := standin.Dial(ts.addr)
 	require.NoError(ts.t, err)
 	ts.t.Cleanup(c.Close)
 	return c
@@ -51,7 +51,7 @@
 }
 
 // awaitReached waits until a stand-in or a dial has come to this point.
-func awaitReached(t *testing.T, stops *standin.Stops, name string) {
+func awaitReached(t *testing.T, stops *standin.SyncPoints, name string) {
 	select {
 	case <-stops.Reached(name):
 	case <-time.After(testTimeout):
@@ -60,18 +60,18 @@
 }
 
 // disconnects are the ways in which a client disconnects.
-var disconnects = map[string]func(c *standin.Caller){
-	"close": (*standin.Caller).Close, "reset": (*standin.Caller).Reset, "half-close": (*standin.Caller).HalfClose,
+var disconnects = map[string]func(c *standin.ClientConn){
+	"close": (*standin.ClientConn).Close, "reset": (*standin.ClientConn).Reset, "half-close": (*standin.ClientConn).HalfClose,
 }
 
 // holdDials makes the scheduler's dials to workers wait at the point "dial". It calls onConnect, if set, with each
 // connection that comes up.
-func (ts *testScheduler) holdDials(stops *standin.Stops, onConnect func(netpoll.Connection)) {
+func (ts *testScheduler) holdDials(stops *standin.SyncPoints, onConnect func(netpoll.Connection)) {
 	ts.onLoop(func() {
 		dial := ts.scheduler.driver.Dial
 		ts.scheduler.driver.Dial = func(addr string, timeout time.Duration) (netpoll.Connection, error) {
 			if addr != ts.scheduler.discovery.Addr {
-				stops.At("dial")
+				stops.Wait("dial")
 			}
 			c, err := dial(addr, timeout)
 			if err == nil && onConnect != nil {
@@ -83,7 +83,7 @@
 }
 
 // forEachDisconnect runs f for each way to disconnect, with settings that allow attempts to be cancelled and that do not.
-func forEachDisconnect(t *testing.T, f func(t *testing.T, disconnect func(*standin.Caller), change func(*config))) {
+func forEachDisconnect(t *testing.T, f func(t *testing.T, disconnect func(*standin.ClientConn), change func(*config))) {
 	for name, disconnect := range disconnects {
 		for _, canCancel := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, cancel %v", name, canCancel), func(t *testing.T) {
--- a/cmd/weldscale/moments_workers_test.go
+++ b/cmd/weldscale/moments_workers_test.go
@@ -37,7 +37,7 @@
 				mu.Lock()
 				attempts = append(attempts, r.Header.Get("X-Call-Id")+" "+c.RemoteAddr().String())
 				mu.Unlock()
-				standin.Done(r, c)
+				standin.WriteAnswer(r, c)
 				conns <- c
 			}})
 			ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes)
@@ -47,11 +47,11 @@
 			c := ts.connect()
 			ts.onLoop(func() {})
 			release := ts.holdLoop()
-			require.NoError(t, c.Send(standin.Job("next", "view", 8*time.Second, "x")))
+			require.NoError(t, c.Send(standin.RequestText("next", "view", 8*time.Second, "x")))
 			require.Eventually(t, func() bool { return ts.scheduler.loop.QueueLen() > 0 }, testTimeout, time.Millisecond)
 			interfere(idle)
 			release()
-			status, body, err := c.Answer(testTimeout)
+			status, body, err := c.ReadAnswer(testTimeout)
 			require.NoError(t, err)
 			assert.Equal(t, 200, status)
 			assert.Equal(t, "made of next", body)
@@ -102,7 +102,7 @@
 	ts := startScheduler(t, old.Entry("SERVING"))
 	ts.awaitDiscoveryCalls(2)
 	c := ts.connect()
-	require.NoError(t, c.Send(standin.Job("out", "send", 8*time.Second, "x")))
+	require.NoError(t, c.Send(standin.RequestText("out", "send", 8*time.Second, "x")))
 	require.Eventually(t, func() bool { return len(old.IDs()) == 1 }, testTimeout, time.Millisecond)
 	e := moved.Entry("SERVING")
 	e.SinceMS = time.Now().Add(-time.Hour).UnixMilli()
@@ -111,7 +111,7 @@
 	status, _ := ts.ask("next", "view", testTimeout)
 	assert.Equal(t, 200, status)
 	close(release)
-	status, body, err := c.Answer(testTimeout)
+	status, body, err := c.ReadAnswer(testTimeout)
 	require.NoError(t, err)
 	assert.Equal(t, "200 made of out", fmt.Sprint(status, " ", body))
 	assert.Equal(t, []string{"out"}, old.IDs())
@@ -147,7 +147,7 @@
 				if r.Header.Get("X-Call-Id") == "spoilt" {
 					answer(r, c)
 				} else {
-					standin.Done(r, c)
+					standin.WriteAnswer(r, c)
 				}
 			}})
 			ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes)
@@ -172,13 +172,13 @@
 	for _, name := range []string{"drains", "moves", "starts again", "is removed"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			stops := &standin.Stops{}
+			stops := &standin.SyncPoints{}
 			old, other := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "b"})
 			ts := startSchedulerWith(t, []standin.Entry{old.Entry("SERVING")}, withoutProbes)
 			stops.Hold("dial")
 			ts.holdDials(stops, nil)
 			c, began := ts.connect(), time.Now()
-			require.NoError(t, c.Send(standin.Job("job", "send", 8*time.Second, "x")))
+			require.NoError(t, c.Send(standin.RequestText("job", "send", 8*time.Second, "x")))
 			awaitReached(t, stops, "dial")
 			e := old.Entry("SERVING")
 			switch name {
@@ -194,11 +194,11 @@
 			ts.discovery.Set(e)
 			var index int64
 			require.Eventually(t, func() bool { ts.onLoop(func() { index = ts.scheduler.discovery.Index() }); return index >= 3 }, testTimeout, time.Millisecond)
-			stops.Free("dial")
+			stops.Release("dial")
 			if name != "moves" {
 				ts.discovery.Set(other.Entry("SERVING"))
 			}
-			status, _, err := c.Answer(testTimeout)
+			status, _, err := c.ReadAnswer(testTimeout)
 			require.NoError(t, err)
 			if status == 200 {
 				assert.Equal(t, []string{"job"}, other.IDs())
@@ -219,7 +219,7 @@
 	for _, late := range []bool{true, false} {
 		t.Run(fmt.Sprint("late ", late), func(t *testing.T) {
 			t.Parallel()
-			stops := &standin.Stops{}
+			stops := &standin.SyncPoints{}
 			var firstAttempt atomic.Int64
 			w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) {
 				if firstAttempt.CompareAndSwap(0, time.Now().UnixNano()) {
@@ -227,7 +227,7 @@
 					c.Close() // the job may have run
 					return
 				}
-				standin.Done(r, c)
+				standin.WriteAnswer(r, c)
 			}})
 			ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes, func(c *config) {
 				s := &c.engine.Settings.Classes[0]
@@ -235,14 +235,14 @@
 			})
 			ts.holdDials(stops, nil)
 			c := ts.connect()
-			require.NoError(t, c.Send(standin.Job("job", "view", 8*time.Second, "x", "Idempotency-Key: k")))
+			require.NoError(t, c.Send(standin.RequestText("job", "view", 8*time.Second, "x", "Idempotency-Key: k")))
 			awaitReached(t, stops, "dial")
 			if late {
 				at := time.Unix(0, firstAttempt.Load()).Add(span)
 				time.Sleep(time.Until(at)) // the span is over, even on a busy machine
 			}
-			stops.Free("dial")
-			status, _, err := c.Answer(testTimeout)
+			stops.Release("dial")
+			status, _, err := c.ReadAnswer(testTimeout)
 			require.NoError(t, err)
 			if late {
 				assert.NotEqual(t, 200, status)
--- a/cmd/weldscale/rules_test.go
+++ b/cmd/weldscale/rules_test.go
@@ -49,8 +49,8 @@
 	ended     chan struct{} // closed when the loop has ended
 }
 
-func writeConfig(t *testing.T, path string, s standin.Site) {
-	require.NoError(t, os.WriteFile(path, s.Config(), 0o600))
+func writeConfig(t *testing.T, path string, s standin.SchedulerConfig) {
+	require.NoError(t, os.WriteFile(path, s.JSON(), 0o600))
 }
 
 // startScheduler starts a scheduler whose discovery lists these workers.
@@ -62,7 +62,7 @@
 func startSchedulerWith(t *testing.T, entries []standin.Entry, change ...func(*config)) *testScheduler {
 	ts := &testScheduler{t: t, ended: make(chan struct{}), discovery: startDiscovery(t, entries...)}
 	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, standin.Site{Discovery: ts.discovery.Addr(), Known: ts.discovery.Known()})
+	writeConfig(t, path, standin.SchedulerConfig{Discovery: ts.discovery.Addr(), Known: ts.discovery.Known()})
 	c, err := loadConfig(func(key string) string { return map[string]string{"GW_CONFIG": path}[key] })
 	require.NoError(t, err)
 	c.file = operator.Default(c.Limits.MemoryMB << 20)
@@ -86,7 +86,7 @@
 
 // ask sends one request and returns status and body of its answer.
 func (ts *testScheduler) ask(id, class string, budget time.Duration) (int, string) {
-	status, body, err := standin.Ask(&http.Client{Timeout: testTimeout}, ts.addr, "", id, &standin.Kind{Class: class, Budget: budget, Body: 5})
+	status, body, err := standin.SendJob(&http.Client{Timeout: testTimeout}, ts.addr, "", id, &standin.JobKind{Class: class, Budget: budget, Body: 5})
 	assert.NoError(ts.t, err)
 	return status, body
 }
@@ -99,9 +99,9 @@
 		case "silent":
 		case "late":
 			<-release
-			standin.Done(r, c)
+			standin.WriteAnswer(r, c)
 		default:
-			standin.Done(r, c)
+			standin.WriteAnswer(r, c)
 		}
 	}})
 	ts := startScheduler(t, w.Entry("SERVING"))
@@ -163,7 +163,7 @@
 			fmt.Fprint(c, "HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")
 			return
 		}
-		standin.Done(r, c)
+		standin.WriteAnswer(r, c)
 	}})
 	ts = startScheduler(t, w2.Entry("SERVING"))
 	status, _ = ts.ask("rejected by worker", "send", testTimeout)
@@ -210,8 +210,8 @@
 func TestShortJobsFindRoom(t *testing.T) {
 	f := startFleet(t, 4, standin.WorkerConfig{Queue: 8, TellsStart: true})
 	ts := startScheduler(t, f.Entries()...)
-	kind := standin.Kind{Class: "view", Share: 1, Task: standin.Task{Run: time.Millisecond}, Budget: 5 * time.Second}
-	r := standin.Load{Target: ts.addr, Seed: 1, For: time.Second, Clients: 8, Kinds: []standin.Kind{kind}}.Run(t.Context())
+	kind := standin.JobKind{Class: "view", Share: 1, Task: standin.Task{Run: time.Millisecond}, Budget: 5 * time.Second}
+	r := standin.Load{Target: ts.addr, Seed: 1, For: time.Second, Clients: 8, Kinds: []standin.JobKind{kind}}.Run(t.Context())
 	assert.Equal(t, r.Sent, r.Served, r)
 	assert.Zero(t, r.Wrong)
 	assert.Greater(t, r.Sent, 100)
@@ -248,13 +248,13 @@
 // one holds a call, keep the open requests, and change nothing if the new file is invalid.
 func TestReload(t *testing.T) {
 	release := make(chan struct{})
-	a := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) { <-release; standin.Done(r, c) }})
+	a := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) { <-release; standin.WriteAnswer(r, c) }})
 	z := startWorker(t, standin.WorkerConfig{Name: "z"})
 	first, second := startDiscovery(t, a.Entry("SERVING")), startDiscovery(t, z.Entry("SERVING"))
 
 	ts := &testScheduler{t: t, addr: freeAddr(t)}
 	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, standin.Site{Listen: ts.addr, Discovery: first.Addr(), Known: first.Known()})
+	writeConfig(t, path, standin.SchedulerConfig{Listen: ts.addr, Discovery: first.Addr(), Known: first.Known()})
 	cmd, log := startTestBinary(t, "program", "GW_CONFIG="+path, "GW_DISCOVERY="+first.Addr())
 	log.await(t, "serving")
 	require.Eventually(t, func() bool { // until discovery holds the watch
@@ -267,7 +267,7 @@
 	require.NoError(t, os.WriteFile(path, []byte(`{"half`), 0o600))
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 	log.await(t, "new configuration not taken")
-	writeConfig(t, path, standin.Site{Listen: ts.addr, Discovery: second.Addr(), Known: first.Known()})
+	writeConfig(t, path, standin.SchedulerConfig{Listen: ts.addr, Discovery: second.Addr(), Known: first.Known()})
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 	require.Eventually(t, func() bool { return len(second.Calls()) > 1 }, testTimeout, time.Millisecond)
 	assert.Equal(t, "", second.Calls()[0], "the whole list, as the index of the other discovery does not apply here")
--- a/cmd/weldscale/services_test.go
+++ b/cmd/weldscale/services_test.go
@@ -139,7 +139,7 @@
 		if r.Header.Get("X-Call-Id") == "held" {
 			<-release
 		}
-		standin.Done(r, c)
+		standin.WriteAnswer(r, c)
 	}}
 	old, other, third := startWorker(t, holding), startWorker(t, standin.WorkerConfig{Name: "z"}), startWorker(t, standin.WorkerConfig{Name: "z"})
 	ts := startSchedulerWith(t, nil, func(c *config) { c.file = operatorFile(t, serviceBlock("shop", "", old)) })
--- a/cmd/weldscale/upgrade_test.go
+++ b/cmd/weldscale/upgrade_test.go
@@ -29,7 +29,7 @@
 	dir      string
 	socket   *os.File
 	addr     string
-	site     standin.Site
+	site     standin.SchedulerConfig
 	maxFiles int // limit of open descriptors of a process; 0: the limit of this one
 }
 
@@ -52,7 +52,7 @@
 	dir := filepath.Join(t.TempDir(), strings.Repeat("long", 20))
 	require.NoError(t, os.Mkdir(dir, 0o700))
 	return &testPlatform{t: t, dir: dir, socket: socket, addr: ln.Addr().String(),
-		site: standin.Site{Listen: ln.Addr().String(), Discovery: d.Addr(), Known: d.Known()}}
+		site: standin.SchedulerConfig{Listen: ln.Addr().String(), Discovery: d.Addr(), Known: d.Known()}}
 }
 
 var processesStarted atomic.Int64
@@ -132,13 +132,13 @@
 			client := &http.Client{Timeout: testTimeout, Transport: transport}
 			for k := 0; !c.stop.Load(); k++ {
 				id := fmt.Sprint(name, i, "-", k)
-				kind := &standin.Kind{Class: "send", Budget: testTimeout, Body: 5}
-				status, body, err := standin.Ask(client, p.addr, "", id, kind)
+				kind := &standin.JobKind{Class: "send", Budget: testTimeout, Body: 5}
+				status, body, err := standin.SendJob(client, p.addr, "", id, kind)
 				// On a busy machine the report of a start may be late, so that a job is refused. It has not run, so the client retries.
 				for firstRefusal := time.Now(); err == nil && status == 503 && time.Since(firstRefusal) < testTimeout; {
 					time.Sleep(10 * time.Millisecond)
 					id += "r"
-					status, body, err = standin.Ask(client, p.addr, "", id, kind)
+					status, body, err = standin.SendJob(client, p.addr, "", id, kind)
 				}
 				c.mu.Lock()
 				if err == nil && status == 200 && body == "made of "+id {
@@ -174,7 +174,7 @@
 		id := r.Header.Get("X-Call-Id")
 		if id != "long" {
 			time.Sleep(5 * time.Millisecond)
-			standin.Done(r, c)
+			standin.WriteAnswer(r, c)
 			return
 		}
 		head := []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -187,7 +187,7 @@
 	require.Equal(t, 200, first.workerCommand("out", "offline"))
 	longAnswer := make(chan string)
 	go func() {
-		status, body, err := standin.Ask(&http.Client{Timeout: testTimeout}, p.addr, "", "long", &standin.Kind{Class: "send", Budget: testTimeout, Body: 9})
+		status, body, err := standin.SendJob(&http.Client{Timeout: testTimeout}, p.addr, "", "long", &standin.JobKind{Class: "send", Budget: testTimeout, Body: 9})
 		longAnswer <- fmt.Sprint(status, body, err)
 	}()
 	require.Eventually(t, func() bool { return slices.Contains(w.IDs(), "long") }, testTimeout, time.Millisecond)
@@ -356,7 +356,7 @@
 	worker, spare       *standin.Worker // the long job runs on worker; spare has room for the waiting job
 	discovery           *standin.Discovery
 	old, successor      *process
-	idle, long, waiting *standin.Caller
+	idle, long, waiting *standin.ClientConn
 	// The test closes releaseLong to let the long job end. longAborted is closed when the connection of its attempt has ended.
 	releaseLong, longAborted chan struct{}
 	longLeft, waitingLeft    bool // the client of the job has disconnected
@@ -366,17 +366,17 @@
 	g := &handoverTest{releaseLong: make(chan struct{}), longAborted: make(chan struct{})}
 	g.worker = startWorker(t, standin.WorkerConfig{Name: "w", Slots: 1, Answer: func(r *http.Request, c net.Conn) {
 		if r.Header.Get("X-Call-Id") != "long" {
-			standin.Done(r, c)
+			standin.WriteAnswer(r, c)
 			return
 		}
-		standin.Start(r, c)
+		standin.WriteStarted(r, c)
 		go func() { // the scheduler sends nothing more on the connection, so Read returns only at its end
 			_, _ = c.Read(make([]byte, 1))
 			close(g.longAborted)
 		}()
 		select {
 		case <-g.releaseLong:
-			standin.Finish(r, c)
+			standin.WriteDone(r, c)
 		case <-g.longAborted:
 		}
 		<-g.longAborted // the goroutine above still reads the connection
@@ -385,24 +385,24 @@
 	g.discovery = startDiscovery(t, g.worker.Entry("SERVING"), g.spare.Entry("DRAINING"))
 	g.testPlatform = newTestPlatform(t, g.discovery)
 	g.old = g.start().awaitReady()
-	dial := func() *standin.Caller {
-		c, err := standin.Call(g.addr)
+	dial := func() *standin.ClientConn {
+		c, err := standin.Dial(g.addr)
 		require.NoError(t, err)
 		t.Cleanup(c.Close)
 		return c
 	}
 	require.Eventually(t, func() bool { return len(g.discovery.Calls()) >= 2 }, testTimeout, time.Millisecond) // discovery holds the poll
 	g.idle, g.long = dial(), dial()
-	require.NoError(t, g.idle.Send(standin.Job("warm", "view", testTimeout, "x")))
-	status, _, err := g.idle.Answer(testTimeout)
+	require.NoError(t, g.idle.Send(standin.RequestText("warm", "view", testTimeout, "x")))
+	status, _, err := g.idle.ReadAnswer(testTimeout)
 	require.NoError(t, err)
 	require.Equal(t, 200, status)
-	require.NoError(t, g.long.Send(standin.Job("long", "send", testTimeout, "x")))
+	require.NoError(t, g.long.Send(standin.RequestText("long", "send", testTimeout, "x")))
 	require.Eventually(t, func() bool { return slices.Contains(g.worker.IDs(), "long") }, testTimeout, time.Millisecond)
 	g.discovery.Set(g.worker.Entry("DRAINING")) // no worker has room
 	require.Eventually(t, func() bool { return len(g.discovery.Calls()) >= 3 }, testTimeout, time.Millisecond)
 	g.waiting = dial()
-	require.NoError(t, g.waiting.Send(standin.Job("waits", "view", testTimeout, "x")))
+	require.NoError(t, g.waiting.Send(standin.RequestText("waits", "view", testTimeout, "x")))
 	require.Eventually(t, func() bool { return g.old.inFlight() == 2 }, testTimeout, time.Millisecond)
 	g.successor = g.start().awaitReady()
 	g.old.signal(syscall.SIGTERM)
@@ -420,12 +420,12 @@
 	g.discovery.Set(g.spare.Entry("SERVING"))
 	close(g.releaseLong)
 	if !g.longLeft {
-		status, body, err := g.long.Answer(testTimeout)
+		status, body, err := g.long.ReadAnswer(testTimeout)
 		require.NoError(g.t, err)
 		assert.Equal(g.t, "200 made of long", fmt.Sprint(status, " ", body))
 	}
 	if !g.waitingLeft {
-		status, body, err := g.waiting.Answer(testTimeout)
+		status, body, err := g.waiting.ReadAnswer(testTimeout)
 		require.NoError(g.t, err)
 		assert.Equal(g.t, "200 made of waits", fmt.Sprint(status, " ", body))
 	}
@@ -433,8 +433,8 @@
 
 // expectIdleConnection expects the idle connection to serve a further job.
 func (g *handoverTest) expectIdleConnection(id string) {
-	require.NoError(g.t, g.idle.Send(standin.Job(id, "view", testTimeout, "x")))
-	status, _, err := g.idle.Answer(testTimeout)
+	require.NoError(g.t, g.idle.Send(standin.RequestText(id, "view", testTimeout, "x")))
+	status, _, err := g.idle.ReadAnswer(testTimeout)
 	require.NoError(g.t, err)
 	assert.Equal(g.t, 200, status)
 }
