--- a/cmd/weldscale/cli_test.go
+++ b/cmd/weldscale/cli_test.go
@@ -42,8 +42,8 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
-	good := file("good.json", string(standin.Site{Discovery: "127.0.0.1:1"}.Config()))
-	used := file("used.json", string(standin.Site{Discovery: "127.0.0.1:1", Listen: ln.Addr().String()}.Config()))
+	good := file("good.json", string(standin.SchedulerConfig{Discovery: "127.0.0.1:1"}.JSON()))
+	used := file("used.json", string(standin.SchedulerConfig{Discovery: "127.0.0.1:1", Listen: ln.Addr().String()}.JSON()))
 	ten := file("ten.hcl", "slow_peers {\n"+strings.Repeat("", 1)+"  grace_in = 1\n  span_in = 1\n  total = \"x\"\n  most = 0.5\n  hurry = 2\n  fresh = 3\n"+
 		"  crowd = 200\n  remember = 0\n  forgive = true\n  no_such = 1\n}\n")
 	for name, c := range map[string]struct {
@@ -92,7 +92,7 @@
 	require.NoError(t, err)
 	left.(*net.UnixListener).SetUnlinkOnClose(false)
 	left.Close()
-	site := standin.Site{Discovery: list.Addr(), Known: list.Known()}
+	site := standin.SchedulerConfig{Discovery: list.Addr(), Known: list.Known()}
 	cmd, addr := startProgram(t, site, "WELDSCALE_FILE="+file)
 	info, err := os.Stat(socket)
 	require.NoError(t, err)
@@ -113,8 +113,8 @@
 	assert.Contains(t, unknown, "no such worker")
 	_, _, status = say("level", socket, "debug")
 	assert.Zero(t, status)
-	k := standin.Kind{Class: "view", Budget: patience}
-	code, _, err := standin.Ask(http.DefaultClient, addr, "", "traced", &k)
+	k := standin.JobKind{Class: "view", Budget: patience}
+	code, _, err := standin.SendJob(http.DefaultClient, addr, "", "traced", &k)
 	require.NoError(t, err)
 	assert.Equal(t, 200, code)
 	log := cmd.Stderr.(*logged)
@@ -143,7 +143,7 @@
 	}
 
 	path := filepath.Join(dir, "second.json")
-	require.NoError(t, os.WriteFile(path, site.Config(), 0o600))
+	require.NoError(t, os.WriteFile(path, site.JSON(), 0o600))
 	write(good)
 	_, stderr, status = command(t, []string{"GW_CONFIG=" + path}, "serve", "--config", file)
 	assert.Equal(t, 1, status)
--- a/cmd/weldscale/config_test.go
+++ b/cmd/weldscale/config_test.go
@@ -33,7 +33,7 @@
 
 // A configuration that can't be used is refused with one line that names the fault.
 func TestBadConfig(t *testing.T) {
-	good := string(standin.Site{Name: "n", Discovery: "127.0.0.1:1"}.Config())
+	good := string(standin.SchedulerConfig{Name: "n", Discovery: "127.0.0.1:1"}.JSON())
 	for name, c := range map[string]struct{ old, new, want string }{
 		"good":             {"", "", ""},
 		"no name":          {`"name":"n",`, "", "-"},
@@ -87,7 +87,7 @@
 // program either has no need of it or says so in one line that names it; and what it takes it can start with.
 func TestEveryFigureOfTheSettings(t *testing.T) {
 	var site map[string]any
-	require.NoError(t, json.Unmarshal(standin.Site{Name: "n", Discovery: "127.0.0.1:1"}.Config(), &site))
+	require.NoError(t, json.Unmarshal(standin.SchedulerConfig{Name: "n", Discovery: "127.0.0.1:1"}.JSON(), &site))
 	path := filepath.Join(t.TempDir(), "config.json")
 	judge := func(name, key string, value any) {
 		text, err := json.Marshal(site)
--- a/cmd/weldscale/demo.go
+++ b/cmd/weldscale/demo.go
@@ -117,12 +117,12 @@
 	if err != nil {
 		return nil, err
 	}
-	site := standin.Site{Name: "demo", Listen: d.addr, Discovery: d.list.Addr(), Known: d.list.Known(), ColdSpan: demoWarmUp}
+	site := standin.SchedulerConfig{Name: "demo", Listen: d.addr, Discovery: d.list.Addr(), Known: d.list.Known(), ColdSpan: demoWarmUp}
 	for _, c := range demoClasses {
 		site.Classes = append(site.Classes, c.Class)
 	}
 	path := filepath.Join(dir, "config.json")
-	if err := os.WriteFile(path, site.Config(), 0o600); err != nil {
+	if err := os.WriteFile(path, site.JSON(), 0o600); err != nil {
 		return nil, err
 	}
 	self, err := os.Executable()
@@ -171,8 +171,8 @@
 		{0.25, "box01 begins anew, cold", func() { d.coldSince = time.Now(); cold.Restart(); d.list.Set(cold.Entry("SERVING")) }},
 		{0.40, "box05 drains", func() { d.list.Set(drains.Entry("DRAINING")); d.drainedAt = time.Now() }},
 		{0.50, "box02 falls silent", silent.Silence},
-		{0.60, "box08 runs five times slower", func() { slow.Slow(5) }},
-		{0.75, "box02 is back, cold, and box08 quick again", func() { silent.Restart(); d.list.Set(silent.Entry("SERVING")); slow.Slow(1) }},
+		{0.60, "box08 runs five times slower", func() { slow.SetSlowdown(5) }},
+		{0.75, "box02 is back, cold, and box08 quick again", func() { silent.Restart(); d.list.Set(silent.Entry("SERVING")); slow.SetSlowdown(1) }},
 	}
 }
 
@@ -183,7 +183,7 @@
 	for i, c := range demoClasses {
 		all.Go(func() {
 			tallies[i] = standin.Load{Target: d.addr, Seed: d.Seed + uint64(i), Name: c.Name, For: d.For, Rate: d.Rate * c.share,
-				Kinds: []standin.Kind{{Class: c.Name, Share: 1, Task: standin.Task{Run: c.run}, Body: c.body, Budget: c.Deadline,
+				Kinds: []standin.JobKind{{Class: c.Name, Share: 1, Task: standin.Task{Run: c.run}, Body: c.body, Budget: c.Deadline,
 					Within: c.within()}}}.Run(ctx)
 		})
 	}
@@ -240,7 +240,7 @@
 	out.SetStyle(table.StyleLight)
 	out.AppendHeader(table.Row{"worker", "speed", "jobs", "turned away", "probes"})
 	for i, w := range d.workers {
-		full, seen := 0, w.Seen()
+		full, seen := 0, w.ReceivedJobs()
 		for _, s := range seen {
 			if s.Full {
 				full++
@@ -257,7 +257,7 @@
 	reached := map[string]int{}
 	retried := map[string]int{}
 	for _, w := range d.workers {
-		for _, s := range w.Seen() {
+		for _, s := range w.ReceivedJobs() {
 			if reached[s.ID]++; reached[s.ID] == 2 {
 				for _, c := range demoClasses {
 					if strings.HasPrefix(s.ID, c.Name) {
@@ -280,7 +280,7 @@
 	}
 	ran := map[string]int{}
 	for _, w := range d.workers {
-		for _, s := range w.Seen() {
+		for _, s := range w.ReceivedJobs() {
 			if !s.Full {
 				ran[s.ID]++
 			}
@@ -296,7 +296,7 @@
 		}
 	}
 	late := 0
-	for _, s := range d.workers[4].Seen() {
+	for _, s := range d.workers[4].ReceivedJobs() {
 		if !d.drainedAt.IsZero() && s.At.After(d.drainedAt.Add(drainGrace)) {
 			late++
 		}
@@ -316,7 +316,7 @@
 // time.
 func (d *demo) maxColdRatio() float64 {
 	most := 0.0
-	seen := d.workers[0].Seen()
+	seen := d.workers[0].ReceivedJobs()
 	work := func(id string) float64 {
 		for _, c := range demoClasses {
 			if len(id) > len(c.Name) && id[:len(c.Name)] == c.Name {
--- a/cmd/weldscale/early_amd64_test.go
+++ b/cmd/weldscale/early_amd64_test.go
@@ -56,7 +56,7 @@
 	for _, point := range []uint64{unix.SYS_SCHED_GETAFFINITY, unix.SYS_SIGALTSTACK, unix.SYS_EPOLL_CREATE1} {
 		for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT} {
 			path := filepath.Join(t.TempDir(), "config.json")
-			writeConfig(t, path, standin.Site{Discovery: "127.0.0.1:1"})
+			writeConfig(t, path, standin.SchedulerConfig{Discovery: "127.0.0.1:1"})
 			log := &logged{news: make(chan struct{}, 1)}
 			cmd := startHeld(t, path, log, point, func(pid int) {
 				for _, s := range []syscall.Signal{syscall.SIGUSR1, syscall.SIGHUP, sig} {
@@ -74,7 +74,7 @@
 	a := startWorker(t, standin.WorkerConfig{Name: "a"})
 	old, d := startDiscovery(t), startDiscovery(t, a.Entry("SERVING"))
 	path := filepath.Join(t.TempDir(), "config.json")
-	site := standin.Site{Discovery: old.Addr()}
+	site := standin.SchedulerConfig{Discovery: old.Addr()}
 	writeConfig(t, path, site)
 	log := &logged{news: make(chan struct{}, 1)}
 	cmd := startHeld(t, path, log, unix.SYS_SCHED_GETAFFINITY, func(pid int) {
@@ -83,7 +83,7 @@
 		require.NoError(t, syscall.Kill(pid, syscall.SIGHUP))
 	})
 	addr := log.listens(t)
-	status, _, err := standin.Ask(client(), addr, "", "one", &standin.Kind{Class: "view", Budget: patience, Body: 5})
+	status, _, err := standin.SendJob(client(), addr, "", "one", &standin.JobKind{Class: "view", Budget: patience, Body: 5})
 	require.NoError(t, err)
 	assert.Equal(t, 200, status)
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
--- a/cmd/weldscale/fleet_test.go
+++ b/cmd/weldscale/fleet_test.go
@@ -157,7 +157,7 @@
 					return
 				case <-time.After(pause):
 				}
-				_, _, _ = standin.Ask(client, addr, "shop.example.org", fmt.Sprint(i, "-", n), &standin.Kind{Class: "view", Budget: 2 * time.Second, Body: 5})
+				_, _, _ = standin.SendJob(client, addr, "shop.example.org", fmt.Sprint(i, "-", n), &standin.JobKind{Class: "view", Budget: 2 * time.Second, Body: 5})
 			}
 		})
 	}
@@ -176,7 +176,7 @@
 		from := time.Now()
 		require.Eventually(t, func() bool {
 			n := 0
-			for _, s := range w.Seen() {
+			for _, s := range w.ReceivedJobs() {
 				if s.At.After(time.Now().Add(-2 * time.Second)) {
 					n++
 				}
@@ -197,7 +197,7 @@
 	require.NoError(t, script.Play(t.Context(), 7, f.all, f.links, f.log))
 	settled("all is over")
 	halt()
-	for _, s := range w.Seen() {
+	for _, s := range w.ReceivedJobs() {
 		f.log.AddAt(s.At, "w", "begun", 1, "")
 	}
 	events, lost := f.log.Events()
@@ -223,7 +223,7 @@
 		mu.Lock()
 		now-- // before the scheduler can know
 		mu.Unlock()
-		standin.Done(r, c)
+		standin.WriteAnswer(r, c)
 	}})
 	f := startMembers(t, 3, " term = \"600ms\"\n use = \"3s\"\n", block("shop", fmt.Sprintf("  limits { fleet_open = %d }\n", most), w))
 	for range 10 {
--- a/cmd/weldscale/load.go
+++ b/cmd/weldscale/load.go
@@ -86,7 +86,7 @@
 	name := fmt.Sprintf("load%x-", time.Now().UnixNano())
 	reportSlow := c.startSlow(ctx, name)
 	t := standin.Load{Target: c.Target, Host: c.Host, Seed: c.Seed, Name: name, For: c.For, Rate: c.Rate,
-		Clients: c.Clients, Kinds: []standin.Kind{{Class: c.Class, Share: 1, Body: c.Body, Budget: c.Budget, Within: c.Within,
+		Clients: c.Clients, Kinds: []standin.JobKind{{Class: c.Class, Share: 1, Body: c.Body, Budget: c.Budget, Within: c.Within,
 			Task: standin.Task{Run: c.Job, Slots: c.Slots, Size: c.Answer}}}}.Run(ctx)
 	f := newFigures(t)
 	showFigures(f, previous)
@@ -112,10 +112,10 @@
 // startSlow starts the slow clients. The returned function waits until they have ended and prints their tallies.
 func (c loadCmd) startSlow(ctx context.Context, name string) func() {
 	ctx, stop := context.WithTimeout(ctx, c.For)
-	kind := standin.Kind{Class: c.Class, Budget: c.Budget, Body: max(c.Body, 60000), Task: standin.Task{Run: c.Job, Slots: c.Slots, Size: c.Answer}}
+	kind := standin.JobKind{Class: c.Class, Budget: c.Budget, Body: max(c.Body, 60000), Task: standin.Task{Run: c.Job, Slots: c.Slots, Size: c.Answer}}
 	readers := kind
 	readers.Body, readers.Task.Size = c.Body, max(c.Answer, 60000)
-	groups := []standin.Slow{{Name: name + "s", Peers: c.Senders, Kind: kind, Send: c.Slow}, {Name: name + "r", Peers: c.Readers, Kind: readers, Read: c.Slow}}
+	groups := []standin.SlowClients{{Name: name + "s", Peers: c.Senders, Kind: kind, Send: c.Slow}, {Name: name + "r", Peers: c.Readers, Kind: readers, Read: c.Slow}}
 	tallies := make([]*standin.SlowTally, len(groups))
 	var all sync.WaitGroup
 	for i, s := range groups {
--- a/cmd/weldscale/moments_clients_test.go
+++ b/cmd/weldscale/moments_clients_test.go
@@ -27,11 +27,11 @@
 
 // A client that leaves while its request waits for room takes it along.
 func TestClientLeavesWaitingForRoom(t *testing.T) {
-	quietly(t, func(t *testing.T, away func(*standin.Caller), change func(*config)) {
+	quietly(t, func(t *testing.T, away func(*standin.ClientConn), change func(*config)) {
 		w := startWorker(t, standin.WorkerConfig{Name: "a", Slots: 1, TellsStart: true})
 		b := startBenchWith(t, []standin.Entry{w.Entry("DRAINING")}, change)
 		c := b.call()
-		require.NoError(t, c.Send(standin.Job("gone", "view", 8*time.Second, "x")))
+		require.NoError(t, c.Send(standin.RequestText("gone", "view", 8*time.Second, "x")))
 		b.arrived(1)
 		away(c)
 		b.settled()
@@ -44,17 +44,17 @@
 
 // ... while its worker is asked for its load.
 func TestClientLeavesDuringTheProbe(t *testing.T) {
-	quietly(t, func(t *testing.T, away func(*standin.Caller), change func(*config)) {
-		stops := &standin.Stops{}
+	quietly(t, func(t *testing.T, away func(*standin.ClientConn), change func(*config)) {
+		stops := &standin.SyncPoints{}
 		stops.Hold("probe")
 		w := startWorker(t, standin.WorkerConfig{Name: "a", Stops: stops})
 		b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, change)
 		c := b.call()
-		require.NoError(t, c.Send(standin.Job("gone", "view", 8*time.Second, "x")))
+		require.NoError(t, c.Send(standin.RequestText("gone", "view", 8*time.Second, "x")))
 		reached(t, stops, "probe")
 		away(c)
 		b.settled()
-		stops.Free("probe")
+		stops.Release("probe")
 		status, _ := b.ask("next", "view", patience)
 		assert.Equal(t, 200, status)
 		assert.Equal(t, []string{"next"}, w.IDs())
@@ -63,21 +63,21 @@
 
 // ... while a connection to its worker is being opened. What was booked for it is free at once, not when the dial ends.
 func TestClientLeavesDuringTheDial(t *testing.T) {
-	quietly(t, func(t *testing.T, away func(*standin.Caller), change func(*config)) {
-		stops := &standin.Stops{}
+	quietly(t, func(t *testing.T, away func(*standin.ClientConn), change func(*config)) {
+		stops := &standin.SyncPoints{}
 		w := startWorker(t, standin.WorkerConfig{Name: "a"})
 		b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, change, withoutProbes)
 		stops.Hold("dial")
 		b.heldDials(stops, nil)
 		c := b.call()
-		require.NoError(t, c.Send(standin.Job("gone", "send", 8*time.Second, "x")))
+		require.NoError(t, c.Send(standin.RequestText("gone", "send", 8*time.Second, "x")))
 		reached(t, stops, "dial")
 		away(c)
 		b.settled()
 		b.onLoop(func() {
 			assert.Equal(t, 1, b.s.engine.Counts.Outcomes[decide.NotSent]+b.s.engine.Counts.Outcomes[decide.Cancelled], "the attempt is over while the dial is under way")
 		})
-		stops.Free("dial")
+		stops.Release("dial")
 		status, _ := b.ask("next", "view", patience)
 		assert.Equal(t, 200, status)
 		assert.Equal(t, []string{"next"}, w.IDs())
@@ -89,8 +89,8 @@
 
 // ... while a part of its request waits here, since the system takes no more: its last byte never goes out.
 func TestClientLeavesDuringTheWrite(t *testing.T) {
-	quietly(t, func(t *testing.T, away func(*standin.Caller), change func(*config)) {
-		stops := &standin.Stops{}
+	quietly(t, func(t *testing.T, away func(*standin.ClientConn), change func(*config)) {
+		stops := &standin.SyncPoints{}
 		stops.Hold("accepted") // nothing is read
 		w := startWorker(t, standin.WorkerConfig{Name: "a", Stops: stops, Receive: 4 << 10})
 		b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, change, withoutProbes)
@@ -98,14 +98,14 @@
 			_ = unix.SetsockoptInt(c.(netpoll.Conn).Fd(), unix.SOL_SOCKET, unix.SO_SNDBUF, 4<<10)
 		})
 		c := b.call()
-		require.NoError(t, c.Send(standin.Job("gone", "view", 8*time.Second, strings.Repeat("x", 60<<10))))
+		require.NoError(t, c.Send(standin.RequestText("gone", "view", 8*time.Second, strings.Repeat("x", 60<<10))))
 		reached(t, stops, "accepted")
 		b.arrived(1)
 		require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.driver.Unsent() > 0 }); return is }, patience, time.Millisecond)
 		away(c)
 		b.settled()
 		b.onLoop(func() { assert.Zero(t, b.s.driver.Unsent(), "nothing of it waits any more") })
-		stops.Free("accepted")
+		stops.Release("accepted")
 		status, _ := b.ask("next", "view", patience)
 		assert.Equal(t, 200, status)
 		assert.Equal(t, []string{"next"}, w.IDs())
@@ -114,7 +114,7 @@
 
 // ... before its request was read: behind a long queue of the loop it comes together with its client's end.
 func TestClientLeavesBeforeItIsRead(t *testing.T) {
-	quietly(t, func(t *testing.T, away func(*standin.Caller), change func(*config)) {
+	quietly(t, func(t *testing.T, away func(*standin.ClientConn), change func(*config)) {
 		w := startWorker(t, standin.WorkerConfig{Name: "a"})
 		b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, change, withoutProbes)
 		status, _ := b.ask("first", "view", patience) // its connection to the worker is kept: nothing is left to wait for
@@ -122,7 +122,7 @@
 		c := b.call()
 		b.onLoop(func() {})
 		free := b.held()
-		require.NoError(t, c.Send(standin.Job("gone", "view", 8*time.Second, "x")))
+		require.NoError(t, c.Send(standin.RequestText("gone", "view", 8*time.Second, "x")))
 		require.Eventually(t, func() bool { return b.s.loop.QueueLen() > 0 }, patience, time.Millisecond)
 		away(c) // on the loopback its end is there by the time that the call returns
 		free()
@@ -140,12 +140,12 @@
 	for name, away := range leave {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			stops := &standin.Stops{}
+			stops := &standin.SyncPoints{}
 			stops.Hold("probe")
 			w := startWorker(t, standin.WorkerConfig{Name: "w", Stops: stops})
 			b := startBenchWith(t, nil, func(c *config) { c.file = readFile(t, block("shop", "  limits { open = 1 }\n", w)) })
 			job := func(id string) string {
-				return strings.Replace(standin.Job(id, "view", 8*time.Second, "x"), "app.svc", "shop.example.org", 1)
+				return strings.Replace(standin.RequestText(id, "view", 8*time.Second, "x"), "app.svc", "shop.example.org", 1)
 			}
 			shop := func() (open, engine, begun int) {
 				b.onLoop(func() {
@@ -158,15 +158,15 @@
 			require.NoError(t, gone.Send(job("gone")))
 			reached(t, stops, "probe")
 			require.NoError(t, other.Send(job("early")))
-			status, body, err := other.Answer(patience)
+			status, body, err := other.ReadAnswer(patience)
 			require.NoError(t, err)
 			assert.Equal(t, "503 too many in hand\n", fmt.Sprint(status, " ", body))
 			away(gone)
 			require.Eventually(t, func() bool { open, engine, begun := shop(); return open == 0 && engine == 0 && begun == 1 }, patience, time.Millisecond)
-			stops.Free("probe")
+			stops.Release("probe")
 			for _, id := range []string{"next", "last"} { // the place is free once, and once more
 				require.NoError(t, other.Send(job(id)))
-				status, _, err = other.Answer(patience)
+				status, _, err = other.ReadAnswer(patience)
 				require.NoError(t, err)
 				assert.Equal(t, 200, status)
 			}
@@ -179,20 +179,20 @@
 
 // 200 clients that leave in the same instant: none of their requests is sent, and all that was booked is free once.
 func TestBurstOfClientsLeaves(t *testing.T) {
-	stops := &standin.Stops{}
+	stops := &standin.SyncPoints{}
 	stops.Hold("probe")
 	w := startWorker(t, standin.WorkerConfig{Name: "a", Slots: 400, Stops: stops})
 	b := startBench(t, w.Entry("SERVING"))
 	const n = 200
-	calls := make([]*standin.Caller, n)
+	calls := make([]*standin.ClientConn, n)
 	for i := range calls {
 		calls[i] = b.call()
-		require.NoError(t, calls[i].Send(standin.Job(fmt.Sprint("gone", i), "view", 8*time.Second, "x")))
+		require.NoError(t, calls[i].Send(standin.RequestText(fmt.Sprint("gone", i), "view", 8*time.Second, "x")))
 	}
 	b.arrived(n)
 	free := b.held()
 	for i, c := range calls {
-		[]func(*standin.Caller){(*standin.Caller).Close, (*standin.Caller).Reset, (*standin.Caller).HalfClose}[i%3](c)
+		[]func(*standin.ClientConn){(*standin.ClientConn).Close, (*standin.ClientConn).Reset, (*standin.ClientConn).HalfClose}[i%3](c)
 	}
 	free()
 	b.settled()
@@ -200,7 +200,7 @@
 		assert.Equal(t, n, b.s.engine.Counts.Hangups)
 		assert.Zero(t, b.s.engine.Counts.Pushes)
 	})
-	stops.Free("probe")
+	stops.Release("probe")
 	status, _ := b.ask("next", "view", patience)
 	assert.Equal(t, 200, status)
 	for _, id := range w.IDs() { // a slow machine may have it tried again
@@ -217,16 +217,16 @@
 			finish := make(chan struct{})
 			var written atomic.Bool
 			w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) {
-				standin.Start(r, c)
+				standin.WriteStarted(r, c)
 				if r.Header.Get("X-Call-Id") == "both" {
 					<-finish
 				}
-				standin.Finish(r, c)
+				standin.WriteDone(r, c)
 				written.Store(true)
 			}})
 			b := startBench(t, w.Entry("SERVING"))
 			c := b.call()
-			require.NoError(t, c.Send(standin.Job("both", "view", 8*time.Second, "x")))
+			require.NoError(t, c.Send(standin.RequestText("both", "view", 8*time.Second, "x")))
 			require.Eventually(t, func() bool { return len(w.IDs()) == 1 }, patience, time.Millisecond)
 			b.onLoop(func() {})
 			free := b.held()
@@ -266,7 +266,7 @@
 	}{
 		"after the last byte": {func(r *http.Request, c net.Conn) { c.Close() }, true},
 		"reset after it":      {func(r *http.Request, c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); c.Close() }, true},
-		"in mid-answer":       {func(r *http.Request, c net.Conn) { standin.Start(r, c); c.Close() }, true},
+		"in mid-answer":       {func(r *http.Request, c net.Conn) { standin.WriteStarted(r, c); c.Close() }, true},
 		"failed": {func(r *http.Request, c net.Conn) {
 			fmt.Fprint(c, "HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n")
 		}, true},
@@ -287,7 +287,7 @@
 							broken.answer(r, c)
 							return
 						}
-						standin.Done(r, c)
+						standin.WriteAnswer(r, c)
 					}
 				}
 				a := startWorker(t, standin.WorkerConfig{Name: "a", Answer: answer("a")})
@@ -296,8 +296,8 @@
 				ez.Group = 1 // a cell of its own
 				b := startBenchWith(t, []standin.Entry{ea, ez}, twoZones, func(c *config) { set(&c.engine.Settings.Classes[0]) })
 				c := b.call()
-				require.NoError(t, c.Send(standin.Job("job", "view", 6*time.Second, "x", "Idempotency-Key: k")))
-				status, _, err := c.Answer(patience)
+				require.NoError(t, c.Send(standin.RequestText("job", "view", 6*time.Second, "x", "Idempotency-Key: k")))
+				status, _, err := c.ReadAnswer(patience)
 				require.NoError(t, err)
 				starts := len(a.IDs()) + len(z.IDs())
 				switch {
@@ -342,7 +342,7 @@
 							}
 							mu.Unlock()
 							if !first {
-								standin.Done(r, c)
+								standin.WriteAnswer(r, c)
 							}
 						}
 					}
@@ -355,8 +355,8 @@
 						c.engine.Settings.SecondCopies, c.engine.Settings.CanCancel = copies, cancel
 					})
 					c := b.call()
-					require.NoError(t, c.Send(standin.Job("job", "view", 4*time.Second, "x", "Idempotency-Key: k")))
-					status, _, err := c.Answer(patience)
+					require.NoError(t, c.Send(standin.RequestText("job", "view", 4*time.Second, "x", "Idempotency-Key: k")))
+					status, _, err := c.ReadAnswer(patience)
 					require.NoError(t, err)
 					mu.Lock()
 					defer mu.Unlock()
@@ -399,26 +399,26 @@
 			release := make(chan struct{})
 			w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) {
 				if r.Header.Get("X-Call-Id") == "holds" {
-					standin.Start(r, c)
+					standin.WriteStarted(r, c)
 					<-release
-					standin.Finish(r, c)
+					standin.WriteDone(r, c)
 					return
 				}
-				standin.Done(r, c)
+				standin.WriteAnswer(r, c)
 			}})
 			b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes, func(c *config) { c.engine.Settings.CanCancel = false })
 			dials := b.s.driver.Dialer(1)
 			b.onLoop(func() { b.s.workers.Dialer = dials })
 			holds, gone := b.call(), b.call()
-			require.NoError(t, holds.Send(standin.Job("holds", "view", 8*time.Second, "x")))
+			require.NoError(t, holds.Send(standin.RequestText("holds", "view", 8*time.Second, "x")))
 			require.Eventually(t, func() bool { return len(w.IDs()) == 1 }, patience, time.Millisecond)
-			require.NoError(t, gone.Send(standin.Job("gone", "view", 8*time.Second, "x")))
+			require.NoError(t, gone.Send(standin.RequestText("gone", "view", 8*time.Second, "x")))
 			require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.engine.Counts.Pushes == 2 }); return is }, patience, time.Millisecond)
 			away(gone)
 			require.Eventually(t, func() bool { return b.open() == 1 }, patience, time.Millisecond)
 			b.onLoop(func() { assert.Equal(t, 1, b.s.engine.Counts.Outcomes[decide.NotSent]) })
 			close(release)
-			status, _, err := holds.Answer(patience)
+			status, _, err := holds.ReadAnswer(patience)
 			require.NoError(t, err)
 			assert.Equal(t, 200, status)
 			status, _ = b.ask("next", "view", patience)
@@ -437,9 +437,9 @@
 			w := startWorker(t, standin.WorkerConfig{Name: "a"})
 			b := startBench(t, w.Entry("SERVING"))
 			c := b.call()
-			job := strings.Replace(standin.Job("big", "view", 8*time.Second, "x"), "/api/1", "/api/1?run=1us&slots=1&size=200000", 1)
+			job := strings.Replace(standin.RequestText("big", "view", 8*time.Second, "x"), "/api/1", "/api/1?run=1us&slots=1&size=200000", 1)
 			require.NoError(t, c.Send(job))
-			require.NoError(t, c.Some(1000))
+			require.NoError(t, c.ReadN(1000))
 			b.settled()
 			away(c)
 			require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.server.Pace.Counts().Peers == 0 }); return is }, patience, time.Millisecond)
--- a/cmd/weldscale/moments_discovery_test.go
+++ b/cmd/weldscale/moments_discovery_test.go
@@ -31,7 +31,7 @@
 			a, z := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
 			d := startDiscovery(t, a.Entry("SERVING"), z.Entry("SERVING"))
 			fell, gaveUp := make(chan struct{}, 9), make(chan struct{}, 9)
-			d.Take(func(n int, w http.ResponseWriter, r *http.Request) bool {
+			d.Intercept(func(n int, w http.ResponseWriter, r *http.Request) bool {
 				if !slices.Contains(silent, n) {
 					return false
 				}
@@ -76,7 +76,7 @@
 	d := startDiscovery(t, a.Entry("SERVING"))
 	known := d.Known()
 	d.Set(a.Entry("DRAINING"))
-	d.Take(func(n int, w http.ResponseWriter, r *http.Request) bool {
+	d.Intercept(func(n int, w http.ResponseWriter, r *http.Request) bool {
 		switch n {
 		case 1:
 			<-r.Context().Done()
@@ -106,7 +106,7 @@
 	a, z := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
 	d := startDiscovery(t, a.Entry("SERVING"), z.Entry("SERVING"))
 	d.Set(a.Entry("DRAINING"))
-	d.Take(func(n int, w http.ResponseWriter, r *http.Request) bool {
+	d.Intercept(func(n int, w http.ResponseWriter, r *http.Request) bool {
 		if n != 2 {
 			return false
 		}
@@ -158,7 +158,7 @@
 			d := startDiscovery(t, a.Entry("SERVING"))
 			known := d.Known()
 			d.Set(a.Entry("DRAINING"), z.Entry("SERVING"))
-			d.Take(spoil)
+			d.Intercept(spoil)
 			b := startBenchWith(t, nil, pushed, withoutProbes, func(c *config) { c.Discovery, c.Known = d.Addr(), known })
 			ready := func(n int, on string) {
 				require.Eventually(t, func() (is bool) {
@@ -198,7 +198,7 @@
 	d := startDiscovery(t, a.Entry("SERVING"), z.Entry("SERVING"))
 	var down atomic.Bool
 	met := make(chan struct{}, 64) // calls that met the silence
-	d.Take(func(n int, _ http.ResponseWriter, r *http.Request) bool {
+	d.Intercept(func(n int, _ http.ResponseWriter, r *http.Request) bool {
 		if n < 2 || n > 2 && !down.Load() {
 			return false
 		}
@@ -230,7 +230,7 @@
 	b := startBenchWith(t, []standin.Entry{a.Entry("SERVING")}, pushed)
 	b.calls(2)
 	second := startDiscovery(t, a.Entry("DRAINING"), z.Entry("SERVING"))
-	second.Take(func(n int, _ http.ResponseWriter, r *http.Request) bool { return n == 1 && silence(r) })
+	second.Intercept(func(n int, _ http.ResponseWriter, r *http.Request) bool { return n == 1 && silence(r) })
 	b.onLoop(func() { b.s.discovery.Move(second.Addr()) })
 	require.Eventually(t, func() bool { return len(second.Calls()) > 2 }, patience, time.Millisecond)
 	assert.Equal(t, []string{"", ""}, second.Calls()[:2], "the whole list, until it has come")
@@ -271,7 +271,7 @@
 			a, z := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
 			d := startDiscovery(t, a.Entry("SERVING"), z.Entry("SERVING"))
 			let, ended := make(chan struct{}), make(chan time.Time, 1)
-			d.Take(func(n int, w http.ResponseWriter, r *http.Request) bool {
+			d.Intercept(func(n int, w http.ResponseWriter, r *http.Request) bool {
 				if n != 2 {
 					return false
 				}
@@ -295,7 +295,7 @@
 			at := <-ended
 			d.Set(a.Entry("DRAINING"))
 			require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.engine.ReadyWorkers() == 1 }); return is }, patience, time.Millisecond)
-			assert.Less(t, d.CalledAt()[2].Sub(at), 10*time.Second)
+			assert.Less(t, d.CallTimes()[2].Sub(at), 10*time.Second)
 		})
 	}
 }
@@ -306,14 +306,14 @@
 	a, z := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
 	b := startBench(t, a.Entry("SERVING"))
 	b.calls(2)
-	b.discovery.Down(true)
+	b.discovery.SetDown(true)
 	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.engine.Counts.ListFailed > 0 }); return is }, patience, time.Millisecond)
 	second := startDiscovery(t, z.Entry("SERVING"))
 	moved := time.Now()
 	b.onLoop(func() { b.s.discovery.Move(second.Addr()) })
 	require.Eventually(t, func() bool { return len(second.Calls()) > 1 }, patience, time.Millisecond)
 	assert.Equal(t, "", second.Calls()[0])
-	assert.Less(t, second.CalledAt()[0].Sub(moved), 4*time.Second)
+	assert.Less(t, second.CallTimes()[0].Sub(moved), 4*time.Second)
 	status, _ := b.ask("next", "view", patience)
 	assert.Equal(t, 200, status)
 	assert.Equal(t, []string{"next"}, z.IDs())
--- a/cmd/weldscale/moments_stop_test.go
+++ b/cmd/weldscale/moments_stop_test.go
@@ -35,9 +35,9 @@
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
 	b := startBench(t, w.Entry("SERVING"))
 	c, poller := b.call(), b.call()
-	for i, x := range []*standin.Caller{c, poller} {
-		require.NoError(t, x.Send(standin.Job(fmt.Sprint("warm", i), "view", 8*time.Second, "x")))
-		status, _, err := x.Answer(patience)
+	for i, x := range []*standin.ClientConn{c, poller} {
+		require.NoError(t, x.Send(standin.RequestText(fmt.Sprint("warm", i), "view", 8*time.Second, "x")))
+		status, _, err := x.ReadAnswer(patience)
 		require.NoError(t, err)
 		require.Equal(t, 200, status)
 	}
@@ -51,11 +51,11 @@
 	if fresh {
 		c = b.call()
 	}
-	require.NoError(t, c.Send(standin.Job("last", "view", 8*time.Second, "x")))
+	require.NoError(t, c.Send(standin.RequestText("last", "view", 8*time.Second, "x")))
 	within := time.Since(began) < gracePeriod-50*time.Millisecond
 	time.Sleep(time.Until(began.Add(gracePeriod + 50*time.Millisecond))) // the loop comes late to the end of the grace
 	close(let)
-	status, _, err := c.Answer(patience)
+	status, _, err := c.ReadAnswer(patience)
 	if within {
 		require.NoError(t, err, "an answer, not a reset")
 		assert.Contains(t, []int{200, 503}, status)
@@ -71,8 +71,8 @@
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
 	b := startBench(t, w.Entry("SERVING"))
 	kept, fresh, poller := b.call(), b.call(), b.call()
-	require.NoError(t, kept.Send(standin.Job("warm", "view", 8*time.Second, "x")))
-	status, _, err := kept.Answer(patience)
+	require.NoError(t, kept.Send(standin.RequestText("warm", "view", 8*time.Second, "x")))
+	status, _, err := kept.ReadAnswer(patience)
 	require.NoError(t, err)
 	require.Equal(t, 200, status)
 	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.server.Pace.Counts().Peers == 3 }); return is }, patience, time.Millisecond)
@@ -89,12 +89,12 @@
 	// The poller waits with what one client has sent until the loop takes it: it reads nobody else.
 	require.NoError(t, poller.Send("POST /"))
 	require.Eventually(t, func() bool { return b.s.loop.QueueLen() > 0 }, patience, time.Millisecond)
-	for id, c := range map[string]*standin.Caller{"kept": kept, "fresh": fresh} {
-		require.NoError(t, c.Send(standin.Job(id, "view", 8*time.Second, "x")))
+	for id, c := range map[string]*standin.ClientConn{"kept": kept, "fresh": fresh} {
+		require.NoError(t, c.Send(standin.RequestText(id, "view", 8*time.Second, "x")))
 	}
 	close(let)
-	for _, c := range []*standin.Caller{kept, fresh} {
-		status, _, err := c.Answer(patience)
+	for _, c := range []*standin.ClientConn{kept, fresh} {
+		status, _, err := c.ReadAnswer(patience)
 		require.NoError(t, err, "an answer, not a reset")
 		assert.Equal(t, 200, status)
 	}
@@ -103,25 +103,25 @@
 // A stop answers what hanging workers leave, before the platform kills: what may have run fails, what can't have is refused.
 func TestStopGivesUpInTime(t *testing.T) {
 	t.Parallel()
-	w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) { standin.Start(r, c) }})
+	w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) { standin.WriteStarted(r, c) }})
 	b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, func(c *config) {
 		for i := range c.engine.Settings.Classes {
 			c.engine.Settings.Classes[i].Deadline = 25e6
 		}
 	})
 	hanging, waiting := b.call(), b.call()
-	require.NoError(t, hanging.Send(standin.Job("hangs", "send", 25*time.Second, "x")))
+	require.NoError(t, hanging.Send(standin.RequestText("hangs", "send", 25*time.Second, "x")))
 	require.Eventually(t, func() bool { return len(w.IDs()) == 1 }, patience, time.Millisecond)
 	b.discovery.Set(w.Entry("DRAINING"))
 	require.Eventually(t, func() (is bool) { b.onLoop(func() { is = b.s.engine.ReadyWorkers() == 0 }); return is }, patience, time.Millisecond)
-	require.NoError(t, waiting.Send(standin.Job("waits", "send", 25*time.Second, "x")))
+	require.NoError(t, waiting.Send(standin.RequestText("waits", "send", 25*time.Second, "x")))
 	b.arrived(2)
 	began := time.Now()
 	b.s.loop.Post(b.s.stop)
-	status, _, err := waiting.Answer(patience)
+	status, _, err := waiting.ReadAnswer(patience)
 	require.NoError(t, err)
 	assert.Equal(t, 503, status)
-	status, _, err = hanging.Answer(patience)
+	status, _, err = hanging.ReadAnswer(patience)
 	require.NoError(t, err)
 	assert.Equal(t, 500, status)
 	<-b.end
@@ -132,25 +132,25 @@
 // holdFinish starts each job and ends it once it is let.
 func holdFinish(release chan struct{}) func(*http.Request, net.Conn) {
 	return func(r *http.Request, c net.Conn) {
-		standin.Start(r, c)
+		standin.WriteStarted(r, c)
 		<-release
-		standin.Finish(r, c)
+		standin.WriteDone(r, c)
 	}
 }
 
 // A stop finds a dial under way: the job is sent once that comes up, and answered.
 func TestStopDuringADial(t *testing.T) {
-	stops := &standin.Stops{}
+	stops := &standin.SyncPoints{}
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
 	b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes)
 	stops.Hold("dial")
 	b.heldDials(stops, nil)
 	c := b.call()
-	require.NoError(t, c.Send(standin.Job("job", "send", 8*time.Second, "x")))
+	require.NoError(t, c.Send(standin.RequestText("job", "send", 8*time.Second, "x")))
 	reached(t, stops, "dial")
 	b.s.loop.Do(b.s.stop)
-	stops.Free("dial")
-	status, _, err := c.Answer(patience)
+	stops.Release("dial")
+	status, _, err := c.ReadAnswer(patience)
 	require.NoError(t, err)
 	assert.Equal(t, 200, status)
 	<-b.end
@@ -162,18 +162,18 @@
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
 	d := startDiscovery(t, w.Entry("SERVING"))
 	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, standin.Site{Discovery: d.Addr(), Known: d.Known()})
+	writeConfig(t, path, standin.SchedulerConfig{Discovery: d.Addr(), Known: d.Known()})
 	cmd, log := program(t, "program", "GW_CONFIG="+path)
 	addr := log.listens(t)
-	c, err := standin.Call(addr)
+	c, err := standin.Dial(addr)
 	require.NoError(t, err)
 	defer c.Close()
-	require.NoError(t, c.Send(standin.Job("job", "view", patience, "x")))
+	require.NoError(t, c.Send(standin.RequestText("job", "view", patience, "x")))
 	require.Eventually(t, func() bool { return len(w.IDs()) == 1 }, patience, time.Millisecond)
 	require.NoError(t, c.Send("POST /half"))
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 	assert.NoError(t, cmd.Wait())
-	status, body, err := c.Answer(patience)
+	status, body, err := c.ReadAnswer(patience)
 	require.NoError(t, err)
 	assert.Equal(t, 200, status)
 	assert.Equal(t, "made of job", body)
--- a/cmd/weldscale/moments_test.go
+++ b/cmd/weldscale/moments_test.go
@@ -34,8 +34,8 @@
 	b.onLoop(func() {})
 }
 
-func (b *bench) call() *standin.Caller {
-	c, err := standin.Call(b.addr)
+func (b *bench) call() *standin.ClientConn {
+	c, err := standin.Dial(b.addr)
 	require.NoError(b.t, err)
 	b.t.Cleanup(c.Close)
 	return c
@@ -50,7 +50,7 @@
 }
 
 // reached waits until somebody has come to a point.
-func reached(t *testing.T, stops *standin.Stops, name string) {
+func reached(t *testing.T, stops *standin.SyncPoints, name string) {
 	select {
 	case <-stops.Reached(name):
 	case <-time.After(patience):
@@ -59,17 +59,17 @@
 }
 
 // leave are the ways in which a client goes.
-var leave = map[string]func(c *standin.Caller){
-	"close": (*standin.Caller).Close, "reset": (*standin.Caller).Reset, "half-close": (*standin.Caller).HalfClose,
+var leave = map[string]func(c *standin.ClientConn){
+	"close": (*standin.ClientConn).Close, "reset": (*standin.ClientConn).Reset, "half-close": (*standin.ClientConn).HalfClose,
 }
 
 // heldDials has the scheduler's dials wait at the point "dial".
-func (b *bench) heldDials(stops *standin.Stops, then func(netpoll.Connection)) {
+func (b *bench) heldDials(stops *standin.SyncPoints, then func(netpoll.Connection)) {
 	b.onLoop(func() {
 		dial := b.s.driver.Dial
 		b.s.driver.Dial = func(addr string, timeout time.Duration) (netpoll.Connection, error) {
 			if addr != b.s.discovery.Addr {
-				stops.At("dial")
+				stops.Wait("dial")
 			}
 			c, err := dial(addr, timeout)
 			if err == nil && then != nil {
@@ -81,7 +81,7 @@
 }
 
 // quietly runs f for each way to go and with attempts that may be cancelled and that may not.
-func quietly(t *testing.T, f func(t *testing.T, go_ func(*standin.Caller), change func(*config))) {
+func quietly(t *testing.T, f func(t *testing.T, go_ func(*standin.ClientConn), change func(*config))) {
 	for name, away := range leave {
 		for _, cancel := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, cancel %v", name, cancel), func(t *testing.T) {
--- a/cmd/weldscale/moments_workers_test.go
+++ b/cmd/weldscale/moments_workers_test.go
@@ -37,7 +37,7 @@
 				mu.Lock()
 				on = append(on, r.Header.Get("X-Call-Id")+" "+c.RemoteAddr().String())
 				mu.Unlock()
-				standin.Done(r, c)
+				standin.WriteAnswer(r, c)
 				conns <- c
 			}})
 			b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes)
@@ -47,11 +47,11 @@
 			c := b.call()
 			b.onLoop(func() {})
 			free := b.held()
-			require.NoError(t, c.Send(standin.Job("next", "view", 8*time.Second, "x")))
+			require.NoError(t, c.Send(standin.RequestText("next", "view", 8*time.Second, "x")))
 			require.Eventually(t, func() bool { return b.s.loop.QueueLen() > 0 }, patience, time.Millisecond)
 			say(kept)
 			free()
-			status, body, err := c.Answer(patience)
+			status, body, err := c.ReadAnswer(patience)
 			require.NoError(t, err)
 			assert.Equal(t, 200, status)
 			assert.Equal(t, "made of next", body)
@@ -101,7 +101,7 @@
 	b := startBench(t, old.Entry("SERVING"))
 	b.calls(2)
 	c := b.call()
-	require.NoError(t, c.Send(standin.Job("out", "send", 8*time.Second, "x")))
+	require.NoError(t, c.Send(standin.RequestText("out", "send", 8*time.Second, "x")))
 	require.Eventually(t, func() bool { return len(old.IDs()) == 1 }, patience, time.Millisecond)
 	e := moved.Entry("SERVING")
 	e.SinceMS = time.Now().Add(-time.Hour).UnixMilli()
@@ -110,7 +110,7 @@
 	status, _ := b.ask("next", "view", patience)
 	assert.Equal(t, 200, status)
 	close(release)
-	status, body, err := c.Answer(patience)
+	status, body, err := c.ReadAnswer(patience)
 	require.NoError(t, err)
 	assert.Equal(t, "200 made of out", fmt.Sprint(status, " ", body))
 	assert.Equal(t, []string{"out"}, old.IDs())
@@ -146,7 +146,7 @@
 				if r.Header.Get("X-Call-Id") == "spoilt" {
 					spoil(r, c)
 				} else {
-					standin.Done(r, c)
+					standin.WriteAnswer(r, c)
 				}
 			}})
 			b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes)
@@ -171,13 +171,13 @@
 	for _, name := range []string{"drains", "moves", "starts anew", "is gone"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			stops := &standin.Stops{}
+			stops := &standin.SyncPoints{}
 			old, other := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "b"})
 			b := startBenchWith(t, []standin.Entry{old.Entry("SERVING")}, withoutProbes)
 			stops.Hold("dial")
 			b.heldDials(stops, nil)
 			c, began := b.call(), time.Now()
-			require.NoError(t, c.Send(standin.Job("job", "send", 8*time.Second, "x")))
+			require.NoError(t, c.Send(standin.RequestText("job", "send", 8*time.Second, "x")))
 			reached(t, stops, "dial")
 			e := old.Entry("SERVING")
 			switch name {
@@ -193,11 +193,11 @@
 			b.discovery.Set(e)
 			var index int64
 			require.Eventually(t, func() bool { b.onLoop(func() { index = b.s.discovery.Index() }); return index >= 3 }, patience, time.Millisecond)
-			stops.Free("dial")
+			stops.Release("dial")
 			if name != "moves" {
 				b.discovery.Set(other.Entry("SERVING"))
 			}
-			status, _, err := c.Answer(patience)
+			status, _, err := c.ReadAnswer(patience)
 			require.NoError(t, err)
 			if status == 200 {
 				assert.Equal(t, []string{"job"}, other.IDs())
@@ -218,7 +218,7 @@
 	for _, late := range []bool{true, false} {
 		t.Run(fmt.Sprint("late ", late), func(t *testing.T) {
 			t.Parallel()
-			stops := &standin.Stops{}
+			stops := &standin.SyncPoints{}
 			var first atomic.Int64
 			w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) {
 				if first.CompareAndSwap(0, time.Now().UnixNano()) {
@@ -226,7 +226,7 @@
 					c.Close() // it may have run
 					return
 				}
-				standin.Done(r, c)
+				standin.WriteAnswer(r, c)
 			}})
 			b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes, func(c *config) {
 				s := &c.engine.Settings.Classes[0]
@@ -234,14 +234,14 @@
 			})
 			b.heldDials(stops, nil)
 			c := b.call()
-			require.NoError(t, c.Send(standin.Job("job", "view", 8*time.Second, "x", "Idempotency-Key: k")))
+			require.NoError(t, c.Send(standin.RequestText("job", "view", 8*time.Second, "x", "Idempotency-Key: k")))
 			reached(t, stops, "dial")
 			if late {
 				at := time.Unix(0, first.Load()).Add(span)
 				time.Sleep(time.Until(at)) // the span is over, however busy the machine
 			}
-			stops.Free("dial")
-			status, _, err := c.Answer(patience)
+			stops.Release("dial")
+			status, _, err := c.ReadAnswer(patience)
 			require.NoError(t, err)
 			if late {
 				assert.NotEqual(t, 200, status)
--- a/cmd/weldscale/operate_test.go
+++ b/cmd/weldscale/operate_test.go
@@ -128,9 +128,9 @@
 			_, _ = c.Write([]byte("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"))
 		case strings.HasPrefix(id, "stay"):
 			<-release
-			standin.Done(r, c)
+			standin.WriteAnswer(r, c)
 		default:
-			standin.Done(r, c)
+			standin.WriteAnswer(r, c)
 		}
 	}})
 	b := startBenchWith(t, []standin.Entry{w.Entry("SERVING")}, withSecond)
--- a/cmd/weldscale/rules_test.go
+++ b/cmd/weldscale/rules_test.go
@@ -49,8 +49,8 @@
 	end       chan struct{} // closed when the loop has ended
 }
 
-func writeConfig(t *testing.T, path string, s standin.Site) {
-	require.NoError(t, os.WriteFile(path, s.Config(), 0o600))
+func writeConfig(t *testing.T, path string, s standin.SchedulerConfig) {
+	require.NoError(t, os.WriteFile(path, s.JSON(), 0o600))
 }
 
 // startBench starts a scheduler that knows these workers.
@@ -60,7 +60,7 @@
 func startBenchWith(t *testing.T, entries []standin.Entry, change ...func(*config)) *bench {
 	b := &bench{t: t, end: make(chan struct{}), discovery: startDiscovery(t, entries...)}
 	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, standin.Site{Discovery: b.discovery.Addr(), Known: b.discovery.Known()})
+	writeConfig(t, path, standin.SchedulerConfig{Discovery: b.discovery.Addr(), Known: b.discovery.Known()})
 	c, err := loadConfig(func(key string) string { return map[string]string{"GW_CONFIG": path}[key] })
 	require.NoError(t, err)
 	c.file = operator.Default(c.Limits.MemoryMB << 20)
@@ -84,7 +84,7 @@
 
 // ask sends one request and returns status and body of its answer.
 func (b *bench) ask(id, class string, budget time.Duration) (int, string) {
-	status, body, err := standin.Ask(&http.Client{Timeout: patience}, b.addr, "", id, &standin.Kind{Class: class, Budget: budget, Body: 5})
+	status, body, err := standin.SendJob(&http.Client{Timeout: patience}, b.addr, "", id, &standin.JobKind{Class: class, Budget: budget, Body: 5})
 	assert.NoError(b.t, err)
 	return status, body
 }
@@ -97,9 +97,9 @@
 		case "silent":
 		case "late":
 			<-release
-			standin.Done(r, c)
+			standin.WriteAnswer(r, c)
 		default:
-			standin.Done(r, c)
+			standin.WriteAnswer(r, c)
 		}
 	}})
 	b := startBench(t, w.Entry("SERVING"))
@@ -161,7 +161,7 @@
 			fmt.Fprint(c, "HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")
 			return
 		}
-		standin.Done(r, c)
+		standin.WriteAnswer(r, c)
 	}})
 	b = startBench(t, w2.Entry("SERVING"))
 	status, _ = b.ask("turned away", "send", patience)
@@ -208,8 +208,8 @@
 func TestShortJobsFindRoom(t *testing.T) {
 	f := startFleet(t, 4, standin.WorkerConfig{Queue: 8, TellsStart: true})
 	b := startBench(t, f.Entries()...)
-	kind := standin.Kind{Class: "view", Share: 1, Task: standin.Task{Run: time.Millisecond}, Budget: 5 * time.Second}
-	r := standin.Load{Target: b.addr, Seed: 1, For: time.Second, Clients: 8, Kinds: []standin.Kind{kind}}.Run(t.Context())
+	kind := standin.JobKind{Class: "view", Share: 1, Task: standin.Task{Run: time.Millisecond}, Budget: 5 * time.Second}
+	r := standin.Load{Target: b.addr, Seed: 1, For: time.Second, Clients: 8, Kinds: []standin.JobKind{kind}}.Run(t.Context())
 	assert.Equal(t, r.Sent, r.Served, r)
 	assert.Zero(t, r.Wrong)
 	assert.Greater(t, r.Sent, 100)
@@ -246,13 +246,13 @@
 // holds or not, keeps what is open, and leaves all as it is where the new file can't be used.
 func TestReload(t *testing.T) {
 	release := make(chan struct{})
-	a := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) { <-release; standin.Done(r, c) }})
+	a := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) { <-release; standin.WriteAnswer(r, c) }})
 	z := startWorker(t, standin.WorkerConfig{Name: "z"})
 	first, second := startDiscovery(t, a.Entry("SERVING")), startDiscovery(t, z.Entry("SERVING"))
 
 	b := &bench{t: t, addr: freeAddr(t)}
 	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, standin.Site{Listen: b.addr, Discovery: first.Addr(), Known: first.Known()})
+	writeConfig(t, path, standin.SchedulerConfig{Listen: b.addr, Discovery: first.Addr(), Known: first.Known()})
 	cmd, log := program(t, "program", "GW_CONFIG="+path, "GW_DISCOVERY="+first.Addr())
 	log.await(t, "serving")
 	require.Eventually(t, func() bool { // until the watch is held
@@ -265,7 +265,7 @@
 	require.NoError(t, os.WriteFile(path, []byte(`{"half`), 0o600))
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 	log.await(t, "new configuration not taken")
-	writeConfig(t, path, standin.Site{Listen: b.addr, Discovery: second.Addr(), Known: first.Known()})
+	writeConfig(t, path, standin.SchedulerConfig{Listen: b.addr, Discovery: second.Addr(), Known: first.Known()})
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 	require.Eventually(t, func() bool { return len(second.Calls()) > 1 }, patience, time.Millisecond)
 	assert.Equal(t, "", second.Calls()[0], "the whole list: the other's index means nothing here")
--- a/cmd/weldscale/services_test.go
+++ b/cmd/weldscale/services_test.go
@@ -138,7 +138,7 @@
 		if r.Header.Get("X-Call-Id") == "held" {
 			<-release
 		}
-		standin.Done(r, c)
+		standin.WriteAnswer(r, c)
 	}}
 	old, other, third := startWorker(t, held), startWorker(t, standin.WorkerConfig{Name: "z"}), startWorker(t, standin.WorkerConfig{Name: "z"})
 	b := startBenchWith(t, nil, func(c *config) { c.file = readFile(t, block("shop", "", old)) })
--- a/cmd/weldscale/signals_test.go
+++ b/cmd/weldscale/signals_test.go
@@ -36,13 +36,13 @@
 	a := startWorker(t, standin.WorkerConfig{Name: "a", Answer: holdFinish(release)})
 	first, second := startDiscovery(t, a.Entry("SERVING")), startDiscovery(t, a.Entry("SERVING"))
 	path := filepath.Join(t.TempDir(), "config.json")
-	site := standin.Site{Discovery: first.Addr(), Known: first.Known()}
+	site := standin.SchedulerConfig{Discovery: first.Addr(), Known: first.Known()}
 	writeConfig(t, path, site)
 	cmd, log := program(t, "program", "GW_CONFIG="+path)
 	addr := log.listens(t)
 	answered := make(chan int, 1)
 	go func() {
-		status, _, _ := standin.Ask(client(), addr, "", "open", &standin.Kind{Class: "view", Budget: patience, Body: 5})
+		status, _, _ := standin.SendJob(client(), addr, "", "open", &standin.JobKind{Class: "view", Budget: patience, Body: 5})
 		answered <- status
 	}()
 	require.Eventually(t, func() bool { return len(a.IDs()) == 1 }, patience, time.Millisecond)
@@ -67,7 +67,7 @@
 
 // Settings of other customers: the program serves a job under each, and unknown keys are passed over.
 func TestOtherSettings(t *testing.T) {
-	base := string(standin.Site{Discovery: "DISCOVERY", Known: []byte(`"KNOWN"`)}.Config())
+	base := string(standin.SchedulerConfig{Discovery: "DISCOVERY", Known: []byte(`"KNOWN"`)}.JSON())
 	one := `"classes":[{"name":"view","effect":"read_like","worth":1,"aim_stretch":2,"aim_us":5000000,"deadline_us":9000000}]`
 	classes := base[strings.Index(base, `"classes":`):]
 	classes = classes[:strings.Index(classes, "]")+1]
@@ -103,7 +103,7 @@
 			addr := log.listens(t)
 			status := 0
 			require.Eventually(t, func() bool { // nothing known: until the list has come
-				status, _, _ = standin.Ask(client(), addr, "", standin.Result(name, 0)+time.Now().String()[:26], &standin.Kind{Class: c.class, Budget: patience, Body: 5})
+				status, _, _ = standin.SendJob(client(), addr, "", standin.Result(name, 0)+time.Now().String()[:26], &standin.JobKind{Class: c.class, Budget: patience, Body: 5})
 				return status != 503
 			}, patience, 10*time.Millisecond)
 			assert.Equal(t, 200, status)
--- a/cmd/weldscale/slow_test.go
+++ b/cmd/weldscale/slow_test.go
@@ -33,10 +33,10 @@
 	})
 	ctx, stop := context.WithTimeout(t.Context(), patience)
 	defer stop()
-	kind := func(class string, body, size int) standin.Kind {
-		return standin.Kind{Class: class, Budget: 9 * time.Second, Body: body, Task: standin.Task{Size: size}}
+	kind := func(class string, body, size int) standin.JobKind {
+		return standin.JobKind{Class: class, Budget: 9 * time.Second, Body: body, Task: standin.Task{Size: size}}
 	}
-	crowds := []standin.Slow{
+	crowds := []standin.SlowClients{
 		{Name: "silent", From: "127.0.9.1", Peers: 20, Kind: kind("send", 5000, 0), Send: 20},
 		{Name: "deaf", From: "127.0.9.2", Peers: 20, Kind: kind("send", 10, 250000), Read: 100},
 		{Name: "branch", From: "127.0.4.1", Peers: 3, Kind: kind("view", 30000, 30000), Send: 20000, Read: 20000, Once: true},
--- a/cmd/weldscale/throughput_test.go
+++ b/cmd/weldscale/throughput_test.go
@@ -64,10 +64,10 @@
 }
 
 // startProgram starts a scheduler in a process of its own and waits until it serves.
-func startProgram(t testing.TB, site standin.Site, env ...string) (*exec.Cmd, string) {
+func startProgram(t testing.TB, site standin.SchedulerConfig, env ...string) (*exec.Cmd, string) {
 	site.Listen = freeAddr(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	require.NoError(t, os.WriteFile(path, site.Config(), 0o600))
+	require.NoError(t, os.WriteFile(path, site.JSON(), 0o600))
 	cmd, log := program(t, "program", append(env, "GW_CONFIG="+path)...)
 	log.await(t, "serving")
 	return cmd, site.Listen
@@ -109,8 +109,8 @@
 }
 
 func BenchmarkServe(b *testing.B) {
-	short := func(run time.Duration) []standin.Kind {
-		return []standin.Kind{{Class: "view", Share: 1, Task: standin.Task{Run: run}, Budget: 5 * time.Second}}
+	short := func(run time.Duration) []standin.JobKind {
+		return []standin.JobKind{{Class: "view", Share: 1, Task: standin.Task{Run: run}, Budget: 5 * time.Second}}
 	}
 	for _, c := range []struct {
 		name string
@@ -123,7 +123,7 @@
 		for _, report := range []time.Duration{0, 100 * time.Millisecond} {
 			b.Run(fmt.Sprintf("%s/reports=%v", c.name, report), func(b *testing.B) {
 				f := startFleet(b, 8, standin.WorkerConfig{Queue: 16, TellsStart: true, Refresh: report})
-				cmd, addr := startProgram(b, standin.Site{Discovery: f.Discovery.Addr(), Known: f.Discovery.Known()})
+				cmd, addr := startProgram(b, standin.SchedulerConfig{Discovery: f.Discovery.Addr(), Known: f.Discovery.Known()})
 				proxyAddr, to := freeAddr(b), ""
 				for _, w := range f.Workers {
 					to += w.Addr() + " "
@@ -171,7 +171,7 @@
 	for _, clients := range []int{8, 64} {
 		b.Run(fmt.Sprint("clients=", clients), func(b *testing.B) {
 			for b.Loop() {
-				r := standin.Load{Target: addr, Seed: 1, For: 3 * time.Second, Clients: clients, Kinds: []standin.Kind{{Class: "view", Share: 1,
+				r := standin.Load{Target: addr, Seed: 1, For: 3 * time.Second, Clients: clients, Kinds: []standin.JobKind{{Class: "view", Share: 1,
 					Budget: 5 * time.Second}}}.Run(context.Background())
 				b.ReportMetric(float64(r.Sent)/r.Took.Seconds(), "requests/s")
 				b.ReportMetric(float64(r.Broken), "broken")
--- a/cmd/weldscale/upgrade_test.go
+++ b/cmd/weldscale/upgrade_test.go
@@ -29,7 +29,7 @@
 	dir    string
 	socket *os.File
 	addr   string
-	site   standin.Site
+	site   standin.SchedulerConfig
 	files  int // descriptors that a process may have; 0: as here
 }
 
@@ -52,7 +52,7 @@
 	dir := filepath.Join(t.TempDir(), strings.Repeat("long", 20))
 	require.NoError(t, os.Mkdir(dir, 0o700))
 	return &place{t: t, dir: dir, socket: socket, addr: ln.Addr().String(),
-		site: standin.Site{Listen: ln.Addr().String(), Discovery: d.Addr(), Known: d.Known()}}
+		site: standin.SchedulerConfig{Listen: ln.Addr().String(), Discovery: d.Addr(), Known: d.Known()}}
 }
 
 var processes atomic.Int64 // that were started
@@ -131,13 +131,13 @@
 			client := &http.Client{Timeout: patience, Transport: transport}
 			for k := 0; !c.stop.Load(); k++ {
 				id := fmt.Sprint(name, i, "-", k)
-				kind := &standin.Kind{Class: "send", Budget: patience, Body: 5}
-				status, body, err := standin.Ask(client, p.addr, "", id, kind)
+				kind := &standin.JobKind{Class: "send", Budget: patience, Body: 5}
+				status, body, err := standin.SendJob(client, p.addr, "", id, kind)
 				// Where the machine is busy a start may come late and a job be refused: nothing ran, and the client comes again.
 				for again := time.Now(); err == nil && status == 503 && time.Since(again) < patience; {
 					time.Sleep(10 * time.Millisecond)
 					id += "r"
-					status, body, err = standin.Ask(client, p.addr, "", id, kind)
+					status, body, err = standin.SendJob(client, p.addr, "", id, kind)
 				}
 				c.mu.Lock()
 				if err == nil && status == 200 && body == "made of "+id {
@@ -173,7 +173,7 @@
 		id := r.Header.Get("X-Call-Id")
 		if id != "long" {
 			time.Sleep(5 * time.Millisecond)
-			standin.Done(r, c)
+			standin.WriteAnswer(r, c)
 			return
 		}
 		head := []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -186,7 +186,7 @@
 	require.Equal(t, 200, first.hand("out", "offline"))
 	last := make(chan string)
 	go func() {
-		status, body, err := standin.Ask(&http.Client{Timeout: patience}, p.addr, "", "long", &standin.Kind{Class: "send", Budget: patience, Body: 9})
+		status, body, err := standin.SendJob(&http.Client{Timeout: patience}, p.addr, "", "long", &standin.JobKind{Class: "send", Budget: patience, Body: 9})
 		last <- fmt.Sprint(status, body, err)
 	}()
 	require.Eventually(t, func() bool { return slices.Contains(w.IDs(), "long") }, patience, time.Millisecond)
@@ -352,7 +352,7 @@
 	w, room             *standin.Worker
 	d                   *standin.Discovery
 	old, young          *process
-	kept, long, waits   *standin.Caller
+	kept, long, waits   *standin.ClientConn
 	release, left       chan struct{} // of the long job; left: its attempt has been given up
 	longEnds, waitsEnds bool          // their clients have gone
 }
@@ -361,17 +361,17 @@
 	g := &handoverRig{release: make(chan struct{}), left: make(chan struct{})}
 	g.w = startWorker(t, standin.WorkerConfig{Name: "w", Slots: 1, Answer: func(r *http.Request, c net.Conn) {
 		if r.Header.Get("X-Call-Id") != "long" {
-			standin.Done(r, c)
+			standin.WriteAnswer(r, c)
 			return
 		}
-		standin.Start(r, c)
+		standin.WriteStarted(r, c)
 		go func() { // the scheduler sends nothing more on it: what comes is its end
 			_, _ = c.Read(make([]byte, 1))
 			close(g.left)
 		}()
 		select {
 		case <-g.release:
-			standin.Finish(r, c)
+			standin.WriteDone(r, c)
 		case <-g.left:
 		}
 		<-g.left // the connection is the reader's above
@@ -380,24 +380,24 @@
 	g.d = startDiscovery(t, g.w.Entry("SERVING"), g.room.Entry("DRAINING"))
 	g.place = newPlace(t, g.d)
 	g.old = g.run().ready()
-	call := func() *standin.Caller {
-		c, err := standin.Call(g.addr)
+	call := func() *standin.ClientConn {
+		c, err := standin.Dial(g.addr)
 		require.NoError(t, err)
 		t.Cleanup(c.Close)
 		return c
 	}
 	require.Eventually(t, func() bool { return len(g.d.Calls()) >= 2 }, patience, time.Millisecond) // the watch is held
 	g.kept, g.long = call(), call()
-	require.NoError(t, g.kept.Send(standin.Job("warm", "view", patience, "x")))
-	status, _, err := g.kept.Answer(patience)
+	require.NoError(t, g.kept.Send(standin.RequestText("warm", "view", patience, "x")))
+	status, _, err := g.kept.ReadAnswer(patience)
 	require.NoError(t, err)
 	require.Equal(t, 200, status)
-	require.NoError(t, g.long.Send(standin.Job("long", "send", patience, "x")))
+	require.NoError(t, g.long.Send(standin.RequestText("long", "send", patience, "x")))
 	require.Eventually(t, func() bool { return slices.Contains(g.w.IDs(), "long") }, patience, time.Millisecond)
 	g.d.Set(g.w.Entry("DRAINING")) // nobody has room
 	require.Eventually(t, func() bool { return len(g.d.Calls()) >= 3 }, patience, time.Millisecond)
 	g.waits = call()
-	require.NoError(t, g.waits.Send(standin.Job("waits", "view", patience, "x")))
+	require.NoError(t, g.waits.Send(standin.RequestText("waits", "view", patience, "x")))
 	require.Eventually(t, func() bool { return g.old.inFlight() == 2 }, patience, time.Millisecond)
 	g.young = g.run().ready()
 	g.old.signal(syscall.SIGTERM)
@@ -415,12 +415,12 @@
 	g.d.Set(g.room.Entry("SERVING"))
 	close(g.release)
 	if !g.longEnds {
-		status, body, err := g.long.Answer(patience)
+		status, body, err := g.long.ReadAnswer(patience)
 		require.NoError(g.t, err)
 		assert.Equal(g.t, "200 made of long", fmt.Sprint(status, " ", body))
 	}
 	if !g.waitsEnds {
-		status, body, err := g.waits.Answer(patience)
+		status, body, err := g.waits.ReadAnswer(patience)
 		require.NoError(g.t, err)
 		assert.Equal(g.t, "200 made of waits", fmt.Sprint(status, " ", body))
 	}
@@ -428,8 +428,8 @@
 
 // keeps expects the kept connection to live on at the process.
 func (g *handoverRig) keeps(id string) {
-	require.NoError(g.t, g.kept.Send(standin.Job(id, "view", patience, "x")))
-	status, _, err := g.kept.Answer(patience)
+	require.NoError(g.t, g.kept.Send(standin.RequestText(id, "view", patience, "x")))
+	status, _, err := g.kept.ReadAnswer(patience)
 	require.NoError(g.t, err)
 	assert.Equal(g.t, 200, status)
 }
--- a/cmd/weldtrial/judged.go
+++ b/cmd/weldtrial/judged.go
@@ -67,7 +67,7 @@
 			return
 		}
 		time.Sleep(p.Job)
-		standin.Done(r, c)
+		standin.WriteAnswer(r, c)
 	}
 	bad, err := standin.StartWorker(config)
 	if err != nil {
@@ -100,11 +100,11 @@
 	var sum standin.Tally
 	play := func(name string, span time.Duration) {
 		for i := range all {
-			kind := standin.Kind{Share: 0.5, Task: standin.Task{Run: p.Job}, Budget: 5 * time.Second, Body: 50, Within: time.Second}
+			kind := standin.JobKind{Share: 0.5, Task: standin.Task{Run: p.Job}, Budget: 5 * time.Second, Body: 50, Within: time.Second}
 			view, send := kind, kind
 			view.Class, send.Class = "view", "send"
 			l := standin.Load{Target: host(i, 7400), Seed: args.Seed + uint64(i), Name: fmt.Sprint(name, i, "-"), Rate: p.Rate, For: span,
-				Kinds: []standin.Kind{view, send}, Idle: 8}
+				Kinds: []standin.JobKind{view, send}, Idle: 8}
 			load.Go(func() {
 				t := l.Run(ctx)
 				mu.Lock()
--- a/cmd/weldtrial/main.go
+++ b/cmd/weldtrial/main.go
@@ -61,7 +61,7 @@
 }
 
 // start starts the scheduler and waits until it is ready. The operator's file may be "".
-func (a *cli) start(ctx context.Context, site standin.Site, file string) (*scheduler, error) {
+func (a *cli) start(ctx context.Context, site standin.SchedulerConfig, file string) (*scheduler, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -73,7 +73,7 @@
 		return nil, err
 	}
 	conf := filepath.Join(s.dir, "config.json")
-	if err := os.WriteFile(conf, site.Config(), 0o600); err != nil {
+	if err := os.WriteFile(conf, site.JSON(), 0o600); err != nil {
 		return nil, err
 	}
 	s.cmd = exec.Command(a.Scheduler)
--- a/cmd/weldtrial/services.go
+++ b/cmd/weldtrial/services.go
@@ -85,7 +85,7 @@
 		fmt.Fprintf(&file, "service \"idle%d\" {\n  match { host = \"idle%d.example.org\" }\n  workers {\n    worker \"w\" { address = \"127.0.0.1:9\" }\n  }\n"+
 			"  class \"view\" { effect = \"safe\" }\n}\n", i, i)
 	}
-	s, err := args.start(ctx, standin.Site{Discovery: fleets[0].Discovery.Addr(), Known: fleets[0].Discovery.Known()}, file.String())
+	s, err := args.start(ctx, standin.SchedulerConfig{Discovery: fleets[0].Discovery.Addr(), Known: fleets[0].Discovery.Known()}, file.String())
 	if err != nil {
 		return nil, 0, 0, err
 	}
@@ -100,7 +100,7 @@
 	before := s.cpu()
 	for i, name := range serviceNames {
 		l := standin.Load{Target: s.addr, Host: name + ".example.org", Name: name, Seed: args.Seed + uint64(i), For: args.For, Rate: p.Rate,
-			From: fmt.Sprintf("127.0.%d.1", i+1), Kinds: []standin.Kind{{Class: "view", Share: 1, Task: standin.Task{Run: p.Job},
+			From: fmt.Sprintf("127.0.%d.1", i+1), Kinds: []standin.JobKind{{Class: "view", Share: 1, Task: standin.Task{Run: p.Job},
 				Budget: 2 * time.Second, Within: p.Within, Body: 200}}}
 		if i == 0 {
 			l.Rate = rate
--- a/cmd/weldtrial/shared.go
+++ b/cmd/weldtrial/shared.go
@@ -208,7 +208,7 @@
 // ask asks one scheduler for jobs at an even pace, whatever becomes of the earlier ones.
 func (p *shared) ask(ctx context.Context, i int, addr string, rate float64, log *faults.Log) {
 	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
-	kind := &standin.Kind{Class: "view", Budget: 2 * time.Second, Body: 50}
+	kind := &standin.JobKind{Class: "view", Budget: 2 * time.Second, Body: 50}
 	slots := make(chan struct{}, 64)
 	var out sync.WaitGroup
 	defer out.Wait()
@@ -223,7 +223,7 @@
 		select {
 		case slots <- struct{}{}:
 			out.Go(func() {
-				if status, _, err := standin.Ask(client, addr, addr, fmt.Sprint("s", i, "-", n), kind); err == nil && status == 200 {
+				if status, _, err := standin.SendJob(client, addr, addr, fmt.Sprint("s", i, "-", n), kind); err == nil && status == 200 {
 					log.Add(addr, "begun", 1, "")
 				}
 				<-slots
--- a/cmd/weldtrial/slow.go
+++ b/cmd/weldtrial/slow.go
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	s, err := args.start(ctx, standin.Site{Discovery: f.Discovery.Addr(), Known: f.Discovery.Known(), Sockets: descriptors,
+	s, err := args.start(ctx, standin.SchedulerConfig{Discovery: f.Discovery.Addr(), Known: f.Discovery.Known(), Sockets: descriptors,
 		MemoryMB: p.MemoryMB}, lineFile)
 	if err != nil {
 		return nil, err
@@ -103,13 +103,13 @@
 	var all sync.WaitGroup
 	over, stop := context.WithTimeout(ctx, args.For)
 	defer stop()
-	normal := standin.Kind{Class: "view", Share: 1, Task: standin.Task{Run: p.Job}, Budget: 5 * time.Second, Within: p.Within, Body: 200}
+	normal := standin.JobKind{Class: "view", Share: 1, Task: standin.Task{Run: p.Job}, Budget: 5 * time.Second, Within: p.Within, Body: 200}
 	if slow {
 		reads := normal
 		reads.Task = standin.Task{Run: time.Millisecond, Size: p.Answer} // what they cost is their reading
 		drags := normal
 		drags.Body = 60000
-		crowds := []standin.Slow{
+		crowds := []standin.SlowClients{
 			{Name: "s", From: "127.0.9.1", Peers: p.Senders, Kind: drags, Send: p.Send, Again: p.Again},
 			{Name: "r", From: "127.0.10.1", Peers: p.Readers, Kind: reads, Read: p.Read, Again: p.Again}}
 		for _, c := range crowds {
@@ -120,7 +120,7 @@
 	// Honest lines: a branch at 10 KB/s both ways, one just above the usual least rate, and a known slow one.
 	small := normal
 	small.Body, small.Task.Size = 8000, 8000
-	honest := []standin.Slow{{From: "127.0.4.1", Send: 10000, Read: 10000}, {From: "127.0.5.1", Send: 4200, Read: 4200},
+	honest := []standin.SlowClients{{From: "127.0.4.1", Send: 10000, Read: 10000}, {From: "127.0.5.1", Send: 4200, Read: 4200},
 		{From: "127.0.3.1", Send: 1100, Read: 1100}}
 	var mu sync.Mutex
 	for i, c := range honest {
@@ -134,7 +134,7 @@
 		})
 	}
 	before := s.cpu()
-	r.normal = standin.Load{Target: s.addr, From: "127.0.1.1", Name: "n", Seed: args.Seed, Kinds: []standin.Kind{normal},
+	r.normal = standin.Load{Target: s.addr, From: "127.0.1.1", Name: "n", Seed: args.Seed, Kinds: []standin.JobKind{normal},
 		For: args.For, Rate: p.Rate}.Run(ctx)
 	r.cpu = s.cpu() - before
 	r.memory = s.memory()
--- a/cmd/weldtrial/twin.go
+++ b/cmd/weldtrial/twin.go
@@ -93,7 +93,7 @@
 	for _, b := range boxes {
 		defer b.Close()
 	}
-	site := standin.Site{Discovery: discovery.Addr(), Known: discovery.Known(), Zones: s.Zones, Nodes: s.Schedulers,
+	site := standin.SchedulerConfig{Discovery: discovery.Addr(), Known: discovery.Known(), Zones: s.Zones, Nodes: s.Schedulers,
 		ColdSpan: time.Duration(s.ColdSpan) * time.Microsecond}
 	for _, c := range s.Classes {
 		effect := "read_like" // keyed ones too: boxes here remember no keys
@@ -133,7 +133,7 @@
 		case emulator.BoxRestarted:
 			b.Restart()
 		case emulator.BoxSlowed:
-			b.Slow(h.Slowdown)
+			b.SetSlowdown(h.Slowdown)
 		case emulator.BoxListed:
 			status := map[decide.State]string{decide.Ready: "SERVING", decide.Draining: "DRAINING", decide.Gone: "DELETED"}[h.State]
 			time.AfterFunc(time.Duration(s.ListDelay)*5/4*time.Microsecond, func() { discovery.Set(b.Entry(status)) })
@@ -167,13 +167,13 @@
 func (t *twinTally) ask(client *http.Client, addr, id string, s *emulator.Script, h emulator.ExternalEvent) {
 	c := &s.Classes[h.Class]
 	aim := time.Duration(c.Terms.Aim+decide.Time(c.Terms.Stretch*float64(h.Work))) * time.Microsecond
-	k := &standin.Kind{Class: c.Name, Budget: time.Duration(c.Terms.Deadline) * time.Microsecond, Body: 200,
+	k := &standin.JobKind{Class: c.Name, Budget: time.Duration(c.Terms.Deadline) * time.Microsecond, Body: 200,
 		Task: standin.Task{Run: time.Duration(h.Work) * time.Microsecond, Slots: h.Slots}}
 	worth := c.Terms.Worth * float64(h.Work) / 1e6
 	began := time.Now()
 	status := 0
 	for try := 0; try <= s.Retries; try++ {
-		status, _, _ = standin.Ask(client, addr, "", fmt.Sprint(id, "-", try), k)
+		status, _, _ = standin.SendJob(client, addr, "", fmt.Sprint(id, "-", try), k)
 		if status == 200 || time.Since(began) > aim {
 			break
 		}
--- a/cmd/weldtrial/upgrades.go
+++ b/cmd/weldtrial/upgrades.go
@@ -104,8 +104,8 @@
 	}
 	defer os.RemoveAll(dir)
 	config := filepath.Join(dir, "config.json")
-	site := standin.Site{Listen: ln.Addr().String(), Discovery: fleet.Discovery.Addr(), Known: fleet.Discovery.Known()}
-	if err := os.WriteFile(config, site.Config(), 0o600); err != nil {
+	site := standin.SchedulerConfig{Listen: ln.Addr().String(), Discovery: fleet.Discovery.Addr(), Known: fleet.Discovery.Known()}
+	if err := os.WriteFile(config, site.JSON(), 0o600); err != nil {
 		return err
 	}
 	now, err := p.run(args, dir, config, socket)
@@ -119,7 +119,7 @@
 	var tally *standin.Tally
 	var load sync.WaitGroup
 	load.Go(func() {
-		tally = standin.Load{Target: ln.Addr().String(), Name: "u", Seed: args.Seed, For: args.For, Rate: p.Rate, Kinds: []standin.Kind{
+		tally = standin.Load{Target: ln.Addr().String(), Name: "u", Seed: args.Seed, For: args.For, Rate: p.Rate, Kinds: []standin.JobKind{
 			{Class: "view", Share: 0.9, Task: standin.Task{Run: p.Job}, Budget: 9 * time.Second, Body: 200},
 			{Class: "send", Share: 0.1, Task: standin.Task{Run: p.Long}, Budget: 9 * time.Second, Body: 200}}}.Run(ctx)
 	})
@@ -159,7 +159,7 @@
 	load.Wait()
 	seen, twice := map[string]bool{}, 0
 	for _, w := range fleet.Workers {
-		for _, s := range w.Seen() {
+		for _, s := range w.ReceivedJobs() {
 			if seen[s.ID] && !s.Full {
 				twice++
 			}
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -89,22 +89,22 @@
 	d.news = make(chan struct{})
 }
 
-// Take has f see each call first, by its number from 1 on; where it returns true it has answered, or not, as it likes.
-func (d *Discovery) Take(f func(n int, w http.ResponseWriter, r *http.Request) bool) {
+// Intercept has f see each call first, by its number from 1 on; where it returns true it has answered, or not, as it likes.
+func (d *Discovery) Intercept(f func(n int, w http.ResponseWriter, r *http.Request) bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.take = f
 }
 
-// CalledAt returns when each call came.
-func (d *Discovery) CalledAt() []time.Time {
+// CallTimes returns when each call came.
+func (d *Discovery) CallTimes() []time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]time.Time(nil), d.at...)
 }
 
-// Down makes every call fail with 503 until it is lifted; watches that are held fail too.
-func (d *Discovery) Down(down bool) {
+// SetDown makes every call fail with 503 until it is lifted; watches that are held fail too.
+func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = down
@@ -191,8 +191,8 @@
 	DeadlineUS int64 `json:"deadline_us"`
 }
 
-// Site is what a scheduler is started with.
-type Site struct {
+// SchedulerConfig is what a scheduler is started with.
+type SchedulerConfig struct {
 	Name      string // "n0"
 	Listen    string // "127.0.0.1:0"
 	Discovery string
@@ -213,8 +213,8 @@
 		{Name: "send", Effect: "non_idempotent", Aim: 5 * time.Second, Deadline: 9 * time.Second, Worth: 1, Stretch: 2}}
 }
 
-// Config is the site as the file that GW_CONFIG names.
-func (s Site) Config() []byte {
+// JSON is the configuration as the file that GW_CONFIG names.
+func (s SchedulerConfig) JSON() []byte {
 	def := func(v *string, otherwise string) {
 		if *v == "" {
 			*v = otherwise
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -16,8 +16,8 @@
 
 // This file owns the clients: open and closed loops of jobs, and the books of how those ended.
 
-// Kind is one kind of job in a Load.
-type Kind struct {
+// JobKind is one kind of job in a Load.
+type JobKind struct {
 	Class  string
 	Share  float64 // of all jobs; those of all kinds together count as 1
 	Task   Task
@@ -33,7 +33,7 @@
 	From   string // the loopback address that they come from; "": the system's choice
 	Seed   uint64
 	Name   string // starts the ids of their jobs
-	Kinds  []Kind
+	Kinds  []JobKind
 	For    time.Duration
 	// Rate is how many jobs a second arrive, whatever becomes of the earlier ones (an open loop with exponential
 	// gaps). With a rate of 0, Clients clients send one job after the other each (a closed loop).
@@ -139,7 +139,7 @@
 	}
 }
 
-func (c *crowd) draw(rng *rand.Rand) *Kind {
+func (c *crowd) draw(rng *rand.Rand) *JobKind {
 	at := rng.Float64()
 	for i := range c.Kinds {
 		if at -= c.Kinds[i].Share; at < 0 {
@@ -150,8 +150,8 @@
 }
 
 // one sends one job and books its end; it reports whether it was served.
-func (c *crowd) one(id string, k *Kind, due time.Time) bool {
-	status, body, err := Ask(c.client, c.Target, c.Host, id, k)
+func (c *crowd) one(id string, k *JobKind, due time.Time) bool {
+	status, body, err := SendJob(c.client, c.Target, c.Host, id, k)
 	took := time.Since(due)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -178,8 +178,8 @@
 	return err == nil && status == 200
 }
 
-// Ask sends one job and returns status and body of its answer. A host of "" is the target's.
-func Ask(client *http.Client, target, host, id string, k *Kind) (int, string, error) {
+// SendJob sends one job and returns status and body of its answer. A host of "" is the target's.
+func SendJob(client *http.Client, target, host, id string, k *JobKind) (int, string, error) {
 	r, err := http.NewRequest("POST", "http://"+target+"/api/1?"+k.Task.Query(), strings.NewReader(strings.Repeat("x", k.Body)))
 	if err != nil {
 		return 0, "", err
--- a/internal/standin/moments.go
+++ b/internal/standin/moments.go
@@ -14,8 +14,8 @@
 // This file owns the means by which a test causes a moment: points at which a stand-in waits until it is let go on, and a
 // client of which every byte and every end is the test's. It must never let time pass in the hope that something happens.
 
-// Stops are named points of a stand-in. A nil one stops nowhere.
-type Stops struct {
+// SyncPoints are named points of a stand-in. A nil one stops nowhere.
+type SyncPoints struct {
 	mu     sync.Mutex
 	points map[string]*stop
 }
@@ -25,7 +25,7 @@
 	reached chan struct{}
 }
 
-func (s *Stops) point(name string) *stop {
+func (s *SyncPoints) point(name string) *stop {
 	if s.points == nil {
 		s.points = map[string]*stop{}
 	}
@@ -35,8 +35,8 @@
 	return s.points[name]
 }
 
-// Hold stops whoever comes to the point from now on, until Free.
-func (s *Stops) Hold(name string) {
+// Hold stops whoever comes to the point from now on, until Release.
+func (s *SyncPoints) Hold(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p := s.point(name); p.held == nil {
@@ -44,8 +44,8 @@
 	}
 }
 
-// Free lets go on whoever waits at the point, and lets through whoever comes.
-func (s *Stops) Free(name string) {
+// Release lets go on whoever waits at the point, and lets through whoever comes.
+func (s *SyncPoints) Release(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p := s.point(name); p.held != nil {
@@ -55,16 +55,16 @@
 }
 
 // Reached tells of each arrival at a point while it was held.
-func (s *Stops) Reached(name string) <-chan struct{} {
+func (s *SyncPoints) Reached(name string) <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.point(name).reached
 }
 
-// At waits at the point while it is held. For parties that a test plays itself.
-func (s *Stops) At(name string) { s.at(name) }
+// Wait waits at the point while it is held. For parties that a test plays itself.
+func (s *SyncPoints) Wait(name string) { s.at(name) }
 
-func (s *Stops) at(name string) {
+func (s *SyncPoints) at(name string) {
 	if s == nil {
 		return
 	}
@@ -82,23 +82,23 @@
 	<-held
 }
 
-// Caller is one connection of a client.
-type Caller struct {
+// ClientConn is one connection of a client.
+type ClientConn struct {
 	c  *net.TCPConn
 	in *bufio.Reader
 }
 
-// Call opens a connection.
-func Call(addr string) (*Caller, error) {
+// Dial opens a connection.
+func Dial(addr string) (*ClientConn, error) {
 	c, err := net.DialTimeout("tcp", addr, 10*time.Second)
 	if err != nil {
 		return nil, err
 	}
-	return &Caller{c.(*net.TCPConn), bufio.NewReader(c)}, nil
+	return &ClientConn{c.(*net.TCPConn), bufio.NewReader(c)}, nil
 }
 
-// Job is the bytes of a request.
-func Job(id, class string, budget time.Duration, body string, fields ...string) string {
+// RequestText is the bytes of a request.
+func RequestText(id, class string, budget time.Duration, body string, fields ...string) string {
 	more := strings.Join(fields, "\r\n")
 	if more != "" {
 		more += "\r\n"
@@ -108,25 +108,25 @@
 }
 
 // Send writes bytes.
-func (c *Caller) Send(text string) error {
+func (c *ClientConn) Send(text string) error {
 	_, err := io.WriteString(c.c, text)
 	return err
 }
 
 // HalfClose ends the sending and goes on reading.
-func (c *Caller) HalfClose() { _ = c.c.CloseWrite() }
+func (c *ClientConn) HalfClose() { _ = c.c.CloseWrite() }
 
 // Close ends the connection.
-func (c *Caller) Close() { _ = c.c.Close() }
+func (c *ClientConn) Close() { _ = c.c.Close() }
 
 // Reset breaks it.
-func (c *Caller) Reset() {
+func (c *ClientConn) Reset() {
 	_ = c.c.SetLinger(0)
 	_ = c.c.Close()
 }
 
-// Answer reads one answer.
-func (c *Caller) Answer(patience time.Duration) (status int, body string, err error) {
+// ReadAnswer reads one answer.
+func (c *ClientConn) ReadAnswer(patience time.Duration) (status int, body string, err error) {
 	_ = c.c.SetReadDeadline(time.Now().Add(patience))
 	r, err := http.ReadResponse(c.in, nil)
 	if err != nil {
@@ -137,8 +137,8 @@
 	return r.StatusCode, string(b), err
 }
 
-// Some reads so many bytes and takes no more.
-func (c *Caller) Some(n int) error {
+// ReadN reads so many bytes and takes no more.
+func (c *ClientConn) ReadN(n int) error {
 	_ = c.c.SetReadBuffer(4 << 10)
 	_, err := io.ReadFull(c.c, make([]byte, n))
 	return err
--- a/internal/standin/slow.go
+++ b/internal/standin/slow.go
@@ -17,13 +17,13 @@
 
 // This file owns the peers that are slow: they send a few bytes at a time, or read so, on purpose or by a poor line.
 
-// Slow is a crowd of clients at the end of a slow line. Each brings one request after the other.
-type Slow struct {
+// SlowClients is a crowd of clients at the end of a slow line. Each brings one request after the other.
+type SlowClients struct {
 	Target string
 	From   string // the loopback address that they come from; "": the system's choice
 	Name   string // starts the ids of their jobs
 	Peers  int
-	Kind   Kind // of their jobs; Kind.Body is what a sender drags out, Kind.Task.Size what a reader does
+	Kind   JobKind // of their jobs; Kind.Body is what a sender drags out, Kind.Task.Size what a reader does
 	// Send and Read are bytes a second; 0: as fast as it goes.
 	Send, Read float64
 	// Every is how often a peer sends or reads a piece; 0: ten times a second.
@@ -52,7 +52,7 @@
 }
 
 // Run plays the crowd until the context ends, or until each peer has ended by itself.
-func (s Slow) Run(ctx context.Context) *SlowTally {
+func (s SlowClients) Run(ctx context.Context) *SlowTally {
 	t := &SlowTally{Answered: map[int]int{}}
 	if s.Every == 0 {
 		s.Every = 100 * time.Millisecond
@@ -84,7 +84,7 @@
 }
 
 // connection plays one connection to its end and reports whether the peer goes on at once.
-func (s Slow) connection(ctx context.Context, id string, t *SlowTally, mu *sync.Mutex) bool {
+func (s SlowClients) connection(ctx context.Context, id string, t *SlowTally, mu *sync.Mutex) bool {
 	note := func(f func()) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -150,7 +150,7 @@
 }
 
 // send writes one request at the crowd's pace.
-func (s Slow) send(c net.Conn, id string) error {
+func (s SlowClients) send(c net.Conn, id string) error {
 	info := ""
 	if s.Kind.Task.Run > 0 {
 		info = fmt.Sprintf("X-Call-Cost: %d\r\n", s.Kind.Task.Run.Microseconds())
@@ -177,7 +177,7 @@
 // dragged reads from a connection at the crowd's pace.
 type dragged struct {
 	net.Conn
-	s    Slow
+	s    SlowClients
 	seen int
 }
 
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -62,11 +62,11 @@
 	Receive int
 	// Stops, if set, are where it waits until it is let go on: "accepted", "probe" (before the answer), "job" (whole, and
 	// not yet noted).
-	Stops *Stops
+	Stops *SyncPoints
 }
 
-// Seen is one job that reached a worker whole.
-type Seen struct {
+// ReceivedJob is one job that reached a worker whole.
+type ReceivedJob struct {
 	ID      string
 	At      time.Time
 	Started time.Time // zero: it has not
@@ -87,7 +87,7 @@
 	free  int
 	queue []*waiting
 	shots []shot // states, the latest last
-	seen  []Seen
+	seen  []ReceivedJob
 	asked int // probes
 }
 
@@ -160,8 +160,8 @@
 	w.breakAll()
 }
 
-// Slow makes it run that many times slower from here on; 1 is usual.
-func (w *Worker) Slow(times float64) {
+// SetSlowdown makes it run that many times slower from here on; 1 is usual.
+func (w *Worker) SetSlowdown(times float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.slow = times
@@ -199,17 +199,17 @@
 	}
 }
 
-// Seen returns the jobs that have come, in order of arrival.
-func (w *Worker) Seen() []Seen {
+// ReceivedJobs returns the jobs that have come, in order of arrival.
+func (w *Worker) ReceivedJobs() []ReceivedJob {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]Seen(nil), w.seen...)
+	return append([]ReceivedJob(nil), w.seen...)
 }
 
 // IDs returns the call ids of the jobs that have come, in order of arrival.
 func (w *Worker) IDs() []string {
 	ids := []string{}
-	for _, s := range w.Seen() {
+	for _, s := range w.ReceivedJobs() {
 		ids = append(ids, s.ID)
 	}
 	return ids
@@ -271,7 +271,7 @@
 		}
 		w.c.Stops.at("job")
 		w.mu.Lock()
-		w.seen = append(w.seen, Seen{ID: r.Header.Get("X-Call-Id"), At: time.Now()})
+		w.seen = append(w.seen, ReceivedJob{ID: r.Header.Get("X-Call-Id"), At: time.Now()})
 		n := len(w.seen) - 1
 		w.mu.Unlock()
 		if w.c.Answer != nil {
@@ -359,19 +359,19 @@
 	return b
 }
 
-// Done writes the whole answer of a job that was started and done.
-func Done(r *http.Request, c net.Conn) {
-	Start(r, c)
-	Finish(r, c)
+// WriteAnswer writes the whole answer of a job that was started and done.
+func WriteAnswer(r *http.Request, c net.Conn) {
+	WriteStarted(r, c)
+	WriteDone(r, c)
 }
 
-// Start writes the answer of a job as far as its start.
-func Start(r *http.Request, c net.Conn) {
+// WriteStarted writes the answer of a job as far as its start.
+func WriteStarted(r *http.Request, c net.Conn) {
 	_, _ = c.Write(AppendLines([]byte(responseHead), fmt.Sprintf(`{"id":%q,"state":"started"}`, r.Header.Get("X-Call-Id"))))
 }
 
-// Finish writes the rest.
-func Finish(r *http.Request, c net.Conn) {
+// WriteDone writes the rest.
+func WriteDone(r *http.Request, c net.Conn) {
 	id := r.Header.Get("X-Call-Id")
 	_, _ = c.Write(append(AppendLines(nil, fmt.Sprintf(`{"id":%q,"state":"done","result":%q}`, id, Result(id, 0))), "0\r\n\r\n"...))
 }
