--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// This file owns discovery and the configuration that a scheduler is started with.
+// This file implements the stand-in of the discovery service, and the configuration that a scheduler is started with.
 
-// Entry is a worker as discovery names it.
+// Entry describes a worker as discovery lists it.
 type Entry struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -25,116 +25,116 @@
 
 // Discovery is a running stand-in of the discovery service.
 type Discovery struct {
-	srv   *http.Server
-	addr  string
-	stop  chan struct{}
-	mu    sync.Mutex
-	index int64
-	list  []listed
-	news  chan struct{} // closed with each change
-	calls []string
-	at    []time.Time // of each
-	down  bool
-	take  func(n int, w http.ResponseWriter, r *http.Request) bool
+	server    *http.Server
+	addr      string
+	stop      chan struct{}
+	mu        sync.Mutex
+	version   int64
+	entries   []versionedEntry
+	changed   chan struct{} // closed and replaced at each change
+	queries   []string      // the raw query of each call
+	callTimes []time.Time   // when each call came
+	down      bool
+	intercept func(n int, w http.ResponseWriter, r *http.Request) bool
 }
 
-type listed struct {
+type versionedEntry struct {
 	Entry
-	index int64 // of its last change
+	version int64 // of the list at the last change to the entry
 }
 
-// StartDiscovery starts one that names these workers. Close ends it.
+// StartDiscovery starts a discovery service that lists these workers. Close stops it.
 func StartDiscovery(entries ...Entry) (*Discovery, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{addr: ln.Addr().String(), stop: make(chan struct{}), news: make(chan struct{}), index: 1}
+	d := &Discovery{addr: ln.Addr().String(), stop: make(chan struct{}), changed: make(chan struct{}), version: 1}
 	d.Set(entries...)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/targets", d.serve)
-	d.srv = &http.Server{Handler: mux}
-	go func() { _ = d.srv.Serve(ln) }()
+	d.server = &http.Server{Handler: mux}
+	go func() { _ = d.server.Serve(ln) }()
 	return d, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that it listens on.
 func (d *Discovery) Addr() string { return d.addr }
 
-// Close ends it, with the watches that it holds.
+// Close stops the service and the long polls that are open.
 func (d *Discovery) Close() {
 	close(d.stop)
-	d.srv.Close()
+	d.server.Close()
 }
 
-// Set changes or adds entries, by name, and tells the watches.
+// Set adds entries or replaces those of the same name, and answers the open long polls.
 func (d *Discovery) Set(entries ...Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.index++
+	d.version++
 	for _, e := range entries {
-		at := -1
-		for i := range d.list {
-			if d.list[i].Name == e.Name {
-				at = i
+		index := -1
+		for i := range d.entries {
+			if d.entries[i].Name == e.Name {
+				index = i
 			}
 		}
-		if at < 0 {
-			at = len(d.list)
-			d.list = append(d.list, listed{})
+		if index < 0 {
+			index = len(d.entries)
+			d.entries = append(d.entries, versionedEntry{})
 		}
-		d.list[at] = listed{e, d.index}
+		d.entries[index] = versionedEntry{e, d.version}
 	}
-	close(d.news)
-	d.news = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// Intercept has f see each call first, by its number from 1 on; where it returns true it has answered, or not, as it likes.
+// Intercept passes each call to f first, with its number from 1 on. If f returns true, the call is done, answered or not.
 func (d *Discovery) Intercept(f func(n int, w http.ResponseWriter, r *http.Request) bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.take = f
+	d.intercept = f
 }
 
-// CallTimes returns when each call came.
+// CallTimes returns the arrival time of each call so far.
 func (d *Discovery) CallTimes() []time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]time.Time(nil), d.at...)
+	return append([]time.Time(nil), d.callTimes...)
 }
 
-// SetDown makes every call fail with 503 until it is lifted; watches that are held fail too.
+// SetDown makes every call fail with 503, open long polls too, until it is called with false.
 func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = down
-	close(d.news)
-	d.news = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
 // Calls returns the query of each call so far.
 func (d *Discovery) Calls() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]string(nil), d.calls...)
+	return append([]string(nil), d.queries...)
 }
 
-// Known is the list as a scheduler's configuration carries it.
+// Known returns the whole list, as a scheduler's configuration contains it.
 func (d *Discovery) Known() json.RawMessage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.answer(0)
+	return d.changesAfter(0)
 }
 
-// answer is the list of what changed after that version; of 0, the whole. mu is held.
-func (d *Discovery) answer(from int64) json.RawMessage {
+// changesAfter returns the entries that changed after a version, or the whole list for version 0. The caller holds mu.
+func (d *Discovery) changesAfter(version int64) json.RawMessage {
 	out := struct {
 		Index     int64   `json:"index"`
 		Snapshot  bool    `json:"snapshot"`
 		Endpoints []Entry `json:"endpoints"`
-	}{d.index, from == 0, []Entry{}}
-	for _, e := range d.list {
-		if e.index > from && (from > 0 || e.Status != "DELETED") {
+	}{d.version, version == 0, []Entry{}}
+	for _, e := range d.entries {
+		if e.version > version && (version > 0 || e.Status != "DELETED") {
 			out.Endpoints = append(out.Endpoints, e.Entry)
 		}
 	}
@@ -144,29 +144,29 @@
 
 func (d *Discovery) serve(w http.ResponseWriter, r *http.Request) {
 	from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
-	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-	limit := time.NewTimer(time.Duration(hold) * time.Millisecond)
-	defer limit.Stop()
+	holdMS, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
+	timeout := time.NewTimer(time.Duration(holdMS) * time.Millisecond)
+	defer timeout.Stop()
 	d.mu.Lock()
-	d.calls, d.at = append(d.calls, r.URL.RawQuery), append(d.at, time.Now())
-	if take, n := d.take, len(d.calls); take != nil {
+	d.queries, d.callTimes = append(d.queries, r.URL.RawQuery), append(d.callTimes, time.Now())
+	if intercept, n := d.intercept, len(d.queries); intercept != nil {
 		d.mu.Unlock()
-		if take(n, w, r) {
+		if intercept(n, w, r) {
 			return
 		}
 		d.mu.Lock()
 	}
-	for held := true; held && !d.down && from > 0 && d.index <= from; {
-		news := d.news
+	for waiting := true; waiting && !d.down && from > 0 && d.version <= from; {
+		changed := d.changed
 		d.mu.Unlock()
 		select {
-		case <-news:
-		case <-limit.C:
-			held = false
+		case <-changed:
+		case <-timeout.C:
+			waiting = false
 		case <-r.Context().Done():
-			held = false
+			waiting = false
 		case <-d.stop:
-			held = false
+			waiting = false
 		}
 		d.mu.Lock()
 	}
@@ -175,7 +175,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	_, _ = w.Write(d.answer(from))
+	_, _ = w.Write(d.changesAfter(from))
 }
 
 // Class is a class of jobs in a scheduler's settings.
@@ -191,37 +191,37 @@
 	DeadlineUS int64 `json:"deadline_us"`
 }
 
-// SchedulerConfig is what a scheduler is started with.
+// SchedulerConfig is the configuration that a scheduler is started with. A zero field means the default in its comment.
 type SchedulerConfig struct {
-	Name      string // "n0"
-	Listen    string // "127.0.0.1:0"
+	Name      string // default "n0"
+	Listen    string // default "127.0.0.1:0"
 	Discovery string
-	Classes   []Class // Classes()
-	MemoryMB  int     // 192
-	Sockets   int     // 1024
+	Classes   []Class // default Classes()
+	MemoryMB  int     // default 192
+	Sockets   int     // default 1024
 	Known     json.RawMessage
-	Pushed    bool          // lists are pushed: Discovery is an agent
-	Zones     []string      // "here"
-	Zone      int           // the scheduler's
-	Nodes     int           // 1
-	ColdSpan  time.Duration // 10 minutes: a worker once cold stays so for the length of a test
+	Pushed    bool          // lists are pushed: Discovery is the address of an agent
+	Zones     []string      // default "here"
+	Zone      int           // index of the scheduler's zone in Zones
+	Nodes     int           // how many schedulers there are; default 1
+	ColdSpan  time.Duration // default 10 minutes, so that a restarted worker stays cold until a test ends
 }
 
-// Classes are two: view may be repeated, send must never run twice.
+// Classes returns the two default classes: view may be repeated, send must never run twice.
 func Classes() []Class {
 	return []Class{{Name: "view", Effect: "read_like", Aim: 5 * time.Second, Deadline: 9 * time.Second, Worth: 1, Stretch: 2},
 		{Name: "send", Effect: "non_idempotent", Aim: 5 * time.Second, Deadline: 9 * time.Second, Worth: 1, Stretch: 2}}
 }
 
-// JSON is the configuration as the file that GW_CONFIG names.
+// JSON returns the content of the file that GW_CONFIG names.
 func (s SchedulerConfig) JSON() []byte {
-	def := func(v *string, otherwise string) {
+	setDefault := func(v *string, value string) {
 		if *v == "" {
-			*v = otherwise
+			*v = value
 		}
 	}
-	def(&s.Name, "n0")
-	def(&s.Listen, "127.0.0.1:0")
+	setDefault(&s.Name, "n0")
+	setDefault(&s.Listen, "127.0.0.1:0")
 	if s.MemoryMB == 0 {
 		s.MemoryMB = 192
 	}
@@ -244,16 +244,16 @@
 	for i := range classes {
 		classes[i].AimUS, classes[i].DeadlineUS = classes[i].Aim.Microseconds(), classes[i].Deadline.Microseconds()
 	}
-	how := "subscribe"
+	mode := "subscribe"
 	if s.Pushed {
-		how = "automatic"
+		mode = "automatic"
 	}
 	type m = map[string]any
 	text, _ := json.Marshal(m{
 		"name": s.Name, "listen": s.Listen, "discovery": s.Discovery, "seed": "1", "known": s.Known,
 		"limits": m{"cores": 1, "memory_mb": s.MemoryMB, "sockets": s.Sockets},
 		"settings": m{
-			"balancers": max(1, s.Nodes), "zone": s.Zone, "zones": s.Zones, "kinds": []string{"box"}, "discovery": how,
+			"balancers": max(1, s.Nodes), "zone": s.Zone, "zones": s.Zones, "kinds": []string{"box"}, "discovery": mode,
 			"resolution_us": 4000,
 			"limits": m{"probes": true, "cancel": true, "max_attempts": 4, "retry_after": true,
 				"max_retry_after_us": 2000000, "connect_timeout_us": 250000, "conn_idle_us": 10000000},
