--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -14,69 +14,69 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// This file owns the clients: open and closed loops of jobs, and the books of how those ended.
+// This file implements clients that send jobs in an open or closed loop, and counts how the jobs ended.
 
-// JobKind is one kind of job in a Load.
+// JobKind describes one kind of job in a Load.
 type JobKind struct {
 	Class  string
-	Share  float64 // of all jobs; those of all kinds together count as 1
+	Share  float64 // of all jobs; the shares of all kinds add up to 1
 	Task   Task
 	Body   int           // bytes of the request's body
 	Budget time.Duration // how long the client waits
-	Within time.Duration // an answer after that is late; 0: none is
+	Within time.Duration // a later answer is not in time; 0: every answer is in time
 }
 
-// Load is a crowd of clients with one target. The same seed gives the same jobs at the same times.
+// Load describes a group of clients with one target. The same seed gives the same jobs at the same times.
 type Load struct {
 	Target string // host:port
-	Host   string // of the Host field; "": the target
-	From   string // the loopback address that they come from; "": the system's choice
+	Host   string // the Host header field; "": the target
+	From   string // the clients' loopback address; "": the system's choice
 	Seed   uint64
-	Name   string // starts the ids of their jobs
+	Name   string // prefix of the job ids
 	Kinds  []JobKind
 	For    time.Duration
-	// Rate is how many jobs a second arrive, whatever becomes of the earlier ones (an open loop with exponential
-	// gaps). With a rate of 0, Clients clients send one job after the other each (a closed loop).
+	// Rate is the jobs a second of an open loop, with exponential gaps that don't depend on how earlier jobs end. If it
+	// is 0, each of Clients clients sends one job after the other (a closed loop).
 	Rate    float64
 	Clients int
-	// Again is how long a client of a closed loop waits after a refusal; 0: not at all.
+	// Again is how long a client of a closed loop waits after a job that was not served; 0: not at all.
 	Again time.Duration
-	// Idle bounds the connections kept between jobs in an open loop; 0: 256.
+	// Idle limits the idle connections of an open loop; 0: 256.
 	Idle int
 }
 
-// Tally is how the jobs of a load ended. Latencies are in microseconds, from the time at which a job was due.
+// Tally counts how the jobs of a load ended. Latencies are in microseconds, from the time at which a job was due.
 type Tally struct {
-	Sent, Served, Refused, Failed, Broken int // Broken: no answer that could be read
-	Wrong                                 int // served with something else than its own result
-	InTime                                int // served within its kind's span
+	Sent, Served, Refused, Failed, Broken int // Broken: no answer, or an unreadable one
+	Wrong                                 int // served with a result other than the job's own
+	InTime                                int // served within JobKind.Within
 	Latency                               *hdrhistogram.Histogram
 	Took                                  time.Duration
-	Why                                   map[string]int // what was read in place of an answer
+	Why                                   map[string]int // how many jobs failed or broke, by reason
 }
 
-// InTimeShare is the part of all jobs that were served in time.
-func (r *Tally) InTimeShare() float64 { return float64(r.InTime) / float64(max(1, r.Sent)) }
+// InTimeShare returns the share of all jobs that were served in time.
+func (t *Tally) InTimeShare() float64 { return float64(t.InTime) / float64(max(1, t.Sent)) }
 
-// Quantile is a latency of the served jobs; q from 0 to 100.
-func (r *Tally) Quantile(q float64) time.Duration {
-	return time.Duration(r.Latency.ValueAtQuantile(q)) * time.Microsecond
+// Quantile returns a percentile of the served jobs' latency; q is from 0 to 100.
+func (t *Tally) Quantile(q float64) time.Duration {
+	return time.Duration(t.Latency.ValueAtQuantile(q)) * time.Microsecond
 }
 
-func (r *Tally) String() string {
+func (t *Tally) String() string {
 	return fmt.Sprintf("sent=%d served=%d refused=%d failed=%d broken=%d wrong=%d in_time=%.3f p50=%v p99=%v",
-		r.Sent, r.Served, r.Refused, r.Failed, r.Broken, r.Wrong, r.InTimeShare(), r.Quantile(50), r.Quantile(99))
+		t.Sent, t.Served, t.Refused, t.Failed, t.Broken, t.Wrong, t.InTimeShare(), t.Quantile(50), t.Quantile(99))
 }
 
-// crowd is a load that runs.
-type crowd struct {
+// loadRun is a running load.
+type loadRun struct {
 	Load
 	client *http.Client
 	mu     sync.Mutex
-	r      Tally
+	tally  Tally
 }
 
-// Run plays the load to its end, or until the context's, and returns its books once every job has ended.
+// Run sends the jobs until the load or the context ends. It returns the tally once every job has ended.
 func (l Load) Run(ctx context.Context) *Tally {
 	if l.Idle == 0 {
 		l.Idle = 256
@@ -85,33 +85,33 @@
 	if l.From != "" {
 		dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(l.From)}
 	}
-	tr := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: max(l.Idle, l.Clients),
+	transport := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: max(l.Idle, l.Clients),
 		MaxIdleConns: max(l.Idle, l.Clients), DisableCompression: true}
-	defer tr.CloseIdleConnections()
-	c := &crowd{Load: l, client: &http.Client{Transport: tr}}
-	c.r.Latency = hdrhistogram.New(1, (10 * time.Minute).Microseconds(), 3)
-	c.r.Why = map[string]int{}
+	defer transport.CloseIdleConnections()
+	r := &loadRun{Load: l, client: &http.Client{Transport: transport}}
+	r.tally.Latency = hdrhistogram.New(1, (10 * time.Minute).Microseconds(), 3)
+	r.tally.Why = map[string]int{}
 	began := time.Now()
 	ctx, stop := context.WithTimeout(ctx, l.For)
 	defer stop()
 	if l.Rate > 0 {
-		c.open(ctx, began)
+		r.runOpenLoop(ctx, began)
 	} else {
-		c.closed(ctx)
+		r.runClosedLoop(ctx)
 	}
-	c.r.Took = time.Since(began)
-	return &c.r
+	r.tally.Took = time.Since(began)
+	return &r.tally
 }
 
-func (c *crowd) open(ctx context.Context, began time.Time) {
-	rng := rand.New(rand.NewPCG(c.Seed, 1))
-	var all sync.WaitGroup
-	defer all.Wait()
+func (r *loadRun) runOpenLoop(ctx context.Context, began time.Time) {
+	rng := rand.New(rand.NewPCG(r.Seed, 1))
+	var jobs sync.WaitGroup
+	defer jobs.Wait()
 	due := began
 	for n := 0; ; n++ {
-		due = due.Add(time.Duration(rng.ExpFloat64() / c.Rate * float64(time.Second)))
-		kind := c.draw(rng)
-		if due.Sub(began) >= c.For {
+		due = due.Add(time.Duration(rng.ExpFloat64() / r.Rate * float64(time.Second)))
+		kind := r.pickKind(rng)
+		if due.Sub(began) >= r.For {
 			return
 		}
 		select {
@@ -120,65 +120,65 @@
 		case <-time.After(time.Until(due)):
 		}
 		at := due
-		all.Go(func() { c.one(fmt.Sprintf("%s%d-%d", c.Name, c.Seed, n), kind, at) })
+		jobs.Go(func() { r.runJob(fmt.Sprintf("%s%d-%d", r.Name, r.Seed, n), kind, at) })
 	}
 }
 
-func (c *crowd) closed(ctx context.Context) {
-	var all sync.WaitGroup
-	defer all.Wait()
-	for i := range c.Clients {
-		rng := rand.New(rand.NewPCG(c.Seed, uint64(i)+2))
-		all.Go(func() {
+func (r *loadRun) runClosedLoop(ctx context.Context) {
+	var clients sync.WaitGroup
+	defer clients.Wait()
+	for i := range r.Clients {
+		rng := rand.New(rand.NewPCG(r.Seed, uint64(i)+2))
+		clients.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				if !c.one(fmt.Sprintf("%s%d-%d-%d", c.Name, c.Seed, i, n), c.draw(rng), time.Now()) && c.Again > 0 {
-					time.Sleep(c.Again)
+				if !r.runJob(fmt.Sprintf("%s%d-%d-%d", r.Name, r.Seed, i, n), r.pickKind(rng), time.Now()) && r.Again > 0 {
+					time.Sleep(r.Again)
 				}
 			}
 		})
 	}
 }
 
-func (c *crowd) draw(rng *rand.Rand) *JobKind {
+func (r *loadRun) pickKind(rng *rand.Rand) *JobKind {
 	at := rng.Float64()
-	for i := range c.Kinds {
-		if at -= c.Kinds[i].Share; at < 0 {
-			return &c.Kinds[i]
+	for i := range r.Kinds {
+		if at -= r.Kinds[i].Share; at < 0 {
+			return &r.Kinds[i]
 		}
 	}
-	return &c.Kinds[len(c.Kinds)-1]
+	return &r.Kinds[len(r.Kinds)-1]
 }
 
-// one sends one job and books its end; it reports whether it was served.
-func (c *crowd) one(id string, k *JobKind, due time.Time) bool {
-	status, body, err := SendJob(c.client, c.Target, c.Host, id, k)
+// runJob sends one job and counts how it ends. It reports whether the job was served.
+func (r *loadRun) runJob(id string, k *JobKind, due time.Time) bool {
+	status, body, err := SendJob(r.client, r.Target, r.Host, id, k)
 	took := time.Since(due)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	r := &c.r
-	r.Sent++
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	t := &r.tally
+	t.Sent++
 	switch {
 	case err != nil:
-		r.Broken++
-		r.Why[err.Error()]++
+		t.Broken++
+		t.Why[err.Error()]++
 	case status == 200:
-		r.Served++
-		_ = r.Latency.RecordValue(max(1, took.Microseconds()))
+		t.Served++
+		_ = t.Latency.RecordValue(max(1, took.Microseconds()))
 		if body != Result(id, k.Task.Size) {
-			r.Wrong++
+			t.Wrong++
 		} else if k.Within == 0 || took <= k.Within {
-			r.InTime++
+			t.InTime++
 		}
 	case status == 503 || status == 429:
-		r.Refused++
+		t.Refused++
 	default:
-		r.Failed++
-		r.Why[fmt.Sprintf("%d %s", status, strings.TrimSpace(body))]++
+		t.Failed++
+		t.Why[fmt.Sprintf("%d %s", status, strings.TrimSpace(body))]++
 	}
 	return err == nil && status == 200
 }
 
-// SendJob sends one job and returns status and body of its answer. A host of "" is the target's.
+// SendJob sends one job and returns the status and body of the answer. An empty host means the target.
 func SendJob(client *http.Client, target, host, id string, k *JobKind) (int, string, error) {
 	r, err := http.NewRequest("POST", "http://"+target+"/api/1?"+k.Task.Query(), strings.NewReader(strings.Repeat("x", k.Body)))
 	if err != nil {
@@ -203,13 +203,13 @@
 	return resp.StatusCode, string(body), err
 }
 
-// Fleet is discovery with its workers.
+// Fleet is a discovery service with its workers.
 type Fleet struct {
 	Discovery *Discovery
 	Workers   []*Worker
 }
 
-// StartFleet starts n workers alike, named w0, w1 and so on, and a discovery that names them.
+// StartFleet starts n equal workers, named w0, w1 and so on, and a discovery service that lists them.
 func StartFleet(n int, c WorkerConfig) (*Fleet, error) {
 	f := &Fleet{}
 	for i := range n {
@@ -229,7 +229,7 @@
 	return f, nil
 }
 
-// Entries are the workers as discovery names them when all serve.
+// Entries returns an entry for each worker, all in service.
 func (f *Fleet) Entries() []Entry {
 	var out []Entry
 	for _, w := range f.Workers {
@@ -238,7 +238,7 @@
 	return out
 }
 
-// Close ends them all.
+// Close stops the discovery service and all workers.
 func (f *Fleet) Close() {
 	if f.Discovery != nil {
 		f.Discovery.Close()
--- a/internal/standin/slow.go
+++ b/internal/standin/slow.go
@@ -15,62 +15,62 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file owns the peers that are slow: they send a few bytes at a time, or read so, on purpose or by a poor line.
+// This file implements slow clients, which send or read a few bytes at a time, on purpose or because of a slow line.
 
-// SlowClients is a crowd of clients at the end of a slow line. Each brings one request after the other.
+// SlowClients describes a group of clients on a slow line. Each sends one request after the other.
 type SlowClients struct {
 	Target string
-	From   string // the loopback address that they come from; "": the system's choice
-	Name   string // starts the ids of their jobs
+	From   string // the clients' loopback address; "": the system's choice
+	Name   string // prefix of the job ids
 	Peers  int
-	Kind   JobKind // of their jobs; Kind.Body is what a sender drags out, Kind.Task.Size what a reader does
-	// Send and Read are bytes a second; 0: as fast as it goes.
+	Kind   JobKind // of their jobs; Kind.Body is the size of what senders send slowly, Kind.Task.Size of what readers read slowly
+	// Send and Read are bytes a second; 0: no limit.
 	Send, Read float64
-	// Every is how often a peer sends or reads a piece; 0: ten times a second.
+	// Every is the interval between two pieces that a client sends or reads; 0: 100 ms.
 	Every time.Duration
-	// Pause stops each reader once, halfway through its answer.
+	// Pause is how long a reader stops reading, once in each answer, halfway through it.
 	Pause time.Duration
-	// Again is how long one that was turned away or cut waits before it comes again; 0: it does not.
+	// Again is how long a client waits after a refused or ended connection before it connects again; 0: it doesn't.
 	Again time.Duration
-	// Over is the span over which the peers come, evenly; 0: all at once.
+	// Over is the time over which the clients connect, evenly; 0: all at once.
 	Over time.Duration
-	// Once ends a peer after an answer; else it goes on with its next request.
+	// Once ends a connection after one answer; otherwise the next request follows on it.
 	Once bool
 }
 
-// SlowTally is how a slow crowd's requests ended.
+// SlowTally counts how the requests of slow clients ended.
 type SlowTally struct {
-	Came     int // connections that came up
-	Served   int // whole answers of 200, with their own result
-	Answered map[int]int
-	Cut      int // closed without a whole answer
-	Refused  int // connections that did not come up
+	Came     int         // connections that were opened
+	Served   int         // complete answers with status 200 and the job's own result
+	Answered map[int]int // complete answers by status
+	Cut      int         // connections closed without a complete answer
+	Refused  int         // connections that could not be opened
 }
 
 func (t *SlowTally) String() string {
 	return fmt.Sprintf("came=%d served=%d answered=%v cut=%d refused=%d", t.Came, t.Served, t.Answered, t.Cut, t.Refused)
 }
 
-// Run plays the crowd until the context ends, or until each peer has ended by itself.
+// Run runs the clients until the context ends or each client has ended by itself.
 func (s SlowClients) Run(ctx context.Context) *SlowTally {
 	t := &SlowTally{Answered: map[int]int{}}
 	if s.Every == 0 {
 		s.Every = 100 * time.Millisecond
 	}
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var peers sync.WaitGroup
 	for i := range s.Peers {
-		all.Go(func() {
+		peers.Go(func() {
 			select {
 			case <-ctx.Done():
 			case <-time.After(s.Over * time.Duration(i) / time.Duration(s.Peers)):
 			}
 			for n := 0; ctx.Err() == nil; n++ {
-				more := s.connection(ctx, fmt.Sprintf("%sslow%d-%d", s.Name, i, n), t, &mu)
-				if !more && s.Again == 0 {
+				reconnect := s.connection(ctx, fmt.Sprintf("%sslow%d-%d", s.Name, i, n), t, &mu)
+				if !reconnect && s.Again == 0 {
 					return
 				}
-				if !more {
+				if !reconnect {
 					select {
 					case <-ctx.Done():
 					case <-time.After(s.Again):
@@ -79,13 +79,13 @@
 			}
 		})
 	}
-	all.Wait()
+	peers.Wait()
 	return t
 }
 
-// connection plays one connection to its end and reports whether the peer goes on at once.
+// connection runs one connection to its end. It always returns false: no client connects again without a wait.
 func (s SlowClients) connection(ctx context.Context, id string, t *SlowTally, mu *sync.Mutex) bool {
-	note := func(f func()) {
+	record := func(f func()) {
 		mu.Lock()
 		defer mu.Unlock()
 		f()
@@ -105,17 +105,17 @@
 	}
 	c, err := d.DialContext(ctx, "tcp", s.Target)
 	if err != nil {
-		note(func() { t.Refused++ })
+		record(func() { t.Refused++ })
 		return false
 	}
 	defer c.Close()
 	defer context.AfterFunc(ctx, func() { c.Close() })()
-	note(func() { t.Came++ })
+	record(func() { t.Came++ })
 	for n := 0; ; n++ {
-		own := fmt.Sprintf("%s-%d", id, n)
+		jobID := fmt.Sprintf("%s-%d", id, n)
 		answers := make(chan *http.Response, 1)
-		in := bufio.NewReaderSize(&dragged{c, s, 0}, 512)
-		go func() { // an answer may come before the request is whole
+		in := bufio.NewReaderSize(&slowReader{c, s, 0}, 512)
+		go func() { // an answer may come before the request is complete
 			r, err := http.ReadResponse(in, nil)
 			if err != nil {
 				r = nil
@@ -123,11 +123,11 @@
 			}
 			answers <- r
 		}()
-		sent := s.send(c, own)
+		sent := s.send(c, jobID)
 		r := <-answers
 		if r == nil {
 			if ctx.Err() == nil {
-				note(func() { t.Cut++ })
+				record(func() { t.Cut++ })
 			}
 			return false
 		}
@@ -136,12 +136,12 @@
 		case err != nil && ctx.Err() != nil:
 			return false
 		case err != nil:
-			note(func() { t.Cut++ })
+			record(func() { t.Cut++ })
 			return false
-		case r.StatusCode == 200 && string(body) == Result(own, s.Kind.Task.Size):
-			note(func() { t.Served++; t.Answered[200]++ })
+		case r.StatusCode == 200 && string(body) == Result(jobID, s.Kind.Task.Size):
+			record(func() { t.Served++; t.Answered[200]++ })
 		default:
-			note(func() { t.Answered[r.StatusCode]++ })
+			record(func() { t.Answered[r.StatusCode]++ })
 		}
 		if r.Close || sent != nil || s.Once {
 			return false
@@ -149,23 +149,23 @@
 	}
 }
 
-// send writes one request at the crowd's pace.
+// send writes one request at Send bytes a second.
 func (s SlowClients) send(c net.Conn, id string) error {
-	info := ""
+	costField := ""
 	if s.Kind.Task.Run > 0 {
-		info = fmt.Sprintf("X-Call-Cost: %d\r\n", s.Kind.Task.Run.Microseconds())
+		costField = fmt.Sprintf("X-Call-Cost: %d\r\n", s.Kind.Task.Run.Microseconds())
 	}
-	text := fmt.Sprintf("POST /api/1?%s HTTP/1.1\r\nHost: app.svc\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget: %dm\r\n%sContent-Length: %d\r\n\r\n%s",
-		s.Kind.Task.Query(), id, s.Kind.Class, s.Kind.Budget.Milliseconds(), info, s.Kind.Body, strings.Repeat("x", s.Kind.Body))
+	request := fmt.Sprintf("POST /api/1?%s HTTP/1.1\r\nHost: app.svc\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget: %dm\r\n%sContent-Length: %d\r\n\r\n%s",
+		s.Kind.Task.Query(), id, s.Kind.Class, s.Kind.Budget.Milliseconds(), costField, s.Kind.Body, strings.Repeat("x", s.Kind.Body))
 	if s.Send == 0 {
-		_, err := io.WriteString(c, text)
+		_, err := io.WriteString(c, request)
 		return err
 	}
 	began := time.Now()
-	for n := 0; n < len(text); time.Sleep(s.Every) {
-		due := min(len(text), int(s.Send*(time.Since(began)+s.Every).Seconds())) // what the rate asks for by now
+	for n := 0; n < len(request); time.Sleep(s.Every) {
+		due := min(len(request), int(s.Send*(time.Since(began)+s.Every).Seconds())) // bytes due at this rate by now
 		if due > n {
-			if _, err := io.WriteString(c, text[n:due]); err != nil {
+			if _, err := io.WriteString(c, request[n:due]); err != nil {
 				return err
 			}
 			n = due
@@ -174,24 +174,24 @@
 	return nil
 }
 
-// dragged reads from a connection at the crowd's pace.
-type dragged struct {
+// slowReader reads from a connection at Read bytes a second.
+type slowReader struct {
 	net.Conn
-	s    SlowClients
-	seen int
+	s        SlowClients
+	received int
 }
 
-func (d *dragged) Read(b []byte) (int, error) {
-	if d.s.Read == 0 {
-		return d.Conn.Read(b)
+func (r *slowReader) Read(b []byte) (int, error) {
+	if r.s.Read == 0 {
+		return r.Conn.Read(b)
 	}
-	if half := d.s.Kind.Task.Size / 2; d.s.Pause > 0 && d.seen > half {
-		time.Sleep(d.s.Pause)
-		d.s.Pause = 0
+	if half := r.s.Kind.Task.Size / 2; r.s.Pause > 0 && r.received > half {
+		time.Sleep(r.s.Pause)
+		r.s.Pause = 0
 	}
-	piece := max(1, int(d.s.Read*d.s.Every.Seconds()))
-	n, err := d.Conn.Read(b[:min(len(b), piece)])
-	d.seen += n
-	time.Sleep(time.Duration(float64(n) / d.s.Read * float64(time.Second)))
+	piece := max(1, int(r.s.Read*r.s.Every.Seconds()))
+	n, err := r.Conn.Read(b[:min(len(b), piece)])
+	r.received += n
+	time.Sleep(time.Duration(float64(n) / r.s.Read * float64(time.Second)))
 	return n, err
 }
