--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -1,7 +1,7 @@
-// Package standin plays the parties around a scheduler, on loopback addresses alone: workers, discovery and
+// Package standin implements the programs around a scheduler, on loopback addresses only: workers, discovery and
 // clients, as docs and PROTOCOL describe them. Tests, benchmarks and trials use it; the scheduler never imports it.
-// A stand-in does what its configuration says and records what it saw. It must never judge: what is right or wrong
-// is for the test that uses it to say.
+// A stand-in does what its configuration says and records what it saw. It must not judge: the test that uses it
+// decides what is right or wrong.
 package standin
 
 import (
@@ -20,20 +20,20 @@
 	"time"
 )
 
-// Task is what a stand-in worker is asked to do. It travels in the query of a request's target, which schedulers
-// pass through untouched.
+// Task is what a stand-in worker is asked to do. It is sent in the query of a request's target, which schedulers
+// forward unchanged.
 type Task struct {
-	Run   time.Duration // running time on a warm worker of speed 1
-	Slots int           // taken while it runs; 0 counts as 1
-	Size  int           // bytes of the result
+	Run   time.Duration // running time on a warm worker with speed 1
+	Slots int           // slots it takes while it runs; 0 counts as 1
+	Size  int           // length of the result in bytes
 }
 
-// Query is the task as the query of a target.
+// Query returns the task as the query of a request's target.
 func (t Task) Query() string {
 	return fmt.Sprintf("run=%dus&slots=%d&size=%d", t.Run.Microseconds(), max(1, t.Slots), t.Size)
 }
 
-func readTask(u *url.URL) Task {
+func parseTask(u *url.URL) Task {
 	q := u.Query()
 	t := Task{Slots: 1}
 	t.Run, _ = time.ParseDuration(q.Get("run"))
@@ -44,64 +44,66 @@
 	return t
 }
 
-// WorkerConfig describes a worker. Zero values stand for what its comment says.
+// WorkerConfig describes a worker. A zero field means the default in its comment.
 type WorkerConfig struct {
 	Name  string
-	Zone  string        // "here"
-	Slots int           // 4
-	Queue int           // jobs that wait for a slot beyond which it says full; 0: none wait
-	Speed float64       // 1
-	Cold  float64       // the part of its speed that a worker just started has; 1
-	Warms time.Duration // how long until it has all of it
-	// Refresh is how long a load report stands, Lag how old the state that it shows is at least; 0: live.
+	Zone  string        // default "here"
+	Slots int           // default 4
+	Queue int           // how many jobs may wait for a slot; more are rejected as full; 0: none may wait
+	Speed float64       // default 1
+	Cold  float64       // share of its speed that a worker has right after a restart; default 1
+	Warms time.Duration // time after a restart until it has its full speed
+	// Refresh is the interval between updates of the load report, Lag the minimum age of the state in it. If Refresh is 0,
+	// each report shows the present state.
 	Refresh, Lag time.Duration
 	TellsStart   bool
-	// Answer, if set, takes over whatever comes but probes: it writes to the connection itself.
+	// Answer, if set, handles all requests but probes. It writes to the connection itself.
 	Answer func(r *http.Request, c net.Conn)
-	// Receive is how many bytes the system may hold of what comes unread; 0: as many as it likes.
+	// Receive is the size of the sockets' receive buffer in bytes; 0: the system's default.
 	Receive int
-	// Stops, if set, are where it waits until it is let go on: "accepted", "probe" (before the answer), "job" (whole, and
-	// not yet noted).
+	// Stops, if set, are its sync points: "accepted" (a connection), "probe" (before its answer) and "job" (received in
+	// full, not yet recorded).
 	Stops *SyncPoints
 }
 
-// ReceivedJob is one job that reached a worker whole.
+// ReceivedJob is one job that a worker received in full.
 type ReceivedJob struct {
 	ID      string
 	At      time.Time
-	Started time.Time // zero: it has not
-	Full    bool      // turned away
+	Started time.Time // zero: not started
+	Full    bool      // rejected: the queue was full, or the job too large
 }
 
 // Worker is a running stand-in of a worker.
 type Worker struct {
-	c     WorkerConfig
-	ln    net.Listener
-	stop  chan struct{}
-	once  sync.Once // of stop
-	mu    sync.Mutex
-	conns map[net.Conn]struct{}
-	began time.Time // its last start
-	slow  float64   // how many times slower it runs just now
-	quiet chan struct{}
-	free  int
-	queue []*waiting
-	shots []shot // states, the latest last
-	seen  []ReceivedJob
-	asked int // probes
-}
-
-type waiting struct {
+	config    WorkerConfig
+	listener  net.Listener
+	stop      chan struct{}
+	closeOnce sync.Once // closes stop
+	mu        sync.Mutex
+	conns     map[net.Conn]struct{}
+	restarted time.Time     // time of the last restart; zero: none
+	slowdown  float64       // how many times slower it runs at present
+	silence   chan struct{} // not nil while the worker is silent; closed by Restart
+	freeSlots int
+	queue     []*queuedJob
+	reports   []report // oldest first
+	received  []ReceivedJob
+	probes    int // how many probes have come
+}
+
+type queuedJob struct {
 	slots int
 	start chan struct{}
 }
 
-type shot struct {
-	at              time.Time
-	free, in, queue int
+// report is the worker's load at some moment.
+type report struct {
+	at                          time.Time
+	freeSlots, inFlight, queued int
 }
 
-// StartWorker starts a worker that is warm. Close ends it.
+// StartWorker starts a warm worker. Close stops it.
 func StartWorker(c WorkerConfig) (*Worker, error) {
 	listen := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) (err error) {
 		if c.Receive > 0 {
@@ -127,68 +129,69 @@
 	if c.Zone == "" {
 		c.Zone = "here"
 	}
-	w := &Worker{c: c, ln: ln, stop: make(chan struct{}), conns: map[net.Conn]struct{}{}, slow: 1, free: c.Slots}
+	w := &Worker{config: c, listener: ln, stop: make(chan struct{}), conns: map[net.Conn]struct{}{}, slowdown: 1, freeSlots: c.Slots}
 	if c.Refresh > 0 {
-		w.shots = []shot{{free: c.Slots}}
-		go w.refresh()
+		w.reports = []report{{freeSlots: c.Slots}}
+		go w.refreshReports()
 	}
 	go w.accept()
 	return w, nil
 }
 
-// Entry is the worker as discovery names it.
+// Entry returns the worker's entry for discovery.
 func (w *Worker) Entry(status string) Entry {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	e := Entry{Name: w.c.Name, Address: w.Addr(), Zone: w.c.Zone, Type: "box", Status: status, Weight: 1}
-	if !w.began.IsZero() {
-		e.SinceMS = w.began.UnixMilli()
+	e := Entry{Name: w.config.Name, Address: w.Addr(), Zone: w.config.Zone, Type: "box", Status: status, Weight: 1}
+	if !w.restarted.IsZero() {
+		e.SinceMS = w.restarted.UnixMilli()
 	}
 	return e
 }
 
-// Addr is where it listens.
-func (w *Worker) Addr() string { return w.ln.Addr().String() }
+// Addr returns the address that it listens on.
+func (w *Worker) Addr() string { return w.listener.Addr().String() }
 
-// Name is the name by which discovery knows it.
-func (w *Worker) Name() string { return w.c.Name }
+// Name returns the worker's name in discovery.
+func (w *Worker) Name() string { return w.config.Name }
 
-// Close ends the worker and its connections, once or more often.
+// Close stops the worker and resets its connections. It may be called more than once.
 func (w *Worker) Close() {
-	w.once.Do(func() { close(w.stop) })
-	w.ln.Close()
-	w.breakAll()
+	w.closeOnce.Do(func() { close(w.stop) })
+	w.listener.Close()
+	w.resetConns()
 }
 
-// SetSlowdown makes it run that many times slower from here on; 1 is usual.
-func (w *Worker) SetSlowdown(times float64) {
+// SetSlowdown makes the worker run factor times slower from now on; 1 is its usual speed.
+func (w *Worker) SetSlowdown(factor float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.slow = times
+	w.slowdown = factor
 }
 
-// Silence stops every answer: nothing is said on open connections, and new ones are taken by nobody.
+// Silence makes the worker answer nothing any more, on open and new connections, until Restart.
 func (w *Worker) Silence() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.quiet == nil {
-		w.quiet = make(chan struct{})
+	if w.silence == nil {
+		w.silence = make(chan struct{})
 	}
 }
 
-// Restart ends what runs, resets every connection, ends a silence and begins again, cold.
+// Restart makes the worker cold, resets every connection and ends a silence. Jobs that run keep their slots until their
+// running time is over.
 func (w *Worker) Restart() {
 	w.mu.Lock()
-	w.began = time.Now()
-	if w.quiet != nil {
-		close(w.quiet)
-		w.quiet = nil
+	w.restarted = time.Now()
+	if w.silence != nil {
+		close(w.silence)
+		w.silence = nil
 	}
 	w.mu.Unlock()
-	w.breakAll()
+	w.resetConns()
 }
 
-func (w *Worker) breakAll() {
+func (w *Worker) resetConns() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for c := range w.conns {
@@ -199,32 +202,32 @@
 	}
 }
 
-// ReceivedJobs returns the jobs that have come, in order of arrival.
+// ReceivedJobs returns the jobs received so far, in order of arrival.
 func (w *Worker) ReceivedJobs() []ReceivedJob {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]ReceivedJob(nil), w.seen...)
+	return append([]ReceivedJob(nil), w.received...)
 }
 
-// IDs returns the call ids of the jobs that have come, in order of arrival.
+// IDs returns the call ids of the jobs received so far, in order of arrival.
 func (w *Worker) IDs() []string {
 	ids := []string{}
-	for _, s := range w.ReceivedJobs() {
-		ids = append(ids, s.ID)
+	for _, j := range w.ReceivedJobs() {
+		ids = append(ids, j.ID)
 	}
 	return ids
 }
 
-// Probes returns how many probes have come.
+// Probes returns how many probes the worker has received.
 func (w *Worker) Probes() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.asked
+	return w.probes
 }
 
 func (w *Worker) accept() {
 	for {
-		c, err := w.ln.Accept()
+		c, err := w.listener.Accept()
 		if err != nil {
 			return
 		}
@@ -232,7 +235,7 @@
 		w.conns[c] = struct{}{}
 		w.mu.Unlock()
 		go func() {
-			w.c.Stops.at("accepted")
+			w.config.Stops.wait("accepted")
 			w.serve(c)
 		}()
 	}
@@ -256,83 +259,83 @@
 			return
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
-		if !w.speak() {
+		if !w.waitOutSilence() {
 			return
 		}
 		if strings.HasPrefix(r.URL.Path, "/-/") {
-			w.c.Stops.at("probe")
+			w.config.Stops.wait("probe")
 			w.mu.Lock()
-			w.asked++
+			w.probes++
 			w.mu.Unlock()
-			if w.tell(c) != nil {
+			if w.answerProbe(c) != nil {
 				return
 			}
 			continue
 		}
-		w.c.Stops.at("job")
+		w.config.Stops.wait("job")
 		w.mu.Lock()
-		w.seen = append(w.seen, ReceivedJob{ID: r.Header.Get("X-Call-Id"), At: time.Now()})
-		n := len(w.seen) - 1
+		w.received = append(w.received, ReceivedJob{ID: r.Header.Get("X-Call-Id"), At: time.Now()})
+		index := len(w.received) - 1
 		w.mu.Unlock()
-		if w.c.Answer != nil {
-			w.c.Answer(r, c)
+		if w.config.Answer != nil {
+			w.config.Answer(r, c)
 			continue
 		}
-		if w.work(r, c, n) != nil {
+		if w.runJob(r, c, index) != nil {
 			return
 		}
 	}
 }
 
-// speak waits a silence out and reports whether anything may still be said.
-func (w *Worker) speak() bool {
+// waitOutSilence blocks while the worker is silent. It reports whether the connection may still be used.
+func (w *Worker) waitOutSilence() bool {
 	w.mu.Lock()
-	quiet := w.quiet
+	silence := w.silence
 	w.mu.Unlock()
-	if quiet == nil {
+	if silence == nil {
 		return true
 	}
 	select {
-	case <-quiet:
+	case <-silence:
 	case <-w.stop:
 	}
-	return false // what was open when the silence began is reset
+	return false // Restart and Close reset the connections that were open during the silence
 }
 
-// work runs one job and writes its lines.
-func (w *Worker) work(r *http.Request, c net.Conn, n int) error {
-	t := readTask(r.URL)
-	place := w.enter(t)
-	if place == nil {
+// runJob runs the job at index in received and writes the lines of its answer.
+func (w *Worker) runJob(r *http.Request, c net.Conn, index int) error {
+	t := parseTask(r.URL)
+	queued := w.enqueue(t)
+	if queued == nil {
 		w.mu.Lock()
-		w.seen[n].Full = true
+		w.received[index].Full = true
 		w.mu.Unlock()
 		_, err := io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")
 		return err
 	}
 	select {
-	case <-place.start:
+	case <-queued.start:
 	case <-w.stop:
 		return net.ErrClosed
 	}
 	w.mu.Lock()
-	w.seen[n].Started = time.Now()
+	w.received[index].Started = time.Now()
 	run := time.Duration(float64(t.Run) / w.speed())
 	w.mu.Unlock()
 	id := r.Header.Get("X-Call-Id")
-	if w.c.TellsStart && w.speak() {
-		// An error here does not end the work: it goes on when nobody listens any more.
+	if w.config.TellsStart && w.waitOutSilence() {
+		// The job goes on after an error here, since a worker does not stop when its client has gone.
 		_, _ = c.Write(AppendLines([]byte(responseHead), fmt.Sprintf(`{"id":%q,"state":"started"}`, id)))
 	}
 	if run > 0 {
 		time.Sleep(run)
 	}
-	w.leave(t.Slots)
-	if !w.speak() {
+	w.releaseSlots(t.Slots)
+	if !w.waitOutSilence() {
 		return net.ErrClosed
 	}
 	var out []byte
-	if !w.c.TellsStart {
+	if !w.config.TellsStart {
 		out = []byte(responseHead)
 	}
 	out = AppendLines(out, fmt.Sprintf(`{"id":%q,"state":"done","result":%q}`, id, Result(id, t.Size)))
@@ -340,18 +343,18 @@
 	return err
 }
 
-// Result is what a worker makes of a job.
+// Result returns the result of a job, padded to size bytes.
 func Result(id string, size int) string {
-	made := "made of " + id
-	if size > len(made) {
-		made += strings.Repeat(".", size-len(made))
+	result := "made of " + id
+	if size > len(result) {
+		result += strings.Repeat(".", size-len(result))
 	}
-	return made
+	return result
 }
 
 const responseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// AppendLines appends one chunk for each line of an answer.
+// AppendLines appends each line of an answer as one chunk.
 func AppendLines(b []byte, lines ...string) []byte {
 	for _, l := range lines {
 		b = fmt.Appendf(b, "%x\r\n%s\n\r\n", len(l)+1, l)
@@ -359,65 +362,65 @@
 	return b
 }
 
-// WriteAnswer writes the whole answer of a job that was started and done.
+// WriteAnswer writes the complete answer of a job: started and done.
 func WriteAnswer(r *http.Request, c net.Conn) {
 	WriteStarted(r, c)
 	WriteDone(r, c)
 }
 
-// WriteStarted writes the answer of a job as far as its start.
+// WriteStarted writes the first part of an answer: the job has started.
 func WriteStarted(r *http.Request, c net.Conn) {
 	_, _ = c.Write(AppendLines([]byte(responseHead), fmt.Sprintf(`{"id":%q,"state":"started"}`, r.Header.Get("X-Call-Id"))))
 }
 
-// WriteDone writes the rest.
+// WriteDone writes the rest of an answer: the job is done.
 func WriteDone(r *http.Request, c net.Conn) {
 	id := r.Header.Get("X-Call-Id")
 	_, _ = c.Write(append(AppendLines(nil, fmt.Sprintf(`{"id":%q,"state":"done","result":%q}`, id, Result(id, 0))), "0\r\n\r\n"...))
 }
 
-// speed is the present speed; mu is held.
+// speed returns the present speed. The caller holds mu.
 func (w *Worker) speed() float64 {
 	warmth := 1.0
-	if age := time.Since(w.began); !w.began.IsZero() && age < w.c.Warms {
-		warmth = w.c.Cold + (1-w.c.Cold)*float64(age)/float64(w.c.Warms)
+	if age := time.Since(w.restarted); !w.restarted.IsZero() && age < w.config.Warms {
+		warmth = w.config.Cold + (1-w.config.Cold)*float64(age)/float64(w.config.Warms)
 	}
-	return w.c.Speed * warmth / w.slow
+	return w.config.Speed * warmth / w.slowdown
 }
 
-// enter takes a place in the queue, or none if it is full or the job can never run.
-func (w *Worker) enter(t Task) *waiting {
+// enqueue adds a job to the queue. It returns nil if the queue is full or the job needs more slots than the worker has.
+func (w *Worker) enqueue(t Task) *queuedJob {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	fits := len(w.queue) == 0 && t.Slots <= w.free
-	if t.Slots > w.c.Slots || !fits && len(w.queue) >= w.c.Queue {
+	startsNow := len(w.queue) == 0 && t.Slots <= w.freeSlots
+	if t.Slots > w.config.Slots || !startsNow && len(w.queue) >= w.config.Queue {
 		return nil
 	}
-	p := &waiting{slots: t.Slots, start: make(chan struct{})}
-	w.queue = append(w.queue, p)
-	w.next()
-	return p
+	job := &queuedJob{slots: t.Slots, start: make(chan struct{})}
+	w.queue = append(w.queue, job)
+	w.startQueued()
+	return job
 }
 
-func (w *Worker) leave(slots int) {
+func (w *Worker) releaseSlots(slots int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.free += slots
-	w.next()
+	w.freeSlots += slots
+	w.startQueued()
 }
 
-// next starts waiting jobs in order; the first waits until it fits. mu is held.
-func (w *Worker) next() {
-	for len(w.queue) > 0 && w.queue[0].slots <= w.free {
-		w.free -= w.queue[0].slots
+// startQueued starts queued jobs in order, until the first one that needs more slots than are free. The caller holds mu.
+func (w *Worker) startQueued() {
+	for len(w.queue) > 0 && w.queue[0].slots <= w.freeSlots {
+		w.freeSlots -= w.queue[0].slots
 		close(w.queue[0].start)
 		w.queue = w.queue[1:]
 	}
 }
 
-// refresh takes a picture of the state every now and then.
-func (w *Worker) refresh() {
-	tick := time.NewTicker(w.c.Refresh)
+// refreshReports records the load every Refresh. It keeps the latest report that is at least Lag old, and all newer ones.
+func (w *Worker) refreshReports() {
+	tick := time.NewTicker(w.config.Refresh)
 	defer tick.Stop()
 	for {
 		select {
@@ -425,29 +428,30 @@
 			return
 		case now := <-tick.C:
 			w.mu.Lock()
-			w.shots = append(w.shots, w.shot(now))
-			for len(w.shots) > 1 && now.Sub(w.shots[1].at) >= w.c.Lag {
-				w.shots = w.shots[1:]
+			w.reports = append(w.reports, w.currentReport(now))
+			for len(w.reports) > 1 && now.Sub(w.reports[1].at) >= w.config.Lag {
+				w.reports = w.reports[1:]
 			}
 			w.mu.Unlock()
 		}
 	}
 }
 
-func (w *Worker) shot(now time.Time) shot {
-	return shot{now, w.free, w.c.Slots - w.free + len(w.queue), len(w.queue)}
+// currentReport returns the present load. The caller holds mu.
+func (w *Worker) currentReport(now time.Time) report {
+	return report{now, w.freeSlots, w.config.Slots - w.freeSlots + len(w.queue), len(w.queue)}
 }
 
-// tell answers a probe.
-func (w *Worker) tell(c net.Conn) error {
+// answerProbe sends the oldest report kept, or the present load if reports are not refreshed.
+func (w *Worker) answerProbe(c net.Conn) error {
 	w.mu.Lock()
-	s := w.shot(time.Now())
-	if len(w.shots) > 0 {
-		s = w.shots[0]
+	load := w.currentReport(time.Now())
+	if len(w.reports) > 0 {
+		load = w.reports[0]
 	}
 	w.mu.Unlock()
-	body := fmt.Sprintf(`{"inflight":%d,"queue":%d,"util":%.2f,"x0":%d}`, s.in, s.queue,
-		float64(w.c.Slots-s.free)/float64(w.c.Slots), s.free)
+	body := fmt.Sprintf(`{"inflight":%d,"queue":%d,"util":%.2f,"x0":%d}`, load.inFlight, load.queued,
+		float64(w.config.Slots-load.freeSlots)/float64(w.config.Slots), load.freeSlots)
 	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	return err
 }
