--- a/cmd/weldtrial/main.go
+++ b/cmd/weldtrial/main.go
@@ -1,7 +1,7 @@
-// Command weldtrial plays trials against a real scheduler on this machine and prints a table of each: stand-in workers,
-// discovery and clients in this process, the scheduler in one of its own, all on loopback addresses. This file owns
-// the command line and what all trials share. It must never judge by a figure that another machine would not show:
-// each trial compares its rows with its own first one.
+// Command weldtrial runs trials of real schedulers on this machine and prints a table for each. Stand-in workers, discovery
+// and clients run in this process, each scheduler in a process of its own, all on loopback addresses. This file implements
+// the command line and what all trials share. Since figures depend on the machine, no trial may judge by them alone: each
+// compares its rows with its own first row.
 package main
 
 import (
@@ -31,12 +31,12 @@
 	Seed      uint64        `help:"Of the clients' jobs and their times." default:"1"`
 	Logs      bool          `help:"Show the scheduler's log."`
 
-	SlowPeers slowPeers `cmd:"" name:"slow-peers" help:"Normal traffic alone, beside slow senders and readers, and with few descriptors."`
-	Twin      twin      `cmd:"" name:"twin" help:"Scripts of the emulator, played by the model and by real schedulers."`
-	Upgrades  upgrades  `cmd:"" name:"upgrades" help:"A scheduler that is replaced again and again under a steady load."`
-	Shared    shared    `cmd:"" name:"shared" help:"Many schedulers that share one rate, a fifth of them stopped or cut off for a while, or a script of faults."`
-	Judged    judged    `cmd:"" name:"judged" help:"Many schedulers and a worker that fails most jobs at once, with and without shared evidence."`
-	Services  services  `cmd:"" name:"services" help:"Three services in one process, one of them drowned or without workers."`
+	SlowPeers slowPeersCmd `cmd:"" name:"slow-peers" help:"Normal traffic alone, beside slow senders and readers, and with few descriptors."`
+	Twin      twinCmd      `cmd:"" name:"twin" help:"Scripts of the emulator, played by the model and by real schedulers."`
+	Upgrades  upgradesCmd  `cmd:"" name:"upgrades" help:"A scheduler that is replaced again and again under a steady load."`
+	Shared    sharedCmd    `cmd:"" name:"shared" help:"Many schedulers that share one rate, a fifth of them stopped or cut off for a while, or a script of faults."`
+	Judged    judgedCmd    `cmd:"" name:"judged" help:"Many schedulers and a worker that fails most jobs at once, with and without shared evidence."`
+	Services  servicesCmd  `cmd:"" name:"services" help:"Three services in one process, one of them drowned or without workers."`
 }
 
 func main() {
@@ -53,54 +53,54 @@
 	parsed.FatalIfErrorf(parsed.Run(&args))
 }
 
-// scheduler is one that runs in a process of its own.
+// scheduler is a scheduler in a process of its own.
 type scheduler struct {
 	addr string
 	cmd  *exec.Cmd
 	dir  string
 }
 
-// start starts the scheduler and waits until it is ready. The operator's file may be "".
-func (a *cli) start(ctx context.Context, site standin.SchedulerConfig, file string) (*scheduler, error) {
+// startScheduler starts a scheduler and waits until it is ready. file is the content of the operator's file; "": none.
+func (a *cli) startScheduler(ctx context.Context, config standin.SchedulerConfig, file string) (*scheduler, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	s := &scheduler{addr: ln.Addr().String()}
 	ln.Close()
-	site.Listen = s.addr
+	config.Listen = s.addr
 	if s.dir, err = os.MkdirTemp("", "weldtrial"); err != nil {
 		return nil, err
 	}
-	conf := filepath.Join(s.dir, "config.json")
-	if err := os.WriteFile(conf, site.JSON(), 0o600); err != nil {
+	configPath := filepath.Join(s.dir, "config.json")
+	if err := os.WriteFile(configPath, config.JSON(), 0o600); err != nil {
 		return nil, err
 	}
 	s.cmd = exec.Command(a.Scheduler)
 	if file != "" {
-		path := filepath.Join(s.dir, "weldscale.hcl")
-		if err := os.WriteFile(path, []byte(file), 0o600); err != nil {
+		filePath := filepath.Join(s.dir, "weldscale.hcl")
+		if err := os.WriteFile(filePath, []byte(file), 0o600); err != nil {
 			return nil, err
 		}
-		s.cmd.Args = append(s.cmd.Args, "--config", path)
+		s.cmd.Args = append(s.cmd.Args, "--config", filePath)
 	}
-	s.cmd.Env = append(os.Environ(), "GW_CONFIG="+conf)
+	s.cmd.Env = append(os.Environ(), "GW_CONFIG="+configPath)
 	if a.Logs {
 		s.cmd.Stderr = os.Stderr
 	}
 	if err := s.cmd.Start(); err != nil {
-		return nil, fmt.Errorf("%w (go build -o bin/ ./cmd/... makes both programs)", err)
+		return nil, fmt.Errorf("%w (go build -o bin/ ./cmd/... builds both programs)", err)
 	}
-	for limit := time.Now().Add(10 * time.Second); ; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		if resp, err := http.Get("http://" + s.addr + "/-/ready"); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == 200 {
 				return s, nil
 			}
 		}
-		if time.Now().After(limit) || ctx.Err() != nil {
+		if time.Now().After(deadline) || ctx.Err() != nil {
 			s.stop()
-			return nil, fmt.Errorf("the scheduler is not ready")
+			return nil, fmt.Errorf("the scheduler did not become ready")
 		}
 	}
 }
@@ -111,20 +111,20 @@
 	_ = os.RemoveAll(s.dir)
 }
 
-// cpu is the processor time that the scheduler has used.
-func (s *scheduler) cpu() time.Duration { return cpuOf(s.cmd.Process.Pid) }
+// cpu returns the CPU time that the scheduler has used.
+func (s *scheduler) cpu() time.Duration { return processCPU(s.cmd.Process.Pid) }
 
-// cpuOf is the processor time that a process has used.
-func cpuOf(pid int) time.Duration {
+// processCPU returns the CPU time that a process has used, or 0 if it can't be read.
+func processCPU(pid int) time.Duration {
 	var clock unix.Timespec
-	if unix.ClockGettime(int32(^pid<<3|2), &clock) != nil { // its CPU clock, as clock_getcpuclockid(3)
+	if unix.ClockGettime(int32(^pid<<3|2), &clock) != nil { // the id of its CPU clock, as clock_getcpuclockid(3) computes it
 		return 0
 	}
 	return time.Duration(clock.Nano())
 }
 
-// memory is the most that the scheduler has had in memory, in MiB.
-func (s *scheduler) memory() float64 {
+// peakMemory returns the scheduler's peak resident memory in MiB.
+func (s *scheduler) peakMemory() float64 {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", s.cmd.Process.Pid))
 	_, rest, _ := strings.Cut(string(text), "VmHWM:")
 	fields := strings.Fields(rest)
@@ -135,7 +135,7 @@
 	return kb / 1024
 }
 
-// counter reads counters off a scheduler's statistics.
+// counters returns the counters in the scheduler's statistics.
 func (s *scheduler) counters() map[string]string {
 	out := map[string]string{}
 	resp, err := http.Get("http://" + s.addr + "/-/stats")
--- a/cmd/weldtrial/services.go
+++ b/cmd/weldtrial/services.go
@@ -13,8 +13,8 @@
 	"weldscale/internal/standin"
 )
 
-// services is the trial of one service in trouble beside two others in the same process.
-type services struct {
+// servicesCmd is the trial of one service that is overloaded or has silent workers, beside two others in the same process.
+type servicesCmd struct {
 	Rate   float64       `help:"Requests a second of each service." default:"60"`
 	Job    time.Duration `help:"Running time of a job." default:"20ms"`
 	Boxes  int           `help:"Workers of each service, of two slots." default:"2"`
@@ -26,25 +26,25 @@
 var serviceNames = []string{"shop", "desks", "proofs"}
 
 // Run implements the command.
-func (p *services) Run(ctx context.Context, args *cli) error {
-	capacity := float64(p.Boxes*2) / p.Job.Seconds()
+func (c *servicesCmd) Run(ctx context.Context, args *cli) error {
+	capacity := float64(c.Boxes*2) / c.Job.Seconds()
 	out := table.NewWriter()
 	out.SetOutputMirror(os.Stdout)
 	out.SetTitle(fmt.Sprintf("three services of %d workers of 2 slots, %.0f requests/s each, jobs of %v; shop in trouble, %v each row",
-		p.Boxes, p.Rate, p.Job, args.For))
+		c.Boxes, c.Rate, c.Job, args.For))
 	out.AppendHeader(table.Row{"row", "service", "sent", "in time", "p50 ms", "p99 ms", "p99 of clean", "refused", "failed", "broken", "cpu %", "MiB"})
 	clean := map[string]float64{}
 	for _, row := range []struct {
 		name   string
-		rate   float64 // of the shop
+		rate   float64 // of service shop
 		silent bool
 		idle   int
-	}{{"clean", p.Rate, false, 0}, {"shop drowned", p.Times * capacity, false, 0}, {"shop's workers silent", p.Rate, true, 0},
-		{"drowned and silent", p.Times * capacity, true, 0}, {fmt.Sprintf("clean, %d idle services", p.Idle), p.Rate, false, p.Idle}} {
+	}{{"clean", c.Rate, false, 0}, {"shop drowned", c.Times * capacity, false, 0}, {"shop's workers silent", c.Rate, true, 0},
+		{"drowned and silent", c.Times * capacity, true, 0}, {fmt.Sprintf("clean, %d idle services", c.Idle), c.Rate, false, c.Idle}} {
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		tallies, cpu, memory, err := p.play(ctx, args, row.rate, row.silent, row.idle)
+		tallies, cpu, memory, err := c.runRow(ctx, args, row.rate, row.silent, row.idle)
 		if err != nil {
 			return err
 		}
@@ -64,12 +64,12 @@
 	return nil
 }
 
-// play plays one row.
-func (p *services) play(ctx context.Context, args *cli, rate float64, silent bool, idle int) (out []*standin.Tally, cpu, memory float64, err error) {
+// runRow runs one row. cpu is in percent of one core, memory in MiB.
+func (c *servicesCmd) runRow(ctx context.Context, args *cli, rate float64, silent bool, idle int) (out []*standin.Tally, cpu, memory float64, err error) {
 	var file strings.Builder
 	var fleets []*standin.Fleet
 	for _, name := range serviceNames {
-		f, err := standin.StartFleet(p.Boxes, standin.WorkerConfig{Slots: 2, Queue: 8, TellsStart: true})
+		f, err := standin.StartFleet(c.Boxes, standin.WorkerConfig{Slots: 2, Queue: 8, TellsStart: true})
 		if err != nil {
 			return nil, 0, 0, err
 		}
@@ -85,7 +85,7 @@
 		fmt.Fprintf(&file, "service \"idle%d\" {\n  match { host = \"idle%d.example.org\" }\n  workers {\n    worker \"w\" { address = \"127.0.0.1:9\" }\n  }\n"+
 			"  class \"view\" { effect = \"safe\" }\n}\n", i, i)
 	}
-	s, err := args.start(ctx, standin.SchedulerConfig{Discovery: fleets[0].Discovery.Addr(), Known: fleets[0].Discovery.Known()}, file.String())
+	s, err := args.startScheduler(ctx, standin.SchedulerConfig{Discovery: fleets[0].Discovery.Addr(), Known: fleets[0].Discovery.Known()}, file.String())
 	if err != nil {
 		return nil, 0, 0, err
 	}
@@ -96,18 +96,18 @@
 		}
 	}
 	out = make([]*standin.Tally, len(serviceNames))
-	var all sync.WaitGroup
+	var loads sync.WaitGroup
 	before := s.cpu()
 	for i, name := range serviceNames {
-		l := standin.Load{Target: s.addr, Host: name + ".example.org", Name: name, Seed: args.Seed + uint64(i), For: args.For, Rate: p.Rate,
-			From: fmt.Sprintf("127.0.%d.1", i+1), Kinds: []standin.JobKind{{Class: "view", Share: 1, Task: standin.Task{Run: p.Job},
-				Budget: 2 * time.Second, Within: p.Within, Body: 200}}}
+		l := standin.Load{Target: s.addr, Host: name + ".example.org", Name: name, Seed: args.Seed + uint64(i), For: args.For, Rate: c.Rate,
+			From: fmt.Sprintf("127.0.%d.1", i+1), Kinds: []standin.JobKind{{Class: "view", Share: 1, Task: standin.Task{Run: c.Job},
+				Budget: 2 * time.Second, Within: c.Within, Body: 200}}}
 		if i == 0 {
 			l.Rate = rate
 		}
-		all.Go(func() { out[i] = l.Run(ctx) })
+		loads.Go(func() { out[i] = l.Run(ctx) })
 	}
-	all.Wait()
+	loads.Wait()
 	cpu = (s.cpu() - before).Seconds() / args.For.Seconds() * 100
-	return out, cpu, s.memory(), nil
+	return out, cpu, s.peakMemory(), nil
 }
--- a/cmd/weldtrial/slow.go
+++ b/cmd/weldtrial/slow.go
@@ -12,9 +12,9 @@
 	"weldscale/internal/standin"
 )
 
-// slowPeers is the trial of slow senders and readers beside normal traffic. Three honest branch lines, at their least
-// rate and somewhat above, run in every row with slow peers: none of their requests may be cut.
-type slowPeers struct {
+// slowPeersCmd is the trial of slow senders and readers beside normal traffic. Clients on three honest slow lines, at the
+// minimum rate and somewhat above it, run in every row: none of their requests may be cut.
+type slowPeersCmd struct {
 	Senders  int           `help:"Clients that send a request slowly." default:"300"`
 	Readers  int           `help:"Clients that read an answer slowly." default:"300"`
 	Send     float64       `help:"Bytes a second that those send." default:"20"`
@@ -28,22 +28,22 @@
 	Again    time.Duration `help:"How long a slow peer that was cut waits before it comes again; 0: it does not." default:"0s"`
 }
 
-const lineFile = `link "murun" {
+const linkBlock = `link "murun" {
   prefixes   = ["127.0.3.0/24"]
   least_rate = "1KiB"
 }
 `
 
 // Run implements the command.
-func (p *slowPeers) Run(ctx context.Context, args *cli) error {
+func (c *slowPeersCmd) Run(ctx context.Context, args *cli) error {
 	out := table.NewWriter()
 	out.SetOutputMirror(os.Stdout)
 	out.SetTitle(fmt.Sprintf("%d slow senders at %.0f B/s and %d slow readers at %.0f B/s beside %.0f normal requests/s, %v each row",
-		p.Senders, p.Send, p.Readers, p.Read, p.Rate, args.For))
+		c.Senders, c.Send, c.Readers, c.Read, c.Rate, args.For))
 	out.AppendHeader(table.Row{"row", "descriptors", "normal sent", "in time", "p50 ms", "p99 ms", "refused", "broken",
 		"cpu us/request", "of clean", "MiB", "goroutines", "slow cut", "let go", "honest served", "honest cut"})
-	clean := 0.0
-	var why []string
+	cleanCPU := 0.0
+	var reasons []string
 	for _, row := range []struct {
 		name        string
 		descriptors int
@@ -52,33 +52,33 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		r, err := p.play(ctx, args, row.descriptors, row.slow)
+		r, err := c.runRow(ctx, args, row.descriptors, row.slow)
 		if err != nil {
 			return err
 		}
 		cpu := float64(r.cpu.Microseconds()) / float64(max(1, r.normal.Sent))
-		if clean == 0 {
-			clean = cpu
+		if cleanCPU == 0 {
+			cleanCPU = cpu
 		}
 		for text, n := range r.normal.Why {
-			why = append(why, fmt.Sprintf("%s: %d normal requests ended as: %s", row.name, n, text))
+			reasons = append(reasons, fmt.Sprintf("%s: %d normal requests ended as: %s", row.name, n, text))
 		}
 		out.AppendRow(table.Row{row.name, row.descriptors, r.normal.Sent, fmt.Sprintf("%.3f", r.normal.InTimeShare()),
 			fmt.Sprintf("%.1f", r.normal.Quantile(50).Seconds()*1e3), fmt.Sprintf("%.1f", r.normal.Quantile(99).Seconds()*1e3),
-			r.normal.Refused, r.normal.Broken, fmt.Sprintf("%.0f", cpu), fmt.Sprintf("%.2f", cpu/clean), fmt.Sprintf("%.0f", r.memory),
+			r.normal.Refused, r.normal.Broken, fmt.Sprintf("%.0f", cpu), fmt.Sprintf("%.2f", cpu/cleanCPU), fmt.Sprintf("%.0f", r.memory),
 			r.counters["goroutines"], r.counters["cut_senders"] + "+" + r.counters["cut_readers"] + "+" + r.counters["cut_crowd"],
 			r.counters["given_up"], r.honest.Served, r.honest.Cut})
 	}
 	out.SetStyle(table.StyleLight)
 	out.Render()
-	for _, w := range why {
-		fmt.Println(w)
+	for _, reason := range reasons {
+		fmt.Println(reason)
 	}
 	fmt.Println("slow cut: senders + readers + of a crowd that grew too large. let go: slow or idle, as descriptors or memory ran short.")
 	return nil
 }
 
-type played struct {
+type rowResult struct {
 	normal   *standin.Tally
 	honest   standin.SlowTally
 	cpu      time.Duration
@@ -86,47 +86,47 @@
 	counters map[string]string
 }
 
-// play plays one row.
-func (p *slowPeers) play(ctx context.Context, args *cli, descriptors int, slow bool) (*played, error) {
+// runRow runs one row.
+func (c *slowPeersCmd) runRow(ctx context.Context, args *cli, descriptors int, slow bool) (*rowResult, error) {
 	f, err := standin.StartFleet(8, standin.WorkerConfig{Queue: 16, TellsStart: true})
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	s, err := args.start(ctx, standin.SchedulerConfig{Discovery: f.Discovery.Addr(), Known: f.Discovery.Known(), Sockets: descriptors,
-		MemoryMB: p.MemoryMB}, lineFile)
+	s, err := args.startScheduler(ctx, standin.SchedulerConfig{Discovery: f.Discovery.Addr(), Known: f.Discovery.Known(), Sockets: descriptors,
+		MemoryMB: c.MemoryMB}, linkBlock)
 	if err != nil {
 		return nil, err
 	}
 	defer s.stop()
-	r := &played{}
-	var all sync.WaitGroup
-	over, stop := context.WithTimeout(ctx, args.For)
+	r := &rowResult{}
+	var clients sync.WaitGroup
+	rowCtx, stop := context.WithTimeout(ctx, args.For)
 	defer stop()
-	normal := standin.JobKind{Class: "view", Share: 1, Task: standin.Task{Run: p.Job}, Budget: 5 * time.Second, Within: p.Within, Body: 200}
+	normal := standin.JobKind{Class: "view", Share: 1, Task: standin.Task{Run: c.Job}, Budget: 5 * time.Second, Within: c.Within, Body: 200}
 	if slow {
-		reads := normal
-		reads.Task = standin.Task{Run: time.Millisecond, Size: p.Answer} // what they cost is their reading
-		drags := normal
-		drags.Body = 60000
-		crowds := []standin.SlowClients{
-			{Name: "s", From: "127.0.9.1", Peers: p.Senders, Kind: drags, Send: p.Send, Again: p.Again},
-			{Name: "r", From: "127.0.10.1", Peers: p.Readers, Kind: reads, Read: p.Read, Again: p.Again}}
-		for _, c := range crowds {
-			c.Target, c.Over = s.addr, p.Over
-			all.Go(func() { c.Run(over) })
+		reader := normal
+		reader.Task = standin.Task{Run: time.Millisecond, Size: c.Answer} // running time is negligible: the cost is the slow reading
+		sender := normal
+		sender.Body = 60000
+		slowGroups := []standin.SlowClients{
+			{Name: "s", From: "127.0.9.1", Peers: c.Senders, Kind: sender, Send: c.Send, Again: c.Again},
+			{Name: "r", From: "127.0.10.1", Peers: c.Readers, Kind: reader, Read: c.Read, Again: c.Again}}
+		for _, group := range slowGroups {
+			group.Target, group.Over = s.addr, c.Over
+			clients.Go(func() { group.Run(rowCtx) })
 		}
 	}
-	// Honest lines: a branch at 10 KB/s both ways, one just above the usual least rate, and a known slow one.
+	// Honest lines: 10 KB/s both ways, just above the default minimum rate, and a line configured as slow.
 	small := normal
 	small.Body, small.Task.Size = 8000, 8000
 	honest := []standin.SlowClients{{From: "127.0.4.1", Send: 10000, Read: 10000}, {From: "127.0.5.1", Send: 4200, Read: 4200},
 		{From: "127.0.3.1", Send: 1100, Read: 1100}}
 	var mu sync.Mutex
-	for i, c := range honest {
-		c.Target, c.Name, c.Peers, c.Kind = s.addr, fmt.Sprint("h", i), 2, small
-		all.Go(func() {
-			t := c.Run(over)
+	for i, group := range honest {
+		group.Target, group.Name, group.Peers, group.Kind = s.addr, fmt.Sprint("h", i), 2, small
+		clients.Go(func() {
+			t := group.Run(rowCtx)
 			mu.Lock()
 			defer mu.Unlock()
 			r.honest.Served += t.Served
@@ -135,11 +135,11 @@
 	}
 	before := s.cpu()
 	r.normal = standin.Load{Target: s.addr, From: "127.0.1.1", Name: "n", Seed: args.Seed, Kinds: []standin.JobKind{normal},
-		For: args.For, Rate: p.Rate}.Run(ctx)
+		For: args.For, Rate: c.Rate}.Run(ctx)
 	r.cpu = s.cpu() - before
-	r.memory = s.memory()
+	r.memory = s.peakMemory()
 	r.counters = s.counters()
 	stop()
-	all.Wait()
+	clients.Wait()
 	return r, nil
 }
--- a/cmd/weldtrial/twin.go
+++ b/cmd/weldtrial/twin.go
@@ -19,25 +19,24 @@
 	"weldscale/internal/standin"
 )
 
-// twin is the trial of the emulator: a script is played by the model in simulated time, and the same arrivals and troubles
-// by real schedulers on sockets in real time. It must never be a measure of speed: what is held against one another is the
-// worth in time.
-type twin struct {
+// twinCmd is the trial of the emulator: the model runs a script in simulated time, and real schedulers get the same arrivals
+// and faults on sockets in real time. It compares the worth of the jobs served in time. It must not be used to measure speed.
+type twinCmd struct {
 	Scripts []string `arg:"" help:"Scripts, such as those in deploy/rehearsals. What two processes on one machine can't be (a lost scheduler, a box that stands still, a list service that is down) is refused." type:"existingfile"`
 	Within  float64  `help:"Exit with 1 where model and twin differ by more than this." default:"0"`
 }
 
 // Run implements the command.
-func (p *twin) Run(ctx context.Context, args *cli) error {
+func (c *twinCmd) Run(ctx context.Context, args *cli) error {
 	var scripts []*emulator.Script
-	for _, path := range p.Scripts {
+	for _, path := range c.Scripts {
 		s, err := emulator.Read(path)
 		if err != nil {
 			return err
 		}
 		for _, t := range s.Troubles {
 			if t.Balancer || !slices.Contains([]string{"vanish", "slow", "heavy_tail", "zone_loss", "drain", "restart", "flapping"}, t.Kind) {
-				return fmt.Errorf("%s: the twin can't play %s with these terms", path, t.Kind)
+				return fmt.Errorf("%s: the twin can't play the fault %s with these terms", path, t.Kind)
 			}
 		}
 		scripts = append(scripts, s)
@@ -47,129 +46,129 @@
 	out.SetStyle(table.StyleLight)
 	out.SetTitle("the model and real schedulers, the same arrivals and troubles")
 	out.AppendHeader(table.Row{"script", "jobs", "worth in time: model", "twin", "twin has more", "model refused", "twin refused", "model late", "twin late", "twin failed"})
-	far := 0
+	differing := 0
 	for i, s := range scripts {
-		m, t, err := p.play(ctx, args, s)
+		model, twin, err := c.runScript(ctx, args, s)
 		if err != nil {
-			return fmt.Errorf("%s: %w", p.Scripts[i], err)
+			return fmt.Errorf("%s: %w", c.Scripts[i], err)
 		}
-		if diff := t.worth - m.InTime; p.Within > 0 && max(diff, -diff) > p.Within {
-			far++
+		if diff := twin.worthShare - model.InTime; c.Within > 0 && max(diff, -diff) > c.Within {
+			differing++
 		}
-		out.AppendRow(table.Row{strings.TrimSuffix(filepath.Base(p.Scripts[i]), ".hcl"), m.Tries, fmt.Sprintf("%.3f", m.InTime), fmt.Sprintf("%.3f", t.worth),
-			fmt.Sprintf("%+.3f", t.worth-m.InTime), m.Refused, t.refused, m.Late, t.late, t.failed})
+		out.AppendRow(table.Row{strings.TrimSuffix(filepath.Base(c.Scripts[i]), ".hcl"), model.Tries, fmt.Sprintf("%.3f", model.InTime), fmt.Sprintf("%.3f", twin.worthShare),
+			fmt.Sprintf("%+.3f", twin.worthShare-model.InTime), model.Refused, twin.refused, model.Late, twin.late, twin.failed})
 	}
 	out.Render()
-	if far > 0 {
-		return fmt.Errorf("twin: %d scripts differ by more than %v", far, p.Within)
+	if differing > 0 {
+		return fmt.Errorf("twin: %d scripts differ by more than %v", differing, c.Within)
 	}
 	return nil
 }
 
-// twinTally is how the twin's jobs ended.
+// twinTally counts how the jobs of the real schedulers ended.
 type twinTally struct {
-	mu                    sync.Mutex
-	asked, reached, worth float64
-	late, refused, failed int
+	mu                                  sync.Mutex
+	totalWorth, worthInTime, worthShare float64 // worthShare: worthInTime / totalWorth, set at the end
+	late, refused, failed               int
 }
 
-// play plays one script both ways.
-func (p *twin) play(ctx context.Context, args *cli, s *emulator.Script) (*emulator.Result, *twinTally, error) {
-	x, err := emulator.New(s, args.Seed, nil)
+// runScript runs one script in the model and with real schedulers.
+func (c *twinCmd) runScript(ctx context.Context, args *cli, s *emulator.Script) (*emulator.Result, *twinTally, error) {
+	emu, err := emulator.New(s, args.Seed, nil)
 	if err != nil {
 		return nil, nil, err
 	}
-	var plan []emulator.ExternalEvent
-	x.OnExternalEvent = func(h emulator.ExternalEvent) { plan = append(plan, h) }
-	model, err := x.Run(nil)
+	var events []emulator.ExternalEvent
+	emu.OnExternalEvent = func(event emulator.ExternalEvent) { events = append(events, event) }
+	model, err := emu.Run(nil)
 	if err != nil {
 		return nil, nil, err
 	}
-	boxes, discovery, err := startBoxes(s)
+	workers, discovery, err := startWorkers(s)
 	if err != nil {
 		return nil, nil, err
 	}
 	defer discovery.Close()
-	for _, b := range boxes {
-		defer b.Close()
+	for _, worker := range workers {
+		defer worker.Close()
 	}
-	site := standin.SchedulerConfig{Discovery: discovery.Addr(), Known: discovery.Known(), Zones: s.Zones, Nodes: s.Schedulers,
+	config := standin.SchedulerConfig{Discovery: discovery.Addr(), Known: discovery.Known(), Zones: s.Zones, Nodes: s.Schedulers,
 		ColdSpan: time.Duration(s.ColdSpan) * time.Microsecond}
-	for _, c := range s.Classes {
-		effect := "read_like" // keyed ones too: boxes here remember no keys
-		if c.Terms.Effect == decide.Unsafe {
+	for _, class := range s.Classes {
+		effect := "read_like" // keyed classes too, since stand-in workers remember no keys
+		if class.Terms.Effect == decide.Unsafe {
 			effect = "non_idempotent"
 		}
-		site.Classes = append(site.Classes, standin.Class{Name: c.Name, Effect: effect, Aim: time.Duration(c.Terms.Aim) * time.Microsecond,
-			Deadline: time.Duration(c.Terms.Deadline) * time.Microsecond, Worth: c.Terms.Worth, Stretch: c.Terms.Stretch})
+		config.Classes = append(config.Classes, standin.Class{Name: class.Name, Effect: effect, Aim: time.Duration(class.Terms.Aim) * time.Microsecond,
+			Deadline: time.Duration(class.Terms.Deadline) * time.Microsecond, Worth: class.Terms.Worth, Stretch: class.Terms.Stretch})
 	}
-	var nodes []*scheduler
+	var schedulers []*scheduler
 	for i := range s.Schedulers {
-		site.Name, site.Zone = fmt.Sprint("n", i), i%len(s.Zones)
-		n, err := args.start(ctx, site, "")
+		config.Name, config.Zone = fmt.Sprint("n", i), i%len(s.Zones)
+		sched, err := args.startScheduler(ctx, config, "")
 		if err != nil {
 			return nil, nil, err
 		}
-		defer n.stop()
-		nodes = append(nodes, n)
+		defer sched.stop()
+		schedulers = append(schedulers, sched)
 	}
-	t := &twinTally{}
+	tally := &twinTally{}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DialContext: (&net.Dialer{Timeout: 5 * time.Second}).DialContext}}
 	defer client.CloseIdleConnections()
 	var jobs sync.WaitGroup
 	began := time.Now()
-	for i, h := range plan {
+	for i, event := range events {
 		select {
 		case <-ctx.Done():
 			return nil, nil, ctx.Err()
-		case <-time.After(time.Until(began.Add(time.Duration(h.At) * time.Microsecond))):
+		case <-time.After(time.Until(began.Add(time.Duration(event.At) * time.Microsecond))):
 		}
-		b := boxes[h.Box]
-		switch h.Kind {
+		worker := workers[event.Box]
+		switch event.Kind {
 		case emulator.Arrival:
-			jobs.Go(func() { t.ask(client, nodes[h.Node].addr, fmt.Sprint("t", i), s, h) })
+			jobs.Go(func() { tally.runJob(client, schedulers[event.Node].addr, fmt.Sprint("t", i), s, event) })
 		case emulator.BoxSilent, emulator.BoxStopped:
-			b.Silence()
+			worker.Silence()
 		case emulator.BoxRestarted:
-			b.Restart()
+			worker.Restart()
 		case emulator.BoxSlowed:
-			b.SetSlowdown(h.Slowdown)
+			worker.SetSlowdown(event.Slowdown)
 		case emulator.BoxListed:
-			status := map[decide.State]string{decide.Ready: "SERVING", decide.Draining: "DRAINING", decide.Gone: "DELETED"}[h.State]
-			time.AfterFunc(time.Duration(s.ListDelay)*5/4*time.Microsecond, func() { discovery.Set(b.Entry(status)) })
+			status := map[decide.State]string{decide.Ready: "SERVING", decide.Draining: "DRAINING", decide.Gone: "DELETED"}[event.State]
+			time.AfterFunc(time.Duration(s.ListDelay)*5/4*time.Microsecond, func() { discovery.Set(worker.Entry(status)) })
 		}
 	}
 	jobs.Wait()
-	t.worth = t.reached / max(t.asked, 1e-9)
-	return model, t, nil
+	tally.worthShare = tally.worthInTime / max(tally.totalWorth, 1e-9)
+	return model, tally, nil
 }
 
-// startBoxes starts the script's boxes and the list service that names them.
-func startBoxes(s *emulator.Script) ([]*standin.Worker, *standin.Discovery, error) {
-	var boxes []*standin.Worker
+// startWorkers starts the script's workers and a discovery service that lists them.
+func startWorkers(s *emulator.Script) ([]*standin.Worker, *standin.Discovery, error) {
+	var workers []*standin.Worker
 	var list []standin.Entry
 	for _, kind := range s.Boxes {
 		for range kind.Count {
-			w, err := standin.StartWorker(standin.WorkerConfig{Name: fmt.Sprint("b", len(boxes)), Zone: s.Zones[len(boxes)%len(s.Zones)],
+			w, err := standin.StartWorker(standin.WorkerConfig{Name: fmt.Sprint("b", len(workers)), Zone: s.Zones[len(workers)%len(s.Zones)],
 				Slots: kind.Slots, Queue: kind.Queue, Speed: kind.Speed, Cold: s.ColdFrom, Warms: time.Duration(s.ColdSpan) * time.Microsecond,
 				Refresh: time.Duration(s.ReportInterval) * time.Microsecond, TellsStart: true})
 			if err != nil {
 				return nil, nil, err
 			}
-			boxes, list = append(boxes, w), append(list, w.Entry("SERVING"))
+			workers, list = append(workers, w), append(list, w.Entry("SERVING"))
 		}
 	}
 	d, err := standin.StartDiscovery(list...)
-	return boxes, d, err
+	return workers, d, err
 }
 
-// ask sends one wish and what the client tries again of it, and books how it ended.
-func (t *twinTally) ask(client *http.Client, addr, id string, s *emulator.Script, h emulator.ExternalEvent) {
-	c := &s.Classes[h.Class]
-	aim := time.Duration(c.Terms.Aim+decide.Time(c.Terms.Stretch*float64(h.Work))) * time.Microsecond
+// runJob sends one job, with the client's retries, and counts how it ended.
+func (t *twinTally) runJob(client *http.Client, addr, id string, s *emulator.Script, event emulator.ExternalEvent) {
+	c := &s.Classes[event.Class]
+	aim := time.Duration(c.Terms.Aim+decide.Time(c.Terms.Stretch*float64(event.Work))) * time.Microsecond
 	k := &standin.JobKind{Class: c.Name, Budget: time.Duration(c.Terms.Deadline) * time.Microsecond, Body: 200,
-		Task: standin.Task{Run: time.Duration(h.Work) * time.Microsecond, Slots: h.Slots}}
-	worth := c.Terms.Worth * float64(h.Work) / 1e6
+		Task: standin.Task{Run: time.Duration(event.Work) * time.Microsecond, Slots: event.Slots}}
+	worth := c.Terms.Worth * float64(event.Work) / 1e6
 	began := time.Now()
 	status := 0
 	for try := 0; try <= s.Retries; try++ {
@@ -183,10 +182,10 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.asked += worth
+	t.totalWorth += worth
 	switch {
 	case status == 200 && time.Since(began) <= aim:
-		t.reached += worth
+		t.worthInTime += worth
 	case status == 200:
 		t.late++
 	case status == 503:
