--- a/internal/evidence/evidence.go
+++ b/internal/evidence/evidence.go
@@ -1,9 +1,9 @@
 // Package evidence combines the latest observations of workers by the schedulers of a fleet, such as failed requests and lost
-// probes, and names the workers that enough members complain about. It does not decide which worker gets a job: the decision
+// probes, and names the workers that enough members complain about. It must not decide which worker gets a job: the decision
 // module treats a suspected worker as reported by peers and has its own bounds.
 //
-// The package contains no clock and no socket. Times are readings of one monotonic clock of the process. The reasons for the
-// design are in docs/design/shared-state.md.
+// The package must not read a clock or use a socket. Times are readings of one monotonic clock of the process. The reasons for
+// the design are in docs/design/shared-state.md.
 package evidence
 
 import (
@@ -32,19 +32,19 @@
 	MaxMembers int
 	// MaxWorkers bounds the workers on which observations are kept.
 	MaxWorkers int
-	// MaxAge is how long an observation counts. If the first ejections by the decision modules end sooner, the schedulers do not
-	// all return to the worker at once, because the evidence against it still counts.
+	// MaxAge is how long an observation counts. If the first ejections by the decision modules end sooner, the schedulers do
+	// not all return to the worker at once, because the evidence against it still counts.
 	MaxAge time.Duration
 	// MinRepeatInterval is the minimum time before a member reports the same kind of observation of a worker again.
 	MinRepeatInterval time.Duration
 	// SampleSize is how many members' latest observations of a worker are considered, the newest first. More are considered if
-	// FaultyMemberShare requires it. Older ones are left out so that a worker that starts to fail, or recovers, is not judged by
-	// its former state.
+	// FaultyMemberShare requires it. Older ones are left out so that a worker that starts to fail, or recovers, is not judged
+	// by its former state.
 	SampleSize int
 	// MinComplaintShare is the share of the considered observations that must be complaints before a worker is suspected.
 	MinComplaintShare float64
-	// FaultyMemberShare is the share of the members that may report wrongly. More members than that must complain about a worker
-	// before it is suspected, and at least two.
+	// FaultyMemberShare is the share of the members that may report wrongly. More members than that must complain about a
+	// worker before it is suspected, and at least two.
 	FaultyMemberShare float64
 	// MaxSuspectShare is the maximum share of the workers that are suspected. A member that complains about more workers is
 	// itself considered faulty and is ignored.
@@ -147,8 +147,8 @@
 	}
 }
 
-// DiscardOwn discards this member's observations. It is for use after this process has stalled, when timeouts and lost probes say
-// nothing about the workers.
+// DiscardOwn discards this member's observations. It is for use after this process has stalled, when timeouts and lost probes
+// say nothing about the workers.
 func (a *Aggregator) DiscardOwn() { a.own = map[string]*observation{} }
 
 // ResendAll makes DueReports return all current reports once more, for a member that has joined since they were sent.
@@ -209,8 +209,8 @@
 	}
 }
 
-// DueReports returns the reports to send now, sorted by worker. Successes are reported only for workers that other members
-// complain about, as evidence to the contrary.
+// DueReports returns the reports to send now, sorted by worker: this member's complaints, and its successes at workers that
+// other members complain about, as evidence to the contrary.
 func (a *Aggregator) DueReports(now time.Duration) (out []Report) {
 	a.expireReceived(now)
 	for worker, o := range a.own {
@@ -255,8 +255,8 @@
 	complaint bool
 }
 
-// Suspects returns the workers that the members of this member's zone suspect, those with the highest share of complaints first.
-// knownWorkers is the number of all workers, and zoneMembers the number of live members in the zone.
+// Suspects returns the workers that the members of this member's zone suspect, those with the highest share of complaints
+// first. knownWorkers is the number of all workers, and zoneMembers the number of live members in the zone.
 func (a *Aggregator) Suspects(now time.Duration, knownWorkers, zoneMembers int) (names []string) {
 	a.expireReceived(now)
 	maxSuspects := int(a.c.MaxSuspectShare * float64(knownWorkers))
--- a/internal/evidence/evidence_test.go
+++ b/internal/evidence/evidence_test.go
@@ -139,8 +139,8 @@
 	}
 }
 
-// Checks that members with the same reports suspect the same workers, in whatever order the reports arrive and however often. As
-// many faulty members as the configuration allows must not get a good worker suspected.
+// Checks that members with the same reports suspect the same workers, in whatever order the reports arrive and however often.
+// As many faulty members as the configuration allows must not get a good worker suspected.
 func TestFaultyMembersAndReordering(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.IntRange(5, 60).Draw(t, "members")
@@ -165,7 +165,7 @@
 			a := newTestAggregator(t, members, "me", "here")
 			order := append([]Report(nil), all...)
 			order = append(order, all[:len(all)/2]...)
-			rng.Shuffle(len(order), func(a, c int) { order[a], order[c] = order[c], order[a] })
+			rng.Shuffle(len(order), func(x, y int) { order[x], order[y] = order[y], order[x] })
 			for k, r := range order {
 				a.Receive(3*second, r)
 				if k%97 == 0 { // checks intermediate states too
--- a/internal/fleet/budget.go
+++ b/internal/fleet/budget.go
@@ -65,7 +65,8 @@
 // MaxChunks is the maximum number of chunks of a budget. Three bitmaps of that many chunks fit a datagram.
 const MaxChunks = 1024
 
-// NewBudgets returns a member without budgets. send is usually the method Send of a Link.
+// NewBudgets returns the budgets of the member with the given name, none at first. send sends a message to a member; it is
+// usually the method Send of a Link.
 func NewBudgets(name string, incarnation uint64, send func(string, []byte) error) *Budgets {
 	return &Budgets{name: name, incarnation: incarnation, started: time.Now(), send: send,
 		budgets: map[string]*budget{}, stop: make(chan struct{})}
@@ -102,20 +103,20 @@
 }
 
 // runRounds sends requests for a budget to the voters, four times per lease duration, until Stop.
-func (b *Budgets) runRounds(name string, of *budget) {
+func (b *Budgets) runRounds(name string, entry *budget) {
 	for {
 		b.mu.Lock()
-		request := of.holder.BeginRound(b.now())
+		request := entry.holder.BeginRound(b.now())
 		b.mu.Unlock()
 		text, _ := json.Marshal(budgetMessage{Budget: name, Ask: &voteRequestMessage{request.Incarnation, request.Round,
 			encodeChunks(request.Wanted), encodeChunks(request.Released), request.Shortfall, request.UnmetDemand}})
-		for _, voter := range of.config.Voters {
+		for _, voter := range entry.config.Voters {
 			b.send(voter, text) // a failed send counts as no reply
 		}
 		select {
 		case <-b.stop:
 			return
-		case <-time.After(of.config.LeaseDuration / 4):
+		case <-time.After(entry.config.LeaseDuration / 4):
 		}
 	}
 }
@@ -125,21 +126,21 @@
 	var message budgetMessage
 	err := json.Unmarshal(data, &message)
 	b.mu.Lock()
-	of := b.budgets[message.Budget]
-	if err != nil || of == nil || message.Ask == nil && message.Answer == nil || message.Ask != nil && of.voter == nil {
+	entry := b.budgets[message.Budget]
+	if err != nil || entry == nil || message.Ask == nil && message.Answer == nil || message.Ask != nil && entry.voter == nil {
 		b.malformed++
 		b.mu.Unlock()
 		return
 	}
 	if message.Ask == nil {
 		reply := message.Answer
-		of.holder.HandleReply(b.now(), share.VoteReply{Voter: from, Incarnation: reply.Life, Round: reply.Round,
+		entry.holder.HandleReply(b.now(), share.VoteReply{Voter: from, Incarnation: reply.Life, Round: reply.Round,
 			Granted: decodeChunks(reply.Yes), Available: decodeChunks(reply.Open), Shortfall: reply.Short, UnmetDemand: reply.More, Requesters: reply.Ask})
 		b.mu.Unlock()
 		return
 	}
 	request := message.Ask
-	reply := of.voter.HandleRequest(b.now(), share.VoteRequest{From: from, Incarnation: request.Life, Round: request.Round,
+	reply := entry.voter.HandleRequest(b.now(), share.VoteRequest{From: from, Incarnation: request.Life, Round: request.Round,
 		Wanted: decodeChunks(request.Want), Released: decodeChunks(request.Free), Shortfall: request.Short, UnmetDemand: request.More})
 	b.mu.Unlock()
 	text, _ := json.Marshal(budgetMessage{Budget: message.Budget, Answer: &voteReplyMessage{reply.Incarnation, reply.Round,
@@ -151,14 +152,14 @@
 func (b *Budgets) Spend(name string, units float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	of := b.budgets[name]
-	if of == nil || !of.holder.Spend(b.now(), units) {
-		if of != nil {
-			of.denied++
+	entry := b.budgets[name]
+	if entry == nil || !entry.holder.Spend(b.now(), units) {
+		if entry != nil {
+			entry.denied++
 		}
 		return false
 	}
-	of.spent += units
+	entry.spent += units
 	return true
 }
 
@@ -166,8 +167,8 @@
 func (b *Budgets) Return(name string, units float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if of := b.budgets[name]; of != nil {
-		of.holder.Return(units)
+	if entry := b.budgets[name]; entry != nil {
+		entry.holder.Return(units)
 	}
 }
 
@@ -184,9 +185,9 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[string]BudgetStatus{}
-	for name, of := range b.budgets {
-		out[name] = BudgetStatus{of.holder.Share(b.now()), of.config.Floor, of.config.Budget, of.spent,
-			of.denied, b.malformed, of.voter != nil}
+	for name, entry := range b.budgets {
+		out[name] = BudgetStatus{entry.holder.Share(b.now()), entry.config.Floor, entry.config.Budget, entry.spent,
+			entry.denied, b.malformed, entry.voter != nil}
 	}
 	return out
 }
--- a/internal/fleet/evidence.go
+++ b/internal/fleet/evidence.go
@@ -15,8 +15,8 @@
 // This file exchanges evidence on workers over a Link: reports are broadcast by gossip, and each member forwards those that are
 // new to it. Package evidence decides which workers are suspected, and the decision module which worker gets a job.
 
-// Evidence holds one member's evidence on the workers of each service. Its methods are safe for concurrent use and do not wait for
-// the network.
+// Evidence holds one member's evidence on the workers of each service. Its methods are safe for concurrent use and do not wait
+// for the network.
 type Evidence struct {
 	name, zone  string
 	incarnation uint64
@@ -31,12 +31,14 @@
 	suspects    map[string][]string // by service, as of its last tick
 }
 
-// stallThreshold is the time between two ticks that counts as a stall of this process. Ticks normally come several times a second.
+// stallThreshold is the time between two ticks that counts as a stall of this process. Ticks normally come several times a
+// second.
 const stallThreshold = time.Second
 
 // evidenceMark is the first byte of a message of evidence. Messages of budgets start with a brace.
 const evidenceMark = 'E'
 
+// evidenceMessage is the encoding of an evidence.Report. The sender's name is in the header of the message.
 type evidenceMessage struct {
 	Service string `json:"s"`
 	Zone    string `json:"z,omitempty"`
@@ -47,8 +49,8 @@
 	Kind    int    `json:"k"`
 }
 
-// NewEvidence returns a member without evidence, in a fleet of at most the given number of members. link is called whenever the
-// link is needed, not before the first Tick.
+// NewEvidence returns the evidence of the member with the given name, none at first, in a fleet of at most the given number of
+// members. link is called whenever the link is needed, not before the first Tick.
 func NewEvidence(name, zone string, incarnation uint64, members int, link func() *Link) *Evidence {
 	return &Evidence{name: name, zone: zone, incarnation: incarnation, config: evidence.DefaultConfig(members),
 		link: link, started: time.Now(), aggregators: map[string]*evidence.Aggregator{}, suspects: map[string][]string{}}
@@ -83,7 +85,7 @@
 	}
 	v.mu.Lock()
 	now := time.Since(v.started)
-	if now-v.lastTick > stallThreshold {
+	if now-v.lastTick > stallThreshold { // after a stall, this comes before any use of the evidence
 		for _, a := range v.aggregators {
 			a.DiscardOwn()
 		}
@@ -133,8 +135,8 @@
 // maxWorkerName bounds the name of a worker in a message, in bytes.
 const maxWorkerName = 256
 
-// Suspects returns the suspected workers as sorted service/worker names, and the number of messages that were malformed or exceeded
-// a bound.
+// Suspects returns the suspected workers as sorted service/worker names, and the number of messages that were malformed or
+// exceeded a bound.
 func (v *Evidence) Suspects() (names []string, malformed int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -167,8 +169,8 @@
 // maxQueuedGossip bounds the queue of gossip. The oldest messages are dropped.
 const maxQueuedGossip = 1024
 
-// Broadcast sends a message to all members by gossip. It replaces a message of this member with the same key that is still queued.
-// Messages that are too large are dropped.
+// Broadcast sends a message to all members by gossip. It replaces a message of this member with the same key that is still
+// queued. Messages that are too large are dropped.
 func (l *Link) Broadcast(key string, data []byte) {
 	if len(data) <= maxMessage {
 		l.enqueue(l.c.Name+" "+key, l.withSender(data))
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,7 +1,7 @@
 // Package fleet connects the schedulers of one fleet: it keeps the list of live members by gossip and carries small messages
-// between them. It owns the sockets, UDP and TCP on one address below memberlist, and bounds the traffic. It does not interpret
-// the budgets and the evidence that members exchange; packages share and evidence do. It is used only if the scheduler's file has
-// a fleet block.
+// between them. It owns the sockets, UDP and TCP on one address below memberlist, and bounds the traffic. It must not decide
+// anything, and must not let a message of a member name a worker to use: what the messages mean is up to packages share and
+// evidence. It is used only if the scheduler's file has a fleet block.
 package fleet
 
 import (
@@ -53,8 +53,8 @@
 	rejoinInterval = 2 * time.Second
 	leaveTimeout   = time.Second
 	version        = 1
-	// baseByteRate and memberByteRate limit the datagrams in each direction, in bytes per second: baseByteRate for the traffic of
-	// memberlist, and memberByteRate for each member, whose vote requests reach a voter twice a second.
+	// baseByteRate and memberByteRate limit the datagrams in each direction, in bytes per second: baseByteRate for the traffic
+	// of memberlist, and memberByteRate for each member, whose vote requests reach a voter twice a second.
 	baseByteRate, memberByteRate = 64 << 10, 4 << 10
 	// gossipInterval is how often queued gossip is sent, to three members. A message reaches a hundred members in about four
 	// intervals. Nothing is sent if the queue is empty.
@@ -159,8 +159,8 @@
 	l.list.Load().Shutdown()
 }
 
-// Send sends a message to a member. A nil error does not mean that the message arrives. Messages to this member itself are passed
-// to OnMessage before Send returns.
+// Send sends a message to a member. A nil error does not mean that the message arrives. Messages to this member itself are
+// passed to OnMessage before Send returns.
 func (l *Link) Send(to string, data []byte) error {
 	if len(data) > maxMessage {
 		return fmt.Errorf("fleet: message of %d bytes is larger than the maximum of %d", len(data), maxMessage)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -37,18 +37,19 @@
 // Checks that members find each other by the address of any live member and exchange messages, and that members with another
 // fleet name or key cannot join.
 func TestMembership(t *testing.T) {
-	a, b, c, d := freeAddress(t), freeAddress(t), freeAddress(t), freeAddress(t)
+	addressA, addressB, addressX, addressY := freeAddress(t), freeAddress(t), freeAddress(t), freeAddress(t)
 	received := make(chan string, 10)
-	one := start(t, Config{Fleet: "print", Name: "a", Bind: a, Join: []string{b}, Incarnation: 7, Zone: "murun",
+	memberA := start(t, Config{Fleet: "print", Name: "a", Bind: addressA, Join: []string{addressB}, Incarnation: 7, Zone: "murun",
 		OnMessage: func(from string, data []byte) bool { received <- from + " " + string(data); return false }})
-	start(t, Config{Fleet: "other", Name: "x", Bind: c, Join: []string{a}})
-	start(t, Config{Fleet: "print", Name: "y", Bind: d, Join: []string{a}, Key: make([]byte, 16)})
-	assert.Len(t, one.Members(), 1, "no other member of the fleet runs")
-	two := start(t, Config{Fleet: "print", Name: "b", Bind: b}) // member a joins it
-	require.Eventually(t, func() bool { return len(one.Members()) == 2 && len(two.Members()) == 2 }, testTimeout, 20*time.Millisecond)
-	assert.Equal(t, Member{Name: "a", Zone: "murun", Address: a, Incarnation: 7}, two.Members()[0])
+	start(t, Config{Fleet: "other", Name: "x", Bind: addressX, Join: []string{addressA}})
+	start(t, Config{Fleet: "print", Name: "y", Bind: addressY, Join: []string{addressA}, Key: make([]byte, 16)})
+	assert.Len(t, memberA.Members(), 1, "no other member of the fleet runs")
+	memberB := start(t, Config{Fleet: "print", Name: "b", Bind: addressB}) // member a joins it
+	require.Eventually(t, func() bool { return len(memberA.Members()) == 2 && len(memberB.Members()) == 2 },
+		testTimeout, 20*time.Millisecond)
+	assert.Equal(t, Member{Name: "a", Zone: "murun", Address: addressA, Incarnation: 7}, memberB.Members()[0])
 	require.Eventually(t, func() bool {
-		require.NoError(t, two.Send("a", []byte("hello")))
+		require.NoError(t, memberB.Send("a", []byte("hello")))
 		select {
 		case got := <-received:
 			return assert.Equal(t, "b hello", got)
@@ -56,13 +57,13 @@
 			return false
 		}
 	}, testTimeout, time.Millisecond)
-	assert.Error(t, two.Send("x", []byte("hello")))
-	assert.Error(t, two.Send("a", make([]byte, maxMessage+1)))
-	assert.Len(t, one.Members(), 2)
+	assert.Error(t, memberB.Send("x", []byte("hello")))
+	assert.Error(t, memberB.Send("a", make([]byte, maxMessage+1)))
+	assert.Len(t, memberA.Members(), 2)
 }
 
-// Checks that a member receives the reports on a worker that were sent before it joined. They would otherwise never reach it: the
-// members avoid the suspected worker, so they make no new observations of it.
+// Checks that a member receives the reports on a worker that were sent before it joined. They would otherwise never reach it:
+// the members avoid the suspected worker, so they make no new observations of it.
 func TestJoiningMemberReceivesEarlierReports(t *testing.T) {
 	const service, worker, knownWorkers = "shop", "bad", 5
 	first, firstEvidence := startWithEvidence(t, "a", Config{Bind: freeAddress(t)})
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -13,9 +13,9 @@
 )
 
 // This file contains the sockets below memberlist: one address for datagrams and streams, bounds on the traffic, and the relay
-// that fault tests use. It does not read the content of the traffic.
+// that fault tests use. It must not read the content of the traffic.
 
-// Bounds on the sockets. Traffic beyond them is dropped and counted. memberlist treats dropped datagrams as lost and sends again.
+// Bounds on the sockets. Traffic beyond them is dropped and counted. memberlist treats dropped datagrams as lost and retries.
 const (
 	maxDatagram      = 2 << 10   // memberlist sends up to 1,400 bytes; encryption and the label add some
 	byteBurst        = 256 << 10 // bytes of datagrams at once, in each direction
@@ -180,8 +180,8 @@
 	return s.Conn.Close()
 }
 
-// RelayHeader returns the header of a datagram or a stream to a relay. It contains the addresses of the receiver and the sender,
-// each with a length byte before it.
+// RelayHeader returns the header of a datagram or a stream to a relay. It contains the addresses of the receiver and the
+// sender, each with a length byte before it.
 func RelayHeader(to, from string) []byte {
 	b := append([]byte{byte(len(to))}, to...)
 	return append(append(b, byte(len(from))), from...)
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -3,8 +3,8 @@
 // on the same chunk at once, so what all holders may spend never adds up to more than the budget, even if messages are lost,
 // duplicated, delayed or reordered.
 //
-// The package contains no clock, socket or disk. Times are readings of one monotonic clock of the process. The reasons for the
-// design are in docs/design/shared-state.md.
+// The package must not read a clock or use a socket or a disk. Times are readings of one monotonic clock of the process. The
+// reasons for the design are in docs/design/shared-state.md.
 package share
 
 import (
@@ -61,8 +61,8 @@
 			return fmt.Errorf("share: %s", f.text)
 		}
 	}
-	for i, k := range c.Voters {
-		if k == "" || slices.Contains(c.Voters[:i], k) {
+	for i, name := range c.Voters {
+		if name == "" || slices.Contains(c.Voters[:i], name) {
 			return fmt.Errorf("share: Voters must be different names")
 		}
 	}
@@ -88,12 +88,12 @@
 	From               string
 	Incarnation, Round uint64
 	Wanted, Released   []int
-	Shortfall          int // chunks that the holder lacks to an even share
-	UnmetDemand        int // chunks that the holder would use beyond those it has
+	Shortfall          int // number of chunks by which the holder is below an even share
+	UnmetDemand        int // number of chunks that the holder would use beyond those it has
 }
 
-// VoteReply is a voter's reply to a VoteRequest. It contains the chunks that it votes for, chunks that no vote binds, the sums of
-// what the other holders lack to an even share and of their unmet demand, and the number of holders that send requests.
+// VoteReply is a voter's reply to a VoteRequest. It contains the chunks that it votes for, chunks that no vote binds, the sums
+// of the other holders' shortfalls and unmet demands, and the number of holders that send requests.
 type VoteReply struct {
 	Voter                  string
 	Incarnation, Round     uint64
@@ -201,7 +201,7 @@
 	return h >> 4
 }
 
-// Holder is one scheduler's state of a budget: what it may spend, and which chunks to request. It is not safe for concurrent use.
+// Holder is a scheduler's state of a budget: what it may spend, and which chunks to request. It is not safe for concurrent use.
 type Holder struct {
 	c                 Config
 	name              string
@@ -217,8 +217,8 @@
 	roundStartedAt    time.Duration
 	available         []int // chunks that voters reported as available
 	demand            float64
-	othersShortfall   int // chunks that other holders lack to an even share, as voters reported
-	othersUnmetDemand int // chunks that other holders would use beyond those they have
+	othersShortfall   int // sum of the other holders' shortfalls, as voters reported
+	othersUnmetDemand int // sum of the other holders' unmet demands, as voters reported
 	requesters        int
 	randomState       uint64
 }
@@ -324,8 +324,8 @@
 	releaseDivisor = 4
 )
 
-// BeginRound starts a round and returns the request to send to every voter. Three rounds per LeaseDuration are enough to keep the
-// chunks that are held.
+// BeginRound starts a round and returns the request to send to every voter. Three rounds per LeaseDuration are enough to keep
+// the chunks that are held.
 func (h *Holder) BeginRound(now time.Duration) VoteRequest {
 	if h.c.Burst > 0 {
 		h.refill(now)
@@ -346,7 +346,7 @@
 	needed := max(0, min(h.c.Chunks, int(math.Ceil((h.demand*demandFactor-h.c.Floor)/size))))
 	evenShare := max(1, h.c.Chunks/max(1, h.requesters))
 	target, held := needed, h.heldChunks(now)
-	// If others lack an even share, no holder grows beyond one. If no chunk is available either, holders with more release some.
+	// If others lack an even share, no holder grows beyond one. If no chunk is available either, larger holders release some.
 	if h.othersShortfall > 0 {
 		target = min(needed, max(held, evenShare))
 		if held > evenShare && len(h.available) == 0 {
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -26,8 +26,8 @@
 	return c
 }
 
-// simulation runs holders and voters in simulated time. Messages may be lost, duplicated and delayed, and each member's clock runs
-// at its own rate.
+// simulation runs holders and voters in simulated time. Messages may be lost, duplicated and delayed, and each member's clock
+// runs at its own rate.
 type simulation struct {
 	t               require.TestingT
 	c               Config
@@ -71,8 +71,8 @@
 	return time.Duration(float64(now) * clockRate)
 }
 
-// newSimulation returns a simulation with n holders. clockRate returns the clock rate of a holder by its index, and of the voters
-// by the indexes -1, -2 and so on.
+// newSimulation returns a simulation with n holders. clockRate returns the clock rate of a holder by its index, and of the
+// voters by the indexes -1, -2 and so on.
 func newSimulation(t require.TestingT, c Config, n int, clockRate func(int) float64) *simulation {
 	sim := &simulation{t: t, c: c}
 	for i, name := range c.Voters {
@@ -96,8 +96,8 @@
 	holder.Holder = h
 }
 
-// beginRound sends the requests of one holder to all voters. delay returns the delay of each message, or a negative value if the
-// message is lost.
+// beginRound sends the requests of one holder to all voters. delay returns the delay of each message, or a negative value if
+// the message is lost.
 func (sim *simulation) beginRound(i int, delay func() time.Duration) {
 	holder := sim.holders[i]
 	if holder.stalled {
@@ -191,7 +191,8 @@
 }
 
 // Checks that the shares never add up to more than the budget, and that no more than the budget and its burst is spent, under
-// message loss, duplication, delay, partitions, stalls and restarts. Without faults, nearly the whole budget must be held again.
+// message loss, duplication, delay, partitions, stalls and restarts. Without faults, nearly the whole budget must be held
+// again.
 func TestSharesNeverExceedBudget(t *testing.T) {
 	for name, c := range map[string]Config{"rate": rateConfig(5, 24), "count": countConfig(5, 24)} {
 		t.Run(name, func(t *testing.T) {
@@ -290,8 +291,8 @@
 	return sum / sim.c.Budget
 }
 
-// Checks that shares follow the demand and that no holder with demand starves. Holders that are partitioned keep their floor, and
-// the others get the rest of the budget.
+// Checks that shares follow the demand and that no holder with demand starves. Holders that are partitioned keep their floor,
+// and the others get the rest of the budget.
 func TestSharesFollowDemand(t *testing.T) {
 	sim := newSimulation(t, rateConfig(10, 100), 10, func(int) float64 { return 1 })
 	equal := func(i int) float64 { return 80 }
@@ -393,8 +394,8 @@
 	}
 }
 
-// Checks that a fleet of 500 members uses nearly the whole budget if the demand is twice the budget, half of it from one member in
-// twenty.
+// Checks that a fleet of 500 members uses nearly the whole budget if the demand is twice the budget, half of it from one member
+// in twenty.
 func TestFiveHundredMembers(t *testing.T) {
 	c := rateConfig(500, 2000)
 	sim := newSimulation(t, c, 500, func(int) float64 { return 1 })
