--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -57,8 +57,7 @@
 	logLevel zapcore.Level
 }
 
-// execute runs the program and returns its exit code. It writes an error as one line to stderr. The log
-// goes to stderr too.
+// execute runs the program and returns its exit code. It writes an error as one line to stderr. The log goes to stderr too.
 func (p Program) execute(ctx context.Context, arguments []string, stderr io.Writer) int {
 	parsed, err := p.parse(arguments, stderr)
 	switch {
@@ -121,8 +120,9 @@
 	return err
 }
 
-// memoryShare is the share of the machine's memory that is set as the soft memory limit of the Go runtime. Unread data in the
-// socket buffers counts towards the machine's memory too and must fit in the rest.
+// memoryShare is the share of the machine's memory that is set as the soft memory limit of the Go runtime, above which the
+// garbage collector works harder. Unread data in the socket buffers counts towards the machine's memory too and must fit in the
+// rest.
 const memoryShare = 0.7
 
 func limitMemory(current *settings.Settings) {
--- a/internal/fleetclient/client_test.go
+++ b/internal/fleetclient/client_test.go
@@ -52,7 +52,8 @@
 	answer(w, r)
 }
 
-// received returns the requests so far. It locks, because a client whose reply is cut returns while its request is still served.
+// received returns the requests so far. It locks, because a client whose reply is cut returns while its request is still
+// served.
 func (c *fakeController) received() []received {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/fleetconfig/convert.go
+++ b/internal/fleetconfig/convert.go
@@ -19,12 +19,12 @@
 	}
 }
 
-// convertAll applies one to each item. It returns nil for an empty list.
-func convertAll[From, To any](from []From, one func(From) To) []To {
+// convertAll converts each item of a list. It returns nil for an empty list.
+func convertAll[From, To any](from []From, convertItem func(From) To) []To {
 	if len(from) == 0 {
 		return nil
 	}
-	return lo.Map(from, func(item From, _ int) To { return one(item) })
+	return lo.Map(from, func(item From, _ int) To { return convertItem(item) })
 }
 
 func convertRoute(route *fleetconfigpb.Route) fleetwire.Route {
--- a/internal/instances/reader.go
+++ b/internal/instances/reader.go
@@ -22,7 +22,7 @@
 	maxPages     = 200 // a longer list is treated as a fault of the platform
 )
 
-// Errors that Read wraps.
+// Errors of Read that callers distinguish.
 var (
 	// ErrRateLimited means that the platform refused a call above its rate limit.
 	ErrRateLimited = eris.New("above the platform's rate limit")
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,6 +1,6 @@
 // Package member provides an engine with its list of workers from the operator's file, or from a separate file that it watches.
-// Both implement engine.Directory, as service discovery does. The package changes the engine's state only on the engine's loop. A
-// watched file that cannot be read or parsed leaves the list unchanged.
+// Both implement engine.Directory, as service discovery does. The package changes the engine's state only on the engine's loop.
+// A watched file that cannot be read or parsed leaves the list unchanged.
 package member
 
 import (
@@ -55,7 +55,7 @@
 	closeOnce  sync.Once
 }
 
-// WatchFile reads the file and starts to watch it. It returns an error if the file cannot be read. Later read errors are logged.
+// WatchFile reads the file and starts to watch it. It returns an error if either fails. Later read errors are logged.
 func WatchFile(e *engine.Engine, service, path string, settleTime time.Duration) (*File, error) {
 	f := &File{Static: Static{Engine: e}, path: path, service: service, settleTime: settleTime}
 	workers, err := f.read()
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -116,7 +116,7 @@
 // ConfigPropagation is the time from the acknowledgement of a configuration until it must apply on all machines.
 func (b *Bounds) ConfigPropagation() time.Duration { return milliseconds(b.ConfigPropagationMs) }
 
-// RollbackSlack is the time within which a machine may still act on an older version after it has shown the effect of a newer one.
+// RollbackSlack is the time within which a machine may still act on an older version after it has shown a newer one.
 func (b *Bounds) RollbackSlack() time.Duration { return milliseconds(b.RollbackSlackMs) }
 
 // MaxSkew is the time that an unstable core may add to ConfigPropagation.
--- a/internal/settings/watcher_test.go
+++ b/internal/settings/watcher_test.go
@@ -40,8 +40,10 @@
 	require.NoError(t, os.WriteFile(path, []byte(content), 0o600))
 }
 
+// reloadOnSighup does what Run does on SIGHUP.
 func (w *testWatcher) reloadOnSighup() { w.reload(w.state()) }
 
+// renamed returns routerFile with another name of the node.
 func renamed(name string) string { return strings.Replace(routerFile, "frontend-a-1", name, 1) }
 
 func TestWatcherReloadsAChangedFile(t *testing.T) {
