--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
 // Package config reads the operator's HCL file into plain types. It defines the names, units, bounds and defaults of all
-// settings and reports every error with file, line, column and the allowed values. Nothing is cached: each call reads the
-// file again.
+// settings and reports every error with file, line, column and the allowed values. It makes no decisions and caches nothing:
+// each call reads the file again.
 package config
 
 import (
@@ -33,7 +33,7 @@
 	InFlight  int // maximum requests in flight of all services together; 0: a third of the descriptors
 	Services  []Service
 	Metrics   bool         // whether /-/metrics is served
-	Scheduler *Scheduler   // replaces the platform's configuration; nil if there is no scheduler block
+	Scheduler *Scheduler   // used if the platform gives no configuration; nil if there is no scheduler block
 	Fleet     *Fleet       // nil: the scheduler is not part of a fleet
 	Control   string       // path of the control socket; "": none
 	Platform  []route.Rule // rules of the service that the platform's configuration describes
@@ -130,10 +130,10 @@
 }
 
 type schedulerBlock struct {
-	Name   hcl.Expression `hcl:"name,optional"`
-	Listen hcl.Expression `hcl:"listen"`
-	Memory hcl.Expression `hcl:"memory_mb,optional"`
-	Files  hcl.Expression `hcl:"sockets,optional"`
+	Name    hcl.Expression `hcl:"name,optional"`
+	Listen  hcl.Expression `hcl:"listen"`
+	Memory  hcl.Expression `hcl:"memory_mb,optional"`
+	Sockets hcl.Expression `hcl:"sockets,optional"`
 }
 
 type controlBlock struct {
@@ -175,7 +175,7 @@
 		if b := l.Scheduler; b != nil && !blockDiags.HasErrors() {
 			f.Scheduler = &Scheduler{MemoryMB: 192, Sockets: 1024, Name: cmp.Or(r.optionalText(b.Name, "a name"), "weldscale"), Listen: r.address(b.Listen)}
 			r.optionalNumber(b.Memory, count, 16, 1<<20, &f.Scheduler.MemoryMB)
-			r.optionalNumber(b.Files, count, 64, 1<<20, &f.Scheduler.Sockets)
+			r.optionalNumber(b.Sockets, count, 64, 1<<20, &f.Scheduler.Sockets)
 			if len(l.Services) == 0 {
 				r.addError(b.Listen.Range(), "a scheduler block without a service block: there would be nothing to serve")
 			}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -151,8 +151,8 @@
 	assert.Equal(t, Service{Name: "shop", Weight: 2, Reserve: 50, Rules: s.Rules, Workers: []Worker{{"a", "127.0.0.1:3000"}},
 		Limits: pool.Limits{Rate: 200.5, Bytes: 4 << 20, Retries: 0.2}, Classes: []Class{{"submit", decide.Class{Effect: decide.Keyed,
 			Scope: decide.ScopeAll, MemorySpan: 12e6, Kind: -1, Aim: 300e3, Stretch: 2, Deadline: 10e6, Worth: 1}, pool.Limits{InFlight: 20}}}}, s)
-	for in, want := range map[string]string{"shop.example.org": "shop", "app.svc": ""} {
-		got, miss := f.Routes.Match(route.Request{Host: in, Path: "/"})
+	for host, want := range map[string]string{"shop.example.org": "shop", "app.svc": ""} {
+		got, miss := f.Routes.Match(route.Request{Host: host, Path: "/"})
 		assert.Equal(t, route.Matched, miss)
 		assert.Equal(t, want, got)
 	}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -18,7 +18,7 @@
 	Join        []string
 	KeyFile     string
 	Zone        string
-	Members     int
+	Members     int      // maximum number of schedulers that run at once
 	Keepers     []string // names of the schedulers that vote on the parts of the shared limits; an odd number
 	Term        float64  // time in microseconds for which a scheduler may use its part of a budget after it asked for it
 	Floor       float64  // fraction of each budget that is divided evenly among the members and never redistributed
@@ -30,20 +30,20 @@
 }
 
 type fleetBlock struct {
-	Name    string         `hcl:"name,label"`
-	Bind    hcl.Expression `hcl:"bind"`
-	Via     hcl.Expression `hcl:"via,optional"`
-	Join    hcl.Expression `hcl:"join,optional"`
-	KeyFile hcl.Expression `hcl:"key_file,optional"`
-	Zone    hcl.Expression `hcl:"zone,optional"`
-	Members hcl.Expression `hcl:"members"`
-	Keepers hcl.Expression `hcl:"keepers"`
-	Term    hcl.Expression `hcl:"term,optional"`
-	Floor   hcl.Expression `hcl:"floor,optional"`
-	Burst   hcl.Expression `hcl:"burst,optional"`
-	Drift   hcl.Expression `hcl:"drift,optional"`
-	Use     hcl.Expression `hcl:"use,optional"`
-	Judge   hcl.Expression `hcl:"evidence,optional"`
+	Name     string         `hcl:"name,label"`
+	Bind     hcl.Expression `hcl:"bind"`
+	Via      hcl.Expression `hcl:"via,optional"`
+	Join     hcl.Expression `hcl:"join,optional"`
+	KeyFile  hcl.Expression `hcl:"key_file,optional"`
+	Zone     hcl.Expression `hcl:"zone,optional"`
+	Members  hcl.Expression `hcl:"members"`
+	Keepers  hcl.Expression `hcl:"keepers"`
+	Term     hcl.Expression `hcl:"term,optional"`
+	Floor    hcl.Expression `hcl:"floor,optional"`
+	Burst    hcl.Expression `hcl:"burst,optional"`
+	Drift    hcl.Expression `hcl:"drift,optional"`
+	Use      hcl.Expression `hcl:"use,optional"`
+	Evidence hcl.Expression `hcl:"evidence,optional"`
 }
 
 const maxMembers = 1024
@@ -79,12 +79,12 @@
 	r.optionalNumber(b.Burst, number, 0.01, 60, &f.Burst)
 	r.optionalNumber(b.Use, span, 1e6, 60*minute, &f.MaxHoldTime)
 	r.optionalNumber(b.Drift, number, 0, 0.2, &f.ClockDrift)
-	switch text := r.optionalText(b.Judge, `"yes" or "no"`); text {
+	switch text := r.optionalText(b.Evidence, `"yes" or "no"`); text {
 	case "", "yes":
 		f.Evidence = true
 	case "no":
 	default:
-		r.addError(b.Judge.Range(), "evidence: allowed is \"yes\" or \"no\"")
+		r.addError(b.Evidence.Range(), "evidence: allowed is \"yes\" or \"no\"")
 	}
 	f.Join = r.optionalTexts(b.Join, `a list of addresses, such as ["10.1.0.7:7400"]`)
 	for _, addr := range f.Join {
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -306,8 +306,8 @@
 			limitFields(&c.Limits)...))
 		kind, ok := effects[effect]
 		if !ok {
-			r.addError(position, "class %q of service %q: effect must be one of %s; there is no default", in.Name, b.Name,
-				strings.Join(slices.Sorted(maps.Keys(effects)), ", "))
+			r.addError(position, "class %q of service %q: effect must be one of %s; there is no default, since the effect of a repeat cannot be guessed",
+				in.Name, b.Name, strings.Join(slices.Sorted(maps.Keys(effects)), ", "))
 		}
 		c.Terms.Effect = kind
 		if kind == decide.Keyed && c.Terms.MemorySpan == 0 {
@@ -347,8 +347,8 @@
 	return out
 }
 
-// Compatible reports whether a running service can be reconfigured from s to o: the worker source and the classes must be
-// the same, while limits, weight and rules may differ.
+// Compatible reports whether a running service can be reconfigured from s to o: the discovery address, the worker file and
+// the names and terms of the classes must be the same, while limits, weight, rules and listed workers may differ.
 func (s *Service) Compatible(o *Service) bool {
 	return s.Discovery == o.Discovery && s.File == o.File && slices.EqualFunc(s.Classes, o.Classes, func(a, b Class) bool {
 		return a.Name == b.Name && a.Terms == b.Terms
