--- a/internal/emulator/check.go
+++ b/internal/emulator/check.go
@@ -107,7 +107,7 @@
 	case "answer":
 		request := c.requests[words[2]]
 		if request == nil {
-			c.addViolation("no request lost: an answer to none: " + text)
+			c.addViolation("no request lost: an answer to an unknown request: " + text)
 			return nil
 		}
 		request.answers++
@@ -116,7 +116,7 @@
 			c.addViolation("no request lost: a second answer: " + text)
 		}
 		if at > request.giveUpAt+answerSlack && !request.crashed {
-			c.addViolation("no request lost: an answer after the client's time: " + text)
+			c.addViolation("no request lost: an answer after the client gave up: " + text)
 		}
 		defer c.removeIfDone(words[2])
 		if class := c.script.Classes[request.class]; words[3] == "refused" && class.Terms.Effect == decide.Unsafe {
@@ -190,7 +190,7 @@
 	for _, attempt := range request.attempts {
 		switch {
 		case !attempt.ended && !c.script.SecondCopies:
-			c.addViolation("no effect twice: two attempts out: " + text)
+			c.addViolation("no effect twice: two attempts in flight: " + text)
 		case attempt.neverRan:
 		case terms.Effect == decide.Unsafe:
 			c.addViolation("no effect twice: sent again though it may have run: " + text)
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -174,10 +174,10 @@
 		"kept, with a retry":      {arrive + "9 outcome 1.0 full\n10 push 1.1 node=0 box=2\n11 outcome 1.1 served\n11 answer 1 served\n", ""},
 		"no answer":               {arrive, "1 requests without an answer"},
 		"two answers":             {arrive + "9 answer 1 failed\n9 answer 1 failed\n", "a second answer"},
-		"late":                    {arrive + "25050001 answer 1 failed\n", "after the client's time"},
-		"answer without request":  {"9 answer 4 failed\n", "an answer to none"},
+		"late":                    {arrive + "25050001 answer 1 failed\n", "an answer after the client gave up"},
+		"answer without request":  {"9 answer 4 failed\n", "an answer to an unknown request"},
 		"unsafe job repeated":     {arrive + "9 outcome 1.0 reset\n9 push 1.1 node=0 box=2\n10 answer 1 failed\n", "though it may have run"},
-		"two attempts in flight":  {arrive + "9 push 1.1 node=0 box=2\n10 answer 1 failed\n", "two attempts out"},
+		"two attempts in flight":  {arrive + "9 push 1.1 node=0 box=2\n10 answer 1 failed\n", "two attempts in flight"},
 		"refused":                 {arrive + "9 outcome 1.0 reset\n9 answer 1 refused\n", "refused though it may have run"},
 		"push after the answer":   {arrive + "9 answer 1 failed\n10 push 1.1 node=0 box=2\n", "a request that is over"},
 		"push after drain grace":  {"0 told node=0 box=3 state=2\n400000" + arrive[1:strings.Index(arrive, "\n")+1] + "400000 push 1.0 node=0 box=3\n400001 answer 1 failed\n", "drains obeyed"},
@@ -196,7 +196,7 @@
 	assert.Error(t, err)
 }
 
-// Every fault of a script must be reported with its position and the allowed values.
+// Every error of a script must be reported with its position and the allowed values.
 func TestScriptErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		`trouble "flood" {}`:                                       "no trouble \"flood\"; allowed: balancer_crash, discovery_down, drain, fast_errors",
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -101,10 +101,10 @@
 	BoxListed                             // the list service stores a box's state; schedulers receive it later
 )
 
-func (x *Simulation) emit(h ExternalEvent) {
+func (x *Simulation) emit(e ExternalEvent) {
 	if x.OnExternalEvent != nil {
-		h.At = x.now - x.startTime
-		x.OnExternalEvent(h)
+		e.At = x.now - x.startTime
+		x.OnExternalEvent(e)
 	}
 }
 
--- a/internal/emulator/parties.go
+++ b/internal/emulator/parties.go
@@ -26,7 +26,7 @@
 	silences       int       // active troubles that keep it unresponsive
 	stops          int       // active troubles that keep its process down
 	collapsed      bool
-	drains         int
+	drains         int           // active troubles that drain it
 	coldArrivals   []arrivedWork // work that arrived within OverloadSpan while the box was cold
 	lastReport     decide.Report
 	lastReportAt   Time
@@ -110,7 +110,8 @@
 }
 
 // overloaded adds the work of an arriving attempt and reports whether a cold box is overloaded: whether all work that
-// arrived within OverloadSpan, accepted or not, exceeds OverloadMultiple times the box's present capacity.
+// arrived within OverloadSpan, accepted or not, exceeds OverloadMultiple times what the box can do in OverloadSpan at its
+// present warmth.
 func (b *box) overloaded(work float64) bool {
 	s := b.x.script
 	if b.warmth() >= 1 {
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -162,7 +162,7 @@
 	}
 }
 
-// Wake ends a job whose deadline has come.
+// Wake ends a job shortly before its deadline.
 func (p *baseline) Wake(_ Time, token uint64) {
 	if j := p.jobs[uint32(token)]; j != nil {
 		p.outstanding[j.worker]--
--- a/internal/emulator/script.go
+++ b/internal/emulator/script.go
@@ -133,7 +133,7 @@
 	minute = 60e6
 )
 
-// Read reads a script. Its error has one line for each fault, which starts with the position in the file.
+// Read reads a script. Its error has one line for each problem, which starts with its position in the file.
 func Read(path string) (*Script, error) {
 	var blocks scriptBlocks
 	r, err := config.Open(path, &blocks)
--- a/internal/emulator/trouble.go
+++ b/internal/emulator/trouble.go
@@ -17,7 +17,7 @@
 	return v, err == nil && v >= 0 && v <= 100
 }
 
-// scheduleTrouble schedules the begin and the end of a trouble.
+// scheduleTrouble schedules the beginning and the end of a trouble.
 func (x *Simulation) scheduleTrouble(t *Trouble) {
 	name := fmt.Sprintf("trouble %d", slices.IndexFunc(x.script.Troubles, func(o Trouble) bool { return o == *t }))
 	begin, end := x.troubleActions(t, name)
@@ -41,7 +41,7 @@
 	return out
 }
 
-// troubleActions returns the functions to call at the begin and at the end of a trouble.
+// troubleActions returns the functions to call at the beginning and at the end of a trouble.
 func (x *Simulation) troubleActions(t *Trouble, name string) (begin, end func()) {
 	var hit []*box
 	each := func(f func(*box)) func() {
@@ -260,6 +260,7 @@
 	}
 }
 
+// announceWholeList announces all list entries as they are now, since changes during an outage were not announced.
 func (x *Simulation) announceWholeList() { x.announceDelta(slices.Clone(x.workerList)) }
 
 // crash ends a scheduler. Its open requests end as crashed, as when the clients' connections break.
