--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -67,34 +67,34 @@
 
 // handleRecovering handles one event. If the decision module panics, it reports the panic in the reply
 // and removes the instance.
-func (h *server) handleRecovering(ev *wire.Event) {
+func (s *server) handleRecovering(ev *wire.Event) {
 	defer func() {
 		if r := recover(); r != nil {
-			h.encoder.BailOut(fmt.Sprint("panic: ", r))
+			s.encoder.BailOut(fmt.Sprint("panic: ", r))
 			fmt.Fprintf(os.Stderr, "simhost: instance %d: panic: %v\n%s", ev.Instance, r, debug.Stack())
-			delete(h.instances, ev.Instance)
+			delete(s.instances, ev.Instance)
 		}
 	}()
-	h.handle(ev)
+	s.handle(ev)
 }
 
-func (h *server) handle(ev *wire.Event) {
+func (s *server) handle(ev *wire.Event) {
 	switch ev.Code {
 	case wire.CodeInstanceBegin:
-		h.createInstance(ev)
+		s.createInstance(ev)
 		return
 	case wire.CodeInstanceEnd:
-		delete(h.instances, ev.Instance)
+		delete(s.instances, ev.Instance)
 		return
 	}
-	instance, ok := h.instances[ev.Instance]
+	instance, ok := s.instances[ev.Instance]
 	if !ok {
 		return
 	}
-	now := h.decoder.Now()
+	now := s.decoder.Now()
 	switch ev.Code {
 	case wire.CodeAnnounce:
-		workers, _ := h.decoder.Workers(ev.Page)
+		workers, _ := s.decoder.Workers(ev.Page)
 		if ev.ListKind == decide.ListFailed {
 			workers = nil
 		}
@@ -119,17 +119,17 @@
 	}
 }
 
-func (h *server) createInstance(ev *wire.Event) {
-	delete(h.instances, ev.Instance)
+func (s *server) createInstance(ev *wire.Event) {
+	delete(s.instances, ev.Instance)
 	settings, layout, err := wire.ParseSettings(ev.Params)
 	var d *decide.Dispatcher
 	if err == nil {
-		d, err = decide.New(settings, ev.Seed, h.encoder)
+		d, err = decide.New(settings, ev.Seed, s.encoder)
 	}
 	if err != nil {
-		h.encoder.BailOut(err.Error())
+		s.encoder.BailOut(err.Error())
 		fmt.Fprintf(os.Stderr, "simhost: instance %d: %v\n", ev.Instance, err)
 		return
 	}
-	h.instances[ev.Instance] = instance{d, layout}
+	s.instances[ev.Instance] = instance{d, layout}
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -65,6 +65,7 @@
 
 func workerAddr(i byte) []byte { return []byte{10, 0, 0, i, 0x1f, 0x40} }
 
+// addInstance adds the records that begin an instance, with a list of three ready workers.
 func addInstance(b *batch, instance uint32, seed uint64) {
 	b.add(80, instance, seed, uint32(len(settings)), settings)
 	var entries []byte
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -107,7 +107,7 @@
 		t.Errorf("hangup %+v", e)
 	}
 	if e = next(CodeStreamStarted); e.Job.ID != 0xab || e.Outcome.Attempt != 1 {
-		t.Errorf("first %+v", e)
+		t.Errorf("stream started %+v", e)
 	}
 	next(CodeInstanceEnd)
 	if e, err := d.Next(); e != nil || err != nil {
