--- a/internal/fleetwire/fleetwire.go
+++ b/internal/fleetwire/fleetwire.go
@@ -140,7 +140,7 @@
 	Worker   string // ID of the instance
 	Kind     int    // an evidence.Kind
 	AgeMs    int64
-	Life     uint64 // identifies one run of the router process
+	Life     uint64 // incarnation of the router: identifies one run of its process
 	Sequence uint64 // orders the observations of this run
 }
 
@@ -175,7 +175,7 @@
 	Instances   Packed // the full list, a packed []Instance; nil if Steps is set
 	Steps       []ListStep
 	Controllers []string // internal addresses of the known controllers, IP:PORT
-	Routers     int      // number of live routers; 0: not known yet
+	Routers     int      // number of routers that the controllers know to be alive; 0: not known yet
 	// QuorumAgeMs is the time since the controller at the origin of this reply last had contact with a majority of the replicas.
 	// A subscriber fails over to another source when this age exceeds its bound.
 	QuorumAgeMs int64
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -387,9 +387,11 @@
 	return s != ""
 }
 
+// isTarget reports whether s is a request target that may be forwarded. It accepts ASCII only: servers handle other bytes
+// differently, and a forwarded target must not make one close the connection.
 func isTarget(s string) bool {
 	for i := 0; i < len(s); i++ {
-		if s[i] <= ' ' || s[i] >= 0x7f { // servers handle non-ASCII bytes differently; a forwarded target must not make one close the connection
+		if s[i] <= ' ' || s[i] >= 0x7f {
 			return false
 		}
 	}
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -1,6 +1,6 @@
 // Package mgmt implements the HTTP API of a scheduler's management address: the parsing of requests from bytes, the
-// responses, and the counters as JSON. It does no I/O and does not access the event loop's state: a Control executes the
-// requests.
+// responses, and the counters as JSON. It does no I/O, reads no clock and does not access the event loop's state: a Control
+// executes the requests.
 package mgmt
 
 import (
@@ -53,7 +53,7 @@
 	Ready() (bool, error)
 	Figures() (Figures, error)
 	// SetOffline sets a worker offline or online. If it returns nil, the change is in effect.
-	SetOffline(worker string, out bool) error
+	SetOffline(worker string, offline bool) error
 }
 
 // maxBody is the maximum size of a request body in bytes. No operation needs a body.
@@ -163,11 +163,11 @@
 
 // Bytes returns the encoded HTTP response, which closes the connection.
 func (r Reply) Bytes() []byte {
-	kind := "text/plain"
+	contentType := "text/plain"
 	if r.JSON {
-		kind = "application/json"
+		contentType = "application/json"
 	}
-	return http1.AppendResponse(nil, r.Status, false, []byte(r.Text+"\n"), http1.Field{Name: "Content-Type", Value: kind})
+	return http1.AppendResponse(nil, r.Status, false, []byte(r.Text+"\n"), http1.Field{Name: "Content-Type", Value: contentType})
 }
 
 // Answer returns an encoded response with one line of text.
--- a/internal/mgmt/mgmt_test.go
+++ b/internal/mgmt/mgmt_test.go
@@ -49,15 +49,18 @@
 }
 
 type fakeControl struct {
-	err error
-	out map[string]bool
+	err     error
+	offline map[string]bool
 }
 
 func (f fakeControl) Ready() (bool, error) { return f.err == nil, nil }
 func (f fakeControl) Figures() (Figures, error) {
 	return Figures{Served: map[string]int{"view": 0}, InFlight: 2}, f.err
 }
-func (f fakeControl) SetOffline(worker string, out bool) error { f.out[worker] = out; return f.err }
+func (f fakeControl) SetOffline(worker string, offline bool) error {
+	f.offline[worker] = offline
+	return f.err
+}
 
 func TestReplies(t *testing.T) {
 	for err, status := range map[error]string{nil: "200", ErrUnknownWorker: "404", ErrTimeout: "503"} {
@@ -66,7 +69,7 @@
 			answer := string((&Request{kind, "w"}).Do(f).Bytes())
 			assert.Contains(t, answer, "HTTP/1.1 "+status)
 			assert.Contains(t, answer, "Connection: close")
-			assert.Equal(t, kind == Offline, f.out["w"])
+			assert.Equal(t, kind == Offline, f.offline["w"])
 		}
 	}
 	assert.Contains(t, string((&Request{Kind: Ready}).Do(fakeControl{err: ErrTimeout}).Bytes()), "HTTP/1.1 503")
