--- a/internal/controller/agents.go
+++ b/internal/controller/agents.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// agentTTL is how long an agent counts as live after its last poll. It spans several long polls.
+// agentTTL is how long an agent counts as live after it was last seen, by a poll of this controller or by the report of another
+// one. It spans several long polls.
 const agentTTL = 3 * time.Second
 
 // agentCounter counts the live agents across all controllers. An agent that polls several controllers counts once.
 type agentCounter struct {
 	mutex sync.Mutex
 	local map[uint32]time.Time // time of the last poll of this controller, by hash of the agent's name
-	all   map[uint32]time.Time // the same, including the polls that other controllers reported
+	all   map[uint32]time.Time // time of the last poll, or of the last report by another controller, by the same hash
 }
 
 func newAgentCounter() *agentCounter {
@@ -70,7 +71,7 @@
 	return len(c.all)
 }
 
-// prune removes the agents whose last poll is older than agentTTL.
+// prune removes the agents that were last seen longer than agentTTL ago.
 func prune(seen map[uint32]time.Time, now time.Time) {
 	for hash, at := range seen {
 		if now.Sub(at) > agentTTL {
