--- a/internal/controller/change.go
+++ b/internal/controller/change.go
@@ -6,7 +6,8 @@
 	"weldscale/coordination/lease"
 )
 
-// Reasons to reject a change or a claim. Each holds for the state that was examined.
+// Reasons why a change or a claim is not applied: it was applied before, or it is rejected. Each holds for the state that was
+// examined.
 var (
 	errAlreadyApplied      = eris.New("the same change was already applied")
 	errBaseMismatch        = eris.New("another version is current")
@@ -26,7 +27,7 @@
 	return change{Base: base, Version: version, Body: body, Digest: digestOf(base, body)}
 }
 
-// applyChange returns the state after a change, or the unchanged state and the reason to reject the change.
+// applyChange returns the state after a change, or the unchanged state and the reason why the change is not applied.
 func applyChange(state controlState, requested change) (controlState, error) {
 	switch {
 	case state.hasChange(requested.Digest):
@@ -43,7 +44,8 @@
 	return state, nil
 }
 
-// applyClaim returns the state after a member has claimed a role. A repeated claim returns errAlreadyApplied.
+// applyClaim returns the state after a member has claimed a role. A repeated claim returns errAlreadyApplied, since the member
+// has the role by the first one.
 func applyClaim(state controlState, claim lease.Claim, claimant lease.Member) (controlState, error) {
 	record := state.Roles[claim.Key]
 	if record.Holder == claimant && record.Token > claim.Previous {
--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -110,7 +110,7 @@
 	return http.StatusBadRequest
 }
 
-// commitChange commits a change. It returns nil, a reason to reject the change, or an error that leaves the outcome unknown. Once
+// commitChange commits a change. It returns nil, an error that settles the outcome, or one that leaves the outcome unknown. Once
 // an attempt has left the outcome in doubt, it retries until the outcome is known or ctx is done.
 func (a *operatorAPI) commitChange(ctx context.Context, requested change) error {
 	if err := a.waitFormed(ctx); err != nil {
@@ -120,7 +120,7 @@
 	for {
 		err := a.attemptChange(ctx, requested)
 		inDoubt = inDoubt || errors.Is(err, register.ErrInDoubt)
-		if err == nil || isRejection(err) || !inDoubt {
+		if err == nil || isDefinite(err) || !inDoubt {
 			return err
 		}
 		if !pause.For(ctx, retryPause) {
@@ -139,8 +139,9 @@
 	return updateState(ctx, a.node, func(state controlState) (controlState, error) { return applyChange(state, requested) })
 }
 
-// isRejection reports whether an error is a definite reason to reject a change.
-func isRejection(err error) bool {
+// isDefinite reports whether an error settles the outcome of a change: the examined state proves that the change was applied
+// before or must be rejected.
+func isDefinite(err error) bool {
 	return errors.Is(err, errAlreadyApplied) || errors.Is(err, errBaseMismatch) || errors.Is(err, errVersionNotIncreased)
 }
 
