--- a/coordination/lease/voter.go
+++ b/coordination/lease/voter.go
@@ -15,7 +15,7 @@
 
 type grant struct {
 	token            uint64 // of the current or last grant
-	highestRequested uint64
+	highestRequested uint64 // highest token that was requested or seen in the register; no lower one is granted
 	expiresAt        time.Duration
 }
 
--- a/internal/controller/lists.go
+++ b/internal/controller/lists.go
@@ -92,8 +92,8 @@
 	return true
 }
 
-// latestSteps returns the steps from the previous list to the newest one. It returns none if the hub does not
-// know them or considers the full list as cheap to send.
+// latestSteps returns the steps from the previous list to the newest one. It returns none if the hub does not have them or they
+// are not much smaller than the full list.
 func (l *listStore) latestSteps(now time.Time) stepsMessage {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -105,7 +105,7 @@
 	case errors.As(err, &tooLarge):
 		return http.StatusRequestEntityTooLarge
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return http.StatusRequestTimeout // the connection may be slow, so the operator should try another controller
+		return http.StatusRequestTimeout // the path to this controller may be at fault, and that to another one may work
 	}
 	return http.StatusBadRequest
 }
