--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -28,7 +28,8 @@
 	"weldscale/internal/settings"
 )
 
-// waitTimeout bounds every wait of these tests. It is not one of the bounds that controllers must meet.
+// waitTimeout bounds every wait of these tests. It is not one of the bounds that controllers must meet. The tests log the times
+// that those bounds concern.
 const waitTimeout = 20 * time.Second
 
 // fakePlatform is an HTTP server that serves the platform's list of instances.
--- a/internal/controller/operator_test.go
+++ b/internal/controller/operator_test.go
@@ -32,7 +32,7 @@
 	formed    bool
 }
 
-// outcome is the outcome of one update.
+// outcome says what one update of a fakeRegister does and returns.
 type outcome struct {
 	runFirst func(f *fakeRegister) // runs before the update, if set
 	chosen   bool                  // whether the change is chosen
@@ -121,11 +121,11 @@
 }
 
 // applyElsewhere returns a function that applies a change as another controller would.
-func applyElsewhere(t *testing.T, taken change) func(f *fakeRegister) {
+func applyElsewhere(t *testing.T, applied change) func(f *fakeRegister) {
 	return func(f *fakeRegister) {
 		state, err := decodeState(f.state.Data)
 		require.NoError(t, err)
-		state, err = applyChange(state, taken)
+		state, err = applyChange(state, applied)
 		require.NoError(t, err)
 		data, err := state.encode()
 		require.NoError(t, err)
--- a/internal/controller/simulation_checks_test.go
+++ b/internal/controller/simulation_checks_test.go
@@ -211,8 +211,7 @@
 	}
 }
 
-// checkDisks checks that the disks of a majority of the replicas still exist. Otherwise the simulated faults exceed what the site
-// tolerates.
+// checkDisks checks that, in the newest chosen set of replicas, the disks of a majority exist.
 func (c *simChecks) checkDisks() {
 	newest := c.site.newestState()
 	if len(newest.Replicas) == 0 {
--- a/internal/controller/simulation_faults_test.go
+++ b/internal/controller/simulation_faults_test.go
@@ -249,8 +249,8 @@
 	}
 }
 
-// wipeDuringPartition makes a machine miss changes in a partition. Then another machine loses its disk and restarts, and the rest
-// are without power until the fault ends.
+// wipeDuringPartition makes a machine miss changes in a partition. Then another machine restarts with an empty disk,
+// the partition heals, and all machines but these two are without power until the fault ends.
 func (s *simSite) wipeDuringPartition(target *simMachine) func() {
 	heal := s.partitionFromCores(target)
 	pause.For(s.ctx, s.randomDuration(time.Second, maxOutage))
--- a/internal/controller/simulation_scenarios_test.go
+++ b/internal/controller/simulation_scenarios_test.go
@@ -90,17 +90,17 @@
 func (s *simSite) changeDuringPartition(operator *simOperator, target *simMachine) {
 	const contactGrace = maxQuorumAge + heartbeatInterval
 	begun := time.Now()
-	reader := s.newOperator("b", "10.7.0.9", 2)
+	caller := s.newOperator("b", "10.7.0.9", 2)
 	for time.Since(begun) < partitionDuration {
 		operator.avoid = target
 		s.mustChange(operator)
 		s.await(simPropagationBound, "the change at every frontend", s.frontendWithout(operator.version))
-		read, body := reader.call(s.ctx, http.MethodGet, target.control(), pathRead, 0, nil)
+		read, body := caller.call(s.ctx, http.MethodGet, target.control(), pathRead, 0, nil)
 		if read == http.StatusOK {
-			reader.handleRead(time.Now().Add(-operatorCallTimeout), body)
+			caller.handleRead(time.Now().Add(-operatorCallTimeout), body)
 		}
 		requested := newChange(operator.version, operator.version+1, []byte(simConfig(operator.version+1, "to-partitioned")))
-		changed, _ := reader.call(s.ctx, http.MethodPost, target.control(), pathReplace, requested.Base, requested.Body)
+		changed, _ := caller.call(s.ctx, http.MethodPost, target.control(), pathReplace, requested.Base, requested.Body)
 		if time.Since(begun) > contactGrace && (read != 0 && read != http.StatusServiceUnavailable ||
 			changed != 0 && changed != http.StatusServiceUnavailable) {
 			s.checks.failf("%s, partitioned for %v, answers a read with %d and a change with %d", target.settings.NodeName, time.Since(begun),
@@ -295,7 +295,7 @@
 		for begun := time.Now(); time.Since(begun) < duration; {
 			s.randomizePathDelays(slowest)
 			for second := time.Now(); time.Since(second) < time.Second; time.Sleep(simPollInterval) {
-				oldest = max(oldest, s.maxListAge())
+				oldest = max(oldest, s.oldestListAge())
 				if oldest > maxListAge {
 					s.checks.failf("a list is %v old", oldest)
 					return
@@ -327,8 +327,8 @@
 	}
 }
 
-// maxListAge returns the age of the oldest list that a controller holds.
-func (s *simSite) maxListAge() (oldest time.Duration) {
+// oldestListAge returns the age of the oldest list that a controller holds.
+func (s *simSite) oldestListAge() (oldest time.Duration) {
 	for _, m := range s.currentCores() {
 		_, age := m.program().controller.lists.versionAndAge(time.Now())
 		oldest = max(oldest, milliseconds(age))
