--- a/coordination/lease/participant_test.go
+++ b/coordination/lease/participant_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// exchangeHeartbeats advances the time by 200 ms, sends the heartbeats of all senders to all receivers, delivers the replies, and
-// returns the senders that then claim the role.
+// exchangeHeartbeats advances the time by 200 ms, sends the heartbeats of all senders to all receivers, delivers the replies,
+// and returns the senders that then claim the role.
 func (g *testGroup) exchangeHeartbeats(senders, receivers []string) []string {
 	g.now += 200 * time.Millisecond
 	for _, from := range senders {
@@ -263,8 +263,8 @@
 	}
 }
 
-// The holder counts the duration of a grant from when it sent the request. The voter counts from when the request arrived, which
-// is later, so the holder stops first.
+// The holder counts the duration of a grant from when it sent the request. The voter counts from when the request arrived,
+// which is later, so the holder stops first.
 func TestGrantDurationCountsFromRequest(t *testing.T) {
 	self, voters := Member{Address: "a", Life: "1"}, []string{"a", "b", "c"}
 	holder := New(self, []string{key}, timing, 0, true)
--- a/coordination/lease/simulation_test.go
+++ b/coordination/lease/simulation_test.go
@@ -17,8 +17,8 @@
 	heartbeatSteps = 20
 )
 
-// simulation runs a group over a network that loses and delays messages, with members that are suspended, restarted and isolated.
-// The register is linearizable: a claim succeeds at one instant, and each member learns of it some time later.
+// simulation runs a group over a network that loses and delays messages, with members that are suspended, restarted and
+// isolated. The register is linearizable: a claim succeeds at one instant, and each member learns of it some time later.
 type simulation struct {
 	random       *rand.Rand // its seed is drawn, so that a failure can be reproduced
 	reliable     bool       // no message is lost or delayed beyond the normal delay
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -142,8 +142,8 @@
 	f.start(i)
 }
 
-// isReplica reports whether a controller with its current disk is in a full set of replicas and the change of the set is finished.
-// Only then does the fleet tolerate the loss of another machine.
+// isReplica reports whether a controller with its current disk is in a full set of replicas and the change of the set is
+// finished. Only then does the fleet tolerate the loss of another machine.
 func (f *fleet) isReplica(i int) bool {
 	node := f.running[i].process.node
 	replicas := node.Latest().Replicas
--- a/internal/controller/firstlist_test.go
+++ b/internal/controller/firstlist_test.go
@@ -13,7 +13,8 @@
 	"weldscale/internal/settings"
 )
 
-// newSingleController returns a controller that was restarted and has no contact with the others of its group, and its register.
+// newSingleController returns a controller that was restarted and has no contact with the others of its group, and its
+// register.
 func newSingleController(t *testing.T) (*controller, *fakeRegister) {
 	var latest atomic.Pointer[settings.Settings]
 	latest.Store(&settings.Settings{IP: "127.0.0.2", InternalPorts: [2]int{7000, 7001}})
--- a/internal/controller/hints.go
+++ b/internal/controller/hints.go
@@ -11,8 +11,8 @@
 // listKey is the handoff key of the list of instances. It is the only key in use.
 const listKey = "instances"
 
-// hintLimits bound the hints. A controller that is unreachable for longer fetches the list once a heartbeat or a reply reports a
-// newer version than its own.
+// hintLimits bound the hints. A controller that is unreachable for longer fetches the list once a heartbeat or a reply reports
+// a newer version than its own.
 var hintLimits = handoff.Limits{Hints: 16, Age: 30 * time.Second}
 
 // hints records which controllers have missed a list. A hint carries no list, since a controller that is reachable again gets
--- a/internal/controller/lists.go
+++ b/internal/controller/lists.go
@@ -133,8 +133,8 @@
 	return listMessage{Version: l.version, AgeMs: now.Sub(l.confirmedAt).Milliseconds(), Instances: l.list}
 }
 
-// serviceByWorker returns the service of each listed worker. The map is built once per list, because every poll with observations
-// or doubts needs it. The caller must not modify it.
+// serviceByWorker returns the service of each listed worker. The map is built once per list, because every poll with
+// observations or doubts needs it. The caller must not modify it.
 func (l *listStore) serviceByWorker() map[string]string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -159,8 +159,8 @@
 
 func milliseconds(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
 
-// pushList sends the newest list to all other controllers in parallel. A controller that cannot be reached gets it after its next
-// message.
+// pushList sends the newest list to all other controllers in parallel. A controller that cannot be reached gets it after its
+// next message.
 func (c *controller) pushList(ctx context.Context) {
 	now := time.Now()
 	steps, full := c.lists.latestSteps(now), c.lists.message(now)
--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -110,8 +110,8 @@
 	return http.StatusBadRequest
 }
 
-// commitChange commits a change. It returns nil, an error that settles the outcome, or one that leaves the outcome unknown. Once
-// an attempt has left the outcome in doubt, it retries until the outcome is known or ctx is done.
+// commitChange commits a change. It returns nil, an error that settles the outcome, or one that leaves the outcome unknown.
+// Once an attempt has left the outcome in doubt, it retries until the outcome is known or ctx is done.
 func (a *operatorAPI) commitChange(ctx context.Context, requested change) error {
 	if err := a.waitFormed(ctx); err != nil {
 		return err
@@ -145,8 +145,9 @@
 	return errors.Is(err, errAlreadyApplied) || errors.Is(err, errBaseMismatch) || errors.Is(err, errVersionNotIncreased)
 }
 
-// waitFormed delays a change until a new fleet has its full set of replicas, because an acknowledged change must survive the loss
-// of some of them. From formingTimeout after the start it no longer waits, since a replica may be missing from the beginning.
+// waitFormed delays a change until a new fleet has its full set of replicas, because an acknowledged change must survive the
+// loss of some of them. From formingTimeout after the start it no longer waits, since a replica may be missing from the
+// beginning.
 func (a *operatorAPI) waitFormed(ctx context.Context) error {
 	span := min(formingCallTimeout, formingTimeout-time.Since(a.started))
 	if span <= 0 {
--- a/internal/controller/operator_test.go
+++ b/internal/controller/operator_test.go
@@ -161,8 +161,8 @@
 
 func (timeoutBody) Read([]byte) (int, error) { return 0, os.ErrDeadlineExceeded }
 
-// Guards against rejecting a change for good when its body arrives too slowly over a bad connection: the operator has to retry it
-// with another controller.
+// Guards against rejecting a change for good when its body arrives too slowly over a bad connection: the operator has to retry
+// it with another controller.
 func TestReplaceAnswersSlowBodyWithRequestTimeout(t *testing.T) {
 	mux := http.NewServeMux()
 	newOperatorAPI(newFakeRegister(), zap.NewNop()).registerHandlers(mux)
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -76,13 +76,14 @@
 	return sortedUnique(addresses)
 }
 
-// others returns the known controllers except this one. A seed is included only if it is also a replica or sent a recent message.
+// others returns the known controllers except this one. A seed is included only if it is also a replica or sent a recent
+// message.
 func (p *peers) others(now time.Time) []string {
 	return slices.DeleteFunc(p.addresses(now), func(address string) bool { return address == p.self })
 }
 
-// due returns the addresses to send a heartbeat to now and marks them as in flight. With toAll it returns every address, even if
-// a heartbeat is in flight or the backoff has not ended.
+// due returns the addresses to send a heartbeat to now and marks them as in flight. With toAll it returns every address, even
+// if a heartbeat is in flight or the backoff has not ended.
 func (p *peers) due(now time.Time, toAll bool) []string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -35,8 +35,8 @@
 	Seen   fleetwire.Observation
 }
 
-// reports evaluates the routers' reports on workers, with one aggregator for each zone of routers and each service: a worker may
-// fail requests from one zone only, and the bound on avoided workers applies per service. It is safe for concurrent use.
+// reports evaluates the routers' reports on workers, with one aggregator for each zone of routers and each service: a worker
+// may fail requests from one zone only, and the bound on avoided workers applies per service. It is safe for concurrent use.
 type reports struct {
 	started time.Time
 
@@ -61,8 +61,8 @@
 // now returns the monotonic time since the start.
 func (r *reports) now() time.Duration { return time.Since(r.started) }
 
-// recordObservations records the observations of a router that polls this controller, and keeps them for forwarding to the other
-// controllers. services maps each worker to its service.
+// recordObservations records the observations of a router that polls this controller, and keeps them for forwarding to the
+// other controllers. services maps each worker to its service.
 func (r *reports) recordObservations(router fleetwire.Member, observations []fleetwire.Observation, services map[string]string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -136,8 +136,8 @@
 	return forwarded
 }
 
-// doubts returns the workers that routers of a zone complain about, and which of them to avoid. services maps each worker to its
-// service, and routers is the number of routers in the zone.
+// doubts returns the workers that routers of a zone complain about, and which of them to avoid. services maps each worker to
+// its service, and routers is the number of routers in the zone.
 func (r *reports) doubts(zone string, services func() map[string]string, routers int) []fleetwire.Doubt {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -34,8 +34,8 @@
 	_ = l.control.Close()
 }
 
-// serve runs the controller until ctx is done or a server fails. Only in the first case does it release the roles. In both cases
-// it then answers the calls in flight, ends the background tasks by calling stop, and returns.
+// serve runs the controller until ctx is done or a server fails. Only in the first case does it release the roles. In both
+// cases it then answers the calls in flight, ends the background tasks by calling stop, and returns.
 func (c *controller) serve(ctx context.Context, stop func(), open listeners, tasks ...func(context.Context)) error {
 	serving := c.startServers(open)
 	var running sync.WaitGroup
@@ -115,8 +115,8 @@
 	heartbeats.Wait()
 }
 
-// shutdown stops both servers. It first waits for the operator's calls in flight, which still need the register and therefore the
-// internal server. Calls that take too long are ended by cancelCalls, so that they are answered too.
+// shutdown stops both servers. It first waits for the operator's calls in flight, which still need the register and therefore
+// the internal server. Calls that take too long are ended by cancelCalls, so that they are answered too.
 func (s *servers) shutdown(cancelCalls func()) {
 	timer := time.AfterFunc(operatorGrace-answerGrace, cancelCalls)
 	defer timer.Stop()
--- a/internal/controller/simulation_checks_test.go
+++ b/internal/controller/simulation_checks_test.go
@@ -21,8 +21,8 @@
 	sampleInterval      = 10 * time.Millisecond
 )
 
-// simChecks checks the whole site against its guarantees, with knowledge that no single process has. The first violation ends the
-// simulation.
+// simChecks checks the whole site against its guarantees, with knowledge that no single process has. The first violation ends
+// the simulation.
 type simChecks struct {
 	site *simSite
 
@@ -129,8 +129,8 @@
 	}
 }
 
-// position returns the position of a change in the sequence of committed changes, counted from 1, or 0 if it was not committed. The
-// caller must hold the lock.
+// position returns the position of a change in the sequence of committed changes, counted from 1, or 0 if it was not committed.
+// The caller must hold the lock.
 func (c *simChecks) position(change digest) int { return 1 + slices.Index(c.committed, change) }
 
 // recordCall records an operator's call that has just ended.
@@ -224,8 +224,8 @@
 	}
 }
 
-// checkFreshness checks that each follower with recent quorum contact has all changes that were acknowledged longer ago than the
-// propagation bound.
+// checkFreshness checks that each follower with recent quorum contact has all changes that were acknowledged longer ago than
+// the propagation bound.
 func (c *simChecks) checkFreshness() {
 	now := time.Now()
 	c.mutex.Lock()
@@ -286,8 +286,8 @@
 	}
 }
 
-// unsettled returns what is missing for the site to be settled after the faults, or an empty string. In a settled site the replica
-// set contains each machine's disk, each disk holds the newest state, and each role has a holder.
+// unsettled returns what is missing for the site to be settled after the faults, or an empty string. In a settled site the
+// replica set contains each machine's disk, each disk holds the newest state, and each role has a holder.
 func (c *simChecks) unsettled() string {
 	newest := c.site.newestState()
 	held := map[string]bool{}
--- a/internal/controller/simulation_faults_test.go
+++ b/internal/controller/simulation_faults_test.go
@@ -200,9 +200,9 @@
 	}
 }
 
-// canLoseDisks reports whether the site tolerates the loss of count more disks. In the current set of replicas and in the previous
-// one, no more disks than the tolerance may be missing, and a majority must remain. A lost disk no longer counts once the set has a
-// replacement for it.
+// canLoseDisks reports whether the site tolerates the loss of count more disks. In the current set of replicas and in the
+// previous one, no more disks than the tolerance may be missing, and a majority must remain. A lost disk no longer counts once
+// the set has a replacement for it.
 func (s *simSite) canLoseDisks(count int) bool {
 	newest := s.newestChosenValue()
 	existing := s.existingDisks()
--- a/internal/controller/simulation_losses_test.go
+++ b/internal/controller/simulation_losses_test.go
@@ -12,14 +12,15 @@
 	"weldscale/internal/pause"
 )
 
-// stepStride is the distance between the steps of a repair at which a second fault is injected. With 1 the test covers each step.
+// stepStride is the distance between the steps of a repair at which a second fault is injected. With 1 the test covers each
+// step.
 var stepStride = flag.Int("sim.every", 97, "number of steps of a repair from one second fault to the next")
 
 const (
 	maxSteps            = 5000 // a repair takes some hundreds of steps
 	secondFaultDuration = 700 * time.Millisecond
-	// lateRunsToStop is the number of runs whose repair was over before the second fault, after which the test ends. One such run does
-	// not show that the whole repair was covered, because the number of its steps varies.
+	// lateRunsToStop is the number of runs whose repair was over before the second fault, after which the test ends. One such run
+	// does not show that the whole repair was covered, because the number of its steps varies.
 	lateRunsToStop = 3
 )
 
@@ -68,8 +69,8 @@
 	{name: "disks lost, power loss of all others", inject: (*simSite).wipeAndPowerOff},
 }
 
-// Injects a second fault at each step of a repair, one step per run. Guards against losing an acknowledged change, and against a
-// site that does not settle after the fault with the newest state on each disk.
+// Injects a second fault at each step of a repair, one step per run. Guards against losing an acknowledged change, and against
+// a site that does not settle after the fault with the newest state on each disk.
 func TestSecondFaultAtEachStepOfARepair(t *testing.T) {
 	for _, tolerance := range []int{1, 2} {
 		for _, repair := range simRepairs {
--- a/internal/controller/simulation_operator_test.go
+++ b/internal/controller/simulation_operator_test.go
@@ -25,8 +25,8 @@
 	burstChanges        = 25
 )
 
-// simOperator sends changes and reads as PROTOCOL requires of operators: a change without a definite answer is sent again unchanged
-// to any controller.
+// simOperator sends changes and reads as PROTOCOL requires of operators: a change without a definite answer is sent again
+// unchanged to any controller.
 type simOperator struct {
 	site           *simSite
 	name           string
@@ -198,8 +198,8 @@
 	return response.StatusCode, answer
 }
 
-// simConfig returns a configuration with an engine, which makes the stages role send orders to workers, and with a service named by
-// marker.
+// simConfig returns a configuration with an engine, which makes the stages role send orders to workers, and with a service
+// named by marker.
 func simConfig(version int64, marker string) string {
 	return fmt.Sprintf(`{"Version":%d,"Routes":[],"Services":[{"Name":"%s","HealthCheck":"/h","MaxConnections":9,"Protocol":"h1","Tls":false,`+
 		`"Engine":{"Slots":8,"KvTokens":1000,"KvTokenBytes":10,"LinkMbps":1000.0,"stride":1,"HandleTtlS":5.0,"SwitchS":1.9,`+
--- a/internal/controller/simulation_scenarios_test.go
+++ b/internal/controller/simulation_scenarios_test.go
@@ -157,8 +157,8 @@
 	return results
 }
 
-// A replica misses changes in a partition, and no change follows that would bring it up to date. Guards against leaving its disk
-// behind: if another disk is lost then, the changes could be gone.
+// A replica misses changes in a partition, and no change follows that would bring it up to date. Guards against leaving its
+// disk behind: if another disk is lost then, the changes could be gone.
 func TestReplicaStoresMissedChangesAfterAPartition(t *testing.T) {
 	t.Parallel()
 	for _, tolerance := range []int{1, 2} {
@@ -213,8 +213,9 @@
 	})
 }
 
-// Guards against serving an outdated state. One of three replicas misses a change in a partition. Of the other two, one loses its
-// disk and one its power. The empty replica must not count for a quorum: with it, the first replica would serve the old state.
+// Guards against serving an outdated state. One of three replicas misses a change in a partition. Of the other two, one loses
+// its disk and one its power. The empty replica must not count for a quorum: with it, the first replica would serve the old
+// state.
 func TestEmptyReplicaDoesNotCountAsQuorumContact(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 1, func(s *simSite, operator *simOperator) {
@@ -279,8 +280,8 @@
 	})
 }
 
-// Nine controllers run over paths whose delays change each second and reach 150 ms one way. The list of workers must stay fresh at
-// each of them, and the reader's role must be held nearly all the time and rarely move.
+// Nine controllers run over paths whose delays change each second and reach 150 ms one way. The list of workers must stay fresh
+// at each of them, and the reader's role must be held nearly all the time and rarely move.
 func TestNineControllersKeepTheListFresh(t *testing.T) {
 	t.Parallel()
 	const (
--- a/internal/controller/simulation_site_test.go
+++ b/internal/controller/simulation_site_test.go
@@ -40,8 +40,8 @@
 // simSeedLag is how long a removed machine stays in the list of seeds.
 const simSeedLag = 3 * time.Second
 
-// seeds returns the control addresses that a settings file lists now: those of the oldest core machines. A removed machine stays in
-// the list for simSeedLag.
+// seeds returns the control addresses that a settings file lists now: those of the oldest core machines. A removed machine
+// stays in the list for simSeedLag.
 func (s *simSite) seeds() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -361,8 +361,8 @@
 	return slices.DeleteFunc(slices.Clone(s.cores), func(m *simMachine) bool { return m.removed })
 }
 
-// newestChosenValue returns the newest chosen value with its previous replica set. It reads the disks, because register.State has
-// only the current set.
+// newestChosenValue returns the newest chosen value with its previous replica set. It reads the disks, because register.State
+// has only the current set.
 func (s *simSite) newestChosenValue() register.Value {
 	revision := s.newestState().Revision
 	var newest register.Value
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// runWithFaults injects faults into a site while two operators send changes. It checks that the site settles soon after the last
-// fault.
+// runWithFaults injects faults into a site while two operators send changes. It checks that the site settles soon after the
+// last fault.
 func (s *simSite) runWithFaults(seed uint64, duration time.Duration, faults []simFault) {
 	sampling, stopSampling := context.WithCancel(s.ctx)
 	defer stopSampling()
