--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -28,7 +28,8 @@
 	"weldscale/internal/settings"
 )
 
-// waitTimeout bounds every wait of these tests. It is not one of the bounds that controllers must meet.
+// waitTimeout bounds every wait of these tests. It is not one of the bounds that controllers must meet. The tests log the times
+// that those bounds concern.
 const waitTimeout = 20 * time.Second
 
 // fakePlatform is an HTTP server that serves the platform's list of instances.
@@ -141,8 +142,8 @@
 	f.start(i)
 }
 
-// isReplica reports whether a controller with its current disk is in a full set of replicas and the change of the set is finished.
-// Only then does the fleet tolerate the loss of another machine.
+// isReplica reports whether a controller with its current disk is in a full set of replicas and the change of the set is
+// finished. Only then does the fleet tolerate the loss of another machine.
 func (f *fleet) isReplica(i int) bool {
 	node := f.running[i].process.node
 	replicas := node.Latest().Replicas
--- a/internal/controller/simulation_faults_test.go
+++ b/internal/controller/simulation_faults_test.go
@@ -200,9 +200,9 @@
 	}
 }
 
-// canLoseDisks reports whether the site tolerates the loss of count more disks. In the current set of replicas and in the previous
-// one, no more disks than the tolerance may be missing, and a majority must remain. A lost disk no longer counts once the set has a
-// replacement for it.
+// canLoseDisks reports whether the site tolerates the loss of count more disks. In the current set of replicas and in the
+// previous one, no more disks than the tolerance may be missing, and a majority must remain. A lost disk no longer counts once
+// the set has a replacement for it.
 func (s *simSite) canLoseDisks(count int) bool {
 	newest := s.newestChosenValue()
 	existing := s.existingDisks()
@@ -249,8 +249,8 @@
 	}
 }
 
-// wipeDuringPartition makes a machine miss changes in a partition. Then another machine loses its disk and restarts, and the rest
-// are without power until the fault ends.
+// wipeDuringPartition makes a machine miss changes in a partition. Then another machine restarts with an empty disk,
+// the partition heals, and all machines but these two are without power until the fault ends.
 func (s *simSite) wipeDuringPartition(target *simMachine) func() {
 	heal := s.partitionFromCores(target)
 	pause.For(s.ctx, s.randomDuration(time.Second, maxOutage))
--- a/internal/controller/simulation_scenarios_test.go
+++ b/internal/controller/simulation_scenarios_test.go
@@ -90,17 +90,17 @@
 func (s *simSite) changeDuringPartition(operator *simOperator, target *simMachine) {
 	const contactGrace = maxQuorumAge + heartbeatInterval
 	begun := time.Now()
-	reader := s.newOperator("b", "10.7.0.9", 2)
+	caller := s.newOperator("b", "10.7.0.9", 2)
 	for time.Since(begun) < partitionDuration {
 		operator.avoid = target
 		s.mustChange(operator)
 		s.await(simPropagationBound, "the change at every frontend", s.frontendWithout(operator.version))
-		read, body := reader.call(s.ctx, http.MethodGet, target.control(), pathRead, 0, nil)
+		read, body := caller.call(s.ctx, http.MethodGet, target.control(), pathRead, 0, nil)
 		if read == http.StatusOK {
-			reader.handleRead(time.Now().Add(-operatorCallTimeout), body)
+			caller.handleRead(time.Now().Add(-operatorCallTimeout), body)
 		}
 		requested := newChange(operator.version, operator.version+1, []byte(simConfig(operator.version+1, "to-partitioned")))
-		changed, _ := reader.call(s.ctx, http.MethodPost, target.control(), pathReplace, requested.Base, requested.Body)
+		changed, _ := caller.call(s.ctx, http.MethodPost, target.control(), pathReplace, requested.Base, requested.Body)
 		if time.Since(begun) > contactGrace && (read != 0 && read != http.StatusServiceUnavailable ||
 			changed != 0 && changed != http.StatusServiceUnavailable) {
 			s.checks.failf("%s, partitioned for %v, answers a read with %d and a change with %d", target.settings.NodeName, time.Since(begun),
@@ -157,8 +157,8 @@
 	return results
 }
 
-// A replica misses changes in a partition, and no change follows that would bring it up to date. Guards against leaving its disk
-// behind: if another disk is lost then, the changes could be gone.
+// A replica misses changes in a partition, and no change follows that would bring it up to date. Guards against leaving its
+// disk behind: if another disk is lost then, the changes could be gone.
 func TestReplicaStoresMissedChangesAfterAPartition(t *testing.T) {
 	t.Parallel()
 	for _, tolerance := range []int{1, 2} {
@@ -213,8 +213,9 @@
 	})
 }
 
-// Guards against serving an outdated state. One of three replicas misses a change in a partition. Of the other two, one loses its
-// disk and one its power. The empty replica must not count for a quorum: with it, the first replica would serve the old state.
+// Guards against serving an outdated state. One of three replicas misses a change in a partition. Of the other two, one loses
+// its disk and one its power. The empty replica must not count for a quorum: with it, the first replica would serve the old
+// state.
 func TestEmptyReplicaDoesNotCountAsQuorumContact(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 1, func(s *simSite, operator *simOperator) {
@@ -279,8 +280,8 @@
 	})
 }
 
-// Nine controllers run over paths whose delays change each second and reach 150 ms one way. The list of workers must stay fresh at
-// each of them, and the reader's role must be held nearly all the time and rarely move.
+// Nine controllers run over paths whose delays change each second and reach 150 ms one way. The list of workers must stay fresh
+// at each of them, and the reader's role must be held nearly all the time and rarely move.
 func TestNineControllersKeepTheListFresh(t *testing.T) {
 	t.Parallel()
 	const (
@@ -295,7 +296,7 @@
 		for begun := time.Now(); time.Since(begun) < duration; {
 			s.randomizePathDelays(slowest)
 			for second := time.Now(); time.Since(second) < time.Second; time.Sleep(simPollInterval) {
-				oldest = max(oldest, s.maxListAge())
+				oldest = max(oldest, s.oldestListAge())
 				if oldest > maxListAge {
 					s.checks.failf("a list is %v old", oldest)
 					return
@@ -327,8 +328,8 @@
 	}
 }
 
-// maxListAge returns the age of the oldest list that a controller holds.
-func (s *simSite) maxListAge() (oldest time.Duration) {
+// oldestListAge returns the age of the oldest list that a controller holds.
+func (s *simSite) oldestListAge() (oldest time.Duration) {
 	for _, m := range s.currentCores() {
 		_, age := m.program().controller.lists.versionAndAge(time.Now())
 		oldest = max(oldest, milliseconds(age))
