--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -81,10 +81,10 @@
 // connections are reset as well.
 func TestTCPRelay(t *testing.T) {
 	links := NewLinks(1)
-	p, err := StartTCPRelay(links, "a", "b", startEchoServer(t))
+	relay, err := StartTCPRelay(links, "a", "b", startEchoServer(t))
 	require.NoError(t, err)
-	defer p.Close()
-	c, err := net.Dial("tcp", p.Addr())
+	defer relay.Close()
+	c, err := net.Dial("tcp", relay.Addr())
 	require.NoError(t, err)
 	defer c.Close()
 	exchange := func(text string) string {
@@ -112,7 +112,7 @@
 	defer links.Inject(Fault{Cut: true}, anyDirection)()
 	_, err = c.Read(b)
 	assert.Error(t, err)
-	d, err := net.Dial("tcp", p.Addr())
+	d, err := net.Dial("tcp", relay.Addr())
 	if err == nil {
 		d.SetReadDeadline(time.Now().Add(waitTimeout))
 		_, err = d.Read(b)
--- a/internal/faults/process.go
+++ b/internal/faults/process.go
@@ -98,7 +98,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
-		return errors.New("faults: " + p.Name + " does not run")
+		return errors.New("faults: " + p.Name + " is not running")
 	}
 	p.log.Add(p.Name, "signal", float64(sig), sig.String())
 	return p.cmd.Process.Signal(sig)
--- a/internal/faults/relay.go
+++ b/internal/faults/relay.go
@@ -132,10 +132,10 @@
 			close(done)
 		})
 	}
-	var both sync.WaitGroup
-	both.Go(func() { r.copyDirection(client, server, from, to, done, end) })
-	both.Go(func() { r.copyDirection(server, client, to, from, done, end) })
-	both.Go(func() { // a cut takes effect at once, also on idle connections
+	var tasks sync.WaitGroup
+	tasks.Go(func() { r.copyDirection(client, server, from, to, done, end) })
+	tasks.Go(func() { r.copyDirection(server, client, to, from, done, end) })
+	tasks.Go(func() { // a cut takes effect at once, also on idle connections
 		for {
 			f, changed := r.links.FaultOn(from, to)
 			if reverse, _ := r.links.FaultOn(to, from); f.Cut || reverse.Cut {
@@ -152,7 +152,7 @@
 			}
 		}
 	})
-	both.Wait()
+	tasks.Wait()
 }
 
 // copyDirection copies one direction of a stream, with the faults of the link from sender to receiver. At the end of the
@@ -306,13 +306,13 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &TCPRelay{relay{links: links, tcp: tcp, stop: make(chan struct{}), conns: map[net.Conn]struct{}{}}}
-	p.goroutines.Go(func() { p.accept(func(c net.Conn) { p.forward(c, from, target, to) }) })
-	return p, nil
+	r := &TCPRelay{relay{links: links, tcp: tcp, stop: make(chan struct{}), conns: map[net.Conn]struct{}{}}}
+	r.goroutines.Go(func() { r.accept(func(c net.Conn) { r.forward(c, from, target, to) }) })
+	return r, nil
 }
 
 // Addr returns the address that the relay listens on.
-func (p *TCPRelay) Addr() string { return p.tcp.Addr().String() }
+func (r *TCPRelay) Addr() string { return r.tcp.Addr().String() }
 
 // Close closes the listener and all connections of the relay.
-func (p *TCPRelay) Close() { p.close() }
+func (r *TCPRelay) Close() { r.close() }
