--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -50,7 +50,7 @@
 	Kills                bool // also send SIGKILL
 }
 
-// controllerSpacing is the least time between stops or kills of controllers. A controller that was ended counts as lost until
+// controllerSpacing is the least time between stops or kills of controllers. A controller that has exited counts as lost until
 // it has caught up.
 const controllerSpacing = 6 * time.Second
 
@@ -67,7 +67,7 @@
 	stopSeries   = seriesKind{action: ActionStopFrontend, gaps: []time.Duration{700 * millisecond, time.Second, 2 * time.Second}}
 	changeSeries = seriesKind{action: ActionChange, gaps: []time.Duration{300 * millisecond, 700 * millisecond, 1400 * millisecond},
 		steps: 12}
-	// optionalSeries are drawn from in addition to stopSeries and changeSeries.
+	// optionalSeries are the kinds from which a plan draws further series, besides one each of stopSeries and changeSeries.
 	optionalSeries = []seriesKind{
 		stopSeries,
 		changeSeries,
@@ -140,8 +140,8 @@
 	}
 }
 
-// spaceControllers removes stops and kills of a controller that follow another within controllerSpacing, when that one may
-// still count as lost.
+// spaceControllers removes each stop or kill of a controller that follows the last one kept by less than controllerSpacing,
+// because the controller which that one ended may still count as lost.
 func spaceControllers(events []Event) []Event {
 	last := -controllerSpacing
 	return slices.DeleteFunc(events, func(event Event) bool {
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -52,8 +52,8 @@
 	return config
 }
 
-// variants is the number of variants of a configuration, which differ in the plain routes: their timeout, the service they
-// lead to, or a traffic split.
+// variants is the number of variants of a configuration. They change what configurations change in production: here the
+// timeout of the plain routes, the service that these lead to, or how they are split over services.
 const variants = 4
 
 // newConfig returns a configuration of the given version and variant. Configurations of one version differ by their variant;
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -73,13 +73,13 @@
 	fleet      *fleet.Fleet
 	supervisor *supervisor
 	changes    *configChanges
-	books      *client.Tallies
+	tallies    *client.Tallies
 	violations []string
 }
 
 // Run executes one run and reports the rules it broke. An error means that the run could not start or that ctx ended.
 func Run(ctx context.Context, options Options) (*Report, error) {
-	r := &run{Options: options, bounds: judge.DefaultBounds, books: client.NewTallies()}
+	r := &run{Options: options, bounds: judge.DefaultBounds, tallies: client.NewTallies()}
 	if err := r.start(ctx); err != nil {
 		return nil, err
 	}
@@ -121,11 +121,11 @@
 func (r *run) play(ctx context.Context, events []Event) {
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
-	var crowds sync.WaitGroup
+	var groups sync.WaitGroup
 	for i, zone := range []string{"a", "b"} {
-		crowd := &client.Group{Name: fmt.Sprintf("c%d", i), Zone: zone, Seed: r.Seed*2 + uint64(i), SelectRouter: r.fleet.Entry.Pick,
-			Judge: r.fleet.Judge, Kinds: Kinds(), OnResult: r.books.Add, ReuseAnyConnection: true}
-		crowds.Go(func() { crowd.Run(loadCtx) })
+		group := &client.Group{Name: fmt.Sprintf("c%d", i), Zone: zone, Seed: r.Seed*2 + uint64(i), SelectRouter: r.fleet.Entry.Pick,
+			Judge: r.fleet.Judge, Kinds: Kinds(), OnResult: r.tallies.Add, ReuseAnyConnection: true}
+		groups.Go(func() { group.Run(loadCtx) })
 	}
 	stopThrottle := r.throttle(ctx)
 	defer stopThrottle()
@@ -133,7 +133,7 @@
 	r.supervisor.awaitRestarts()
 	r.checkSettled(ctx)
 	stopLoad()
-	crowds.Wait()
+	groups.Wait()
 }
 
 // throttle starts to enforce the CPU quota, if there is one, and returns a function that ends it and waits.
@@ -228,10 +228,10 @@
 // awaitServed retries a request at one router until it is served. It reports false if a request that began after until has
 // failed or ctx is done.
 func (r *run) awaitServed(ctx context.Context, frontend string, kind *client.Kind, until time.Time, index int) bool {
-	crowd := &client.Group{Name: "probe", Judge: r.fleet.Judge, SelectRouter: func(string, uint64, int) string { return frontend }}
-	defer crowd.Close()
+	group := &client.Group{Name: "probe", Judge: r.fleet.Judge, SelectRouter: func(string, uint64, int) string { return frontend }}
+	defer group.Close()
 	for attempt := 0; ; attempt++ {
-		result := crowd.Send(kind, fmt.Sprintf("probe-%d-%d", index, attempt), 1)
+		result := group.Send(kind, fmt.Sprintf("probe-%d-%d", index, attempt), 1)
 		if result.Outcome <= client.Late {
 			return true
 		}
@@ -246,7 +246,7 @@
 
 // report collects the figures and the broken rules of the run.
 func (r *run) report(events []Event) *Report {
-	total := r.books.Total()
+	total := r.tallies.Total()
 	report := &Report{
 		Seed: r.Seed, Processes: len(r.processes()), Events: len(events),
 		Restarts: r.supervisor.restarts, Changes: r.changes.acknowledged, Unclear: r.changes.unclear, Requests: total,
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -9,7 +9,8 @@
 	"weldscale/internal/standin/fleet"
 )
 
-// Guards against a violation of LOST: a draining router had accepted a request, which was cut off when its process exited.
+// Guards against a violation of the judge's rule LOST: a draining router had accepted a request, which was cut off when the
+// router's process exited.
 func TestOverlappingStopsAndChangesBreakNoRule(t *testing.T) {
 	runAll(t, map[string]Options{
 		"stops and changes":            {Seed: 1},
@@ -19,8 +20,8 @@
 	})
 }
 
-// On some machines a share of a core is a quota: a process runs at full speed until it has used up its quota, and not at all for
-// the rest of each 100 ms.
+// Guards against broken rules on machines where a share of a core is a quota: a process runs at full speed until it has used up
+// its quota, and not at all for the rest of each 100 ms.
 func TestCPUQuotasBreakNoRule(t *testing.T) {
 	runAll(t, map[string]Options{
 		"two fifths of a core": {Seed: 5, Quota: 0.4},
