--- a/internal/hollow/member.go
+++ b/internal/hollow/member.go
@@ -146,13 +146,13 @@
 	m.running.Wait()
 }
 
-// memberSettings returns the settings of the i-th hollow machine. The generation makes the node name unique after a restart.
-func memberSettings(i, generation int, subnet string, zones, seeds []string) *settings.Settings {
+// memberSettings returns the settings of the i-th hollow machine. The incarnation makes the node name unique after a restart.
+func memberSettings(i, incarnation int, subnet string, zones, seeds []string) *settings.Settings {
 	const membersPerSubnet = 250
 	var subnetNumber int
 	_, _ = fmt.Sscanf(subnet, "127.0.%d", &subnetNumber)
 	nodeSettings := &settings.Settings{
-		NodeName: fmt.Sprintf("hollow-%04d-%d", i, generation), Role: "router", MachineClass: "frontend",
+		NodeName: fmt.Sprintf("hollow-%04d-%d", i, incarnation), Role: "router", MachineClass: "frontend",
 		IP:   fmt.Sprintf("127.%d.%d.%d", subnetNumber, 1+i/membersPerSubnet, 1+i%membersPerSubnet),
 		Zone: zones[i%len(zones)], Region: "here",
 		Zones: map[string]string{}, InternalPorts: [2]int{7720, 7735}, Seeds: seeds, Bounds: settings.DefaultBounds(),
--- a/internal/hollow/phase.go
+++ b/internal/hollow/phase.go
@@ -120,10 +120,10 @@
 	routers     []usage
 	harness     usage
 	read        int64 // bytes read by hollow agents from controllers
-	written     int64
-	calls       int // to the platform's list
-	limited     int
-	roles       int // role changes so far
+	written     int64 // bytes written by hollow agents to controllers
+	calls       int   // to the platform's list
+	limited     int   // calls rejected by the platform's rate limit
+	roles       int   // role changes so far
 }
 
 func (r *round) measure(ctx context.Context) (*measurement, error) {
--- a/internal/hollow/round.go
+++ b/internal/hollow/round.go
@@ -66,9 +66,9 @@
 	members       []*member
 	tracker       *changeTracker
 	agentTraffic  traffic
-	configVersion int64 // of the configuration
-	listChanges   int   // changes of the list so far
-	memberStarts  int   // members started so far
+	configVersion int64 // of the configuration sent last
+	listChanges   int   // changes made to the worker list so far
+	memberStarts  int   // members started so far, restarts included
 	result        Round
 }
 
--- a/internal/hollow/tracker.go
+++ b/internal/hollow/tracker.go
@@ -16,8 +16,8 @@
 	light     bool      // it applies to light members too
 	visibleIn func(*watch.Snapshot) bool
 	seen      map[*member]time.Time
-	allSeen   chan struct{} // closed once all members that were registered when tracking began have seen it
-	remaining int
+	allSeen   chan struct{} // closed once all members that were registered when tracking began have seen it or stopped
+	remaining int           // members that allSeen still waits for
 }
 
 // changeTracker records when each member received each change. It is safe for concurrent use.
