--- a/internal/fleetdemo/demo.go
+++ b/internal/fleetdemo/demo.go
@@ -1,5 +1,6 @@
-// Package fleetdemo runs a demo fleet on loopback addresses: real controllers, agents and routers with simulated clients,
-// workers, operator and platform. It changes the configuration and injects failures, then prints a table of the request outcomes.
+// Package fleetdemo runs a demo fleet on loopback addresses: real controllers, agents and routers between stand-ins of clients,
+// workers, operator and platform. It changes the configuration and injects failures, then prints a table of the request
+// outcomes.
 package fleetdemo
 
 import (
@@ -30,7 +31,7 @@
 	Log      bool          // print the programs' logs
 }
 
-// ErrRuleBroken is returned when the simulated clients, workers or platform saw the fleet violate an invariant.
+// ErrRuleBroken is returned when the stand-ins of clients, workers or platform saw the fleet break a rule of package judge.
 var ErrRuleBroken = errors.New("a rule was broken")
 
 const (
@@ -47,19 +48,19 @@
 	out      io.Writer
 	fleet    *fleet.Fleet
 	workers  fleet.SmallSiteWorkers
-	books    *client.Tallies
+	tallies  *client.Tallies
 	bar      *progressbar.ProgressBar
 	version  int64
 	eventErr error // joined errors of the events that failed
 }
 
 // Run starts a fleet, loads it for options.For and stops it. It writes the events and a final table to out, and returns
-// ErrRuleBroken if an invariant was violated.
+// ErrRuleBroken if a rule was broken.
 func Run(ctx context.Context, options Options, out io.Writer) error {
 	if err := options.validate(); err != nil {
 		return err
 	}
-	d := &demo{Options: options, out: out, books: client.NewTallies()}
+	d := &demo{Options: options, out: out, tallies: client.NewTallies()}
 	if err := d.start(ctx); err != nil {
 		return err
 	}
@@ -144,9 +145,9 @@
 	defer stopLoad()
 	var clients sync.WaitGroup
 	for i, zone := range []string{"a", "b"} {
-		crowd := &client.Group{Name: "from-" + zone, Zone: zone, Seed: uint64(i), SelectRouter: d.fleet.Entry.Pick, Judge: d.fleet.Judge,
-			Kinds: d.kinds(), OnResult: d.books.Add}
-		clients.Go(func() { crowd.Run(loadContext) })
+		group := &client.Group{Name: "from-" + zone, Zone: zone, Seed: uint64(i), SelectRouter: d.fleet.Entry.Pick, Judge: d.fleet.Judge,
+			Kinds: d.kinds(), OnResult: d.tallies.Add}
+		clients.Go(func() { group.Run(loadContext) })
 	}
 	d.runEvents(ctx, loadContext)
 	clients.Wait()
@@ -206,7 +207,7 @@
 	if d.bar == nil {
 		return
 	}
-	total := d.books.Total()
+	total := d.tallies.Total()
 	d.bar.Describe(fmt.Sprintf("%d served, %d late, %d refused", total.Served, total.Late, total.Refused))
 	_ = d.bar.Set64(elapsed.Milliseconds())
 }
--- a/internal/fleetdemo/report.go
+++ b/internal/fleetdemo/report.go
@@ -8,18 +8,18 @@
 	"weldscale/internal/standin/client"
 )
 
-// report prints the table of request outcomes and the violated invariants. It returns ErrRuleBroken if there are any.
+// report prints the table of request outcomes and the broken rules. It returns ErrRuleBroken if there are any.
 func (d *demo) report() error {
-	rows := table.NewWriter()
-	rows.SetOutputMirror(d.out)
-	rows.SetStyle(table.StyleLight)
-	rows.AppendHeader(table.Row{"kind", "sent", "in time", "late", "refused", "failed", "cut", "tried again", "p50 ms", "p99 ms"})
-	for _, kind := range d.books.Kinds() {
-		row := d.books.ByKind(kind)
-		rows.AppendRow(append(countCells(kind, row), formatPercentile(row, 50), formatPercentile(row, 99)))
+	writer := table.NewWriter()
+	writer.SetOutputMirror(d.out)
+	writer.SetStyle(table.StyleLight)
+	writer.AppendHeader(table.Row{"kind", "sent", "in time", "late", "refused", "failed", "cut", "tried again", "p50 ms", "p99 ms"})
+	for _, kind := range d.tallies.Kinds() {
+		tally := d.tallies.ByKind(kind)
+		writer.AppendRow(append(countCells(kind, tally), formatPercentile(tally, 50), formatPercentile(tally, 99)))
 	}
-	rows.AppendFooter(append(countCells("all", d.books.Total()), "", ""))
-	rows.Render()
+	writer.AppendFooter(append(countCells("all", d.tallies.Total()), "", ""))
+	writer.Render()
 	d.printf("\nThe latency is that of the first event or the whole answer. Version %d of the configuration is in force.\n", d.version)
 	violations := d.fleet.Judge.Violations()
 	if len(violations) == 0 {
@@ -32,11 +32,11 @@
 	return ErrRuleBroken
 }
 
-func countCells(name string, row client.Tally) table.Row {
-	return table.Row{name, row.Sent, row.Served, row.Late, row.Refused, row.Failed, row.Cut, row.Retries}
+func countCells(name string, tally client.Tally) table.Row {
+	return table.Row{name, tally.Sent, tally.Served, tally.Late, tally.Refused, tally.Failed, tally.Cut, tally.Retries}
 }
 
-// formatPercentile formats a percentile of the row's latency, which is recorded in microseconds, in milliseconds.
-func formatPercentile(row client.Tally, percent float64) string {
-	return fmt.Sprintf("%.1f", float64(row.Latency.ValueAtQuantile(percent))/1000)
+// formatPercentile formats a percentile of the tally's latency in milliseconds. The histogram holds microseconds.
+func formatPercentile(tally client.Tally, percent float64) string {
+	return fmt.Sprintf("%.1f", float64(tally.Latency.ValueAtQuantile(percent))/1000)
 }
