--- a/cmd/weldfleet/status.go
+++ b/cmd/weldfleet/status.go
@@ -144,7 +144,7 @@
 	return latest
 }
 
-// neverAgeMs is the age from which on the event is taken to have never happened.
+// neverAgeMs is higher than any real age: an age of at least neverAgeMs stands for an event that has never happened.
 const neverAgeMs = int64(24 * time.Hour / time.Millisecond)
 
 // formatAge formats an age in milliseconds. It returns "never" for a negative age and from neverAgeMs on.
--- a/cmd/weldreport/main.go
+++ b/cmd/weldreport/main.go
@@ -127,8 +127,8 @@
 	return p, nil
 }
 
-// plotWorth plots, for each time window, the share of the requested worth that was reached in time. Windows without worth are
-// left out.
+// plotWorth plots, for each time window of five seconds, the share of the requested worth that was reached in time. Each point
+// lies in the middle of its window. Windows without worth are left out.
 func plotWorth(r run) (*plot.Plot, error) {
 	p, err := newTimePlot(r, "Worth in time, of what was asked for in five seconds", "share", 1)
 	if err != nil {
