--- a/cmd/weldfleet/config.go
+++ b/cmd/weldfleet/config.go
@@ -121,8 +121,8 @@
 	return printLine(command, "version %d is taken, on top of %d", config.Version, base)
 }
 
-// baseVersion returns the version that a change builds on. Without the --base flag it is the current version, which is read from
-// the fleet and returned together with its body.
+// baseVersion returns the version that a change builds on. Without the --base flag it is the current version, which is read
+// from the fleet and returned together with its body.
 func baseVersion(ctx context.Context, command *cli.Command, client *fleetclient.Client) (int64, []byte, error) {
 	if command.IsSet(flagBase) {
 		base := command.Int64(flagBase)
@@ -170,8 +170,8 @@
 	return nil
 }
 
-// loadOldConfig returns the configuration that the last argument is compared with: the first of two files, or the fleet's current
-// configuration if only one file is given.
+// loadOldConfig returns the configuration that the last argument is compared with: the first of two files, or the fleet's
+// current configuration if only one file is given.
 func loadOldConfig(ctx context.Context, command *cli.Command, args []string) (*fleetwire.Config, error) {
 	if len(args) == 1 {
 		_, config, err := currentConfig(ctx, command)
--- a/cmd/weldhollow/main.go
+++ b/cmd/weldhollow/main.go
@@ -1,5 +1,5 @@
-// Command weldhollow measures what the fleet's control plane costs as the number of members grows. It runs hollow members against
-// real controllers; package hollow does the measuring.
+// Command weldhollow measures what the fleet's control plane costs as the number of members grows. It runs hollow members
+// against real controllers; package hollow does the measuring.
 package main
 
 import (
--- a/internal/hollow/deployment.go
+++ b/internal/hollow/deployment.go
@@ -18,7 +18,8 @@
 	subnet                   string
 }
 
-// config returns a configuration with a route for each tenant. One route, chosen by the version, has a timeout that depends on it.
+// config returns a configuration with a route for each tenant. One route, chosen by the version, has a timeout that depends on
+// it.
 func (d deployment) config(version int64) operator.Config {
 	config := operator.Config{Version: version, Limits: operator.DefaultLimits}
 	for model := range d.models {
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -1,8 +1,8 @@
-// Package hollow measures what the fleet's control plane costs as the number of members grows. It runs many hollow members in one
-// process, each with the real agent and the real router of a machine but without clients. The controllers are real and run in
-// separate processes; a stand-in plays the platform, and its workers exist only in its list. Configurations, workers and members
-// change faster than in production, so that results are available within a minute. The cost of a change is what a phase with
-// changes uses beyond an idle phase.
+// Package hollow measures what the fleet's control plane costs as the number of members grows. It runs many hollow members in
+// one process, each with the real agent and the real router of a machine but without clients. The controllers are real and run
+// in separate processes; a stand-in plays the platform, and its workers exist only in its list. Configurations, workers and
+// members change faster than in production, so that results are available within a minute. The cost of a change is what a phase
+// with changes uses beyond an idle phase.
 package hollow
 
 import (
--- a/internal/hollow/member.go
+++ b/internal/hollow/member.go
@@ -51,9 +51,9 @@
 	return countedConn{Conn: connection, count: t}, nil
 }
 
-// member is a scheduler without clients: the agent and the router of one machine, run in the harness process. Everything but the
-// client sockets is real. The router of a light member receives the messages of its agent without decoding them, because hundreds
-// of decoding routers would load this machine with the work of as many machines in production.
+// member is a scheduler without clients: the agent and the router of one machine, run in the harness process. Everything but
+// the client sockets is real. The router of a light member receives the messages of its agent without decoding them, because
+// hundreds of decoding routers would load this machine with the work of as many machines in production.
 type member struct {
 	light   bool
 	started time.Time
--- a/internal/hollow/phase.go
+++ b/internal/hollow/phase.go
@@ -12,7 +12,8 @@
 	"weldscale/internal/standin/fleet"
 )
 
-// runPhases runs the phases in sequence. Each starts once every member has the changes of the one before, or after lastChangeSpan.
+// runPhases runs the phases in sequence. Each starts once every member has the changes of the one before, or after
+// lastChangeSpan.
 func (r *round) runPhases(ctx context.Context) error {
 	span := r.options.Phase
 	count := func(every time.Duration) int { return int(span / every) }
@@ -43,7 +44,8 @@
 	return nil
 }
 
-// awaitChanges waits up to lastChangeSpan for all members to see the open changes. It returns what changeTracker.finish returns.
+// awaitChanges waits up to lastChangeSpan for all members to see the open changes. It returns what changeTracker.finish
+// returns.
 func (r *round) awaitChanges(ctx context.Context) ([]time.Duration, int) {
 	limit := time.After(lastChangeSpan)
 	for _, c := range r.tracker.pending() {
--- a/internal/hollow/report.go
+++ b/internal/hollow/report.go
@@ -10,8 +10,8 @@
 	"weldscale/internal/plots"
 )
 
-// Report writes an HTML page with the table and, for each row, a plot of its values over the number of schedulers with the fitted
-// line.
+// Report writes an HTML page with the table and, for each row, a plot of its values over the number of schedulers with the
+// fitted line.
 func Report(w io.Writer, results *Results) error {
 	table := NewTable(results.Rounds)
 	content := struct {
--- a/internal/hollow/statistics.go
+++ b/internal/hollow/statistics.go
@@ -18,8 +18,8 @@
 	return DurationStats{Count: len(all), P50: percentile(all, 0.5), P99: percentile(all, 0.99), Worst: percentile(all, 1)}
 }
 
-// percentile returns the smallest of the sorted durations that is at least as large as the given fraction of them (nearest rank).
-// It returns 0 if there are none.
+// percentile returns the smallest of the sorted durations that is at least as large as the given fraction of them (nearest
+// rank). It returns 0 if there are none.
 func percentile(sorted []time.Duration, share float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/hollow/table_test.go
+++ b/internal/hollow/table_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sampleRounds returns synthetic rounds: an idle agent uses 0.1% of a core, and each of four configurations in two seconds costs
-// 5 ms more.
+// sampleRounds returns synthetic rounds: an idle agent uses 0.1% of a core, and each of four configurations in two seconds
+// costs 5 ms more.
 func sampleRounds() []Round {
 	var out []Round
 	for _, schedulers := range []int{50, 100} {
--- a/internal/hollow/usage.go
+++ b/internal/hollow/usage.go
@@ -23,8 +23,8 @@
 	return usage{CPU: u.CPU - before.CPU, Read: u.Read - before.Read, Written: u.Written - before.Written, Resident: u.Resident}
 }
 
-// readUsage reads the usage of a process from /proc. CPU time is the sum over its live threads in nanoseconds, because the clock
-// ticks of /proc/PID/stat are too coarse for an agent.
+// readUsage reads the usage of a process from /proc. CPU time is the sum over its live threads in nanoseconds, because the
+// clock ticks of /proc/PID/stat are too coarse for an agent.
 func readUsage(pid int) (usage, error) {
 	directory := filepath.Join("/proc", strconv.Itoa(pid))
 	threads, err := filepath.Glob(filepath.Join(directory, "task", "*", "schedstat"))
