--- a/internal/hollow/phase.go
+++ b/internal/hollow/phase.go
@@ -12,7 +12,8 @@
 	"weldscale/internal/standin/fleet"
 )
 
-// runPhases runs the phases in sequence. Each starts once every member has the changes of the one before, or after lastChangeSpan.
+// runPhases runs the phases in sequence. Each starts once every member has the changes of the one before, or after
+// lastChangeSpan.
 func (r *round) runPhases(ctx context.Context) error {
 	span := r.options.Phase
 	count := func(every time.Duration) int { return int(span / every) }
@@ -43,7 +44,8 @@
 	return nil
 }
 
-// awaitChanges waits up to lastChangeSpan for all members to see the open changes. It returns what changeTracker.finish returns.
+// awaitChanges waits up to lastChangeSpan for all members to see the open changes. It returns what changeTracker.finish
+// returns.
 func (r *round) awaitChanges(ctx context.Context) ([]time.Duration, int) {
 	limit := time.After(lastChangeSpan)
 	for _, c := range r.tracker.pending() {
@@ -120,10 +122,10 @@
 	routers     []usage
 	harness     usage
 	read        int64 // bytes read by hollow agents from controllers
-	written     int64
-	calls       int // to the platform's list
-	limited     int
-	roles       int // role changes so far
+	written     int64 // bytes written by hollow agents to controllers
+	calls       int   // to the platform's list
+	limited     int   // calls rejected by the platform's rate limit
+	roles       int   // role changes so far
 }
 
 func (r *round) measure(ctx context.Context) (*measurement, error) {
