--- a/internal/fleetdemo/demo.go
+++ b/internal/fleetdemo/demo.go
@@ -145,7 +145,7 @@
 	defer stopLoad()
 	var clients sync.WaitGroup
 	for i, zone := range []string{"a", "b"} {
-		group := &client.Group{Name: "from-" + zone, Zone: zone, Seed: uint64(i), SelectRouter: d.fleet.Entry.Pick, Judge: d.fleet.Judge,
+		group := &client.Group{Name: "from-" + zone, Zone: zone, Seed: uint64(i), SelectRouter: d.fleet.Entry.SelectRouter, Judge: d.fleet.Judge,
 			Kinds: d.kinds(), OnResult: d.tallies.Add}
 		clients.Go(func() { group.Run(loadContext) })
 	}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -123,7 +123,7 @@
 	defer stopLoad()
 	var groups sync.WaitGroup
 	for i, zone := range []string{"a", "b"} {
-		group := &client.Group{Name: fmt.Sprintf("c%d", i), Zone: zone, Seed: r.Seed*2 + uint64(i), SelectRouter: r.fleet.Entry.Pick,
+		group := &client.Group{Name: fmt.Sprintf("c%d", i), Zone: zone, Seed: r.Seed*2 + uint64(i), SelectRouter: r.fleet.Entry.SelectRouter,
 			Judge: r.fleet.Judge, Kinds: Kinds(), OnResult: r.tallies.Add, ReuseAnyConnection: true}
 		groups.Go(func() { group.Run(loadCtx) })
 	}
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -104,7 +104,7 @@
 	ctx, cancel := context.WithCancel(f.ctx)
 	f.cancelLoad = cancel
 	for _, zone := range f.options.Zones {
-		group := f.newGroup("in-"+zone, zone, f.Entry.Pick, kinds)
+		group := f.newGroup("in-"+zone, zone, f.Entry.SelectRouter, kinds)
 		f.loadGroups.Go(func() { group.Run(ctx) })
 	}
 }
@@ -307,7 +307,7 @@
 
 func TestAWorkerDiesWithinStreams(t *testing.T) {
 	f := startTestFleet(t, Options{})
-	group := f.newGroup("in", f.options.Zones[0], f.Entry.Pick, nil)
+	group := f.newGroup("in", f.options.Zones[0], f.Entry.SelectRouter, nil)
 	var streams sync.WaitGroup
 	// One decode worker holds all of these streams at once, in its slots and in its KV cache, after the other has crashed.
 	send := func(name string, requests, tokens int) {
--- a/internal/standin/platform/entry.go
+++ b/internal/standin/platform/entry.go
@@ -112,10 +112,10 @@
 	return n, e.changed
 }
 
-// Pick returns the Frontend address for a new connection of a client; try is the number of its earlier attempts. It uses
-// the routers of the zone that are in rotation, or all of the zone if fewer than half are. If none of them is, it uses the
-// routers of other zones that are in rotation, and if there are none, all routers.
-func (e *Entry) Pick(zone string, client uint64, try int) string {
+// SelectRouter returns the Frontend address for a new connection of a client; attempt is the number of earlier attempts. It
+// uses the routers of the zone that are in rotation, or all of the zone if fewer than half are. If none of them is, it uses
+// the routers of other zones that are in rotation, and if there are none, all routers.
+func (e *Entry) SelectRouter(zone string, client uint64, attempt int) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	all, in := e.ofZone(zone)
@@ -133,7 +133,7 @@
 	if len(in) == 0 {
 		in = e.routers
 	}
-	return in[(hash(client)+uint64(try))%uint64(len(in))].Frontend
+	return in[(hash(client)+uint64(attempt))%uint64(len(in))].Frontend
 }
 
 func (e *Entry) ofZone(zone string) (all, in []*routerState) {
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -101,9 +101,9 @@
 	}
 	seen := map[string]bool{}
 	for client := range uint64(50) {
-		seen[e.Pick("z0", client, 0)] = true
-		require.Equal(t, "2", e.Pick("z1", client, 0))
-		require.NotEqual(t, e.Pick("z0", client, 0), e.Pick("z0", client, 1), "another attempt gets another router")
+		seen[e.SelectRouter("z0", client, 0)] = true
+		require.Equal(t, "2", e.SelectRouter("z1", client, 0))
+		require.NotEqual(t, e.SelectRouter("z0", client, 0), e.SelectRouter("z0", client, 1), "another attempt gets another router")
 	}
 	require.Equal(t, map[string]bool{"0": true, "1": true}, seen)
 }
@@ -118,8 +118,8 @@
 	require.True(t, one.inRotation)
 	e.recordProbe(one, false)
 	require.False(t, one.inRotation)
-	require.Equal(t, "1", e.Pick("z", 1, 0), "a router of another zone is used")
+	require.Equal(t, "1", e.SelectRouter("z", 1, 0), "a router of another zone is used")
 	e.recordProbe(other, false)
 	e.recordProbe(other, false)
-	require.NotEmpty(t, e.Pick("z", 1, 0), "all routers are used if none is in rotation")
+	require.NotEmpty(t, e.SelectRouter("z", 1, 0), "all routers are used if none is in rotation")
 }
