--- a/internal/standin/client/client.go
+++ b/internal/standin/client/client.go
@@ -1,4 +1,4 @@
-// Package client is a test double of a fleet's clients. It sends several kinds of requests in open loops, retries them as the
+// Package client is a stand-in of a fleet's clients. It sends several kinds of requests in open loops, retries them as the
 // protocol allows and counts how they ended. It reports each attempt to the judge.
 package client
 
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,4 +1,4 @@
-// Package engine is a deterministic test double of a language-model inference engine: continuous batching, chunked prefill,
+// Package engine is a small, deterministic stand-in of a language-model inference engine: continuous batching, chunked prefill,
 // block-based KV memory, prefix caching, handles of prefilled prompts, and stage orders. Callers pass in the time and
 // collect events; the package uses no clock, socket or goroutine.
 package engine
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -1,5 +1,5 @@
 // Package fleet starts a whole fleet on one machine for tests and the demo: controllers, agents and routers as processes of
-// the built programs, and test doubles of the platform, the workers and the operator. Each simulated machine has a loopback IP
+// the built programs, and stand-ins of the platform, the workers and the operator. Each simulated machine has a loopback IP
 // of its own, so that all machines use the same ports.
 package fleet
 
--- a/internal/standin/operator/config.go
+++ b/internal/standin/operator/config.go
@@ -1,5 +1,5 @@
-// Package operator is a test double of the operator's client. It sends configurations to the controllers, retries when an
-// answer is lost, and reads back the configuration in force.
+// Package operator is a stand-in of the fleet's operator. It sends configurations to the controllers, retries when an answer
+// is lost, and reads back the configuration in force.
 package operator
 
 // Config is a configuration in the format that the operator sends.
--- a/internal/standin/platform/entry.go
+++ b/internal/standin/platform/entry.go
@@ -20,7 +20,7 @@
 	Readiness string
 }
 
-// Entry is a test double of the platform's load balancer. It picks ready routers for new connections of clients.
+// Entry is a stand-in of the platform's load balancer. It picks ready routers for new connections of clients.
 type Entry struct {
 	transport *http.Transport
 	stop      context.CancelFunc
