--- a/internal/standin/judge/judge.go
+++ b/internal/standin/judge/judge.go
@@ -1,4 +1,4 @@
-// Package judge checks a run of the fleet against the deployment's rules. Test doubles of clients, workers and the platform
+// Package judge checks a run of the fleet against the deployment's rules. The stand-ins of clients, workers and the platform
 // report what they observe. Only these observations count, so that a violation is found whatever the fleet reports about
 // itself. The rule names are those of the deployment's rules.
 package judge
@@ -30,7 +30,7 @@
 	LostRequest    Rule = "LOST"    // a complete request that got neither an answer nor a rejection
 )
 
-// Violation is a violation of a rule.
+// Violation is one case in which a rule was broken.
 type Violation struct {
 	Rule   Rule
 	Detail string
@@ -141,11 +141,11 @@
 	mu             sync.Mutex
 	bounds         Bounds
 	requests       map[string]*requestState
-	made           map[string]WorkerAnswer
+	made           map[string]WorkerAnswer   // by stamp
 	pieces         map[string]map[Piece]bool // by stamp
 	draining       map[string]time.Time      // by worker
-	crashed        map[string]bool
-	exited         map[string]bool
+	crashed        map[string]bool           // by worker
+	exited         map[string]bool           // by worker
 	orders         map[string][]order        // by worker
 	routers        map[string]*routerSignals // by router
 	cuts           []Cut
@@ -182,7 +182,7 @@
 	c.requests[request.ID] = &requestState{Request: request}
 }
 
-// Arrived records a request that reached a worker. An unknown request is an UnknownRun only when it runs.
+// Arrived records a request that reached a worker. A request that no client sent is a violation (UnknownRun) only if it runs.
 func (c *Checker) Arrived(arrival Arrival) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -245,12 +245,13 @@
 	c.pieces[piece.Stamp][piece] = true
 }
 
-// HandleUsed records that the run of usedFor continued from the handle that was prefilled for readFor.
-func (c *Checker) HandleUsed(readFor, usedFor string) {
-	if readFor != usedFor {
+// HandleUsed records that the run of request usedFor continued from a handle whose prompt was prefilled for request
+// prefilledFor.
+func (c *Checker) HandleUsed(prefilledFor, usedFor string) {
+	if prefilledFor != usedFor {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.addViolation(WrongAnswer, "%s continued from the handle of %s", usedFor, readFor)
+		c.addViolation(WrongAnswer, "%s continued from the handle of %s", usedFor, prefilledFor)
 	}
 }
 
--- a/internal/standin/judge/judge_test.go
+++ b/internal/standin/judge/judge_test.go
@@ -33,18 +33,18 @@
 
 // TestEachRuleCanFail checks that each rule reports its violations.
 func TestEachRuleCanFail(t *testing.T) {
-	stream := func(foreign string, pieces ...Piece) Answer {
-		return Answer{ID: "a", Status: 200, Stamp: "a@w", Complete: true, Stream: true, Pieces: pieces, Unparsed: foreign}
+	stream := func(unparsed string, pieces ...Piece) Answer {
+		return Answer{ID: "a", Status: 200, Stamp: "a@w", Complete: true, Stream: true, Pieces: pieces, Unparsed: unparsed}
 	}
 	for name, testCase := range map[string]struct {
 		rule    Rule
 		observe func(c *Checker)
 	}{
-		"cut after forwarding": {LostRequest, func(c *Checker) {
+		"forwarded, then cut": {LostRequest, func(c *Checker) {
 			c.Arrived(Arrival{ID: "a", Worker: "w", At: start})
 			c.ConnectionCut(Cut{ID: "a", Sent: start, Closed: start, DeadlineAt: start.Add(time.Second)})
 		}},
-		"held and cut": {LostRequest, func(c *Checker) {
+		"not forwarded, cut after the loss slack": {LostRequest, func(c *Checker) {
 			c.ConnectionCut(Cut{ID: "a", Sent: start, Closed: start.Add(300 * time.Millisecond), DeadlineAt: start.Add(time.Second)})
 		}},
 		"runs twice":      {DuplicateRun, func(c *Checker) { c.Ran(run("a", "w")); c.Ran(run("a", "v")) }},
--- a/internal/standin/judge/lost.go
+++ b/internal/standin/judge/lost.go
@@ -70,20 +70,20 @@
 		if c.lost(cut) {
 			out = append(out, Violation{LostRequest, fmt.Sprintf("%s was cut at %s after %v of its %v: %s%s", cut.ID, cut.Router,
 				cut.Closed.Sub(cut.Sent).Round(time.Millisecond), cut.DeadlineAt.Sub(cut.Sent).Round(time.Millisecond), cut.Cause,
-				c.afterStop(cut))})
+				c.afterTermination(cut))})
 		}
 	}
 	return out
 }
 
-// afterStop describes when a cut attempt was sent and cut relative to the last SIGTERM of its router.
-func (c *Checker) afterStop(cut Cut) string {
-	stop, stopped := c.lastStop(cut)
-	if !stopped {
+// afterTermination describes when a cut attempt was sent and cut relative to the last SIGTERM of its router.
+func (c *Checker) afterTermination(cut Cut) string {
+	terminatedAt, terminated := c.lastTermination(cut)
+	if !terminated {
 		return ""
 	}
-	return fmt.Sprintf("; sent %v and cut %v after SIGTERM", cut.Sent.Sub(stop).Round(time.Millisecond),
-		cut.Closed.Sub(stop).Round(time.Millisecond))
+	return fmt.Sprintf("; sent %v and cut %v after SIGTERM", cut.Sent.Sub(terminatedAt).Round(time.Millisecond),
+		cut.Closed.Sub(terminatedAt).Round(time.Millisecond))
 }
 
 func (c *Checker) lost(cut Cut) bool {
@@ -109,24 +109,24 @@
 // cutLateInGrace reports whether a cut came so late in its router's grace period and in the request's own time that the
 // router could not avoid it.
 func (c *Checker) cutLateInGrace(cut Cut) bool {
-	stop, stopped := c.lastStop(cut)
-	if !stopped {
+	terminatedAt, terminated := c.lastTermination(cut)
+	if !terminated {
 		return false
 	}
 	whole, used := cut.DeadlineAt.Sub(cut.Sent), cut.Closed.Sub(cut.Sent)
-	late := cut.Closed.Sub(stop).Seconds() >= minGraceFraction*c.bounds.Grace.Seconds()
-	return late && cut.Sent.Sub(stop) <= terminationSlack && used.Seconds() >= minUsedFraction*whole.Seconds()
+	late := cut.Closed.Sub(terminatedAt).Seconds() >= minGraceFraction*c.bounds.Grace.Seconds()
+	return late && cut.Sent.Sub(terminatedAt) <= terminationSlack && used.Seconds() >= minUsedFraction*whole.Seconds()
 }
 
-// lastStop returns when the router got its last SIGTERM before the cut.
-func (c *Checker) lastStop(cut Cut) (time.Time, bool) {
+// lastTermination returns when the router got its last SIGTERM before the cut.
+func (c *Checker) lastTermination(cut Cut) (time.Time, bool) {
 	signals := c.routers[cut.Router]
 	if signals == nil {
 		return time.Time{}, false
 	}
 	for i := len(signals.terminations) - 1; i >= 0; i-- {
-		if stop := signals.terminations[i]; !stop.After(cut.Closed) {
-			return stop, true
+		if terminatedAt := signals.terminations[i]; !terminatedAt.After(cut.Closed) {
+			return terminatedAt, true
 		}
 	}
 	return time.Time{}, false
--- a/internal/standin/judge/lost_test.go
+++ b/internal/standin/judge/lost_test.go
@@ -14,7 +14,7 @@
 		return Cut{ID: "a", Router: "r", Sent: at(sent), Closed: at(closed), DeadlineAt: at(sent).Add(whole)}
 	}
 	forwarded := func(c *Checker) { c.Arrived(Arrival{ID: "a", Worker: "w", At: start}) }
-	stopped := func(c *Checker) { forwarded(c); c.RouterTerminated("r", at(0)) }
+	terminated := func(c *Checker) { forwarded(c); c.RouterTerminated("r", at(0)) }
 	for name, testCase := range map[string]struct {
 		observe func(*Checker)
 		cut     Cut
@@ -27,9 +27,9 @@
 		"another router killed":                             {func(c *Checker) { forwarded(c); c.RouterKilled("s", at(1)) }, cut(0, 1), true},
 		"worker aborted the answer":                         {func(c *Checker) { forwarded(c); c.AnswerAborted("a") }, cut(0, 1), false},
 		"worker exited":                                     {func(c *Checker) { forwarded(c); c.Ran(run("a", "w")); c.WorkerExited("w") }, cut(0, 1), false},
-		"cut early in the grace period":                     {stopped, cut(-6, 2), true},
-		"sent before SIGTERM, cut late in the grace period": {stopped, cut(-1, 7), false},
-		"sent after SIGTERM, with time left":                {stopped, cut(2, 7), true},
+		"cut early in the grace period":                     {terminated, cut(-6, 2), true},
+		"sent before SIGTERM, cut late in the grace period": {terminated, cut(-1, 7), false},
+		"sent after SIGTERM, with time left":                {terminated, cut(2, 7), true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := New(DefaultBounds)
--- a/internal/standin/llmworker/model.go
+++ b/internal/standin/llmworker/model.go
@@ -87,8 +87,8 @@
 	if !ok {
 		return 0, false
 	}
-	readFor, _, _ := strings.Cut(taken.Job, "#")
-	w.config.Judge.HandleUsed(readFor, in.id)
+	prefilledFor, _, _ := strings.Cut(taken.Job, "#")
+	w.config.Judge.HandleUsed(prefilledFor, in.id)
 	w.driver.withEngine(func(e *engine.Engine, now time.Duration) {
 		readyAt = e.ReserveTransfer(now, taken.Wait, taken.Tokens, factor)
 	})
