--- a/internal/standin/operator/operator.go
+++ b/internal/standin/operator/operator.go
@@ -23,7 +23,7 @@
 )
 
 // ErrInconclusive is returned when no conclusive answer came in time. The change may or may not have been applied.
-var ErrInconclusive = errors.New("no clear answer")
+var ErrInconclusive = errors.New("no conclusive answer")
 
 // Operator calls the controllers in round-robin order.
 type Operator struct {
--- a/internal/standin/operator/operator_test.go
+++ b/internal/standin/operator/operator_test.go
@@ -13,29 +13,29 @@
 // requests that they got.
 func controllers(t *testing.T, statuses ...int) (func() []string, *[]string) {
 	var addresses []string
-	bodies := &[]string{}
+	requests := &[]string{}
 	for range 2 {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			body := make([]byte, r.ContentLength)
 			_, _ = r.Body.Read(body)
-			*bodies = append(*bodies, r.Host+" "+r.Header.Get("Base-Version")+" "+string(body))
+			*requests = append(*requests, r.Host+" "+r.Header.Get("Base-Version")+" "+string(body))
 			w.WriteHeader(statuses[0])
 			statuses = statuses[1:]
 		}))
 		t.Cleanup(server.Close)
 		addresses = append(addresses, server.Listener.Addr().String())
 	}
-	return func() []string { return addresses }, bodies
+	return func() []string { return addresses }, requests
 }
 
 func TestLostAnswerIsRetriedAtAnotherController(t *testing.T) {
-	known, bodies := controllers(t, 200, 200)
+	known, requests := controllers(t, 200, 200)
 	o := New(known)
 	o.DropAnswers(1)
 	status, err := o.ReplaceRaw(context.Background(), 3, []byte("{}"))
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, status)
-	require.ElementsMatch(t, []string{known()[0] + " 3 {}", known()[1] + " 3 {}"}, *bodies)
+	require.ElementsMatch(t, []string{known()[0] + " 3 {}", known()[1] + " 3 {}"}, *requests)
 }
 
 func TestConclusiveAndRetriedStatuses(t *testing.T) {
--- a/internal/standin/platform/entry.go
+++ b/internal/standin/platform/entry.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	probeInterval    = time.Second
-	failuresUntilOut = 2
-	probeTimeout     = time.Second
+	probeInterval        = time.Second
+	failuresUntilRemoval = 2 // consecutive failed probes that take a router out of rotation
+	probeTimeout         = time.Second
 )
 
 // Router describes a router to the entry.
@@ -28,7 +28,7 @@
 
 	mu      sync.Mutex
 	routers []*routerState
-	changed chan struct{}
+	changed chan struct{} // closed and replaced when a router enters or leaves the rotation
 }
 
 type routerState struct {
@@ -90,7 +90,7 @@
 	before := state.inRotation
 	if ready {
 		state.inRotation, state.failures = true, 0
-	} else if state.failures++; state.failures >= failuresUntilOut {
+	} else if state.failures++; state.failures >= failuresUntilRemoval {
 		state.inRotation = false
 	}
 	if before != state.inRotation {
@@ -136,6 +136,7 @@
 	return in[(hash(client)+uint64(attempt))%uint64(len(in))].Frontend
 }
 
+// ofZone returns all routers of a zone, and those of them that are in rotation.
 func (e *Entry) ofZone(zone string) (all, in []*routerState) {
 	for _, state := range e.routers {
 		if state.Zone == zone {
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform is a test double of the platform: the HTTP list of workers, with pages, zones, a lag and a rate limit,
+// Package platform is a stand-in of the platform: the HTTP list of workers, with pages, zones, a lag and a rate limit,
 // and the entry that assigns new client connections to ready routers.
 package platform
 
@@ -66,11 +66,11 @@
 
 	mu       sync.Mutex
 	versions []version
-	tokens   float64
-	filled   time.Time
+	tokens   float64   // of the rate limit's bucket
+	filled   time.Time // when tokens were last added
 	down     bool
 	calls    int
-	limited  int
+	limited  int // calls that were answered 429
 }
 
 // Start starts a platform with an empty list. Close stops it.
@@ -164,7 +164,7 @@
 	p.down = down
 }
 
-// Calls returns the number of calls received, and how many of them the rate limit rejected.
+// Calls returns the number of calls received, and how many of them the rate limit rejected with 429.
 func (p *Platform) Calls() (calls, limited int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
