--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -138,13 +138,13 @@
 	stepEnds      time.Duration // 0: no step is running
 	decoding      []*task       // tasks that get a token in the current step
 	prefilling    *task         // task that is prefilled in the current step
-	prefillTokens int
+	prefillTokens int           // prompt tokens that are prefilled in the current step
 	cache         cache
 	handles       map[string]*handle
-	handleCount   int // handles created so far
-	linkFreeAt    time.Duration
+	handleCount   int           // handles created so far
+	linkFreeAt    time.Duration // when the transfers reserved so far end
 	order         orderState
-	history       []timedReport
+	history       []timedReport // oldest first
 	stats         Stats
 	events        []Event
 	handleKey     string
@@ -310,12 +310,12 @@
 
 // planPrefill sets the number of prompt tokens to prefill in this step and returns the time that takes.
 func (e *Engine) planPrefill() time.Duration {
-	size, pace := e.config.PrefillChunk, e.config.TokensPerMs
+	chunk, tokensPerMs := e.config.PrefillChunk, e.config.TokensPerMs
 	if e.order.stage == StageDecode {
-		size, pace = max(1, size/decodeChunkDivisor), pace/decodePrefillSlowdown
+		chunk, tokensPerMs = max(1, chunk/decodeChunkDivisor), tokensPerMs/decodePrefillSlowdown
 	}
-	e.prefillTokens = min(size, e.prefilling.prefillLeft)
-	return max(time.Microsecond, time.Duration(float64(e.prefillTokens)/pace*float64(time.Millisecond)))
+	e.prefillTokens = min(chunk, e.prefilling.prefillLeft)
+	return max(time.Microsecond, time.Duration(float64(e.prefillTokens)/tokensPerMs*float64(time.Millisecond)))
 }
 
 func (e *Engine) endStep() {
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -60,13 +60,13 @@
 func TestCachedPartIsNotPrefilledAgain(t *testing.T) {
 	e := New(Config{Stage: StagePrefill}, "h")
 	prompt := []Part{{"shared", 320}, {"own", 64}}
-	read := job("a", 1, prompt...)
-	read.PrefillOnly = true
-	e.Submit(0, read)
+	prefill := job("a", 1, prompt...)
+	prefill.PrefillOnly = true
+	e.Submit(0, prefill)
 	e.Advance(time.Second)
 	require.Equal(t, 384, e.Stats().TokensPrefilled)
-	read.ID, read.Parts = "b", []Part{{"shared", 320}, {"other", 64}}
-	e.Submit(time.Second, read)
+	prefill.ID, prefill.Parts = "b", []Part{{"shared", 320}, {"other", 64}}
+	e.Submit(time.Second, prefill)
 	e.Advance(2 * time.Second)
 	require.Equal(t, 448, e.Stats().TokensPrefilled)
 	require.Equal(t, 320, e.Stats().TokensCached)
@@ -96,7 +96,7 @@
 
 func TestHandleIsTakenOnceAndExpires(t *testing.T) {
 	e := New(Config{Stage: StagePrefill, HandleLifetime: time.Second}, "h")
-	read := func(at time.Duration, id string) string {
+	prefill := func(at time.Duration, id string) string {
 		j := job(id, 1, Part{id, 160})
 		j.PrefillOnly = true
 		e.Submit(at, j)
@@ -105,7 +105,7 @@
 		require.Equal(t, []Kind{KindPrefilled}, kindsOf(events, id))
 		return events[0].Handle
 	}
-	first := read(0, "a")
+	first := prefill(0, "a")
 	require.Equal(t, 1, e.State().KvHandles)
 	require.Equal(t, 176, e.State().KvUsed)
 	taken, ok := e.TakeHandle(200*ms, first, 1)
@@ -114,12 +114,12 @@
 	_, ok = e.TakeHandle(200*ms, first, 1)
 	require.False(t, ok)
 
-	second := read(300*ms, "b")
+	second := prefill(300*ms, "b")
 	e.Advance(2 * time.Second)
 	_, ok = e.TakeHandle(2*time.Second, second, 1)
 	require.False(t, ok)
 	require.Equal(t, 1, e.Stats().HandlesExpired)
-	third := read(3*time.Second, "c")
+	third := prefill(3*time.Second, "c")
 	require.True(t, e.FreeHandle(3200*ms, third))
 	require.False(t, e.FreeHandle(3200*ms, third))
 	require.Zero(t, e.State().KvUsed)
