--- a/internal/standin/client/client.go
+++ b/internal/standin/client/client.go
@@ -106,8 +106,8 @@
 	Kinds        []*Kind
 	// OnResult, if set, is called at the end of each request.
 	OnResult func(Result)
-	// ReuseAnyConnection lets a request use any idle connection of the group, whichever router it leads to, until the router closes
-	// it. Otherwise a request goes to the router that SelectRouter returns, on an idle connection to it if there is one.
+	// ReuseAnyConnection lets a request use any idle connection of the group, whichever router it leads to, until the router
+	// closes it. Otherwise a request goes to the router that SelectRouter returns, on an idle connection to it if there is one.
 	ReuseAnyConnection bool
 
 	initOnce        sync.Once
--- a/internal/standin/fleet/site.go
+++ b/internal/standin/fleet/site.go
@@ -18,7 +18,7 @@
 
 // The names of the small site's request kinds.
 const (
-	KindStream          = "draft"   // a long prompt, which a prefill worker reads, and a stream that can't be resumed
+	KindStream          = "draft"   // a long prompt, prefilled by a prefill worker, and a stream that can't be resumed
 	KindResumableStream = "verdict" // a short prompt, and a stream that can be resumed
 	KindPlainUnsafe     = "notice"  // to a plain service; must not run twice
 	KindPlainSafe       = "card"    // to a plain service; may be repeated
--- a/internal/standin/llmworker/faults.go
+++ b/internal/standin/llmworker/faults.go
@@ -58,7 +58,8 @@
 	return fault
 }
 
-// applyFault applies a fault that occurs after a request has run and before its answer. It reports whether fault is one of these.
+// applyFault applies a fault that shows after the request has started to run and before its answer. It reports whether fault
+// is one of these.
 func (w *Worker) applyFault(rw http.ResponseWriter, r *http.Request, fault Fault) bool {
 	switch fault {
 	case FaultMalformed:
--- a/internal/standin/llmworker/model.go
+++ b/internal/standin/llmworker/model.go
@@ -100,8 +100,8 @@
 	worker *Worker
 	rw     http.ResponseWriter
 	in     *incoming
-	stamp  string
-	events int
+	stamp  string // empty until the first token
+	events int    // events of tokens so far
 }
 
 // writeEvents writes the job's events to the client until the job ends.
--- a/internal/standin/llmworker/request.go
+++ b/internal/standin/llmworker/request.go
@@ -74,7 +74,7 @@
 	return parts, max(1, output)
 }
 
-// serveRequest serves every request that is not a call of the protocol between schedulers and workers.
+// serveRequest serves the requests on all paths that routes doesn't register for a call of the protocol.
 func (w *Worker) serveRequest(rw http.ResponseWriter, r *http.Request) {
 	w.setCommonHeaders(rw, r)
 	in, ok := w.readRequest(r)
--- a/internal/standin/llmworker/worker_test.go
+++ b/internal/standin/llmworker/worker_test.go
@@ -218,12 +218,12 @@
 }
 
 func TestFaultsBreakAnswers(t *testing.T) {
-	for fault, broken := range map[Fault]string{FaultReset: "reset", FaultMalformed: "malformed"} {
+	for fault, wantErr := range map[Fault]string{FaultReset: "reset", FaultMalformed: "malformed"} {
 		f := newFixture(t)
 		w := f.start(Config{Name: "w"})
 		w.FailNext(fault)
 		_, err := f.send(w, "a")
-		require.ErrorContains(t, err, broken)
+		require.ErrorContains(t, err, wantErr)
 		require.Len(t, f.judge.Runs("a"), 1)
 	}
 	for _, model := range []*engine.Config{nil, withStage(engine.StageDecode)} {
