--- a/internal/standin/clientconn.go
+++ b/internal/standin/clientconn.go
@@ -15,20 +15,20 @@
 
 // ClientConn is a client's connection, controlled by a test.
 type ClientConn struct {
-	c  *net.TCPConn
-	in *bufio.Reader
+	conn *net.TCPConn
+	in   *bufio.Reader
 }
 
 // Dial opens a connection to a scheduler.
 func Dial(addr string) (*ClientConn, error) {
-	c, err := net.DialTimeout("tcp", addr, 10*time.Second)
+	conn, err := net.DialTimeout("tcp", addr, 10*time.Second)
 	if err != nil {
 		return nil, err
 	}
-	return &ClientConn{c.(*net.TCPConn), bufio.NewReader(c)}, nil
+	return &ClientConn{conn.(*net.TCPConn), bufio.NewReader(conn)}, nil
 }
 
-// RequestText returns a request for a job as it is sent.
+// RequestText returns the text of an HTTP request for a job.
 func RequestText(id, class string, budget time.Duration, body string, headerFields ...string) string {
 	header := strings.Join(headerFields, "\r\n")
 	if header != "" {
@@ -40,25 +40,25 @@
 
 // Send writes text.
 func (c *ClientConn) Send(text string) error {
-	_, err := io.WriteString(c.c, text)
+	_, err := io.WriteString(c.conn, text)
 	return err
 }
 
 // HalfClose closes the sending side; reading goes on.
-func (c *ClientConn) HalfClose() { _ = c.c.CloseWrite() }
+func (c *ClientConn) HalfClose() { _ = c.conn.CloseWrite() }
 
 // Close closes the connection.
-func (c *ClientConn) Close() { _ = c.c.Close() }
+func (c *ClientConn) Close() { _ = c.conn.Close() }
 
 // Reset closes the connection with a TCP reset.
 func (c *ClientConn) Reset() {
-	_ = c.c.SetLinger(0)
-	_ = c.c.Close()
+	_ = c.conn.SetLinger(0)
+	_ = c.conn.Close()
 }
 
 // ReadAnswer reads one answer, within the timeout.
 func (c *ClientConn) ReadAnswer(timeout time.Duration) (status int, body string, err error) {
-	_ = c.c.SetReadDeadline(time.Now().Add(timeout))
+	_ = c.conn.SetReadDeadline(time.Now().Add(timeout))
 	r, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		return 0, "", err
@@ -70,7 +70,7 @@
 
 // ReadN reads n bytes and leaves the rest in a small receive buffer.
 func (c *ClientConn) ReadN(n int) error {
-	_ = c.c.SetReadBuffer(4 << 10)
-	_, err := io.ReadFull(c.c, make([]byte, n))
+	_ = c.conn.SetReadBuffer(4 << 10)
+	_, err := io.ReadFull(c.conn, make([]byte, n))
 	return err
 }
--- a/internal/standin/slow.go
+++ b/internal/standin/slow.go
@@ -66,7 +66,7 @@
 			case <-time.After(s.Over * time.Duration(i) / time.Duration(s.Peers)):
 			}
 			for n := 0; ctx.Err() == nil; n++ {
-				reconnect := s.connection(ctx, fmt.Sprintf("%sslow%d-%d", s.Name, i, n), t, &mu)
+				reconnect := s.runConnection(ctx, fmt.Sprintf("%sslow%d-%d", s.Name, i, n), t, &mu)
 				if !reconnect && s.Again == 0 {
 					return
 				}
@@ -83,8 +83,8 @@
 	return t
 }
 
-// connection runs one connection to its end. It always returns false: no client connects again without a wait.
-func (s SlowClients) connection(ctx context.Context, id string, t *SlowTally, mu *sync.Mutex) bool {
+// runConnection runs one connection to its end. It always returns false: no client connects again without a wait.
+func (s SlowClients) runConnection(ctx context.Context, id string, t *SlowTally, mu *sync.Mutex) bool {
 	record := func(f func()) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -177,21 +177,21 @@
 // slowReader reads from a connection at Read bytes a second.
 type slowReader struct {
 	net.Conn
-	s        SlowClients
+	clients  SlowClients // a copy for this reader; its Pause is 0 once it has paused
 	received int
 }
 
 func (r *slowReader) Read(b []byte) (int, error) {
-	if r.s.Read == 0 {
+	if r.clients.Read == 0 {
 		return r.Conn.Read(b)
 	}
-	if half := r.s.Kind.Task.Size / 2; r.s.Pause > 0 && r.received > half {
-		time.Sleep(r.s.Pause)
-		r.s.Pause = 0
+	if half := r.clients.Kind.Task.Size / 2; r.clients.Pause > 0 && r.received > half {
+		time.Sleep(r.clients.Pause)
+		r.clients.Pause = 0
 	}
-	piece := max(1, int(r.s.Read*r.s.Every.Seconds()))
+	piece := max(1, int(r.clients.Read*r.clients.Every.Seconds()))
 	n, err := r.Conn.Read(b[:min(len(b), piece)])
 	r.received += n
-	time.Sleep(time.Duration(float64(n) / r.s.Read * float64(time.Second)))
+	time.Sleep(time.Duration(float64(n) / r.clients.Read * float64(time.Second)))
 	return n, err
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -56,7 +56,7 @@
 	// Refresh is the interval between updates of the load report, Lag the minimum age of the state in it. If Refresh is 0,
 	// each report shows the present state.
 	Refresh, Lag time.Duration
-	TellsStart   bool
+	TellsStart   bool // it sends a line when a job starts
 	// Answer, if set, handles all requests but probes. It writes to the connection itself.
 	Answer func(r *http.Request, c net.Conn)
 	// Receive is the size of the sockets' receive buffer in bytes; 0: the system's default.
