--- a/cmd/weldtrial/shared.go
+++ b/cmd/weldtrial/shared.go
@@ -79,11 +79,12 @@
 	var loads sync.WaitGroup
 	defer loads.Wait()
 	defer stop()
-	fixedShareRate, busy := 0.0, max(1, len(schedulers)/20)
+	// fixedShareRate is what fixed and equal shares would serve. Half of the demand is sent to busyCount schedulers.
+	fixedShareRate, busyCount := 0.0, max(1, len(schedulers)/20)
 	for i := range schedulers {
-		demand := c.Demand / 2 / float64(busy)
-		if i%20 != 0 || i/20 >= busy {
-			demand = c.Demand / 2 / float64(len(schedulers)-busy)
+		demand := c.Demand / 2 / float64(busyCount)
+		if i%20 != 0 || i/20 >= busyCount {
+			demand = c.Demand / 2 / float64(len(schedulers)-busyCount)
 		}
 		fixedShareRate += min(demand, c.Rate/float64(len(schedulers)))
 		loads.Go(func() { c.sendSteadily(loadCtx, i, loopbackAddr(i, 7400), demand, log) })
@@ -93,7 +94,7 @@
 	out := table.NewWriter()
 	out.SetOutputMirror(os.Stdout)
 	out.SetTitle(fmt.Sprintf("%d schedulers, %.0f jobs/s between them, %.0f/s asked for, half of it of %d; parts for good, one as large as the "+
-		"other, would serve %.2f of the rate", len(schedulers), c.Rate, c.Demand, busy, fixedShareRate/c.Rate))
+		"other, would serve %.2f of the rate", len(schedulers), c.Rate, c.Demand, busyCount, fixedShareRate/c.Rate))
 	out.AppendHeader(table.Row{"row", "served/s", "of the rate", "CPU of one, cores", "KB/s sent by one", "by a keeper"})
 	measure := func(name string, during func()) {
 		start, offset, cpu, sentBytes, voterBytes := time.Now(), log.Now(), time.Duration(0), int64(0), int64(0)
--- a/cmd/weldtrial/slow.go
+++ b/cmd/weldtrial/slow.go
@@ -28,6 +28,7 @@
 	Again    time.Duration `help:"How long a slow peer that was cut waits before it comes again; 0: it does not." default:"0s"`
 }
 
+// linkBlock is the operator's file: clients of 127.0.3.0/24 are on a line that is known to be slow.
 const linkBlock = `link "murun" {
   prefixes   = ["127.0.3.0/24"]
   least_rate = "1KiB"
@@ -78,11 +79,12 @@
 	return nil
 }
 
+// rowResult is what one row measured.
 type rowResult struct {
 	normal   *standin.Tally
 	honest   standin.SlowTally
 	cpu      time.Duration
-	memory   float64
+	memory   float64 // MiB
 	counters map[string]string
 }
 
--- a/cmd/weldtrial/twin.go
+++ b/cmd/weldtrial/twin.go
@@ -19,8 +19,9 @@
 	"weldscale/internal/standin"
 )
 
-// twinCmd is the trial of the emulator: the model runs a script in simulated time, and real schedulers get the same arrivals
-// and faults on sockets in real time. It compares the worth of the jobs served in time. It must not be used to measure speed.
+// twinCmd is the trial of the emulator: the model runs a script in simulated time, and its twin, real schedulers, gets the
+// same arrivals and faults on sockets in real time. It compares the worth of the jobs served in time. It must not be used to
+// measure speed.
 type twinCmd struct {
 	Scripts []string `arg:"" help:"Scripts, such as those in deploy/rehearsals. What two processes on one machine can't be (a lost scheduler, a box that stands still, a list service that is down) is refused." type:"existingfile"`
 	Within  float64  `help:"Exit with 1 where model and twin differ by more than this." default:"0"`
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// twinTally counts how the jobs of the real schedulers ended.
+// twinTally counts how the jobs of the twin ended.
 type twinTally struct {
 	mu                                  sync.Mutex
 	totalWorth, worthInTime, worthShare float64 // worthShare: worthInTime / totalWorth, set at the end
@@ -171,12 +172,12 @@
 	worth := c.Terms.Worth * float64(event.Work) / 1e6
 	began := time.Now()
 	status := 0
-	for try := 0; try <= s.Retries; try++ {
-		status, _, _ = standin.SendJob(client, addr, "", fmt.Sprint(id, "-", try), k)
+	for attempt := 0; attempt <= s.Retries; attempt++ {
+		status, _, _ = standin.SendJob(client, addr, "", fmt.Sprint(id, "-", attempt), k)
 		if status == 200 || time.Since(began) > aim {
 			break
 		}
-		if try < s.Retries {
+		if attempt < s.Retries {
 			time.Sleep(time.Duration(s.RetryWait) * time.Microsecond)
 		}
 	}
--- a/cmd/weldtrial/upgrades.go
+++ b/cmd/weldtrial/upgrades.go
@@ -81,8 +81,8 @@
 	return errors.New("a new scheduler process was not ready within 6 s")
 }
 
-// runRow runs one row.
-func (c *upgradesCmd) runRow(ctx context.Context, args *cli, out table.Writer, name string, upgrade, broken bool) error {
+// runRow runs one row. If firstBroken is set, the first upgrade starts a process without a configuration, which must fail.
+func (c *upgradesCmd) runRow(ctx context.Context, args *cli, out table.Writer, name string, upgrade, firstBroken bool) error {
 	fleet, err := standin.StartFleet(c.Workers, standin.WorkerConfig{Slots: 64, Queue: 8, TellsStart: true})
 	if err != nil {
 		return err
@@ -126,8 +126,8 @@
 	upgraded, badExits := 0, 0
 	for end := time.Now().Add(args.For - c.Every); upgrade && time.Now().Before(end) && ctx.Err() == nil; {
 		time.Sleep(c.Every)
-		if broken {
-			broken = false
+		if firstBroken {
+			firstBroken = false
 			p, err := c.startProcess(args, dir, filepath.Join(dir, "nowhere.json"), socket)
 			if err != nil {
 				return err
