--- a/internal/standin/judge/judge.go
+++ b/internal/standin/judge/judge.go
@@ -47,7 +47,9 @@
 	LeaseTime    time.Duration
 	OverAttempts int           // number of requests that may exceed their route's attempts
 	Grace        time.Duration // from SIGTERM to SIGKILL
-	LossSlack    time.Duration // how long before the close of its connection a request may be sent without being lost
+	// LossSlack is how long before the close of its connection a request may be sent without counting as lost, if it has not
+	// reached a worker.
+	LossSlack time.Duration
 }
 
 // DefaultBounds are the bounds of the small deployments.
