--- a/internal/standin/client/client.go
+++ b/internal/standin/client/client.go
@@ -1,4 +1,4 @@
-// Package client is a test double of a fleet's clients. It sends several kinds of requests in open loops, retries them as the
+// Package client is a stand-in of a fleet's clients. It sends several kinds of requests in open loops, retries them as the
 // protocol allows and counts how they ended. It reports each attempt to the judge.
 package client
 
@@ -106,8 +106,8 @@
 	Kinds        []*Kind
 	// OnResult, if set, is called at the end of each request.
 	OnResult func(Result)
-	// ReuseAnyConnection lets a request use any idle connection of the group, whichever router it leads to, until the router closes
-	// it. Otherwise a request goes to the router that SelectRouter returns, on an idle connection to it if there is one.
+	// ReuseAnyConnection lets a request use any idle connection of the group, whichever router it leads to, until the router
+	// closes it. Otherwise a request goes to the router that SelectRouter returns, on an idle connection to it if there is one.
 	ReuseAnyConnection bool
 
 	initOnce        sync.Once
--- a/internal/standin/platform/entry.go
+++ b/internal/standin/platform/entry.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	probeInterval    = time.Second
-	failuresUntilOut = 2
-	probeTimeout     = time.Second
+	probeInterval        = time.Second
+	failuresUntilRemoval = 2 // consecutive failed probes that take a router out of rotation
+	probeTimeout         = time.Second
 )
 
 // Router describes a router to the entry.
@@ -20,7 +20,7 @@
 	Readiness string
 }
 
-// Entry is a test double of the platform's load balancer. It picks ready routers for new connections of clients.
+// Entry is a stand-in of the platform's load balancer. It picks ready routers for new connections of clients.
 type Entry struct {
 	transport *http.Transport
 	stop      context.CancelFunc
@@ -28,7 +28,7 @@
 
 	mu      sync.Mutex
 	routers []*routerState
-	changed chan struct{}
+	changed chan struct{} // closed and replaced when a router enters or leaves the rotation
 }
 
 type routerState struct {
@@ -90,7 +90,7 @@
 	before := state.inRotation
 	if ready {
 		state.inRotation, state.failures = true, 0
-	} else if state.failures++; state.failures >= failuresUntilOut {
+	} else if state.failures++; state.failures >= failuresUntilRemoval {
 		state.inRotation = false
 	}
 	if before != state.inRotation {
@@ -112,10 +112,10 @@
 	return n, e.changed
 }
 
-// Pick returns the Frontend address for a new connection of a client; try is the number of its earlier attempts. It uses
-// the routers of the zone that are in rotation, or all of the zone if fewer than half are. If none of them is, it uses the
-// routers of other zones that are in rotation, and if there are none, all routers.
-func (e *Entry) Pick(zone string, client uint64, try int) string {
+// SelectRouter returns the Frontend address for a new connection of a client; attempt is the number of earlier attempts. It
+// uses the routers of the zone that are in rotation, or all of the zone if fewer than half are. If none of them is, it uses
+// the routers of other zones that are in rotation, and if there are none, all routers.
+func (e *Entry) SelectRouter(zone string, client uint64, attempt int) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	all, in := e.ofZone(zone)
@@ -133,9 +133,10 @@
 	if len(in) == 0 {
 		in = e.routers
 	}
-	return in[(hash(client)+uint64(try))%uint64(len(in))].Frontend
+	return in[(hash(client)+uint64(attempt))%uint64(len(in))].Frontend
 }
 
+// ofZone returns all routers of a zone, and those of them that are in rotation.
 func (e *Entry) ofZone(zone string) (all, in []*routerState) {
 	for _, state := range e.routers {
 		if state.Zone == zone {
