--- a/cmd/weldscale/upgrade_test.go
+++ b/cmd/weldscale/upgrade_test.go
@@ -58,58 +58,58 @@
 var processesStarted atomic.Int64
 
 // start starts a process with further environment variables.
-func (p *testPlatform) start(env ...string) *process {
+func (tp *testPlatform) start(env ...string) *process {
 	// Each process gets an IP address of its own, because a free port of a common one could be taken before the process binds it.
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 100+os.Getpid()%100, os.Getpid()/100%250, 1+processesStarted.Add(1)%250))
-	require.NoError(p.t, err)
+	require.NoError(tp.t, err)
 	ln.Close()
-	x := &process{platform: p, mgmt: ln.Addr().String(), cmd: exec.Command(os.Args[0]), log: &programLog{changed: make(chan struct{}, 1)}}
-	if p.maxFiles > 0 {
-		x.cmd = exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", p.maxFiles, os.Args[0]))
+	p := &process{platform: tp, mgmt: ln.Addr().String(), cmd: exec.Command(os.Args[0]), log: &programLog{changed: make(chan struct{}, 1)}}
+	if tp.maxFiles > 0 {
+		p.cmd = exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", tp.maxFiles, os.Args[0]))
 	}
-	config := filepath.Join(p.t.TempDir(), "config.json")
-	writeConfig(p.t, config, p.site)
-	x.cmd.Env = append(append(os.Environ(), "WELDSCALE_TEST=program", "GW_CONFIG="+config, "GW_MGMT="+x.mgmt, "TMPDIR="+p.dir,
+	config := filepath.Join(tp.t.TempDir(), "config.json")
+	writeConfig(tp.t, config, tp.site)
+	p.cmd.Env = append(append(os.Environ(), "WELDSCALE_TEST=program", "GW_CONFIG="+config, "GW_MGMT="+p.mgmt, "TMPDIR="+tp.dir,
 		"GW_PASSED_SOCKET=3"), env...)
-	x.cmd.ExtraFiles, x.cmd.Stderr = []*os.File{p.socket}, x.log
-	require.NoError(p.t, x.cmd.Start())
-	p.t.Cleanup(func() {
-		if x.cmd.ProcessState == nil {
-			_ = x.cmd.Process.Kill()
-			_ = x.cmd.Wait()
+	p.cmd.ExtraFiles, p.cmd.Stderr = []*os.File{tp.socket}, p.log
+	require.NoError(tp.t, p.cmd.Start())
+	tp.t.Cleanup(func() {
+		if p.cmd.ProcessState == nil {
+			_ = p.cmd.Process.Kill()
+			_ = p.cmd.Wait()
 		}
-		if p.t.Failed() {
-			p.t.Log(x.log.String())
+		if tp.t.Failed() {
+			tp.t.Log(p.log.String())
 		}
 	})
-	return x
+	return p
 }
 
 // awaitReady waits until the process reports that it is ready.
-func (x *process) awaitReady() *process {
-	require.Eventually(x.platform.t, func() bool {
-		resp, err := http.Get("http://" + x.mgmt + "/control/ready")
+func (p *process) awaitReady() *process {
+	require.Eventually(p.platform.t, func() bool {
+		resp, err := http.Get("http://" + p.mgmt + "/control/ready")
 		if err != nil {
 			return false
 		}
 		resp.Body.Close()
 		return resp.StatusCode == 200
 	}, testTimeout, 5*time.Millisecond)
-	return x
+	return p
 }
 
 // workerCommand takes a worker offline or online with a call of the management address and returns the status.
-func (x *process) workerCommand(worker, action string) int {
-	resp, err := http.Post("http://"+x.mgmt+"/control/workers/"+worker+"/"+action, "", nil)
-	require.NoError(x.platform.t, err)
+func (p *process) workerCommand(worker, action string) int {
+	resp, err := http.Post("http://"+p.mgmt+"/control/workers/"+worker+"/"+action, "", nil)
+	require.NoError(p.platform.t, err)
 	resp.Body.Close()
 	return resp.StatusCode
 }
 
 // stop sends SIGTERM, as a platform does, and expects the process to exit with status 0.
-func (x *process) stop() {
-	require.NoError(x.platform.t, x.cmd.Process.Signal(syscall.SIGTERM))
-	assert.NoError(x.platform.t, x.cmd.Wait(), x.log.String())
+func (p *process) stop() {
+	require.NoError(p.platform.t, p.cmd.Process.Signal(syscall.SIGTERM))
+	assert.NoError(p.platform.t, p.cmd.Wait(), p.log.String())
 }
 
 // testClients are clients that send one job after another, each on its own persistent connection.
@@ -122,7 +122,7 @@
 	dials      atomic.Int64
 }
 
-func (p *testPlatform) startClients(name string, n int) *testClients {
+func (tp *testPlatform) startClients(name string, n int) *testClients {
 	c := &testClients{unexpected: map[string]int{}}
 	for i := range n {
 		c.wg.Go(func() {
@@ -133,12 +133,12 @@
 			for k := 0; !c.stop.Load(); k++ {
 				id := fmt.Sprint(name, i, "-", k)
 				kind := &standin.JobKind{Class: "send", Budget: testTimeout, Body: 5}
-				status, body, err := standin.SendJob(client, p.addr, "", id, kind)
+				status, body, err := standin.SendJob(client, tp.addr, "", id, kind)
 				// On a busy machine the report of a start may be late, so that a job is refused. It has not run, so the client retries.
 				for firstRefusal := time.Now(); err == nil && status == 503 && time.Since(firstRefusal) < testTimeout; {
 					time.Sleep(10 * time.Millisecond)
 					id += "r"
-					status, body, err = standin.SendJob(client, p.addr, "", id, kind)
+					status, body, err = standin.SendJob(client, tp.addr, "", id, kind)
 				}
 				c.mu.Lock()
 				if err == nil && status == 200 && body == "made of "+id {
@@ -182,20 +182,20 @@
 		<-releaseLong
 		_, _ = c.Write(append(standin.AppendLines(nil, fmt.Sprintf(`{"id":%q,"state":"done","result":"at last"}`, id)), "0\r\n\r\n"...))
 	}})
-	p := newTestPlatform(t, startDiscovery(t, w.Entry("SERVING"), offline.Entry("SERVING")))
-	first := p.start().awaitReady()
+	tp := newTestPlatform(t, startDiscovery(t, w.Entry("SERVING"), offline.Entry("SERVING")))
+	first := tp.start().awaitReady()
 	require.Equal(t, 200, first.workerCommand("out", "offline"))
 	longAnswer := make(chan string)
 	go func() {
-		status, body, err := standin.SendJob(&http.Client{Timeout: testTimeout}, p.addr, "", "long", &standin.JobKind{Class: "send", Budget: testTimeout, Body: 9})
+		status, body, err := standin.SendJob(&http.Client{Timeout: testTimeout}, tp.addr, "", "long", &standin.JobKind{Class: "send", Budget: testTimeout, Body: 9})
 		longAnswer <- fmt.Sprint(status, body, err)
 	}()
 	require.Eventually(t, func() bool { return slices.Contains(w.IDs(), "long") }, testTimeout, time.Millisecond)
-	clients := p.startClients("c", 8)
-	second := p.start().awaitReady()
+	clients := tp.startClients("c", 8)
+	second := tp.start().awaitReady()
 	first.stop()
 	assert.Contains(t, first.log.String(), `"msg":"all passed on"`)
-	third := p.start().awaitReady()
+	third := tp.start().awaitReady()
 	require.Equal(t, 404, third.workerCommand("nobody", "offline"))
 	second.stop()
 	assert.Contains(t, second.log.String(), `"msg":"all passed on"`)
@@ -225,17 +225,17 @@
 // A worker that one process takes offline gets no jobs from the other process either.
 func TestOfflineInBothProcesses(t *testing.T) {
 	a, b := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "b"})
-	p := newTestPlatform(t, startDiscovery(t, a.Entry("SERVING"), b.Entry("SERVING")))
-	old := p.start().awaitReady()
-	successor := p.start().awaitReady()
+	tp := newTestPlatform(t, startDiscovery(t, a.Entry("SERVING"), b.Entry("SERVING")))
+	old := tp.start().awaitReady()
+	successor := tp.start().awaitReady()
 	require.Equal(t, 200, successor.workerCommand("a", "offline"))
-	clients := p.startClients("e", 4) // both take connections
+	clients := tp.startClients("e", 4) // both take connections
 	time.Sleep(300 * time.Millisecond)
 	_, unexpected := clients.finish()
 	assert.Empty(t, unexpected)
 	assert.Empty(t, a.IDs())
 	require.Equal(t, 200, old.workerCommand("a", "online"))
-	clients = p.startClients("f", 4)
+	clients = tp.startClients("f", 4)
 	require.Eventually(t, func() bool { return len(a.IDs()) > 0 }, testTimeout, time.Millisecond)
 	_, unexpected = clients.finish()
 	assert.Empty(t, unexpected)
@@ -244,11 +244,11 @@
 // The management address answers while clients use every descriptor that they may have, and accepted requests are served.
 func TestManagementAddressAtDescriptorLimit(t *testing.T) {
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
-	p := newTestPlatform(t, startDiscovery(t, w.Entry("SERVING")))
-	p.maxFiles, p.site.Sockets = 96, 96
-	x := p.start().awaitReady()
+	tp := newTestPlatform(t, startDiscovery(t, w.Entry("SERVING")))
+	tp.maxFiles, tp.site.Sockets = 96, 96
+	p := tp.start().awaitReady()
 	for range 300 {
-		c, err := net.Dial("tcp", p.addr)
+		c, err := net.Dial("tcp", tp.addr)
 		require.NoError(t, err)
 		defer c.Close()
 		if _, err = c.Write([]byte("POST /x HTTP/1.1\r\n")); err != nil {
@@ -256,37 +256,37 @@
 		}
 	}
 	for i := range 30 {
-		resp, err := http.Get("http://" + x.mgmt + "/control/counters")
+		resp, err := http.Get("http://" + p.mgmt + "/control/counters")
 		require.NoError(t, err)
 		resp.Body.Close()
 		assert.Equal(t, 200, resp.StatusCode)
 		if i == 0 {
-			assert.Equal(t, 200, x.workerCommand("a", "offline"))
-			assert.Equal(t, 200, x.workerCommand("a", "online"))
+			assert.Equal(t, 200, p.workerCommand("a", "offline"))
+			assert.Equal(t, 200, p.workerCommand("a", "online"))
 		}
 	}
-	clients := p.startClients("d", 2)
+	clients := tp.startClients("d", 2)
 	time.Sleep(50 * time.Millisecond)
 	served, _ := clients.finish()
 	assert.Positive(t, served)
-	x.stop()
-	assert.NotContains(t, x.log.String(), "too many open files")
+	p.stop()
+	assert.NotContains(t, p.log.String(), "too many open files")
 }
 
 // A new process that can't start changes nothing. A process that is killed leaves nothing behind except its offline workers,
 // which stay offline in the next process.
 func TestBrokenUpgrades(t *testing.T) {
 	a, b := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "b"})
-	p := newTestPlatform(t, startDiscovery(t, a.Entry("SERVING"), b.Entry("SERVING")))
-	old := p.start().awaitReady()
+	tp := newTestPlatform(t, startDiscovery(t, a.Entry("SERVING"), b.Entry("SERVING")))
+	old := tp.start().awaitReady()
 	for env, wantLog := range map[string]string{"GW_PASSED_SOCKET=9": "descriptor 9 is no listening socket", "GW_PASSED_SOCKET=x": "is not the number",
 		"GW_CONFIG=/nowhere": "no such file", "GW_MGMT=" + old.mgmt: "address already in use"} {
-		broken := p.start(env)
+		broken := tp.start(env)
 		err := broken.cmd.Wait()
 		assert.Error(t, err, env)
 		assert.Contains(t, broken.log.String(), wantLog)
 	}
-	clients := p.startClients("k", 2)
+	clients := tp.startClients("k", 2)
 	time.Sleep(50 * time.Millisecond)
 	served, unexpected := clients.finish()
 	assert.Positive(t, served)
@@ -295,8 +295,8 @@
 	require.NoError(t, old.cmd.Process.Kill())
 	_ = old.cmd.Wait()
 	jobsBefore := len(a.IDs())
-	next := p.start().awaitReady()
-	clients = p.startClients("l", 2)
+	next := tp.start().awaitReady()
+	clients = tp.startClients("l", 2)
 	time.Sleep(50 * time.Millisecond)
 	served, unexpected = clients.finish()
 	assert.Positive(t, served)
@@ -304,13 +304,13 @@
 	assert.Len(t, a.IDs(), jobsBefore, "taken offline before the kill")
 
 	// The old process is killed during the handover of its connections. The new one serves, with the same workers offline.
-	newer := p.start().awaitReady()
-	clients = p.startClients("o", 4)
+	newer := tp.start().awaitReady()
+	clients = tp.startClients("o", 4)
 	require.NoError(t, next.cmd.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, next.cmd.Process.Kill())
 	_ = next.cmd.Wait()
 	clients.finish() // connections that were not handed over yet were lost, so failures are allowed
-	clients = p.startClients("p", 4)
+	clients = tp.startClients("p", 4)
 	time.Sleep(50 * time.Millisecond)
 	served, unexpected = clients.finish()
 	assert.Positive(t, served)
@@ -322,16 +322,16 @@
 	require.NoError(t, next.cmd.Process.Kill())
 	_ = next.cmd.Wait()
 	for _, text := range []string{`{"v":1,"out":["a"`, `{"v":99,"out":["a"]}`, `hello`} {
-		require.NoError(t, os.WriteFile(filepath.Join(p.dir, "weldscale-n0.out"), []byte(text), 0o600))
-		x := p.start().awaitReady()
-		x.stop()
-		assert.Contains(t, x.log.String(), "workers taken out earlier can't be read")
+		require.NoError(t, os.WriteFile(filepath.Join(tp.dir, "weldscale-n0.out"), []byte(text), 0o600))
+		p := tp.start().awaitReady()
+		p.stop()
+		assert.Contains(t, p.log.String(), "workers taken out earlier can't be read")
 	}
 }
 
 // inFlight returns the number of requests in flight in the process, or -1 if it can't be read.
-func (x *process) inFlight() (n int) {
-	resp, err := http.Get("http://" + x.mgmt + "/control/counters")
+func (p *process) inFlight() (n int) {
+	resp, err := http.Get("http://" + p.mgmt + "/control/counters")
 	if err != nil {
 		return -1
 	}
@@ -345,8 +345,8 @@
 	return counters.InFlight
 }
 
-func (x *process) signal(sig syscall.Signal) {
-	require.NoError(x.platform.t, x.cmd.Process.Signal(sig))
+func (p *process) signal(sig syscall.Signal) {
+	require.NoError(p.platform.t, p.cmd.Process.Signal(sig))
 }
 
 // handoverTest is an upgrade in progress: an old process with an idle connection, a running job that must not run twice and a
@@ -363,8 +363,8 @@
 }
 
 func startHandoverTest(t *testing.T) *handoverTest {
-	g := &handoverTest{releaseLong: make(chan struct{}), longAborted: make(chan struct{})}
-	g.worker = startWorker(t, standin.WorkerConfig{Name: "w", Slots: 1, Answer: func(r *http.Request, c net.Conn) {
+	ht := &handoverTest{releaseLong: make(chan struct{}), longAborted: make(chan struct{})}
+	ht.worker = startWorker(t, standin.WorkerConfig{Name: "w", Slots: 1, Answer: func(r *http.Request, c net.Conn) {
 		if r.Header.Get("X-Call-Id") != "long" {
 			standin.WriteAnswer(r, c)
 			return
@@ -372,176 +372,176 @@
 		standin.WriteStarted(r, c)
 		go func() { // the scheduler sends nothing more on the connection, so Read returns only at its end
 			_, _ = c.Read(make([]byte, 1))
-			close(g.longAborted)
+			close(ht.longAborted)
 		}()
 		select {
-		case <-g.releaseLong:
+		case <-ht.releaseLong:
 			standin.WriteDone(r, c)
-		case <-g.longAborted:
+		case <-ht.longAborted:
 		}
-		<-g.longAborted // the goroutine above still reads the connection
+		<-ht.longAborted // the goroutine above still reads the connection
 	}})
-	g.spare = startWorker(t, standin.WorkerConfig{Name: "room", TellsStart: true})
-	g.discovery = startDiscovery(t, g.worker.Entry("SERVING"), g.spare.Entry("DRAINING"))
-	g.testPlatform = newTestPlatform(t, g.discovery)
-	g.old = g.start().awaitReady()
+	ht.spare = startWorker(t, standin.WorkerConfig{Name: "room", TellsStart: true})
+	ht.discovery = startDiscovery(t, ht.worker.Entry("SERVING"), ht.spare.Entry("DRAINING"))
+	ht.testPlatform = newTestPlatform(t, ht.discovery)
+	ht.old = ht.start().awaitReady()
 	dial := func() *standin.ClientConn {
-		c, err := standin.Dial(g.addr)
+		c, err := standin.Dial(ht.addr)
 		require.NoError(t, err)
 		t.Cleanup(c.Close)
 		return c
 	}
-	require.Eventually(t, func() bool { return len(g.discovery.Calls()) >= 2 }, testTimeout, time.Millisecond) // discovery holds the poll
-	g.idle, g.long = dial(), dial()
-	require.NoError(t, g.idle.Send(standin.RequestText("warm", "view", testTimeout, "x")))
-	status, _, err := g.idle.ReadAnswer(testTimeout)
+	require.Eventually(t, func() bool { return len(ht.discovery.Calls()) >= 2 }, testTimeout, time.Millisecond) // discovery holds the poll
+	ht.idle, ht.long = dial(), dial()
+	require.NoError(t, ht.idle.Send(standin.RequestText("warm", "view", testTimeout, "x")))
+	status, _, err := ht.idle.ReadAnswer(testTimeout)
 	require.NoError(t, err)
 	require.Equal(t, 200, status)
-	require.NoError(t, g.long.Send(standin.RequestText("long", "send", testTimeout, "x")))
-	require.Eventually(t, func() bool { return slices.Contains(g.worker.IDs(), "long") }, testTimeout, time.Millisecond)
-	g.discovery.Set(g.worker.Entry("DRAINING")) // no worker has room
-	require.Eventually(t, func() bool { return len(g.discovery.Calls()) >= 3 }, testTimeout, time.Millisecond)
-	g.waiting = dial()
-	require.NoError(t, g.waiting.Send(standin.RequestText("waits", "view", testTimeout, "x")))
-	require.Eventually(t, func() bool { return g.old.inFlight() == 2 }, testTimeout, time.Millisecond)
-	g.successor = g.start().awaitReady()
-	g.old.signal(syscall.SIGTERM)
-	g.old.log.await(t, "stopping")
-	return g
+	require.NoError(t, ht.long.Send(standin.RequestText("long", "send", testTimeout, "x")))
+	require.Eventually(t, func() bool { return slices.Contains(ht.worker.IDs(), "long") }, testTimeout, time.Millisecond)
+	ht.discovery.Set(ht.worker.Entry("DRAINING")) // no worker has room
+	require.Eventually(t, func() bool { return len(ht.discovery.Calls()) >= 3 }, testTimeout, time.Millisecond)
+	ht.waiting = dial()
+	require.NoError(t, ht.waiting.Send(standin.RequestText("waits", "view", testTimeout, "x")))
+	require.Eventually(t, func() bool { return ht.old.inFlight() == 2 }, testTimeout, time.Millisecond)
+	ht.successor = ht.start().awaitReady()
+	ht.old.signal(syscall.SIGTERM)
+	ht.old.log.await(t, "stopping")
+	return ht
 }
 
 // awaitHandover waits until the successor has n jobs in flight.
-func (g *handoverTest) awaitHandover(n int) {
-	require.Eventually(g.t, func() bool { return g.successor.inFlight() == n }, testTimeout, 5*time.Millisecond)
+func (ht *handoverTest) awaitHandover(n int) {
+	require.Eventually(ht.t, func() bool { return ht.successor.inFlight() == n }, testTimeout, 5*time.Millisecond)
 }
 
 // expectAnswers gives the waiting job a worker, lets the long job end, and expects an answer to each whose client is connected.
-func (g *handoverTest) expectAnswers() {
-	g.discovery.Set(g.spare.Entry("SERVING"))
-	close(g.releaseLong)
-	if !g.longLeft {
-		status, body, err := g.long.ReadAnswer(testTimeout)
-		require.NoError(g.t, err)
-		assert.Equal(g.t, "200 made of long", fmt.Sprint(status, " ", body))
+func (ht *handoverTest) expectAnswers() {
+	ht.discovery.Set(ht.spare.Entry("SERVING"))
+	close(ht.releaseLong)
+	if !ht.longLeft {
+		status, body, err := ht.long.ReadAnswer(testTimeout)
+		require.NoError(ht.t, err)
+		assert.Equal(ht.t, "200 made of long", fmt.Sprint(status, " ", body))
 	}
-	if !g.waitingLeft {
-		status, body, err := g.waiting.ReadAnswer(testTimeout)
-		require.NoError(g.t, err)
-		assert.Equal(g.t, "200 made of waits", fmt.Sprint(status, " ", body))
+	if !ht.waitingLeft {
+		status, body, err := ht.waiting.ReadAnswer(testTimeout)
+		require.NoError(ht.t, err)
+		assert.Equal(ht.t, "200 made of waits", fmt.Sprint(status, " ", body))
 	}
 }
 
 // expectIdleConnection expects the idle connection to serve a further job.
-func (g *handoverTest) expectIdleConnection(id string) {
-	require.NoError(g.t, g.idle.Send(standin.RequestText(id, "view", testTimeout, "x")))
-	status, _, err := g.idle.ReadAnswer(testTimeout)
-	require.NoError(g.t, err)
-	assert.Equal(g.t, 200, status)
+func (ht *handoverTest) expectIdleConnection(id string) {
+	require.NoError(ht.t, ht.idle.Send(standin.RequestText(id, "view", testTimeout, "x")))
+	status, _, err := ht.idle.ReadAnswer(testTimeout)
+	require.NoError(ht.t, err)
+	assert.Equal(ht.t, 200, status)
 }
 
 // awaitExit waits for the process and expects exit status 0.
-func (x *process) awaitExit() { assert.NoError(x.platform.t, x.cmd.Wait(), x.log.String()) }
+func (p *process) awaitExit() { assert.NoError(p.platform.t, p.cmd.Wait(), p.log.String()) }
 
 // An upgrade is interrupted by a signal, a kill or the end of the clients, before the handover of its jobs or after it. Each
 // accepted job is answered once by the process that has it, no job is sent for a client that has disconnected, and processes
 // that were not killed exit with status 0.
 func TestUpgradeInterrupted(t *testing.T) {
-	for name, interrupt := range map[string]func(g *handoverTest){
-		"nothing": func(g *handoverTest) {
-			g.awaitHandover(2)
-			g.old.awaitExit()
-			g.expectAnswers()
-			g.expectIdleConnection("again")
-			g.successor.stop()
+	for name, interrupt := range map[string]func(ht *handoverTest){
+		"nothing": func(ht *handoverTest) {
+			ht.awaitHandover(2)
+			ht.old.awaitExit()
+			ht.expectAnswers()
+			ht.expectIdleConnection("again")
+			ht.successor.stop()
 		},
-		"the old process gets SIGTERM twice and SIGHUP": func(g *handoverTest) {
-			g.old.signal(syscall.SIGHUP)
-			g.old.signal(syscall.SIGTERM)
-			g.successor.signal(syscall.SIGHUP)
-			g.awaitHandover(2)
-			g.successor.signal(syscall.SIGHUP)
-			g.old.awaitExit()
-			g.expectAnswers()
-			g.expectIdleConnection("again")
-			g.successor.stop()
+		"the old process gets SIGTERM twice and SIGHUP": func(ht *handoverTest) {
+			ht.old.signal(syscall.SIGHUP)
+			ht.old.signal(syscall.SIGTERM)
+			ht.successor.signal(syscall.SIGHUP)
+			ht.awaitHandover(2)
+			ht.successor.signal(syscall.SIGHUP)
+			ht.old.awaitExit()
+			ht.expectAnswers()
+			ht.expectIdleConnection("again")
+			ht.successor.stop()
 		},
-		"the successor gets SIGTERM before the handover of the jobs": func(g *handoverTest) {
-			g.successor.signal(syscall.SIGTERM)
-			g.expectAnswers()
-			g.old.awaitExit()
-			g.successor.awaitExit()
-			third := g.start().awaitReady()
-			clients := g.startClients("c", 1)
-			require.Eventually(g.t, func() bool { clients.mu.Lock(); defer clients.mu.Unlock(); return clients.served > 0 }, testTimeout, time.Millisecond)
+		"the successor gets SIGTERM before the handover of the jobs": func(ht *handoverTest) {
+			ht.successor.signal(syscall.SIGTERM)
+			ht.expectAnswers()
+			ht.old.awaitExit()
+			ht.successor.awaitExit()
+			third := ht.start().awaitReady()
+			clients := ht.startClients("c", 1)
+			require.Eventually(ht.t, func() bool { clients.mu.Lock(); defer clients.mu.Unlock(); return clients.served > 0 }, testTimeout, time.Millisecond)
 			_, unexpected := clients.finish()
-			assert.Empty(g.t, unexpected)
+			assert.Empty(ht.t, unexpected)
 			third.stop()
 		},
-		"the successor gets SIGTERM after the handover of the jobs": func(g *handoverTest) {
-			g.awaitHandover(2)
-			g.successor.signal(syscall.SIGTERM)
-			g.expectAnswers()
-			g.old.awaitExit()
-			g.successor.awaitExit()
+		"the successor gets SIGTERM after the handover of the jobs": func(ht *handoverTest) {
+			ht.awaitHandover(2)
+			ht.successor.signal(syscall.SIGTERM)
+			ht.expectAnswers()
+			ht.old.awaitExit()
+			ht.successor.awaitExit()
 		},
-		"the successor is killed": func(g *handoverTest) {
-			g.successor.signal(syscall.SIGKILL)
-			_ = g.successor.cmd.Wait()
-			if strings.Contains(g.old.log.String(), `"jobs":0`) || !strings.Contains(g.old.log.String(), `"jobs":`) {
-				g.expectAnswers() // on a slow machine the jobs may be handed over before the kill, and then they are lost
+		"the successor is killed": func(ht *handoverTest) {
+			ht.successor.signal(syscall.SIGKILL)
+			_ = ht.successor.cmd.Wait()
+			if strings.Contains(ht.old.log.String(), `"jobs":0`) || !strings.Contains(ht.old.log.String(), `"jobs":`) {
+				ht.expectAnswers() // on a slow machine the jobs may be handed over before the kill, and then they are lost
 			}
-			g.old.awaitExit()
+			ht.old.awaitExit()
 		},
-		"the old process is killed after the handover of the jobs": func(g *handoverTest) {
-			g.awaitHandover(2)
-			g.old.signal(syscall.SIGKILL)
-			_ = g.old.cmd.Wait()
-			g.expectAnswers()
-			g.expectIdleConnection("again")
-			g.successor.stop()
+		"the old process is killed after the handover of the jobs": func(ht *handoverTest) {
+			ht.awaitHandover(2)
+			ht.old.signal(syscall.SIGKILL)
+			_ = ht.old.cmd.Wait()
+			ht.expectAnswers()
+			ht.expectIdleConnection("again")
+			ht.successor.stop()
 		},
-		"a third process replaces the successor": func(g *handoverTest) {
-			g.awaitHandover(2)
-			g.old.awaitExit()
-			third := g.start().awaitReady()
-			g.successor.signal(syscall.SIGTERM)
-			require.Eventually(g.t, func() bool { return third.inFlight() == 2 }, testTimeout, 5*time.Millisecond)
-			g.successor.awaitExit()
-			g.expectAnswers()
-			g.expectIdleConnection("again")
+		"a third process replaces the successor": func(ht *handoverTest) {
+			ht.awaitHandover(2)
+			ht.old.awaitExit()
+			third := ht.start().awaitReady()
+			ht.successor.signal(syscall.SIGTERM)
+			require.Eventually(ht.t, func() bool { return third.inFlight() == 2 }, testTimeout, 5*time.Millisecond)
+			ht.successor.awaitExit()
+			ht.expectAnswers()
+			ht.expectIdleConnection("again")
 			third.stop()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			g := startHandoverTest(t)
-			interrupt(g)
-			assert.Equal(t, 1, strings.Count(strings.Join(g.worker.IDs(), " "), "long"), "it must not run twice")
+			ht := startHandoverTest(t)
+			interrupt(ht)
+			assert.Equal(t, 1, strings.Count(strings.Join(ht.worker.IDs(), " "), "long"), "it must not run twice")
 		})
 	}
 	for how, disconnect := range disconnects {
 		for _, after := range []bool{false, true} {
 			t.Run(fmt.Sprintf("clients disconnect by %s, after the handover of the jobs %v", how, after), func(t *testing.T) {
 				t.Parallel()
-				g := startHandoverTest(t)
+				ht := startHandoverTest(t)
 				if after {
-					g.awaitHandover(2)
+					ht.awaitHandover(2)
 				}
-				g.longLeft, g.waitingLeft = true, true
-				disconnect(g.long)
-				disconnect(g.waiting)
+				ht.longLeft, ht.waitingLeft = true, true
+				disconnect(ht.long)
+				disconnect(ht.waiting)
 				select {
-				case <-g.longAborted:
+				case <-ht.longAborted:
 				case <-time.After(testTimeout):
 					require.FailNow(t, "the attempt of a disconnected client is still running")
 				}
-				g.awaitHandover(0)
-				g.old.awaitExit()
-				g.expectAnswers()
-				g.expectIdleConnection("again")
-				g.successor.stop()
-				assert.NotContains(t, g.spare.IDs(), "waits", "its client had disconnected")
-				assert.Contains(t, g.successor.log.String(), "open\":0")
+				ht.awaitHandover(0)
+				ht.old.awaitExit()
+				ht.expectAnswers()
+				ht.expectIdleConnection("again")
+				ht.successor.stop()
+				assert.NotContains(t, ht.spare.IDs(), "waits", "its client had disconnected")
+				assert.Contains(t, ht.successor.log.String(), "open\":0")
 			})
 		}
 	}
