--- a/cmd/weldscale/cli_test.go
+++ b/cmd/weldscale/cli_test.go
@@ -92,8 +92,8 @@
 	require.NoError(t, err)
 	stale.(*net.UnixListener).SetUnlinkOnClose(false)
 	stale.Close()
-	site := standin.SchedulerConfig{Discovery: discovery.Addr(), Known: discovery.Known()}
-	cmd, addr := startSchedulerProcess(t, site, "WELDSCALE_FILE="+file)
+	schedulerConfig := standin.SchedulerConfig{Discovery: discovery.Addr(), Known: discovery.Known()}
+	cmd, addr := startSchedulerProcess(t, schedulerConfig, "WELDSCALE_FILE="+file)
 	info, err := os.Stat(socket)
 	require.NoError(t, err)
 	assert.Equal(t, os.FileMode(0o600), info.Mode().Perm())
@@ -143,7 +143,7 @@
 	}
 
 	path := filepath.Join(dir, "second.json")
-	require.NoError(t, os.WriteFile(path, site.JSON(), 0o600))
+	require.NoError(t, os.WriteFile(path, schedulerConfig.JSON(), 0o600))
 	write(valid)
 	_, stderr, status = runProgram(t, []string{"GW_CONFIG=" + path}, "serve", "--config", file)
 	assert.Equal(t, 1, status)
@@ -166,7 +166,7 @@
 
 // The results of the load command against workers that answer every job, with open and with closed loops.
 func TestLoadCommand(t *testing.T) {
-	f := startFleet(t, 2, standin.WorkerConfig{Queue: 100, TellsStart: true})
+	f := startWorkerFleet(t, 2, standin.WorkerConfig{Queue: 100, TellsStart: true})
 	ts := startScheduler(t, f.Entries()...)
 	out := filepath.Join(t.TempDir(), "figures.json")
 	for _, c := range []loadCmd{{Rate: 50}, {Clients: 4}, {Clients: 4, Against: out}} {
--- a/cmd/weldscale/config_test.go
+++ b/cmd/weldscale/config_test.go
@@ -86,11 +86,11 @@
 // Each setting in turn is missing, of the wrong type, too small or too large. The program either accepts the configuration, and
 // then an engine can start with it, or rejects it with a single line that names the setting.
 func TestEachSettingInvalid(t *testing.T) {
-	var site map[string]any
-	require.NoError(t, json.Unmarshal(standin.SchedulerConfig{Name: "n", Discovery: "127.0.0.1:1"}.JSON(), &site))
+	var configObject map[string]any
+	require.NoError(t, json.Unmarshal(standin.SchedulerConfig{Name: "n", Discovery: "127.0.0.1:1"}.JSON(), &configObject))
 	path := filepath.Join(t.TempDir(), "config.json")
 	check := func(name, key string, value any) {
-		text, err := json.Marshal(site)
+		text, err := json.Marshal(configObject)
 		require.NoError(t, err)
 		require.NoError(t, os.WriteFile(path, text, 0o600))
 		c, err := loadConfig(func(env string) string { return map[string]string{"GW_CONFIG": path}[env] })
@@ -130,6 +130,6 @@
 			set(v)
 		}
 	}
-	settings := site["settings"]
+	settings := configObject["settings"]
 	walk("settings", settings, nil, nil)
 }
--- a/cmd/weldscale/early_amd64_test.go
+++ b/cmd/weldscale/early_amd64_test.go
@@ -45,7 +45,7 @@
 		paused = regs.Orig_rax == syscallNumber
 	}
 	whilePaused(pid)
-	if err := syscall.PtraceDetach(pid); err != syscall.ESRCH { // another thread may have received the signal and ended the process
+	if err := syscall.PtraceDetach(pid); err != syscall.ESRCH { // another thread may have got the signal and ended the process
 		require.NoError(t, err)
 	}
 	return cmd
@@ -75,12 +75,12 @@
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
 	oldDiscovery, newDiscovery := startDiscovery(t), startDiscovery(t, w.Entry("SERVING"))
 	path := filepath.Join(t.TempDir(), "config.json")
-	site := standin.SchedulerConfig{Discovery: oldDiscovery.Addr()}
-	writeConfig(t, path, site)
+	schedulerConfig := standin.SchedulerConfig{Discovery: oldDiscovery.Addr()}
+	writeConfig(t, path, schedulerConfig)
 	log := &programLog{changed: make(chan struct{}, 1)}
 	cmd := startPausedAt(t, path, log, unix.SYS_SCHED_GETAFFINITY, func(pid int) {
-		site.Discovery, site.Known = newDiscovery.Addr(), newDiscovery.Known()
-		writeConfig(t, path, site)
+		schedulerConfig.Discovery, schedulerConfig.Known = newDiscovery.Addr(), newDiscovery.Known()
+		writeConfig(t, path, schedulerConfig)
 		require.NoError(t, syscall.Kill(pid, syscall.SIGHUP))
 	})
 	addr := log.awaitAddr(t)
--- a/cmd/weldscale/fleet_test.go
+++ b/cmd/weldscale/fleet_test.go
@@ -95,8 +95,8 @@
 	assert.Greater(t, served.Load(), int64(rate))
 }
 
-// testFleet is schedulers of one fleet, each in its own process, with a relay on each link between them.
-type testFleet struct {
+// schedulerFleet is schedulers of one fleet, each in its own process, with a relay on each link between them.
+type schedulerFleet struct {
 	processes []*faults.Process
 	addrs     []string // for clients, in the order of processes
 	dir       string
@@ -104,10 +104,10 @@
 	log       *faults.Log
 }
 
-// startTestFleet starts schedulers that are named a, b and so on. The voters of the budgets are a, b and c. fleetSettings are
-// further lines of the fleet block, services are the service blocks.
-func startTestFleet(t *testing.T, members int, fleetSettings, services string) *testFleet {
-	f := &testFleet{dir: t.TempDir(), links: faults.NewLinks(7), log: faults.NewLog(1 << 16)}
+// startSchedulerFleet starts schedulers that are named a, b and so on. The voters of the budgets are a, b and c. fleetSettings
+// are further lines of the fleet block, services are the service blocks.
+func startSchedulerFleet(t *testing.T, members int, fleetSettings, services string) *schedulerFleet {
+	f := &schedulerFleet{dir: t.TempDir(), links: faults.NewLinks(7), log: faults.NewLog(1 << 16)}
 	names, binds := map[string]string{}, []string{}
 	for i := range members {
 		binds = append(binds, freeAddr(t))
@@ -144,7 +144,7 @@
 }
 
 // startClients starts a client for each of these addresses. It sends one job after another, until stopClients is called.
-func (f *testFleet) startClients(t *testing.T, pause time.Duration, addrs ...string) (stopClients func()) {
+func (f *schedulerFleet) startClients(t *testing.T, pause time.Duration, addrs ...string) (stopClients func()) {
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
 	stopClients = sync.OnceFunc(func() { close(stop); clients.Wait() })
@@ -171,9 +171,9 @@
 func TestFleetOverFaultyLinks(t *testing.T) {
 	const rate, burst, members = 60, 0.5, 5
 	w := startWorker(t, standin.WorkerConfig{Name: "w", Slots: 256, Queue: 256})
-	f := startTestFleet(t, members, fmt.Sprintf(" term = \"600ms\"\n burst = %v\n", burst), serviceBlock("shop", fmt.Sprintf("  limits { fleet_rate = %d }\n", rate), w))
+	f := startSchedulerFleet(t, members, fmt.Sprintf(" term = \"600ms\"\n burst = %v\n", burst), serviceBlock("shop", fmt.Sprintf("  limits { fleet_rate = %d }\n", rate), w))
 	stopClients := f.startClients(t, 8*time.Millisecond, f.addrs...)
-	awaitFullRate := func(why string) {
+	awaitMostOfRate := func(why string) {
 		waitingSince := time.Now()
 		require.Eventually(t, func() bool {
 			recent := 0
@@ -185,7 +185,7 @@
 			return time.Since(waitingSince) > 2*time.Second && float64(recent) > 0.75*2*rate
 		}, testTimeout, 100*time.Millisecond, why)
 	}
-	awaitFullRate("all schedulers run")
+	awaitMostOfRate("all schedulers run")
 	path := filepath.Join(f.dir, "script.hcl")
 	require.NoError(t, os.WriteFile(path, []byte("trouble \"split\" {\n for = \"4s\"\n who = \"a b\"\n}\n"+
 		"trouble \"silence\" {\n from = \"5s\"\n for = \"2s\"\n who = \"c\"\n toward = \"a\"\n way = \"out\"\n}\n"+
@@ -196,7 +196,7 @@
 	script, err := faults.ReadScript(path)
 	require.NoError(t, err)
 	require.NoError(t, script.Play(t.Context(), 7, f.processes, f.links, f.log))
-	awaitFullRate("all faults have ended")
+	awaitMostOfRate("all faults have ended")
 	stopClients()
 	for _, s := range w.ReceivedJobs() {
 		f.log.AddAt(s.At, "w", "begun", 1, "")
@@ -227,7 +227,7 @@
 		mu.Unlock()
 		standin.WriteAnswer(r, c)
 	}})
-	f := startTestFleet(t, 3, " term = \"600ms\"\n use = \"3s\"\n", serviceBlock("shop", fmt.Sprintf("  limits { fleet_open = %d }\n", limit), w))
+	f := startSchedulerFleet(t, 3, " term = \"600ms\"\n use = \"3s\"\n", serviceBlock("shop", fmt.Sprintf("  limits { fleet_open = %d }\n", limit), w))
 	for range 10 {
 		f.startClients(t, time.Millisecond, f.addrs...)
 	}
@@ -276,7 +276,7 @@
 	for i := range 5 {
 		workers = append(workers, startWorker(t, standin.WorkerConfig{Name: fmt.Sprint("good", i), Slots: 64}))
 	}
-	f := startTestFleet(t, 4, "", serviceBlock("shop", "", workers...))
+	f := startSchedulerFleet(t, 4, "", serviceBlock("shop", "", workers...))
 	stopClients := f.startClients(t, 5*time.Millisecond, f.addrs[:3]...)
 	received := assert.Eventually(t, func() bool {
 		text, _, _ := runProgram(t, nil, "fleet", filepath.Join(f.dir, "d"))
--- a/cmd/weldscale/moments_clients_test.go
+++ b/cmd/weldscale/moments_clients_test.go
@@ -45,16 +45,16 @@
 // A client disconnects while its worker is probed for its load: the request is dropped and never sent.
 func TestClientLeavesDuringTheProbe(t *testing.T) {
 	forEachDisconnect(t, func(t *testing.T, disconnect func(*standin.ClientConn), change func(*config)) {
-		stops := &standin.SyncPoints{}
-		stops.Hold("probe")
-		w := startWorker(t, standin.WorkerConfig{Name: "a", Stops: stops})
+		syncPoints := &standin.SyncPoints{}
+		syncPoints.Hold("probe")
+		w := startWorker(t, standin.WorkerConfig{Name: "a", Stops: syncPoints})
 		ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, change)
 		c := ts.connect()
 		require.NoError(t, c.Send(standin.RequestText("gone", "view", 8*time.Second, "x")))
-		awaitReached(t, stops, "probe")
+		awaitReached(t, syncPoints, "probe")
 		disconnect(c)
 		ts.awaitIdle()
-		stops.Release("probe")
+		syncPoints.Release("probe")
 		status, _ := ts.ask("next", "view", testTimeout)
 		assert.Equal(t, 200, status)
 		assert.Equal(t, []string{"next"}, w.IDs())
@@ -65,20 +65,20 @@
 // not when the dial ends.
 func TestClientLeavesDuringTheDial(t *testing.T) {
 	forEachDisconnect(t, func(t *testing.T, disconnect func(*standin.ClientConn), change func(*config)) {
-		stops := &standin.SyncPoints{}
+		syncPoints := &standin.SyncPoints{}
 		w := startWorker(t, standin.WorkerConfig{Name: "a"})
 		ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, change, withoutProbes)
-		stops.Hold("dial")
-		ts.holdDials(stops, nil)
+		syncPoints.Hold("dial")
+		ts.holdDials(syncPoints, nil)
 		c := ts.connect()
 		require.NoError(t, c.Send(standin.RequestText("gone", "send", 8*time.Second, "x")))
-		awaitReached(t, stops, "dial")
+		awaitReached(t, syncPoints, "dial")
 		disconnect(c)
 		ts.awaitIdle()
 		ts.onLoop(func() {
 			assert.Equal(t, 1, ts.scheduler.engine.Counts.Outcomes[decide.NotSent]+ts.scheduler.engine.Counts.Outcomes[decide.Cancelled], "the attempt has ended while the dial goes on")
 		})
-		stops.Release("dial")
+		syncPoints.Release("dial")
 		status, _ := ts.ask("next", "view", testTimeout)
 		assert.Equal(t, 200, status)
 		assert.Equal(t, []string{"next"}, w.IDs())
@@ -92,22 +92,22 @@
 // request is never sent.
 func TestClientLeavesDuringTheWrite(t *testing.T) {
 	forEachDisconnect(t, func(t *testing.T, disconnect func(*standin.ClientConn), change func(*config)) {
-		stops := &standin.SyncPoints{}
-		stops.Hold("accepted") // the worker reads nothing
-		w := startWorker(t, standin.WorkerConfig{Name: "a", Stops: stops, Receive: 4 << 10})
+		syncPoints := &standin.SyncPoints{}
+		syncPoints.Hold("accepted") // the worker reads nothing
+		w := startWorker(t, standin.WorkerConfig{Name: "a", Stops: syncPoints, Receive: 4 << 10})
 		ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, change, withoutProbes)
-		ts.holdDials(stops, func(c netpoll.Connection) {
+		ts.holdDials(syncPoints, func(c netpoll.Connection) {
 			_ = unix.SetsockoptInt(c.(netpoll.Conn).Fd(), unix.SOL_SOCKET, unix.SO_SNDBUF, 4<<10)
 		})
 		c := ts.connect()
 		require.NoError(t, c.Send(standin.RequestText("gone", "view", 8*time.Second, strings.Repeat("x", 60<<10))))
-		awaitReached(t, stops, "accepted")
+		awaitReached(t, syncPoints, "accepted")
 		ts.awaitAccepted(1)
 		require.Eventually(t, func() (ok bool) { ts.onLoop(func() { ok = ts.scheduler.driver.Unsent() > 0 }); return ok }, testTimeout, time.Millisecond)
 		disconnect(c)
 		ts.awaitIdle()
 		ts.onLoop(func() { assert.Zero(t, ts.scheduler.driver.Unsent(), "no part of the request stays buffered") })
-		stops.Release("accepted")
+		syncPoints.Release("accepted")
 		status, _ := ts.ask("next", "view", testTimeout)
 		assert.Equal(t, 200, status)
 		assert.Equal(t, []string{"next"}, w.IDs())
@@ -120,7 +120,7 @@
 	forEachDisconnect(t, func(t *testing.T, disconnect func(*standin.ClientConn), change func(*config)) {
 		w := startWorker(t, standin.WorkerConfig{Name: "a"})
 		ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, change, withoutProbes)
-		status, _ := ts.ask("first", "view", testTimeout) // leaves an idle connection to the worker, so that the next request needs no dial
+		status, _ := ts.ask("first", "view", testTimeout) // leaves an idle connection, so that the next request needs no dial
 		assert.Equal(t, 200, status)
 		c := ts.connect()
 		ts.onLoop(func() {})
@@ -144,9 +144,9 @@
 	for name, disconnect := range disconnects {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			stops := &standin.SyncPoints{}
-			stops.Hold("probe")
-			w := startWorker(t, standin.WorkerConfig{Name: "w", Stops: stops})
+			syncPoints := &standin.SyncPoints{}
+			syncPoints.Hold("probe")
+			w := startWorker(t, standin.WorkerConfig{Name: "w", Stops: syncPoints})
 			ts := startSchedulerWith(t, nil, func(c *config) { c.file = operatorFile(t, serviceBlock("shop", "  limits { open = 1 }\n", w)) })
 			job := func(id string) string {
 				return strings.Replace(standin.RequestText(id, "view", 8*time.Second, "x"), "app.svc", "shop.example.org", 1)
@@ -160,7 +160,7 @@
 			}
 			gone, other := ts.connect(), ts.connect()
 			require.NoError(t, gone.Send(job("gone")))
-			awaitReached(t, stops, "probe")
+			awaitReached(t, syncPoints, "probe")
 			require.NoError(t, other.Send(job("early")))
 			status, body, err := other.ReadAnswer(testTimeout)
 			require.NoError(t, err)
@@ -170,7 +170,7 @@
 				inPool, inEngine, admitted := shopCounts()
 				return inPool == 0 && inEngine == 0 && admitted == 1
 			}, testTimeout, time.Millisecond)
-			stops.Release("probe")
+			syncPoints.Release("probe")
 			for _, id := range []string{"next", "last"} { // the place is free for each of them in turn
 				require.NoError(t, other.Send(job(id)))
 				status, _, err = other.ReadAnswer(testTimeout)
@@ -186,9 +186,9 @@
 
 // 200 clients disconnect at the same moment: none of their requests is sent, and each reservation is released exactly once.
 func TestBurstOfClientsLeaves(t *testing.T) {
-	stops := &standin.SyncPoints{}
-	stops.Hold("probe")
-	w := startWorker(t, standin.WorkerConfig{Name: "a", Slots: 400, Stops: stops})
+	syncPoints := &standin.SyncPoints{}
+	syncPoints.Hold("probe")
+	w := startWorker(t, standin.WorkerConfig{Name: "a", Slots: 400, Stops: syncPoints})
 	ts := startScheduler(t, w.Entry("SERVING"))
 	const n = 200
 	clients := make([]*standin.ClientConn, n)
@@ -207,16 +207,16 @@
 		assert.Equal(t, n, ts.scheduler.engine.Counts.Hangups)
 		assert.Zero(t, ts.scheduler.engine.Counts.Pushes)
 	})
-	stops.Release("probe")
+	syncPoints.Release("probe")
 	status, _ := ts.ask("next", "view", testTimeout)
 	assert.Equal(t, 200, status)
-	for _, id := range w.IDs() { // a slow machine may send it a second time
+	for _, id := range w.IDs() { // on a slow machine it may be sent a second time
 		assert.Equal(t, "next", id)
 	}
 }
 
 // The last line of the worker's answer and the client's disconnect are handled in one loop iteration, in either order. The
-// request gets one outcome, and the worker's connection is kept or closed, never left in an unknown state.
+// request gets one outcome, and the worker's connection becomes idle or is closed, never left in an unknown state.
 func TestAnswerRacesDisconnect(t *testing.T) {
 	for _, answerFirst := range []bool{true, false} {
 		t.Run(fmt.Sprint("answer first ", answerFirst), func(t *testing.T) {
@@ -264,16 +264,17 @@
 	}
 }
 
-// An attempt fails at each stage, for each effect of the class. The workers must see no more starts than rule 2 allows.
+// An attempt fails at each stage, for each effect of the class. The workers must see no more starts than rule 2 allows: a job
+// that may have run is sent again only if its class allows that.
 func TestNeverTwoStarts(t *testing.T) {
 	// Each failure, and whether the job may have run then.
 	failures := map[string]struct {
 		answer     func(r *http.Request, c net.Conn)
 		mayHaveRun bool
 	}{
-		"after the last byte": {func(r *http.Request, c net.Conn) { c.Close() }, true},
-		"reset after that":    {func(r *http.Request, c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); c.Close() }, true},
-		"in mid-answer":       {func(r *http.Request, c net.Conn) { standin.WriteStarted(r, c); c.Close() }, true},
+		"close after the last byte": {func(r *http.Request, c net.Conn) { c.Close() }, true},
+		"reset after the last byte": {func(r *http.Request, c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); c.Close() }, true},
+		"in mid-answer":             {func(r *http.Request, c net.Conn) { standin.WriteStarted(r, c); c.Close() }, true},
 		"failed": {func(r *http.Request, c net.Conn) {
 			fmt.Fprint(c, "HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n")
 		}, true},
@@ -398,8 +399,8 @@
 	return err == nil && poll[0].Revents == 0
 }
 
-// A client disconnects while its attempt waits for a file descriptor of its service's quota. The attempt must leave all counts,
-// and the descriptor that becomes free must go to another request.
+// A client disconnects while its attempt waits for a file descriptor of its service's quota. The attempt must be removed from
+// every count, and the descriptor that becomes free must go to another request.
 func TestClientLeavesWaitingForADescriptor(t *testing.T) {
 	for name, disconnect := range disconnects {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/weldscale/moments_discovery_test.go
+++ b/cmd/weldscale/moments_discovery_test.go
@@ -241,7 +241,7 @@
 	require.Eventually(t, func() (ok bool) { ts.onLoop(func() { ok = ts.scheduler.engine.ReadyWorkers() == 0 }); return ok }, testTimeout, time.Millisecond)
 }
 
-// A reload that is requested while a call is open is sent when that call has ended, and only once.
+// The whole list is requested again while a call is open: that request is sent when the call has ended, and only once.
 func TestReloadDuringACall(t *testing.T) {
 	a := startWorker(t, standin.WorkerConfig{Name: "a"})
 	ts := startScheduler(t, a.Entry("SERVING"))
--- a/cmd/weldscale/moments_stop_test.go
+++ b/cmd/weldscale/moments_stop_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// stopWithUnreadRequest stops a scheduler whose loop is blocked until its grace period is over. It reports whether the last
-// request was sent within that period.
+// stopWithUnreadRequest shuts a scheduler down while its loop is blocked until the grace period is over. It reports whether the
+// last request was sent within that period.
 func stopWithUnreadRequest(t *testing.T, fresh bool) bool {
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
 	ts := startScheduler(t, w.Entry("SERVING"))
@@ -65,14 +65,14 @@
 	return inTime
 }
 
-// Descriptors run short while an unread request is on two client connections: on an idle one, and on a new one that has not
-// brought a request yet. Neither may be evicted; both requests are answered.
+// Descriptors run short while two client connections have unread requests: an idle connection, and a new one with its first
+// request. Neither may be evicted; both requests are answered.
 func TestEvictionSparesUnreadRequests(t *testing.T) {
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
 	ts := startScheduler(t, w.Entry("SERVING"))
-	kept, fresh, poller := ts.connect(), ts.connect(), ts.connect()
-	require.NoError(t, kept.Send(standin.RequestText("warm", "view", 8*time.Second, "x")))
-	status, _, err := kept.ReadAnswer(testTimeout)
+	idle, fresh, poller := ts.connect(), ts.connect(), ts.connect()
+	require.NoError(t, idle.Send(standin.RequestText("warm", "view", 8*time.Second, "x")))
+	status, _, err := idle.ReadAnswer(testTimeout)
 	require.NoError(t, err)
 	require.Equal(t, 200, status)
 	require.Eventually(t, func() (ok bool) { ts.onLoop(func() { ok = ts.scheduler.server.Pace.Counts().Peers == 3 }); return ok }, testTimeout, time.Millisecond)
@@ -89,19 +89,19 @@
 	// The network poller waits until the loop takes what this client has sent; until then it reads no other client.
 	require.NoError(t, poller.Send("POST /"))
 	require.Eventually(t, func() bool { return ts.scheduler.loop.QueueLen() > 0 }, testTimeout, time.Millisecond)
-	for id, c := range map[string]*standin.ClientConn{"kept": kept, "fresh": fresh} {
+	for id, c := range map[string]*standin.ClientConn{"kept": idle, "fresh": fresh} {
 		require.NoError(t, c.Send(standin.RequestText(id, "view", 8*time.Second, "x")))
 	}
 	close(resume)
-	for _, c := range []*standin.ClientConn{kept, fresh} {
+	for _, c := range []*standin.ClientConn{idle, fresh} {
 		status, _, err := c.ReadAnswer(testTimeout)
 		require.NoError(t, err, "an answer, not a reset")
 		assert.Equal(t, 200, status)
 	}
 }
 
-// A shutdown answers the requests that hanging workers leave open before the platform kills the process: a job that may have
-// run fails, one that can't have run is refused.
+// A shutdown answers the requests that hanging workers leave open, and does so before the platform kills the process: a job
+// that may have run fails, one that can't have run is refused.
 func TestStopGivesUpInTime(t *testing.T) {
 	t.Parallel()
 	w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) { standin.WriteStarted(r, c) }})
@@ -141,16 +141,16 @@
 
 // A shutdown begins during a dial: the job is sent when the connection comes up, and answered.
 func TestStopDuringADial(t *testing.T) {
-	stops := &standin.SyncPoints{}
+	syncPoints := &standin.SyncPoints{}
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
 	ts := startSchedulerWith(t, []standin.Entry{w.Entry("SERVING")}, withoutProbes)
-	stops.Hold("dial")
-	ts.holdDials(stops, nil)
+	syncPoints.Hold("dial")
+	ts.holdDials(syncPoints, nil)
 	c := ts.connect()
 	require.NoError(t, c.Send(standin.RequestText("job", "send", 8*time.Second, "x")))
-	awaitReached(t, stops, "dial")
+	awaitReached(t, syncPoints, "dial")
 	ts.scheduler.loop.Do(ts.scheduler.stop)
-	stops.Release("dial")
+	syncPoints.Release("dial")
 	status, _, err := c.ReadAnswer(testTimeout)
 	require.NoError(t, err)
 	assert.Equal(t, 200, status)
@@ -158,7 +158,8 @@
 	assert.Equal(t, []string{"job"}, w.IDs())
 }
 
-// A client sends more data and reads its answer only after the process has ended. It must get the whole answer, not a reset.
+// A client goes on sending after its request, and reads its answer only when the process has ended. It must get the whole
+// answer, not a reset.
 func TestAnswerOutlivesTheProcess(t *testing.T) {
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
 	d := startDiscovery(t, w.Entry("SERVING"))
--- a/cmd/weldscale/moments_test.go
+++ b/cmd/weldscale/moments_test.go
@@ -18,7 +18,7 @@
 // close of its connection until the test releases it, or the event loop is blocked, so that what arrives meanwhile is queued
 // in a known order. docs/MOMENTS.md lists the interleavings and what must hold in each.
 
-// holdLoop blocks the loop until the returned function is called.
+// holdLoop blocks the loop until release is called.
 func (ts *testScheduler) holdLoop() (release func()) {
 	blocked, resume := make(chan struct{}), make(chan struct{})
 	ts.scheduler.loop.Post(func() { close(blocked); <-resume })
@@ -51,9 +51,9 @@
 }
 
 // awaitReached waits until a stand-in or a dial has come to this point.
-func awaitReached(t *testing.T, stops *standin.SyncPoints, name string) {
+func awaitReached(t *testing.T, syncPoints *standin.SyncPoints, name string) {
 	select {
-	case <-stops.Reached(name):
+	case <-syncPoints.Reached(name):
 	case <-time.After(testTimeout):
 		require.FailNow(t, "nothing reached the point "+name)
 	}
@@ -66,12 +66,12 @@
 
 // holdDials makes the scheduler's dials to workers wait at the point "dial". It calls onConnect, if set, with each
 // connection that comes up.
-func (ts *testScheduler) holdDials(stops *standin.SyncPoints, onConnect func(netpoll.Connection)) {
+func (ts *testScheduler) holdDials(syncPoints *standin.SyncPoints, onConnect func(netpoll.Connection)) {
 	ts.onLoop(func() {
 		dial := ts.scheduler.driver.Dial
 		ts.scheduler.driver.Dial = func(addr string, timeout time.Duration) (netpoll.Connection, error) {
 			if addr != ts.scheduler.discovery.Addr {
-				stops.Wait("dial")
+				syncPoints.Wait("dial")
 			}
 			c, err := dial(addr, timeout)
 			if err == nil && onConnect != nil {
--- a/cmd/weldscale/moments_workers_test.go
+++ b/cmd/weldscale/moments_workers_test.go
@@ -18,7 +18,7 @@
 )
 
 // A worker sends a second answer, a 408 or a lone byte on an idle connection, or closes it, just as the connection is to be
-// used again. Those bytes must not be taken as the answer of the next job, and that job must not be lost.
+// used again. Those bytes must not be taken as the answer of the next job. That job must be sent once, on another connection.
 func TestKeptConnectionEndsAsItIsUsed(t *testing.T) {
 	for name, interfere := range map[string]func(c net.Conn){
 		"a second answer": func(c net.Conn) {
@@ -63,7 +63,7 @@
 	}
 }
 
-// A worker announces that it keeps the connection, then closes or resets it at once after its answer. The worker must not
+// A worker announces that it keeps the connection open, then closes or resets it right after its answer. The worker must not
 // become suspect for that, and no job may be lost.
 func TestKeepAliveThenTheEnd(t *testing.T) {
 	for name, closeConn := range map[string]func(c *net.TCPConn){
@@ -118,8 +118,8 @@
 	assert.Equal(t, []string{"next"}, moved.IDs())
 }
 
-// A worker reports a job as done twice, resets the connection after that, or leaves its answer without an end. What follows on
-// the connection can't be told apart then, so it must not be used again; but the worker must not become suspect.
+// A worker reports a job as done twice, resets the connection after reporting it, or leaves its answer without an end. Then it
+// is not known which bytes on the connection come next, so it must not be used again; but the worker must not become suspect.
 func TestMalformedAnswerEndsItsConnection(t *testing.T) {
 	done := func(r *http.Request) string {
 		id := r.Header.Get("X-Call-Id")
@@ -172,14 +172,14 @@
 	for _, name := range []string{"drains", "moves", "starts again", "is removed"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			stops := &standin.SyncPoints{}
+			syncPoints := &standin.SyncPoints{}
 			old, other := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "b"})
 			ts := startSchedulerWith(t, []standin.Entry{old.Entry("SERVING")}, withoutProbes)
-			stops.Hold("dial")
-			ts.holdDials(stops, nil)
+			syncPoints.Hold("dial")
+			ts.holdDials(syncPoints, nil)
 			c, began := ts.connect(), time.Now()
 			require.NoError(t, c.Send(standin.RequestText("job", "send", 8*time.Second, "x")))
-			awaitReached(t, stops, "dial")
+			awaitReached(t, syncPoints, "dial")
 			e := old.Entry("SERVING")
 			switch name {
 			case "drains":
@@ -194,7 +194,7 @@
 			ts.discovery.Set(e)
 			var index int64
 			require.Eventually(t, func() bool { ts.onLoop(func() { index = ts.scheduler.discovery.Index() }); return index >= 3 }, testTimeout, time.Millisecond)
-			stops.Release("dial")
+			syncPoints.Release("dial")
 			if name != "moves" {
 				ts.discovery.Set(other.Entry("SERVING"))
 			}
@@ -219,11 +219,11 @@
 	for _, late := range []bool{true, false} {
 		t.Run(fmt.Sprint("late ", late), func(t *testing.T) {
 			t.Parallel()
-			stops := &standin.SyncPoints{}
+			syncPoints := &standin.SyncPoints{}
 			var firstAttempt atomic.Int64
 			w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) {
 				if firstAttempt.CompareAndSwap(0, time.Now().UnixNano()) {
-					stops.Hold("dial")
+					syncPoints.Hold("dial")
 					c.Close() // the job may have run
 					return
 				}
@@ -233,15 +233,15 @@
 				s := &c.engine.Settings.Classes[0]
 				s.Effect, s.Scope, s.MemorySpan = decide.Keyed, decide.ScopeAll, decide.Time(span/time.Microsecond)
 			})
-			ts.holdDials(stops, nil)
+			ts.holdDials(syncPoints, nil)
 			c := ts.connect()
 			require.NoError(t, c.Send(standin.RequestText("job", "view", 8*time.Second, "x", "Idempotency-Key: k")))
-			awaitReached(t, stops, "dial")
+			awaitReached(t, syncPoints, "dial")
 			if late {
 				at := time.Unix(0, firstAttempt.Load()).Add(span)
 				time.Sleep(time.Until(at)) // the span is over, even on a busy machine
 			}
-			stops.Release("dial")
+			syncPoints.Release("dial")
 			status, _, err := c.ReadAnswer(testTimeout)
 			require.NoError(t, err)
 			if late {
--- a/cmd/weldscale/rules_test.go
+++ b/cmd/weldscale/rules_test.go
@@ -40,25 +40,25 @@
 	return d
 }
 
-// testScheduler is a scheduler that runs in the test's process, with its discovery stand-in.
+// testScheduler is the scheduler under test. If it runs in a process of its own, only t and addr are set.
 type testScheduler struct {
 	t         *testing.T
 	scheduler *scheduler
 	addr      string
-	discovery *standin.Discovery
-	ended     chan struct{} // closed when the loop has ended
+	discovery *standin.Discovery // its discovery stand-in
+	ended     chan struct{}      // closed when the loop has ended
 }
 
 func writeConfig(t *testing.T, path string, s standin.SchedulerConfig) {
 	require.NoError(t, os.WriteFile(path, s.JSON(), 0o600))
 }
 
-// startScheduler starts a scheduler whose discovery lists these workers.
+// startScheduler starts a scheduler whose configuration and discovery list these workers.
 func startScheduler(t *testing.T, entries ...standin.Entry) *testScheduler {
 	return startSchedulerWith(t, entries)
 }
 
-// startSchedulerWith starts one with changes to its configuration.
+// startSchedulerWith is startScheduler with changes to the configuration.
 func startSchedulerWith(t *testing.T, entries []standin.Entry, change ...func(*config)) *testScheduler {
 	ts := &testScheduler{t: t, ended: make(chan struct{}), discovery: startDiscovery(t, entries...)}
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -208,7 +208,7 @@
 
 // A closed loop of short jobs was once refused entirely by an almost idle fleet. BenchmarkServe measures the throughput.
 func TestShortJobsFindRoom(t *testing.T) {
-	f := startFleet(t, 4, standin.WorkerConfig{Queue: 8, TellsStart: true})
+	f := startWorkerFleet(t, 4, standin.WorkerConfig{Queue: 8, TellsStart: true})
 	ts := startScheduler(t, f.Entries()...)
 	kind := standin.JobKind{Class: "view", Share: 1, Task: standin.Task{Run: time.Millisecond}, Budget: 5 * time.Second}
 	r := standin.Load{Target: ts.addr, Seed: 1, For: time.Second, Clients: 8, Kinds: []standin.JobKind{kind}}.Run(t.Context())
--- a/cmd/weldscale/signals_test.go
+++ b/cmd/weldscale/signals_test.go
@@ -17,7 +17,7 @@
 	"weldscale/internal/standin"
 )
 
-// These tests send signals to a separate process at moments that are rare in service.
+// These tests send signals to a separate process at moments that are rare in operation.
 
 // awaitAddr waits until the program serves and returns its address. A port chosen before the start could be taken by then.
 func (l *programLog) awaitAddr(t testing.TB) string {
@@ -36,8 +36,8 @@
 	w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: holdFinish(release)})
 	first, second := startDiscovery(t, w.Entry("SERVING")), startDiscovery(t, w.Entry("SERVING"))
 	path := filepath.Join(t.TempDir(), "config.json")
-	site := standin.SchedulerConfig{Discovery: first.Addr(), Known: first.Known()}
-	writeConfig(t, path, site)
+	schedulerConfig := standin.SchedulerConfig{Discovery: first.Addr(), Known: first.Known()}
+	writeConfig(t, path, schedulerConfig)
 	cmd, log := startTestBinary(t, "program", "GW_CONFIG="+path)
 	addr := log.awaitAddr(t)
 	answered := make(chan int, 1)
@@ -49,8 +49,8 @@
 	require.NoError(t, os.WriteFile(path, []byte(`{"half`), 0o600))
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 	log.await(t, "new configuration not taken")
-	site.Discovery = second.Addr()
-	writeConfig(t, path, site)
+	schedulerConfig.Discovery = second.Addr()
+	writeConfig(t, path, schedulerConfig)
 	for range 2 {
 		require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 	}
--- a/cmd/weldscale/slow_test.go
+++ b/cmd/weldscale/slow_test.go
@@ -26,7 +26,7 @@
 // Peers that send or read too slowly are cut, whatever their job. Peers that keep the pace are not, nor those on a link that is
 // configured as slow. A request whose answer was not read is not sent to a worker again.
 func TestSlowPeers(t *testing.T) {
-	f := startFleet(t, 4, standin.WorkerConfig{Queue: 8, TellsStart: true})
+	f := startWorkerFleet(t, 4, standin.WorkerConfig{Queue: 8, TellsStart: true})
 	ts := startSchedulerWith(t, f.Entries(), func(c *config) {
 		c.file.SlowPeers.Links = []pace.Link{{Name: "murun", Prefixes: []netip.Prefix{netip.MustParsePrefix("127.0.3.0/24")},
 			In: 64, Out: 64}}
--- a/cmd/weldscale/throughput_test.go
+++ b/cmd/weldscale/throughput_test.go
@@ -64,13 +64,13 @@
 }
 
 // startSchedulerProcess starts a scheduler in a process of its own and waits until it serves.
-func startSchedulerProcess(t testing.TB, site standin.SchedulerConfig, env ...string) (*exec.Cmd, string) {
-	site.Listen = freeAddr(t)
+func startSchedulerProcess(t testing.TB, schedulerConfig standin.SchedulerConfig, env ...string) (*exec.Cmd, string) {
+	schedulerConfig.Listen = freeAddr(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	require.NoError(t, os.WriteFile(path, site.JSON(), 0o600))
+	require.NoError(t, os.WriteFile(path, schedulerConfig.JSON(), 0o600))
 	cmd, log := startTestBinary(t, "program", append(env, "GW_CONFIG="+path)...)
 	log.await(t, "serving")
-	return cmd, site.Listen
+	return cmd, schedulerConfig.Listen
 }
 
 // plainProxy is the baseline of BenchmarkServe: the standard library's reverse proxy, round-robin over the workers in PROXY_TO.
@@ -101,7 +101,7 @@
 	return time.Duration(clock.Nano())
 }
 
-func startFleet(t testing.TB, n int, c standin.WorkerConfig) *standin.Fleet {
+func startWorkerFleet(t testing.TB, n int, c standin.WorkerConfig) *standin.Fleet {
 	f, err := standin.StartFleet(n, c)
 	require.NoError(t, err)
 	t.Cleanup(f.Close)
@@ -122,7 +122,7 @@
 	} {
 		for _, report := range []time.Duration{0, 100 * time.Millisecond} {
 			b.Run(fmt.Sprintf("%s/reports=%v", c.name, report), func(b *testing.B) {
-				f := startFleet(b, 8, standin.WorkerConfig{Queue: 16, TellsStart: true, Refresh: report})
+				f := startWorkerFleet(b, 8, standin.WorkerConfig{Queue: 16, TellsStart: true, Refresh: report})
 				cmd, addr := startSchedulerProcess(b, standin.SchedulerConfig{Discovery: f.Discovery.Addr(), Known: f.Discovery.Known()})
 				proxyAddr, workerAddrs := freeAddr(b), ""
 				for _, w := range f.Workers {
--- a/cmd/weldscale/upgrade_test.go
+++ b/cmd/weldscale/upgrade_test.go
@@ -25,12 +25,12 @@
 
 // testPlatform runs processes of one scheduler, which share a listening socket that is passed to each, and a directory.
 type testPlatform struct {
-	t        *testing.T
-	dir      string
-	socket   *os.File
-	addr     string
-	site     standin.SchedulerConfig
-	maxFiles int // limit of open descriptors of a process; 0: the limit of this one
+	t               *testing.T
+	dir             string
+	socket          *os.File
+	addr            string
+	schedulerConfig standin.SchedulerConfig
+	maxFiles        int // limit of open descriptors of a process; 0: the limit of this one
 }
 
 // process is one process of a scheduler.
@@ -52,7 +52,7 @@
 	dir := filepath.Join(t.TempDir(), strings.Repeat("long", 20))
 	require.NoError(t, os.Mkdir(dir, 0o700))
 	return &testPlatform{t: t, dir: dir, socket: socket, addr: ln.Addr().String(),
-		site: standin.SchedulerConfig{Listen: ln.Addr().String(), Discovery: d.Addr(), Known: d.Known()}}
+		schedulerConfig: standin.SchedulerConfig{Listen: ln.Addr().String(), Discovery: d.Addr(), Known: d.Known()}}
 }
 
 var processesStarted atomic.Int64
@@ -67,9 +67,9 @@
 	if tp.maxFiles > 0 {
 		p.cmd = exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", tp.maxFiles, os.Args[0]))
 	}
-	config := filepath.Join(tp.t.TempDir(), "config.json")
-	writeConfig(tp.t, config, tp.site)
-	p.cmd.Env = append(append(os.Environ(), "WELDSCALE_TEST=program", "GW_CONFIG="+config, "GW_MGMT="+p.mgmt, "TMPDIR="+tp.dir,
+	configPath := filepath.Join(tp.t.TempDir(), "config.json")
+	writeConfig(tp.t, configPath, tp.schedulerConfig)
+	p.cmd.Env = append(append(os.Environ(), "WELDSCALE_TEST=program", "GW_CONFIG="+configPath, "GW_MGMT="+p.mgmt, "TMPDIR="+tp.dir,
 		"GW_PASSED_SOCKET=3"), env...)
 	p.cmd.ExtraFiles, p.cmd.Stderr = []*os.File{tp.socket}, p.log
 	require.NoError(tp.t, p.cmd.Start())
@@ -161,8 +161,8 @@
 	return c.served, c.unexpected
 }
 
-// Processes replace one another twice under load. No job is lost, refused or run twice, and no client connection is closed. A
-// job that must not run twice and lasts longer than the shutdowns is answered, and an offline worker stays offline.
+// Three processes replace one another in turn under load. No job is lost, refused or run twice, and no client connection is
+// closed. A job that must not run twice and lasts longer than the shutdowns is answered, and an offline worker stays offline.
 func TestUpgradesUnderLoad(t *testing.T) {
 	releaseLong := make(chan struct{})
 	startLargeWorker := func(c standin.WorkerConfig) *standin.Worker {
@@ -245,7 +245,7 @@
 func TestManagementAddressAtDescriptorLimit(t *testing.T) {
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
 	tp := newTestPlatform(t, startDiscovery(t, w.Entry("SERVING")))
-	tp.maxFiles, tp.site.Sockets = 96, 96
+	tp.maxFiles, tp.schedulerConfig.Sockets = 96, 96
 	p := tp.start().awaitReady()
 	for range 300 {
 		c, err := net.Dial("tcp", tp.addr)
@@ -385,14 +385,14 @@
 	ht.discovery = startDiscovery(t, ht.worker.Entry("SERVING"), ht.spare.Entry("DRAINING"))
 	ht.testPlatform = newTestPlatform(t, ht.discovery)
 	ht.old = ht.start().awaitReady()
-	dial := func() *standin.ClientConn {
+	connect := func() *standin.ClientConn {
 		c, err := standin.Dial(ht.addr)
 		require.NoError(t, err)
 		t.Cleanup(c.Close)
 		return c
 	}
-	require.Eventually(t, func() bool { return len(ht.discovery.Calls()) >= 2 }, testTimeout, time.Millisecond) // discovery holds the poll
-	ht.idle, ht.long = dial(), dial()
+	require.Eventually(t, func() bool { return len(ht.discovery.Calls()) >= 2 }, testTimeout, time.Millisecond) // the watch is held
+	ht.idle, ht.long = connect(), connect()
 	require.NoError(t, ht.idle.Send(standin.RequestText("warm", "view", testTimeout, "x")))
 	status, _, err := ht.idle.ReadAnswer(testTimeout)
 	require.NoError(t, err)
@@ -401,7 +401,7 @@
 	require.Eventually(t, func() bool { return slices.Contains(ht.worker.IDs(), "long") }, testTimeout, time.Millisecond)
 	ht.discovery.Set(ht.worker.Entry("DRAINING")) // no worker has room
 	require.Eventually(t, func() bool { return len(ht.discovery.Calls()) >= 3 }, testTimeout, time.Millisecond)
-	ht.waiting = dial()
+	ht.waiting = connect()
 	require.NoError(t, ht.waiting.Send(standin.RequestText("waits", "view", testTimeout, "x")))
 	require.Eventually(t, func() bool { return ht.old.inFlight() == 2 }, testTimeout, time.Millisecond)
 	ht.successor = ht.start().awaitReady()
@@ -454,7 +454,7 @@
 			ht.expectIdleConnection("again")
 			ht.successor.stop()
 		},
-		"the old process gets SIGTERM twice and SIGHUP": func(ht *handoverTest) {
+		"the old process gets SIGTERM twice and both get SIGHUP": func(ht *handoverTest) {
 			ht.old.signal(syscall.SIGHUP)
 			ht.old.signal(syscall.SIGTERM)
 			ht.successor.signal(syscall.SIGHUP)
