--- a/cmd/weldscale/moments_discovery_test.go
+++ b/cmd/weldscale/moments_discovery_test.go
@@ -130,7 +130,7 @@
 // they would also keep jobs from a worker that drains.
 func TestPushedListIsFollowed(t *testing.T) {
 	for name, intercept := range map[string]func(n int, w http.ResponseWriter, r *http.Request) bool{
-		"at once":            func(int, http.ResponseWriter, *http.Request) bool { return false },
+		"each call answered": func(int, http.ResponseWriter, *http.Request) bool { return false },
 		"first call silent":  func(n int, _ http.ResponseWriter, r *http.Request) bool { return n == 1 && neverAnswer(r) },
 		"silent three times": func(n int, _ http.ResponseWriter, r *http.Request) bool { return n <= 3 && neverAnswer(r) },
 		"the watch silent":   func(n int, _ http.ResponseWriter, r *http.Request) bool { return n == 2 && neverAnswer(r) },
--- a/cmd/weldscale/moments_workers_test.go
+++ b/cmd/weldscale/moments_workers_test.go
@@ -25,7 +25,7 @@
 			fmt.Fprint(c, "HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")
 		},
 		"a 408":       func(c net.Conn) { fmt.Fprint(c, "HTTP/1.1 408 Timeout\r\nContent-Length: 0\r\n\r\n") },
-		"its end":     func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() },
+		"a close":     func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() },
 		"a lone byte": func(c net.Conn) { fmt.Fprint(c, "x") },
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/weldscale/rules_test.go
+++ b/cmd/weldscale/rules_test.go
@@ -127,8 +127,8 @@
 	assert.Zero(t, ts.scheduler.engine.OpenRequests())
 }
 
-// A scheduler in shutdown once kept its listener open as long as clients still connected, and lost the requests that it then
-// accepted when it ended.
+// A scheduler in shutdown once left its listener open as long as clients still connected. The requests that it accepted
+// meanwhile were lost when it ended.
 func TestStopClosesListenerWhileClientsConnect(t *testing.T) {
 	release := make(chan struct{})
 	w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: holdFinish(release)})
--- a/cmd/weldscale/services_test.go
+++ b/cmd/weldscale/services_test.go
@@ -82,10 +82,10 @@
 		{"elsewhere.example.org", "/api/1", "view", 421, "no service for this host"},
 		{"", "/api/1", "view", 421, "no service for this host"}, // the Host header is the address of the scheduler
 	} {
-		status, body, wait := ts.askService(c.host, c.path, fmt.Sprint(i), c.class, testTimeout)
+		status, body, retryAfter := ts.askService(c.host, c.path, fmt.Sprint(i), c.class, testTimeout)
 		assert.Equal(t, c.status, status, "%+v", c)
 		assert.Contains(t, body, c.wantBody, "%+v", c)
-		assert.Equal(t, status == 429, wait != "", "%+v: %s", c, wait)
+		assert.Equal(t, status == 429, retryAfter != "", "%+v: %s", c, retryAfter)
 	}
 	assert.Equal(t, []string{"0"}, main.IDs())
 	assert.Equal(t, []string{"1"}, shop.IDs())
--- a/cmd/weldscale/signals_test.go
+++ b/cmd/weldscale/signals_test.go
@@ -29,8 +29,8 @@
 	return match[1]
 }
 
-// Signals overlap: two reloads at once, a reload of an invalid file between valid ones, a reload just before a stop and one
-// after it, a second stop. An accepted request is answered, and the program exits with status 0.
+// Signals overlap: two reloads at once, a reload of an invalid file between valid ones, a reload just before SIGTERM and one
+// after it, a second SIGTERM. An accepted request is answered, and the program exits with status 0.
 func TestOverlappingSignals(t *testing.T) {
 	release := make(chan struct{})
 	w := startWorker(t, standin.WorkerConfig{Name: "a", Answer: holdFinish(release)})
--- a/cmd/weldscale/slow_test.go
+++ b/cmd/weldscale/slow_test.go
@@ -31,8 +31,8 @@
 		c.file.SlowPeers.Links = []pace.Link{{Name: "murun", Prefixes: []netip.Prefix{netip.MustParsePrefix("127.0.3.0/24")},
 			In: 64, Out: 64}}
 	})
-	ctx, stop := context.WithTimeout(t.Context(), testTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
+	defer cancel()
 	kind := func(class string, body, size int) standin.JobKind {
 		return standin.JobKind{Class: class, Budget: 9 * time.Second, Body: body, Task: standin.Task{Size: size}}
 	}
@@ -56,7 +56,7 @@
 	cut := func() int { c := ts.slowPeerCounts(); return c.CutIn + c.CutOut + c.CutCrowd }
 	require.Eventually(t, func() bool { return cut() == 40 }, testTimeout, 10*time.Millisecond)
 	onPace.Wait()
-	stop() // the kernel may still deliver what it has buffered for the slow readers
+	cancel() // the kernel may still deliver what it has buffered for the slow readers
 	slow.Wait()
 	for i, c := range crowds {
 		if i < 2 {
--- a/cmd/weldscale/upgrade_test.go
+++ b/cmd/weldscale/upgrade_test.go
@@ -357,13 +357,13 @@
 	discovery           *standin.Discovery
 	old, successor      *process
 	idle, long, waiting *standin.ClientConn
-	// The test closes releaseLong to let the long job end. longAborted is closed when the connection of its attempt has ended.
-	releaseLong, longAborted chan struct{}
-	longLeft, waitingLeft    bool // the client of the job has disconnected
+	// The test closes releaseLong to let the long job end. longConnEnded is closed when the connection of its attempt has ended.
+	releaseLong, longConnEnded chan struct{}
+	longLeft, waitingLeft      bool // the client of the job has disconnected
 }
 
 func startHandoverTest(t *testing.T) *handoverTest {
-	ht := &handoverTest{releaseLong: make(chan struct{}), longAborted: make(chan struct{})}
+	ht := &handoverTest{releaseLong: make(chan struct{}), longConnEnded: make(chan struct{})}
 	ht.worker = startWorker(t, standin.WorkerConfig{Name: "w", Slots: 1, Answer: func(r *http.Request, c net.Conn) {
 		if r.Header.Get("X-Call-Id") != "long" {
 			standin.WriteAnswer(r, c)
@@ -372,14 +372,14 @@
 		standin.WriteStarted(r, c)
 		go func() { // the scheduler sends nothing more on the connection, so Read returns only at its end
 			_, _ = c.Read(make([]byte, 1))
-			close(ht.longAborted)
+			close(ht.longConnEnded)
 		}()
 		select {
 		case <-ht.releaseLong:
 			standin.WriteDone(r, c)
-		case <-ht.longAborted:
+		case <-ht.longConnEnded:
 		}
-		<-ht.longAborted // the goroutine above still reads the connection
+		<-ht.longConnEnded // the goroutine above still reads the connection
 	}})
 	ht.spare = startWorker(t, standin.WorkerConfig{Name: "room", TellsStart: true})
 	ht.discovery = startDiscovery(t, ht.worker.Entry("SERVING"), ht.spare.Entry("DRAINING"))
@@ -391,7 +391,8 @@
 		t.Cleanup(c.Close)
 		return c
 	}
-	require.Eventually(t, func() bool { return len(ht.discovery.Calls()) >= 2 }, testTimeout, time.Millisecond) // the watch is held
+	// Waits until discovery holds the watch.
+	require.Eventually(t, func() bool { return len(ht.discovery.Calls()) >= 2 }, testTimeout, time.Millisecond)
 	ht.idle, ht.long = connect(), connect()
 	require.NoError(t, ht.idle.Send(standin.RequestText("warm", "view", testTimeout, "x")))
 	status, _, err := ht.idle.ReadAnswer(testTimeout)
@@ -531,7 +532,7 @@
 				disconnect(ht.long)
 				disconnect(ht.waiting)
 				select {
-				case <-ht.longAborted:
+				case <-ht.longConnEnded:
 				case <-time.After(testTimeout):
 					require.FailNow(t, "the attempt of a disconnected client is still running")
 				}
