--- a/cmd/weldscale/config.go
+++ b/cmd/weldscale/config.go
@@ -21,7 +21,7 @@
 )
 
 // This file reads the platform's configuration. The settings use the parser of the simulator's settings: the nested JSON is
-// flattened into the simulator's path=value lines. Every error is a single line.
+// flattened into the simulator's path=value lines. An error in it is reported as a single line.
 
 // config is the platform's configuration, or its replacement from the scheduler block of the operator's file.
 type config struct {
--- a/cmd/weldscale/control.go
+++ b/cmd/weldscale/control.go
@@ -21,7 +21,7 @@
 
 // This file implements the control socket, through which an operator controls a running scheduler, and the commands that use
 // it. The socket is opened only if the operator's file names a path, and only its owner may connect. It serves no client
-// requests.
+// requests, and a call never waits for a loop that has ended.
 
 // controlTimeout limits a command's wait for its answer, and the time to read a request's header.
 const controlTimeout = 10 * time.Second
@@ -29,7 +29,7 @@
 // control serves the control socket.
 type control struct {
 	s    *scheduler
-	read func() (*config, error)
+	read func() (*config, error) // reads the configuration again, for a reload
 	srv  *http.Server
 }
 
--- a/cmd/weldscale/demo.go
+++ b/cmd/weldscale/demo.go
@@ -39,7 +39,7 @@
 	body  int
 }
 
-// within returns the time within which an answer is in time.
+// within returns the longest time to an answer that is in time: the aim, plus the stretch times the running time.
 func (c demoClass) within() time.Duration { return c.Aim + time.Duration(c.Stretch*float64(c.run)) }
 
 var demoClasses = []demoClass{
@@ -156,7 +156,7 @@
 	}
 }
 
-// fault is a fault or another change of a worker.
+// fault is a step of the demo that disturbs a worker, or ends earlier disturbances.
 type fault struct {
 	at          float64 // as a fraction of the demo's duration
 	description string
--- a/cmd/weldscale/reference.go
+++ b/cmd/weldscale/reference.go
@@ -13,10 +13,10 @@
 	"weldscale/internal/pace"
 )
 
-// This file generates the reference page of all commands, flags, settings and counters from their definitions. A test compares
-// docs/REFERENCE.md with it.
+// This file generates the reference page of all commands, flags, settings and counters from their definitions, so that
+// none can be missing. A test compares docs/REFERENCE.md with it.
 
-// referenceCmd prints the page.
+// referenceCmd prints the reference page.
 type referenceCmd struct{}
 
 // Run implements the command.
@@ -28,7 +28,7 @@
 // tableCell returns s for use in a table cell in Markdown.
 func tableCell(s string) string { return strings.ReplaceAll(strings.TrimSpace(s), "|", "\\|") }
 
-// reference returns the page in Markdown.
+// reference returns the reference page in Markdown.
 func reference() string {
 	var b strings.Builder
 	b.WriteString("# Reference\n\nMade by `weldscale reference`; a test holds this page against the code.\n\n## Commands\n")
--- a/cmd/weldscale/serve.go
+++ b/cmd/weldscale/serve.go
@@ -147,7 +147,7 @@
 	workers        *jobs.Workers
 	discovery      *jobs.Discovery
 	services       map[string]*service // services of the operator's file, by name
-	draining       []*service          // removed services that still have open requests
+	draining       []*service          // services that a reload removed or replaced and that still have open requests
 	inFlightBudget *pool.Budget        // limits the requests in flight of all services
 	timeBudget     *pool.TimeBudget    // divides the loop's time among the services
 	fleet          *fleetMember        // nil if the file has no fleet block
--- a/cmd/weldscale/services.go
+++ b/cmd/weldscale/services.go
@@ -20,8 +20,8 @@
 )
 
 // This file creates, updates and removes the services that the operator's file names. New services are built completely
-// before anything changes. A removed service is closed once its last request has been answered. Requests are not handled
-// here.
+// before anything changes. A service that is removed or replaced is closed once its last request has been answered. Requests
+// are not handled here.
 
 // service is a running service of the operator's file.
 type service struct {
--- a/cmd/weldscale/upgrade.go
+++ b/cmd/weldscale/upgrade.go
@@ -37,7 +37,7 @@
 // file of offline workers. The counts at the end belong to the loop.
 type upgrade struct {
 	s        *scheduler
-	dir      string
+	dir      string // of the processes' sockets and the file of offline workers
 	node     *handover.Node
 	started  int64 // Unix time in microseconds
 	links    []*handover.Link
