--- a/cmd/weldscale/fleet.go
+++ b/cmd/weldscale/fleet.go
@@ -88,29 +88,29 @@
 // watch connects a service's engine to the evidence about its workers. Outcomes of the engine are added to the evidence, and
 // workers with enough evidence against them are reported to the dispatcher as peer evidence. The dispatcher decides whether
 // to avoid them. The evaluation ends when the service is closed.
-func (p *fleetMember) watch(v *service, loop *engine.Loop) {
-	if p == nil || p.evidence == nil {
+func (m *fleetMember) watch(v *service, loop *engine.Loop) {
+	if m == nil || m.evidence == nil {
 		return
 	}
 	name := v.conf.Name
 	v.engine.OnOutcome = func(worker string, job bool, s decide.Status) {
 		switch {
 		case s == decide.Served && job:
-			p.evidence.Record(name, worker, evidence.Succeeded)
+			m.evidence.Record(name, worker, evidence.Succeeded)
 		case s == decide.Error && job || s == decide.Reset && job:
-			p.evidence.Record(name, worker, evidence.Failed)
+			m.evidence.Record(name, worker, evidence.Failed)
 		case s == decide.TimedOut && job:
-			p.evidence.Record(name, worker, evidence.TimedOut)
+			m.evidence.Record(name, worker, evidence.TimedOut)
 		case s == decide.TimedOut || s == decide.ConnectFailed:
-			p.evidence.Record(name, worker, evidence.Unreachable)
+			m.evidence.Record(name, worker, evidence.Unreachable)
 		}
 	}
 	var evaluate func()
 	evaluate = func() {
-		if v.removed {
+		if v.closed {
 			return
 		}
-		for _, worker := range p.evidence.Tick(name, v.engine.ReadyWorkers()) {
+		for _, worker := range m.evidence.Tick(name, v.engine.ReadyWorkers()) {
 			v.engine.AddPeerEvidence(worker)
 		}
 		loop.After(evidenceInterval, evaluate)
@@ -122,8 +122,8 @@
 const chunksPerMember = 8
 
 // shareConfig returns the configuration of a budget of kind k.
-func (p *fleetMember) shareConfig(k pool.FleetKind, budget float64) share.Config {
-	f := p.conf
+func (m *fleetMember) shareConfig(k pool.FleetKind, budget float64) share.Config {
+	f := m.conf
 	c := share.Config{Budget: budget, Floor: f.Floor * budget / float64(f.Members), MaxMembers: f.Members, Voters: f.Keepers,
 		Chunks: min(fleet.MaxChunks, chunksPerMember*f.Members), LeaseDuration: time.Duration(f.Term) * time.Microsecond, Drift: f.ClockDrift, Burst: f.Burst}
 	if k == pool.FleetInFlight {
@@ -134,16 +134,16 @@
 
 // share connects a service's pool to the fleet's budgets that its limits name. A budget is created with the first service that
 // uses it and is never removed, because grants that it has issued must not be issued again.
-func (p *fleetMember) share(conf operator.Service, to *pool.Pool) error {
+func (m *fleetMember) share(conf operator.Service, to *pool.Pool) error {
 	limits := append([]pool.Limits{conf.Limits}, conf.ClassLimits()...)
-	if p == nil {
+	if m == nil {
 		if slices.ContainsFunc(limits, func(l pool.Limits) bool { return max(l.FleetRate, l.FleetInFlight, l.FleetRetries) > 0 }) {
 			return errors.New("the fleet block was added by a reload and takes effect after a restart; until then the fleet's limits are not enforced")
 		}
 		return nil
 	}
 	type key struct {
-		k     pool.FleetKind
+		kind  pool.FleetKind
 		class int
 	}
 	names := map[key]string{}
@@ -161,48 +161,49 @@
 				continue
 			}
 			names[key{pool.FleetKind(k), i - 1}] = name + limit.suffix
-			if _, known := p.budgets.Status()[name+limit.suffix]; !known {
-				err = cmp.Or(err, p.budgets.Add(name+limit.suffix, p.shareConfig(pool.FleetKind(k), limit.budget)))
+			if _, known := m.budgets.Status()[name+limit.suffix]; !known {
+				err = cmp.Or(err, m.budgets.Add(name+limit.suffix, m.shareConfig(pool.FleetKind(k), limit.budget)))
 			}
 			if pool.FleetKind(k) == pool.FleetInFlight {
-				to.MaxHoldTime = pool.Time(p.conf.MaxHoldTime)
+				to.MaxHoldTime = pool.Time(m.conf.MaxHoldTime)
 			}
 		}
 	}
 	to.TakeFleet = func(k pool.FleetKind, class int) bool {
 		name, ok := names[key{k, class}]
-		return !ok || p.budgets.Spend(name, 1)
+		return !ok || m.budgets.Spend(name, 1)
 	}
-	to.ReturnFleet = func(class int) { p.budgets.Return(names[key{pool.FleetInFlight, class}], 1) }
+	to.ReturnFleet = func(class int) { m.budgets.Return(names[key{pool.FleetInFlight, class}], 1) }
 	return err
 }
 
 // close stops the budgets and leaves the fleet.
-func (p *fleetMember) close() {
-	if p != nil {
-		p.budgets.Stop()
-		p.link.Stop()
+func (m *fleetMember) close() {
+	if m != nil {
+		m.budgets.Stop()
+		m.link.Stop()
 	}
 }
 
 // text returns the state of the membership and the budgets, for the fleet command.
-func (p *fleetMember) text() string {
-	if p == nil {
+func (m *fleetMember) text() string {
+	if m == nil {
 		return "this scheduler is in no fleet: its file has no fleet block\n"
 	}
 	var b strings.Builder
-	c := p.link.Counts()
-	fmt.Fprintf(&b, "fleet=%s sent=%d taken=%d bad=%d too_many=%d stranger=%d\n", p.conf.Name, c.Sent, c.Received, c.Malformed, c.OverLimit, c.UnknownSender)
-	w := p.link.Traffic()
+	c := m.link.Counts()
+	fmt.Fprintf(&b, "fleet=%s sent=%d taken=%d bad=%d too_many=%d stranger=%d\n", m.conf.Name, c.Sent, c.Received, c.Malformed, c.OverLimit, c.UnknownSender)
+	w := m.link.Traffic()
 	fmt.Fprintf(&b, "wire bytes_in=%d bytes_out=%d dropped_in=%d dropped_out=%d\n", w.BytesIn, w.BytesOut, w.DroppedIn, w.DroppedOut)
-	for _, m := range p.link.Members() {
-		fmt.Fprintf(&b, "member=%s zone=%q address=%s life=%x heard_ms=%d\n", m.Name, m.Zone, m.Address, m.Incarnation, m.LastMessageAge.Milliseconds())
+	for _, member := range m.link.Members() {
+		fmt.Fprintf(&b, "member=%s zone=%q address=%s life=%x heard_ms=%d\n", member.Name, member.Zone, member.Address, member.Incarnation,
+			member.LastMessageAge.Milliseconds())
 	}
-	if p.evidence != nil {
-		names, bad := p.evidence.Suspects()
+	if m.evidence != nil {
+		names, bad := m.evidence.Suspects()
 		fmt.Fprintf(&b, "evidence against=%s bad=%d\n", strings.Join(names, ","), bad)
 	}
-	all := p.budgets.Status()
+	all := m.budgets.Status()
 	for _, name := range slices.Sorted(maps.Keys(all)) {
 		s := all[name]
 		fmt.Fprintf(&b, "budget=%q part=%.3f floor=%.3f of=%.3f spent=%.0f denied=%d bad=%d keeper=%v\n", name, s.Share, s.Floor, s.Budget,
--- a/cmd/weldscale/services.go
+++ b/cmd/weldscale/services.go
@@ -34,7 +34,7 @@
 	dialer    *net.Dialer    // for connections to workers
 	list      *member.Static // the workers, unless they come from discovery
 	stop      func()         // stops updates of the worker list
-	removed   bool           // set once the service has been closed
+	closed    bool           // set once it has drained
 }
 
 // serviceReports parses the load reports of the services in the operator's file. The fields are those of the protocol, in the
@@ -176,7 +176,7 @@
 	}
 	s.services = next
 	s.setRoutes(file)
-	s.removeDrained()
+	s.closeDrained()
 	return nil
 }
 
@@ -203,19 +203,19 @@
 	}
 }
 
-// removeDrained closes draining services without open requests, and reschedules itself while others remain.
-func (s *scheduler) removeDrained() {
+// closeDrained closes draining services without open requests, and reschedules itself while others remain.
+func (s *scheduler) closeDrained() {
 	s.draining = slices.DeleteFunc(s.draining, func(v *service) bool {
 		if v.engine.OpenRequests() > 0 {
 			return false
 		}
 		v.stop()
-		v.removed = true
+		v.closed = true
 		v.engine.Announce(decide.ListFull, nil) // an empty list stops probes of its workers
 		return true
 	})
 	if len(s.draining) > 0 {
-		s.loop.After(100*time.Millisecond, s.removeDrained)
+		s.loop.After(100*time.Millisecond, s.closeDrained)
 	}
 }
 
