--- a/cmd/weldscale/control.go
+++ b/cmd/weldscale/control.go
@@ -28,9 +28,9 @@
 
 // control serves the control socket.
 type control struct {
-	s    *scheduler
-	read func() (*config, error) // reads the configuration again, for a reload
-	srv  *http.Server
+	scheduler *scheduler
+	read      func() (*config, error) // reads the configuration again, for a reload
+	srv       *http.Server
 }
 
 // listenControl opens the control socket. It replaces a stale socket of a scheduler that has ended. It returns an error if a
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &control{s: s, read: read}
+	c := &control{scheduler: s, read: read}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /stats", c.stats)
 	mux.HandleFunc("GET /fleet", c.fleet)
@@ -89,16 +89,18 @@
 
 func (c *control) stats(w http.ResponseWriter, _ *http.Request) {
 	var text string
-	c.s.loop.Do(func() { text = c.s.server.Stats() })
+	c.scheduler.loop.Do(func() { text = c.scheduler.server.Stats() })
 	fmt.Fprintln(w, text)
 }
 
 // fleet does not use the loop, so it also works while the loop hangs.
-func (c *control) fleet(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, c.s.fleet.text()) }
+func (c *control) fleet(w http.ResponseWriter, _ *http.Request) {
+	fmt.Fprint(w, c.scheduler.fleet.text())
+}
 
 func (c *control) reload(w http.ResponseWriter, _ *http.Request) {
 	conf, err := c.read()
-	c.s.loop.Do(func() { err = c.s.reload(conf, err) })
+	c.scheduler.loop.Do(func() { err = c.scheduler.reload(conf, err) })
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusUnprocessableEntity)
 		return
@@ -108,10 +110,10 @@
 
 func (c *control) drain(w http.ResponseWriter, _ *http.Request) {
 	n := 0
-	c.s.loop.Do(func() {
-		slog.Info("stopping", "signal", "control socket", "open", c.s.openRequests())
-		n = c.s.openRequests()
-		c.s.stop()
+	c.scheduler.loop.Do(func() {
+		slog.Info("stopping", "signal", "control socket", "open", c.scheduler.openRequests())
+		n = c.scheduler.openRequests()
+		c.scheduler.stop()
 	})
 	fmt.Fprintf(w, "stopping; %d requests in hand are answered first\n", n)
 }
@@ -120,7 +122,7 @@
 func (c *control) operate(w http.ResponseWriter, r *http.Request) {
 	request, reply := mgmt.ParseRequest(r.Method, r.URL.EscapedPath())
 	if request != nil {
-		reply = request.Do(operations{c.s})
+		reply = request.Do(operations{c.scheduler})
 	}
 	w.WriteHeader(reply.Status)
 	fmt.Fprintln(w, reply.Text)
@@ -133,7 +135,7 @@
 		return
 	}
 	slog.Info("log level", "to", to)
-	c.s.loop.Do(c.s.updateTrace)
+	c.scheduler.loop.Do(c.scheduler.updateTrace)
 	fmt.Fprintln(w, "the log's level is", to)
 }
 
--- a/cmd/weldscale/operate.go
+++ b/cmd/weldscale/operate.go
@@ -17,11 +17,11 @@
 const operationTimeout = 700 * time.Millisecond
 
 // operations implements mgmt.Control.
-type operations struct{ s *scheduler }
+type operations struct{ scheduler *scheduler }
 
 // do runs f on the loop, ahead of queued work. It returns mgmt.ErrTimeout if the loop does not reach f in time.
 func (o operations) do(f func()) error {
-	if !o.s.loop.DoUrgent(operationTimeout, f) {
+	if !o.scheduler.loop.DoUrgent(operationTimeout, f) {
 		return mgmt.ErrTimeout
 	}
 	return nil
@@ -29,7 +29,7 @@
 
 // Ready implements mgmt.Control.
 func (o operations) Ready() (ready bool, err error) {
-	err = o.do(func() { ready = o.s.ready() })
+	err = o.do(func() { ready = o.scheduler.ready() })
 	return ready, err
 }
 
@@ -38,7 +38,7 @@
 
 // Figures implements mgmt.Control.
 func (o operations) Figures() (f mgmt.Figures, err error) {
-	err = o.do(func() { f = o.s.figures() })
+	err = o.do(func() { f = o.scheduler.figures() })
 	return f, err
 }
 
@@ -66,8 +66,8 @@
 	f := mgmt.Figures{Served: map[string]int{}, Refused: map[string]int{}, Failed: map[string]int{}}
 	for _, view := range s.serviceViews() {
 		for i, class := range view.classes {
-			for outcome, by := range []map[string]int{f.Served, f.Refused, f.Failed} {
-				by[class] += view.engine.Counts.Ended[outcome][i]
+			for outcome, totals := range []map[string]int{f.Served, f.Refused, f.Failed} {
+				totals[class] += view.engine.Counts.Ended[outcome][i]
 			}
 		}
 		f.Attempts += view.engine.Counts.Written
@@ -81,14 +81,14 @@
 // SetOffline implements mgmt.Control.
 func (o operations) SetOffline(worker string, offline bool) error {
 	known := false
-	if err := o.do(func() { known = o.s.setOffline(worker, offline) }); err != nil {
+	if err := o.do(func() { known = o.scheduler.setOffline(worker, offline) }); err != nil {
 		return err
 	}
 	if !known {
 		return mgmt.ErrUnknownWorker
 	}
-	if o.s.upgrade != nil {
-		return o.s.upgrade.propagateOffline(worker, offline)
+	if o.scheduler.upgrade != nil {
+		return o.scheduler.upgrade.propagateOffline(worker, offline)
 	}
 	return nil
 }
--- a/cmd/weldscale/upgrade.go
+++ b/cmd/weldscale/upgrade.go
@@ -36,12 +36,12 @@
 // upgrade holds the links to the other processes. mu guards links, stopping and acks, and serializes writes of the
 // file of offline workers. The counts at the end belong to the loop.
 type upgrade struct {
-	s        *scheduler
-	dir      string // of the processes' sockets and the file of offline workers
-	node     *handover.Node
-	started  int64 // Unix time in microseconds
-	links    []*handover.Link
-	stopping map[*handover.Link]bool // processes that have announced their own stop
+	scheduler *scheduler
+	dir       string // of the processes' sockets and the file of offline workers
+	node      *handover.Node
+	started   int64 // Unix time in microseconds
+	links     []*handover.Link
+	stopping  map[*handover.Link]bool // processes that have announced their own stop
 
 	number atomic.Uint64 // of the last request for an acknowledgement
 	mu     sync.Mutex
@@ -52,7 +52,7 @@
 
 // joinProcesses links this process to the others of the scheduler and takes over the state of the oldest one.
 func (s *scheduler) joinProcesses() error {
-	u := &upgrade{s: s, dir: os.TempDir(), started: time.Now().UnixMicro(), acks: map[uint64]chan struct{}{},
+	u := &upgrade{scheduler: s, dir: os.TempDir(), started: time.Now().UnixMicro(), acks: map[uint64]chan struct{}{},
 		stopping: map[*handover.Link]bool{}}
 	if err := s.driver.EnableHandover(); err != nil {
 		return err
@@ -72,11 +72,11 @@
 		if err := s.discovery.LoadKnown(oldest.List); err != nil {
 			slog.Warn("the worker list of the other process can't be read", "why", err)
 		}
-		var l engine.LearnedState
-		if err := json.Unmarshal(oldest.Learnt, &l); err != nil {
+		var learned engine.LearnedState
+		if err := json.Unmarshal(oldest.Learnt, &learned); err != nil {
 			slog.Warn("the learned state of the other process can't be read", "why", err)
 		}
-		s.engine.RestoreLearned(l)
+		s.engine.RestoreLearned(learned)
 		slog.Info("beside another process", "other", oldest.Process, "out", offline, "list", s.discovery.Index())
 	}
 	s.restoreOffline(offline)
@@ -99,13 +99,13 @@
 // Hello implements handover.Handler.
 func (u *upgrade) Hello() handover.Hello {
 	h := handover.Hello{Started: u.started}
-	u.s.loop.DoUrgent(operationTimeout, func() {
+	u.scheduler.loop.DoUrgent(operationTimeout, func() {
 		var err error
-		if h.Learnt, err = json.Marshal(u.s.engine.LearnedState()); err != nil {
+		if h.Learnt, err = json.Marshal(u.scheduler.engine.LearnedState()); err != nil {
 			slog.Warn("the learned state can't be sent to another process", "why", err)
 			h.Learnt = json.RawMessage("{}")
 		}
-		h.Open, h.Out, h.List = u.s.driver.OpenDescriptors(), u.s.offlineWorkers(), u.s.overlay.Snapshot(u.s.discovery.Index())
+		h.Open, h.Out, h.List = u.scheduler.driver.OpenDescriptors(), u.scheduler.offlineWorkers(), u.scheduler.overlay.Snapshot(u.scheduler.discovery.Index())
 	})
 	return h
 }
@@ -115,7 +115,7 @@
 	u.mu.Lock()
 	u.links = append(u.links, l)
 	u.mu.Unlock()
-	go u.s.loop.Post(u.s.divideLimits)
+	go u.scheduler.loop.Post(u.scheduler.divideLimits)
 }
 
 // LinkDown implements handover.Handler.
@@ -124,7 +124,7 @@
 	u.links = slices.DeleteFunc(u.links, func(m *handover.Link) bool { return m == l })
 	delete(u.stopping, l)
 	u.mu.Unlock()
-	u.s.loop.Post(u.s.divideLimits)
+	u.scheduler.loop.Post(u.scheduler.divideLimits)
 }
 
 // others returns the links to the other processes.
@@ -167,10 +167,10 @@
 
 // Message implements handover.Handler.
 func (u *upgrade) Message(l *handover.Link, m handover.Message, fds []int) {
-	loop := u.s.loop
+	loop := u.scheduler.loop
 	switch m.Kind {
 	case handover.KindOffline:
-		if loop.DoUrgent(operationTimeout, func() { u.s.setOffline(m.Worker, m.Away) }) {
+		if loop.DoUrgent(operationTimeout, func() { u.scheduler.setOffline(m.Worker, m.Away) }) {
 			l.Send(handover.Message{Kind: handover.KindApplied, Number: m.Number})
 		}
 	case handover.KindApplied:
@@ -186,7 +186,7 @@
 		u.mu.Unlock()
 	case handover.KindList:
 		loop.DoUrgent(operationTimeout, func() {
-			if err := u.s.discovery.ApplyRelayed(m.Index, m.List); err != nil {
+			if err := u.scheduler.discovery.ApplyRelayed(m.Index, m.List); err != nil {
 				slog.Warn("a worker list update of another process can't be read", "why", err)
 			}
 		})
@@ -194,17 +194,17 @@
 		if len(fds) == 1 {
 			fd := fds[0]
 			fds = nil
-			loop.Post(func() { u.s.driver.Adopt(fd, u.s.server.AdoptIdle) })
+			loop.Post(func() { u.scheduler.driver.Adopt(fd, u.scheduler.server.AdoptIdle) })
 		}
 	case handover.KindJob:
-		p := new(jobs.HandoverJob)
-		if err := json.Unmarshal(m.Job, p); err != nil || len(fds) == 0 {
+		handoverJob := new(jobs.HandoverJob)
+		if err := json.Unmarshal(m.Job, handoverJob); err != nil || len(fds) == 0 {
 			slog.Error("a job of another process can't be read", "why", err, "descriptors", len(fds))
 			break
 		}
-		got := fds
+		jobFDs := fds
 		fds = nil
-		loop.Post(func() { u.adopt(p, got) })
+		loop.Post(func() { u.adopt(handoverJob, jobFDs) })
 	default:
 		slog.Warn("message of an unknown kind from another process", "kind", m.Kind)
 	}
@@ -215,11 +215,11 @@
 
 // adopt continues a job of another process. The first descriptor is the client's connection. The second, if present, is the
 // connection of the attempt to its worker.
-func (u *upgrade) adopt(p *jobs.HandoverJob, fds []int) {
-	s := u.s
+func (u *upgrade) adopt(handoverJob *jobs.HandoverJob, fds []int) {
+	s := u.scheduler
 	v := s.server.Main
-	if p.Service != "" {
-		if named := s.services[p.Service]; named != nil {
+	if handoverJob.Service != "" {
+		if named := s.services[handoverJob.Service]; named != nil {
 			v = named.jobs
 		}
 	}
@@ -234,12 +234,12 @@
 			return
 		}
 		var worker jobs.Conn
-		for _, t := range p.Job.Tried {
+		for _, t := range handoverJob.Job.Tried {
 			if t.Out && len(fds) > 1 {
 				worker = s.driver.AdoptWorker(t.Addr, fds[1])
 			}
 		}
-		s.server.Adopt(v, p, c, worker)
+		s.server.Adopt(v, handoverJob, c, worker)
 	})
 }
 
@@ -270,12 +270,12 @@
 		}
 	}
 	var names []string
-	if !u.s.loop.DoUrgent(offlineTimeout, func() { names = u.s.offlineWorkers() }) {
+	if !u.scheduler.loop.DoUrgent(offlineTimeout, func() { names = u.scheduler.offlineWorkers() }) {
 		return nil // the change is in force, and the next call writes the file
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if err := handover.SaveOffline(u.dir, u.s.config.Name, names); err != nil {
+	if err := handover.SaveOffline(u.dir, u.scheduler.config.Name, names); err != nil {
 		return fmt.Errorf("the change is in force, but not saved for later processes: %w", err)
 	}
 	return nil
@@ -307,7 +307,7 @@
 
 // handOver hands over all connections that can be and reschedules itself until none is left or handoverPeriod has passed.
 func (u *upgrade) handOver() {
-	s := u.s
+	s := u.scheduler
 	to := u.successor()
 	if to == nil || time.Since(s.stopping) > handoverPeriod { // continue as without a successor
 		slog.Warn("connections left at the stop", "other_lives", to != nil, "peers", s.server.Pace.Counts().Peers, "open", s.openRequests(),
@@ -339,8 +339,8 @@
 
 // sendJob returns a function that hands over a job with its client's connection and that of its attempt, if there is one.
 func (u *upgrade) sendJob(to *handover.Link) func(*jobs.HandoverJob, jobs.Conn, jobs.Conn) bool {
-	return func(p *jobs.HandoverJob, client, worker jobs.Conn) bool {
-		text, err := json.Marshal(p)
+	return func(handoverJob *jobs.HandoverJob, client, worker jobs.Conn) bool {
+		text, err := json.Marshal(handoverJob)
 		if err != nil {
 			slog.Error("a job can't be handed over", "why", err)
 			return false
@@ -367,11 +367,11 @@
 		}
 	}()
 	for _, c := range conns {
-		p, can := c.(jobs.Transferable)
+		transferable, can := c.(jobs.Transferable)
 		if !can {
 			return false
 		}
-		fd, ok := p.DupFD()
+		fd, ok := transferable.DupFD()
 		if !ok {
 			return false
 		}
