--- a/cmd/weldscale/demo.go
+++ b/cmd/weldscale/demo.go
@@ -117,12 +117,12 @@
 	if err != nil {
 		return nil, err
 	}
-	site := standin.SchedulerConfig{Name: "demo", Listen: d.addr, Discovery: d.list.Addr(), Known: d.list.Known(), ColdSpan: demoWarmUp}
+	conf := standin.SchedulerConfig{Name: "demo", Listen: d.addr, Discovery: d.list.Addr(), Known: d.list.Known(), ColdSpan: demoWarmUp}
 	for _, c := range demoClasses {
-		site.Classes = append(site.Classes, c.Class)
+		conf.Classes = append(conf.Classes, c.Class)
 	}
 	path := filepath.Join(dir, "config.json")
-	if err := os.WriteFile(path, site.JSON(), 0o600); err != nil {
+	if err := os.WriteFile(path, conf.JSON(), 0o600); err != nil {
 		return nil, err
 	}
 	self, err := os.Executable()
@@ -196,16 +196,16 @@
 	}
 	began, next := time.Now(), d.faults()
 	for range time.Tick(100 * time.Millisecond) {
-		past := time.Since(began)
+		elapsed := time.Since(began)
 		if bar != nil {
-			_ = bar.Set64(min(past, d.For).Milliseconds())
+			_ = bar.Set64(min(elapsed, d.For).Milliseconds())
 		}
-		for len(next) > 0 && past.Seconds() >= next[0].at*d.For.Seconds() {
+		for len(next) > 0 && elapsed.Seconds() >= next[0].at*d.For.Seconds() {
 			next[0].inject()
-			report(fmt.Sprintf("%5.1f s  %s", past.Seconds(), next[0].description))
+			report(fmt.Sprintf("%5.1f s  %s", elapsed.Seconds(), next[0].description))
 			next = next[1:]
 		}
-		if past >= d.For || ctx.Err() != nil {
+		if elapsed >= d.For || ctx.Err() != nil {
 			break
 		}
 	}
--- a/cmd/weldscale/experiment.go
+++ b/cmd/weldscale/experiment.go
@@ -70,23 +70,23 @@
 
 // readMatrix reads an experiment file. The paths of scripts are relative to its directory.
 func readMatrix(path string) (*matrix, error) {
-	var l struct {
+	var file struct {
 		Experiment *struct {
 			Body hcl.Body `hcl:",remain"`
 		} `hcl:"experiment,block"`
 	}
-	r, err := settings.Open(path, &l)
+	r, err := settings.Open(path, &file)
 	if err != nil {
 		return nil, err
 	}
 	if !r.Valid() {
 		return nil, r.Err()
 	}
-	if l.Experiment == nil {
+	if file.Experiment == nil {
 		return nil, fmt.Errorf("%s:1:1: an experiment block is missing", path)
 	}
 	m := &matrix{scripts: map[string]*emulator.Script{}, seeds: 3}
-	body := l.Experiment.Body
+	body := file.Experiment.Body
 	scripts, policies, scales, schedulers, refresh := "", "module", "1", "0", "0"
 	r.Fields(body, settings.Field{Name: "scripts", Unit: settings.Word, To: &scripts}, settings.Field{Name: "policies", Unit: settings.Word, To: &policies},
 		settings.Field{Name: "scale", Unit: settings.Word, To: &scales}, settings.Field{Name: "schedulers", Unit: settings.Word, To: &schedulers},
@@ -144,8 +144,8 @@
 	return out
 }
 
-// script returns a cell's script. The number of boxes and the rate are multiplied by the scale; the number of schedulers and the
-// report interval are replaced if the cell sets them.
+// script returns a cell's script. The number of boxes and the rate are multiplied by the scale; the number of schedulers and
+// the report interval are replaced if the cell sets them.
 func (m *matrix) script(c cell) *emulator.Script {
 	s := *m.scripts[c.Script]
 	s.Boxes = nil
@@ -227,8 +227,8 @@
 	return nil
 }
 
-// terminateLastLine appends a newline if an interrupted run has left the last line incomplete. Otherwise the next result would be
-// appended to that line.
+// terminateLastLine appends a newline if an interrupted run has left the last line incomplete. Otherwise the next result would
+// be appended to that line.
 func terminateLastLine(f *os.File) error {
 	info, err := f.Stat()
 	if err != nil || info.Size() == 0 {
@@ -311,14 +311,14 @@
 		r := row{cell: c}
 		var worth, deficits []float64
 		for seed := range m.seeds {
-			x := c
-			x.Seed = uint64(seed + 1)
-			o := done[x]
+			key := c
+			key.Seed = uint64(seed + 1)
+			o := done[key]
 			worth = append(worth, o.InTime)
 			r.boxes, r.probes, r.cross, r.took = o.Boxes, r.probes+o.Probes/float64(m.seeds), r.cross+o.Cross/float64(m.seeds), r.took+o.Took/float64(m.seeds)
 			r.broken += o.Broken
-			x.Policy = "module"
-			if own, ok := done[x]; ok && c.Policy != "module" {
+			key.Policy = "module"
+			if own, ok := done[key]; ok && c.Policy != "module" {
 				deficits = append(deficits, own.InTime-o.InTime)
 			}
 		}
@@ -339,7 +339,7 @@
 	out.SetStyle(table.StyleLight)
 	out.AppendHeader(table.Row{"script", "boxes", "schedulers", "reports ms", "policy", "worth in time", "module has more", "probes a job", "cross %",
 		"rules broken", "s a run"})
-	form := func(v, half float64) string {
+	formatInterval := func(v, half float64) string {
 		switch {
 		case math.IsNaN(v):
 			return ""
@@ -349,7 +349,7 @@
 		return fmt.Sprintf("%.3f ± %.3f", v, half)
 	}
 	for _, r := range rows {
-		out.AppendRow(table.Row{r.Script, r.boxes, r.Schedulers, r.RefreshMS, r.Policy, form(r.mean, r.half), form(r.deficit, r.deficitHalf),
+		out.AppendRow(table.Row{r.Script, r.boxes, r.Schedulers, r.RefreshMS, r.Policy, formatInterval(r.mean, r.half), formatInterval(r.deficit, r.deficitHalf),
 			fmt.Sprintf("%.2f", r.probes), fmt.Sprintf("%.0f", 100*r.cross), r.broken, fmt.Sprintf("%.2f", r.took)})
 	}
 	out.Render()
--- a/cmd/weldscale/load.go
+++ b/cmd/weldscale/load.go
@@ -113,9 +113,9 @@
 func (c loadCmd) startSlow(ctx context.Context, name string) func() {
 	ctx, stop := context.WithTimeout(ctx, c.For)
 	kind := standin.JobKind{Class: c.Class, Budget: c.Budget, Body: max(c.Body, 60000), Task: standin.Task{Run: c.Job, Slots: c.Slots, Size: c.Answer}}
-	readers := kind
-	readers.Body, readers.Task.Size = c.Body, max(c.Answer, 60000)
-	groups := []standin.SlowClients{{Name: name + "s", Peers: c.Senders, Kind: kind, Send: c.Slow}, {Name: name + "r", Peers: c.Readers, Kind: readers, Read: c.Slow}}
+	readerKind := kind
+	readerKind.Body, readerKind.Task.Size = c.Body, max(c.Answer, 60000)
+	groups := []standin.SlowClients{{Name: name + "s", Peers: c.Senders, Kind: kind, Send: c.Slow}, {Name: name + "r", Peers: c.Readers, Kind: readerKind, Read: c.Slow}}
 	tallies := make([]*standin.SlowTally, len(groups))
 	var all sync.WaitGroup
 	for i, s := range groups {
--- a/cmd/weldscale/rehearse.go
+++ b/cmd/weldscale/rehearse.go
@@ -127,13 +127,13 @@
 		read.CloseWithError(err) // after an error of the checker, the run must not block on writes
 		checked <- err
 	}()
-	x, err := emulator.NewWithPolicy(r.Policy, s, r.Seed, out)
+	simulation, err := emulator.NewWithPolicy(r.Policy, s, r.Seed, out)
 	r.Troubles = s.Troubles
 	if err == nil {
 		if c.JSON != "" {
-			x.SampleEvery = s.Duration / samples
+			simulation.SampleEvery = s.Duration / samples
 		}
-		r.Result, err = x.Run(nil)
+		r.Result, err = simulation.Run(nil)
 	}
 	write.Close()
 	r.err = errors.Join(err, <-checked)
