--- a/cmd/weldscale/serve.go
+++ b/cmd/weldscale/serve.go
@@ -35,8 +35,8 @@
 	gracePeriod = 700 * time.Millisecond
 	// backlogPeriod is how much longer the listener stays open for connections that wait to be accepted, if time permits.
 	backlogPeriod = time.Second
-	// The platform kills the process no sooner than the longest deadline, at most maxDeadline, plus gracePeriod after the
-	// signal. Open requests are given up killMargin before that.
+	// maxDeadline and killMargin: the platform kills the process no sooner than gracePeriod and the longest deadline, of which
+	// at most maxDeadline counts, after the signal. killMargin before that, open requests are given up with a last answer.
 	maxDeadline = 3 * time.Second
 	killMargin  = 250 * time.Millisecond
 	// flushDelay is the time for the last answers to be transmitted.
