--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -120,7 +120,7 @@
 
 // Each of several overlapping troubles on one box must revert only its own effects.
 func TestOverlappingTroublesOnOneBox(t *testing.T) {
-	s := loadScript(t, "calm", `
+	script := loadScript(t, "calm", `
 trouble "slow" {
   from  = "5s"
   for   = "20s"
@@ -143,11 +143,11 @@
   for  = "4s"
   zone = "murun"
 }`)
-	x, err := New(s, 1, nil)
+	sim, err := New(script, 1, nil)
 	require.NoError(t, err)
 	var murunBox *box
-	for _, b := range x.boxes {
-		if s.Zones[b.zone] == "murun" {
+	for _, b := range sim.boxes {
+		if script.Zones[b.zone] == "murun" {
 			murunBox = b
 		}
 	}
@@ -157,9 +157,9 @@
 	}
 	seen := map[int]state{}
 	for _, at := range []int{4, 7, 11, 13, 17, 20, 23, 30} {
-		x.schedule(Time(at)*1e6, func() { seen[at] = state{len(murunBox.slowdowns), murunBox.up()} })
+		sim.schedule(Time(at)*1e6, func() { seen[at] = state{len(murunBox.slowdowns), murunBox.up()} })
 	}
-	_, err = x.Run(nil)
+	_, err = sim.Run(nil)
 	require.NoError(t, err)
 	assert.Equal(t, map[int]state{4: {0, true}, 7: {1, true}, 11: {2, true}, 13: {2, false}, 17: {1, false}, 20: {1, false},
 		23: {1, true}, 30: {0, true}}, seen)
@@ -167,7 +167,7 @@
 
 // Check must find each kind of violation in a handwritten log.
 func TestCheckFindsViolations(t *testing.T) {
-	s := loadScript(t, "calm", "")
+	script := loadScript(t, "calm", "")
 	const arrive = "1 arrive 1 class=press-send node=0 give_up=25000000 again=0\n2 push 1.0 node=0 box=3\n"
 	for name, c := range map[string]struct{ log, want string }{
 		"kept":                    {arrive + "9 outcome 1.0 served\n9 answer 1 served\n", ""},
@@ -184,7 +184,7 @@
 		"push within drain grace": {"0 told node=0 box=3 state=2\n" + arrive + "9 answer 1 failed\n", ""},
 		"collapse of a cold box":  {"0 fall box=2\n", "cold workers spared"},
 	} {
-		violations, err := Check(s, strings.NewReader(c.log))
+		violations, err := Check(script, strings.NewReader(c.log))
 		require.NoError(t, err, name)
 		if c.want == "" {
 			assert.Empty(t, violations, name)
@@ -192,7 +192,7 @@
 		}
 		assert.Contains(t, strings.Join(violations, "\n"), c.want, name)
 	}
-	_, err := Check(s, strings.NewReader("nonsense\n"))
+	_, err := Check(script, strings.NewReader("nonsense\n"))
 	assert.Error(t, err)
 }
 
@@ -226,14 +226,14 @@
 
 // The troubles of the second deployment must affect the expected number of boxes and leave no effect behind.
 func TestMarketDecemberTroubles(t *testing.T) {
-	s := loadScript(t, "market_december", "")
-	x, err := New(s, 1, nil)
+	script := loadScript(t, "market_december", "")
+	sim, err := New(script, 1, nil)
 	require.NoError(t, err)
 	seen := map[int][3]int{} // numbers of boxes that fail jobs, that are slowed, and that are slowed by more than one trouble
 	for _, at := range []int{5, 22, 36, 55} {
-		x.schedule(Time(at)*1e6, func() {
+		sim.schedule(Time(at)*1e6, func() {
 			counts := [3]int{}
-			for _, b := range x.boxes {
+			for _, b := range sim.boxes {
 				if len(b.failureShares) > 0 {
 					counts[0]++
 				}
@@ -247,7 +247,7 @@
 			seen[at] = counts
 		})
 	}
-	r, err := x.Run(nil)
+	r, err := sim.Run(nil)
 	require.NoError(t, err)
 	assert.Equal(t, [3]int{}, seen[5])
 	assert.Equal(t, 1, seen[22][0])
@@ -274,12 +274,12 @@
 		"running job stops, backfill":             {true, true, 2, []uint32{1, 2, 4}},
 		"running job continues, backfill":         {false, true, 4, []uint32{1, 2, 4}},
 	} {
-		s := loadScript(t, "calm", "")
-		s.CancelsRunning, s.Backfill = c.stops, c.backfill
-		x, err := New(s, 1, nil)
+		script := loadScript(t, "calm", "")
+		script.CancelsRunning, script.Backfill = c.stops, c.backfill
+		sim, err := New(script, 1, nil)
 		require.NoError(t, err)
 		var started []uint32
-		b, n := x.boxes[0], x.nodes[0]
+		b, n := sim.boxes[0], sim.nodes[0]
 		var first *attempt
 		for i, slots := range []int{2, 1, 4, 1} {
 			q := &request{id: uint32(i + 1), node: n, job: &clientJob{work: 60e6, slots: slots}}
--- a/internal/emulator/parties.go
+++ b/internal/emulator/parties.go
@@ -12,7 +12,7 @@
 
 // box is a simulated worker.
 type box struct {
-	x              *Simulation
+	sim            *Simulation
 	index          int
 	kind           *BoxKind
 	zone           int
@@ -40,7 +40,7 @@
 }
 
 func (x *Simulation) addBox(kind *BoxKind) {
-	b := &box{x: x, index: len(x.boxes), kind: kind, zone: len(x.boxes) % len(x.script.Zones)}
+	b := &box{sim: x, index: len(x.boxes), kind: kind, zone: len(x.boxes) % len(x.script.Zones)}
 	b.stream = fmt.Sprint("box ", b.index)
 	x.boxes = append(x.boxes, b)
 	x.workerList = append(x.workerList, decide.Worker{ID: decide.WorkerID(b.index + 1), Zone: b.zone, State: decide.Ready, Weight: 1})
@@ -60,8 +60,8 @@
 
 // warmth returns the share of its capacity that a box has at present: less than 1 while it is cold.
 func (b *box) warmth() float64 {
-	s := b.x.script
-	if age := b.x.now - b.startedAt; b.startedAt > 0 && age < s.ColdSpan {
+	s := b.sim.script
+	if age := b.sim.now - b.startedAt; b.startedAt > 0 && age < s.ColdSpan {
 		return s.ColdFrom + (1-s.ColdFrom)*float64(age)/float64(s.ColdSpan)
 	}
 	return 1
@@ -69,7 +69,7 @@
 
 // receive handles an attempt that arrives at the box.
 func (b *box) receive(a *attempt) {
-	x := b.x
+	sim := b.sim
 	if !b.up() {
 		if b.stops > 0 || b.collapsed {
 			a.sendOutcome(decide.ConnectFailed)
@@ -77,7 +77,7 @@
 		a.lost = true
 		return
 	}
-	x.logEvent("land %d.%d box=%d work=%d", a.request.id, a.number, b.index, a.request.job.work*Time(a.request.job.slots))
+	sim.logEvent("land %d.%d box=%d work=%d", a.request.id, a.number, b.index, a.request.job.work*Time(a.request.job.slots))
 	if b.overloaded(float64(a.request.job.work) * float64(a.request.job.slots)) {
 		b.collapse()
 		return
@@ -87,10 +87,10 @@
 		return
 	}
 	for _, share := range b.failureShares {
-		if r := x.stream(b.stream); r.Float64() < share {
-			x.logEvent("fail %d.%d box=%d", a.request.id, a.number, b.index)
+		if r := sim.stream(b.stream); r.Float64() < share {
+			sim.logEvent("fail %d.%d box=%d", a.request.id, a.number, b.index)
 			a.ended = true
-			x.schedule(Time(10*ms+20*ms*r.Float64()), func() { a.sendOutcome(decide.Error) })
+			sim.schedule(Time(10*ms+20*ms*r.Float64()), func() { a.sendOutcome(decide.Error) })
 			return
 		}
 	}
@@ -101,7 +101,7 @@
 // cancel removes a queued attempt. It stops a running one only if the script has CancelsRunning.
 func (b *box) cancel(a *attempt) {
 	b.queue = slices.DeleteFunc(b.queue, func(v *attempt) bool { return v == a })
-	if i := slices.Index(b.active, a); i >= 0 && b.x.script.CancelsRunning {
+	if i := slices.Index(b.active, a); i >= 0 && b.sim.script.CancelsRunning {
 		a.ended = true
 		b.slotsInUse -= a.request.job.slots
 		b.active = slices.Delete(b.active, i, i+1)
@@ -113,13 +113,13 @@
 // arrived within OverloadSpan, accepted or not, exceeds OverloadMultiple times what the box can do in OverloadSpan at its
 // present warmth.
 func (b *box) overloaded(work float64) bool {
-	s := b.x.script
+	s := b.sim.script
 	if b.warmth() >= 1 {
 		b.coldArrivals = nil
 		return false
 	}
-	b.coldArrivals = slices.DeleteFunc(b.coldArrivals, func(w arrivedWork) bool { return b.x.now-w.at > s.OverloadSpan })
-	b.coldArrivals = append(b.coldArrivals, arrivedWork{b.x.now, work})
+	b.coldArrivals = slices.DeleteFunc(b.coldArrivals, func(w arrivedWork) bool { return b.sim.now-w.at > s.OverloadSpan })
+	b.coldArrivals = append(b.coldArrivals, arrivedWork{b.sim.now, work})
 	sum := 0.0
 	for _, w := range b.coldArrivals {
 		sum += w.work
@@ -129,7 +129,7 @@
 
 // collapse ends all attempts of an overloaded box. The box stays down until it is restarted.
 func (b *box) collapse() {
-	b.x.logEvent("fall box=%d", b.index)
+	b.sim.logEvent("fall box=%d", b.index)
 	b.collapsed = true
 	b.endAll(decide.Reset)
 }
@@ -147,14 +147,14 @@
 func (b *box) startQueued() {
 	for b.up() {
 		i := slices.IndexFunc(b.queue, func(a *attempt) bool { return b.slotsInUse+a.request.job.slots <= b.kind.Slots })
-		if i < 0 || i > 0 && !b.x.script.Backfill {
+		if i < 0 || i > 0 && !b.sim.script.Backfill {
 			return
 		}
 		a := b.queue[i]
 		b.queue = slices.Delete(b.queue, i, i+1)
 		b.slotsInUse += a.request.job.slots
 		b.active = append(b.active, a)
-		b.x.logEvent("start %d.%d box=%d", a.request.id, a.number, b.index)
+		b.sim.logEvent("start %d.%d box=%d", a.request.id, a.number, b.index)
 		a.sendStarted()
 		b.run(a, float64(a.request.job.work))
 	}
@@ -168,14 +168,14 @@
 	if a.ended {
 		return
 	}
-	x := b.x
-	if wait := b.pausedUntil - x.now; wait > 0 {
-		x.schedule(wait, func() { b.run(a, remaining) })
+	sim := b.sim
+	if wait := b.pausedUntil - sim.now; wait > 0 {
+		sim.schedule(wait, func() { b.run(a, remaining) })
 		return
 	}
 	speed := b.speed()
 	step := min(workStep, Time(remaining/speed)+1)
-	x.schedule(step, func() {
+	sim.schedule(step, func() {
 		if left := remaining - speed*float64(step); left > 0 {
 			b.run(a, left)
 		} else {
@@ -191,35 +191,35 @@
 	a.ended = true
 	b.slotsInUse -= a.request.job.slots
 	b.active = slices.DeleteFunc(b.active, func(v *attempt) bool { return v == a })
-	b.x.logEvent("end %d.%d box=%d", a.request.id, a.number, b.index)
+	b.sim.logEvent("end %d.%d box=%d", a.request.id, a.number, b.index)
 	a.sendOutcome(decide.Served)
 	b.startQueued()
 }
 
 // report returns the load report for a probe. It is refreshed at most every ReportInterval and has random noise.
 func (b *box) report() decide.Report {
-	x := b.x
-	if b.lastReportAt == 0 || x.now-b.lastReportAt >= x.script.ReportInterval {
-		r := x.stream(b.stream)
-		noisy := func(v float64) float64 { return max(0, v*(1+x.script.ReportNoise*r.NormFloat64())) }
+	sim := b.sim
+	if b.lastReportAt == 0 || sim.now-b.lastReportAt >= sim.script.ReportInterval {
+		r := sim.stream(b.stream)
+		noisy := func(v float64) float64 { return max(0, v*(1+sim.script.ReportNoise*r.NormFloat64())) }
 		b.lastReport = decide.Report{Has: decide.HasFreeSlots | decide.HasInFlight | decide.HasUtil,
 			FreeSlots: noisy(float64(b.kind.Slots - b.slotsInUse)), InFlight: noisy(float64(len(b.active) + len(b.queue))),
 			Util: min(1, noisy(float64(b.slotsInUse)/float64(b.kind.Slots)))}
-		if x.script.ReportsQueue {
+		if sim.script.ReportsQueue {
 			b.lastReport.Has |= decide.HasQueue
 			b.lastReport.Queue = noisy(float64(len(b.queue)))
 		}
-		b.lastReportAt = x.now
+		b.lastReportAt = sim.now
 	}
 	return b.lastReport
 }
 
 // restart starts the box again, cold.
 func (b *box) restart() {
-	b.startedAt, b.collapsed = b.x.now, false
+	b.startedAt, b.collapsed = b.sim.now, false
 	b.coldArrivals, b.lastReportAt = nil, 0
-	b.x.logEvent("up box=%d", b.index)
-	b.x.emit(ExternalEvent{Kind: BoxRestarted, Box: b.index})
+	b.sim.logEvent("up box=%d", b.index)
+	b.sim.emit(ExternalEvent{Kind: BoxRestarted, Box: b.index})
 }
 
 // request is one request of a client at a scheduler.
@@ -247,16 +247,16 @@
 
 // sendOutcome reports the outcome to the scheduler after the network delay.
 func (a *attempt) sendOutcome(s decide.Status) {
-	x := a.box.x
-	x.schedule(x.networkDelay(a.box.zone, a.node.zone, a.node.stream), func() { a.receiveOutcome(s) })
+	sim := a.box.sim
+	sim.schedule(sim.networkDelay(a.box.zone, a.node.zone, a.node.stream), func() { a.receiveOutcome(s) })
 }
 
 // sendStarted reports the start of the job to the scheduler after the network delay.
 func (a *attempt) sendStarted() {
-	x := a.box.x
-	x.schedule(x.networkDelay(a.box.zone, a.node.zone, a.node.stream), func() {
+	sim := a.box.sim
+	sim.schedule(sim.networkDelay(a.box.zone, a.node.zone, a.node.stream), func() {
 		if !a.reported && !a.node.crashed {
-			a.node.call(func(d dispatcher) { d.Note(x.now, a.request.id, a.number, decide.NoteStarted, 0) })
+			a.node.call(func(d dispatcher) { d.Note(sim.now, a.request.id, a.number, decide.NoteStarted, 0) })
 		}
 	})
 }
@@ -266,20 +266,20 @@
 	if a.reported || a.node.crashed {
 		return
 	}
-	x, q := a.box.x, a.request
+	sim, q := a.box.sim, a.request
 	a.reported = true
 	q.attemptsOut--
-	x.logEvent("outcome %d.%d %s", q.id, a.number, statusNames[s])
+	sim.logEvent("outcome %d.%d %s", q.id, a.number, statusNames[s])
 	closed := q.answered
 	if s == decide.Served {
 		closed = true
 	}
 	a.node.call(func(d dispatcher) {
-		d.Outcome(x.now, decide.Outcome{Job: q.id, Attempt: a.number, Worker: decide.WorkerID(a.box.index + 1), Status: s, Closed: closed,
-			Latency: x.now - a.sentAt})
+		d.Outcome(sim.now, decide.Outcome{Job: q.id, Attempt: a.number, Worker: decide.WorkerID(a.box.index + 1), Status: s, Closed: closed,
+			Latency: sim.now - a.sentAt})
 	})
 	if s == decide.Served {
-		x.answer(q, "served", 0)
+		sim.answer(q, "served", 0)
 	}
 	a.node.removeIfDone(q)
 }
@@ -288,7 +288,7 @@
 
 // node is a simulated scheduler.
 type node struct {
-	x              *Simulation
+	sim            *Simulation
 	index          int
 	zone           int
 	dispatcher     dispatcher
@@ -304,23 +304,23 @@
 }
 
 func (x *Simulation) addNode(i int) (*node, error) {
-	n := &node{x: x, index: i, zone: i % len(x.script.Zones), stream: fmt.Sprint("node ", i)}
+	n := &node{sim: x, index: i, zone: i % len(x.script.Zones), stream: fmt.Sprint("node ", i)}
 	return n, n.reset()
 }
 
 // reset creates a new dispatcher without any requests.
 func (n *node) reset() error {
-	s := n.x.script.Settings(n.zone)
+	s := n.sim.script.Settings(n.zone)
 	n.requests, n.pendingActions = map[uint32]*request{}, nil
 	n.generation++
 	var err error
-	n.dispatcher, err = n.x.newDispatcher(n, s, n.x.stream(n.stream).Uint64())
+	n.dispatcher, err = n.sim.newDispatcher(n, s, n.sim.stream(n.stream).Uint64())
 	return err
 }
 
 // announceCached announces the list service's present list, as a cached one, to the dispatcher.
 func (n *node) announceCached() {
-	n.call(func(d dispatcher) { d.Announce(n.x.now, decide.ListCached, n.x.workerList) })
+	n.call(func(d dispatcher) { d.Announce(n.sim.now, decide.ListCached, n.sim.workerList) })
 }
 
 // call calls the dispatcher and then carries out the actions that it requested, in order. A call made during another
@@ -349,48 +349,48 @@
 
 // announceLate announces changes of the worker list after a delay.
 func (n *node) announceLate(list []decide.Worker, delay Time) {
-	n.x.schedule(delay, func() {
+	n.sim.schedule(delay, func() {
 		if n.crashed {
 			return
 		}
 		for _, w := range list {
-			n.x.logEvent("told node=%d box=%d state=%d", n.index, w.ID-1, w.State)
+			n.sim.logEvent("told node=%d box=%d state=%d", n.index, w.ID-1, w.State)
 		}
-		n.call(func(d dispatcher) { d.Announce(n.x.now, decide.ListDelta, list) })
+		n.call(func(d dispatcher) { d.Announce(n.sim.now, decide.ListDelta, list) })
 	})
 }
 
 // actions implements decide.Actions for a node.
-type actions struct{ n *node }
+type actions struct{ node *node }
 
 // enqueue defers an action until the present call of the dispatcher returns.
-func (a actions) enqueue(f func()) { a.n.pendingActions = append(a.n.pendingActions, f) }
+func (a actions) enqueue(f func()) { a.node.pendingActions = append(a.node.pendingActions, f) }
 
 func (a actions) Push(id uint32, w decide.WorkerID, timeout Time) {
 	a.enqueue(func() {
-		n, x := a.n, a.n.x
-		q := n.requests[id]
-		if q == nil {
+		node, sim := a.node, a.node.sim
+		request := node.requests[id]
+		if request == nil {
 			return
 		}
-		attempt := &attempt{request: q, number: len(q.attempts), box: x.boxes[w-1], node: n, sentAt: x.now}
-		q.attempts = append(q.attempts, attempt)
-		q.attemptsOut++
-		q.job.pushes++
-		n.pushes++
-		if attempt.box.zone != n.zone {
-			n.cross++
+		attempt := &attempt{request: request, number: len(request.attempts), box: sim.boxes[w-1], node: node, sentAt: sim.now}
+		request.attempts = append(request.attempts, attempt)
+		request.attemptsOut++
+		request.job.pushes++
+		node.pushes++
+		if attempt.box.zone != node.zone {
+			node.cross++
 		}
-		x.logEvent("push %d.%d node=%d box=%d", id, attempt.number, n.index, attempt.box.index)
-		x.schedule(timeout, func() {
+		sim.logEvent("push %d.%d node=%d box=%d", id, attempt.number, node.index, attempt.box.index)
+		sim.schedule(timeout, func() {
 			if !attempt.reported {
 				attempt.receiveOutcome(decide.TimedOut)
 				attempt.box.cancel(attempt)
 			}
 		})
-		attempt.box.slotsInTransit += q.job.slots
-		x.schedule(x.networkDelay(n.zone, attempt.box.zone, n.stream), func() {
-			attempt.box.slotsInTransit -= q.job.slots
+		attempt.box.slotsInTransit += request.job.slots
+		sim.schedule(sim.networkDelay(node.zone, attempt.box.zone, node.stream), func() {
+			attempt.box.slotsInTransit -= request.job.slots
 			attempt.box.receive(attempt)
 		})
 	})
@@ -398,32 +398,32 @@
 
 func (a actions) Probe(w decide.WorkerID) {
 	a.enqueue(func() {
-		n, x, generation := a.n, a.n.x, a.n.generation
-		b, sent := x.boxes[w-1], x.now
-		n.probes++
+		node, sim, generation := a.node, a.node.sim, a.node.generation
+		b, sent := sim.boxes[w-1], sim.now
+		node.probes++
 		finished := false
 		finish := func(s decide.Status, r decide.Report) {
-			if !finished && n.generation == generation && !n.crashed {
+			if !finished && node.generation == generation && !node.crashed {
 				finished = true
-				n.call(func(d dispatcher) { d.ProbeResult(x.now, w, s, x.now-sent, r) })
+				node.call(func(d dispatcher) { d.ProbeResult(sim.now, w, s, sim.now-sent, r) })
 			}
 		}
-		x.schedule(x.script.ProbeTimeout, func() { finish(decide.TimedOut, decide.Report{}) })
-		x.schedule(x.networkDelay(n.zone, b.zone, n.stream), func() {
+		sim.schedule(sim.script.ProbeTimeout, func() { finish(decide.TimedOut, decide.Report{}) })
+		sim.schedule(sim.networkDelay(node.zone, b.zone, node.stream), func() {
 			switch {
 			case b.stops > 0 || b.collapsed:
-				x.schedule(x.networkDelay(b.zone, n.zone, n.stream), func() { finish(decide.ConnectFailed, decide.Report{}) })
+				sim.schedule(sim.networkDelay(b.zone, node.zone, node.stream), func() { finish(decide.ConnectFailed, decide.Report{}) })
 			case b.silences > 0:
 			default:
-				wait := max(0, b.pausedUntil-x.now)
-				if x.script.ProbeWork > 0 {
-					wait += Time(float64(x.script.ProbeWork) / b.speed())
+				wait := max(0, b.pausedUntil-sim.now)
+				if sim.script.ProbeWork > 0 {
+					wait += Time(float64(sim.script.ProbeWork) / b.speed())
 				} else {
 					for _, f := range b.slowdowns {
 						wait += Time(f * 1000) // a slowed box also answers probes late
 					}
 				}
-				x.schedule(wait+x.networkDelay(b.zone, n.zone, n.stream), func() { finish(decide.Served, b.report()) })
+				sim.schedule(wait+sim.networkDelay(b.zone, node.zone, node.stream), func() { finish(decide.Served, b.report()) })
 			}
 		})
 	})
@@ -431,39 +431,39 @@
 
 func (a actions) Cancel(id uint32, i int) {
 	a.enqueue(func() {
-		q := a.n.requests[id]
+		q := a.node.requests[id]
 		if q == nil || i >= len(q.attempts) || q.attempts[i].reported {
 			return
 		}
 		attempt := q.attempts[i]
 		attempt.receiveOutcome(decide.Cancelled)
-		x := a.n.x
-		x.schedule(x.networkDelay(a.n.zone, attempt.box.zone, a.n.stream), func() { attempt.box.cancel(attempt) })
+		sim := a.node.sim
+		sim.schedule(sim.networkDelay(a.node.zone, attempt.box.zone, a.node.stream), func() { attempt.box.cancel(attempt) })
 	})
 }
 
 func (a actions) Refuse(id uint32, after Time) {
 	a.enqueue(func() {
-		if q := a.n.requests[id]; q != nil {
-			a.n.x.answer(q, "refused", after)
+		if q := a.node.requests[id]; q != nil {
+			a.node.sim.answer(q, "refused", after)
 		}
 	})
 }
 
 func (a actions) Fail(id uint32) {
 	a.enqueue(func() {
-		if q := a.n.requests[id]; q != nil {
-			a.n.x.answer(q, "failed", 0)
+		if q := a.node.requests[id]; q != nil {
+			a.node.sim.answer(q, "failed", 0)
 		}
 	})
 }
 
 func (a actions) Wake(after Time, token uint64) {
-	n, generation := a.n, a.n.generation
+	n, generation := a.node, a.node.generation
 	a.enqueue(func() {
-		n.x.schedule(max(after, 1), func() {
+		n.sim.schedule(max(after, 1), func() {
 			if n.generation == generation && !n.crashed {
-				n.call(func(d dispatcher) { d.Wake(n.x.now, token) })
+				n.call(func(d dispatcher) { d.Wake(n.sim.now, token) })
 			}
 		})
 	})
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -31,7 +31,7 @@
 	case "", "module":
 		return decide.New(s, seed, actions{n})
 	case "random", "round_robin", "least_outstanding", "oracle":
-		return &baseline{x: x, s: s, act: actions{n}, rng: rand.New(rand.NewPCG(seed, 1)), ready: map[decide.WorkerID]bool{},
+		return &baseline{sim: x, settings: s, act: actions{n}, rng: rand.New(rand.NewPCG(seed, 1)), ready: map[decide.WorkerID]bool{},
 			outstanding: map[decide.WorkerID]int{}, jobs: map[uint32]*baselineJob{}}, nil
 	}
 	return nil, fmt.Errorf("no policy %q", x.Policy)
@@ -46,8 +46,8 @@
 
 // baseline implements the policies other than module.
 type baseline struct {
-	x            *Simulation
-	s            decide.Settings
+	sim          *Simulation
+	settings     decide.Settings
 	act          decide.Actions
 	rng          *rand.Rand
 	arrivalOrder []decide.WorkerID // boxes in the order in which they were first announced
@@ -75,21 +75,21 @@
 func (p *baseline) Arrive(now Time, in decide.Job) {
 	j := &baselineJob{Job: in}
 	p.jobs[in.ID] = j
-	p.act.Wake(in.GiveUpAt-now-2*p.s.Tick, uint64(in.ID))
+	p.act.Wake(in.GiveUpAt-now-2*p.settings.Tick, uint64(in.ID))
 	p.pushNext(now, j)
 }
 
 // pushNext pushes a job to a box, or ends it if no box, attempt or time is left.
 func (p *baseline) pushNext(now Time, j *baselineJob) {
 	w, ok := p.pick()
-	if !ok || j.attempts >= p.s.MaxAttempts || now >= j.GiveUpAt-4*p.s.Tick {
+	if !ok || j.attempts >= p.settings.MaxAttempts || now >= j.GiveUpAt-4*p.settings.Tick {
 		p.finish(j, true)
 		return
 	}
 	j.attempts++
 	j.worker = w
 	p.outstanding[w]++
-	p.act.Push(j.ID, w, min(baselineTimeout, j.GiveUpAt-now-p.s.Tick))
+	p.act.Push(j.ID, w, min(baselineTimeout, j.GiveUpAt-now-p.settings.Tick))
 }
 
 // pick selects a ready box by the policy.
@@ -105,7 +105,7 @@
 	}
 	p.picks++
 	best := ready[p.rng.IntN(len(ready))] // ties are broken at random
-	switch p.x.Policy {
+	switch p.sim.Policy {
 	case "round_robin":
 		best = ready[p.picks%len(ready)]
 	case "least_outstanding":
@@ -116,7 +116,7 @@
 		}
 	case "oracle":
 		load := func(w decide.WorkerID) float64 {
-			b := p.x.boxes[w-1]
+			b := p.sim.boxes[w-1]
 			if !b.up() {
 				return 1e9
 			}
@@ -145,10 +145,10 @@
 	switch {
 	case o.Closed:
 		delete(p.jobs, o.Job)
-	case o.Status.NeverRan() || p.s.Classes[j.Class].Effect == decide.Safe && o.Status != decide.TimedOut:
+	case o.Status.NeverRan() || p.settings.Classes[j.Class].Effect == decide.Safe && o.Status != decide.TimedOut:
 		p.pushNext(now, j)
 	default:
-		p.finish(j, p.s.Classes[j.Class].Effect == decide.Safe)
+		p.finish(j, p.settings.Classes[j.Class].Effect == decide.Safe)
 	}
 }
 
@@ -156,7 +156,7 @@
 func (p *baseline) finish(j *baselineJob, harmless bool) {
 	delete(p.jobs, j.ID)
 	if harmless {
-		p.act.Refuse(j.ID, p.s.MaxRetryAfter)
+		p.act.Refuse(j.ID, p.settings.MaxRetryAfter)
 	} else {
 		p.act.Fail(j.ID)
 	}
@@ -166,7 +166,7 @@
 func (p *baseline) Wake(_ Time, token uint64) {
 	if j := p.jobs[uint32(token)]; j != nil {
 		p.outstanding[j.worker]--
-		p.finish(j, p.s.Classes[j.Class].Effect == decide.Safe)
+		p.finish(j, p.settings.Classes[j.Class].Effect == decide.Safe)
 		p.act.Cancel(j.ID, j.attempts-1)
 	}
 }
--- a/internal/emulator/script.go
+++ b/internal/emulator/script.go
@@ -143,54 +143,54 @@
 	if !r.Valid() {
 		return nil, r.Err()
 	}
-	s := &Script{Duration: minute, Schedulers: 5, Rate: 26, Curve: []float64{1}, RetryWait: 50 * ms, SameZoneDelay: 200, CrossZoneDelay: 6 * ms, Jitter: 0.2,
+	script := &Script{Duration: minute, Schedulers: 5, Rate: 26, Curve: []float64{1}, RetryWait: 50 * ms, SameZoneDelay: 200, CrossZoneDelay: 6 * ms, Jitter: 0.2,
 		ListDelay: 1e6, ReportInterval: 60 * ms, ReportNoise: 0.1, ProbeTimeout: 500 * ms, ColdFrom: 0.3, ColdSpan: 8.6e6, OverloadMultiple: 4, OverloadSpan: 1500 * ms,
 		DrainGrace: 300 * ms, Zones: []string{"here"}, MaxAttempts: 4}
 	if blocks.World != nil {
 		zones, curve := "", ""
 		var choices [6]string
-		r.Fields(blocks.World.Body, config.Field{Name: "for", Unit: config.Span, Min: 1e6, Max: 60 * minute, To: &s.Duration},
+		r.Fields(blocks.World.Body, config.Field{Name: "for", Unit: config.Span, Min: 1e6, Max: 60 * minute, To: &script.Duration},
 			config.Field{Name: "zones", Unit: config.Word, To: &zones}, config.Field{Name: "curve", Unit: config.Word, To: &curve},
-			config.Field{Name: "schedulers", Unit: config.Count, Min: 1, Max: 5000, To: &s.Schedulers},
-			config.Field{Name: "rate", Unit: config.Number, Min: 0.01, Max: 1e6, To: &s.Rate},
-			config.Field{Name: "retries", Unit: config.Count, Min: 0, Max: 10, To: &s.Retries},
-			config.Field{Name: "retry_wait", Unit: config.Span, Min: ms, Max: minute, To: &s.RetryWait},
-			config.Field{Name: "same", Unit: config.Span, Min: 1, Max: 1e6, To: &s.SameZoneDelay},
-			config.Field{Name: "cross", Unit: config.Span, Min: 1, Max: 1e6, To: &s.CrossZoneDelay},
-			config.Field{Name: "jitter", Unit: config.Number, Min: 0, Max: 10, To: &s.Jitter},
-			config.Field{Name: "notice", Unit: config.Span, Min: 0, Max: minute, To: &s.ListDelay},
-			config.Field{Name: "refresh", Unit: config.Span, Min: 0, Max: minute, To: &s.ReportInterval},
-			config.Field{Name: "noise", Unit: config.Number, Min: 0, Max: 1, To: &s.ReportNoise},
-			config.Field{Name: "attempts", Unit: config.Count, Min: 1, Max: 100, To: &s.MaxAttempts},
-			config.Field{Name: "drain_grace", Unit: config.Span, Min: 0, Max: minute, To: &s.DrainGrace},
-			config.Field{Name: "probe_work", Unit: config.Span, Min: 0, Max: 1e6, To: &s.ProbeWork},
+			config.Field{Name: "schedulers", Unit: config.Count, Min: 1, Max: 5000, To: &script.Schedulers},
+			config.Field{Name: "rate", Unit: config.Number, Min: 0.01, Max: 1e6, To: &script.Rate},
+			config.Field{Name: "retries", Unit: config.Count, Min: 0, Max: 10, To: &script.Retries},
+			config.Field{Name: "retry_wait", Unit: config.Span, Min: ms, Max: minute, To: &script.RetryWait},
+			config.Field{Name: "same", Unit: config.Span, Min: 1, Max: 1e6, To: &script.SameZoneDelay},
+			config.Field{Name: "cross", Unit: config.Span, Min: 1, Max: 1e6, To: &script.CrossZoneDelay},
+			config.Field{Name: "jitter", Unit: config.Number, Min: 0, Max: 10, To: &script.Jitter},
+			config.Field{Name: "notice", Unit: config.Span, Min: 0, Max: minute, To: &script.ListDelay},
+			config.Field{Name: "refresh", Unit: config.Span, Min: 0, Max: minute, To: &script.ReportInterval},
+			config.Field{Name: "noise", Unit: config.Number, Min: 0, Max: 1, To: &script.ReportNoise},
+			config.Field{Name: "attempts", Unit: config.Count, Min: 1, Max: 100, To: &script.MaxAttempts},
+			config.Field{Name: "drain_grace", Unit: config.Span, Min: 0, Max: minute, To: &script.DrainGrace},
+			config.Field{Name: "probe_work", Unit: config.Span, Min: 0, Max: 1e6, To: &script.ProbeWork},
 			config.Field{Name: "worth_by", Unit: config.Word, To: &choices[0]}, config.Field{Name: "hints", Unit: config.Word, To: &choices[1]},
 			config.Field{Name: "order", Unit: config.Word, To: &choices[2]}, config.Field{Name: "reports", Unit: config.Word, To: &choices[3]},
 			config.Field{Name: "cancels", Unit: config.Word, To: &choices[4]}, config.Field{Name: "copies", Unit: config.Word, To: &choices[5]},
-			config.Field{Name: "cold", Unit: config.Number, Min: 0.01, Max: 1, To: &s.ColdFrom},
-			config.Field{Name: "warms", Unit: config.Span, Min: 0, Max: 10 * minute, To: &s.ColdSpan})
+			config.Field{Name: "cold", Unit: config.Number, Min: 0.01, Max: 1, To: &script.ColdFrom},
+			config.Field{Name: "warms", Unit: config.Span, Min: 0, Max: 10 * minute, To: &script.ColdSpan})
 		for i, choice := range []struct {
 			name, usual, other string
 			to                 *bool
-		}{{"worth_by", "work", "request", &s.WorthPerJob}, {"hints", "good", "none", &s.OmitHints}, {"order", "fifo", "backfill", &s.Backfill},
-			{"reports", "slots", "queue", &s.ReportsQueue}, {"cancels", "queued", "all", &s.CancelsRunning}, {"copies", "one", "two", &s.SecondCopies}} {
+		}{{"worth_by", "work", "request", &script.WorthPerJob}, {"hints", "good", "none", &script.OmitHints}, {"order", "fifo", "backfill", &script.Backfill},
+			{"reports", "slots", "queue", &script.ReportsQueue}, {"cancels", "queued", "all", &script.CancelsRunning}, {"copies", "one", "two", &script.SecondCopies}} {
 			if choices[i] != "" && choices[i] != choice.usual && choices[i] != choice.other {
 				r.AddError(blocks.World.Body, "%s: allowed is %q or %q", choice.name, choice.usual, choice.other)
 			}
 			*choice.to = choices[i] == choice.other
 		}
 		if zones != "" {
-			s.Zones = strings.Fields(zones)
+			script.Zones = strings.Fields(zones)
 		}
 		for _, word := range strings.Fields(curve) {
 			v, ok := parseNumber(word)
 			if !ok {
 				r.AddError(blocks.World.Body, "curve: %q is not a number from 0 to 100; separate numbers by spaces", word)
 			}
-			s.Curve = append(s.Curve, v)
+			script.Curve = append(script.Curve, v)
 		}
 		if curve != "" {
-			s.Curve = s.Curve[1:]
+			script.Curve = script.Curve[1:]
 		}
 	}
 	for _, b := range blocks.Boxes {
@@ -199,15 +199,15 @@
 			config.Field{Name: "slots", Unit: config.Count, Min: 1, Max: 1024, To: &kind.Slots},
 			config.Field{Name: "queue", Unit: config.Count, Min: 0, Max: 100000, To: &kind.Queue},
 			config.Field{Name: "speed", Unit: config.Number, Min: 0.001, Max: 1000, To: &kind.Speed})
-		s.Boxes = append(s.Boxes, kind)
+		script.Boxes = append(script.Boxes, kind)
 	}
-	s.readClasses(r, blocks.Classes)
-	s.readTroubles(r, blocks.Troubles)
-	if len(s.Boxes) == 0 || len(s.Classes) == 0 {
+	script.readClasses(r, blocks.Classes)
+	script.readTroubles(r, blocks.Troubles)
+	if len(script.Boxes) == 0 || len(script.Classes) == 0 {
 		body := hcl.EmptyBody()
 		r.AddError(body, "a script needs at least one box block and one class block")
 	}
-	return s, r.Err()
+	return script, r.Err()
 }
 
 func (s *Script) readClasses(r *config.Reader, list []*labeledBlock) {
--- a/internal/emulator/trouble.go
+++ b/internal/emulator/trouble.go
@@ -151,13 +151,13 @@
 func (b *box) vanish() {
 	b.silences++
 	if b.silences == 1 {
-		b.x.logEvent("silent box=%d", b.index)
-		b.x.emit(ExternalEvent{Kind: BoxSilent, Box: b.index})
+		b.sim.logEvent("silent box=%d", b.index)
+		b.sim.emit(ExternalEvent{Kind: BoxSilent, Box: b.index})
 		for _, a := range append(slices.Clone(b.active), b.queue...) {
 			a.ended, a.lost = true, true
 		}
 		b.active, b.queue, b.slotsInUse = nil, nil, 0
-		b.x.updateList(b, decide.Gone)
+		b.sim.updateList(b, decide.Gone)
 	}
 }
 
@@ -165,7 +165,7 @@
 func (b *box) reappear() {
 	if b.silences--; b.silences == 0 && b.stops == 0 {
 		b.restart()
-		b.x.updateList(b, decide.Ready)
+		b.sim.updateList(b, decide.Ready)
 	}
 }
 
@@ -175,14 +175,14 @@
 	for _, t := range b.slowdowns {
 		times *= t
 	}
-	b.x.emit(ExternalEvent{Kind: BoxSlowed, Box: b.index, Slowdown: times})
+	b.sim.emit(ExternalEvent{Kind: BoxSlowed, Box: b.index, Slowdown: times})
 }
 
 // pauseRepeatedly pauses a box at random intervals until the trouble ends.
 func (b *box) pauseRepeatedly(t *Trouble, name string) {
-	b.x.schedule(Time(b.x.stream(name).Float64()*float64(t.Every)), func() {
-		if b.x.now-b.x.startTime < t.To {
-			b.pausedUntil = b.x.now + t.Pause
+	b.sim.schedule(Time(b.sim.stream(name).Float64()*float64(t.Every)), func() {
+		if b.sim.now-b.sim.startTime < t.To {
+			b.pausedUntil = b.sim.now + t.Pause
 			b.pauseRepeatedly(t, name)
 		}
 	})
@@ -203,22 +203,22 @@
 
 // restartRepeatedly stops and starts a box in turn until the trouble ends.
 func (b *box) restartRepeatedly(t *Trouble) {
-	if b.x.now-b.x.startTime >= t.To {
+	if b.sim.now-b.sim.startTime >= t.To {
 		return
 	}
-	b.stopFor(t.Every/2, func() { b.x.schedule(t.Every/2, func() { b.restartRepeatedly(t) }) })
+	b.stopFor(t.Every/2, func() { b.sim.schedule(t.Every/2, func() { b.restartRepeatedly(t) }) })
 }
 
 // stopFor stops a box's process for a time, starts it again and calls next.
 func (b *box) stopFor(span Time, next func()) {
 	b.stops++
-	b.x.emit(ExternalEvent{Kind: BoxStopped, Box: b.index})
+	b.sim.emit(ExternalEvent{Kind: BoxStopped, Box: b.index})
 	b.endAll(decide.Reset)
-	b.x.updateList(b, decide.Gone)
-	b.x.schedule(span, func() {
+	b.sim.updateList(b, decide.Gone)
+	b.sim.schedule(span, func() {
 		if b.stops--; b.stops == 0 && b.silences == 0 {
 			b.restart()
-			b.x.updateList(b, decide.Ready)
+			b.sim.updateList(b, decide.Ready)
 		}
 		next()
 	})
@@ -265,7 +265,7 @@
 
 // crash ends a scheduler. Its open requests end as crashed, as when the clients' connections break.
 func (n *node) crash() {
-	n.x.logEvent("node_down node=%d", n.index)
+	n.sim.logEvent("node_down node=%d", n.index)
 	n.crashed = true
 	var open []*request
 	for _, q := range n.requests {
@@ -275,7 +275,7 @@
 	}
 	slices.SortFunc(open, func(a, b *request) int { return int(a.id) - int(b.id) })
 	for _, q := range open {
-		n.x.answer(q, "crashed", 0)
+		n.sim.answer(q, "crashed", 0)
 	}
 }
 
@@ -285,6 +285,6 @@
 	if err := n.reset(); err != nil {
 		panic(err) // cannot happen: the same settings were valid before
 	}
-	n.x.logEvent("node_up node=%d", n.index)
+	n.sim.logEvent("node_up node=%d", n.index)
 	n.announceCached()
 }
