--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -112,11 +112,11 @@
 	defer links.Inject(Fault{Cut: true}, anyDirection)()
 	_, err = c.Read(b)
 	assert.Error(t, err)
-	d, err := net.Dial("tcp", relay.Addr())
+	second, err := net.Dial("tcp", relay.Addr())
 	if err == nil {
-		d.SetReadDeadline(time.Now().Add(waitTimeout))
-		_, err = d.Read(b)
-		d.Close()
+		second.SetReadDeadline(time.Now().Add(waitTimeout))
+		_, err = second.Read(b)
+		second.Close()
 	}
 	assert.Error(t, err)
 }
@@ -139,7 +139,7 @@
 	received := make(chan string, 1000)
 	var members []*fleet.Link
 	for _, name := range []string{"a", "b"} {
-		l, err := fleet.Start(fleet.Config{Fleet: "f", Name: name, Bind: binds[name], Join: []string{binds["a"]}, Relay: hub.Addr(), MaxMembers: 2,
+		link, err := fleet.Start(fleet.Config{Fleet: "f", Name: name, Bind: binds[name], Join: []string{binds["a"]}, Relay: hub.Addr(), MaxMembers: 2,
 			OnMessage: func(from string, data []byte) bool {
 				select {
 				case received <- from + string(data):
@@ -148,8 +148,8 @@
 				return false
 			}})
 		require.NoError(t, err)
-		defer l.Stop()
-		members = append(members, l)
+		defer link.Stop()
+		members = append(members, link)
 	}
 	a, b := members[0], members[1]
 	require.Eventually(t, func() bool { return len(a.Members()) == 2 && len(b.Members()) == 2 }, waitTimeout, 10*time.Millisecond)
@@ -266,18 +266,18 @@
 // drops further events and counts them.
 func TestProcess(t *testing.T) {
 	log := NewLog(100)
-	p := &Process{Name: "p", Path: "/bin/sh", Args: []string{"-c", "echo here >&2; exec sleep 600"}, Dir: filepath.Join(t.TempDir(), "d")}
-	require.NoError(t, p.Start(log))
-	assert.Error(t, p.Start(log), "already running")
-	s := &Script{Troubles: []Trouble{{Kind: "stall", Targets: []string{"p"}, To: 20 * time.Millisecond},
+	process := &Process{Name: "p", Path: "/bin/sh", Args: []string{"-c", "echo here >&2; exec sleep 600"}, Dir: filepath.Join(t.TempDir(), "d")}
+	require.NoError(t, process.Start(log))
+	assert.Error(t, process.Start(log), "already running")
+	script := &Script{Troubles: []Trouble{{Kind: "stall", Targets: []string{"p"}, To: 20 * time.Millisecond},
 		{Kind: "kill", Targets: []string{"p"}, From: 50 * time.Millisecond, To: 70 * time.Millisecond}}}
-	require.NoError(t, s.Play(context.Background(), 1, []*Process{p}, NewLinks(1), log))
-	assert.True(t, p.Running())
-	assert.NoDirExists(t, filepath.Join(p.Dir, "x"))
-	p.Stop(waitTimeout)
-	assert.False(t, p.Running())
-	assert.Error(t, p.Signal(0))
-	p.Kill() // does nothing, as the process is not running
+	require.NoError(t, script.Play(context.Background(), 1, []*Process{process}, NewLinks(1), log))
+	assert.True(t, process.Running())
+	assert.NoDirExists(t, filepath.Join(process.Dir, "x"))
+	process.Stop(waitTimeout)
+	assert.False(t, process.Running())
+	assert.Error(t, process.Signal(0))
+	process.Kill() // does nothing, as the process is not running
 	events, dropped := log.Events()
 	assert.Zero(t, dropped)
 	var kinds []string
--- a/internal/faults/links.go
+++ b/internal/faults/links.go
@@ -108,26 +108,26 @@
 	key := [2]string{from, to}
 	rng, c := l.rngs[key], l.trafficOf(key)
 	if rng == nil {
-		h := fnv.New64a()
-		h.Write([]byte(from + ">" + to))
-		rng = rand.New(rand.NewPCG(l.seed, h.Sum64()))
+		hash := fnv.New64a()
+		hash.Write([]byte(from + ">" + to))
+		rng = rand.New(rand.NewPCG(l.seed, hash.Sum64()))
 		l.rngs[key] = rng
 	}
 	lost, duplicated, held, jitter := rng.Float64(), rng.Float64(), rng.Float64(), rng.Float64()
-	f := l.faultOn(from, to)
+	fault := l.faultOn(from, to)
 	c.Datagrams++
 	c.Bytes += int64(bytes)
-	if f.Cut || f.Blackhole || lost < f.Loss {
+	if fault.Cut || fault.Blackhole || lost < fault.Loss {
 		c.Lost++
 		return nil
 	}
-	delay := f.Delay + time.Duration(jitter*float64(f.Jitter))
-	if held < f.Reorder {
-		delay += f.ReorderDelay
+	delay := fault.Delay + time.Duration(jitter*float64(fault.Jitter))
+	if held < fault.Reorder {
+		delay += fault.ReorderDelay
 	}
 	delays = append(delays, delay)
-	if duplicated < f.Duplicate {
-		delays = append(delays, delay+f.Jitter)
+	if duplicated < fault.Duplicate {
+		delays = append(delays, delay+fault.Jitter)
 	}
 	return delays
 }
--- a/internal/faults/relay.go
+++ b/internal/faults/relay.go
@@ -96,13 +96,13 @@
 // from and to name the two processes.
 func (r *relay) forward(client net.Conn, from string, toAddr, to string) {
 	for { // no connection is established over a link that is blackholed in either direction
-		f, changed := r.links.FaultOn(from, to)
+		fault, changed := r.links.FaultOn(from, to)
 		reverse, _ := r.links.FaultOn(to, from)
-		if f.Cut || reverse.Cut {
+		if fault.Cut || reverse.Cut {
 			reset(client)
 			return
 		}
-		if !f.Blackhole && !reverse.Blackhole {
+		if !fault.Blackhole && !reverse.Blackhole {
 			break
 		}
 		select {
@@ -137,8 +137,8 @@
 	tasks.Go(func() { r.copyDirection(server, client, to, from, done, end) })
 	tasks.Go(func() { // a cut takes effect at once, also on idle connections
 		for {
-			f, changed := r.links.FaultOn(from, to)
-			if reverse, _ := r.links.FaultOn(to, from); f.Cut || reverse.Cut {
+			fault, changed := r.links.FaultOn(from, to)
+			if reverse, _ := r.links.FaultOn(to, from); fault.Cut || reverse.Cut {
 				end(true)
 				return
 			}
@@ -162,9 +162,9 @@
 	for {
 		n, err := from.Read(buf)
 		for n > 0 {
-			f, changed := r.links.FaultOn(sender, receiver)
-			if !f.Blackhole {
-				if f.Delay > 0 && !sleep(f.Delay, done) {
+			fault, changed := r.links.FaultOn(sender, receiver)
+			if !fault.Blackhole {
+				if fault.Delay > 0 && !sleep(fault.Delay, done) {
 					return
 				}
 				break
@@ -229,10 +229,10 @@
 		return nil, err
 	}
 	udp.SetReadBuffer(4 << 20)
-	h := &Hub{relay: relay{links: links, tcp: tcp, stop: make(chan struct{}), conns: map[net.Conn]struct{}{}}, udp: udp, names: names,
+	hub := &Hub{relay: relay{links: links, tcp: tcp, stop: make(chan struct{}), conns: map[net.Conn]struct{}{}}, udp: udp, names: names,
 		delayed: make(chan struct{}, maxDelayedDatagrams)}
-	h.goroutines.Go(func() {
-		h.accept(func(c net.Conn) {
+	hub.goroutines.Go(func() {
+		hub.accept(func(c net.Conn) {
 			c.SetReadDeadline(time.Now().Add(ioTimeout))
 			to, from, err := fleet.ReadRelayHeader(c)
 			if err != nil || names[to] == "" {
@@ -240,11 +240,11 @@
 				return
 			}
 			c.SetReadDeadline(time.Time{})
-			h.forward(c, names[from], to, names[to])
+			hub.forward(c, names[from], to, names[to])
 		})
 	})
-	h.goroutines.Go(h.forwardDatagrams)
-	return h, nil
+	hub.goroutines.Go(hub.forwardDatagrams)
+	return hub, nil
 }
 
 // Addr returns the address that the members name as via.
--- a/internal/faults/script.go
+++ b/internal/faults/script.go
@@ -67,7 +67,7 @@
 	if !r.Valid() {
 		return nil, r.Err()
 	}
-	s := &Script{}
+	script := &Script{}
 	for _, b := range blocks.Troubles {
 		t := Trouble{Kind: b.Name, Fraction: 0.2, Direction: "both", KeepDir: true}
 		settings, ok := troubleSettings[b.Name]
@@ -108,9 +108,9 @@
 		t.Fault.ReorderDelay, t.Fault.Delay, t.Fault.Jitter = span(cmp.Or(hold, 50e3)), span(delay), span(jitter)
 		t.Targets, t.Peers = strings.Fields(who), strings.Fields(toward)
 		t.Fault.Cut, t.Fault.Blackhole = b.Name == "cut", b.Name == "silence" || b.Name == "split"
-		s.Troubles = append(s.Troubles, t)
+		script.Troubles = append(script.Troubles, t)
 	}
-	return s, r.Err()
+	return script, r.Err()
 }
 
 // End returns the time at which the last trouble ends.
@@ -167,9 +167,9 @@
 				return
 			}
 			log.Add("script", "trouble", float64(i+1), t.Kind+" "+strings.Join(targets[i], " "))
-			if e := t.play(ctx, targets[i], byName, links, log); e != nil {
+			if playErr := t.play(ctx, targets[i], byName, links, log); playErr != nil {
 				mu.Lock()
-				err = cmp.Or(err, e)
+				err = cmp.Or(err, playErr)
 				mu.Unlock()
 			}
 			log.Add("script", "over", float64(i+1), t.Kind)
@@ -205,9 +205,9 @@
 		each(restart)
 	case "rolling":
 		for _, name := range targets {
-			p := byName[name]
-			p.Stop(10 * time.Second)
-			err = cmp.Or(err, restart(p))
+			process := byName[name]
+			process.Stop(10 * time.Second)
+			err = cmp.Or(err, restart(process))
 			if !sleep(t.Every, ctx.Done()) {
 				break
 			}
