--- a/cmd/weldscale/config.go
+++ b/cmd/weldscale/config.go
@@ -174,31 +174,31 @@
 // separatorReplacer replaces the separators of the simulator's settings.
 var separatorReplacer = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
 
-// flattenInto adds v to out under path. A list of objects becomes numbered paths and a count, any other list one value.
-func flattenInto(out map[string]string, path string, v any) {
-	switch v := v.(type) {
+// flattenInto adds a value to out under path. A list of objects becomes numbered paths and a count, any other list one value.
+func flattenInto(out map[string]string, path string, value any) {
+	switch value := value.(type) {
 	case map[string]any:
 		if path != "" {
 			path += "."
 		}
-		for key, item := range v {
+		for key, item := range value {
 			flattenInto(out, path+key, item)
 		}
 	case []any:
-		if slices.ContainsFunc(v, func(item any) bool { _, ok := item.(map[string]any); return ok }) {
-			out[path+".count"] = strconv.Itoa(len(v))
-			for i, item := range v {
+		if slices.ContainsFunc(value, func(item any) bool { _, ok := item.(map[string]any); return ok }) {
+			out[path+".count"] = strconv.Itoa(len(value))
+			for i, item := range value {
 				flattenInto(out, path+"."+strconv.Itoa(i), item)
 			}
 			return
 		}
-		words := make([]string, len(v))
-		for i, item := range v {
+		words := make([]string, len(value))
+		for i, item := range value {
 			words[i] = scalar(item)
 		}
 		out[path] = strings.Join(words, ",")
 	default:
-		out[path] = scalar(v)
+		out[path] = scalar(value)
 	}
 }
 
--- a/cmd/weldscale/config_test.go
+++ b/cmd/weldscale/config_test.go
@@ -104,15 +104,15 @@
 		assert.Positive(t, e.LongestDeadline(), "%s: %v", name, value)
 	}
 	var walk func(path string, v any, set func(any), remove func())
-	walk = func(path string, v any, set func(any), remove func()) {
-		switch v := v.(type) {
+	walk = func(path string, value any, set func(any), remove func()) {
+		switch value := value.(type) {
 		case map[string]any:
-			for key, item := range maps.Clone(v) {
-				walk(path+"."+key, item, func(x any) { v[key] = x }, func() { delete(v, key) })
+			for key, item := range maps.Clone(value) {
+				walk(path+"."+key, item, func(x any) { value[key] = x }, func() { delete(value, key) })
 			}
 		case []any:
-			for i, item := range v {
-				walk(fmt.Sprint(path, ".", i), item, func(x any) { v[i] = x }, nil)
+			for i, item := range value {
+				walk(fmt.Sprint(path, ".", i), item, func(x any) { value[i] = x }, nil)
 			}
 		default:
 			key := path[strings.LastIndexByte(path, '.')+1:]
@@ -127,7 +127,7 @@
 				set(bad)
 				check(path, key, bad)
 			}
-			set(v)
+			set(value)
 		}
 	}
 	settings := configObject["settings"]
--- a/cmd/weldscale/experiment.go
+++ b/cmd/weldscale/experiment.go
@@ -85,13 +85,13 @@
 	if file.Experiment == nil {
 		return nil, fmt.Errorf("%s:1:1: an experiment block is missing", path)
 	}
-	m := &matrix{scripts: map[string]*emulator.Script{}, seeds: 3}
+	parsed := &matrix{scripts: map[string]*emulator.Script{}, seeds: 3}
 	body := file.Experiment.Body
 	scripts, policies, scales, schedulers, refresh := "", "module", "1", "0", "0"
 	r.Fields(body, settings.Field{Name: "scripts", Unit: settings.Word, To: &scripts}, settings.Field{Name: "policies", Unit: settings.Word, To: &policies},
 		settings.Field{Name: "scale", Unit: settings.Word, To: &scales}, settings.Field{Name: "schedulers", Unit: settings.Word, To: &schedulers},
 		settings.Field{Name: "refresh_ms", Unit: settings.Word, To: &refresh},
-		settings.Field{Name: "seeds", Unit: settings.Count, Min: 1, Max: 1000, To: &m.seeds})
+		settings.Field{Name: "seeds", Unit: settings.Count, Min: 1, Max: 1000, To: &parsed.seeds})
 	numbers := func(name, text string, highest float64) (out []float64) {
 		for _, word := range strings.Fields(text) {
 			v, err := strconv.ParseFloat(word, 64)
@@ -102,28 +102,28 @@
 		}
 		return out
 	}
-	m.scales, m.schedulers, m.refresh = numbers("scale", scales, 10000), numbers("schedulers", schedulers, 5000), numbers("refresh_ms", refresh, 60000)
+	parsed.scales, parsed.schedulers, parsed.refresh = numbers("scale", scales, 10000), numbers("schedulers", schedulers, 5000), numbers("refresh_ms", refresh, 60000)
 	for _, p := range strings.Fields(policies) {
 		if !slices.Contains(emulator.Policies, p) {
 			r.AddError(body, "policies: no %q; allowed: %s", p, strings.Join(emulator.Policies, ", "))
 		}
-		m.policies = append(m.policies, p)
+		parsed.policies = append(parsed.policies, p)
 	}
 	var errs []error
 	for _, name := range strings.Fields(scripts) {
-		s, err := emulator.Read(filepath.Join(filepath.Dir(path), name))
+		script, err := emulator.Read(filepath.Join(filepath.Dir(path), name))
 		if err != nil {
 			errs = append(errs, err)
 			continue
 		}
 		short := strings.TrimSuffix(filepath.Base(name), ".hcl")
-		m.scripts[short] = s
-		m.names = append(m.names, short)
+		parsed.scripts[short] = script
+		parsed.names = append(parsed.names, short)
 	}
 	if len(strings.Fields(scripts)) == 0 {
 		r.AddError(body, "scripts: allowed are paths from this file, with spaces between")
 	}
-	return m, errors.Join(r.Err(), errors.Join(errs...))
+	return parsed, errors.Join(r.Err(), errors.Join(errs...))
 }
 
 // cells returns all cells of the matrix, ordered by scale as in the file.
@@ -166,7 +166,7 @@
 
 // Run implements the command.
 func (c experimentCmd) Run(ctx context.Context) error {
-	m, err := readMatrix(c.File)
+	matrix, err := readMatrix(c.File)
 	if err != nil {
 		return err
 	}
@@ -175,21 +175,21 @@
 	if err != nil {
 		return err
 	}
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_RDWR, 0o644)
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_RDWR, 0o644)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	if err := terminateLastLine(f); err != nil {
+	defer file.Close()
+	if err := terminateLastLine(file); err != nil {
 		return err
 	}
 	var remaining []cell
-	for _, x := range m.cells() {
+	for _, x := range matrix.cells() {
 		if _, ok := done[x]; !ok {
 			remaining = append(remaining, x)
 		}
 	}
-	fmt.Printf("%d cells, %d of them done before\n", len(m.cells()), len(m.cells())-len(remaining))
+	fmt.Printf("%d cells, %d of them done before\n", len(matrix.cells()), len(matrix.cells())-len(remaining))
 	var mu sync.Mutex
 	var errs []error
 	var all sync.WaitGroup
@@ -197,12 +197,12 @@
 	for range runtime.GOMAXPROCS(0) {
 		all.Go(func() {
 			for x := range next {
-				o, err := m.run(x)
+				result, err := matrix.run(x)
 				mu.Lock()
 				if err == nil {
-					done[x] = o
-					text, _ := json.Marshal(o)
-					_, err = f.Write(append(text, '\n'))
+					done[x] = result
+					text, _ := json.Marshal(result)
+					_, err = file.Write(append(text, '\n'))
 				}
 				if err != nil {
 					errs = append(errs, err)
@@ -222,7 +222,7 @@
 	if err := errors.Join(append(errs, ctx.Err())...); err != nil {
 		return err
 	}
-	rows := m.rows(done)
+	rows := matrix.rows(done)
 	showRows(rows)
 	return nil
 }
@@ -313,13 +313,13 @@
 		for seed := range m.seeds {
 			key := c
 			key.Seed = uint64(seed + 1)
-			o := done[key]
-			worth = append(worth, o.InTime)
-			r.boxes, r.probes, r.cross, r.took = o.Boxes, r.probes+o.Probes/float64(m.seeds), r.cross+o.Cross/float64(m.seeds), r.took+o.Took/float64(m.seeds)
-			r.broken += o.Broken
+			result := done[key]
+			worth = append(worth, result.InTime)
+			r.boxes, r.probes, r.cross, r.took = result.Boxes, r.probes+result.Probes/float64(m.seeds), r.cross+result.Cross/float64(m.seeds), r.took+result.Took/float64(m.seeds)
+			r.broken += result.Broken
 			key.Policy = "module"
 			if own, ok := done[key]; ok && c.Policy != "module" {
-				deficits = append(deficits, own.InTime-o.InTime)
+				deficits = append(deficits, own.InTime-result.InTime)
 			}
 		}
 		r.mean, r.half = confidenceInterval(worth)
--- a/cmd/weldscale/fleet.go
+++ b/cmd/weldscale/fleet.go
@@ -37,26 +37,26 @@
 
 // newFleetMember joins the fleet of the operator's file. It returns nil if the file has no fleet block.
 func newFleetMember(c *config) (*fleetMember, error) {
-	f := c.file.Fleet
-	if f == nil {
+	conf := c.file.Fleet
+	if conf == nil {
 		return nil, nil
 	}
 	var key []byte
-	if f.KeyFile != "" {
+	if conf.KeyFile != "" {
 		var err error
-		if key, err = os.ReadFile(f.KeyFile); err != nil {
+		if key, err = os.ReadFile(conf.KeyFile); err != nil {
 			return nil, err
 		}
 		if n := len(key); n != 16 && n != 24 && n != 32 {
-			return nil, fmt.Errorf("%s: the key has %d bytes; allowed are 16, 24 or 32", f.KeyFile, n)
+			return nil, fmt.Errorf("%s: the key has %d bytes; allowed are 16, 24 or 32", conf.KeyFile, n)
 		}
 	}
-	member := &fleetMember{conf: f}
+	member := &fleetMember{conf: conf}
 	incarnation := rand.Uint64()
 	// The link delivers messages as soon as it has started, and the budgets send through it. So the budgets are created first.
 	member.budgets = fleet.NewBudgets(c.Name, incarnation, func(to string, data []byte) error { return member.link.Send(to, data) })
-	if f.Evidence {
-		member.evidence = fleet.NewEvidence(c.Name, f.Zone, incarnation, f.Members, func() *fleet.Link { return member.link })
+	if conf.Evidence {
+		member.evidence = fleet.NewEvidence(c.Name, conf.Zone, incarnation, conf.Members, func() *fleet.Link { return member.link })
 	}
 	receive := func(from string, data []byte) (relay bool) {
 		if member.evidence != nil {
@@ -72,13 +72,13 @@
 			member.evidence.ResendAll()
 		}
 	}
-	link, err := fleet.Start(fleet.Config{Fleet: f.Name, Name: c.Name, Incarnation: incarnation, Zone: f.Zone, Bind: f.Bind, Relay: f.Relay, Join: f.Join, Key: key,
-		MaxMembers: f.Members, OnMessage: receive, OnJoin: joined})
+	link, err := fleet.Start(fleet.Config{Fleet: conf.Name, Name: c.Name, Incarnation: incarnation, Zone: conf.Zone, Bind: conf.Bind, Relay: conf.Relay, Join: conf.Join, Key: key,
+		MaxMembers: conf.Members, OnMessage: receive, OnJoin: joined})
 	if err != nil {
 		return nil, err
 	}
 	member.link = link
-	slog.Info("in a fleet", "fleet", f.Name, "name", c.Name, "bind", f.Bind, "keeper", slices.Contains(f.Keepers, c.Name))
+	slog.Info("in a fleet", "fleet", conf.Name, "name", c.Name, "bind", conf.Bind, "keeper", slices.Contains(conf.Keepers, c.Name))
 	return member, nil
 }
 
--- a/cmd/weldscale/fleet_test.go
+++ b/cmd/weldscale/fleet_test.go
@@ -107,23 +107,23 @@
 // startSchedulerFleet starts schedulers that are named a, b and so on. The voters of the budgets are a, b and c. fleetSettings
 // are further lines of the fleet block, services are the service blocks.
 func startSchedulerFleet(t *testing.T, members int, fleetSettings, services string) *schedulerFleet {
-	f := &schedulerFleet{dir: t.TempDir(), links: faults.NewLinks(7), log: faults.NewLog(1 << 16)}
+	fleet := &schedulerFleet{dir: t.TempDir(), links: faults.NewLinks(7), log: faults.NewLog(1 << 16)}
 	names, binds := map[string]string{}, []string{}
 	for i := range members {
 		binds = append(binds, freeAddr(t))
 		names[binds[i]] = string(rune('a' + i))
 	}
-	hub, err := faults.StartHub(f.links, names)
+	hub, err := faults.StartHub(fleet.links, names)
 	require.NoError(t, err)
 	t.Cleanup(hub.Close)
 	for i := range members {
 		name, listen := names[binds[i]], freeAddr(t)
 		text := fmt.Sprintf("scheduler {\n name = %q\n listen = %q\n}\ncontrol {\n socket = %q\n}\nfleet \"print\" {\n bind = %q\n via = %q\n"+
-			" join = [%q, %q]\n members = %d\n keepers = [\"a\", \"b\", \"c\"]\n%s}\n", name, listen, filepath.Join(f.dir, name), binds[i], hub.Addr(),
+			" join = [%q, %q]\n members = %d\n keepers = [\"a\", \"b\", \"c\"]\n%s}\n", name, listen, filepath.Join(fleet.dir, name), binds[i], hub.Addr(),
 			binds[0], binds[members-1], members, fleetSettings) + services
-		file := filepath.Join(f.dir, name+".hcl")
+		file := filepath.Join(fleet.dir, name+".hcl")
 		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
-		p := &faults.Process{Name: name, Path: os.Args[0], Dir: filepath.Join(f.dir, "of-"+name),
+		process := &faults.Process{Name: name, Path: os.Args[0], Dir: filepath.Join(fleet.dir, "of-"+name),
 			Env: []string{"WELDSCALE_TEST=program", "GW_CONFIG=", "WELDSCALE_FILE=" + file}, Ready: func(context.Context) bool {
 				resp, err := http.Get("http://" + listen + "/-/ready")
 				if err == nil {
@@ -131,16 +131,16 @@
 				}
 				return err == nil
 			}}
-		require.NoError(t, p.Start(f.log))
-		t.Cleanup(p.Kill)
-		f.processes, f.addrs = append(f.processes, p), append(f.addrs, listen)
+		require.NoError(t, process.Start(fleet.log))
+		t.Cleanup(process.Kill)
+		fleet.processes, fleet.addrs = append(fleet.processes, process), append(fleet.addrs, listen)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	for _, p := range f.processes {
+	for _, p := range fleet.processes {
 		require.NoError(t, p.AwaitReady(ctx))
 	}
-	return f
+	return fleet
 }
 
 // startClients starts a client for each of these addresses. It sends one job after another, until stopClients is called.
@@ -171,8 +171,8 @@
 func TestFleetOverFaultyLinks(t *testing.T) {
 	const rate, burst, members = 60, 0.5, 5
 	w := startWorker(t, standin.WorkerConfig{Name: "w", Slots: 256, Queue: 256})
-	f := startSchedulerFleet(t, members, fmt.Sprintf(" term = \"600ms\"\n burst = %v\n", burst), serviceBlock("shop", fmt.Sprintf("  limits { fleet_rate = %d }\n", rate), w))
-	stopClients := f.startClients(t, 8*time.Millisecond, f.addrs...)
+	fleet := startSchedulerFleet(t, members, fmt.Sprintf(" term = \"600ms\"\n burst = %v\n", burst), serviceBlock("shop", fmt.Sprintf("  limits { fleet_rate = %d }\n", rate), w))
+	stopClients := fleet.startClients(t, 8*time.Millisecond, fleet.addrs...)
 	awaitMostOfRate := func(why string) {
 		waitingSince := time.Now()
 		require.Eventually(t, func() bool {
@@ -186,7 +186,7 @@
 		}, testTimeout, 100*time.Millisecond, why)
 	}
 	awaitMostOfRate("all schedulers run")
-	path := filepath.Join(f.dir, "script.hcl")
+	path := filepath.Join(fleet.dir, "script.hcl")
 	require.NoError(t, os.WriteFile(path, []byte("trouble \"split\" {\n for = \"4s\"\n who = \"a b\"\n}\n"+
 		"trouble \"silence\" {\n from = \"5s\"\n for = \"2s\"\n who = \"c\"\n toward = \"a\"\n way = \"out\"\n}\n"+
 		"trouble \"lossy\" {\n from = \"5s\"\n for = \"4s\"\n part = 1\n loss = 0.2\n double = 0.2\n reorder = 0.2\n hold = \"300ms\"\n}\n"+
@@ -195,19 +195,19 @@
 		"trouble \"rolling\" {\n from = \"14s\"\n for = \"1s\"\n part = 1\n every = \"100ms\"\n}\n"), 0o600))
 	script, err := faults.ReadScript(path)
 	require.NoError(t, err)
-	require.NoError(t, script.Play(t.Context(), 7, f.processes, f.links, f.log))
+	require.NoError(t, script.Play(t.Context(), 7, fleet.processes, fleet.links, fleet.log))
 	awaitMostOfRate("all faults have ended")
 	stopClients()
 	for _, s := range w.ReceivedJobs() {
-		f.log.AddAt(s.At, "w", "begun", 1, "")
+		fleet.log.AddAt(s.At, "w", "begun", 1, "")
 	}
-	events, lost := f.log.Events()
+	events, lost := fleet.log.Events()
 	require.Zero(t, lost)
 	// A job may reach its worker up to a second after its admission, so one second of the rate is added to the burst. A share
 	// that was spent twice during the partition would add four seconds.
 	excess, at := faults.CheckRate(events, "begun", rate, rate*(burst+1)+members)
 	assert.LessOrEqual(t, excess, 0.0, at)
-	assert.Positive(t, f.links.TrafficFrom("a").Lost)
+	assert.Positive(t, fleet.links.TrafficFrom("a").Lost)
 }
 
 // Three schedulers share a limit of twelve jobs in flight. One is killed and restarted, one is paused and continued, and one is
@@ -227,9 +227,9 @@
 		mu.Unlock()
 		standin.WriteAnswer(r, c)
 	}})
-	f := startSchedulerFleet(t, 3, " term = \"600ms\"\n use = \"3s\"\n", serviceBlock("shop", fmt.Sprintf("  limits { fleet_open = %d }\n", limit), w))
+	fleet := startSchedulerFleet(t, 3, " term = \"600ms\"\n use = \"3s\"\n", serviceBlock("shop", fmt.Sprintf("  limits { fleet_open = %d }\n", limit), w))
 	for range 10 {
-		f.startClients(t, time.Millisecond, f.addrs...)
+		fleet.startClients(t, time.Millisecond, fleet.addrs...)
 	}
 	awaitUse := func(why string) {
 		mu.Lock()
@@ -257,12 +257,12 @@
 			}
 		}
 	}()
-	require.NoError(t, script.Play(t.Context(), 1, f.processes, f.links, f.log))
+	require.NoError(t, script.Play(t.Context(), 1, fleet.processes, fleet.links, fleet.log))
 	awaitUse("all faults have ended")
 	close(stop)
 	<-watcherDone
 	assert.LessOrEqual(t, highest, limit)
-	text, _, _ := runProgram(t, nil, "fleet", filepath.Join(f.dir, "a"))
+	text, _, _ := runProgram(t, nil, "fleet", filepath.Join(fleet.dir, "a"))
 	assert.Contains(t, text, `budget="shop open" `)
 }
 
@@ -276,20 +276,20 @@
 	for i := range 5 {
 		workers = append(workers, startWorker(t, standin.WorkerConfig{Name: fmt.Sprint("good", i), Slots: 64}))
 	}
-	f := startSchedulerFleet(t, 4, "", serviceBlock("shop", "", workers...))
-	stopClients := f.startClients(t, 5*time.Millisecond, f.addrs[:3]...)
+	fleet := startSchedulerFleet(t, 4, "", serviceBlock("shop", "", workers...))
+	stopClients := fleet.startClients(t, 5*time.Millisecond, fleet.addrs[:3]...)
 	received := assert.Eventually(t, func() bool {
-		text, _, _ := runProgram(t, nil, "fleet", filepath.Join(f.dir, "d"))
+		text, _, _ := runProgram(t, nil, "fleet", filepath.Join(fleet.dir, "d"))
 		return strings.Contains(text, "evidence against=shop/bad ")
 	}, testTimeout, 20*time.Millisecond)
 	if !received {
-		for _, member := range f.processes {
-			text, _, _ := runProgram(t, nil, "fleet", filepath.Join(f.dir, member.Name))
+		for _, member := range fleet.processes {
+			text, _, _ := runProgram(t, nil, "fleet", filepath.Join(fleet.dir, member.Name))
 			t.Logf("member %s says:\n%s", member.Name, text)
 		}
 		t.FailNow()
 	}
-	fourth := &testScheduler{t: t, addr: f.addrs[3]}
+	fourth := &testScheduler{t: t, addr: fleet.addrs[3]}
 	for n := range 40 {
 		status, _, _ := fourth.askService("shop.example.org", "/api/1", fmt.Sprint("d-", n), "view", testTimeout)
 		assert.Equal(t, 200, status)
--- a/cmd/weldscale/load.go
+++ b/cmd/weldscale/load.go
@@ -85,17 +85,17 @@
 	}
 	name := fmt.Sprintf("load%x-", time.Now().UnixNano())
 	reportSlow := c.startSlow(ctx, name)
-	t := standin.Load{Target: c.Target, Host: c.Host, Seed: c.Seed, Name: name, For: c.For, Rate: c.Rate,
+	tally := standin.Load{Target: c.Target, Host: c.Host, Seed: c.Seed, Name: name, For: c.For, Rate: c.Rate,
 		Clients: c.Clients, Kinds: []standin.JobKind{{Class: c.Class, Share: 1, Body: c.Body, Budget: c.Budget, Within: c.Within,
 			Task: standin.Task{Run: c.Job, Slots: c.Slots, Size: c.Answer}}}}.Run(ctx)
-	f := newFigures(t)
-	showFigures(f, previous)
+	measured := newFigures(tally)
+	showFigures(measured, previous)
 	reportSlow()
-	for why, n := range t.Why {
+	for why, n := range tally.Why {
 		fmt.Printf("%d ended as: %s\n", n, why)
 	}
 	if c.JSON != "" {
-		text, err := json.MarshalIndent(f, "", "  ")
+		text, err := json.MarshalIndent(measured, "", "  ")
 		if err != nil {
 			return err
 		}
@@ -104,7 +104,7 @@
 		}
 	}
 	if c.HDR != "" {
-		return writeHDR(c.HDR, t.Latency)
+		return writeHDR(c.HDR, tally.Latency)
 	}
 	return nil
 }
--- a/cmd/weldscale/moments_clients_test.go
+++ b/cmd/weldscale/moments_clients_test.go
@@ -298,22 +298,22 @@
 						standin.WriteAnswer(r, c)
 					}
 				}
-				a := startWorker(t, standin.WorkerConfig{Name: "a", Answer: answer("a")})
-				z := startWorker(t, standin.WorkerConfig{Name: "z", Zone: "there", Answer: answer("z")})
-				entryA, entryZ := a.Entry("SERVING"), z.Entry("SERVING")
+				workerA := startWorker(t, standin.WorkerConfig{Name: "a", Answer: answer("a")})
+				workerZ := startWorker(t, standin.WorkerConfig{Name: "z", Zone: "there", Answer: answer("z")})
+				entryA, entryZ := workerA.Entry("SERVING"), workerZ.Entry("SERVING")
 				entryZ.Group = 1 // another cell
 				ts := startSchedulerWith(t, []standin.Entry{entryA, entryZ}, twoZones, func(c *config) { setEffect(&c.engine.Settings.Classes[0]) })
 				c := ts.connect()
 				require.NoError(t, c.Send(standin.RequestText("job", "view", 6*time.Second, "x", "Idempotency-Key: k")))
 				status, _, err := c.ReadAnswer(testTimeout)
 				require.NoError(t, err)
-				starts := len(a.IDs()) + len(z.IDs())
+				starts := len(workerA.IDs()) + len(workerZ.IDs())
 				switch {
 				case failure.mayHaveRun && effect == "once":
 					assert.Equal(t, 500, status)
 					assert.Equal(t, 1, starts)
 				case failure.mayHaveRun && (effect == "key, cell" || effect == "key, zone"):
-					assert.LessOrEqual(t, min(len(a.IDs()), len(z.IDs())), 0, "the worker in the other cell or zone does not know the key")
+					assert.LessOrEqual(t, min(len(workerA.IDs()), len(workerZ.IDs())), 0, "the worker in the other cell or zone does not know the key")
 				default:
 					assert.Contains(t, []int{200, 503}, status)
 					assert.Equal(t, status == 200, starts == 2)
@@ -354,9 +354,9 @@
 							}
 						}
 					}
-					a := startWorker(t, standin.WorkerConfig{Name: "a", Answer: answer("a")})
-					z := startWorker(t, standin.WorkerConfig{Name: "z", Zone: "there", Answer: answer("z")})
-					entryA, entryZ := a.Entry("SERVING"), z.Entry("SERVING")
+					workerA := startWorker(t, standin.WorkerConfig{Name: "a", Answer: answer("a")})
+					workerZ := startWorker(t, standin.WorkerConfig{Name: "z", Zone: "there", Answer: answer("z")})
+					entryA, entryZ := workerA.Entry("SERVING"), workerZ.Entry("SERVING")
 					entryZ.Group = 1 // another cell
 					ts := startSchedulerWith(t, []standin.Entry{entryA, entryZ}, twoZones, func(c *config) {
 						setEffect(&c.engine.Settings.Classes[0])
@@ -368,7 +368,7 @@
 					require.NoError(t, err)
 					mu.Lock()
 					defer mu.Unlock()
-					starts := len(a.IDs()) + len(z.IDs())
+					starts := len(workerA.IDs()) + len(workerZ.IDs())
 					if effect == "once" {
 						assert.Equal(t, 1, starts)
 					}
--- a/cmd/weldscale/moments_discovery_test.go
+++ b/cmd/weldscale/moments_discovery_test.go
@@ -28,10 +28,10 @@
 	for name, silentCalls := range map[string][]int{"at its start": {2}, "after an answer": {3}, "twice in a row": {2, 3}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			a, z := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
-			d := startDiscovery(t, a.Entry("SERVING"), z.Entry("SERVING"))
+			workerA, workerZ := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
+			discovery := startDiscovery(t, workerA.Entry("SERVING"), workerZ.Entry("SERVING"))
 			silenced, cancelled := make(chan struct{}, 9), make(chan struct{}, 9)
-			d.Intercept(func(n int, w http.ResponseWriter, r *http.Request) bool {
+			discovery.Intercept(func(n int, w http.ResponseWriter, r *http.Request) bool {
 				if !slices.Contains(silentCalls, n) {
 					return false
 				}
@@ -40,13 +40,13 @@
 				cancelled <- struct{}{}
 				return true
 			})
-			ts := startSchedulerAt(t, d, d.Known())
+			ts := startSchedulerAt(t, discovery, discovery.Known())
 			if silentCalls[0] == 3 {
 				ts.awaitDiscoveryCalls(2)
-				d.Set(z.Entry("SERVING")) // answers the watch
+				discovery.Set(workerZ.Entry("SERVING")) // answers the watch
 			}
 			<-silenced
-			d.Set(a.Entry("DRAINING"))
+			discovery.Set(workerA.Entry("DRAINING"))
 			<-cancelled
 			if name != "twice in a row" {
 				ts.onLoop(func() {
@@ -64,7 +64,7 @@
 				status, _ := ts.ask(fmt.Sprint(i), "view", testTimeout)
 				assert.Equal(t, 200, status)
 			}
-			assert.Empty(t, a.IDs())
+			assert.Empty(t, workerA.IDs())
 		})
 	}
 }
@@ -73,11 +73,11 @@
 // 6 s where few schedulers share discovery; TestCadenceBounds bounds the time spans from which it follows.
 func TestFirstCallsAreSilent(t *testing.T) {
 	t.Parallel()
-	a := startWorker(t, standin.WorkerConfig{Name: "a"})
-	d := startDiscovery(t, a.Entry("SERVING"))
-	known := d.Known()
-	d.Set(a.Entry("DRAINING"))
-	d.Intercept(func(n int, w http.ResponseWriter, r *http.Request) bool {
+	workerA := startWorker(t, standin.WorkerConfig{Name: "a"})
+	discovery := startDiscovery(t, workerA.Entry("SERVING"))
+	known := discovery.Known()
+	discovery.Set(workerA.Entry("DRAINING"))
+	discovery.Intercept(func(n int, w http.ResponseWriter, r *http.Request) bool {
 		switch n {
 		case 1:
 			<-r.Context().Done()
@@ -94,7 +94,7 @@
 		}
 		return true
 	})
-	ts := startSchedulerAt(t, d, known)
+	ts := startSchedulerAt(t, discovery, known)
 	require.Eventually(t, func() (ok bool) {
 		ts.onLoop(func() { ok = ts.scheduler.engine.ReadyWorkers() == 0 })
 		return ok
@@ -157,12 +157,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			a, z := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
-			d := startDiscovery(t, a.Entry("SERVING"))
-			known := d.Known()
-			d.Set(a.Entry("DRAINING"), z.Entry("SERVING"))
-			d.Intercept(intercept)
-			ts := startSchedulerWith(t, nil, withPushedList, withoutProbes, func(c *config) { c.Discovery, c.Known = d.Addr(), known })
+			workerA, workerZ := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
+			discovery := startDiscovery(t, workerA.Entry("SERVING"))
+			known := discovery.Known()
+			discovery.Set(workerA.Entry("DRAINING"), workerZ.Entry("SERVING"))
+			discovery.Intercept(intercept)
+			ts := startSchedulerWith(t, nil, withPushedList, withoutProbes, func(c *config) { c.Discovery, c.Known = discovery.Addr(), known })
 			awaitReady := func(n int, wantAddr string) {
 				require.Eventually(t, func() (ok bool) {
 					ts.onLoop(func() {
@@ -173,17 +173,17 @@
 					return ok
 				}, testTimeout, time.Millisecond)
 			}
-			awaitReady(1, z.Addr())
+			awaitReady(1, workerZ.Addr())
 			for i := range 5 {
 				status, _ := ts.ask(fmt.Sprint(i), "view", testTimeout)
 				assert.Equal(t, 200, status)
 			}
-			assert.Empty(t, a.IDs())
-			d.Set(a.Entry("SERVING"), z.Entry("DELETED")) // later changes are learned too
-			awaitReady(1, a.Addr())
+			assert.Empty(t, workerA.IDs())
+			discovery.Set(workerA.Entry("SERVING"), workerZ.Entry("DELETED")) // later changes are learned too
+			awaitReady(1, workerA.Addr())
 			status, _ := ts.ask("later", "view", testTimeout)
 			assert.Equal(t, 200, status)
-			assert.Equal(t, []string{"later"}, a.IDs())
+			assert.Equal(t, []string{"later"}, workerA.IDs())
 		})
 	}
 }
@@ -197,11 +197,11 @@
 // The agent answers no call while discovery is down: neither the watch that it holds nor the calls that follow. Once it is back
 // with new entries, the next call must bring them, and no call may go on waiting because of an outage that is over.
 func TestPushedListAfterAnOutage(t *testing.T) {
-	a, z := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
-	d := startDiscovery(t, a.Entry("SERVING"), z.Entry("SERVING"))
+	workerA, workerZ := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
+	discovery := startDiscovery(t, workerA.Entry("SERVING"), workerZ.Entry("SERVING"))
 	var down atomic.Bool
 	silentCalls := make(chan struct{}, 64) // calls that got no answer
-	d.Intercept(func(n int, _ http.ResponseWriter, r *http.Request) bool {
+	discovery.Intercept(func(n int, _ http.ResponseWriter, r *http.Request) bool {
 		if n < 2 || n > 2 && !down.Load() {
 			return false
 		}
@@ -209,7 +209,7 @@
 		silentCalls <- struct{}{}
 		return neverAnswer(r)
 	})
-	ts := startSchedulerWith(t, nil, withPushedList, withoutProbes, func(c *config) { c.Discovery, c.Known = d.Addr(), d.Known() })
+	ts := startSchedulerWith(t, nil, withPushedList, withoutProbes, func(c *config) { c.Discovery, c.Known = discovery.Addr(), discovery.Known() })
 	for range 4 { // the watch and three further calls
 		select {
 		case <-silentCalls:
@@ -218,13 +218,13 @@
 		}
 	}
 	down.Store(false)
-	d.Set(a.Entry("DRAINING"))
+	discovery.Set(workerA.Entry("DRAINING"))
 	require.Eventually(t, func() (ok bool) { ts.onLoop(func() { ok = ts.scheduler.engine.ReadyWorkers() == 1 }); return ok }, testTimeout, time.Millisecond)
 	for i := range 5 {
 		status, _ := ts.ask(fmt.Sprint(i), "view", testTimeout)
 		assert.Equal(t, 200, status)
 	}
-	assert.Empty(t, a.IDs())
+	assert.Empty(t, workerA.IDs())
 }
 
 // A reload changes the agent's address: the new agent is asked at once for the whole list, and its later changes arrive too.
@@ -271,10 +271,10 @@
 	for _, name := range []string{"reset", "down at the renewal"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			a, z := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
-			d := startDiscovery(t, a.Entry("SERVING"), z.Entry("SERVING"))
+			workerA, workerZ := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
+			discovery := startDiscovery(t, workerA.Entry("SERVING"), workerZ.Entry("SERVING"))
 			release, endedAt := make(chan struct{}), make(chan time.Time, 1)
-			d.Intercept(func(n int, w http.ResponseWriter, r *http.Request) bool {
+			discovery.Intercept(func(n int, w http.ResponseWriter, r *http.Request) bool {
 				if n != 2 {
 					return false
 				}
@@ -292,13 +292,13 @@
 				endedAt <- time.Now()
 				return true
 			})
-			ts := startSchedulerAt(t, d, d.Known())
+			ts := startSchedulerAt(t, discovery, discovery.Known())
 			ts.awaitDiscoveryCalls(2)
 			close(release)
 			watchEnd := <-endedAt
-			d.Set(a.Entry("DRAINING"))
+			discovery.Set(workerA.Entry("DRAINING"))
 			require.Eventually(t, func() (ok bool) { ts.onLoop(func() { ok = ts.scheduler.engine.ReadyWorkers() == 1 }); return ok }, testTimeout, time.Millisecond)
-			assert.Less(t, d.CallTimes()[2].Sub(watchEnd), 10*time.Second)
+			assert.Less(t, discovery.CallTimes()[2].Sub(watchEnd), 10*time.Second)
 		})
 	}
 }
--- a/cmd/weldscale/moments_workers_test.go
+++ b/cmd/weldscale/moments_workers_test.go
@@ -180,18 +180,18 @@
 			c, began := ts.connect(), time.Now()
 			require.NoError(t, c.Send(standin.RequestText("job", "send", 8*time.Second, "x")))
 			awaitReached(t, syncPoints, "dial")
-			e := old.Entry("SERVING")
+			entry := old.Entry("SERVING")
 			switch name {
 			case "drains":
-				e.Status = "DRAINING"
+				entry.Status = "DRAINING"
 			case "moves":
-				e.Address = other.Addr()
+				entry.Address = other.Addr()
 			case "starts again":
-				e.SinceMS = time.Now().UnixMilli()
+				entry.SinceMS = time.Now().UnixMilli()
 			case "is removed":
-				e.Status = "DELETED"
+				entry.Status = "DELETED"
 			}
-			ts.discovery.Set(e)
+			ts.discovery.Set(entry)
 			var index int64
 			require.Eventually(t, func() bool { ts.onLoop(func() { index = ts.scheduler.discovery.Index() }); return index >= 3 }, testTimeout, time.Millisecond)
 			syncPoints.Release("dial")
--- a/cmd/weldscale/operate_test.go
+++ b/cmd/weldscale/operate_test.go
@@ -42,8 +42,8 @@
 
 // An offline worker gets no jobs, whatever the worker list says, until it is online again. The counters show it.
 func TestOfflineWorkerGetsNoJobs(t *testing.T) {
-	a, w := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "w"})
-	ts := startSchedulerWith(t, []standin.Entry{a.Entry("SERVING"), w.Entry("SERVING")}, withManagement)
+	workerA, workerW := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "w"})
+	ts := startSchedulerWith(t, []standin.Entry{workerA.Entry("SERVING"), workerW.Entry("SERVING")}, withManagement)
 	status, _ := ts.callManagement("GET", "/control/ready")
 	assert.Equal(t, 200, status)
 	for _, path := range []string{"/control/workers/nobody/offline", "/control/workers/nobody/online", "/control/else"} {
@@ -55,25 +55,25 @@
 		require.Equal(t, 200, status)
 	}
 	ts.discovery.Set(standin.Entry{Name: "a", Status: "DELETED"})
-	ts.discovery.Set(a.Entry("SERVING")) // the updates that a restart of the worker causes
+	ts.discovery.Set(workerA.Entry("SERVING")) // the updates that a restart of the worker causes
 	ts.discovery.Set(standin.Entry{Name: "last", Address: "127.0.0.1:1", Status: "DRAINING"})
 	require.Eventually(t, func() bool { return ts.figures().WorkersKnown == 3 }, testTimeout, time.Millisecond)
 	for i := range 20 {
 		status, _ := ts.ask("out"+twoLetters(i), "view", testTimeout)
 		assert.Equal(t, 200, status)
 	}
-	assert.Empty(t, a.IDs())
+	assert.Empty(t, workerA.IDs())
 	f := ts.figures()
 	assert.Equal(t, map[string]int{"view": 20, "send": 0}, f.Served)
 	assert.Equal(t, []int{20, 0, 3, 1}, []int{f.Attempts, f.InFlight, f.WorkersKnown, f.WorkersExcluded})
 
 	status, _ = ts.callManagement("POST", "/control/workers/a/online")
 	require.Equal(t, 200, status)
-	for i := 0; len(a.IDs()) == 0 && i < 200; i++ {
+	for i := 0; len(workerA.IDs()) == 0 && i < 200; i++ {
 		status, _ := ts.ask("back"+twoLetters(i), "view", testTimeout)
 		assert.Equal(t, 200, status)
 	}
-	assert.NotEmpty(t, a.IDs())
+	assert.NotEmpty(t, workerA.IDs())
 	assert.Zero(t, ts.figures().WorkersExcluded)
 	ts.scheduler.loop.Post(ts.scheduler.stop)
 	require.Eventually(t, func() bool { status, _ := ts.callManagement("GET", "/control/ready"); return status == 503 }, testTimeout, time.Millisecond)
--- a/cmd/weldscale/rehearse.go
+++ b/cmd/weldscale/rehearse.go
@@ -112,13 +112,13 @@
 	read, write := io.Pipe()
 	var out io.Writer = write
 	if c.Log != "" {
-		f, err := os.Create(c.Log)
+		file, err := os.Create(c.Log)
 		if err != nil {
 			r.err = err
 			return
 		}
-		defer f.Close()
-		out = io.MultiWriter(write, f)
+		defer file.Close()
+		out = io.MultiWriter(write, file)
 	}
 	checked := make(chan error, 1)
 	go func() {
--- a/cmd/weldscale/rules_test.go
+++ b/cmd/weldscale/rules_test.go
@@ -248,9 +248,9 @@
 // one holds a call, keep the open requests, and change nothing if the new file is invalid.
 func TestReload(t *testing.T) {
 	release := make(chan struct{})
-	a := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) { <-release; standin.WriteAnswer(r, c) }})
-	z := startWorker(t, standin.WorkerConfig{Name: "z"})
-	first, second := startDiscovery(t, a.Entry("SERVING")), startDiscovery(t, z.Entry("SERVING"))
+	workerA := startWorker(t, standin.WorkerConfig{Name: "a", Answer: func(r *http.Request, c net.Conn) { <-release; standin.WriteAnswer(r, c) }})
+	workerZ := startWorker(t, standin.WorkerConfig{Name: "z"})
+	first, second := startDiscovery(t, workerA.Entry("SERVING")), startDiscovery(t, workerZ.Entry("SERVING"))
 
 	ts := &testScheduler{t: t, addr: freeAddr(t)}
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -262,7 +262,7 @@
 	}, testTimeout, time.Millisecond)
 	answered := make(chan int)
 	go func() { status, _ := ts.ask("open", "view", testTimeout); answered <- status }()
-	require.Eventually(t, func() bool { return slices.Contains(a.IDs(), "open") }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return slices.Contains(workerA.IDs(), "open") }, testTimeout, time.Millisecond)
 
 	require.NoError(t, os.WriteFile(path, []byte(`{"half`), 0o600))
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
@@ -275,7 +275,7 @@
 	status, body := ts.ask("next", "view", testTimeout)
 	assert.Equal(t, 200, status)
 	assert.Equal(t, "made of next", body)
-	assert.Equal(t, []string{"next"}, z.IDs())
+	assert.Equal(t, []string{"next"}, workerZ.IDs())
 	close(release)
 	assert.Equal(t, 200, <-answered, "the open request is answered")
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
--- a/cmd/weldscale/serve.go
+++ b/cmd/weldscale/serve.go
@@ -80,40 +80,40 @@
 	// The process has one core. The second P lets the loop run while the first is blocked in the poller's system call.
 	runtime.GOMAXPROCS(2)
 	debug.SetGCPercent(400) // the live heap is small, and divideLimits sets a memory limit that bounds the garbage
-	s, err := start(conf)
+	scheduler, err := start(conf)
 	if err != nil {
 		return err
 	}
 	if path := conf.file.Control; path != "" {
-		socket, err := startControl(s, path, c.read)
+		socket, err := startControl(scheduler, path, c.read)
 		if err != nil {
 			return err
 		}
 		defer socket.close()
 	}
-	slog.Info("serving", "name", conf.Name, "listen", s.driver.Addr())
+	slog.Info("serving", "name", conf.Name, "listen", scheduler.driver.Addr())
 	go func() {
 		for range hups {
 			conf, err := c.read()
-			s.loop.Post(func() { _ = s.reload(conf, err) })
+			scheduler.loop.Post(func() { _ = scheduler.reload(conf, err) })
 		}
 	}()
 	go func() {
 		for got := range signals {
-			s.loop.Post(func() {
+			scheduler.loop.Post(func() {
 				if got == syscall.SIGUSR1 {
-					slog.Info("counters", "counts", s.server.Stats())
+					slog.Info("counters", "counts", scheduler.server.Stats())
 				} else {
-					slog.Info("stopping", "signal", got.String(), "open", s.openRequests())
-					s.stop()
+					slog.Info("stopping", "signal", got.String(), "open", scheduler.openRequests())
+					scheduler.stop()
 				}
 			})
 		}
 	}()
-	s.loop.Post(s.updateTrace)
-	s.loop.Run()
-	s.fleet.close()
-	slog.Info("stopped", "open", s.openRequests(), "counts", s.server.Stats())
+	scheduler.loop.Post(scheduler.updateTrace)
+	scheduler.loop.Run()
+	scheduler.fleet.close()
+	slog.Info("stopped", "open", scheduler.openRequests(), "counts", scheduler.server.Stats())
 	return nil
 }
 
@@ -162,35 +162,35 @@
 func start(c *config) (*scheduler, error) {
 	s := &scheduler{}
 	loop := engine.NewLoop()
-	e, err := engine.New(loop, c.engine)
+	mainEngine, err := engine.New(loop, c.engine)
 	if err != nil {
 		return nil, err
 	}
 	driver := net.New(loop, net.Config{Descriptors: c.Limits.Sockets, ConnectTimeout: c.connectTimeout, IdleLimit: c.idleLimit})
-	server := jobs.NewServer(jobs.NewService("", e, c.classes))
+	server := jobs.NewServer(jobs.NewService("", mainEngine, c.classes))
 	server.SetPace(pace.New(c.file.SlowPeers))
 	driver.Accepted = server.Serve
 	server.Ready = s.ready
 	driver.ShedIdle = server.EvictClients
 	driver.Counted = func(dials, failed, shed int) {
-		e.Counts.Dials += dials
-		e.Counts.DialsFailed += failed
-		e.Counts.Shed += shed
+		mainEngine.Counts.Dials += dials
+		mainEngine.Counts.DialsFailed += failed
+		mainEngine.Counts.Shed += shed
 	}
-	discovery := &jobs.Discovery{Engine: e, Dialer: driver, Addr: c.Discovery, Rand: rand.New(rand.NewPCG(c.engine.Seed, 1)),
+	discovery := &jobs.Discovery{Engine: mainEngine, Dialer: driver, Addr: c.Discovery, Rand: rand.New(rand.NewPCG(c.engine.Seed, 1)),
 		Cadence: jobs.Cadence{Nodes: c.engine.Settings.Nodes, AskWithin: time.Duration(c.engine.Settings.AskWithin) * time.Microsecond}}
 	discovery.FromAgent = !c.engine.Settings.MustAsk
-	workers := &jobs.Workers{Engine: e, Dialer: driver, Reports: c.reports, Host: "app.svc", Pace: c.file.Workers}
+	workers := &jobs.Workers{Engine: mainEngine, Dialer: driver, Reports: c.reports, Host: "app.svc", Pace: c.file.Workers}
 	workers.RetainResponses = c.listenFD >= 0
 	server.Main.Workers = workers
-	overlay := jobs.NewOverlay(e)
-	e.SetBackends(workers, discovery)
+	overlay := jobs.NewOverlay(mainEngine)
+	mainEngine.SetBackends(workers, discovery)
 	if err := discovery.LoadKnown(c.Known); err != nil {
 		return nil, err
 	}
-	*s = scheduler{config: c, loop: loop, engine: e, driver: driver, server: server, workers: workers, discovery: discovery, overlay: overlay, timeBudget: &pool.TimeBudget{}}
+	*s = scheduler{config: c, loop: loop, engine: mainEngine, driver: driver, server: server, workers: workers, discovery: discovery, overlay: overlay, timeBudget: &pool.TimeBudget{}}
 	server.Stats = func() string {
-		return fmt.Sprintf("%s %s goroutines=%d log_dropped=%d%s", &e.Counts, server.Pace.Counts(), runtime.NumGoroutine(),
+		return fmt.Sprintf("%s %s goroutines=%d log_dropped=%d%s", &mainEngine.Counts, server.Pace.Counts(), runtime.NumGoroutine(),
 			logs.Dropped(), s.serviceStats())
 	}
 	if c.file.Metrics {
@@ -200,7 +200,7 @@
 			return text
 		}
 		server.Metrics = s.metrics.Text
-		e.Meter = s.metrics.Service("", c.classes, engine.StatusNames[:])
+		mainEngine.Meter = s.metrics.Service("", c.classes, engine.StatusNames[:])
 	}
 	if s.fleet, err = newFleetMember(c); err != nil {
 		return nil, err
--- a/cmd/weldscale/services.go
+++ b/cmd/weldscale/services.go
@@ -54,32 +54,32 @@
 
 // buildService creates a service that serves no requests yet. startService fetches its workers.
 func (s *scheduler) buildService(conf operator.Service) (*service, error) {
-	e, err := engine.New(s.loop, engine.Config{Settings: conf.Settings(), Seed: s.config.engine.Seed})
+	serviceEngine, err := engine.New(s.loop, engine.Config{Settings: conf.Settings(), Seed: s.config.engine.Seed})
 	if err != nil {
 		return nil, fmt.Errorf("service %q: %w", conf.Name, err)
 	}
 	dialer := s.driver.Dialer(conf.Connections)
-	v := &service{conf: conf, engine: e, dialer: dialer, jobs: jobs.NewService(conf.Name, e, conf.ClassNames()), stop: func() {}}
-	v.overlay = jobs.NewOverlay(e)
-	workers := &jobs.Workers{Engine: e, Dialer: dialer, Reports: serviceReports, Host: conf.Name, Service: conf.Name, Pace: s.config.file.Workers, RetainResponses: s.config.listenFD >= 0}
-	v.jobs.Workers = workers
+	built := &service{conf: conf, engine: serviceEngine, dialer: dialer, jobs: jobs.NewService(conf.Name, serviceEngine, conf.ClassNames()), stop: func() {}}
+	built.overlay = jobs.NewOverlay(serviceEngine)
+	workers := &jobs.Workers{Engine: serviceEngine, Dialer: dialer, Reports: serviceReports, Host: conf.Name, Service: conf.Name, Pace: s.config.file.Workers, RetainResponses: s.config.listenFD >= 0}
+	built.jobs.Workers = workers
 	switch {
 	case conf.Discovery != "":
-		d := &jobs.Discovery{Engine: e, Dialer: s.driver, Addr: conf.Discovery, Service: conf.Name}
-		e.SetBackends(workers, d)
-		v.stop = d.Close
+		d := &jobs.Discovery{Engine: serviceEngine, Dialer: s.driver, Addr: conf.Discovery, Service: conf.Name}
+		serviceEngine.SetBackends(workers, d)
+		built.stop = d.Close
 	case conf.File != "":
-		f, err := member.WatchFile(e, conf.Name, conf.File, operator.ListSettleTime)
+		f, err := member.WatchFile(serviceEngine, conf.Name, conf.File, operator.ListSettleTime)
 		if err != nil {
 			return nil, fmt.Errorf("service %q: %w", conf.Name, err)
 		}
-		e.SetBackends(workers, f)
-		v.list, v.stop = &f.Static, f.Close
+		serviceEngine.SetBackends(workers, f)
+		built.list, built.stop = &f.Static, f.Close
 	default:
-		v.list = &member.Static{Engine: e}
-		e.SetBackends(workers, v.list)
+		built.list = &member.Static{Engine: serviceEngine}
+		serviceEngine.SetBackends(workers, built.list)
 	}
-	return v, nil
+	return built, nil
 }
 
 // listEntries returns the worker list of a service's block.
@@ -132,13 +132,13 @@
 			next[conf.Name] = old
 			continue
 		}
-		v, err := s.buildService(conf)
+		created, err := s.buildService(conf)
 		if err != nil {
 			errs = append(errs, err)
 			continue
 		}
-		next[conf.Name] = v
-		built = append(built, v)
+		next[conf.Name] = created
+		built = append(built, created)
 	}
 	if len(errs) > 0 {
 		for _, v := range built {
@@ -160,19 +160,19 @@
 		}
 	}
 	for _, conf := range file.Services {
-		v := next[conf.Name]
-		if slices.Contains(built, v) {
-			s.startService(v)
+		current := next[conf.Name]
+		if slices.Contains(built, current) {
+			s.startService(current)
 			continue
 		}
-		v.jobs.Pool.SetLimits(conf.Limits, conf.ClassLimits())
-		v.share.SetReserve(conf.Reserve)
-		v.timeShare.SetWeight(conf.Weight)
-		v.dialer.SetLimit(conf.Connections)
-		if conf.File == "" && conf.Discovery == "" && !slices.Equal(conf.Workers, v.conf.Workers) {
-			v.list.Set(listEntries(conf))
+		current.jobs.Pool.SetLimits(conf.Limits, conf.ClassLimits())
+		current.share.SetReserve(conf.Reserve)
+		current.timeShare.SetWeight(conf.Weight)
+		current.dialer.SetLimit(conf.Connections)
+		if conf.File == "" && conf.Discovery == "" && !slices.Equal(conf.Workers, current.conf.Workers) {
+			current.list.Set(listEntries(conf))
 		}
-		v.conf = conf
+		current.conf = conf
 	}
 	s.services = next
 	s.setRoutes(file)
--- a/cmd/weldscale/services_test.go
+++ b/cmd/weldscale/services_test.go
@@ -181,7 +181,7 @@
 
 // Changes of a worker file are followed. An incomplete file, or one with a worker without address, changes nothing.
 func TestWorkerFile(t *testing.T) {
-	a, z := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
+	workerA, workerZ := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "z"})
 	path := filepath.Join(t.TempDir(), "workers.json")
 	write := func(text string) {
 		require.NoError(t, os.WriteFile(path+".new", []byte(text), 0o600))
@@ -190,7 +190,7 @@
 	list := func(w *standin.Worker, status string) string {
 		return fmt.Sprintf(`{"endpoints":[{"name":%q,"address":%q,"status":%q}]}`, w.Name(), w.Addr(), status)
 	}
-	write(list(a, "SERVING"))
+	write(list(workerA, "SERVING"))
 	text := strings.Replace(serviceBlock("shop", ""), "workers {\n", fmt.Sprintf("workers {\n file = %q\n", path), 1)
 	ts := startSchedulerWith(t, nil, func(c *config) { c.file = operatorFile(t, text) })
 	readyAddrs := func() (addrs []string) {
@@ -199,14 +199,14 @@
 		})
 		return addrs
 	}
-	require.Eventually(t, func() bool { return slices.Equal(readyAddrs(), []string{a.Addr()}) }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return slices.Equal(readyAddrs(), []string{workerA.Addr()}) }, testTimeout, time.Millisecond)
 	write(`{"endpoints":[`)
 	write(`{"endpoints":[{"name":"z"}]}`)
 	status, _, _ := ts.askService("shop.example.org", "/api/1", "1", "view", testTimeout)
 	assert.Equal(t, 200, status)
-	write(list(z, "SERVING"))
-	require.Eventually(t, func() bool { return slices.Equal(readyAddrs(), []string{z.Addr()}) }, testTimeout, time.Millisecond)
-	write(list(z, "DRAINING"))
+	write(list(workerZ, "SERVING"))
+	require.Eventually(t, func() bool { return slices.Equal(readyAddrs(), []string{workerZ.Addr()}) }, testTimeout, time.Millisecond)
+	write(list(workerZ, "DRAINING"))
 	require.Eventually(t, func() bool { return len(readyAddrs()) == 0 }, testTimeout, time.Millisecond)
 	f := operatorFile(t, strings.Replace(text, "workers.json", "nowhere.json", 1))
 	assert.ErrorContains(t, ts.applyFile(f), "no such file")
--- a/cmd/weldscale/slow_test.go
+++ b/cmd/weldscale/slow_test.go
@@ -26,8 +26,8 @@
 // Peers that send or read too slowly are cut, whatever their job. Peers that keep the pace are not, nor those on a link that is
 // configured as slow. A request whose answer was not read is not sent to a worker again.
 func TestSlowPeers(t *testing.T) {
-	f := startWorkerFleet(t, 4, standin.WorkerConfig{Queue: 8, TellsStart: true})
-	ts := startSchedulerWith(t, f.Entries(), func(c *config) {
+	fleet := startWorkerFleet(t, 4, standin.WorkerConfig{Queue: 8, TellsStart: true})
+	ts := startSchedulerWith(t, fleet.Entries(), func(c *config) {
 		c.file.SlowPeers.Links = []pace.Link{{Name: "murun", Prefixes: []netip.Prefix{netip.MustParsePrefix("127.0.3.0/24")},
 			In: 64, Out: 64}}
 	})
@@ -68,7 +68,7 @@
 	assert.Equal(t, 40, cut())
 	assert.Positive(t, ts.slowPeerCounts().CutOut)
 	var ids []string
-	for _, w := range f.Workers {
+	for _, w := range fleet.Workers {
 		ids = append(ids, w.IDs()...)
 	}
 	slices.Sort(ids)
--- a/cmd/weldscale/upgrade.go
+++ b/cmd/weldscale/upgrade.go
@@ -216,11 +216,11 @@
 // adopt continues a job of another process. The first descriptor is the client's connection. The second, if present, is the
 // connection of the attempt to its worker.
 func (u *upgrade) adopt(handoverJob *jobs.HandoverJob, fds []int) {
-	s := u.scheduler
-	v := s.server.Main
+	scheduler := u.scheduler
+	service := scheduler.server.Main
 	if handoverJob.Service != "" {
-		if named := s.services[handoverJob.Service]; named != nil {
-			v = named.jobs
+		if named := scheduler.services[handoverJob.Service]; named != nil {
+			service = named.jobs
 		}
 	}
 	closeWorker := func() {
@@ -228,7 +228,7 @@
 			unix.Close(fd)
 		}
 	}
-	s.driver.Adopt(fds[0], func(c jobs.Conn) {
+	scheduler.driver.Adopt(fds[0], func(c jobs.Conn) {
 		if c == nil { // the client has disconnected, so the attempt ends too
 			closeWorker()
 			return
@@ -236,10 +236,10 @@
 		var worker jobs.Conn
 		for _, t := range handoverJob.Job.Tried {
 			if t.Out && len(fds) > 1 {
-				worker = s.driver.AdoptWorker(t.Addr, fds[1])
+				worker = scheduler.driver.AdoptWorker(t.Addr, fds[1])
 			}
 		}
-		s.server.Adopt(v, handoverJob, c, worker)
+		scheduler.server.Adopt(service, handoverJob, c, worker)
 	})
 }
 
@@ -307,33 +307,33 @@
 
 // handOver hands over all connections that can be and reschedules itself until none is left or handoverPeriod has passed.
 func (u *upgrade) handOver() {
-	s := u.scheduler
+	scheduler := u.scheduler
 	to := u.successor()
-	if to == nil || time.Since(s.stopping) > handoverPeriod { // continue as without a successor
-		slog.Warn("connections left at the stop", "other_lives", to != nil, "peers", s.server.Pace.Counts().Peers, "open", s.openRequests(),
+	if to == nil || time.Since(scheduler.stopping) > handoverPeriod { // continue as without a successor
+		slog.Warn("connections left at the stop", "other_lives", to != nil, "peers", scheduler.server.Pace.Counts().Peers, "open", scheduler.openRequests(),
 			"clients", u.clients, "jobs", u.jobs)
-		s.server.StartClosing()
-		s.continueStop()
+		scheduler.server.StartClosing()
+		scheduler.continueStop()
 		return
 	}
-	s.driver.WithReadsPaused(func() {
-		left := s.server.HandOverIdle(func(c jobs.Conn) bool {
+	scheduler.driver.WithReadsPaused(func() {
+		left := scheduler.server.HandOverIdle(func(c jobs.Conn) bool {
 			ok := u.send(to, handover.Message{Kind: handover.KindIdleClient}, c)
 			if ok {
 				u.clients++
 			}
 			return ok
 		})
-		if time.Since(s.stopping) > jobHandoverDelay {
-			s.server.HandOverJobs(u.sendJob(to))
-			left = s.server.Pace.Counts().Peers
+		if time.Since(scheduler.stopping) > jobHandoverDelay {
+			scheduler.server.HandOverJobs(u.sendJob(to))
+			left = scheduler.server.Pace.Counts().Peers
 		}
-		if left == 0 && s.openRequests() == 0 && s.driver.Unsent() == 0 {
-			slog.Info("all passed on", "clients", u.clients, "jobs", u.jobs, "again", u.failed, "took", time.Since(s.stopping))
-			s.loop.After(flushDelay, s.loop.Stop)
+		if left == 0 && scheduler.openRequests() == 0 && scheduler.driver.Unsent() == 0 {
+			slog.Info("all passed on", "clients", u.clients, "jobs", u.jobs, "again", u.failed, "took", time.Since(scheduler.stopping))
+			scheduler.loop.After(flushDelay, scheduler.loop.Stop)
 			return
 		}
-		s.loop.After(handoverInterval, u.handOver)
+		scheduler.loop.After(handoverInterval, u.handOver)
 	})
 }
 
--- a/cmd/weldscale/upgrade_test.go
+++ b/cmd/weldscale/upgrade_test.go
@@ -63,26 +63,26 @@
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 100+os.Getpid()%100, os.Getpid()/100%250, 1+processesStarted.Add(1)%250))
 	require.NoError(tp.t, err)
 	ln.Close()
-	p := &process{platform: tp, mgmt: ln.Addr().String(), cmd: exec.Command(os.Args[0]), log: &programLog{changed: make(chan struct{}, 1)}}
+	proc := &process{platform: tp, mgmt: ln.Addr().String(), cmd: exec.Command(os.Args[0]), log: &programLog{changed: make(chan struct{}, 1)}}
 	if tp.maxFiles > 0 {
-		p.cmd = exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", tp.maxFiles, os.Args[0]))
+		proc.cmd = exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", tp.maxFiles, os.Args[0]))
 	}
 	configPath := filepath.Join(tp.t.TempDir(), "config.json")
 	writeConfig(tp.t, configPath, tp.schedulerConfig)
-	p.cmd.Env = append(append(os.Environ(), "WELDSCALE_TEST=program", "GW_CONFIG="+configPath, "GW_MGMT="+p.mgmt, "TMPDIR="+tp.dir,
+	proc.cmd.Env = append(append(os.Environ(), "WELDSCALE_TEST=program", "GW_CONFIG="+configPath, "GW_MGMT="+proc.mgmt, "TMPDIR="+tp.dir,
 		"GW_PASSED_SOCKET=3"), env...)
-	p.cmd.ExtraFiles, p.cmd.Stderr = []*os.File{tp.socket}, p.log
-	require.NoError(tp.t, p.cmd.Start())
+	proc.cmd.ExtraFiles, proc.cmd.Stderr = []*os.File{tp.socket}, proc.log
+	require.NoError(tp.t, proc.cmd.Start())
 	tp.t.Cleanup(func() {
-		if p.cmd.ProcessState == nil {
-			_ = p.cmd.Process.Kill()
-			_ = p.cmd.Wait()
+		if proc.cmd.ProcessState == nil {
+			_ = proc.cmd.Process.Kill()
+			_ = proc.cmd.Wait()
 		}
 		if tp.t.Failed() {
-			tp.t.Log(p.log.String())
+			tp.t.Log(proc.log.String())
 		}
 	})
-	return p
+	return proc
 }
 
 // awaitReady waits until the process reports that it is ready.
@@ -215,10 +215,10 @@
 }
 
 // countingDialer counts the connections that it dials.
-type countingDialer struct{ n *atomic.Int64 }
+type countingDialer struct{ count *atomic.Int64 }
 
 func (d *countingDialer) dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	d.n.Add(1)
+	d.count.Add(1)
 	return (&net.Dialer{}).DialContext(ctx, network, addr)
 }
 
@@ -246,7 +246,7 @@
 	w := startWorker(t, standin.WorkerConfig{Name: "a"})
 	tp := newTestPlatform(t, startDiscovery(t, w.Entry("SERVING")))
 	tp.maxFiles, tp.schedulerConfig.Sockets = 96, 96
-	p := tp.start().awaitReady()
+	proc := tp.start().awaitReady()
 	for range 300 {
 		c, err := net.Dial("tcp", tp.addr)
 		require.NoError(t, err)
@@ -256,28 +256,28 @@
 		}
 	}
 	for i := range 30 {
-		resp, err := http.Get("http://" + p.mgmt + "/control/counters")
+		resp, err := http.Get("http://" + proc.mgmt + "/control/counters")
 		require.NoError(t, err)
 		resp.Body.Close()
 		assert.Equal(t, 200, resp.StatusCode)
 		if i == 0 {
-			assert.Equal(t, 200, p.workerCommand("a", "offline"))
-			assert.Equal(t, 200, p.workerCommand("a", "online"))
+			assert.Equal(t, 200, proc.workerCommand("a", "offline"))
+			assert.Equal(t, 200, proc.workerCommand("a", "online"))
 		}
 	}
 	clients := tp.startClients("d", 2)
 	time.Sleep(50 * time.Millisecond)
 	served, _ := clients.finish()
 	assert.Positive(t, served)
-	p.stop()
-	assert.NotContains(t, p.log.String(), "too many open files")
+	proc.stop()
+	assert.NotContains(t, proc.log.String(), "too many open files")
 }
 
 // A new process that can't start changes nothing. A process that is killed leaves nothing behind except its offline workers,
 // which stay offline in the next process.
 func TestBrokenUpgrades(t *testing.T) {
-	a, b := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "b"})
-	tp := newTestPlatform(t, startDiscovery(t, a.Entry("SERVING"), b.Entry("SERVING")))
+	workerA, workerB := startWorker(t, standin.WorkerConfig{Name: "a"}), startWorker(t, standin.WorkerConfig{Name: "b"})
+	tp := newTestPlatform(t, startDiscovery(t, workerA.Entry("SERVING"), workerB.Entry("SERVING")))
 	old := tp.start().awaitReady()
 	for env, wantLog := range map[string]string{"GW_PASSED_SOCKET=9": "descriptor 9 is no listening socket", "GW_PASSED_SOCKET=x": "is not the number",
 		"GW_CONFIG=/nowhere": "no such file", "GW_MGMT=" + old.mgmt: "address already in use"} {
@@ -294,14 +294,14 @@
 	require.Equal(t, 200, old.workerCommand("a", "offline"))
 	require.NoError(t, old.cmd.Process.Kill())
 	_ = old.cmd.Wait()
-	jobsBefore := len(a.IDs())
+	jobsBefore := len(workerA.IDs())
 	next := tp.start().awaitReady()
 	clients = tp.startClients("l", 2)
 	time.Sleep(50 * time.Millisecond)
 	served, unexpected = clients.finish()
 	assert.Positive(t, served)
 	assert.Empty(t, unexpected)
-	assert.Len(t, a.IDs(), jobsBefore, "taken offline before the kill")
+	assert.Len(t, workerA.IDs(), jobsBefore, "taken offline before the kill")
 
 	// The old process is killed during the handover of its connections. The new one serves, with the same workers offline.
 	newer := tp.start().awaitReady()
@@ -315,7 +315,7 @@
 	served, unexpected = clients.finish()
 	assert.Positive(t, served)
 	assert.Empty(t, unexpected)
-	assert.Len(t, a.IDs(), jobsBefore)
+	assert.Len(t, workerA.IDs(), jobsBefore)
 	next = newer
 
 	// An unreadable file of offline workers only causes a log line.
