--- a/cmd/weldtrial/judged.go
+++ b/cmd/weldtrial/judged.go
@@ -104,10 +104,10 @@
 			kind := standin.JobKind{Share: 0.5, Task: standin.Task{Run: c.Job}, Budget: 5 * time.Second, Body: 50, Within: time.Second}
 			view, send := kind, kind
 			view.Class, send.Class = "view", "send"
-			l := standin.Load{Target: loopbackAddr(i, 7400), Seed: args.Seed + uint64(i), Name: fmt.Sprint(name, i, "-"), Rate: c.Rate, For: duration,
+			load := standin.Load{Target: loopbackAddr(i, 7400), Seed: args.Seed + uint64(i), Name: fmt.Sprint(name, i, "-"), Rate: c.Rate, For: duration,
 				Kinds: []standin.JobKind{view, send}, Idle: 8}
 			loads.Go(func() {
-				t := l.Run(ctx)
+				t := load.Run(ctx)
 				mu.Lock()
 				defer mu.Unlock()
 				total.Sent, total.Failed, total.Refused, total.InTime = total.Sent+t.Sent, total.Failed+t.Failed, total.Refused+t.Refused, total.InTime+t.InTime
--- a/cmd/weldtrial/services.go
+++ b/cmd/weldtrial/services.go
@@ -69,14 +69,14 @@
 	var file strings.Builder
 	var fleets []*standin.Fleet
 	for _, name := range serviceNames {
-		f, err := standin.StartFleet(c.Boxes, standin.WorkerConfig{Slots: 2, Queue: 8, TellsStart: true})
+		fleet, err := standin.StartFleet(c.Boxes, standin.WorkerConfig{Slots: 2, Queue: 8, TellsStart: true})
 		if err != nil {
 			return nil, 0, 0, err
 		}
-		defer f.Close()
-		fleets = append(fleets, f)
+		defer fleet.Close()
+		fleets = append(fleets, fleet)
 		fmt.Fprintf(&file, "service %q {\n  reserve = 100\n  match { host = \"%s.example.org\" }\n  workers {\n", name, name)
-		for _, w := range f.Workers {
+		for _, w := range fleet.Workers {
 			fmt.Fprintf(&file, "    worker %q { address = %q }\n", w.Name(), w.Addr())
 		}
 		fmt.Fprintf(&file, "  }\n  class \"view\" {\n    effect   = \"safe\"\n    aim      = \"200ms\"\n    deadline = \"2s\"\n  }\n}\n")
@@ -85,11 +85,11 @@
 		fmt.Fprintf(&file, "service \"idle%d\" {\n  match { host = \"idle%d.example.org\" }\n  workers {\n    worker \"w\" { address = \"127.0.0.1:9\" }\n  }\n"+
 			"  class \"view\" { effect = \"safe\" }\n}\n", i, i)
 	}
-	s, err := args.startScheduler(ctx, standin.SchedulerConfig{Discovery: fleets[0].Discovery.Addr(), Known: fleets[0].Discovery.Known()}, file.String())
+	scheduler, err := args.startScheduler(ctx, standin.SchedulerConfig{Discovery: fleets[0].Discovery.Addr(), Known: fleets[0].Discovery.Known()}, file.String())
 	if err != nil {
 		return nil, 0, 0, err
 	}
-	defer s.stop()
+	defer scheduler.stop()
 	if silent {
 		for _, w := range fleets[0].Workers {
 			w.Silence()
@@ -97,17 +97,17 @@
 	}
 	out = make([]*standin.Tally, len(serviceNames))
 	var loads sync.WaitGroup
-	before := s.cpu()
+	before := scheduler.cpu()
 	for i, name := range serviceNames {
-		l := standin.Load{Target: s.addr, Host: name + ".example.org", Name: name, Seed: args.Seed + uint64(i), For: args.For, Rate: c.Rate,
+		load := standin.Load{Target: scheduler.addr, Host: name + ".example.org", Name: name, Seed: args.Seed + uint64(i), For: args.For, Rate: c.Rate,
 			From: fmt.Sprintf("127.0.%d.1", i+1), Kinds: []standin.JobKind{{Class: "view", Share: 1, Task: standin.Task{Run: c.Job},
 				Budget: 2 * time.Second, Within: c.Within, Body: 200}}}
 		if i == 0 {
-			l.Rate = rate
+			load.Rate = rate
 		}
-		loads.Go(func() { out[i] = l.Run(ctx) })
+		loads.Go(func() { out[i] = load.Run(ctx) })
 	}
 	loads.Wait()
-	cpu = (s.cpu() - before).Seconds() / args.For.Seconds() * 100
-	return out, cpu, s.peakMemory(), nil
+	cpu = (scheduler.cpu() - before).Seconds() / args.For.Seconds() * 100
+	return out, cpu, scheduler.peakMemory(), nil
 }
--- a/cmd/weldtrial/shared.go
+++ b/cmd/weldtrial/shared.go
@@ -176,7 +176,7 @@
 		fmt.Fprintf(&workerBlocks, "    worker %q { address = %q }\n", w.Name(), w.Addr())
 	}
 	for i := range n {
-		s := &faults.Process{Name: fmt.Sprint("s", i), Path: args.Scheduler, Dir: filepath.Join(dir, fmt.Sprint("of-s", i)), Env: []string{"GW_CONFIG="},
+		scheduler := &faults.Process{Name: fmt.Sprint("s", i), Path: args.Scheduler, Dir: filepath.Join(dir, fmt.Sprint("of-s", i)), Env: []string{"GW_CONFIG="},
 			Ready: func(context.Context) bool {
 				resp, err := http.Get("http://" + loopbackAddr(i, 7400) + "/-/ready")
 				if err == nil {
@@ -186,16 +186,16 @@
 			}}
 		file := fmt.Sprintf("scheduler {\n name = %q\n listen = %q\n sockets = 256\n}\nfleet \"trial\" {\n bind = %q\n via = %q\n join = [%q, %q]\n"+
 			" members = %d\n keepers = [\"s0\", \"s1\", \"s2\"]\n%s}\nservice \"shop\" {\n match { path = \"/\" }\n workers {\n%s }\n%s}\n",
-			s.Name, loopbackAddr(i, 7400), loopbackAddr(i, 7401), hub, loopbackAddr(0, 7401), loopbackAddr(3, 7401), n, fleetLines, &workerBlocks, serviceLines)
-		path := filepath.Join(dir, s.Name+".hcl")
+			scheduler.Name, loopbackAddr(i, 7400), loopbackAddr(i, 7401), hub, loopbackAddr(0, 7401), loopbackAddr(3, 7401), n, fleetLines, &workerBlocks, serviceLines)
+		path := filepath.Join(dir, scheduler.Name+".hcl")
 		if err := os.WriteFile(path, []byte(file), 0o600); err != nil {
 			return schedulers, err
 		}
-		s.Args = []string{"serve", "--config", path}
-		if err := s.Start(log); err != nil {
+		scheduler.Args = []string{"serve", "--config", path}
+		if err := scheduler.Start(log); err != nil {
 			return schedulers, err
 		}
-		schedulers = append(schedulers, s)
+		schedulers = append(schedulers, scheduler)
 	}
 	readyCtx, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
--- a/cmd/weldtrial/slow.go
+++ b/cmd/weldtrial/slow.go
@@ -90,18 +90,18 @@
 
 // runRow runs one row.
 func (c *slowPeersCmd) runRow(ctx context.Context, args *cli, descriptors int, slow bool) (*rowResult, error) {
-	f, err := standin.StartFleet(8, standin.WorkerConfig{Queue: 16, TellsStart: true})
+	fleet, err := standin.StartFleet(8, standin.WorkerConfig{Queue: 16, TellsStart: true})
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	s, err := args.startScheduler(ctx, standin.SchedulerConfig{Discovery: f.Discovery.Addr(), Known: f.Discovery.Known(), Sockets: descriptors,
+	defer fleet.Close()
+	scheduler, err := args.startScheduler(ctx, standin.SchedulerConfig{Discovery: fleet.Discovery.Addr(), Known: fleet.Discovery.Known(), Sockets: descriptors,
 		MemoryMB: c.MemoryMB}, linkBlock)
 	if err != nil {
 		return nil, err
 	}
-	defer s.stop()
-	r := &rowResult{}
+	defer scheduler.stop()
+	result := &rowResult{}
 	var clients sync.WaitGroup
 	rowCtx, stop := context.WithTimeout(ctx, args.For)
 	defer stop()
@@ -115,7 +115,7 @@
 			{Name: "s", From: "127.0.9.1", Peers: c.Senders, Kind: sender, Send: c.Send, Again: c.Again},
 			{Name: "r", From: "127.0.10.1", Peers: c.Readers, Kind: reader, Read: c.Read, Again: c.Again}}
 		for _, group := range slowGroups {
-			group.Target, group.Over = s.addr, c.Over
+			group.Target, group.Over = scheduler.addr, c.Over
 			clients.Go(func() { group.Run(rowCtx) })
 		}
 	}
@@ -126,22 +126,22 @@
 		{From: "127.0.3.1", Send: 1100, Read: 1100}}
 	var mu sync.Mutex
 	for i, group := range honest {
-		group.Target, group.Name, group.Peers, group.Kind = s.addr, fmt.Sprint("h", i), 2, small
+		group.Target, group.Name, group.Peers, group.Kind = scheduler.addr, fmt.Sprint("h", i), 2, small
 		clients.Go(func() {
 			t := group.Run(rowCtx)
 			mu.Lock()
 			defer mu.Unlock()
-			r.honest.Served += t.Served
-			r.honest.Cut += t.Cut + t.Refused + t.Answered[408] + t.Answered[503]
+			result.honest.Served += t.Served
+			result.honest.Cut += t.Cut + t.Refused + t.Answered[408] + t.Answered[503]
 		})
 	}
-	before := s.cpu()
-	r.normal = standin.Load{Target: s.addr, From: "127.0.1.1", Name: "n", Seed: args.Seed, Kinds: []standin.JobKind{normal},
+	before := scheduler.cpu()
+	result.normal = standin.Load{Target: scheduler.addr, From: "127.0.1.1", Name: "n", Seed: args.Seed, Kinds: []standin.JobKind{normal},
 		For: args.For, Rate: c.Rate}.Run(ctx)
-	r.cpu = s.cpu() - before
-	r.memory = s.peakMemory()
-	r.counters = s.counters()
+	result.cpu = scheduler.cpu() - before
+	result.memory = scheduler.peakMemory()
+	result.counters = scheduler.counters()
 	stop()
 	clients.Wait()
-	return r, nil
+	return result, nil
 }
--- a/cmd/weldtrial/twin.go
+++ b/cmd/weldtrial/twin.go
@@ -31,16 +31,16 @@
 func (c *twinCmd) Run(ctx context.Context, args *cli) error {
 	var scripts []*emulator.Script
 	for _, path := range c.Scripts {
-		s, err := emulator.Read(path)
+		script, err := emulator.Read(path)
 		if err != nil {
 			return err
 		}
-		for _, t := range s.Troubles {
+		for _, t := range script.Troubles {
 			if t.Balancer || !slices.Contains([]string{"vanish", "slow", "heavy_tail", "zone_loss", "drain", "restart", "flapping"}, t.Kind) {
 				return fmt.Errorf("%s: the twin can't play the fault %s with these terms", path, t.Kind)
 			}
 		}
-		scripts = append(scripts, s)
+		scripts = append(scripts, script)
 	}
 	out := table.NewWriter()
 	out.SetOutputMirror(os.Stdout)
@@ -48,8 +48,8 @@
 	out.SetTitle("the model and real schedulers, the same arrivals and troubles")
 	out.AppendHeader(table.Row{"script", "jobs", "worth in time: model", "twin", "twin has more", "model refused", "twin refused", "model late", "twin late", "twin failed"})
 	differing := 0
-	for i, s := range scripts {
-		model, twin, err := c.runScript(ctx, args, s)
+	for i, script := range scripts {
+		model, twin, err := c.runScript(ctx, args, script)
 		if err != nil {
 			return fmt.Errorf("%s: %w", c.Scripts[i], err)
 		}
