--- a/cmd/weldreport/main.go
+++ b/cmd/weldreport/main.go
@@ -71,12 +71,12 @@
 		}
 		s := section{run: r}
 		for _, newPlot := range []func(run) (*plot.Plot, error){plotWorth, plotQueues, plotHeld} {
-			p, err := newPlot(r)
+			chart, err := newPlot(r)
 			if err != nil {
 				return fmt.Errorf("run %d: %w", i, err)
 			}
-			if p != nil {
-				svg, err := plots.Render(p)
+			if chart != nil {
+				svg, err := plots.Render(chart)
 				if err != nil {
 					return err
 				}
--- a/cmd/weldreport/main_test.go
+++ b/cmd/weldreport/main_test.go
@@ -22,16 +22,16 @@
 	var runs []run
 	troubleCount := 0
 	for _, path := range paths {
-		s, err := emulator.Read(path)
+		script, err := emulator.Read(path)
 		require.NoError(t, err)
-		x, err := emulator.New(s, 1, nil)
+		sim, err := emulator.New(script, 1, nil)
 		require.NoError(t, err)
-		x.SampleEvery = s.Duration / 30
-		result, err := x.Run(nil)
+		sim.SampleEvery = script.Duration / 30
+		result, err := sim.Run(nil)
 		require.NoError(t, err)
 		require.Len(t, result.Samples, 31)
-		runs = append(runs, run{Script: "<b>" + filepath.Base(path), Policy: "module", Seed: 1, Result: result, Troubles: s.Troubles})
-		troubleCount += len(s.Troubles)
+		runs = append(runs, run{Script: "<b>" + filepath.Base(path), Policy: "module", Seed: 1, Result: result, Troubles: script.Troubles})
+		troubleCount += len(script.Troubles)
 	}
 	text, err := json.Marshal(runs)
 	require.NoError(t, err)
