--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -95,34 +95,34 @@
 }
 
 func TestHandleIsTakenOnceAndExpires(t *testing.T) {
-	e := New(Config{Stage: StagePrefill, HandleLifetime: time.Second}, "h")
+	engine := New(Config{Stage: StagePrefill, HandleLifetime: time.Second}, "h")
 	prefill := func(at time.Duration, id string) string {
 		j := job(id, 1, Part{id, 160})
 		j.PrefillOnly = true
-		e.Submit(at, j)
-		e.Advance(at + 100*ms)
-		events := e.Events()
+		engine.Submit(at, j)
+		engine.Advance(at + 100*ms)
+		events := engine.Events()
 		require.Equal(t, []Kind{KindPrefilled}, kindsOf(events, id))
 		return events[0].Handle
 	}
 	first := prefill(0, "a")
-	require.Equal(t, 1, e.State().KvHandles)
-	require.Equal(t, 176, e.State().KvUsed)
-	taken, ok := e.TakeHandle(200*ms, first, 1)
+	require.Equal(t, 1, engine.State().KvHandles)
+	require.Equal(t, 176, engine.State().KvUsed)
+	taken, ok := engine.TakeHandle(200*ms, first, 1)
 	require.True(t, ok)
 	require.Equal(t, TakenHandle{Job: "a", Tokens: 160}, taken)
-	_, ok = e.TakeHandle(200*ms, first, 1)
+	_, ok = engine.TakeHandle(200*ms, first, 1)
 	require.False(t, ok)
 
 	second := prefill(300*ms, "b")
-	e.Advance(2 * time.Second)
-	_, ok = e.TakeHandle(2*time.Second, second, 1)
+	engine.Advance(2 * time.Second)
+	_, ok = engine.TakeHandle(2*time.Second, second, 1)
 	require.False(t, ok)
-	require.Equal(t, 1, e.Stats().HandlesExpired)
+	require.Equal(t, 1, engine.Stats().HandlesExpired)
 	third := prefill(3*time.Second, "c")
-	require.True(t, e.FreeHandle(3200*ms, third))
-	require.False(t, e.FreeHandle(3200*ms, third))
-	require.Zero(t, e.State().KvUsed)
+	require.True(t, engine.FreeHandle(3200*ms, third))
+	require.False(t, engine.FreeHandle(3200*ms, third))
+	require.Zero(t, engine.State().KvUsed)
 }
 
 func TestTransfersShareTheLinkInSequence(t *testing.T) {
@@ -202,31 +202,31 @@
 
 func TestOrders(t *testing.T) {
 	fence := func(n uint64) *uint64 { return &n }
-	e := New(Config{Stage: StageDecode, Slots: 1, Step: ms, StageSwitch: time.Second, Fencing: true}, "h")
+	engine := New(Config{Stage: StageDecode, Slots: 1, Step: ms, StageSwitch: time.Second, Fencing: true}, "h")
 	order := Order{Operation: OperationStage, Stage: StagePrefill, Holder: "n", FenceToken: fence(7)}
-	require.Equal(t, http.StatusBadRequest, e.Order(0, Order{Operation: OperationStage, Stage: StagePrefill, Holder: "n"}))
-	require.Equal(t, http.StatusBadRequest, e.Order(0, Order{Operation: "Other", Holder: "n", FenceToken: fence(7)}))
-	e.Submit(0, job("runs", 10))
-	e.Submit(0, job("waits", 10))
-	e.Advance(ms)
+	require.Equal(t, http.StatusBadRequest, engine.Order(0, Order{Operation: OperationStage, Stage: StagePrefill, Holder: "n"}))
+	require.Equal(t, http.StatusBadRequest, engine.Order(0, Order{Operation: "Other", Holder: "n", FenceToken: fence(7)}))
+	engine.Submit(0, job("runs", 10))
+	engine.Submit(0, job("waits", 10))
+	engine.Advance(ms)
 	wrong := 5
 	mismatched := order
 	mismatched.IfRevision = &wrong
-	require.Equal(t, http.StatusConflict, e.Order(ms, mismatched))
-	require.Equal(t, http.StatusAccepted, e.Order(ms, order))
-	require.Equal(t, http.StatusConflict, e.Order(ms, order), "another order is in progress")
-	require.Equal(t, []Kind{KindNotExecuted}, kindsOf(e.Events(), "waits"))
-	require.Equal(t, RejectedBusy, e.Submit(2*ms, job("comes", 1)))
+	require.Equal(t, http.StatusConflict, engine.Order(ms, mismatched))
+	require.Equal(t, http.StatusAccepted, engine.Order(ms, order))
+	require.Equal(t, http.StatusConflict, engine.Order(ms, order), "another order is in progress")
+	require.Equal(t, []Kind{KindNotExecuted}, kindsOf(engine.Events(), "waits"))
+	require.Equal(t, RejectedBusy, engine.Submit(2*ms, job("comes", 1)))
 	order.FenceToken = fence(6)
-	require.Equal(t, http.StatusPreconditionFailed, e.Order(2*ms, order))
-	e.Advance(500 * ms)
-	require.Equal(t, []Kind{KindDone}, kindsOf(e.Events(), "runs")[9:], "running jobs complete before the switch")
-	require.Equal(t, StageDecode, e.Stage())
-	e.Advance(2 * time.Second)
-	require.Equal(t, StagePrefill, e.Stage())
+	require.Equal(t, http.StatusPreconditionFailed, engine.Order(2*ms, order))
+	engine.Advance(500 * ms)
+	require.Equal(t, []Kind{KindDone}, kindsOf(engine.Events(), "runs")[9:], "running jobs complete before the switch")
+	require.Equal(t, StageDecode, engine.Stage())
+	engine.Advance(2 * time.Second)
+	require.Equal(t, StagePrefill, engine.Stage())
 	order.FenceToken = fence(7)
-	require.Equal(t, http.StatusOK, e.Order(2*time.Second, order))
-	require.Equal(t, RejectedStage, e.Submit(2*time.Second, job("comes", 1)))
+	require.Equal(t, http.StatusOK, engine.Order(2*time.Second, order))
+	require.Equal(t, RejectedStage, engine.Submit(2*time.Second, job("comes", 1)))
 }
 
 func TestReportLag(t *testing.T) {
@@ -240,9 +240,9 @@
 // TestMemoryIsConserved submits and cancels random jobs and checks the block counts after every operation.
 func TestMemoryIsConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e := New(Config{Stage: StagePrefill, Slots: 4, Queue: 4, KvTokens: 640, HandleLifetime: 50 * ms, Step: ms}, "h")
+		engine := New(Config{Stage: StagePrefill, Slots: 4, Queue: 4, KvTokens: 640, HandleLifetime: 50 * ms, Step: ms}, "h")
 		if rapid.Bool().Draw(t, "decode") {
-			e.order.stage = StageDecode
+			engine.order.stage = StageDecode
 		}
 		now := time.Duration(0)
 		for i := range rapid.IntRange(1, 40).Draw(t, "moves") {
@@ -252,19 +252,19 @@
 			case 0, 1:
 				j := job(fmt.Sprint(i), rapid.IntRange(1, 60).Draw(t, "output"),
 					Part{fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "part")), 100}, Part{"", rapid.IntRange(0, 200).Draw(t, "own")})
-				j.PrefillOnly = e.order.stage == StagePrefill
+				j.PrefillOnly = engine.order.stage == StagePrefill
 				j.Priority = rapid.IntRange(0, 2).Draw(t, "priority")
-				e.Submit(now, j)
+				engine.Submit(now, j)
 			case 2:
-				e.Cancel(now, id)
+				engine.Cancel(now, id)
 			}
-			if e.cache.free() < 0 || e.cache.privateBlocks < 0 || e.cache.used() > e.cache.total {
-				t.Fatalf("inconsistent block counts: %v", e)
+			if engine.cache.free() < 0 || engine.cache.privateBlocks < 0 || engine.cache.used() > engine.cache.total {
+				t.Fatalf("inconsistent block counts: %v", engine)
 			}
 		}
-		e.Advance(now + time.Minute)
-		if len(e.tasks) > 0 || e.cache.used() != 0 || e.cache.privateBlocks != 0 {
-			t.Fatalf("jobs or used blocks remain: %v", e)
+		engine.Advance(now + time.Minute)
+		if len(engine.tasks) > 0 || engine.cache.used() != 0 || engine.cache.privateBlocks != 0 {
+			t.Fatalf("jobs or used blocks remain: %v", engine)
 		}
 	})
 }
