--- a/internal/standin/llmworker/model.go
+++ b/internal/standin/llmworker/model.go
@@ -38,7 +38,7 @@
 	}
 	defer w.driver.cancel(job.ID)
 	w.reportArrival(in, true)
-	s := &stream{worker: w, rw: rw, in: in}
+	s := &stream{worker: w, responseWriter: rw, incoming: in}
 	s.writeEvents(r, queue)
 }
 
@@ -97,16 +97,16 @@
 
 // stream writes the answer to one job.
 type stream struct {
-	worker *Worker
-	rw     http.ResponseWriter
-	in     *incoming
-	stamp  string // empty until the first token
-	events int    // events of tokens so far
+	worker         *Worker
+	responseWriter http.ResponseWriter
+	incoming       *incoming
+	stamp          string // empty until the first token
+	events         int    // events of tokens so far
 }
 
 // writeEvents writes the job's events to the client until the job ends.
 func (s *stream) writeEvents(r *http.Request, queue *eventQueue) {
-	deadline := time.NewTimer(s.in.remaining())
+	deadline := time.NewTimer(s.incoming.remaining())
 	defer deadline.Stop()
 	for {
 		select {
@@ -131,14 +131,14 @@
 func (s *stream) writeEvent(r *http.Request, event engine.Event) (done bool) {
 	switch event.Kind {
 	case engine.KindNotExecuted:
-		s.worker.writeNotExecuted(s.rw, http.StatusServiceUnavailable)
+		s.worker.writeNotExecuted(s.responseWriter, http.StatusServiceUnavailable)
 	case engine.KindPrefilled:
-		s.rw.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(s.rw).Encode(map[string]any{"KvHandle": event.Handle, "Tokens": event.Tokens, "Version": 1})
+		s.responseWriter.Header().Set("Content-Type", "application/json")
+		_ = json.NewEncoder(s.responseWriter).Encode(map[string]any{"KvHandle": event.Handle, "Tokens": event.Tokens, "Version": 1})
 	case engine.KindTokens:
 		if s.stamp == "" {
 			s.writeHeaders(event)
-			if s.worker.applyFault(s.rw, r, s.in.fault) {
+			if s.worker.applyFault(s.responseWriter, r, s.incoming.fault) {
 				return true
 			}
 		}
@@ -151,19 +151,19 @@
 // writeHeaders sets the headers and reports the run to the judge: a request counts as run from its first token.
 func (s *stream) writeHeaders(event engine.Event) {
 	s.stamp = s.worker.newStamp()
-	s.worker.reportRun(s.in, s.stamp, event.From-1)
-	header := s.rw.Header()
+	s.worker.reportRun(s.incoming, s.stamp, event.From-1)
+	header := s.responseWriter.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Response-Signature", s.stamp)
 	header.Set("Versions", "1")
 }
 
 func (s *stream) writeTokens(event engine.Event) {
-	piece := judge.Piece{Stamp: s.stamp, From: event.From, To: event.To, Total: s.in.output}
+	piece := judge.Piece{Stamp: s.stamp, From: event.From, To: event.To, Total: s.incoming.output}
 	s.worker.config.Judge.MadePiece(piece)
 	text := FormatEvent(piece)
 	s.events++
-	if s.in.fault == FaultTruncate && s.events == 2 {
+	if s.incoming.fault == FaultTruncate && s.events == 2 {
 		s.write(text[:len(text)/2])
 		panic(http.ErrAbortHandler)
 	}
@@ -171,8 +171,8 @@
 }
 
 func (s *stream) write(text string) {
-	_, _ = s.rw.Write([]byte(text))
-	_ = http.NewResponseController(s.rw).Flush()
+	_, _ = s.responseWriter.Write([]byte(text))
+	_ = http.NewResponseController(s.responseWriter).Flush()
 }
 
 // abort ends the stream within an event, as a crash does.
@@ -190,11 +190,11 @@
 	}
 	for _, event := range queue.take() {
 		if event.Kind == engine.KindNotExecuted {
-			s.worker.writeNotExecuted(s.rw, http.StatusServiceUnavailable)
+			s.worker.writeNotExecuted(s.responseWriter, http.StatusServiceUnavailable)
 			return
 		}
 	}
-	s.rw.WriteHeader(http.StatusGatewayTimeout)
+	s.responseWriter.WriteHeader(http.StatusGatewayTimeout)
 }
 
 // FormatEvent formats a piece as an event of a stream. The event's id is the number of the last token.
