--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -189,15 +189,15 @@
 
 // counter returns consecutive numbers.
 type counter struct {
-	mu sync.Mutex
-	n  int
+	mu   sync.Mutex
+	last int
 }
 
 func (c *counter) next() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.n++
-	return c.n
+	c.last++
+	return c.last
 }
 
 func kindNamed(name string) *client.Kind {
@@ -221,15 +221,15 @@
 }
 
 func TestConfigurationReachesAllRoutersInTime(t *testing.T) {
-	f := startTestFleet(t, Options{Routers: 3})
+	fleet := startTestFleet(t, Options{Routers: 3})
 	kinds := SmallSiteKinds()
 	for _, kind := range kinds {
 		if kind.Name == KindPlainSafe || kind.Name == KindPlainUnsafe {
 			kind.Services = []string{ServicePlain, ServiceOther}
 		}
 	}
-	f.startLoad(kinds)
-	f.awaitResults(60)
+	fleet.startLoad(kinds)
+	fleet.awaitResults(60)
 
 	next := SmallSiteConfig(7)
 	for i := range next.Routes {
@@ -241,22 +241,22 @@
 	added.Name, added.Services = "added", []string{ServiceOther}
 	added.Route.Name, added.Route.PathPrefix, added.Route.Service = "r-added", "/added/", ServiceOther
 	next.Routes = append(next.Routes, added.Route)
-	for _, frontend := range f.FrontendAddresses() {
-		require.Equal(t, http.StatusNotFound, f.sendTo(frontend, &added).Status, "the route doesn't exist yet")
+	for _, frontend := range fleet.FrontendAddresses() {
+		require.Equal(t, http.StatusNotFound, fleet.sendTo(frontend, &added).Status, "the route doesn't exist yet")
 	}
-	f.replaceConfig(1, next)
+	fleet.replaceConfig(1, next)
 	acknowledged := time.Now()
-	f.awaitServed(&added)
+	fleet.awaitServed(&added)
 	require.Less(t, time.Since(acknowledged), propagationTimeout)
 	moved := *kindNamed(KindPlainSafe)
 	moved.Services = []string{ServiceOther} // the judge reports a run at the old service as a violation
-	for _, frontend := range f.FrontendAddresses() {
-		require.LessOrEqual(t, f.sendTo(frontend, &moved).Outcome, client.Late)
+	for _, frontend := range fleet.FrontendAddresses() {
+		require.LessOrEqual(t, fleet.sendTo(frontend, &moved).Outcome, client.Late)
 	}
-	f.awaitResults(60)
-	f.stopLoad()
-	f.requireAllServed()
-	f.requireNoViolation()
+	fleet.awaitResults(60)
+	fleet.stopLoad()
+	fleet.requireAllServed()
+	fleet.requireNoViolation()
 }
 
 func TestKilledControllerCatchesUpAfterRestart(t *testing.T) {
@@ -306,8 +306,8 @@
 }
 
 func TestAWorkerDiesWithinStreams(t *testing.T) {
-	f := startTestFleet(t, Options{})
-	group := f.newGroup("in", f.options.Zones[0], f.Entry.SelectRouter, nil)
+	fleet := startTestFleet(t, Options{})
+	group := fleet.newGroup("in", fleet.options.Zones[0], fleet.Entry.SelectRouter, nil)
 	var streams sync.WaitGroup
 	// One decode worker holds all of these streams at once, in its slots and in its KV cache, after the other has crashed.
 	send := func(name string, requests, tokens int) {
@@ -320,9 +320,9 @@
 	send(KindStream, 6, 1000)
 	send(KindResumableStream, 10, 600)
 	var crashed *llmworker.Worker
-	f.await("two streams of each kind run on one worker", func() bool {
-		for _, crashed = range f.workers.Decode {
-			if f.Judge.RunsAt(crashed.ID(), KindStream) >= 2 && f.Judge.RunsAt(crashed.ID(), KindResumableStream) >= 2 {
+	fleet.await("two streams of each kind run on one worker", func() bool {
+		for _, crashed = range fleet.workers.Decode {
+			if fleet.Judge.RunsAt(crashed.ID(), KindStream) >= 2 && fleet.Judge.RunsAt(crashed.ID(), KindResumableStream) >= 2 {
 				return true
 			}
 		}
@@ -330,14 +330,14 @@
 	})
 	crashed.Crash()
 	streams.Wait()
-	f.Platform.Remove(crashed.ID())
-	stream, resumable := f.tallies.ByKind(KindStream), f.tallies.ByKind(KindResumableStream)
+	fleet.Platform.Remove(crashed.ID())
+	stream, resumable := fleet.tallies.ByKind(KindStream), fleet.tallies.ByKind(KindResumableStream)
 	require.Positive(t, stream.Cut, stream.String())
 	// A stream without any event so far may be answered 502: it may have run, so that it must not run again.
 	require.Equal(t, stream.Sent, stream.Cut+stream.Served+stream.Late+stream.Failed, stream.String())
 	require.Equal(t, resumable.Sent, resumable.Served+resumable.Late, "other workers continue the resumable streams: %v", resumable)
-	require.Positive(t, f.Judge.Resumptions(), "a run continues another's stream within one answer")
-	f.requireNoViolation() // a cut stream that looked complete would be a violation
+	require.Positive(t, fleet.Judge.Resumptions(), "a run continues another's stream within one answer")
+	fleet.requireNoViolation() // a cut stream that looked complete would be a violation
 }
 
 func TestLostAcknowledgementIsRepeatedByAnotherController(t *testing.T) {
