--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -94,16 +94,16 @@
 		routers = append(routers, Router{Zone: fmt.Sprint("z", i/2), Frontend: fmt.Sprint(i),
 			Readiness: server.Listener.Addr().String()})
 	}
-	e := StartEntry(routers)
-	defer e.Close()
-	for n, changed := e.Ready(); n < 3; n, changed = e.Ready() {
+	entry := StartEntry(routers)
+	defer entry.Close()
+	for n, changed := entry.Ready(); n < 3; n, changed = entry.Ready() {
 		<-changed
 	}
 	seen := map[string]bool{}
 	for client := range uint64(50) {
-		seen[e.SelectRouter("z0", client, 0)] = true
-		require.Equal(t, "2", e.SelectRouter("z1", client, 0))
-		require.NotEqual(t, e.SelectRouter("z0", client, 0), e.SelectRouter("z0", client, 1), "another attempt gets another router")
+		seen[entry.SelectRouter("z0", client, 0)] = true
+		require.Equal(t, "2", entry.SelectRouter("z1", client, 0))
+		require.NotEqual(t, entry.SelectRouter("z0", client, 0), entry.SelectRouter("z0", client, 1), "another attempt gets another router")
 	}
 	require.Equal(t, map[string]bool{"0": true, "1": true}, seen)
 }
