--- a/internal/standin/clientconn.go
+++ b/internal/standin/clientconn.go
@@ -15,8 +15,8 @@
 
 // ClientConn is a client's connection, controlled by a test.
 type ClientConn struct {
-	conn *net.TCPConn
-	in   *bufio.Reader
+	conn   *net.TCPConn
+	reader *bufio.Reader
 }
 
 // Dial opens a connection to a scheduler.
@@ -59,7 +59,7 @@
 // ReadAnswer reads one answer, within the timeout.
 func (c *ClientConn) ReadAnswer(timeout time.Duration) (status int, body string, err error) {
 	_ = c.conn.SetReadDeadline(time.Now().Add(timeout))
-	r, err := http.ReadResponse(c.in, nil)
+	r, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return 0, "", err
 	}
--- a/internal/standin/slow.go
+++ b/internal/standin/slow.go
@@ -90,7 +90,7 @@
 		defer mu.Unlock()
 		f()
 	}
-	d := net.Dialer{Timeout: 5 * time.Second, Control: func(_, _ string, c syscall.RawConn) error {
+	dialer := net.Dialer{Timeout: 5 * time.Second, Control: func(_, _ string, c syscall.RawConn) error {
 		if s.Read == 0 {
 			return nil
 		}
@@ -101,9 +101,9 @@
 		return err
 	}}
 	if s.From != "" {
-		d.LocalAddr = &net.TCPAddr{IP: net.ParseIP(s.From)}
+		dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(s.From)}
 	}
-	c, err := d.DialContext(ctx, "tcp", s.Target)
+	c, err := dialer.DialContext(ctx, "tcp", s.Target)
 	if err != nil {
 		record(func() { t.Refused++ })
 		return false
