--- a/internal/net/handover.go
+++ b/internal/net/handover.go
@@ -109,8 +109,8 @@
 // taskListener is an eventfd that netpoll treats as a listening socket. It runs functions within netpoll's only poller,
 // so nothing is read from any connection while one runs. A function may return a connection for netpoll to register.
 type taskListener struct {
-	d  *Driver
-	fd int
+	driver *Driver
+	fd     int
 
 	mu    sync.Mutex
 	tasks []func() net.Conn
@@ -121,7 +121,7 @@
 	if err != nil {
 		return nil, err
 	}
-	x := &taskListener{d: d, fd: fd}
+	x := &taskListener{driver: d, fd: fd}
 	return x, d.serve(x)
 }
 
@@ -193,14 +193,14 @@
 	}
 	d.openConns.Add(1)
 	d.ownQuota.open.Add(1)
-	c := &Conn{d: d, nc: nc, handler: discardHandler{}, ending: make(chan struct{}), host: d.host(addr), quota: &d.ownQuota}
+	c := &Conn{driver: d, conn: nc, handler: discardHandler{}, ending: make(chan struct{}), host: d.host(addr), quota: &d.ownQuota}
 	c.registerCallbacks()
 	return c
 }
 
 // DupFD implements jobs.Transferable. It may only be called within WithReadsPaused.
 func (c *Conn) DupFD() (fd int, ok bool) {
-	if c.ended || c.closeCalled.Load() || len(c.writeQueue) > 0 || c.closeAfterWrite || !c.nc.IsActive() || c.activeReads.Load() > 0 || c.nc.Reader().Len() > 0 {
+	if c.ended || c.closeCalled.Load() || len(c.writeQueue) > 0 || c.closeAfterWrite || !c.conn.IsActive() || c.activeReads.Load() > 0 || c.conn.Reader().Len() > 0 {
 		return -1, false
 	}
 	err := c.withDescriptor(func(ownFD int) (err error) {
@@ -251,7 +251,7 @@
 		_ = nc.Close()
 		return nil
 	}
-	c := &Conn{d: d, nc: nc, handler: discardHandler{}, ending: make(chan struct{})}
+	c := &Conn{driver: d, conn: nc, handler: discardHandler{}, ending: make(chan struct{})}
 	c.registerCallbacks()
 	return context.WithValue(context.Background(), connKey{}, c)
 }
--- a/internal/net/net.go
+++ b/internal/net/net.go
@@ -184,8 +184,8 @@
 // Conn is one connection. It is used on the loop only, except for the atomic fields, discardedBytes and the field under
 // mu.
 type Conn struct {
-	d              *Driver
-	nc             netpoll.Connection
+	driver         *Driver
+	conn           netpoll.Connection
 	handler        jobs.Handler
 	host           *host         // nil for client connections
 	quota          *connQuota    // quota it was dialled under; nil for client connections
@@ -215,7 +215,7 @@
 
 // Peer implements jobs.Conn.
 func (c *Conn) Peer() netip.Addr {
-	a, err := netip.ParseAddrPort(c.nc.RemoteAddr().String())
+	a, err := netip.ParseAddrPort(c.conn.RemoteAddr().String())
 	if err != nil {
 		return netip.Addr{}
 	}
@@ -239,13 +239,13 @@
 
 // Unread implements jobs.Conn.
 func (c *Conn) Unread() bool {
-	return !c.ended && (c.undelivered.Load() > 0 || c.nc.Reader().Len() > 0 || c.hasEvent(unix.POLLIN|unix.POLLRDHUP))
+	return !c.ended && (c.undelivered.Load() > 0 || c.conn.Reader().Len() > 0 || c.hasEvent(unix.POLLIN|unix.POLLRDHUP))
 }
 
 // reusable reports whether the connection is open and has no unread data. A request on a connection that the worker has
 // closed would be lost, and unsolicited data would be read as the answer to the next request.
 func (c *Conn) reusable() bool {
-	return c.nc.IsActive() && !c.Unread()
+	return c.conn.IsActive() && !c.Unread()
 }
 
 // CloseAfterWrite implements jobs.Conn.
@@ -265,7 +265,7 @@
 		return
 	}
 	_ = c.withDescriptor(func(fd int) error { return unix.Shutdown(fd, unix.SHUT_WR) })
-	c.d.loop.After(linger, c.Close)
+	c.driver.loop.After(linger, c.Close)
 }
 
 type discardHandler struct{}
@@ -284,14 +284,14 @@
 	if c.quota != nil && !c.duplicated {
 		_ = c.withDescriptor(func(fd int) error { return unix.Shutdown(fd, unix.SHUT_WR) })
 	}
-	_ = c.nc.Close()
+	_ = c.conn.Close()
 }
 
 // unregister marks the connection as ended, drops its queued data and removes it from the idle pool.
 func (c *Conn) unregister() {
 	c.ended = true
 	c.dropQueue()
-	c.d.removeIdle(c)
+	c.driver.removeIdle(c)
 }
 
 // registerCallbacks registers the callbacks that deliver the connection's data and its end to the loop. The count of
@@ -304,16 +304,16 @@
 			c.mu.Lock()
 			c.released = true
 			c.mu.Unlock()
-			c.d.openConns.Add(-1)
+			c.driver.openConns.Add(-1)
 			if q := c.quota; q != nil {
 				if q.open.Add(-1); q.limit.Load() > 0 {
-					go c.d.loop.Post(q.startPendingDials) // on its own goroutine: the loop, which may run this, must not wait for itself
+					go c.driver.loop.Post(q.startPendingDials) // on its own goroutine: the loop, which may run this, must not wait for itself
 				}
 			}
 			if c.closeCalled.Load() {
 				return
 			}
-			c.d.loop.Post(func() {
+			c.driver.loop.Post(func() {
 				c.failQueue() // its callbacks may close the connection
 				if !c.ended {
 					c.unregister()
@@ -322,13 +322,13 @@
 			})
 		})
 	}
-	_ = c.nc.AddCloseCallback(func(netpoll.Connection) error { onEnd(); return nil })
-	_ = c.nc.SetOnRequest(func(_ context.Context, nc netpoll.Connection) error {
+	_ = c.conn.AddCloseCallback(func(netpoll.Connection) error { onEnd(); return nil })
+	_ = c.conn.SetOnRequest(func(_ context.Context, nc netpoll.Connection) error {
 		c.read(nc)
 		return nil
 	})
-	if !c.nc.IsActive() { // it ended before the callback was registered
-		_ = c.nc.Close()
+	if !c.conn.IsActive() { // it ended before the callback was registered
+		_ = c.conn.Close()
 		onEnd()
 	}
 }
@@ -357,7 +357,7 @@
 		c.undelivered.Add(-1)
 		return
 	}
-	c.d.loop.Do(func() {
+	c.driver.loop.Do(func() {
 		c.undelivered.Add(-1)
 		if !c.ended {
 			c.handler.Data(b)
@@ -507,7 +507,7 @@
 		return
 	}
 	d.Counted(1, 0, 0)
-	c := &Conn{d: d, nc: nc, handler: discardHandler{}, ending: make(chan struct{}), host: h, quota: w.quota}
+	c := &Conn{driver: d, conn: nc, handler: discardHandler{}, ending: make(chan struct{}), host: h, quota: w.quota}
 	c.registerCallbacks()
 	if w != nil && w.fresh && h.removeWaiter(w) {
 		w.ready(c)
@@ -547,9 +547,9 @@
 func (d *Driver) maxIdleTime() time.Duration { return d.config.IdleLimit * 7 / 10 }
 
 // idleHandler handles the events of an idle connection.
-type idleHandler struct{ c *Conn }
+type idleHandler struct{ conn *Conn }
 
-func (i idleHandler) Data([]byte) { i.c.Close() } // unsolicited data: the connection can't be trusted
+func (i idleHandler) Data([]byte) { i.conn.Close() } // unsolicited data: the connection can't be trusted
 func (i idleHandler) Closed()     {}
 
 func (d *Driver) removeIdle(c *Conn) {
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -21,18 +21,18 @@
 
 // testDriver is a driver on a running loop. It also serves as the handler of connections.
 type testDriver struct {
-	t     *testing.T
-	loop  *engine.Loop
-	d     *Driver
-	ended chan struct{} // gets one value for each connection that ended
+	t      *testing.T
+	loop   *engine.Loop
+	driver *Driver
+	ended  chan struct{} // gets one value for each connection that ended
 }
 
 func newTestDriver(t *testing.T, c Config) *testDriver {
 	c.ConnectTimeout = testTimeout
 	g := &testDriver{t: t, loop: engine.NewLoop(), ended: make(chan struct{}, 1000)}
-	g.d = New(g.loop, c)
-	g.d.Counted = func(int, int, int) {}
-	g.d.ShedIdle = func(int, bool) int { return 0 }
+	g.driver = New(g.loop, c)
+	g.driver.Counted = func(int, int, int) {}
+	g.driver.ShedIdle = func(int, bool) int { return 0 }
 	end := make(chan struct{})
 	go func() { g.loop.Run(); close(end) }()
 	t.Cleanup(func() { g.loop.Post(g.loop.Stop); <-end })
@@ -51,7 +51,7 @@
 
 func (g *testDriver) get(addr string) jobs.Conn {
 	got := make(chan jobs.Conn, 1)
-	g.do(func() { g.d.Get(addr, false, func(c jobs.Conn) { got <- c }) })
+	g.do(func() { g.driver.Get(addr, false, func(c jobs.Conn) { got <- c }) })
 	return <-got
 }
 
@@ -88,12 +88,12 @@
 	first := g.get(addr)
 	workerSide := <-conns
 	g.do(func() {
-		g.d.Put(addr, first)
-		g.d.Get(addr, false, func(c jobs.Conn) { assert.Same(t, first, c, "an idle connection is reused") })
-		g.d.Put(addr, first)
+		g.driver.Put(addr, first)
+		g.driver.Get(addr, false, func(c jobs.Conn) { assert.Same(t, first, c, "an idle connection is reused") })
+		g.driver.Put(addr, first)
 	})
 	other := make(chan jobs.Conn, 1)
-	g.do(func() { g.d.Get(addr, true, func(c jobs.Conn) { other <- c }) })
+	g.do(func() { g.driver.Get(addr, true, func(c jobs.Conn) { other <- c }) })
 	assert.NotSame(t, first, <-other, "a fresh connection is dialled")
 	<-conns
 	requireEnded(t, workerSide) // before the worker closes it, or a request could be lost
@@ -102,9 +102,9 @@
 	g = newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
 	first = g.get(addr)
 	workerSide = <-conns
-	g.do(func() { g.d.Put(addr, first) })
+	g.do(func() { g.driver.Put(addr, first) })
 	workerSide.Close()
-	require.Eventually(t, func() bool { return g.d.openConns.Load() == 0 }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return g.driver.openConns.Load() == 0 }, testTimeout, time.Millisecond)
 	assert.NotSame(t, first, g.get(addr))
 }
 
@@ -118,9 +118,9 @@
 	workerSide := <-conns
 	got := make(chan jobs.Conn, 1)
 	g.do(func() {
-		g.d.Put(addr, idle)
+		g.driver.Put(addr, idle)
 		time.Sleep(limit) // keeps the loop busy
-		g.d.Get(addr, false, func(c jobs.Conn) { got <- c })
+		g.driver.Get(addr, false, func(c jobs.Conn) { got <- c })
 	})
 	assert.NotSame(t, idle, <-got)
 	requireEnded(t, workerSide)
@@ -134,8 +134,8 @@
 
 type blockingConn struct {
 	netpoll.Conn
-	l       blockingListener
-	fdCalls int
+	listener blockingListener
+	fdCalls  int
 }
 
 func (l blockingListener) Accept() (stdnet.Conn, error) {
@@ -143,14 +143,14 @@
 	if c == nil || err != nil {
 		return nil, err
 	}
-	return &blockingConn{Conn: c.(netpoll.Conn), l: l}, nil
+	return &blockingConn{Conn: c.(netpoll.Conn), listener: l}, nil
 }
 
 // netpoll calls Fd first when it creates the connection, and again when it registers it.
 func (c *blockingConn) Fd() int {
 	if c.fdCalls++; c.fdCalls == 2 {
-		close(c.l.entered)
-		<-c.l.release
+		close(c.listener.entered)
+		<-c.listener.release
 	}
 	return c.Conn.Fd()
 }
@@ -160,11 +160,11 @@
 func TestAcceptedOnlyAfterRegistration(t *testing.T) {
 	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
 	accepted := make(chan jobs.Conn, 1)
-	g.d.Accepted = func(c jobs.Conn) { c.Close(); accepted <- c }
+	g.driver.Accepted = func(c jobs.Conn) { c.Close(); accepted <- c }
 	ln, err := netpoll.CreateListener("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	blocking := blockingListener{ln, make(chan struct{}), make(chan struct{})}
-	require.NoError(t, g.d.serve(blocking))
+	require.NoError(t, g.driver.serve(blocking))
 	c, err := stdnet.Dial("tcp", ln.Addr().String())
 	require.NoError(t, err)
 	defer c.Close()
@@ -174,7 +174,7 @@
 	close(blocking.release)
 	<-accepted
 	requireEnded(t, c)
-	require.Eventually(t, func() bool { return g.d.openConns.Load() == 0 }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return g.driver.openConns.Load() == 0 }, testTimeout, time.Millisecond)
 }
 
 // Hosts must not accumulate while addresses change. A connection whose host was removed while it was in use returns to
@@ -185,14 +185,14 @@
 	c := g.get(addr)
 	g.do(func() {
 		for i := range 3 * maxHosts {
-			g.d.host(string(rune(i)))
+			g.driver.host(string(rune(i)))
 		}
-		assert.LessOrEqual(t, len(g.d.hosts), maxHosts)
-		g.d.Put(addr, c)
-		assert.Len(t, g.d.host(addr).idle, 1)
-		g.d.Get(addr, false, func(again jobs.Conn) { assert.Same(t, c, again) })
-		assert.Empty(t, g.d.host(addr).idle)
-		assert.Empty(t, g.d.idle)
+		assert.LessOrEqual(t, len(g.driver.hosts), maxHosts)
+		g.driver.Put(addr, c)
+		assert.Len(t, g.driver.host(addr).idle, 1)
+		g.driver.Get(addr, false, func(again jobs.Conn) { assert.Same(t, c, again) })
+		assert.Empty(t, g.driver.host(addr).idle)
+		assert.Empty(t, g.driver.idle)
 	})
 }
 
@@ -202,7 +202,7 @@
 	ln.Close() // the address refuses connections now
 	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
 	assert.Nil(t, g.get(ln.Addr().String()))
-	assert.Zero(t, g.d.openConns.Load())
+	assert.Zero(t, g.driver.openConns.Load())
 	g = newTestDriver(t, Config{Descriptors: reservedDescriptors, IdleLimit: time.Hour})
 	assert.Nil(t, g.get(ln.Addr().String()), "no descriptor is left")
 }
@@ -225,10 +225,10 @@
 // byteCounter counts the bytes that a client sends.
 type byteCounter struct {
 	*testDriver
-	n int
+	count int
 }
 
-func (k *byteCounter) Data(b []byte) { k.n += len(b) }
+func (k *byteCounter) Data(b []byte) { k.count += len(b) }
 
 // While the loop is busy, the driver must stop reading, so that the client's writes block. Large bodies once
 // accumulated in memory.
@@ -236,9 +236,9 @@
 	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
 	k := &byteCounter{testDriver: g}
 	accepted := make(chan jobs.Conn, 1)
-	g.d.Accepted = func(c jobs.Conn) { c.SetHandler(k); accepted <- c }
-	g.do(func() { require.NoError(t, g.d.Listen("127.0.0.1:0")) })
-	c, err := stdnet.Dial("tcp", g.d.Addr())
+	g.driver.Accepted = func(c jobs.Conn) { c.SetHandler(k); accepted <- c }
+	g.do(func() { require.NoError(t, g.driver.Listen("127.0.0.1:0")) })
+	c, err := stdnet.Dial("tcp", g.driver.Addr())
 	require.NoError(t, err)
 	defer c.Close()
 	conn := <-accepted
@@ -250,15 +250,15 @@
 	assert.Error(t, err, "the whole body was read or buffered")
 	assert.Less(t, sent, body/4)
 	close(release)
-	require.Eventually(t, func() (all bool) { g.do(func() { all = k.n == sent }); return }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() (all bool) { g.do(func() { all = k.count == sent }); return }, testTimeout, time.Millisecond)
 
 	// After the last answer input is discarded, and beyond maxDiscarded the connection is closed.
 	g.do(func() { conn.Write([]byte("bye"), nil); conn.CloseAfterWrite() })
 	require.NoError(t, c.SetDeadline(time.Now().Add(testTimeout)))
 	_, err = c.Write(make([]byte, body))
 	assert.Error(t, err)
-	require.Eventually(t, func() bool { return g.d.openConns.Load() == 0 }, testTimeout, time.Millisecond)
-	g.do(func() { assert.Equal(t, sent, k.n) })
+	require.Eventually(t, func() bool { return g.driver.openConns.Load() == 0 }, testTimeout, time.Millisecond)
+	g.do(func() { assert.Equal(t, sent, k.count) })
 }
 
 // Close must end a worker connection for the worker before it returns, although a read of it waits for the loop. The
@@ -277,7 +277,7 @@
 	<-closed
 	requireEnded(t, workerSide)
 	close(release)
-	require.Eventually(t, func() bool { return g.d.openConns.Load() == 0 }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return g.driver.openConns.Load() == 0 }, testTimeout, time.Millisecond)
 }
 
 // A connection may be closed by either side while its data waits for the loop. Its descriptor must be released.
@@ -285,10 +285,10 @@
 	for _, closeHere := range []bool{true, false} {
 		g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
 		accepted := make(chan jobs.Conn, 1)
-		g.d.Accepted = func(c jobs.Conn) { c.SetHandler(g); accepted <- c }
-		g.do(func() { require.NoError(t, g.d.Listen("127.0.0.1:0")) })
+		g.driver.Accepted = func(c jobs.Conn) { c.SetHandler(g); accepted <- c }
+		g.do(func() { require.NoError(t, g.driver.Listen("127.0.0.1:0")) })
 		for range 50 {
-			c, err := stdnet.Dial("tcp", g.d.Addr())
+			c, err := stdnet.Dial("tcp", g.driver.Addr())
 			require.NoError(t, err)
 			conn := <-accepted
 			go c.Write(make([]byte, 1<<20))
@@ -298,7 +298,7 @@
 			}
 			c.Close()
 		}
-		require.Eventually(t, func() bool { return g.d.openConns.Load() == 0 }, testTimeout, time.Millisecond)
+		require.Eventually(t, func() bool { return g.driver.openConns.Load() == 0 }, testTimeout, time.Millisecond)
 	}
 }
 
@@ -310,14 +310,14 @@
 		g := newTestDriver(t, Config{Descriptors: n, IdleLimit: time.Hour})
 		idle := g.get(addr)
 		workerSide := <-conns
-		g.do(func() { g.d.Put(addr, idle) })
+		g.do(func() { g.driver.Put(addr, idle) })
 		dialled := make(chan jobs.Conn, 1)
 		for range 8 {
-			g.do(func() { g.d.Get(addr, true, func(c jobs.Conn) { dialled <- c }) })
+			g.do(func() { g.driver.Get(addr, true, func(c jobs.Conn) { dialled <- c }) })
 			require.NotNil(t, <-dialled)
 			<-conns
 		}
-		g.do(func() { g.d.Get(addr, false, func(c jobs.Conn) { assert.Same(t, idle, c, n) }) })
+		g.do(func() { g.driver.Get(addr, false, func(c jobs.Conn) { assert.Same(t, idle, c, n) }) })
 		_ = workerSide.Close()
 	}
 }
@@ -328,10 +328,10 @@
 	addr, conns := listen(t)
 	const room = 4
 	g := newTestDriver(t, Config{Descriptors: reservedDescriptors + 4*shedMargin, IdleLimit: time.Hour}) // the margin is a quarter of the budget
-	g.do(func() { g.d.openConns.Add(3*shedMargin - room) })                                              // as if as many were in use
+	g.do(func() { g.driver.openConns.Add(3*shedMargin - room) })                                         // as if as many were in use
 	var accepted []jobs.Conn
-	g.d.Accepted = func(c jobs.Conn) { c.SetHandler(g); accepted = append(accepted, c) }
-	g.d.ShedIdle = func(n int, unproven bool) int {
+	g.driver.Accepted = func(c jobs.Conn) { c.SetHandler(g); accepted = append(accepted, c) }
+	g.driver.ShedIdle = func(n int, unproven bool) int {
 		if unproven {
 			return 0
 		}
@@ -342,31 +342,31 @@
 		accepted = accepted[n:]
 		return n
 	}
-	g.do(func() { require.NoError(t, g.d.Listen("127.0.0.1:0")) })
+	g.do(func() { require.NoError(t, g.driver.Listen("127.0.0.1:0")) })
 	idle := g.get(addr)
 	workerSide := <-conns
-	g.do(func() { g.d.Put(addr, idle) })
+	g.do(func() { g.driver.Put(addr, idle) })
 	var clients []stdnet.Conn
 	for range room + 1 {
-		c, err := stdnet.Dial("tcp", g.d.Addr())
+		c, err := stdnet.Dial("tcp", g.driver.Addr())
 		require.NoError(t, err)
 		defer c.Close()
 		clients = append(clients, c)
 	}
 	requireEnded(t, workerSide)
-	c, err := stdnet.Dial("tcp", g.d.Addr())
+	c, err := stdnet.Dial("tcp", g.driver.Addr())
 	require.NoError(t, err)
 	defer c.Close()
 	requireEnded(t, clients[0])
-	g.do(func() { g.d.openConns.Add(shedMargin + room) }) // as if as many were in use
-	over, err := stdnet.Dial("tcp", g.d.Addr())
+	g.do(func() { g.driver.openConns.Add(shedMargin + room) }) // as if as many were in use
+	over, err := stdnet.Dial("tcp", g.driver.Addr())
 	require.NoError(t, err)
 	requireEnded(t, over)
-	g.do(func() { g.d.openConns.Add(-shedMargin - room) })
+	g.do(func() { g.driver.openConns.Add(-shedMargin - room) })
 
-	g.do(g.d.StopListening)
+	g.do(g.driver.StopListening)
 	require.Eventually(t, func() bool {
-		c, err := stdnet.Dial("tcp", g.d.Addr())
+		c, err := stdnet.Dial("tcp", g.driver.Addr())
 		if err == nil {
 			c.Close()
 		}
@@ -380,18 +380,18 @@
 	const readers, size = 40, 1 << 20
 	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
 	accepted := make(chan jobs.Conn, readers+1)
-	g.d.Accepted = func(c jobs.Conn) { c.SetHandler(g); accepted <- c }
-	g.do(func() { require.NoError(t, g.d.Listen("127.0.0.1:0")) })
+	g.driver.Accepted = func(c jobs.Conn) { c.SetHandler(g); accepted <- c }
+	g.do(func() { require.NoError(t, g.driver.Listen("127.0.0.1:0")) })
 	answer := bytes.Repeat([]byte("0123456789abcdef"), size/16)
 	type end struct {
-		i      int
+		client int
 		result jobs.WriteResult
 	}
 	ends := make(chan end, readers+1)
 	var clients []stdnet.Conn
 	before := 0
 	for i := range readers + 1 {
-		c, err := stdnet.Dial("tcp", g.d.Addr())
+		c, err := stdnet.Dial("tcp", g.driver.Addr())
 		require.NoError(t, err)
 		defer c.Close()
 		clients = append(clients, c)
@@ -409,7 +409,7 @@
 		}
 	}
 	assert.Less(t, runtime.NumGoroutine(), before+readers/2, "the number of goroutines grows with the readers")
-	g.do(func() { assert.Equal(t, readers+1, g.d.Unsent()) })
+	g.do(func() { assert.Equal(t, readers+1, g.driver.Unsent()) })
 
 	got, err := io.ReadAll(io.LimitReader(clients[1], size))
 	require.NoError(t, err)
@@ -418,40 +418,40 @@
 	clients[2].Close()
 	assert.Equal(t, end{2, jobs.WriteIncomplete}, <-ends)
 	<-g.ended
-	g.do(func() { assert.Equal(t, readers-1, g.d.Unsent()) })
+	g.do(func() { assert.Equal(t, readers-1, g.driver.Unsent()) })
 }
 
 // A quota limits the connections of one service and is released as they end. Other services are not affected.
 func TestServiceQuota(t *testing.T) {
 	addr, conns := listen(t)
 	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
-	d, other := g.d.Dialer(2), g.d.Dialer(0)
+	dialer, other := g.driver.Dialer(2), g.driver.Dialer(0)
 	get := func(d jobs.Dialer) jobs.Conn {
 		got := make(chan jobs.Conn, 1)
 		g.do(func() { d.Get(addr, true, func(c jobs.Conn) { got <- c }) })
 		return <-got
 	}
-	first, second := get(d), get(d)
+	first, second := get(dialer), get(dialer)
 	require.NotNil(t, first)
 	require.NotNil(t, second)
 	third, cancelled := make(chan jobs.Conn, 1), make(chan jobs.Conn, 1)
 	g.do(func() {
-		giveUp := d.Get(addr, true, func(c jobs.Conn) { cancelled <- c })
-		d.Get(addr, true, func(c jobs.Conn) { third <- c })
+		giveUp := dialer.Get(addr, true, func(c jobs.Conn) { cancelled <- c })
+		dialer.Get(addr, true, func(c jobs.Conn) { third <- c })
 		giveUp()
 	})
 	assert.NotNil(t, get(other), "another service has a quota of its own")
-	assert.Equal(t, 2, d.OpenConns())
+	assert.Equal(t, 2, dialer.OpenConns())
 	assert.Empty(t, third, "the third dial waits")
 	g.do(first.Close)
 	assert.NotNil(t, <-third)
-	g.do(func() { d.Put(addr, second) })
-	assert.NotNil(t, get(d), "an idle connection is closed to make room")
+	g.do(func() { dialer.Put(addr, second) })
+	assert.NotNil(t, get(dialer), "an idle connection is closed to make room")
 	assert.Empty(t, cancelled)
 	for range 5 {
 		(<-conns).Close()
 	}
-	require.Eventually(t, func() bool { return d.OpenConns() == 0 }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return dialer.OpenConns() == 0 }, testTimeout, time.Millisecond)
 }
 
 // Another process may have set an inherited listening socket to blocking. Accept for a client that another process has
@@ -464,13 +464,13 @@
 	defer file.Close()
 	ln.Close()
 	fd := int(file.Fd()) // File.Fd sets the socket to blocking
-	d := New(engine.NewLoop(), Config{Descriptors: 256})
-	require.NoError(t, d.ListenOn(fd))
+	driver := New(engine.NewLoop(), Config{Descriptors: 256})
+	require.NoError(t, driver.ListenOn(fd))
 	for range 2 {
 		require.NoError(t, unix.SetNonblock(fd, false))
 		returned := make(chan struct{})
 		go func() {
-			c, err := d.shared.Accept()
+			c, err := driver.shared.Accept()
 			assert.NoError(t, err)
 			assert.Nil(t, c)
 			close(returned)
@@ -481,10 +481,10 @@
 			t.Fatal("Accept blocks")
 		}
 	}
-	assert.True(t, d.LeaveSharedListener())
-	_, err = d.shared.Accept()
+	assert.True(t, driver.LeaveSharedListener())
+	_, err = driver.shared.Accept()
 	assert.ErrorIs(t, err, errStoppedAccepting, "the rest of the queue is left to other processes")
-	assert.ErrorContains(t, d.ListenOn(0), "no listening socket")
+	assert.ErrorContains(t, driver.ListenOn(0), "no listening socket")
 }
 
 // A connection that is put back while its answer is being processed must be reusable at once, although the goroutine
@@ -497,8 +497,8 @@
 	again := make(chan jobs.Conn, 1)
 	g.do(func() {
 		c.SetHandler(onData(func() {
-			g.d.Put(addr, c)
-			g.d.Get(addr, false, func(c jobs.Conn) { again <- c })
+			g.driver.Put(addr, c)
+			g.driver.Get(addr, false, func(c jobs.Conn) { again <- c })
 		}))
 	})
 	_, err := workerSide.Write([]byte("x"))
--- a/internal/net/write.go
+++ b/internal/net/write.go
@@ -16,7 +16,7 @@
 // not read must not occupy a goroutine, nor delay the data of others.
 
 type chunk struct {
-	b    []byte
+	data []byte
 	done func(jobs.WriteResult)
 }
 
@@ -25,7 +25,7 @@
 func (c *Conn) withDescriptor(f func(fd int) error) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	fd, ok := c.nc.(netpoll.Conn)
+	fd, ok := c.conn.(netpoll.Conn)
 	if !ok || c.released {
 		return unix.EPIPE
 	}
@@ -36,13 +36,13 @@
 func (c *Conn) Write(b []byte, done func(jobs.WriteResult)) {
 	if c.ended {
 		if done != nil {
-			c.d.loop.Defer(func() { done(jobs.WriteIncomplete) })
+			c.driver.loop.Defer(func() { done(jobs.WriteIncomplete) })
 		}
 		return
 	}
 	c.queuedBytes += len(b)
 	if c.writeQueue = append(c.writeQueue, chunk{b, done}); len(c.writeQueue) == 1 {
-		c.d.unsent++
+		c.driver.unsent++
 		c.flush()
 	}
 }
@@ -53,11 +53,11 @@
 		first := &c.writeQueue[0]
 		n := 0
 		err := c.withDescriptor(func(fd int) (err error) {
-			n, err = unix.Write(fd, first.b)
+			n, err = unix.Write(fd, first.data)
 			return err
 		})
 		if n > 0 {
-			first.b = first.b[n:]
+			first.data = first.data[n:]
 			c.queuedBytes -= n
 		}
 		switch {
@@ -66,9 +66,9 @@
 			c.awaitWritable()
 			return
 		case err != nil:
-			c.d.loop.Defer(c.failQueue) // none of the rest was sent; the poller reports the end
+			c.driver.loop.Defer(c.failQueue) // none of the rest was sent; the poller reports the end
 			return
-		case len(first.b) == 0:
+		case len(first.data) == 0:
 			c.finishChunk(jobs.Written)
 		}
 	}
@@ -83,10 +83,10 @@
 	c.writeQueue[0] = chunk{}
 	if c.writeQueue = c.writeQueue[1:]; len(c.writeQueue) == 0 {
 		c.writeQueue = nil
-		c.d.unsent--
+		c.driver.unsent--
 	}
 	if done != nil {
-		c.d.loop.Defer(func() { done(result) })
+		c.driver.loop.Defer(func() { done(result) })
 	}
 }
 
@@ -108,15 +108,15 @@
 // dropQueue drops the queue without calling the done callbacks.
 func (c *Conn) dropQueue() {
 	if len(c.writeQueue) > 0 {
-		c.d.unsent--
+		c.driver.unsent--
 	}
 	c.writeQueue, c.queuedBytes = nil, 0
-	c.d.watcher.remove(c)
+	c.driver.watcher.remove(c)
 }
 
 // awaitWritable registers the connection for a call of flush once the socket is writable.
 func (c *Conn) awaitWritable() {
-	if err := c.withDescriptor(func(fd int) error { return c.d.watcher.add(c, fd) }); err != nil && !errors.Is(err, unix.EPIPE) {
+	if err := c.withDescriptor(func(fd int) error { return c.driver.watcher.add(c, fd) }); err != nil && !errors.Is(err, unix.EPIPE) {
 		slog.Error("descriptor can't be watched", "why", err)
 		c.Close()
 	}
