--- a/internal/engine/counts.go
+++ b/internal/engine/counts.go
@@ -39,10 +39,10 @@
 	fmt.Fprintf(&b, "taken=%d served=%d refused=%d failed=%d hangups=%d passed_on=%d adopted=%d bad_requests=%d pushes=%d",
 		c.Accepted, c.Served, c.Refused, c.Failed, c.Hangups, c.HandedOver, c.Adopted, c.BadRequests, c.Pushes)
 	for _, l := range []struct {
-		name string
-		n    *[decide.NotSent + 1]int
+		name   string
+		counts *[decide.NotSent + 1]int
 	}{{"attempts", &c.Outcomes}, {"probes", &c.Probes}} {
-		for s, n := range l.n {
+		for s, n := range l.counts {
 			if n > 0 {
 				fmt.Fprintf(&b, " %s.%s=%d", l.name, StatusNames[s], n)
 			}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -438,32 +438,32 @@
 	if a.ended {
 		return
 	}
-	e, r := a.engine, a.Request
+	engine, r := a.engine, a.Request
 	a.ended, a.mayHaveRun = true, !s.NeverRan()
 	a.timer.Stop()
 	r.inFlight--
 	a.Worker.inFlight--
-	e.Counts.Outcomes[s]++
-	if e.Trace != nil {
-		e.Trace("attempt ended", r.ID, "attempt", a.index, "worker", a.Worker.Name, "outcome", StatusNames[s], "took_us", e.Now()-a.sentAt)
+	engine.Counts.Outcomes[s]++
+	if engine.Trace != nil {
+		engine.Trace("attempt ended", r.ID, "attempt", a.index, "worker", a.Worker.Name, "outcome", StatusNames[s], "took_us", engine.Now()-a.sentAt)
 	}
-	if e.Meter != nil {
-		e.Meter.Attempt(r.Class, s, e.Now()-a.sentAt)
+	if engine.Meter != nil {
+		engine.Meter.Attempt(r.Class, s, engine.Now()-a.sentAt)
 	}
-	if e.OnOutcome != nil {
-		e.OnOutcome(a.Worker.Name, true, s)
+	if engine.OnOutcome != nil {
+		engine.OnOutcome(a.Worker.Name, true, s)
 	}
 	if s == decide.Served && r.open {
-		e.finish(r, 0)
-		e.Counts.Served++
+		engine.finish(r, 0)
+		engine.Counts.Served++
 		r.client.Served(result)
 	}
-	now := e.Now()
-	e.call(func() {
-		e.dispatcher.Outcome(now, decide.Outcome{Job: r.ID, Attempt: a.index, Worker: a.Worker.ID, Status: s, Closed: !r.open,
+	now := engine.Now()
+	engine.call(func() {
+		engine.dispatcher.Outcome(now, decide.Outcome{Job: r.ID, Attempt: a.index, Worker: a.Worker.ID, Status: s, Closed: !r.open,
 			Latency: now - a.sentAt, Report: report})
 	})
-	e.forgetIfDone(r)
+	engine.forgetIfDone(r)
 }
 
 // End records the answer to a probe, or that there was none. Only the first call has an effect.
@@ -524,36 +524,36 @@
 
 func (x actions) Push(id uint32, worker decide.WorkerID, timeout decide.Time) {
 	x.enqueue(func() {
-		e := x.engine
-		r, w := e.requests[id], e.workersByID[worker]
+		engine := x.engine
+		r, w := engine.requests[id], engine.workersByID[worker]
 		if r == nil || w == nil {
 			slog.Error("push of a request or to a worker that is not known", "request", id, "worker", worker)
 			return
 		}
-		a := &Attempt{Request: r, Worker: w, index: len(r.attempts), incarnation: w.incarnation, sentAt: e.Now(), engine: e}
-		if c := e.classes[r.Class]; c.Effect == decide.Keyed {
+		attempt := &Attempt{Request: r, Worker: w, index: len(r.attempts), incarnation: w.incarnation, sentAt: engine.Now(), engine: engine}
+		if c := engine.classes[r.Class]; c.Effect == decide.Keyed {
 			for _, b := range r.attempts { // the worker drops repeats only for MemorySpan from the first attempt that may have run
-				if deadline := b.sentAt + c.MemorySpan - keyLookupMargin; (!b.ended || b.mayHaveRun) && (a.sendDeadline == 0 || deadline < a.sendDeadline) {
-					a.sendDeadline = deadline
+				if deadline := b.sentAt + c.MemorySpan - keyLookupMargin; (!b.ended || b.mayHaveRun) && (attempt.sendDeadline == 0 || deadline < attempt.sendDeadline) {
+					attempt.sendDeadline = deadline
 				}
 			}
 		}
-		r.attempts = append(r.attempts, a)
+		r.attempts = append(r.attempts, attempt)
 		r.inFlight++
 		w.inFlight++
-		e.Counts.Pushes++
-		if e.Meter != nil && a.index == 0 {
-			e.Meter.Wait(r.Class, a.sentAt-r.arrivedAt)
+		engine.Counts.Pushes++
+		if engine.Meter != nil && attempt.index == 0 {
+			engine.Meter.Wait(r.Class, attempt.sentAt-r.arrivedAt)
 		}
-		if e.Trace != nil {
-			e.Trace("attempt", r.ID, "attempt", a.index, "worker", w.Name, "left_us", timeout)
+		if engine.Trace != nil {
+			engine.Trace("attempt", r.ID, "attempt", attempt.index, "worker", w.Name, "left_us", timeout)
 		}
-		a.setTimeout(timeout)
-		if a.index > 0 && e.MayRetry != nil && !e.MayRetry(r.Class) {
-			a.End(decide.NotSent, nil, decide.Report{})
+		attempt.setTimeout(timeout)
+		if attempt.index > 0 && engine.MayRetry != nil && !engine.MayRetry(r.Class) {
+			attempt.End(decide.NotSent, nil, decide.Report{})
 			return
 		}
-		e.workers.Push(a)
+		engine.workers.Push(attempt)
 	})
 }
 
--- a/internal/engine/pass.go
+++ b/internal/engine/pass.go
@@ -72,13 +72,13 @@
 			e.workersByName[t.Worker], e.workersByID[w.ID] = w, w
 		}
 		attempts[i] = decide.AttemptState{Worker: w.ID, Sent: t.Sent, StartedAt: t.StartedAt, Out: t.Out, Started: t.Started, MayHaveRun: t.MayHaveRun}
-		a := &Attempt{Request: r, Worker: w, index: i, incarnation: w.incarnation, sentAt: t.Sent, ended: !t.Out, mayHaveRun: t.MayHaveRun, engine: e}
-		r.attempts = append(r.attempts, a)
+		attempt := &Attempt{Request: r, Worker: w, index: i, incarnation: w.incarnation, sentAt: t.Sent, ended: !t.Out, mayHaveRun: t.MayHaveRun, engine: e}
+		r.attempts = append(r.attempts, attempt)
 		if t.Out {
-			inFlight = a
+			inFlight = attempt
 			r.inFlight++
 			w.inFlight++
-			a.setTimeout(h.GiveUpAt - e.Now())
+			attempt.setTimeout(h.GiveUpAt - e.Now())
 		}
 	}
 	if e.Trace != nil {
