--- a/internal/jobs/client.go
+++ b/internal/jobs/client.go
@@ -334,34 +334,34 @@
 
 // handleRequest handles the request that the parser holds.
 func (x *client) handleRequest() {
-	m := x.parser.Msg
+	message := x.parser.Msg
 	x.busy, x.sentContinue = true, false
-	x.keepAlive = m.KeepAlive
-	path, _, _ := strings.Cut(m.Target, "?")
+	x.keepAlive = message.KeepAlive
+	path, _, _ := strings.Cut(message.Target, "?")
 	switch {
-	case strings.HasPrefix(path, "/-/") || m.Method != "POST":
-		x.serveInternalPath(m.Method, path)
+	case strings.HasPrefix(path, "/-/") || message.Method != "POST":
+		x.serveInternalPath(message.Method, path)
 		return
 	case !strings.HasPrefix(path, "/"):
 		x.refuseRequest(404, "unknown path")
 		return
 	}
-	if !x.reserveMemory(len(m.Body) + len(m.Target)) {
+	if !x.reserveMemory(len(message.Body) + len(message.Target)) {
 		x.reject(&http1.Error{Status: 503, Reason: "too much in hand"})
 		return
 	}
-	service, status, reason := x.server.findService(&m, path)
+	service, status, reason := x.server.findService(&message, path)
 	if service == nil {
 		x.refuseRequest(status, reason)
 		return
 	}
 	now := x.server.Loop.Now()
-	job, reason := service.parseJob(&m, path, now)
+	job, reason := service.parseJob(&message, path, now)
 	if reason != "" {
 		x.refuseRequest(400, reason)
 		return
 	}
-	p := &payload{method: m.Method, target: m.Target, id: m.Get("x-call-id"), key: m.Get("idempotency-key"), body: m.Body,
+	requestPayload := &payload{method: message.Method, target: message.Target, id: message.Get("x-call-id"), key: message.Get("idempotency-key"), body: message.Body,
 		atMostOnce: service.Engine.Class(job.Class).Effect == decide.Unsafe}
 	x.peer.RequestComplete(now)
 	if x.server.refusing {
@@ -369,7 +369,7 @@
 		x.Refused(0)
 		return
 	}
-	if x.server.callIDInUse(p.id) {
+	if x.server.callIDInUse(requestPayload.id) {
 		x.refuseRequest(409, "call id is in use")
 		return
 	}
@@ -377,18 +377,18 @@
 		if service.Pool.MaxHoldTime > 0 {
 			job.GiveUpAt = min(job.GiveUpAt, now+service.Pool.MaxHoldTime)
 		}
-		if refusal := service.Pool.Admit(now, job.Class, len(m.Body)); refusal.Refused() {
+		if refusal := service.Pool.Admit(now, job.Class, len(message.Body)); refusal.Refused() {
 			service.Engine.Counts.Ended[1][job.Class]++
 			x.answer(refusal.Status, []byte(refusal.Reason+"\n"), retryAfter(time.Duration(refusal.RetryAfter)*time.Microsecond)...)
 			return
 		}
 	}
-	x.server.claimCallID(x, p.id)
-	x.service, x.class, x.bookedBytes, x.unbooked = service, job.Class, len(m.Body), pool.Unbooked{}
+	x.server.claimCallID(x, requestPayload.id)
+	x.service, x.class, x.bookedBytes, x.unbooked = service, job.Class, len(message.Body), pool.Unbooked{}
 	x.peer.JobAccepted(now)
-	r := service.Engine.Submit(job, p, x)
+	r := service.Engine.Submit(job, requestPayload, x)
 	if service.Engine.Trace != nil {
-		service.Engine.Trace("taken", r.ID, "call_id", p.id, "target", p.target, "addr", x.conn.Peer())
+		service.Engine.Trace("taken", r.ID, "call_id", requestPayload.id, "target", requestPayload.target, "addr", x.conn.Peer())
 	}
 	if x.callID != "" { // not answered during Submit
 		x.request = r
@@ -498,9 +498,9 @@
 	} else if key := m.Get("idempotency-key"); !isPrintable(id) || !isPrintable(key) {
 		return j, "bad call id or key"
 	}
-	h := fnv.New64a()
-	h.Write([]byte(path[strings.LastIndexByte(path, '/')+1:]))
-	j = decide.Job{Class: class, Key: h.Sum64(), GiveUpAt: now + int64((budget-transitAllowance)/time.Microsecond)}
+	hash := fnv.New64a()
+	hash.Write([]byte(path[strings.LastIndexByte(path, '/')+1:]))
+	j = decide.Job{Class: class, Key: hash.Sum64(), GiveUpAt: now + int64((budget-transitAllowance)/time.Microsecond)}
 	if v, err := strconv.ParseFloat(m.Get("x-call-cost"), 64); err == nil && v > 0 && v < 1e15 {
 		j.Hint = decide.Time(v)
 	}
--- a/internal/jobs/discovery.go
+++ b/internal/jobs/discovery.go
@@ -383,37 +383,37 @@
 	d.reloadWanted = false
 	d.nextCall.Stop()
 	d.nextCall = nil
-	x := &listCall{discovery: d, addr: d.Addr, startedAt: d.Engine.Now(), newWatch: newWatch, reload: reload, parser: http1.NewResponseParser()}
-	d.pendingCall = x
-	x.parser.OnBody = func(b []byte) {
-		if len(x.body)+len(b) <= maxListBytes {
-			x.body = append(x.body, b...)
+	call := &listCall{discovery: d, addr: d.Addr, startedAt: d.Engine.Now(), newWatch: newWatch, reload: reload, parser: http1.NewResponseParser()}
+	d.pendingCall = call
+	call.parser.OnBody = func(b []byte) {
+		if len(call.body)+len(b) <= maxListBytes {
+			call.body = append(call.body, b...)
 		} else {
-			x.end(nil, "list is too long")
+			call.end(nil, "list is too long")
 		}
 	}
 	hold, slack := d.timeouts(newWatch || reload)
 	d.Engine.Counts.ListCalls++
-	x.timer = d.Engine.After(hold+slack, x.timedOut)
-	x.cancelDial = d.Dialer.Get(x.addr, false, func(c Conn) {
-		x.cancelDial = nil
-		if x.ended {
+	call.timer = d.Engine.After(hold+slack, call.timedOut)
+	call.cancelDial = d.Dialer.Get(call.addr, false, func(c Conn) {
+		call.cancelDial = nil
+		if call.ended {
 			if c != nil {
-				d.Dialer.Put(x.addr, c)
+				d.Dialer.Put(call.addr, c)
 			}
 			return
 		}
 		if c == nil {
-			x.end(nil, "no connection")
+			call.end(nil, "no connection")
 			return
 		}
 		target := "/api/targets"
 		if !reload {
 			target += "?from=" + formatInt(d.index) + "&hold_ms=" + formatInt(int64(hold/time.Millisecond))
 		}
-		x.conn = c
-		c.SetHandler(x)
-		c.Write(http1.AppendRequest(nil, "GET", target, nil, http1.Field{Name: "Host", Value: x.addr}), nil)
+		call.conn = c
+		c.SetHandler(call)
+		c.Write(http1.AppendRequest(nil, "GET", target, nil, http1.Field{Name: "Host", Value: call.addr}), nil)
 	})
 }
 
@@ -485,55 +485,55 @@
 	if x.ended {
 		return
 	}
-	d := x.discovery
+	discovery := x.discovery
 	x.drop()
-	took := time.Duration(d.Engine.Now()-x.startedAt) * time.Microsecond
+	took := time.Duration(discovery.Engine.Now()-x.startedAt) * time.Microsecond
 	if answer == nil {
 		if reason == noAnswer {
-			d.Cadence.TimedOut()
+			discovery.Cadence.TimedOut()
 		} else {
-			d.Cadence.Failed()
+			discovery.Cadence.Failed()
 		}
-		slog.Warn("worker list call failed", withService(d.Service, "why", reason)...)
-		d.Engine.Announce(decide.ListFailed, nil)
-		if d.FromAgent && d.watching && d.pendingCall == nil && d.nextCall == nil { // the dispatcher does not call again
-			d.scheduleAfter(agentRetryDelay, true)
+		slog.Warn("worker list call failed", withService(discovery.Service, "why", reason)...)
+		discovery.Engine.Announce(decide.ListFailed, nil)
+		if discovery.FromAgent && discovery.watching && discovery.pendingCall == nil && discovery.nextCall == nil { // the dispatcher does not call again
+			discovery.scheduleAfter(agentRetryDelay, true)
 		}
 		return
 	}
-	slog.Debug("worker list", withService(d.Service, "index", answer.Index, "from", d.index, "lines", len(answer.Endpoints), "took", took)...)
-	queued := x.newWatch || x.reload || answer.Index > d.index+1
-	d.Cadence.Answered(took, queued)
+	slog.Debug("worker list", withService(discovery.Service, "index", answer.Index, "from", discovery.index, "lines", len(answer.Endpoints), "took", took)...)
+	queued := x.newWatch || x.reload || answer.Index > discovery.index+1
+	discovery.Cadence.Answered(took, queued)
 	if queued {
-		d.Engine.Counts.ListWait = max(d.Engine.Counts.ListWait, took)
+		discovery.Engine.Counts.ListWait = max(discovery.Engine.Counts.ListWait, took)
 	}
-	if !answer.Snapshot && !x.reload && answer.Index < d.index && d.relayedAt <= x.startedAt {
+	if !answer.Snapshot && !x.reload && answer.Index < discovery.index && discovery.relayedAt <= x.startedAt {
 		// A delta up to an older index does not contain the missing changes; only a whole list is usable.
-		slog.Warn("worker list went back", withService(d.Service, "index", answer.Index, "from", d.index)...)
-		d.needSnapshot = true
-		d.startCall(false, true)
+		slog.Warn("worker list went back", withService(discovery.Service, "index", answer.Index, "from", discovery.index)...)
+		discovery.needSnapshot = true
+		discovery.startCall(false, true)
 		return
 	}
-	stale := d.relayedAt > x.startedAt && answer.Index < d.index // another process has relayed a newer update during the call
+	stale := discovery.relayedAt > x.startedAt && answer.Index < discovery.index // another process has relayed a newer update during the call
 	if stale {
-		answer.Index = d.index
-	} else if d.OnUpdate != nil && (answer.Snapshot || len(answer.Endpoints) > 0) {
-		d.OnUpdate(answer.Index, x.body)
+		answer.Index = discovery.index
+	} else if discovery.OnUpdate != nil && (answer.Snapshot || len(answer.Endpoints) > 0) {
+		discovery.OnUpdate(answer.Index, x.body)
 	}
-	d.index, d.needSnapshot = answer.Index, false
+	discovery.index, discovery.needSnapshot = answer.Index, false
 	switch {
-	case d.reloadWanted:
-		d.startCall(false, true)
-	case d.watching:
-		d.scheduleNext(false)
+	case discovery.reloadWanted:
+		discovery.startCall(false, true)
+	case discovery.watching:
+		discovery.scheduleNext(false)
 	}
 	switch {
 	case stale:
-		d.Engine.Announce(decide.ListDelta, nil)
+		discovery.Engine.Announce(decide.ListDelta, nil)
 	case answer.Snapshot || x.reload:
-		d.Engine.Announce(decide.ListFull, answer.entries())
+		discovery.Engine.Announce(decide.ListFull, answer.entries())
 	case x.newWatch || len(answer.Endpoints) > 0:
-		d.Engine.Announce(decide.ListDelta, answer.entries())
+		discovery.Engine.Announce(decide.ListDelta, answer.entries())
 	}
 }
 
--- a/internal/jobs/handover.go
+++ b/internal/jobs/handover.go
@@ -97,37 +97,37 @@
 
 // Adopt continues a job of another process. worker is the connection of its attempt, or nil.
 func (s *Server) Adopt(service *Service, p *HandoverJob, c, worker Conn) {
-	x := s.addClient(c)
+	client := s.addClient(c)
 	now := s.Loop.Now()
-	x.peer.Adopted(now)
+	client.peer.Adopted(now)
 	class, known := service.Classes[p.Class]
-	x.busy, x.keepAlive = true, p.KeepAlive
-	x.pipelined = append(x.pipelined, p.Ahead...)
-	x.peer.JobAccepted(now)
+	client.busy, client.keepAlive = true, p.KeepAlive
+	client.pipelined = append(client.pipelined, p.Ahead...)
+	client.peer.JobAccepted(now)
 	if !known || s.callIDInUse(p.ID) { // the job may have run, and its outcome can't be determined
 		if worker != nil {
 			worker.Close()
 		}
-		x.Failed()
+		client.Failed()
 		return
 	}
-	s.claimCallID(x, p.ID)
-	x.service, x.class, x.bookedBytes = service, class, len(p.Body)
+	s.claimCallID(client, p.ID)
+	client.service, client.class, client.bookedBytes = service, class, len(p.Body)
 	if service.Pool != nil { // without the booking, its end would free capacity that others have booked
-		x.unbooked = service.Pool.Adopt(class, x.bookedBytes)
+		client.unbooked = service.Pool.Adopt(class, client.bookedBytes)
 	}
 	p.Job.Class = class
-	_ = x.reserveMemory(len(p.Body) + len(p.Target))
+	_ = client.reserveMemory(len(p.Body) + len(p.Target))
 	request := &payload{method: p.Method, target: p.Target, id: p.ID, key: p.Key, body: p.Body, atMostOnce: service.Engine.Class(class).Effect == decide.Unsafe}
-	r, a := service.Engine.Adopt(p.Job, request, x)
-	if x.callID != "" { // not answered during Adopt
-		x.request = r
+	r, attempt := service.Engine.Adopt(p.Job, request, client)
+	if client.callID != "" { // not answered during Adopt
+		client.request = r
 	}
 	if service.Engine.Trace != nil {
 		service.Engine.Trace("taken", r.ID, "call_id", p.ID, "target", p.Target, "addr", c.Peer())
 	}
-	if a != nil {
-		service.Workers.adopt(a, worker, p.Answer)
+	if attempt != nil {
+		service.Workers.adopt(attempt, worker, p.Answer)
 	}
 }
 
--- a/internal/jobs/worker.go
+++ b/internal/jobs/worker.go
@@ -167,15 +167,15 @@
 	}
 	host := http1.Field{Name: "Host", Value: x.workers.Host}
 	var b []byte
-	if a := x.attempt; a != nil {
-		if !a.Sendable() {
+	if attempt := x.attempt; attempt != nil {
+		if !attempt.Sendable() {
 			x.ended = true
 			x.workers.Dialer.Put(x.addr, c)
-			a.End(decide.NotSent, nil, decide.Report{})
+			attempt.End(decide.NotSent, nil, decide.Report{})
 			return
 		}
-		request := a.Request.Payload.(*payload)
-		fields := []http1.Field{host, {Name: "X-Call-Id", Value: request.id}, {Name: "X-Budget", Value: formatBudget(a.Remaining())}}
+		request := attempt.Request.Payload.(*payload)
+		fields := []http1.Field{host, {Name: "X-Call-Id", Value: request.id}, {Name: "X-Budget", Value: formatBudget(attempt.Remaining())}}
 		if request.key != "" {
 			fields = append(fields, http1.Field{Name: "Idempotency-Key", Value: request.key})
 		}
@@ -378,27 +378,27 @@
 
 // responseComplete handles the end of the response. It keeps the connection for reuse if nothing forbids it.
 func (x *exchange) responseComplete(clean bool) {
-	m := &x.parser.Msg
-	if !x.finalLineSeen && x.attempt != nil && m.Status == 200 && len(x.lineBuffer) > 0 {
+	message := &x.parser.Msg
+	if !x.finalLineSeen && x.attempt != nil && message.Status == 200 && len(x.lineBuffer) > 0 {
 		x.handleLine(x.lineBuffer) // the final newline is missing
 		x.lineBuffer = nil
 	}
 	if x.ended {
 		return
 	}
-	if text := m.Get("x-load-report"); text != "" {
+	if text := message.Get("x-load-report"); text != "" {
 		x.report = x.workers.Reports.read([]byte(text))
 	}
 	switch {
 	case x.finalLineSeen:
-	case m.Status == 200 && x.probe != nil:
+	case message.Status == 200 && x.probe != nil:
 		x.status = decide.Served
 		if len(x.lineBuffer) > 0 {
 			x.report = x.workers.Reports.read(x.lineBuffer)
 		}
-	case m.Status == 200:
+	case message.Status == 200:
 		x.status = decide.Reset // the response ended before its final line
-	case (m.Status == 503 || m.Status == 504) && m.Get("x-rejected") == "1":
+	case (message.Status == 503 || message.Status == 504) && message.Get("x-rejected") == "1":
 		x.status = decide.Full
 	default:
 		x.status = decide.Error
@@ -406,7 +406,7 @@
 	if x.finalLineSeen && len(bytes.TrimSpace(x.lineBuffer)) > 0 {
 		clean = false // data followed the final line, so the start of the next response would be ambiguous
 	}
-	if clean && m.KeepAlive && !x.closedEarly {
+	if clean && message.KeepAlive && !x.closedEarly {
 		c := x.conn
 		x.conn = nil
 		x.workers.Dialer.Put(x.addr, c)
