--- a/internal/fleet/evidence.go
+++ b/internal/fleet/evidence.go
@@ -91,9 +91,9 @@
 		}
 	}
 	v.lastTick = now
-	a := v.aggregator(service)
-	due := a.DueReports(now)
-	suspects := a.Suspects(now, knownWorkers, zoneMembers)
+	aggregator := v.aggregator(service)
+	due := aggregator.DueReports(now)
+	suspects := aggregator.Suspects(now, knownWorkers, zoneMembers)
 	v.suspects[service] = suspects
 	v.mu.Unlock()
 	for _, r := range due {
@@ -173,7 +173,7 @@
 // queued. Messages that are too large are dropped.
 func (l *Link) Broadcast(key string, data []byte) {
 	if len(data) <= maxMessage {
-		l.enqueue(l.c.Name+" "+key, l.withSender(data))
+		l.enqueue(l.config.Name+" "+key, l.withSender(data))
 	}
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -73,7 +73,7 @@
 
 // Link is a running member of a fleet. Its methods are safe for concurrent use.
 type Link struct {
-	c          Config
+	config     Config
 	list       atomic.Pointer[memberlist.Memberlist] // nil until Start has created it; messages may arrive before
 	transport  *transport
 	gossip     memberlist.TransmitLimitedQueue
@@ -101,44 +101,44 @@
 	if c.Name == "" || len(c.Name) > maxName || c.Fleet == "" || c.MaxMembers < 1 {
 		return nil, fmt.Errorf("fleet: name, fleet or maximum number of members is missing or out of range")
 	}
-	l := &Link{c: c, stop: make(chan struct{}), senders: map[string]*sender{}}
-	l.gossip.RetransmitMult = 2
-	l.gossip.NumNodes = func() int {
-		if list := l.list.Load(); list != nil {
+	link := &Link{config: c, stop: make(chan struct{}), senders: map[string]*sender{}}
+	link.gossip.RetransmitMult = 2
+	link.gossip.NumNodes = func() int {
+		if list := link.list.Load(); list != nil {
 			return list.NumMembers()
 		}
 		return 1
 	}
 	var err error
-	if l.transport, err = listen(c.Bind, c.Relay, baseByteRate+memberByteRate*c.MaxMembers); err != nil {
+	if link.transport, err = listen(c.Bind, c.Relay, baseByteRate+memberByteRate*c.MaxMembers); err != nil {
 		return nil, fmt.Errorf("fleet: bind %q: %w", c.Bind, err)
 	}
-	m := memberlist.DefaultLANConfig()
-	m.Name, m.Label, m.Transport = c.Name, c.Fleet, l.transport
-	m.GossipInterval = gossipInterval
-	m.SecretKey = c.Key
-	m.Delegate, m.Events, m.Conflict = delegate{l}, events{l}, nil
-	m.Logger = log.New(io.Discard, "", 0) // Counts and Members show what operators need
-	m.DeadNodeReclaimTime = time.Second   // a restarted member may have another address
-	list, err := memberlist.Create(m)
+	listConfig := memberlist.DefaultLANConfig()
+	listConfig.Name, listConfig.Label, listConfig.Transport = c.Name, c.Fleet, link.transport
+	listConfig.GossipInterval = gossipInterval
+	listConfig.SecretKey = c.Key
+	listConfig.Delegate, listConfig.Events, listConfig.Conflict = delegate{link}, events{link}, nil
+	listConfig.Logger = log.New(io.Discard, "", 0) // Counts and Members show what operators need
+	listConfig.DeadNodeReclaimTime = time.Second   // a restarted member may have another address
+	list, err := memberlist.Create(listConfig)
 	if err != nil {
-		l.transport.Shutdown()
+		link.transport.Shutdown()
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	l.list.Store(list)
-	l.goroutines.Go(l.rejoin)
-	return l, nil
+	link.list.Store(list)
+	link.goroutines.Go(link.rejoin)
+	return link, nil
 }
 
 // rejoin tries to join the configured addresses that belong to no live member. This covers the first join, the end of a network
 // partition and a restart of all members.
 func (l *Link) rejoin() {
 	for {
-		known := map[string]bool{l.c.Bind: true}
+		known := map[string]bool{l.config.Bind: true}
 		for _, m := range l.list.Load().Members() {
 			known[m.Address()] = true
 		}
-		for _, addr := range l.c.Join {
+		for _, addr := range l.config.Join {
 			if !known[addr] {
 				l.list.Load().Join([]string{addr}) // a failed join is tried again in the next interval
 			}
@@ -165,8 +165,8 @@
 	if len(data) > maxMessage {
 		return fmt.Errorf("fleet: message of %d bytes is larger than the maximum of %d", len(data), maxMessage)
 	}
-	if to == l.c.Name {
-		l.c.OnMessage(to, data)
+	if to == l.config.Name {
+		l.config.OnMessage(to, data)
 		return nil
 	}
 	for _, m := range l.list.Load().Members() {
@@ -182,7 +182,7 @@
 
 // withSender returns a message with a header that contains the version and the name of this member.
 func (l *Link) withSender(data []byte) []byte {
-	head := append([]byte{version, byte(len(l.c.Name))}, l.c.Name...)
+	head := append([]byte{version, byte(len(l.config.Name))}, l.config.Name...)
 	return append(head, data...)
 }
 
@@ -231,24 +231,24 @@
 		l.counts.UnknownSender++
 		return "", nil, false
 	}
-	s := l.senders[from]
-	if s == nil {
-		if len(l.senders) >= l.c.MaxMembers {
+	senderState := l.senders[from]
+	if senderState == nil {
+		if len(l.senders) >= l.config.MaxMembers {
 			for name, old := range l.senders { // a sender that is removed here gets a new limiter with its next message
 				if time.Since(old.lastMessageAt) > time.Minute {
 					delete(l.senders, name)
 				}
 			}
 		}
-		if len(l.senders) >= l.c.MaxMembers {
+		if len(l.senders) >= l.config.MaxMembers {
 			l.counts.OverLimit++
 			return "", nil, false
 		}
-		s = &sender{limit: rate.NewLimiter(messageRate, messageBurst)}
-		l.senders[from] = s
+		senderState = &sender{limit: rate.NewLimiter(messageRate, messageBurst)}
+		l.senders[from] = senderState
 	}
-	s.lastMessageAt = time.Now()
-	if !s.limit.Allow() {
+	senderState.lastMessageAt = time.Now()
+	if !senderState.limit.Allow() {
 		l.counts.OverLimit++
 		return "", nil, false
 	}
@@ -257,10 +257,10 @@
 }
 
 // delegate implements memberlist.Delegate.
-type delegate struct{ l *Link }
+type delegate struct{ link *Link }
 
 func (d delegate) NodeMeta(limit int) []byte {
-	b, _ := json.Marshal(meta{d.l.c.Zone, d.l.c.Incarnation})
+	b, _ := json.Marshal(meta{d.link.config.Zone, d.link.config.Incarnation})
 	if len(b) > limit {
 		return nil
 	}
@@ -268,13 +268,13 @@
 }
 
 func (d delegate) NotifyMsg(b []byte) {
-	if from, data, ok := d.l.acceptMessage(b); ok && d.l.c.OnMessage(from, data) {
-		d.l.forward(b)
+	if from, data, ok := d.link.acceptMessage(b); ok && d.link.config.OnMessage(from, data) {
+		d.link.forward(b)
 	}
 }
 
 func (d delegate) GetBroadcasts(overhead, limit int) [][]byte {
-	return d.l.gossip.GetBroadcasts(overhead, limit)
+	return d.link.gossip.GetBroadcasts(overhead, limit)
 }
 
 // LocalState returns nothing: members exchange no full state beyond the list of members.
@@ -284,11 +284,11 @@
 func (delegate) MergeRemoteState([]byte, bool) {}
 
 // events implements memberlist.EventDelegate.
-type events struct{ l *Link }
+type events struct{ link *Link }
 
 func (e events) NotifyJoin(member *memberlist.Node) {
-	if e.l.c.OnJoin != nil && member.Name != e.l.c.Name {
-		e.l.c.OnJoin()
+	if e.link.config.OnJoin != nil && member.Name != e.link.config.Name {
+		e.link.config.OnJoin()
 	}
 }
 
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -74,7 +74,7 @@
 	}
 	first.gossip.Reset() // empties the queue, as after the last transmission of the report
 
-	_, secondEvidence := startWithEvidence(t, "b", Config{Bind: freeAddress(t), Join: []string{first.c.Bind}})
+	_, secondEvidence := startWithEvidence(t, "b", Config{Bind: freeAddress(t), Join: []string{first.config.Bind}})
 	secondEvidence.Tick(service, knownWorkers)
 	secondEvidence.Record(service, worker, evidence.Failed)
 	require.Eventually(t, func() bool {
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -137,7 +137,7 @@
 		}
 		c.SetDeadline(time.Now().Add(streamTimeout))
 		select {
-		case t.streams <- &stream{Conn: c, t: t, inbound: true, remaining: maxStreamBytes}:
+		case t.streams <- &stream{Conn: c, transport: t, inbound: true, remaining: maxStreamBytes}:
 		case <-t.stop:
 			c.Close()
 		}
@@ -147,7 +147,7 @@
 // stream is a connection that returns an error after maxStreamBytes have been read, and counts its traffic.
 type stream struct {
 	net.Conn
-	t         *transport
+	transport *transport
 	inbound   bool // opened by another member
 	remaining int  // bytes that may still be read
 	once      sync.Once
@@ -159,22 +159,22 @@
 	}
 	n, err := s.Conn.Read(b[:min(len(b), s.remaining)])
 	s.remaining -= n
-	s.t.count(func(traffic *Traffic) { traffic.BytesIn += int64(n) })
+	s.transport.count(func(traffic *Traffic) { traffic.BytesIn += int64(n) })
 	return n, err
 }
 
 func (s *stream) Write(b []byte) (int, error) {
 	n, err := s.Conn.Write(b)
-	s.t.count(func(traffic *Traffic) { traffic.BytesOut += int64(n) })
+	s.transport.count(func(traffic *Traffic) { traffic.BytesOut += int64(n) })
 	return n, err
 }
 
 func (s *stream) Close() error {
 	s.once.Do(func() {
 		if s.inbound {
-			s.t.mu.Lock()
-			s.t.openStreams--
-			s.t.mu.Unlock()
+			s.transport.mu.Lock()
+			s.transport.openStreams--
+			s.transport.mu.Unlock()
 		}
 	})
 	return s.Conn.Close()
@@ -251,7 +251,7 @@
 			return nil, err
 		}
 	}
-	return &stream{Conn: c, t: t, remaining: maxStreamBytes}, nil
+	return &stream{Conn: c, transport: t, remaining: maxStreamBytes}, nil
 }
 
 // StreamCh implements memberlist.Transport.
