--- a/internal/evidence/evidence.go
+++ b/internal/evidence/evidence.go
@@ -104,7 +104,7 @@
 
 // Aggregator holds this member's observations and the reports of other members. It is not safe for concurrent use.
 type Aggregator struct {
-	c                Config
+	config           Config
 	name, zone       string
 	incarnation, seq uint64
 	own              map[string]*observation               // by worker
@@ -117,7 +117,7 @@
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
-	return &Aggregator{c: c, name: name, zone: zone, incarnation: incarnation, own: map[string]*observation{},
+	return &Aggregator{config: c, name: name, zone: zone, incarnation: incarnation, own: map[string]*observation{},
 		received: map[string]map[string]*receivedReport{}}, nil
 }
 
@@ -125,10 +125,10 @@
 func (a *Aggregator) Record(now time.Duration, worker string, k Kind) {
 	o := a.own[worker]
 	if o == nil {
-		if len(a.own) >= a.c.MaxWorkers {
+		if len(a.own) >= a.config.MaxWorkers {
 			a.expireOwn(now)
 		}
-		if len(a.own) >= a.c.MaxWorkers {
+		if len(a.own) >= a.config.MaxWorkers {
 			a.Dropped++
 			return
 		}
@@ -141,7 +141,7 @@
 // expireOwn removes this member's observations that are too old.
 func (a *Aggregator) expireOwn(now time.Duration) {
 	for name, o := range a.own {
-		if now-o.at >= a.c.MaxAge {
+		if now-o.at >= a.config.MaxAge {
 			delete(a.own, name)
 		}
 	}
@@ -164,15 +164,15 @@
 		a.Dropped++
 		return false
 	}
-	if r.From == a.name || r.Age >= a.c.MaxAge {
+	if r.From == a.name || r.Age >= a.config.MaxAge {
 		return false
 	}
 	reports := a.received[r.Worker]
 	if reports == nil {
-		if len(a.received) >= a.c.MaxWorkers {
+		if len(a.received) >= a.config.MaxWorkers {
 			a.expireReceived(now)
 		}
-		if len(a.received) >= a.c.MaxWorkers {
+		if len(a.received) >= a.config.MaxWorkers {
 			a.Dropped++
 			return false
 		}
@@ -183,9 +183,9 @@
 	if previous != nil && previous.report.Incarnation == r.Incarnation && previous.report.Seq >= r.Seq {
 		return false
 	}
-	if previous == nil && len(reports) >= a.c.MaxMembers {
+	if previous == nil && len(reports) >= a.config.MaxMembers {
 		a.expireReceived(now)
-		if len(reports) >= a.c.MaxMembers {
+		if len(reports) >= a.config.MaxMembers {
 			a.Dropped++
 			return false
 		}
@@ -199,7 +199,7 @@
 func (a *Aggregator) expireReceived(now time.Duration) {
 	for worker, reports := range a.received {
 		for from, received := range reports {
-			if now-received.observedAt >= a.c.MaxAge {
+			if now-received.observedAt >= a.config.MaxAge {
 				delete(reports, from)
 			}
 		}
@@ -214,8 +214,8 @@
 func (a *Aggregator) DueReports(now time.Duration) (out []Report) {
 	a.expireReceived(now)
 	for worker, o := range a.own {
-		if o.reported && (o.reportedObservedAt == o.at || o.reportedKind == o.kind && now-o.reportedAt < a.c.MinRepeatInterval) ||
-			now-o.at >= a.c.MaxAge || o.kind == Succeeded && !a.hasComplaint(worker) {
+		if o.reported && (o.reportedObservedAt == o.at || o.reportedKind == o.kind && now-o.reportedAt < a.config.MinRepeatInterval) ||
+			now-o.at >= a.config.MaxAge || o.kind == Succeeded && !a.hasComplaint(worker) {
 			continue
 		}
 		o.reportedAt, o.reportedObservedAt, o.reportedKind, o.reported = now, o.at, o.kind, true
@@ -259,7 +259,7 @@
 // first. knownWorkers is the number of all workers, and zoneMembers the number of live members in the zone.
 func (a *Aggregator) Suspects(now time.Duration, knownWorkers, zoneMembers int) (names []string) {
 	a.expireReceived(now)
-	maxSuspects := int(a.c.MaxSuspectShare * float64(knownWorkers))
+	maxSuspects := int(a.config.MaxSuspectShare * float64(knownWorkers))
 	votesOn, complaintsBy := map[string][]vote{}, map[string]int{} // by worker; by member, this one included
 	add := func(worker string, v vote) {
 		votesOn[worker] = append(votesOn[worker], v)
@@ -268,7 +268,7 @@
 		}
 	}
 	for worker, o := range a.own {
-		if now-o.at < a.c.MaxAge {
+		if now-o.at < a.config.MaxAge {
 			add(worker, vote{a.name, o.at, o.kind != Succeeded})
 		}
 	}
@@ -279,20 +279,20 @@
 			}
 		}
 	}
-	required := max(2, int(math.Ceil(a.c.FaultyMemberShare*float64(zoneMembers)))+1)
+	required := max(2, int(math.Ceil(a.config.FaultyMemberShare*float64(zoneMembers)))+1)
 	complaintShares := map[string]float64{}
 	for worker, votes := range votesOn {
 		// A member that complains about too many workers is faulty or partitioned itself.
 		votes = slices.DeleteFunc(votes, func(v vote) bool { return complaintsBy[v.member] > maxSuspects })
 		slices.SortFunc(votes, func(x, y vote) int { return cmp.Or(cmp.Compare(y.at, x.at), cmp.Compare(x.member, y.member)) })
-		votes = votes[:min(len(votes), max(a.c.SampleSize, 2*required))]
+		votes = votes[:min(len(votes), max(a.config.SampleSize, 2*required))]
 		complaints := 0
 		for _, v := range votes {
 			if v.complaint {
 				complaints++
 			}
 		}
-		if complaints >= required && float64(complaints) >= a.c.MinComplaintShare*float64(len(votes)) {
+		if complaints >= required && float64(complaints) >= a.config.MinComplaintShare*float64(len(votes)) {
 			names = append(names, worker)
 			complaintShares[worker] = float64(complaints) / float64(len(votes))
 		}
--- a/internal/evidence/evidence_test.go
+++ b/internal/evidence/evidence_test.go
@@ -72,7 +72,7 @@
 		}
 		names := a.Suspects(2*second, 40, 100)
 		assert.Equal(t, c.suspected, len(names) == 1, "%s: %v", name, names)
-		assert.Empty(t, a.Suspects(a.c.MaxAge+2*second, 40, 100), "%s: all reports are too old", name)
+		assert.Empty(t, a.Suspects(a.config.MaxAge+2*second, 40, 100), "%s: all reports are too old", name)
 	}
 }
 
@@ -93,7 +93,7 @@
 	assert.Len(t, a.DueReports(second+1), 1, "another kind")
 	a.Record(second+2, "w", Failed)
 	assert.Empty(t, a.DueReports(second+2), "the same kind within MinRepeatInterval")
-	assert.Len(t, a.DueReports(second+2+a.c.MinRepeatInterval), 1)
+	assert.Len(t, a.DueReports(second+2+a.config.MinRepeatInterval), 1)
 	assert.Empty(t, a.Suspects(second, 10, 2), "a single complaint is not enough")
 	a.Receive(second, newReport("s", "w", 1, 0, true))
 	a.Receive(second, newReport("s", "good", 1, 0, true))
@@ -106,8 +106,8 @@
 	assert.Empty(t, a.Suspects(second, 10, 2))
 	a.Record(second, "w", Unreachable)
 	assert.Equal(t, []string{"w"}, a.Suspects(second, 10, 2))
-	assert.Empty(t, a.Suspects(second+a.c.MaxAge, 10, 2))
-	assert.Empty(t, a.DueReports(second+a.c.MaxAge))
+	assert.Empty(t, a.Suspects(second+a.config.MaxAge, 10, 2))
+	assert.Empty(t, a.DueReports(second+a.config.MaxAge))
 }
 
 // Checks that invalid reports and those beyond the bounds are dropped, and that expired ones make room.
