--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -109,7 +109,7 @@
 // Voter grants votes to holders. It keeps them in memory only. After a start it therefore grants nothing until the votes of its
 // previous run have expired. It is not safe for concurrent use.
 type Voter struct {
-	c          Config
+	config     Config
 	name       string
 	mutedUntil time.Duration // no vote is granted before
 	votes      []vote        // by chunk
@@ -136,7 +136,7 @@
 	if !slices.Contains(c.Voters, name) {
 		return nil, fmt.Errorf("share: %q is not one of the voters", name)
 	}
-	return &Voter{c: c, name: name, mutedUntil: now + c.voteDuration(), votes: make([]vote, c.Chunks),
+	return &Voter{config: c, name: name, mutedUntil: now + c.voteDuration(), votes: make([]vote, c.Chunks),
 		requesters: map[string]requester{}}, nil
 }
 
@@ -151,13 +151,13 @@
 		}
 	}
 	for name, other := range v.requesters {
-		if now-other.lastRequestAt > 2*v.c.LeaseDuration {
+		if now-other.lastRequestAt > 2*v.config.LeaseDuration {
 			delete(v.requesters, name)
 		}
 	}
-	if _, known := v.requesters[request.From]; known || len(v.requesters) < v.c.MaxMembers {
-		v.requesters[request.From] = requester{max(0, min(request.Shortfall, v.c.Chunks)),
-			max(0, min(request.UnmetDemand, v.c.Chunks)), now}
+	if _, known := v.requesters[request.From]; known || len(v.requesters) < v.config.MaxMembers {
+		v.requesters[request.From] = requester{max(0, min(request.Shortfall, v.config.Chunks)),
+			max(0, min(request.UnmetDemand, v.config.Chunks)), now}
 	}
 	reply.Requesters = len(v.requesters)
 	for name, other := range v.requesters {
@@ -178,7 +178,7 @@
 		if current.expiresAt > now && !sameHolder || sameHolder && current.round > request.Round {
 			continue
 		}
-		*current = vote{request.From, request.Incarnation, request.Round, max(current.expiresAt, now+v.c.voteDuration())}
+		*current = vote{request.From, request.Incarnation, request.Round, max(current.expiresAt, now+v.config.voteDuration())}
 		reply.Granted = append(reply.Granted, i)
 	}
 	// The list starts at another chunk in each reply, so that concurrent requesters do not all want the same chunks.
@@ -203,7 +203,7 @@
 
 // Holder is a scheduler's state of a budget: what it may spend, and which chunks to request. It is not safe for concurrent use.
 type Holder struct {
-	c                 Config
+	config            Config
 	name              string
 	incarnation       uint64 // differs for each start: votes for an earlier incarnation do not count
 	round             uint64
@@ -243,13 +243,13 @@
 	if name == "" {
 		return nil, fmt.Errorf("share: the holder's name is empty")
 	}
-	return &Holder{c: c, name: name, incarnation: incarnation, leaseEnds: make([]time.Duration, c.Chunks),
+	return &Holder{config: c, name: name, incarnation: incarnation, leaseEnds: make([]time.Duration, c.Chunks),
 		tokens: make([]float64, c.Chunks), refilledAt: now, roundStartedAt: now, randomState: incarnation ^ uint64(hashName(name))}, nil
 }
 
 // Share returns what this holder may spend now: units per second of a rate, or units in use at once of a count.
 func (h *Holder) Share(now time.Duration) float64 {
-	return h.c.Floor + float64(h.heldChunks(now))*h.c.chunkSize()
+	return h.config.Floor + float64(h.heldChunks(now))*h.config.chunkSize()
 }
 
 func (h *Holder) heldChunks(now time.Duration) (n int) {
@@ -264,7 +264,7 @@
 // Spend takes units if they are available, and reports whether it did. Units of a count must be given back by Return.
 func (h *Holder) Spend(now time.Duration, units float64) bool {
 	h.requestedUnits += units
-	if h.c.Burst == 0 {
+	if h.config.Burst == 0 {
 		if h.inUse+units > h.Share(now)+1e-9 {
 			return false
 		}
@@ -298,19 +298,19 @@
 // refill adds the tokens of the time since the last refill. A chunk accumulates tokens only while it is held, because its
 // previous holder may have spent all of it just before.
 func (h *Holder) refill(now time.Duration) {
-	size := h.c.chunkSize()
+	size := h.config.chunkSize()
 	for i := range h.tokens {
 		if now >= h.leaseEnds[i] {
 			h.tokens[i] = 0
 			continue
 		}
-		h.tokens[i] = min(size*h.c.Burst, h.tokens[i]+size*(now-h.refilledAt).Seconds())
+		h.tokens[i] = min(size*h.config.Burst, h.tokens[i]+size*(now-h.refilledAt).Seconds())
 	}
-	maxFloorTokens := h.c.Floor * h.c.Burst
-	if h.c.Floor > 0 {
+	maxFloorTokens := h.config.Floor * h.config.Burst
+	if h.config.Floor > 0 {
 		maxFloorTokens = max(1, maxFloorTokens)
 	}
-	h.floorTokens = min(maxFloorTokens, h.floorTokens+h.c.Floor*(now-h.refilledAt).Seconds())
+	h.floorTokens = min(maxFloorTokens, h.floorTokens+h.config.Floor*(now-h.refilledAt).Seconds())
 	h.refilledAt = max(h.refilledAt, now)
 }
 
@@ -327,24 +327,24 @@
 // BeginRound starts a round and returns the request to send to every voter. Three rounds per LeaseDuration are enough to keep
 // the chunks that are held.
 func (h *Holder) BeginRound(now time.Duration) VoteRequest {
-	if h.c.Burst > 0 {
+	if h.config.Burst > 0 {
 		h.refill(now)
 	}
 	if span := (now - h.roundStartedAt).Seconds(); span > 0 {
 		roundDemand := h.requestedUnits / span
-		if h.c.Burst == 0 {
+		if h.config.Burst == 0 {
 			roundDemand = h.inUse + h.requestedUnits // allows for as many new units as were requested during the round
 		}
 		h.demand += demandWeight * (roundDemand - h.demand)
 		h.requestedUnits, h.roundStartedAt = 0, now
 	}
-	size := max(h.c.chunkSize(), 1e-12)
+	size := max(h.config.chunkSize(), 1e-12)
 	demandFactor := headroom
 	if h.othersUnmetDemand > 0 && len(h.available) == 0 { // others need the headroom
 		demandFactor = 1
 	}
-	needed := max(0, min(h.c.Chunks, int(math.Ceil((h.demand*demandFactor-h.c.Floor)/size))))
-	evenShare := max(1, h.c.Chunks/max(1, h.requesters))
+	needed := max(0, min(h.config.Chunks, int(math.Ceil((h.demand*demandFactor-h.config.Floor)/size))))
+	evenShare := max(1, h.config.Chunks/max(1, h.requesters))
 	target, held := needed, h.heldChunks(now)
 	// If others lack an even share, no holder grows beyond one. If no chunk is available either, larger holders release some.
 	if h.othersShortfall > 0 {
@@ -357,11 +357,11 @@
 	previous := &h.rounds[(h.round-1)%recentRounds]
 	request := VoteRequest{From: h.name, Incarnation: h.incarnation, Round: h.round}
 	r := round{number: h.round, sentAt: now, voters: map[string]bool{}}
-	inUseChunks := int(math.Ceil((h.inUse - h.c.Floor) / size))
+	inUseChunks := int(math.Ceil((h.inUse - h.config.Floor) / size))
 	for i := range h.leaseEnds {
 		switch {
 		case now >= h.leaseEnds[i]:
-		case len(r.wanted) < target || h.c.Burst == 0 && len(r.wanted) < inUseChunks:
+		case len(r.wanted) < target || h.config.Burst == 0 && len(r.wanted) < inUseChunks:
 			r.wanted = append(r.wanted, i)
 		default: // the holder must not spend a released chunk, so the lease ends now
 			h.leaseEnds[i], h.tokens[i] = 0, 0
@@ -395,15 +395,15 @@
 func (h *Holder) HandleReply(now time.Duration, reply VoteReply) {
 	r := &h.rounds[reply.Round%recentRounds]
 	if reply.Incarnation != h.incarnation || reply.Round == 0 || r.number != reply.Round ||
-		r.voters[reply.Voter] || !slices.Contains(h.c.Voters, reply.Voter) {
+		r.voters[reply.Voter] || !slices.Contains(h.config.Voters, reply.Voter) {
 		return
 	}
 	r.voters[reply.Voter] = true
 	h.othersUnmetDemand = max(h.othersUnmetDemand, reply.UnmetDemand)
 	h.othersShortfall, h.requesters = max(h.othersShortfall, max(0, reply.Shortfall)),
-		max(h.requesters, min(reply.Requesters, h.c.MaxMembers))
+		max(h.requesters, min(reply.Requesters, h.config.MaxMembers))
 	for _, i := range reply.Available {
-		if i >= 0 && i < h.c.Chunks && len(h.available) < maxAvailable && !slices.Contains(h.available, i) {
+		if i >= 0 && i < h.config.Chunks && len(h.available) < maxAvailable && !slices.Contains(h.available, i) {
 			h.available = append(h.available, i)
 		}
 	}
@@ -411,18 +411,18 @@
 		if !slices.Contains(reply.Granted, i) {
 			continue
 		}
-		if r.votes[n]++; r.votes[n] != len(h.c.Voters)/2+1 {
+		if r.votes[n]++; r.votes[n] != len(h.config.Voters)/2+1 {
 			continue
 		}
 		// The lease starts when the request was sent, which is before any vote was granted.
-		if leaseEnd := r.sentAt + h.c.LeaseDuration; leaseEnd > now && leaseEnd > h.leaseEnds[i] && !h.droppedAfter(i, r.number) {
+		if leaseEnd := r.sentAt + h.config.LeaseDuration; leaseEnd > now && leaseEnd > h.leaseEnds[i] && !h.droppedAfter(i, r.number) {
 			if h.leaseEnds[i] <= now {
 				h.tokens[i] = 0
 			}
 			h.leaseEnds[i] = leaseEnd
 		}
 	}
-	if h.c.Burst > 0 {
+	if h.config.Burst > 0 {
 		h.refill(now)
 	}
 }
