--- a/internal/pace/keeper.go
+++ b/internal/pace/keeper.go
@@ -513,13 +513,13 @@
 // first.
 func (k *Keeper) rankVictims(now Time, unprovenOnly bool) []*Peer {
 	type candidate struct {
-		p    *Peer
+		peer *Peer
 		rank int
 		cost float64
 	}
 	var all []candidate
 	for _, p := range k.peers {
-		c := candidate{p: p, cost: float64(now - p.idleSince)}
+		c := candidate{peer: p, cost: float64(now - p.idleSince)}
 		grace, newPeerGrace := k.limits.EvictionGrace, k.limits.NewPeerGrace
 		if n := p.group.peers; n >= minCrowd && n*100 >= k.limits.CrowdPercent*len(k.peers) {
 			grace, newPeerGrace = 0, 0
@@ -543,11 +543,11 @@
 		}
 	}
 	slices.SortFunc(all, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(b.cost, a.cost), cmp.Compare(a.p.opened, b.p.opened))
+		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(b.cost, a.cost), cmp.Compare(a.peer.opened, b.peer.opened))
 	})
 	out := make([]*Peer, len(all))
 	for i, c := range all {
-		out[i] = c.p
+		out[i] = c.peer
 	}
 	return out
 }
