--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -89,7 +89,7 @@
 
 // newPool returns a pool without workers.
 func newPool(settings poolSettings) (*pool, error) {
-	p := &pool{settings: settings, jobs: map[uint32]*activeJob{}, workerIDs: map[string]decide.WorkerID{},
+	pool := &pool{settings: settings, jobs: map[uint32]*activeJob{}, workerIDs: map[string]decide.WorkerID{},
 		workers: map[decide.WorkerID]*worker{}, classes: map[classKey]int{}, meanPromptUnits: initialPromptUnits}
 	defaultClass := classKey{targetLatency: time.Second, deadline: time.Second}
 	dispatcher, err := decide.New(decide.Settings{
@@ -107,13 +107,13 @@
 		OverloadMultiple: 1,
 		OverloadSpan:     int64(time.Second / time.Microsecond),
 		Tick:             int64(time.Millisecond / time.Microsecond),
-	}, rand.Uint64(), (*poolActions)(p))
+	}, rand.Uint64(), (*poolActions)(pool))
 	if err != nil {
 		return nil, err
 	}
-	p.dispatcher = dispatcher
-	p.classes[defaultClass] = 0
-	return p, nil
+	pool.dispatcher = dispatcher
+	pool.classes[defaultClass] = 0
+	return pool, nil
 }
 
 // class returns the dispatcher's class for the key.
