--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -141,19 +141,19 @@
 // its hello last, after it has registered the link: the connecting process is ready once it has that hello, and the
 // accepting process may be asked to stop at the same moment and must then know the link.
 func (n *Node) handshake(c *net.UnixConn, accepted bool) *Link {
-	l := &Link{conn: c, queue: make(chan []byte, sendQueueSize), closed: make(chan struct{})}
+	link := &Link{conn: c, queue: make(chan []byte, sendQueueSize), closed: make(chan struct{})}
 	reported := false
 	fail := func(err error) *Link {
 		slog.Warn("handover: no link", "why", err)
-		l.Close()
+		link.Close()
 		if reported {
-			n.handler.LinkDown(l)
+			n.handler.LinkDown(link)
 		}
 		return nil
 	}
 	_ = c.SetDeadline(time.Now().Add(helloTimeout))
 	var err error
-	if l.raw, err = c.SyscallConn(); err != nil {
+	if link.raw, err = c.SyscallConn(); err != nil {
 		return fail(err)
 	}
 	_ = c.SetWriteBuffer(2 * MaxMessage)
@@ -164,7 +164,7 @@
 		if err == nil {
 			_, err = c.Write(b)
 		}
-		l.helloSent.Store(err == nil)
+		link.helloSent.Store(err == nil)
 		return err
 	}
 	if !accepted {
@@ -172,16 +172,16 @@
 			return fail(err)
 		}
 	}
-	m, fds, err := l.read(make([]byte, MaxMessage))
+	received, fds, err := link.read(make([]byte, MaxMessage))
 	closeAll(fds)
 	if err != nil {
 		return fail(err)
 	}
-	if m.Kind != KindHello {
-		return fail(fmt.Errorf("received message kind %q before hello", m.Kind))
+	if received.Kind != KindHello {
+		return fail(fmt.Errorf("received message kind %q before hello", received.Kind))
 	}
-	l.Peer = *m.Hello
-	n.handler.LinkUp(l)
+	link.Peer = *received.Hello
+	n.handler.LinkUp(link)
 	reported = true
 	if accepted {
 		if err := sendHello(); err != nil {
@@ -189,7 +189,7 @@
 		}
 	}
 	_ = c.SetDeadline(time.Time{})
-	return l
+	return link
 }
 
 // serve delivers the messages of a link to the handler until the link ends.
