--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -236,10 +236,10 @@
 // decideFraming determines from the fields how the body is delimited and whether the connection can be
 // reused.
 func (p *Parser) decideFraming(minor byte) error {
-	m := &p.Msg
-	m.KeepAlive = minor >= '1'
+	message := &p.Msg
+	message.KeepAlive = minor >= '1'
 	length, coding, host := int64(-1), "", false
-	for _, f := range m.Fields {
+	for _, f := range message.Fields {
 		switch f.Name {
 		case "content-length":
 			n, err := strconv.ParseUint(f.Value, 10, 62)
@@ -267,9 +267,9 @@
 			for word := range strings.SplitSeq(f.Value, ",") {
 				switch strings.ToLower(strings.Trim(word, " \t")) {
 				case "close":
-					m.KeepAlive = false
+					message.KeepAlive = false
 				case "keep-alive":
-					m.KeepAlive = m.KeepAlive || minor == '0'
+					message.KeepAlive = message.KeepAlive || minor == '0'
 				}
 			}
 		}
@@ -282,9 +282,9 @@
 		return newError(400, "both a length and a transfer coding")
 	case coding != "" && !chunked:
 		return newError(501, "transfer coding is not chunked")
-	case p.response && m.Status < 200 && m.Status != 101:
+	case p.response && message.Status < 200 && message.Status != 101:
 		p.Msg, p.state = Message{}, inHead // interim response: the final one follows
-	case p.response && (m.Status == 204 || m.Status == 304):
+	case p.response && (message.Status == 204 || message.Status == 304):
 		p.state = messageComplete
 	case chunked:
 		p.state = inChunkSize
@@ -294,7 +294,7 @@
 		}
 		p.state, p.remaining = inFixedBody, length
 	case length < 0 && p.response:
-		p.state, m.KeepAlive = inBodyUntilClose, false
+		p.state, message.KeepAlive = inBodyUntilClose, false
 	default:
 		p.state = messageComplete
 	}
