--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -54,17 +54,17 @@
 
 // Service records observations of one service.
 type Service struct {
-	m       *Registry
-	wait    []prometheus.Observer
-	probe   [decide.NotSent + 1]prometheus.Observer
-	attempt [][decide.NotSent + 1]prometheus.Observer
-	answer  [][len(answerOutcomes)]prometheus.Observer
+	registry *Registry
+	wait     []prometheus.Observer
+	probe    [decide.NotSent + 1]prometheus.Observer
+	attempt  [][decide.NotSent + 1]prometheus.Observer
+	answer   [][len(answerOutcomes)]prometheus.Observer
 }
 
 // Service returns the Service with the given name. The outcomes are the label values of attempts and probes, indexed by
 // decide.Status.
 func (m *Registry) Service(name string, classes []string, outcomes []string) *Service {
-	s := &Service{m: m, attempt: make([][decide.NotSent + 1]prometheus.Observer, len(classes)), answer: make([][len(answerOutcomes)]prometheus.Observer, len(classes))}
+	s := &Service{registry: m, attempt: make([][decide.NotSent + 1]prometheus.Observer, len(classes)), answer: make([][len(answerOutcomes)]prometheus.Observer, len(classes))}
 	for i, class := range classes {
 		s.wait = append(s.wait, m.wait.WithLabelValues(name, class))
 		for o := range s.attempt[i] {
@@ -99,7 +99,7 @@
 }
 
 // statsCollector exports the counters by parsing their text form, so that no counter has to be declared here too.
-type statsCollector struct{ m *Registry }
+type statsCollector struct{ registry *Registry }
 
 // Describe implements prometheus.Collector. It describes nothing, which makes the collector unchecked: services may be added
 // and removed.
@@ -109,10 +109,10 @@
 
 // Collect implements prometheus.Collector.
 func (c statsCollector) Collect(out chan<- prometheus.Metric) {
-	if c.m.Stats == nil {
+	if c.registry.Stats == nil {
 		return
 	}
-	for line := range strings.Lines(c.m.Stats()) {
+	for line := range strings.Lines(c.registry.Stats()) {
 		service := ""
 		for _, pair := range strings.Fields(line) {
 			name, text, _ := strings.Cut(pair, "=")
