--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -69,9 +69,9 @@
 			addError(r, "%s", reason)
 			continue
 		}
-		p := t.host(r.Host)
+		paths := t.host(r.Host)
 		key := []byte(key(r.Path))
-		old, _ := p.tree.Get(key)
+		old, _ := paths.tree.Get(key)
 		if i := slices.IndexFunc(old, r.same); i >= 0 {
 			if old[i].Service != r.Service {
 				addError(r, "the same match as that of service %q at %s: a request can't go to both", old[i].Service, old[i].Position)
@@ -82,7 +82,7 @@
 		}
 		list := append(slices.Clone(old), r)
 		slices.SortStableFunc(list, compareSpecificity)
-		p.tree, _, _ = p.tree.Insert(key, list)
+		paths.tree, _, _ = paths.tree.Insert(key, list)
 	}
 	return t, errs
 }
