--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -20,27 +20,27 @@
 		if i >= len(values) {
 			break
 		}
-		v := float64(values[i])
-		if math.IsNaN(v) || math.IsInf(v, 0) {
+		value := float64(values[i])
+		if math.IsNaN(value) || math.IsInf(value, 0) {
 			continue
 		}
 		switch field {
 		case decide.HasFreeSlots:
-			r.FreeSlots = v
+			r.FreeSlots = value
 		case decide.HasFreeMemory:
-			r.FreeMemory = v
+			r.FreeMemory = value
 		case decide.HasInFlight:
-			r.InFlight = v
+			r.InFlight = value
 		case decide.HasQueue:
-			r.Queue = v
+			r.Queue = value
 		case decide.HasUtil:
-			r.Util = v
+			r.Util = value
 		case decide.HasErrors:
-			r.Errors = v
+			r.Errors = value
 		case decide.HasServed:
-			r.Served = v
+			r.Served = value
 		case decide.HasLatency:
-			r.LatencyMS = v
+			r.LatencyMS = value
 		}
 		r.Has |= field
 	}
@@ -127,47 +127,47 @@
 // ParseSettings reads the settings of a CodeInstanceBegin event. Unknown keys are ignored. An error names
 // the key.
 func ParseSettings(text []byte) (decide.Settings, Layout, error) {
-	p := settingsReader{values: make(map[string]string, 160)}
+	reader := settingsReader{values: make(map[string]string, 160)}
 	for line := range strings.Lines(string(text)) {
 		if key, value, ok := strings.Cut(strings.TrimRight(line, "\r\n"), "="); ok {
-			p.values[key] = value
+			reader.values[key] = value
 		}
 	}
-	s := decide.Settings{
-		Nodes:            int(p.integer("balancers")),
-		Zone:             int(p.integer("zone")),
-		Zones:            max(1, len(p.words("zones"))),
-		CanProbe:         p.boolOr("limits.probes", false),
-		CanCancel:        p.boolOr("limits.cancel", false),
-		CanMessagePeers:  p.boolOr("limits.peers", false),
-		SecondCopies:     p.boolOr("limits.second_copies", false),
-		MaxAttempts:      int(p.integer("limits.max_attempts")),
-		DrainGrace:       p.integer("obligations.drain_grace_us"),
-		ColdFrom:         p.number("obligations.cold_from"),
-		ColdSpan:         p.integer("obligations.cold_us"),
-		OverloadMultiple: p.number("obligations.tip_multiple"),
-		OverloadSpan:     p.integer("obligations.overload_for_us"),
-		AnswerSlack:      decide.Time(p.numberOr("obligations.answer_slack_us", 0)),
-		Tick:             p.integer("resolution_us"),
-		TellsStart:       p.boolOr("family_info.tells_start", false),
-		OverShareWorth:   p.numberOr("over_share_worth", 1),
-		WorthByWork:      p.values["counted_by"] == "work",
-		CrossZoneCost:    p.numberOr("prices.cross_zone", 0),
+	settings := decide.Settings{
+		Nodes:            int(reader.integer("balancers")),
+		Zone:             int(reader.integer("zone")),
+		Zones:            max(1, len(reader.words("zones"))),
+		CanProbe:         reader.boolOr("limits.probes", false),
+		CanCancel:        reader.boolOr("limits.cancel", false),
+		CanMessagePeers:  reader.boolOr("limits.peers", false),
+		SecondCopies:     reader.boolOr("limits.second_copies", false),
+		MaxAttempts:      int(reader.integer("limits.max_attempts")),
+		DrainGrace:       reader.integer("obligations.drain_grace_us"),
+		ColdFrom:         reader.number("obligations.cold_from"),
+		ColdSpan:         reader.integer("obligations.cold_us"),
+		OverloadMultiple: reader.number("obligations.tip_multiple"),
+		OverloadSpan:     reader.integer("obligations.overload_for_us"),
+		AnswerSlack:      decide.Time(reader.numberOr("obligations.answer_slack_us", 0)),
+		Tick:             reader.integer("resolution_us"),
+		TellsStart:       reader.boolOr("family_info.tells_start", false),
+		OverShareWorth:   reader.numberOr("over_share_worth", 1),
+		WorthByWork:      reader.values["counted_by"] == "work",
+		CrossZoneCost:    reader.numberOr("prices.cross_zone", 0),
 	}
-	if p.boolOr("limits.retry_after", false) {
-		s.MaxRetryAfter = max(0, decide.Time(p.numberOr("limits.max_retry_after_us", 0)))
+	if reader.boolOr("limits.retry_after", false) {
+		settings.MaxRetryAfter = max(0, decide.Time(reader.numberOr("limits.max_retry_after_us", 0)))
 	}
-	switch mode := p.values["discovery"]; mode {
+	switch mode := reader.values["discovery"]; mode {
 	case "automatic":
 	case "subscribe":
-		s.MustAsk = true
-		s.AskWithin = p.integer("obligations.ask_within_us")
+		settings.MustAsk = true
+		settings.AskWithin = reader.integer("obligations.ask_within_us")
 	default:
-		p.setError("discovery", fmt.Sprintf("%q is neither automatic nor subscribe", mode))
+		reader.setError("discovery", fmt.Sprintf("%q is neither automatic nor subscribe", mode))
 	}
-	p.readClasses(&s)
-	p.readTenants(&s)
-	return s, p.readLayout(), p.err
+	reader.readClasses(&settings)
+	reader.readTenants(&settings)
+	return settings, reader.readLayout(), reader.err
 }
 
 // maxCount is the largest count that the settings may contain. It keeps a damaged count from causing a
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -69,7 +69,7 @@
 
 // Decoder reads batches of events from a stream.
 type Decoder struct {
-	r      io.Reader
+	reader io.Reader
 	buf    []byte
 	body   []byte // records that are not decoded yet
 	offset int    // position of body in the frame
@@ -81,7 +81,7 @@
 }
 
 // NewDecoder returns a decoder that reads from r.
-func NewDecoder(r io.Reader) *Decoder { return &Decoder{r: r} }
+func NewDecoder(r io.Reader) *Decoder { return &Decoder{reader: r} }
 
 // ErrTruncated is wrapped by errors about input that ends inside a frame.
 var ErrTruncated = errors.New("input ends inside the frame")
@@ -89,7 +89,7 @@
 // Read reads the next batch. It returns io.EOF if the input ends between two batches.
 func (d *Decoder) Read() error {
 	var head [4]byte
-	if n, err := io.ReadFull(d.r, head[:]); err != nil {
+	if n, err := io.ReadFull(d.reader, head[:]); err != nil {
 		if n == 0 && err == io.EOF {
 			return io.EOF
 		}
@@ -126,7 +126,7 @@
 			d.buf = grown
 		}
 		d.buf = d.buf[:have+chunk]
-		if n, err := io.ReadFull(d.r, d.buf[have:]); err != nil {
+		if n, err := io.ReadFull(d.reader, d.buf[have:]); err != nil {
 			return fmt.Errorf("header, offset %d: %w of %d bytes", 4+have+n, ErrTruncated, size+4)
 		}
 	}
@@ -155,13 +155,13 @@
 		if size > int64(len(d.body)-recordHeaderLen) {
 			return nil, d.recordError(1, "record length exceeds the frame")
 		}
-		f := recordReader{data: d.body[recordHeaderLen : recordHeaderLen+int(size)]}
-		known := d.decode(code, &f)
-		if f.truncated {
-			return nil, d.recordError(recordHeaderLen+f.offset, "record ends inside a field")
+		record := recordReader{data: d.body[recordHeaderLen : recordHeaderLen+int(size)]}
+		known := d.decode(code, &record)
+		if record.truncated {
+			return nil, d.recordError(recordHeaderLen+record.offset, "record ends inside a field")
 		}
-		if f.problem != "" {
-			return nil, d.recordError(recordHeaderLen+f.offset, f.problem)
+		if record.problem != "" {
+			return nil, d.recordError(recordHeaderLen+record.offset, record.problem)
 		}
 		d.body = d.body[recordHeaderLen+int(size):]
 		d.offset += recordHeaderLen + int(size)
@@ -182,8 +182,8 @@
 
 // decode decodes one record into the event and reports whether its code is known.
 func (d *Decoder) decode(code uint8, f *recordReader) bool {
-	e := &d.event
-	e.Code = code
+	event := &d.event
+	event.Code = code
 	if code == CodePage {
 		d.decodePage(f)
 		return true
@@ -191,43 +191,43 @@
 	switch code {
 	case CodeStreamStarted, CodeAnnounce, CodeTimer, CodeNote, CodeInstanceEnd, CodeOutcome, CodeInstanceBegin, CodeHangup, CodeRequest,
 		CodePeerMessage, CodeProbeResult:
-		e.Instance = f.u32()
+		event.Instance = f.u32()
 	default:
 		return false
 	}
 	switch code {
 	case CodeStreamStarted:
-		e.Job.ID = f.u32()
-		e.Outcome.Worker = f.worker()
-		e.Latency = decide.Time(f.u32())
-		e.Outcome.Attempt = int(f.u16())
+		event.Job.ID = f.u32()
+		event.Outcome.Worker = f.worker()
+		event.Latency = decide.Time(f.u32())
+		event.Outcome.Attempt = int(f.u16())
 	case CodeAnnounce:
 		d.decodeAnnounce(f)
 	case CodeTimer:
-		e.Token = f.u64()
+		event.Token = f.u64()
 	case CodeNote:
-		e.Job.ID = f.u32()
-		e.Outcome.Attempt = int(f.u16())
-		e.Outcome.Worker = f.worker()
-		e.Note = decide.NoteKind(f.u8())
-		e.Value = f.f32()
+		event.Job.ID = f.u32()
+		event.Outcome.Attempt = int(f.u16())
+		event.Outcome.Worker = f.worker()
+		event.Note = decide.NoteKind(f.u8())
+		event.Value = f.f32()
 	case CodeOutcome:
 		d.decodeOutcome(f)
 	case CodeInstanceBegin:
-		e.Seed = f.u64()
-		e.Params = f.bytes(int64(f.u32()))
+		event.Seed = f.u64()
+		event.Params = f.bytes(int64(f.u32()))
 	case CodeHangup:
-		e.Job.ID = f.u32()
+		event.Job.ID = f.u32()
 	case CodeRequest:
-		e.decodeRequest(f)
+		event.decodeRequest(f)
 	case CodePeerMessage:
-		e.From = int(f.u32())
-		e.Data = f.bytes(int64(f.u16()))
+		event.From = int(f.u32())
+		event.Data = f.bytes(int64(f.u16()))
 	case CodeProbeResult:
-		e.Status = f.status()
-		e.Latency = decide.Time(f.u32())
-		e.Worker = f.worker()
-		e.decodeReport(f)
+		event.Status = f.status()
+		event.Latency = decide.Time(f.u32())
+		event.Worker = f.worker()
+		event.decodeReport(f)
 	}
 	return true
 }
