--- a/decide/events.go
+++ b/decide/events.go
@@ -28,7 +28,7 @@
 	if w == nil {
 		return
 	}
-	p, ok := w.takeProbe(now - latency)
+	probe, ok := w.takeProbe(now - latency)
 	if !ok {
 		return
 	}
@@ -38,12 +38,12 @@
 		d.learnRefresh(w, r)
 	}
 	d.learnProbe(w, status, latency)
-	j := d.jobs[p.job]
-	if p.checkedAttempt > 0 && j != nil && p.checkedAttempt <= len(j.attempts) {
-		d.afterCheck(j, p.checkedAttempt-1, status, r)
+	j := d.jobs[probe.job]
+	if probe.checkedAttempt > 0 && j != nil && probe.checkedAttempt <= len(j.attempts) {
+		d.afterCheck(j, probe.checkedAttempt-1, status, r)
 		return
 	}
-	if j == nil || j.closed || !j.drawing || j.drawNumber != p.drawNumber {
+	if j == nil || j.closed || !j.drawing || j.drawNumber != probe.drawNumber {
 		return
 	}
 	for i, member := range j.pair {
