--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -372,11 +372,11 @@
 	} {
 		for _, size := range []int{1 << 20, 1} {
 			h := newHarness(t)
-			x := h.client()
-			feedInPieces(x.handler.Data, c.in, size)
-			assert.True(t, strings.HasPrefix(x.out, fmt.Sprintf("HTTP/1.1 %d ", c.status)), "%s: %s", name, x.out)
-			assert.Equal(t, 1, strings.Count(x.out, "HTTP/1.1"), name)
-			assert.Equal(t, c.closed, x.closed, name)
+			conn := h.client()
+			feedInPieces(conn.handler.Data, c.in, size)
+			assert.True(t, strings.HasPrefix(conn.out, fmt.Sprintf("HTTP/1.1 %d ", c.status)), "%s: %s", name, conn.out)
+			assert.Equal(t, 1, strings.Count(conn.out, "HTTP/1.1"), name)
+			assert.Equal(t, c.closed, conn.closed, name)
 			assert.Zero(t, h.engine.OpenRequests(), name)
 		}
 	}
@@ -443,7 +443,7 @@
 	}
 	time.Sleep(60 * time.Millisecond)
 	working.handler.Data([]byte(requestHead + "X-Budget: 8000m\r\n\r\n"))
-	x := working.handler.(*client)
+	workingClient := working.handler.(*client)
 	for _, c := range []*fakeConn{silent, half, working} {
 		time.Sleep(time.Millisecond)
 		c.handler.(*client).checkPace() // as the timer would
@@ -454,10 +454,10 @@
 	assert.Contains(t, half.out, "HTTP/1.1 408 ")
 	assert.False(t, working.closed)
 	h.pushed[0].End(decide.Served, []byte("x"), decide.Report{})
-	x.checkPace()
+	workingClient.checkPace()
 	assert.False(t, working.closed)
-	assert.Equal(t, pace.Never, x.peer.NextCheck(h.engine.Now()), "no pace is required between requests")
-	assert.Nil(t, x.paceTimer)
+	assert.Equal(t, pace.Never, workingClient.peer.NextCheck(h.engine.Now()), "no pace is required between requests")
+	assert.Nil(t, workingClient.paceTimer)
 	assert.Equal(t, 1, h.server.Pace.Counts().Peers)
 }
 
@@ -495,18 +495,18 @@
 		conn := h.client()
 		text := requestHead + "X-Budget: 8000m\r\n\r\n"
 		conn.handler.Data([]byte(text[:20]))
-		x := conn.handler.(*client)
+		clientState := conn.handler.(*client)
 		time.Sleep(time.Millisecond)
 		if first == "whole" {
 			conn.handler.Data([]byte(text[20:]))
-			x.checkPace()
+			clientState.checkPace()
 			require.Len(t, h.pushed, 1)
 			h.pushed[0].End(decide.Served, []byte("x"), decide.Report{})
 			assert.Equal(t, 1, strings.Count(conn.out, "HTTP/1.1"))
 			assert.Contains(t, conn.out, "HTTP/1.1 200 ")
 			continue
 		}
-		x.checkPace()
+		clientState.checkPace()
 		conn.handler.Data([]byte(text[20:]))
 		assert.Empty(t, h.pushed)
 		assert.Equal(t, 1, strings.Count(conn.out, "HTTP/1.1"))
@@ -538,16 +538,16 @@
 			conn.queued = 9
 		}
 		h.workers.Push(h.pushed[0])
-		x := h.pushed[0].State.(*exchange)
+		exchange := h.pushed[0].State.(*exchange)
 		if c.requestSent {
 			conn.done(Written)
 			conn.handler.Data([]byte("HTTP/1.1 200 OK\r\n\r\n" + c.in))
 		}
 		time.Sleep(time.Millisecond)
-		if x.paceTimer != nil {
-			x.checkPace()
+		if exchange.paceTimer != nil {
+			exchange.checkPace()
 		}
-		assert.Equal(t, c.ended, x.ended || x.finalLineSeen, name)
+		assert.Equal(t, c.ended, exchange.ended || exchange.finalLineSeen, name)
 		if c.ended {
 			assert.Equal(t, 1, h.engine.Counts.Outcomes[c.want], "%s: %s", name, &h.engine.Counts)
 		}
--- a/internal/jobs/overlay_test.go
+++ b/internal/jobs/overlay_test.go
@@ -30,7 +30,7 @@
 			OverloadSpan: 1, Classes: []decide.Class{{Aim: 1, Deadline: 1, Kind: -1}}}})
 		require.NoError(t, err)
 		e.SetBackends(discardBackends{}, discardBackends{})
-		o := NewOverlay(e)
+		overlay := NewOverlay(e)
 		list, offlineNames := map[string]decide.State{}, map[string]bool{}
 		name := rapid.Map(rapid.IntRange(0, 5), func(i int) string { return fmt.Sprint("w", i) })
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -56,7 +56,7 @@
 			default:
 				n, offline := name.Draw(t, "name"), rapid.Bool().Draw(t, "out")
 				_, listed := list[n]
-				assert.Equal(t, listed || offlineNames[n], o.SetOffline(n, offline))
+				assert.Equal(t, listed || offlineNames[n], overlay.SetOffline(n, offline))
 				if listed || offlineNames[n] {
 					if offlineNames[n] = offline; !offline {
 						delete(offlineNames, n)
@@ -75,8 +75,8 @@
 			}
 			e.EachReadyAddr(func(addr string) { got[addr] = true })
 			require.Equal(t, want, got)
-			require.Equal(t, []int{len(list), excluded}, []int{o.KnownWorkers(), o.ExcludedWorkers()})
-			require.Len(t, o.Offline(), len(offlineNames))
+			require.Equal(t, []int{len(list), excluded}, []int{overlay.KnownWorkers(), overlay.ExcludedWorkers()})
+			require.Len(t, overlay.Offline(), len(offlineNames))
 		}
 	})
 }
