--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -99,17 +99,17 @@
 
 // Checks that malformed messages, messages of unknown senders and messages beyond the rate limit are dropped and counted.
 func TestInvalidMessagesAreDropped(t *testing.T) {
-	l := start(t, Config{Fleet: "print", Name: "a", Bind: freeAddress(t)})
+	link := start(t, Config{Fleet: "print", Name: "a", Bind: freeAddress(t)})
 	for _, b := range [][]byte{nil, {1}, {2, 1, 'a'}, {1, 0}, {1, 200, 'a'}, append([]byte{1, 1, 'a'}, make([]byte, 60<<10)...)} {
-		_, _, ok := l.acceptMessage(b)
+		_, _, ok := link.acceptMessage(b)
 		assert.False(t, ok)
 	}
-	_, _, ok := l.acceptMessage([]byte{1, 1, 'z', 'x'})
+	_, _, ok := link.acceptMessage([]byte{1, 1, 'z', 'x'})
 	assert.False(t, ok)
 	for range 10000 {
-		l.acceptMessage([]byte{1, 1, 'a', 'x'})
+		link.acceptMessage([]byte{1, 1, 'a', 'x'})
 	}
-	c := l.Counts()
+	c := link.Counts()
 	assert.Equal(t, 6, c.Malformed)
 	assert.Equal(t, 1, c.UnknownSender)
 	assert.LessOrEqual(t, c.Received, 10000-c.OverLimit)
