--- a/internal/evidence/evidence_test.go
+++ b/internal/evidence/evidence_test.go
@@ -51,7 +51,7 @@
 		"complaints from another zone":          {[]reports{{40, 0, true}}, "there", false},
 		"members that complain of many workers": {[]reports{{-30, 0, true}}, "here", false},
 	} {
-		a := newTestAggregator(t, 100, "me", "here")
+		aggregator := newTestAggregator(t, 100, "me", "here")
 		n := 0
 		for _, s := range c.reports {
 			workers := []string{"w"}
@@ -66,72 +66,72 @@
 				for _, w := range workers {
 					r := newReport(fmt.Sprint("s", n), w, 1, s.age, s.complaint)
 					r.Zone = c.zone
-					require.True(t, a.Receive(2*second, r))
+					require.True(t, aggregator.Receive(2*second, r))
 				}
 			}
 		}
-		names := a.Suspects(2*second, 40, 100)
+		names := aggregator.Suspects(2*second, 40, 100)
 		assert.Equal(t, c.suspected, len(names) == 1, "%s: %v", name, names)
-		assert.Empty(t, a.Suspects(a.config.MaxAge+2*second, 40, 100), "%s: all reports are too old", name)
+		assert.Empty(t, aggregator.Suspects(aggregator.config.MaxAge+2*second, 40, 100), "%s: all reports are too old", name)
 	}
 }
 
 // Checks that this member's observations count like those of others until they are too old or discarded, that successes are
 // reported only once others complain, and that no report is repeated without need.
 func TestOwnObservations(t *testing.T) {
-	a := newTestAggregator(t, 2, "me", "here")
-	a.Record(0, "w", TimedOut)
-	a.Record(0, "good", Succeeded)
-	due := a.DueReports(second)
+	aggregator := newTestAggregator(t, 2, "me", "here")
+	aggregator.Record(0, "w", TimedOut)
+	aggregator.Record(0, "good", Succeeded)
+	due := aggregator.DueReports(second)
 	require.Len(t, due, 1, "a success without complaints is not reported")
 	assert.Equal(t, Report{"me", "here", "w", 1, 1, second, TimedOut}, due[0])
-	assert.Empty(t, a.DueReports(9*second), "no new observation")
-	a.ResendAll()
-	assert.Len(t, a.DueReports(9*second), 1, "after ResendAll")
-	assert.Empty(t, a.DueReports(9*second), "only once after ResendAll")
-	a.Record(second, "w", Failed)
-	assert.Len(t, a.DueReports(second+1), 1, "another kind")
-	a.Record(second+2, "w", Failed)
-	assert.Empty(t, a.DueReports(second+2), "the same kind within MinRepeatInterval")
-	assert.Len(t, a.DueReports(second+2+a.config.MinRepeatInterval), 1)
-	assert.Empty(t, a.Suspects(second, 10, 2), "a single complaint is not enough")
-	a.Receive(second, newReport("s", "w", 1, 0, true))
-	a.Receive(second, newReport("s", "good", 1, 0, true))
-	assert.Equal(t, []string{"w"}, a.Suspects(second, 10, 2))
-	due = a.DueReports(2 * second)
+	assert.Empty(t, aggregator.DueReports(9*second), "no new observation")
+	aggregator.ResendAll()
+	assert.Len(t, aggregator.DueReports(9*second), 1, "after ResendAll")
+	assert.Empty(t, aggregator.DueReports(9*second), "only once after ResendAll")
+	aggregator.Record(second, "w", Failed)
+	assert.Len(t, aggregator.DueReports(second+1), 1, "another kind")
+	aggregator.Record(second+2, "w", Failed)
+	assert.Empty(t, aggregator.DueReports(second+2), "the same kind within MinRepeatInterval")
+	assert.Len(t, aggregator.DueReports(second+2+aggregator.config.MinRepeatInterval), 1)
+	assert.Empty(t, aggregator.Suspects(second, 10, 2), "a single complaint is not enough")
+	aggregator.Receive(second, newReport("s", "w", 1, 0, true))
+	aggregator.Receive(second, newReport("s", "good", 1, 0, true))
+	assert.Equal(t, []string{"w"}, aggregator.Suspects(second, 10, 2))
+	due = aggregator.DueReports(2 * second)
 	require.Len(t, due, 1, "the success, since another member complains")
 	assert.Equal(t, Succeeded, due[0].Kind)
-	assert.Empty(t, a.Suspects(second, 2, 2), "MaxSuspectShare allows none of two workers")
-	a.DiscardOwn()
-	assert.Empty(t, a.Suspects(second, 10, 2))
-	a.Record(second, "w", Unreachable)
-	assert.Equal(t, []string{"w"}, a.Suspects(second, 10, 2))
-	assert.Empty(t, a.Suspects(second+a.config.MaxAge, 10, 2))
-	assert.Empty(t, a.DueReports(second+a.config.MaxAge))
+	assert.Empty(t, aggregator.Suspects(second, 2, 2), "MaxSuspectShare allows none of two workers")
+	aggregator.DiscardOwn()
+	assert.Empty(t, aggregator.Suspects(second, 10, 2))
+	aggregator.Record(second, "w", Unreachable)
+	assert.Equal(t, []string{"w"}, aggregator.Suspects(second, 10, 2))
+	assert.Empty(t, aggregator.Suspects(second+aggregator.config.MaxAge, 10, 2))
+	assert.Empty(t, aggregator.DueReports(second+aggregator.config.MaxAge))
 }
 
 // Checks that invalid reports and those beyond the bounds are dropped, and that expired ones make room.
 func TestBounds(t *testing.T) {
 	c := DefaultConfig(2)
 	c.MaxWorkers = 2
-	a, err := NewAggregator(c, "me", "here", 1)
+	aggregator, err := NewAggregator(c, "me", "here", 1)
 	require.NoError(t, err)
 	for _, r := range []Report{{}, {From: "s", Worker: "w", Kind: -1}, {From: "s", Worker: "w", Kind: kindCount},
 		{From: "s", Worker: "w", Age: -1}} {
-		assert.False(t, a.Receive(0, r))
+		assert.False(t, aggregator.Receive(0, r))
 	}
 	for i := range 9 {
-		a.Receive(0, newReport(fmt.Sprint("s", i), "w", 1, 0, true))
-		a.Record(0, fmt.Sprint("w", i), Succeeded)
-		a.Receive(0, newReport("s0", fmt.Sprint("w", i), 1, 0, true))
+		aggregator.Receive(0, newReport(fmt.Sprint("s", i), "w", 1, 0, true))
+		aggregator.Record(0, fmt.Sprint("w", i), Succeeded)
+		aggregator.Receive(0, newReport("s0", fmt.Sprint("w", i), 1, 0, true))
 	}
-	assert.Len(t, a.received["w"], 2)
-	assert.Len(t, a.received, 2)
-	assert.Len(t, a.own, 2)
-	assert.Positive(t, a.Dropped)
+	assert.Len(t, aggregator.received["w"], 2)
+	assert.Len(t, aggregator.received, 2)
+	assert.Len(t, aggregator.own, 2)
+	assert.Positive(t, aggregator.Dropped)
 	later := 3 * c.MaxAge
-	a.Record(later, "new", Succeeded)
-	assert.True(t, a.Receive(later, newReport("s", "new", 1, 0, true)), "expired reports make room")
+	aggregator.Record(later, "new", Succeeded)
+	assert.True(t, aggregator.Receive(later, newReport("s", "new", 1, 0, true)), "expired reports make room")
 	for _, c := range []Config{{}, {MaxMembers: 1, MaxWorkers: 1, SampleSize: 1, MaxAge: 1, MinRepeatInterval: 2,
 		MinComplaintShare: 0.5, MaxSuspectShare: 0.5}} {
 		_, err := NewAggregator(c, "me", "", 1)
@@ -162,21 +162,21 @@
 		}
 		var suspects [2][]string
 		for i := range suspects {
-			a := newTestAggregator(t, members, "me", "here")
+			aggregator := newTestAggregator(t, members, "me", "here")
 			order := append([]Report(nil), all...)
 			order = append(order, all[:len(all)/2]...)
 			rng.Shuffle(len(order), func(x, y int) { order[x], order[y] = order[y], order[x] })
 			for k, r := range order {
-				a.Receive(3*second, r)
+				aggregator.Receive(3*second, r)
 				if k%97 == 0 { // checks intermediate states too
-					for _, name := range a.Suspects(3*second, workers, members) {
+					for _, name := range aggregator.Suspects(3*second, workers, members) {
 						if name != "w0" {
 							t.Fatal(name)
 						}
 					}
 				}
 			}
-			suspects[i] = a.Suspects(4*second, workers, members)
+			suspects[i] = aggregator.Suspects(4*second, workers, members)
 		}
 		if fmt.Sprint(suspects[0]) != fmt.Sprint(suspects[1]) {
 			t.Fatalf("suspects differ by the order of reports: %v and %v", suspects[0], suspects[1])
