--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -30,7 +30,7 @@
 // runs at its own rate.
 type simulation struct {
 	t               require.TestingT
-	c               Config
+	config          Config
 	now             time.Duration // true time
 	holders         []*simulatedHolder
 	voters          []*simulatedVoter
@@ -61,9 +61,9 @@
 }
 
 type spending struct {
-	at    time.Duration
-	units float64
-	by    *Holder
+	at     time.Duration
+	units  float64
+	holder *Holder
 }
 
 // clock returns the reading of a member's clock at a true time.
@@ -74,7 +74,7 @@
 // newSimulation returns a simulation with n holders. clockRate returns the clock rate of a holder by its index, and of the
 // voters by the indexes -1, -2 and so on.
 func newSimulation(t require.TestingT, c Config, n int, clockRate func(int) float64) *simulation {
-	sim := &simulation{t: t, c: c}
+	sim := &simulation{t: t, config: c}
 	for i, name := range c.Voters {
 		voter, err := NewVoter(c, name, 0)
 		require.NoError(t, err)
@@ -91,7 +91,7 @@
 func (sim *simulation) startHolder(i int) {
 	sim.lastIncarnation++
 	holder := sim.holders[i]
-	h, err := NewHolder(sim.c, fmt.Sprint("h", i), sim.lastIncarnation, clock(sim.now, holder.clockRate))
+	h, err := NewHolder(sim.config, fmt.Sprint("h", i), sim.lastIncarnation, clock(sim.now, holder.clockRate))
 	require.NoError(sim.t, err)
 	holder.Holder = h
 }
@@ -145,15 +145,15 @@
 		return false
 	}
 	sim.spent = append(sim.spent, spending{sim.now, units, holder.Holder})
-	if sim.c.MaxUse > 0 {
-		sim.inUse = append(sim.inUse, spending{sim.now + time.Duration(float64(sim.c.MaxUse)*0.98), units, holder.Holder})
+	if sim.config.MaxUse > 0 {
+		sim.inUse = append(sim.inUse, spending{sim.now + time.Duration(float64(sim.config.MaxUse)*0.98), units, holder.Holder})
 	}
 	return true
 }
 
 // checkInvariants checks in true time that no chunk has two holders, and that no more than the budget is spent.
 func (sim *simulation) checkInvariants() {
-	for i := range sim.c.Chunks {
+	for i := range sim.config.Chunks {
 		holders := 0
 		for _, holder := range sim.holders {
 			if clock(sim.now, holder.clockRate) < holder.leaseEnds[i] {
@@ -168,25 +168,25 @@
 		}
 	}
 	const tolerance = 1.05 // for clocks that run too fast
-	if sim.c.MaxUse > 0 {
+	if sim.config.MaxUse > 0 {
 		sum := 0.0
 		sim.inUse = slices.DeleteFunc(sim.inUse, func(s spending) bool {
 			if s.at <= sim.now {
-				s.by.Return(s.units)
+				s.holder.Return(s.units)
 			}
 			return s.at <= sim.now
 		})
 		for _, s := range sim.inUse {
 			sum += s.units
 		}
-		require.LessOrEqual(sim.t, sum, sim.c.Budget+1e-6, "units in use at once")
+		require.LessOrEqual(sim.t, sum, sim.config.Budget+1e-6, "units in use at once")
 		return
 	}
 	sum, window := 0.0, time.Second
 	for n := len(sim.spent) - 1; n >= 0 && sim.spent[n].at > sim.now-window; n-- {
 		sum += sim.spent[n].units
 	}
-	require.LessOrEqual(sim.t, sum, tolerance*sim.c.Budget*(window.Seconds()+sim.c.Burst)+float64(sim.c.MaxMembers),
+	require.LessOrEqual(sim.t, sum, tolerance*sim.config.Budget*(window.Seconds()+sim.config.Burst)+float64(sim.config.MaxMembers),
 		"units spent in one second")
 }
 
@@ -264,7 +264,7 @@
 // budget that the holders with demand have at the end.
 func (sim *simulation) runWithoutFaults(rounds int, demand func(int) float64) float64 {
 	delay := func() time.Duration { return 5 * ms }
-	interval := sim.c.LeaseDuration / 4
+	interval := sim.config.LeaseDuration / 4
 	for range rounds {
 		for step := range 10 {
 			sim.now += interval / 10
@@ -288,7 +288,7 @@
 			sum += holder.Share(clock(sim.now, holder.clockRate))
 		}
 	}
-	return sum / sim.c.Budget
+	return sum / sim.config.Budget
 }
 
 // Checks that shares follow the demand and that no holder with demand starves. Holders that are partitioned keep their floor,
@@ -313,12 +313,12 @@
 		}
 		return sum
 	}
-	assert.Equal(t, 2*sim.c.Floor, sumOfShares(3, 5), "partitioned holders keep their floor")
-	assert.GreaterOrEqual(t, sumOfShares(0, 3)+sumOfShares(5, 10), 0.95*(sim.c.Budget-2*sim.c.Floor))
+	assert.Equal(t, 2*sim.config.Floor, sumOfShares(3, 5), "partitioned holders keep their floor")
+	assert.GreaterOrEqual(t, sumOfShares(0, 3)+sumOfShares(5, 10), 0.95*(sim.config.Budget-2*sim.config.Floor))
 	sim.holders[3].partitioned, sim.holders[4].partitioned = false, false
 	sim.runWithoutFaults(40, equal)
 	for i, holder := range sim.holders {
-		assert.Greater(t, holder.Share(clock(sim.now, holder.clockRate)), 3*sim.c.Floor, "share of holder %d", i)
+		assert.Greater(t, holder.Share(clock(sim.now, holder.clockRate)), 3*sim.config.Floor, "share of holder %d", i)
 	}
 }
 
@@ -329,31 +329,31 @@
 	sim.runWithoutFaults(30, func(i int) float64 { return 400 * float64(1-i) })
 	holder := sim.holders[0]
 	require.Greater(t, holder.Share(sim.now), 300.0)
-	sim.now += sim.c.LeaseDuration
-	assert.Equal(t, sim.c.Floor, holder.Share(sim.now), "share after a stall")
+	sim.now += sim.config.LeaseDuration
+	assert.Equal(t, sim.config.Floor, holder.Share(sim.now), "share after a stall")
 	before := len(sim.spent)
 	for sim.spend(0, 1) {
 	}
-	assert.LessOrEqual(t, float64(len(sim.spent)-before), sim.c.Floor*sim.c.Burst+1)
+	assert.LessOrEqual(t, float64(len(sim.spent)-before), sim.config.Floor*sim.config.Burst+1)
 	sim.runWithoutFaults(30, func(i int) float64 { return 400 * float64(1-i) })
 	sim.startHolder(0)
-	assert.Equal(t, sim.c.Floor, sim.holders[0].Share(sim.now), "share after a restart")
+	assert.Equal(t, sim.config.Floor, sim.holders[0].Share(sim.now), "share after a restart")
 	assert.False(t, sim.spend(0, 1), "a restarted holder has no tokens")
-	voter, err := NewVoter(sim.c, "k0", sim.now)
+	voter, err := NewVoter(sim.config, "k0", sim.now)
 	require.NoError(t, err)
-	assert.Empty(t, voter.HandleRequest(sim.now+sim.c.LeaseDuration, VoteRequest{From: "h1", Incarnation: 9, Round: 1,
+	assert.Empty(t, voter.HandleRequest(sim.now+sim.config.LeaseDuration, VoteRequest{From: "h1", Incarnation: 9, Round: 1,
 		Wanted: []int{1}}).Granted, "a restarted voter grants nothing at first")
-	assert.Equal(t, []int{1}, voter.HandleRequest(sim.now+sim.c.voteDuration(), VoteRequest{From: "h1", Incarnation: 9, Round: 1,
+	assert.Equal(t, []int{1}, voter.HandleRequest(sim.now+sim.config.voteDuration(), VoteRequest{From: "h1", Incarnation: 9, Round: 1,
 		Wanted: []int{1, -1, 10, 1 << 40}}).Granted)
 }
 
 // Checks that invalid messages change nothing, and that the memory and the figures of a voter stay bounded.
 func TestInvalidMessagesAreIgnored(t *testing.T) {
 	c := rateConfig(3, 10)
-	h, err := NewHolder(c, "h0", 1, 0)
+	holder, err := NewHolder(c, "h0", 1, 0)
 	require.NoError(t, err)
-	h.Spend(0, 100)
-	request := h.BeginRound(time.Second)
+	holder.Spend(0, 100)
+	request := holder.BeginRound(time.Second)
 	for _, invalid := range []VoteReply{
 		{Voter: "k0", Incarnation: 2, Round: request.Round, Available: []int{1}},
 		{Voter: "stranger", Incarnation: 1, Round: request.Round, Available: []int{1}},
@@ -362,11 +362,11 @@
 		{Voter: "k0", Incarnation: 1, Round: request.Round, Granted: []int{-1, 99, 1 << 40},
 			Available: []int{-5, 1 << 40}, Shortfall: -3, Requesters: 1 << 40},
 	} {
-		h.HandleReply(time.Second, invalid)
+		holder.HandleReply(time.Second, invalid)
 	}
-	assert.Empty(t, h.available)
-	assert.LessOrEqual(t, h.requesters, c.MaxMembers)
-	assert.Equal(t, c.Floor, h.Share(time.Second))
+	assert.Empty(t, holder.available)
+	assert.LessOrEqual(t, holder.requesters, c.MaxMembers)
+	assert.Equal(t, c.Floor, holder.Share(time.Second))
 	voter, err := NewVoter(c, "k0", 0)
 	require.NoError(t, err)
 	for i := range 100 {
