--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -31,26 +31,26 @@
 			share = b.Share(4)
 			b.Share(3) // the reserve of another pool, which is not available to this one
 		}
-		p := New("p", c.all, []Limits{c.class, {}}, share, nil)
+		pool := New("p", c.all, []Limits{c.class, {}}, share, nil)
 		admitted := 0
 		var last Verdict
 		for range c.requests {
-			if v := p.Admit(0, 0, c.bytes); !v.Refused() {
+			if v := pool.Admit(0, 0, c.bytes); !v.Refused() {
 				admitted++
 			} else {
 				last = v
 			}
 		}
 		assert.Equal(t, c.admitted, admitted, name)
-		assert.Equal(t, admitted, p.InFlight(), name)
+		assert.Equal(t, admitted, pool.InFlight(), name)
 		assert.Equal(t, c.status, last.Status, name)
 		assert.InDelta(t, c.after, last.RetryAfter, 2, name)
 		for range admitted {
-			p.Done(0, c.bytes, Unbooked{})
+			pool.Done(0, c.bytes, Unbooked{})
 		}
-		assert.Zero(t, p.all.inFlight+p.all.bytes+p.classes[0].inFlight+p.classes[0].bytes, name)
+		assert.Zero(t, pool.all.inFlight+pool.all.bytes+pool.classes[0].inFlight+pool.classes[0].bytes, name)
 		if c.status == 429 {
-			assert.False(t, p.Admit(last.RetryAfter+1, 0, 1).Refused(), "%s: a request is admitted after RetryAfter", name)
+			assert.False(t, pool.Admit(last.RetryAfter+1, 0, 1).Refused(), "%s: a request is admitted after RetryAfter", name)
 		}
 	}
 }
@@ -91,7 +91,7 @@
 			if len(shares) == 0 || b.used == 0 && rapid.IntRange(0, 3).Draw(t, "new") == 0 {
 				shares = append(shares, b.Share(rapid.IntRange(0, 20).Draw(t, "reserve")))
 			}
-			s := rapid.SampledFrom(shares).Draw(t, "share")
+			share := rapid.SampledFrom(shares).Draw(t, "share")
 			n := rapid.IntRange(1, 5).Draw(t, "n")
 			used := 0
 			for _, v := range shares {
@@ -99,17 +99,17 @@
 			}
 			switch rapid.IntRange(0, 4).Draw(t, "op") {
 			case 0, 1, 2:
-				reserved := s.used+n <= s.reserve
-				if got := s.Acquire(n); reserved && !got {
-					t.Fatalf("acquiring %d within a reserve of %d, %d in use, failed", n, s.reserve, s.used)
+				reserved := share.used+n <= share.reserve
+				if got := share.Acquire(n); reserved && !got {
+					t.Fatalf("acquiring %d within a reserve of %d, %d in use, failed", n, share.reserve, share.used)
 				} else if got && used+n > total {
 					t.Fatalf("%d of %d in use", used+n, total)
 				}
 			case 3:
-				s.Release(min(n, s.used))
+				share.Release(min(n, share.used))
 			case 4:
 				if used == 0 { // a reload changes the reserve once nothing is in use under the old one
-					s.SetReserve(n)
+					share.SetReserve(n)
 				}
 			}
 			reserved, above := 0, 0
@@ -168,9 +168,9 @@
 // not change the fleet limits.
 func TestFleetLimits(t *testing.T) {
 	limits := Limits{FleetRate: 9, FleetInFlight: 3, FleetRetries: 1}
-	p := New("p", limits, []Limits{{FleetInFlight: 2}, {Rate: 1}}, nil, nil)
+	pool := New("p", limits, []Limits{{FleetInFlight: 2}, {Rate: 1}}, nil, nil)
 	taken, remaining := map[int]int{}, map[FleetKind]int{FleetRate: 4, FleetRetries: 1}
-	p.TakeFleet = func(k FleetKind, class int) bool {
+	pool.TakeFleet = func(k FleetKind, class int) bool {
 		if k == FleetInFlight {
 			limit := map[int]int{-1: 3, 0: 2}[class]
 			if taken[class] >= limit {
@@ -182,10 +182,10 @@
 		remaining[k]--
 		return remaining[k] >= 0
 	}
-	p.ReturnFleet = func(class int) { taken[class]-- }
+	pool.ReturnFleet = func(class int) { taken[class]-- }
 	admit := func(class, status int) {
 		t.Helper()
-		assert.Equal(t, status, p.Admit(0, class, 1).Status)
+		assert.Equal(t, status, pool.Admit(0, class, 1).Status)
 	}
 	admit(0, 0)
 	admit(0, 0)
@@ -193,46 +193,46 @@
 	assert.Equal(t, map[int]int{-1: 2, 0: 2}, taken, "the unit of the service was returned")
 	admit(1, 0)
 	admit(1, 429) // refused by the class's own rate, before a fleet unit is taken
-	p.SetLimits(Limits{}, []Limits{{}, {}})
+	pool.SetLimits(Limits{}, []Limits{{}, {}})
 	admit(1, 503)
-	p.Done(0, 1, Unbooked{})
+	pool.Done(0, 1, Unbooked{})
 	admit(0, 0)
-	p.Done(0, 1, Unbooked{})
+	pool.Done(0, 1, Unbooked{})
 	admit(0, 429)
 	assert.Equal(t, map[int]int{-1: 2, 0: 1}, taken, "nothing stays taken when the fleet rate is used up")
-	p.Done(0, 1, Unbooked{})
-	p.Done(1, 1, Unbooked{})
+	pool.Done(0, 1, Unbooked{})
+	pool.Done(1, 1, Unbooked{})
 	assert.Equal(t, map[int]int{-1: 0, 0: 0}, taken)
-	assert.True(t, p.AdmitRetry(0, 0))
-	assert.False(t, p.AdmitRetry(0, 0))
-	assert.Equal(t, 1, p.Counts.RetriesDenied)
+	assert.True(t, pool.AdmitRetry(0, 0))
+	assert.False(t, pool.AdmitRetry(0, 0))
+	assert.Equal(t, 1, pool.Counts.RetriesDenied)
 }
 
 // Adopt must accept requests of another process even without room, and Done must release exactly what Adopt reserved.
 func TestAdopt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := NewBudget(rapid.IntRange(0, 4).Draw(t, "total"))
-		p := New("", Limits{InFlight: 3, FleetInFlight: 2}, []Limits{{FleetInFlight: 1}}, budget.Share(0), nil)
+		pool := New("", Limits{InFlight: 3, FleetInFlight: 2}, []Limits{{FleetInFlight: 1}}, budget.Share(0), nil)
 		free := map[int]int{-1: rapid.IntRange(0, 3).Draw(t, "free"), 0: rapid.IntRange(0, 3).Draw(t, "free of the class")}
 		before := map[int]int{-1: free[-1], 0: free[0]}
-		p.TakeFleet = func(_ FleetKind, class int) bool {
+		pool.TakeFleet = func(_ FleetKind, class int) bool {
 			if free[class] == 0 {
 				return false
 			}
 			free[class]--
 			return true
 		}
-		p.ReturnFleet = func(class int) { free[class]++ }
+		pool.ReturnFleet = func(class int) { free[class]++ }
 		var adopted []Unbooked
 		for range rapid.IntRange(1, 8).Draw(t, "jobs") {
-			adopted = append(adopted, p.Adopt(0, 5))
+			adopted = append(adopted, pool.Adopt(0, 5))
 			assert.GreaterOrEqual(t, free[-1], 0)
 		}
-		assert.Equal(t, len(adopted), p.InFlight())
+		assert.Equal(t, len(adopted), pool.InFlight())
 		for _, unbooked := range adopted {
-			p.Done(0, 5, unbooked)
+			pool.Done(0, 5, unbooked)
 		}
-		assert.Zero(t, p.InFlight())
+		assert.Zero(t, pool.InFlight())
 		assert.Zero(t, budget.used)
 		assert.Equal(t, before, free)
 	})
