--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -18,8 +18,8 @@
 // Each case is a series of steps, the time and the bytes that pass then, and the state of the transfer after it.
 func TestMeter(t *testing.T) {
 	type step struct {
-		at Time
-		n  int
+		at    Time
+		bytes int
 	}
 	steady := func(from, to, every Time, n int) (out []step) {
 		for at := from; at <= to; at += every {
@@ -54,7 +54,7 @@
 		cut := false
 		for _, s := range c.steps {
 			cut = cut || m.State(from+s.at) == Cut
-			m.Add(from+s.at, s.n)
+			m.Add(from+s.at, s.bytes)
 		}
 		got := m.State(from + c.at)
 		if cut {
@@ -99,13 +99,13 @@
 // kept its rate is cut or evicted, and closed peers leave nothing behind.
 func TestKeeperInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := Limits{In: Rate{Least: 1000, Grace: second, Span: second}, Out: Rate{Least: 500, Grace: second, Span: second},
+		limits := Limits{In: Rate{Least: 1000, Grace: second, Span: second}, Out: Rate{Least: 500, Grace: second, Span: second},
 			TotalBytes: 5000, PrefixBytes: 3000, PeerBytes: 2000, SlowPeers: 4, SlowPerPrefix: 2, V4Bits: 24, V6Bits: 64,
 			EvictionGrace: 200 * ms, NewPeerGrace: 100 * ms, CrowdPercent: 30, RememberedAddrs: 3, StrikeTTL: 10 * second, LeastGrace: 300 * ms,
 			Links: []Link{{"murun", []netip.Prefix{netip.MustParsePrefix("127.0.3.0/24")}, 100, 100}}}
-		k := New(l)
+		k := New(limits)
 		type model struct {
-			p        *Peer
+			peer     *Peer
 			started  Time // start of the transfer
 			keptRate bool // in no interval fewer bytes passed than the rate requires
 			last     Time
@@ -121,7 +121,7 @@
 				t.Fatalf("%s: a peer with a job in flight is closed", why)
 			}
 			transfer := p.Phase() == Receiving || p.Phase() == Sending
-			if transfer && m.keptRate && now-m.last < l.LeastGrace/2 && now-m.started > 0 {
+			if transfer && m.keptRate && now-m.last < limits.LeastGrace/2 && now-m.started > 0 {
 				t.Fatalf("%s: the peer kept its rate: %+v", why, *p)
 			}
 			if forSlowness {
@@ -133,7 +133,7 @@
 		}
 		begin := func(m *model, rate float64) { m.started, m.last, m.keptRate, m.rate = now, now, true, rate }
 		pass := func(m *model, n int) {
-			if required := m.rate * float64(now-m.last) / 1e6; float64(n) < required || now-m.last >= l.LeastGrace/2 {
+			if required := m.rate * float64(now-m.last) / 1e6; float64(n) < required || now-m.last >= limits.LeastGrace/2 {
 				m.keptRate = false
 			}
 			m.last = now
@@ -147,8 +147,8 @@
 				}
 			}
 			for _, m := range live { // as the timers do
-				if !m.closed && now >= m.p.NextCheck(now) {
-					if p := m.p.Check(now); p != nil {
+				if !m.closed && now >= m.peer.NextCheck(now) {
+					if p := m.peer.Check(now); p != nil {
 						end(p, "check", true)
 					}
 				}
@@ -157,8 +157,8 @@
 			if op == 0 || len(live) == 0 {
 				m := &model{}
 				addr := fmt.Sprintf("127.0.%d.%d", rapid.IntRange(1, 3).Draw(t, "net"), rapid.IntRange(1, 2).Draw(t, "host"))
-				m.p = k.Open(now, netip.MustParseAddr(addr), m)
-				begin(m, m.p.in.Least)
+				m.peer = k.Open(now, netip.MustParseAddr(addr), m)
+				begin(m, m.peer.in.Least)
 				all = append(all, m)
 				continue
 			}
@@ -166,7 +166,7 @@
 			if m.closed {
 				continue
 			}
-			p := m.p
+			p := m.peer
 			n := rapid.IntRange(0, 1500).Draw(t, "bytes")
 			switch op {
 			case 1, 2, 3:
@@ -178,9 +178,9 @@
 					pass(m, n)
 					before := k.Counts().Bytes
 					held := p.heldIn
-					if ok := p.HoldIn(n); ok && n > held && k.Counts().Bytes > l.TotalBytes {
+					if ok := p.HoldIn(n); ok && n > held && k.Counts().Bytes > limits.TotalBytes {
 						t.Fatalf("%d bytes held, %d before", k.Counts().Bytes, before)
-					} else if ok && n > held && p.group.bytes > l.PrefixBytes {
+					} else if ok && n > held && p.group.bytes > limits.PrefixBytes {
 						t.Fatalf("%d bytes held for a prefix", p.group.bytes)
 					}
 				}
@@ -219,12 +219,12 @@
 				m.closed = true
 			}
 			c := k.Counts()
-			if c.Slow > l.SlowPeers+1 || c.StruckAddrs > l.RememberedAddrs { // one more until the next check
+			if c.Slow > limits.SlowPeers+1 || c.StruckAddrs > limits.RememberedAddrs { // one more until the next check
 				t.Fatalf("%+v", c)
 			}
 		}
 		for _, m := range all {
-			m.p.Close()
+			m.peer.Close()
 		}
 		if c := k.Counts(); c.Peers+c.Slow+c.Bytes+c.Prefixes != 0 {
 			t.Fatalf("left behind: %+v", c)
@@ -240,13 +240,13 @@
 func TestVictimOrder(t *testing.T) {
 	k := New(Defaults(1 << 20))
 	idle := func(addr string, at Time) *Peer {
-		p := open(k, at, addr)
-		p.Received(at, 100)
-		p.JobAccepted(at)
-		p.Send(at)
-		p.Sent(at)
-		p.Rest(at)
-		return p
+		peer := open(k, at, addr)
+		peer.Received(at, 100)
+		peer.JobAccepted(at)
+		peer.Send(at)
+		peer.Sent(at)
+		peer.Rest(at)
+		return peer
 	}
 	now := 100 * second
 	old, older := idle("127.0.0.1", 60*second), idle("127.0.0.1", 50*second)
