--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -51,25 +51,25 @@
 		5a 00000008 00000009 000000aa
 		0a 00000014 00000009 000000ab c0a80001 1f90 00000007 0001
 		3c 00000004 00000009`)
-	d := NewDecoder(bytes.NewReader(frame(in, 12)))
-	if err := d.Read(); err != nil {
+	decoder := NewDecoder(bytes.NewReader(frame(in, 12)))
+	if err := decoder.Read(); err != nil {
 		t.Fatal(err)
 	}
-	if d.Now() != 100000 {
-		t.Errorf("clock is %d, want 100000", d.Now())
+	if decoder.Now() != 100000 {
+		t.Errorf("clock is %d, want 100000", decoder.Now())
 	}
 	next := func(code uint8) *Event {
 		t.Helper()
-		e, err := d.Next()
-		if err != nil || e == nil || e.Code != code || e.Instance != 9 {
-			t.Fatalf("event %+v, error %v, want code %d", e, err, code)
+		event, err := decoder.Next()
+		if err != nil || event == nil || event.Code != code || event.Instance != 9 {
+			t.Fatalf("event %+v, error %v, want code %d", event, err, code)
 		}
-		return e
+		return event
 	}
 	const w1, w2 = decide.WorkerID(0xc0a800011f90), decide.WorkerID(0xc0a800021f91)
-	e := next(CodeAnnounce)
-	list, ok := d.Workers(e.Page)
-	if !ok || e.ListKind != decide.ListFull || len(list) != 2 {
+	event := next(CodeAnnounce)
+	list, ok := decoder.Workers(event.Page)
+	if !ok || event.ListKind != decide.ListFull || len(list) != 2 {
 		t.Fatalf("list %+v", list)
 	}
 	if want := (decide.Worker{ID: w1, Zone: 1, Cell: 7, State: decide.Ready, Weight: 1}); list[0] != want {
@@ -79,60 +79,60 @@
 	if list[1] != want {
 		t.Errorf("entry %+v", list[1])
 	}
-	e = next(CodeRequest)
+	event = next(CodeRequest)
 	job := decide.Job{ID: 0xaa, Class: 1, Tenant: 2, Key: 16, GiveUpAt: 1000000, Hint: 3000, Slots: 2, Memory: 0.5}
-	if e.Job != job {
-		t.Errorf("job %+v", e.Job)
+	if event.Job != job {
+		t.Errorf("job %+v", event.Job)
 	}
-	e = next(CodeNote)
-	if e.Job.ID != 0xaa || e.Outcome.Attempt != 3 || e.Outcome.Worker != w1 || e.Note != decide.NoteProgress || e.Value != 0.25 {
-		t.Errorf("note %+v", e)
+	event = next(CodeNote)
+	if event.Job.ID != 0xaa || event.Outcome.Attempt != 3 || event.Outcome.Worker != w1 || event.Note != decide.NoteProgress || event.Value != 0.25 {
+		t.Errorf("note %+v", event)
 	}
-	e = next(CodeOutcome)
-	o := decide.Outcome{Job: 0xaa, Attempt: 3, Worker: w1, Status: decide.Reset, Closed: true, Latency: 100}
-	if e.Outcome != o || e.ValueCount != 2 || e.Values[0] != 1 || e.Values[1] != -1 {
-		t.Errorf("outcome %+v", e)
+	event = next(CodeOutcome)
+	outcome := decide.Outcome{Job: 0xaa, Attempt: 3, Worker: w1, Status: decide.Reset, Closed: true, Latency: 100}
+	if event.Outcome != outcome || event.ValueCount != 2 || event.Values[0] != 1 || event.Values[1] != -1 {
+		t.Errorf("outcome %+v", event)
 	}
-	e = next(CodeProbeResult)
-	if e.Worker != w2 || e.Status != decide.TimedOut || e.Latency != 1000 || e.ValueCount != 0 {
-		t.Errorf("probe %+v", e)
+	event = next(CodeProbeResult)
+	if event.Worker != w2 || event.Status != decide.TimedOut || event.Latency != 1000 || event.ValueCount != 0 {
+		t.Errorf("probe %+v", event)
 	}
-	if e = next(CodeTimer); e.Token != 0x0123456789abcdef {
-		t.Errorf("token %x", e.Token)
+	if event = next(CodeTimer); event.Token != 0x0123456789abcdef {
+		t.Errorf("token %x", event.Token)
 	}
-	if e = next(CodePeerMessage); e.From != 4 || !bytes.Equal(e.Data, []byte{0xbe, 0xef}) {
-		t.Errorf("message %+v", e)
+	if event = next(CodePeerMessage); event.From != 4 || !bytes.Equal(event.Data, []byte{0xbe, 0xef}) {
+		t.Errorf("message %+v", event)
 	}
-	if e = next(CodeHangup); e.Job.ID != 0xaa {
-		t.Errorf("hangup %+v", e)
+	if event = next(CodeHangup); event.Job.ID != 0xaa {
+		t.Errorf("hangup %+v", event)
 	}
-	if e = next(CodeStreamStarted); e.Job.ID != 0xab || e.Outcome.Attempt != 1 {
-		t.Errorf("stream started %+v", e)
+	if event = next(CodeStreamStarted); event.Job.ID != 0xab || event.Outcome.Attempt != 1 {
+		t.Errorf("stream started %+v", event)
 	}
 	next(CodeInstanceEnd)
-	if e, err := d.Next(); e != nil || err != nil {
+	if e, err := decoder.Next(); e != nil || err != nil {
 		t.Errorf("after the last record: %+v, %v", e, err)
 	}
-	if err := d.Read(); err != io.EOF {
+	if err := decoder.Read(); err != io.EOF {
 		t.Errorf("at the end of input: %v", err)
 	}
 }
 
 func TestEncodeGolden(t *testing.T) {
-	e := NewEncoder()
-	e.SetInstance(9)
-	e.Push(0xaa, 0xc0a800011f90, 80000)
-	e.Push(0xaa, 0xc0a800011f90, -5)
-	e.Probe(0xc0a800021f91)
-	e.Cancel(0xaa, 3)
-	e.Refuse(0xaa, 250)
-	e.Fail(0xab)
-	e.Watch(true)
-	e.Reload()
-	e.Wake(1<<40, 7)
-	e.SendPeer(decide.PeerAll, []byte{1})
-	e.SendPeer(3, nil)
-	e.BailOut("no")
+	encoder := NewEncoder()
+	encoder.SetInstance(9)
+	encoder.Push(0xaa, 0xc0a800011f90, 80000)
+	encoder.Push(0xaa, 0xc0a800011f90, -5)
+	encoder.Probe(0xc0a800021f91)
+	encoder.Cancel(0xaa, 3)
+	encoder.Refuse(0xaa, 250)
+	encoder.Fail(0xab)
+	encoder.Watch(true)
+	encoder.Reload()
+	encoder.Wake(1<<40, 7)
+	encoder.SendPeer(decide.PeerAll, []byte{1})
+	encoder.SendPeer(3, nil)
+	encoder.BailOut("no")
 	want := parseHex(t, `
 		000000be
 		46 00000012 00000009 000000aa c0a80001 1f90 00013880
@@ -148,14 +148,14 @@
 		78 00000008 00000009 0003 0000
 		32 00000008 00000009 0002 6e6f`)
 	var out bytes.Buffer
-	if err := e.Flush(&out); err != nil {
+	if err := encoder.Flush(&out); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(out.Bytes(), want) {
 		t.Errorf("got  %x\nwant %x", out.Bytes(), want)
 	}
 	out.Reset()
-	if err := e.Flush(&out); err != nil || !bytes.Equal(out.Bytes(), []byte{0, 0, 0, 4}) {
+	if err := encoder.Flush(&out); err != nil || !bytes.Equal(out.Bytes(), []byte{0, 0, 0, 4}) {
 		t.Errorf("empty reply is %x, error %v", out.Bytes(), err)
 	}
 }
@@ -230,24 +230,24 @@
 	}
 	input := frame(records, 1000)
 	r := bytes.NewReader(input)
-	d := NewDecoder(r)
-	e := NewEncoder()
+	decoder := NewDecoder(r)
+	encoder := NewEncoder()
 	allocsPerBatch := testing.AllocsPerRun(20, func() {
 		r.Reset(input)
-		if err := d.Read(); err != nil {
+		if err := decoder.Read(); err != nil {
 			t.Fatal(err)
 		}
 		for {
-			ev, err := d.Next()
+			ev, err := decoder.Next()
 			if err != nil {
 				t.Fatal(err)
 			}
 			if ev == nil {
 				break
 			}
-			e.Probe(ev.Worker)
+			encoder.Probe(ev.Worker)
 		}
-		if err := e.Flush(io.Discard); err != nil {
+		if err := encoder.Flush(io.Discard); err != nil {
 			t.Fatal(err)
 		}
 	})
