--- a/internal/router/abort_test.go
+++ b/internal/router/abort_test.go
@@ -40,9 +40,9 @@
 		if test.stopped {
 			router.inFlight.stop()
 		}
-		q := &request{router: router, incoming: httptest.NewRequestWithContext(test.context, http.MethodPost, "/", nil), timedOut: test.timedOut,
+		request := &request{router: router, incoming: httptest.NewRequestWithContext(test.context, http.MethodPost, "/", nil), timedOut: test.timedOut,
 			deadline: test.deadline, clientResponse: clientResponse{writeFailed: test.writeFailed}}
-		require.Equal(t, test.cause, q.abortCause(), test.name)
+		require.Equal(t, test.cause, request.abortCause(), test.name)
 	}
 }
 
