--- a/internal/controller/simulation_site_test.go
+++ b/internal/controller/simulation_site_test.go
@@ -113,7 +113,7 @@
 
 // newSimSite starts a site that tolerates the loss of the given number of machines.
 func newSimSite(t *testing.T, seed uint64, tolerance int) *simSite {
-	s := &simSite{
+	site := &simSite{
 		t:         t,
 		random:    rand.New(rand.NewPCG(seed, 3)),
 		network:   live.NewNetwork(seed),
@@ -121,22 +121,22 @@
 		startedAt: time.Now(),
 		acked:     make(chan struct{}),
 	}
-	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.checks = newSimChecks(s)
-	s.startExternalMachines()
+	site.ctx, site.cancel = context.WithCancel(context.Background())
+	site.checks = newSimChecks(site)
+	site.startExternalMachines()
 	for range 2*tolerance + 1 {
-		s.addCore(true)
+		site.addCore(true)
 	}
 	for i := range 3 {
-		s.frontends = append(s.frontends, &simMachine{machine: s.network.AddMachine(fmt.Sprintf("10.1.0.%d", i+1))})
+		site.frontends = append(site.frontends, &simMachine{machine: site.network.AddMachine(fmt.Sprintf("10.1.0.%d", i+1))})
 	}
-	for _, core := range s.cores {
-		s.startCore(core)
+	for _, core := range site.cores {
+		site.startCore(core)
 	}
-	for _, frontend := range s.frontends {
-		s.startFrontend(frontend)
+	for _, frontend := range site.frontends {
+		site.startFrontend(frontend)
 	}
-	return s
+	return site
 }
 
 // logf adds an event to the log that is printed after a failure.
