--- a/coordination/register/proposer_test.go
+++ b/coordination/register/proposer_test.go
@@ -178,26 +178,26 @@
 	c := newCluster(t, first, "a", "b", "c")
 	refused := eris.New("refused")
 	calls := 0
-	p := proposerInDoubt(c, first, func(value Value) (Value, error) {
+	proposer := proposerInDoubt(c, first, func(value Value) (Value, error) {
 		if calls++; calls > 1 {
 			return value, refused
 		}
 		return setTo("x")(value)
 	})
 	c.unreachable["a"] = true
-	output := p.Retry()
+	output := proposer.Retry()
 	var accepts []Message
 	for _, message := range output.Messages[1:] {
 		reply, _ := c.deliver(message)
-		accepts = append(accepts, p.Deliver(reply).Messages...)
+		accepts = append(accepts, proposer.Deliver(reply).Messages...)
 	}
-	require.True(t, p.InDoubt(), "another proposer may still complete the value that a has accepted")
+	require.True(t, proposer.InDoubt(), "another proposer may still complete the value that a has accepted")
 	require.NotEmpty(t, accepts)
 	require.Equal(t, Accept, accepts[0].Request.Kind, "the base must be chosen again under a higher ballot")
-	require.True(t, c.run(p, Output{Messages: accepts}).Done)
-	_, err := p.Result()
+	require.True(t, c.run(proposer, Output{Messages: accepts}).Done)
+	_, err := proposer.Result()
 	require.ErrorIs(t, err, refused)
-	require.False(t, p.InDoubt())
+	require.False(t, proposer.InDoubt())
 }
 
 func TestJointSetNeedsBothMajorities(t *testing.T) {
@@ -239,9 +239,9 @@
 	}
 	known := first
 	for range 2 {
-		p := NewProposer(Replica{ID: "b"}, NewBallotGenerator(1), known, known.Ballot, move)
-		require.True(t, c.run(p, p.Start()).Done)
-		known, _ = p.Result()
+		proposer := NewProposer(Replica{ID: "b"}, NewBallotGenerator(1), known, known.Ballot, move)
+		require.True(t, c.run(proposer, proposer.Start()).Done)
+		known, _ = proposer.Result()
 	}
 	stale := NewProposer(Replica{ID: "a"}, NewBallotGenerator(9), first, first.Ballot, setTo("x"))
 	output := c.run(stale, stale.Start())
