--- a/coordination/sim/live/live_test.go
+++ b/coordination/sim/live/live_test.go
@@ -102,22 +102,22 @@
 
 func TestKillResetsConnectionsAndPowerLossIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair()
-		defer p.stop()
-		p.serve(t)
-		client := p.client.Start()
+		pair := newPair()
+		defer pair.stop()
+		pair.serve(t)
+		client := pair.client.Start()
 		conn, err := client.Dial(t.Context(), "tcp", serverPort)
 		require.NoError(t, err)
-		p.server.Kill()
+		pair.server.Kill()
 		_, err = conn.Read(make([]byte, 1))
 		require.ErrorIs(t, err, syscall.ECONNRESET)
 		_, err = client.Dial(t.Context(), "tcp", serverPort)
 		require.ErrorIs(t, err, syscall.ECONNREFUSED)
 
-		p.serve(t)
+		pair.serve(t)
 		conn, err = client.Dial(t.Context(), "tcp", serverPort)
 		require.NoError(t, err)
-		p.server.LosePower()
+		pair.server.LosePower()
 		require.NoError(t, conn.SetReadDeadline(time.Now().Add(time.Minute)))
 		_, err = conn.Read(make([]byte, 1))
 		var timeout net.Error
@@ -128,7 +128,7 @@
 		_, err = client.Dial(ctx, "tcp", serverPort)
 		require.ErrorIs(t, err, context.DeadlineExceeded)
 
-		p.serve(t)
+		pair.serve(t)
 		require.NoError(t, conn.SetReadDeadline(time.Time{}))
 		_, err = conn.Read(make([]byte, 1))
 		require.ErrorIs(t, err, syscall.ECONNRESET, "the restarted machine does not know the connection")
