--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -245,9 +245,9 @@
 // Guards against incident i6ae661: a request for the watch that came shortly after another one was dropped, no further
 // request followed, and the dispatcher was never informed of drains again.
 func TestWatchIsRequestedUntilEstablished(t *testing.T) {
-	s := testSettings()
-	s.MustAsk, s.AskWithin = true, 10*second
-	d, r := newDispatcher(t, s, fleet(3)...)
+	settings := testSettings()
+	settings.MustAsk, settings.AskWithin = true, 10*second
+	d, r := newDispatcher(t, settings, fleet(3)...)
 	now, lastRequest := startTime, startTime
 	var timers []timer
 	for now < startTime+200*second {
@@ -270,7 +270,7 @@
 			}
 		}
 		timers = kept
-		if now-lastRequest > s.AskWithin {
+		if now-lastRequest > settings.AskWithin {
 			t.Fatalf("no request of the watch for %d s", (now-lastRequest)/second)
 		}
 		if len(timers) > 50 {
--- a/decide/failures_test.go
+++ b/decide/failures_test.go
@@ -4,9 +4,9 @@
 
 // Guards against incident i784a17: in a large fleet each dispatcher had to find each fast-failing worker by itself.
 func TestTwoComplaintsEjectAWorker(t *testing.T) {
-	s := testSettings()
-	s.CanMessagePeers = true
-	d, r := newDispatcher(t, s, fleet(10)...)
+	settings := testSettings()
+	settings.CanMessagePeers = true
+	d, r := newDispatcher(t, settings, fleet(10)...)
 	complaint := []byte{0, 0, 0, 0, 0, 0, 0, 3}
 	d.PeerMessage(startTime, 1, complaint)
 	if d.workers[3].ejectedUntil > startTime {
@@ -23,8 +23,8 @@
 	if n := countKind(r.take(""), "tell"); n != 1 {
 		t.Errorf("%d complaints sent", n)
 	}
-	s.CanMessagePeers = false
-	d, r = newDispatcher(t, s, fleet(10)...)
+	settings.CanMessagePeers = false
+	d, r = newDispatcher(t, settings, fleet(10)...)
 	d.eject(d.workers[5])
 	if n := countKind(r.take(""), "tell"); n != 0 {
 		t.Error("sent a message to peers where that is not allowed")
@@ -308,9 +308,9 @@
 // A zone is partitioned while the requests of the worker list fail: workers of our own zone still serve, and a worker
 // receives no push after it was announced as draining.
 func TestPartitionedZoneWhileListRequestsFail(t *testing.T) {
-	s := testSettings()
-	s.Zones, s.MustAsk, s.AskWithin = 2, true, 10*second
-	d, r := newDispatcher(t, s, Worker{}, Worker{}, Worker{}, Worker{Zone: 1}, Worker{Zone: 1}, Worker{Zone: 1})
+	settings := testSettings()
+	settings.Zones, settings.MustAsk, settings.AskWithin = 2, true, 10*second
+	d, r := newDispatcher(t, settings, Worker{}, Worker{}, Worker{}, Worker{Zone: 1}, Worker{Zone: 1}, Worker{Zone: 1})
 	now, served := startTime, 0
 	d.Announce(now, ListFailed, nil)
 	d.Announce(now, ListDelta, []Worker{{ID: 3, State: Draining}})
@@ -372,18 +372,18 @@
 	if w.ejectedUntil <= d.now {
 		t.Error("not ejected after so many resets in a row")
 	}
-	v := d.ready[0]
-	if v == w {
-		v = d.ready[1]
+	probed := d.ready[0]
+	if probed == w {
+		probed = d.ready[1]
 	}
-	d.checkWorker(v, nil, 0)
+	d.checkWorker(probed, nil, 0)
 	for i := range Time(lossesToEject) {
-		if v.ejectedUntil > d.now {
+		if probed.ejectedUntil > d.now {
 			t.Errorf("ejected after %d lost probes", i)
 		}
-		d.ProbeResult(startTime+(i+3)*ms, v.ID, Reset, ms, Report{})
+		d.ProbeResult(startTime+(i+3)*ms, probed.ID, Reset, ms, Report{})
 	}
-	if v.ejectedUntil <= d.now {
+	if probed.ejectedUntil <= d.now {
 		t.Error("not ejected after the second lost probe in a row")
 	}
 }
@@ -403,10 +403,10 @@
 		{"no room", 0, Report{Has: HasFreeSlots | HasInFlight, InFlight: 1}, 0, 1},
 		{"behind a wide job", 0, Report{Has: HasFreeSlots | HasInFlight, FreeSlots: 3, InFlight: 3}, 0, 1},
 	} {
-		s := testSettings()
-		s.SecondCopies = false
-		s.Classes[c.class].Aim = 4 * second
-		d, r := newDispatcher(t, s, fleet(3)...)
+		settings := testSettings()
+		settings.SecondCopies = false
+		settings.Classes[c.class].Aim = 4 * second
+		d, r := newDispatcher(t, settings, fleet(3)...)
 		w := d.workers[pushJob(t, d, r, c.class)]
 		timers := r.take("")
 		d.Wake(startTime+startTimeout, wakeStartDue|1)
@@ -580,9 +580,9 @@
 		"among others":           {4, reportLag, 2, false},
 		"among others, live":     {4, ms, 2, true},
 	} {
-		s := testSettings()
-		s.Nodes = c.nodes
-		d, _ := newDispatcher(t, s, fleet(2)...)
+		settings := testSettings()
+		settings.Nodes = c.nodes
+		d, _ := newDispatcher(t, settings, fleet(2)...)
 		w := d.workers[1]
 		w.capacity, w.heldSlots, w.inFlight, d.refresh = 4, 2, 2, c.refresh
 		w.claims = []claim{{at: d.now, job: 1, slots: 1}, {at: d.now, job: 2, slots: 1}}
@@ -626,16 +626,16 @@
 // dispatchers that had just started never learned the rate: 36 new workers were idle beside 24 full ones. Draws stay in the
 // zone, so a mean over all zones gave a cold worker in the zone a fifth of its part.
 func TestColdWorkerAdmission(t *testing.T) {
-	s := testSettings()
-	s.Nodes, s.Zones = 80, 2
+	settings := testSettings()
+	settings.Nodes, settings.Zones = 80, 2
 	list := fleet(10)
 	for i := range list {
 		list[i].Zone = i % 2
 		if i < 8 {
-			list[i].StartedAt = startTime - s.ColdSpan/2 // 0.6 warm
+			list[i].StartedAt = startTime - settings.ColdSpan/2 // 0.6 warm
 		}
 	}
-	d, _ := newDispatcher(t, s, list...)
+	d, _ := newDispatcher(t, settings, list...)
 	d.sentWork = [2]float64{34e4, 0} // to five workers of our zone, one of them warm: 3.4 of warm capacity
 	d.updateWarmRate(float64(second))
 	if got := d.warmRate; got[0] < 0.99e5 || got[0] > 1.01e5 || got[1] != 0 {
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -369,11 +369,11 @@
 func (sim *simulation) endAttempts() {
 	for _, j := range sim.openJobs {
 		for i := range j.attempts {
-			a := &j.attempts[i]
-			if !a.inFlight {
+			attempt := &j.attempts[i]
+			if !attempt.inFlight {
 				continue
 			}
-			if a.end > sim.now {
+			if attempt.end > sim.now {
 				if sim.rng.IntN(20) == 0 {
 					sim.dispatcher.Note(sim.now, j.ID, i, NoteStarted, 0)
 					sim.handleActions()
@@ -384,12 +384,12 @@
 			if j.closed {
 				status = Cancelled
 			}
-			a.inFlight, a.mayHaveRun = false, !status.NeverRan()
+			attempt.inFlight, attempt.mayHaveRun = false, !status.NeverRan()
 			if status == Served && !j.closed {
 				j.closed = true
 				j.answers++
 			}
-			sim.dispatcher.Outcome(sim.now, Outcome{Job: j.ID, Attempt: i, Worker: a.worker.ID, Status: status, Closed: j.closed})
+			sim.dispatcher.Outcome(sim.now, Outcome{Job: j.ID, Attempt: i, Worker: attempt.worker.ID, Status: status, Closed: j.closed})
 			sim.handleActions()
 		}
 	}
--- a/decide/holder_test.go
+++ b/decide/holder_test.go
@@ -10,9 +10,9 @@
 func placeJob(t *testing.T, seed uint64, j Job, show func(WorkerID) Report) (probed []WorkerID, pushed WorkerID) {
 	t.Helper()
 	var r recorder
-	s := testSettings()
-	s.Zones = 2
-	d, err := New(s, seed, &r)
+	settings := testSettings()
+	settings.Zones = 2
+	d, err := New(settings, seed, &r)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -69,8 +69,8 @@
 // After a long run with many changes of the fleet and an idle end, no state remains of jobs, attempts, probes and removed
 // workers.
 func TestStateIsReleased(t *testing.T) {
-	s := testSettings()
-	sim := newSimulation(t, s, 3, 20)
+	settings := testSettings()
+	sim := newSimulation(t, settings, 3, 20)
 	for i := range 20000 {
 		if i < 19000 && i%2 == 0 {
 			sim.arrive()
@@ -106,8 +106,8 @@
 // A cold worker that looks idle to all dispatchers receives less from them in total than would overload it.
 func TestColdWorkerIsNotOverloaded(t *testing.T) {
 	for _, nodes := range []int{1, 40} {
-		s := testSettings()
-		s.Nodes = nodes
+		settings := testSettings()
+		settings.Nodes = nodes
 		var dispatchers []*Dispatcher
 		var recorders []*recorder
 		now := 1000 * second
@@ -117,7 +117,7 @@
 		}
 		for i := range nodes {
 			r := &recorder{}
-			d, err := New(s, uint64(i), r)
+			d, err := New(settings, uint64(i), r)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -169,8 +169,8 @@
 			}
 		}
 		for sec, work := range sent {
-			warmth := s.ColdFrom + (1-s.ColdFrom)*float64(sec)/20
-			if limit := s.OverloadMultiple * warmth * 4 * float64(second); work > limit {
+			warmth := settings.ColdFrom + (1-settings.ColdFrom)*float64(sec)/20
+			if limit := settings.OverloadMultiple * warmth * 4 * float64(second); work > limit {
 				t.Errorf("%d dispatchers: %.0f us of work in second %d, over a budget of %.0f", nodes, work, sec, limit)
 			}
 		}
