--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -29,29 +29,29 @@
 
 func newTestDriver(t *testing.T, c Config) *testDriver {
 	c.ConnectTimeout = testTimeout
-	g := &testDriver{t: t, loop: engine.NewLoop(), ended: make(chan struct{}, 1000)}
-	g.driver = New(g.loop, c)
-	g.driver.Counted = func(int, int, int) {}
-	g.driver.ShedIdle = func(int, bool) int { return 0 }
+	fixture := &testDriver{t: t, loop: engine.NewLoop(), ended: make(chan struct{}, 1000)}
+	fixture.driver = New(fixture.loop, c)
+	fixture.driver.Counted = func(int, int, int) {}
+	fixture.driver.ShedIdle = func(int, bool) int { return 0 }
 	end := make(chan struct{})
-	go func() { g.loop.Run(); close(end) }()
-	t.Cleanup(func() { g.loop.Post(g.loop.Stop); <-end })
-	return g
+	go func() { fixture.loop.Run(); close(end) }()
+	t.Cleanup(func() { fixture.loop.Post(fixture.loop.Stop); <-end })
+	return fixture
 }
 
-func (g *testDriver) Data([]byte) {}
-func (g *testDriver) Closed()     { g.ended <- struct{}{} }
+func (fixture *testDriver) Data([]byte) {}
+func (fixture *testDriver) Closed()     { fixture.ended <- struct{}{} }
 
 // do runs f on the loop and waits for it.
-func (g *testDriver) do(f func()) {
+func (fixture *testDriver) do(f func()) {
 	done := make(chan struct{})
-	g.loop.Post(func() { f(); close(done) })
+	fixture.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-func (g *testDriver) get(addr string) jobs.Conn {
+func (fixture *testDriver) get(addr string) jobs.Conn {
 	got := make(chan jobs.Conn, 1)
-	g.do(func() { g.driver.Get(addr, false, func(c jobs.Conn) { got <- c }) })
+	fixture.do(func() { fixture.driver.Get(addr, false, func(c jobs.Conn) { got <- c }) })
 	return <-got
 }
 
@@ -84,28 +84,28 @@
 
 func TestIdleConnectionsAreReused(t *testing.T) {
 	addr, conns := listen(t)
-	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: 100 * time.Millisecond})
-	first := g.get(addr)
+	fixture := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: 100 * time.Millisecond})
+	first := fixture.get(addr)
 	workerSide := <-conns
-	g.do(func() {
-		g.driver.Put(addr, first)
-		g.driver.Get(addr, false, func(c jobs.Conn) { assert.Same(t, first, c, "an idle connection is reused") })
-		g.driver.Put(addr, first)
+	fixture.do(func() {
+		fixture.driver.Put(addr, first)
+		fixture.driver.Get(addr, false, func(c jobs.Conn) { assert.Same(t, first, c, "an idle connection is reused") })
+		fixture.driver.Put(addr, first)
 	})
 	other := make(chan jobs.Conn, 1)
-	g.do(func() { g.driver.Get(addr, true, func(c jobs.Conn) { other <- c }) })
+	fixture.do(func() { fixture.driver.Get(addr, true, func(c jobs.Conn) { other <- c }) })
 	assert.NotSame(t, first, <-other, "a fresh connection is dialled")
 	<-conns
 	requireEnded(t, workerSide) // before the worker closes it, or a request could be lost
 
 	// A connection that the worker closes while it is idle is not returned by Get.
-	g = newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
-	first = g.get(addr)
+	fixture = newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
+	first = fixture.get(addr)
 	workerSide = <-conns
-	g.do(func() { g.driver.Put(addr, first) })
+	fixture.do(func() { fixture.driver.Put(addr, first) })
 	workerSide.Close()
-	require.Eventually(t, func() bool { return g.driver.openConns.Load() == 0 }, testTimeout, time.Millisecond)
-	assert.NotSame(t, first, g.get(addr))
+	require.Eventually(t, func() bool { return fixture.driver.openConns.Load() == 0 }, testTimeout, time.Millisecond)
+	assert.NotSame(t, first, fixture.get(addr))
 }
 
 // An idle connection has expired, but its timer has not run since the loop is busy. Get must not return it, although no
@@ -113,14 +113,14 @@
 func TestExpiredIdleConnectionIsNotReused(t *testing.T) {
 	addr, conns := listen(t)
 	const limit = 50 * time.Millisecond
-	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: limit})
-	idle := g.get(addr)
+	fixture := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: limit})
+	idle := fixture.get(addr)
 	workerSide := <-conns
 	got := make(chan jobs.Conn, 1)
-	g.do(func() {
-		g.driver.Put(addr, idle)
+	fixture.do(func() {
+		fixture.driver.Put(addr, idle)
 		time.Sleep(limit) // keeps the loop busy
-		g.driver.Get(addr, false, func(c jobs.Conn) { got <- c })
+		fixture.driver.Get(addr, false, func(c jobs.Conn) { got <- c })
 	})
 	assert.NotSame(t, idle, <-got)
 	requireEnded(t, workerSide)
@@ -158,41 +158,41 @@
 // The loop must not get a connection before netpoll has registered it. If the loop closed it earlier, netpoll would
 // register it after its end, under a descriptor that may belong to another connection by then.
 func TestAcceptedOnlyAfterRegistration(t *testing.T) {
-	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
+	fixture := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
 	accepted := make(chan jobs.Conn, 1)
-	g.driver.Accepted = func(c jobs.Conn) { c.Close(); accepted <- c }
+	fixture.driver.Accepted = func(c jobs.Conn) { c.Close(); accepted <- c }
 	ln, err := netpoll.CreateListener("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	blocking := blockingListener{ln, make(chan struct{}), make(chan struct{})}
-	require.NoError(t, g.driver.serve(blocking))
+	require.NoError(t, fixture.driver.serve(blocking))
 	c, err := stdnet.Dial("tcp", ln.Addr().String())
 	require.NoError(t, err)
 	defer c.Close()
 	<-blocking.entered
-	g.do(func() {}) // everything posted before has run
+	fixture.do(func() {}) // everything posted before has run
 	assert.Empty(t, accepted)
 	close(blocking.release)
 	<-accepted
 	requireEnded(t, c)
-	require.Eventually(t, func() bool { return g.driver.openConns.Load() == 0 }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return fixture.driver.openConns.Load() == 0 }, testTimeout, time.Millisecond)
 }
 
 // Hosts must not accumulate while addresses change. A connection whose host was removed while it was in use returns to
 // the idle pool.
 func TestUnusedHostsAreRemoved(t *testing.T) {
 	addr, _ := listen(t)
-	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
-	c := g.get(addr)
-	g.do(func() {
+	fixture := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
+	c := fixture.get(addr)
+	fixture.do(func() {
 		for i := range 3 * maxHosts {
-			g.driver.host(string(rune(i)))
+			fixture.driver.host(string(rune(i)))
 		}
-		assert.LessOrEqual(t, len(g.driver.hosts), maxHosts)
-		g.driver.Put(addr, c)
-		assert.Len(t, g.driver.host(addr).idle, 1)
-		g.driver.Get(addr, false, func(again jobs.Conn) { assert.Same(t, c, again) })
-		assert.Empty(t, g.driver.host(addr).idle)
-		assert.Empty(t, g.driver.idle)
+		assert.LessOrEqual(t, len(fixture.driver.hosts), maxHosts)
+		fixture.driver.Put(addr, c)
+		assert.Len(t, fixture.driver.host(addr).idle, 1)
+		fixture.driver.Get(addr, false, func(again jobs.Conn) { assert.Same(t, c, again) })
+		assert.Empty(t, fixture.driver.host(addr).idle)
+		assert.Empty(t, fixture.driver.idle)
 	})
 }
 
@@ -200,25 +200,25 @@
 	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ln.Close() // the address refuses connections now
-	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
-	assert.Nil(t, g.get(ln.Addr().String()))
-	assert.Zero(t, g.driver.openConns.Load())
-	g = newTestDriver(t, Config{Descriptors: reservedDescriptors, IdleLimit: time.Hour})
-	assert.Nil(t, g.get(ln.Addr().String()), "no descriptor is left")
+	fixture := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
+	assert.Nil(t, fixture.get(ln.Addr().String()))
+	assert.Zero(t, fixture.driver.openConns.Load())
+	fixture = newTestDriver(t, Config{Descriptors: reservedDescriptors, IdleLimit: time.Hour})
+	assert.Nil(t, fixture.get(ln.Addr().String()), "no descriptor is left")
 }
 
 // The handler is notified of a broken connection, and a later write on it reports that it was not sent.
 func TestWriteAfterPeerClosed(t *testing.T) {
 	addr, conns := listen(t)
-	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
-	c := g.get(addr)
-	g.do(func() { c.SetHandler(g) })
+	fixture := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
+	c := fixture.get(addr)
+	fixture.do(func() { c.SetHandler(fixture) })
 	wrote := make(chan jobs.WriteResult, 1)
-	g.do(func() { c.Write([]byte("x"), func(e jobs.WriteResult) { wrote <- e }) })
+	fixture.do(func() { c.Write([]byte("x"), func(e jobs.WriteResult) { wrote <- e }) })
 	assert.Equal(t, jobs.Written, <-wrote)
 	(<-conns).Close()
-	<-g.ended
-	g.do(func() { c.Write([]byte("y"), func(e jobs.WriteResult) { wrote <- e }) })
+	<-fixture.ended
+	fixture.do(func() { c.Write([]byte("y"), func(e jobs.WriteResult) { wrote <- e }) })
 	assert.Equal(t, jobs.WriteIncomplete, <-wrote)
 }
 
@@ -228,77 +228,77 @@
 	count int
 }
 
-func (k *byteCounter) Data(b []byte) { k.count += len(b) }
+func (counter *byteCounter) Data(b []byte) { counter.count += len(b) }
 
 // While the loop is busy, the driver must stop reading, so that the client's writes block. Large bodies once
 // accumulated in memory.
 func TestBusyLoopStopsReading(t *testing.T) {
-	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
-	k := &byteCounter{testDriver: g}
+	fixture := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
+	counter := &byteCounter{testDriver: fixture}
 	accepted := make(chan jobs.Conn, 1)
-	g.driver.Accepted = func(c jobs.Conn) { c.SetHandler(k); accepted <- c }
-	g.do(func() { require.NoError(t, g.driver.Listen("127.0.0.1:0")) })
-	c, err := stdnet.Dial("tcp", g.driver.Addr())
+	fixture.driver.Accepted = func(c jobs.Conn) { c.SetHandler(counter); accepted <- c }
+	fixture.do(func() { require.NoError(t, fixture.driver.Listen("127.0.0.1:0")) })
+	c, err := stdnet.Dial("tcp", fixture.driver.Addr())
 	require.NoError(t, err)
 	defer c.Close()
 	conn := <-accepted
 	release := make(chan struct{})
-	go g.loop.Post(func() { <-release })
+	go fixture.loop.Post(func() { <-release })
 	require.NoError(t, c.SetWriteDeadline(time.Now().Add(time.Second)))
 	const body = 64 << 20
 	sent, err := c.Write(make([]byte, body))
 	assert.Error(t, err, "the whole body was read or buffered")
 	assert.Less(t, sent, body/4)
 	close(release)
-	require.Eventually(t, func() (all bool) { g.do(func() { all = k.count == sent }); return }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() (all bool) { fixture.do(func() { all = counter.count == sent }); return }, testTimeout, time.Millisecond)
 
 	// After the last answer input is discarded, and beyond maxDiscarded the connection is closed.
-	g.do(func() { conn.Write([]byte("bye"), nil); conn.CloseAfterWrite() })
+	fixture.do(func() { conn.Write([]byte("bye"), nil); conn.CloseAfterWrite() })
 	require.NoError(t, c.SetDeadline(time.Now().Add(testTimeout)))
 	_, err = c.Write(make([]byte, body))
 	assert.Error(t, err)
-	require.Eventually(t, func() bool { return g.driver.openConns.Load() == 0 }, testTimeout, time.Millisecond)
-	g.do(func() { assert.Equal(t, sent, k.count) })
+	require.Eventually(t, func() bool { return fixture.driver.openConns.Load() == 0 }, testTimeout, time.Millisecond)
+	fixture.do(func() { assert.Equal(t, sent, counter.count) })
 }
 
 // Close must end a worker connection for the worker before it returns, although a read of it waits for the loop. The
 // next attempt may be sent in the same event, and two attempts must never be running at once.
 func TestCloseShutsDownWorkerConnectionAtOnce(t *testing.T) {
 	addr, conns := listen(t)
-	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
-	c, workerSide := g.get(addr), <-conns
+	fixture := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
+	c, workerSide := fixture.get(addr), <-conns
 	entered, dataQueued, closed, release := make(chan struct{}), make(chan struct{}), make(chan struct{}), make(chan struct{})
-	go g.do(func() { close(entered); <-dataQueued; c.Close(); close(closed); <-release })
+	go fixture.do(func() { close(entered); <-dataQueued; c.Close(); close(closed); <-release })
 	<-entered
 	_, err := workerSide.Write([]byte("x"))
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return g.loop.QueueLen() > 0 }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return fixture.loop.QueueLen() > 0 }, testTimeout, time.Millisecond)
 	close(dataQueued)
 	<-closed
 	requireEnded(t, workerSide)
 	close(release)
-	require.Eventually(t, func() bool { return g.driver.openConns.Load() == 0 }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return fixture.driver.openConns.Load() == 0 }, testTimeout, time.Millisecond)
 }
 
 // A connection may be closed by either side while its data waits for the loop. Its descriptor must be released.
 func TestCloseWithPendingInput(t *testing.T) {
 	for _, closeHere := range []bool{true, false} {
-		g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
+		fixture := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
 		accepted := make(chan jobs.Conn, 1)
-		g.driver.Accepted = func(c jobs.Conn) { c.SetHandler(g); accepted <- c }
-		g.do(func() { require.NoError(t, g.driver.Listen("127.0.0.1:0")) })
+		fixture.driver.Accepted = func(c jobs.Conn) { c.SetHandler(fixture); accepted <- c }
+		fixture.do(func() { require.NoError(t, fixture.driver.Listen("127.0.0.1:0")) })
 		for range 50 {
-			c, err := stdnet.Dial("tcp", g.driver.Addr())
+			c, err := stdnet.Dial("tcp", fixture.driver.Addr())
 			require.NoError(t, err)
 			conn := <-accepted
 			go c.Write(make([]byte, 1<<20))
 			if closeHere {
-				g.do(conn.Close)
+				fixture.do(conn.Close)
 				requireEnded(t, c)
 			}
 			c.Close()
 		}
-		require.Eventually(t, func() bool { return g.driver.openConns.Load() == 0 }, testTimeout, time.Millisecond)
+		require.Eventually(t, func() bool { return fixture.driver.openConns.Load() == 0 }, testTimeout, time.Millisecond)
 	}
 }
 
@@ -307,17 +307,17 @@
 func TestSmallBudgetKeepsIdleConnections(t *testing.T) {
 	for _, n := range []int{64, 96, 128, 320, 1024} {
 		addr, conns := listen(t)
-		g := newTestDriver(t, Config{Descriptors: n, IdleLimit: time.Hour})
-		idle := g.get(addr)
+		fixture := newTestDriver(t, Config{Descriptors: n, IdleLimit: time.Hour})
+		idle := fixture.get(addr)
 		workerSide := <-conns
-		g.do(func() { g.driver.Put(addr, idle) })
+		fixture.do(func() { fixture.driver.Put(addr, idle) })
 		dialled := make(chan jobs.Conn, 1)
 		for range 8 {
-			g.do(func() { g.driver.Get(addr, true, func(c jobs.Conn) { dialled <- c }) })
+			fixture.do(func() { fixture.driver.Get(addr, true, func(c jobs.Conn) { dialled <- c }) })
 			require.NotNil(t, <-dialled)
 			<-conns
 		}
-		g.do(func() { g.driver.Get(addr, false, func(c jobs.Conn) { assert.Same(t, idle, c, n) }) })
+		fixture.do(func() { fixture.driver.Get(addr, false, func(c jobs.Conn) { assert.Same(t, idle, c, n) }) })
 		_ = workerSide.Close()
 	}
 }
@@ -327,11 +327,11 @@
 func TestDescriptorBudget(t *testing.T) {
 	addr, conns := listen(t)
 	const room = 4
-	g := newTestDriver(t, Config{Descriptors: reservedDescriptors + 4*shedMargin, IdleLimit: time.Hour}) // the margin is a quarter of the budget
-	g.do(func() { g.driver.openConns.Add(3*shedMargin - room) })                                         // as if as many were in use
+	fixture := newTestDriver(t, Config{Descriptors: reservedDescriptors + 4*shedMargin, IdleLimit: time.Hour}) // the margin is a quarter of the budget
+	fixture.do(func() { fixture.driver.openConns.Add(3*shedMargin - room) })                                   // as if as many were in use
 	var accepted []jobs.Conn
-	g.driver.Accepted = func(c jobs.Conn) { c.SetHandler(g); accepted = append(accepted, c) }
-	g.driver.ShedIdle = func(n int, unproven bool) int {
+	fixture.driver.Accepted = func(c jobs.Conn) { c.SetHandler(fixture); accepted = append(accepted, c) }
+	fixture.driver.ShedIdle = func(n int, unproven bool) int {
 		if unproven {
 			return 0
 		}
@@ -342,31 +342,31 @@
 		accepted = accepted[n:]
 		return n
 	}
-	g.do(func() { require.NoError(t, g.driver.Listen("127.0.0.1:0")) })
-	idle := g.get(addr)
+	fixture.do(func() { require.NoError(t, fixture.driver.Listen("127.0.0.1:0")) })
+	idle := fixture.get(addr)
 	workerSide := <-conns
-	g.do(func() { g.driver.Put(addr, idle) })
+	fixture.do(func() { fixture.driver.Put(addr, idle) })
 	var clients []stdnet.Conn
 	for range room + 1 {
-		c, err := stdnet.Dial("tcp", g.driver.Addr())
+		c, err := stdnet.Dial("tcp", fixture.driver.Addr())
 		require.NoError(t, err)
 		defer c.Close()
 		clients = append(clients, c)
 	}
 	requireEnded(t, workerSide)
-	c, err := stdnet.Dial("tcp", g.driver.Addr())
+	c, err := stdnet.Dial("tcp", fixture.driver.Addr())
 	require.NoError(t, err)
 	defer c.Close()
 	requireEnded(t, clients[0])
-	g.do(func() { g.driver.openConns.Add(shedMargin + room) }) // as if as many were in use
-	over, err := stdnet.Dial("tcp", g.driver.Addr())
+	fixture.do(func() { fixture.driver.openConns.Add(shedMargin + room) }) // as if as many were in use
+	over, err := stdnet.Dial("tcp", fixture.driver.Addr())
 	require.NoError(t, err)
 	requireEnded(t, over)
-	g.do(func() { g.driver.openConns.Add(-shedMargin - room) })
+	fixture.do(func() { fixture.driver.openConns.Add(-shedMargin - room) })
 
-	g.do(g.driver.StopListening)
+	fixture.do(fixture.driver.StopListening)
 	require.Eventually(t, func() bool {
-		c, err := stdnet.Dial("tcp", g.driver.Addr())
+		c, err := stdnet.Dial("tcp", fixture.driver.Addr())
 		if err == nil {
 			c.Close()
 		}
@@ -378,10 +378,10 @@
 // later, the answer arrives complete and in order. If the connection ends first, the write is reported as incomplete.
 func TestSlowReadersDoNotBlockOthers(t *testing.T) {
 	const readers, size = 40, 1 << 20
-	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
+	fixture := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
 	accepted := make(chan jobs.Conn, readers+1)
-	g.driver.Accepted = func(c jobs.Conn) { c.SetHandler(g); accepted <- c }
-	g.do(func() { require.NoError(t, g.driver.Listen("127.0.0.1:0")) })
+	fixture.driver.Accepted = func(c jobs.Conn) { c.SetHandler(fixture); accepted <- c }
+	fixture.do(func() { require.NoError(t, fixture.driver.Listen("127.0.0.1:0")) })
 	answer := bytes.Repeat([]byte("0123456789abcdef"), size/16)
 	type end struct {
 		client int
@@ -391,15 +391,15 @@
 	var clients []stdnet.Conn
 	before := 0
 	for i := range readers + 1 {
-		c, err := stdnet.Dial("tcp", g.driver.Addr())
+		c, err := stdnet.Dial("tcp", fixture.driver.Addr())
 		require.NoError(t, err)
 		defer c.Close()
 		clients = append(clients, c)
 		conn := <-accepted
 		if i == 0 {
-			g.do(func() { conn.Write(answer[:1], nil) })
+			fixture.do(func() { conn.Write(answer[:1], nil) })
 		}
-		g.do(func() {
+		fixture.do(func() {
 			conn.Write(answer, func(result jobs.WriteResult) { ends <- end{i, result} })
 			assert.Positive(t, conn.Queued(), "the answer exceeds the system's buffer")
 			assert.Greater(t, conn.Unacked(), conn.Queued(), "the system holds a part")
@@ -409,7 +409,7 @@
 		}
 	}
 	assert.Less(t, runtime.NumGoroutine(), before+readers/2, "the number of goroutines grows with the readers")
-	g.do(func() { assert.Equal(t, readers+1, g.driver.Unsent()) })
+	fixture.do(func() { assert.Equal(t, readers+1, fixture.driver.Unsent()) })
 
 	got, err := io.ReadAll(io.LimitReader(clients[1], size))
 	require.NoError(t, err)
@@ -417,25 +417,25 @@
 	assert.Equal(t, end{1, jobs.Written}, <-ends)
 	clients[2].Close()
 	assert.Equal(t, end{2, jobs.WriteIncomplete}, <-ends)
-	<-g.ended
-	g.do(func() { assert.Equal(t, readers-1, g.driver.Unsent()) })
+	<-fixture.ended
+	fixture.do(func() { assert.Equal(t, readers-1, fixture.driver.Unsent()) })
 }
 
 // A quota limits the connections of one service and is released as they end. Other services are not affected.
 func TestServiceQuota(t *testing.T) {
 	addr, conns := listen(t)
-	g := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
-	dialer, other := g.driver.Dialer(2), g.driver.Dialer(0)
+	fixture := newTestDriver(t, Config{Descriptors: 1024, IdleLimit: time.Hour})
+	dialer, other := fixture.driver.Dialer(2), fixture.driver.Dialer(0)
 	get := func(d jobs.Dialer) jobs.Conn {
 		got := make(chan jobs.Conn, 1)
-		g.do(func() { d.Get(addr, true, func(c jobs.Conn) { got <- c }) })
+		fixture.do(func() { d.Get(addr, true, func(c jobs.Conn) { got <- c }) })
 		return <-got
 	}
 	first, second := get(dialer), get(dialer)
 	require.NotNil(t, first)
 	require.NotNil(t, second)
 	third, cancelled := make(chan jobs.Conn, 1), make(chan jobs.Conn, 1)
-	g.do(func() {
+	fixture.do(func() {
 		giveUp := dialer.Get(addr, true, func(c jobs.Conn) { cancelled <- c })
 		dialer.Get(addr, true, func(c jobs.Conn) { third <- c })
 		giveUp()
@@ -443,9 +443,9 @@
 	assert.NotNil(t, get(other), "another service has a quota of its own")
 	assert.Equal(t, 2, dialer.OpenConns())
 	assert.Empty(t, third, "the third dial waits")
-	g.do(first.Close)
+	fixture.do(first.Close)
 	assert.NotNil(t, <-third)
-	g.do(func() { dialer.Put(addr, second) })
+	fixture.do(func() { dialer.Put(addr, second) })
 	assert.NotNil(t, get(dialer), "an idle connection is closed to make room")
 	assert.Empty(t, cancelled)
 	for range 5 {
@@ -491,14 +491,14 @@
 // that read the answer has not returned yet. Many connections were once closed for that reason.
 func TestReturnedConnectionIsReusedAtOnce(t *testing.T) {
 	addr, conns := listen(t)
-	g := newTestDriver(t, Config{Descriptors: 1024, ConnectTimeout: testTimeout, IdleLimit: time.Hour})
-	c := g.get(addr)
+	fixture := newTestDriver(t, Config{Descriptors: 1024, ConnectTimeout: testTimeout, IdleLimit: time.Hour})
+	c := fixture.get(addr)
 	workerSide := <-conns
 	again := make(chan jobs.Conn, 1)
-	g.do(func() {
+	fixture.do(func() {
 		c.SetHandler(onData(func() {
-			g.driver.Put(addr, c)
-			g.driver.Get(addr, false, func(c jobs.Conn) { again <- c })
+			fixture.driver.Put(addr, c)
+			fixture.driver.Get(addr, false, func(c jobs.Conn) { again <- c })
 		}))
 	})
 	_, err := workerSide.Write([]byte("x"))
