--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -34,33 +34,33 @@
 		Classes: []decide.Class{{Effect: decide.Unsafe, Aim: 200e3, Stretch: 2, Deadline: 5e6, Worth: 1, Kind: -1}},
 	}
 	caller := &printer{}
-	d, err := decide.New(settings, 1, caller)
+	dispatcher, err := decide.New(settings, 1, caller)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	now := decide.Time(1e6)
-	d.Announce(now, decide.ListFull, []decide.Worker{
+	dispatcher.Announce(now, decide.ListFull, []decide.Worker{
 		{ID: 1, State: decide.Ready}, {ID: 2, State: decide.Ready}, {ID: 3, State: decide.Ready}})
 
 	answer := func() { // the probed workers report two free slots each
 		fmt.Println("probes:", len(caller.probes))
 		for _, w := range caller.probes {
-			d.ProbeResult(now, w, decide.Served, 500, decide.Report{Has: decide.HasFreeSlots, FreeSlots: 2})
+			dispatcher.ProbeResult(now, w, decide.Served, 500, decide.Report{Has: decide.HasFreeSlots, FreeSlots: 2})
 		}
 		caller.probes = nil
 	}
-	d.Arrive(now, decide.Job{ID: 7, GiveUpAt: now + 5e6})
+	dispatcher.Arrive(now, decide.Job{ID: 7, GiveUpAt: now + 5e6})
 	answer()
 	caller.wakes = nil
-	d.Outcome(now, decide.Outcome{Job: 7, Worker: caller.pushed, Status: decide.Full})
+	dispatcher.Outcome(now, decide.Outcome{Job: 7, Worker: caller.pushed, Status: decide.Full})
 	now += 50e3
 	for _, token := range caller.wakes {
-		d.Wake(now, token)
+		dispatcher.Wake(now, token)
 	}
 	answer()
 	now += 300e3
-	d.Outcome(now, decide.Outcome{Job: 7, Attempt: 1, Worker: caller.pushed, Status: decide.Served, Closed: true})
+	dispatcher.Outcome(now, decide.Outcome{Job: 7, Attempt: 1, Worker: caller.pushed, Status: decide.Served, Closed: true})
 	fmt.Println("served")
 	// Output:
 	// probes: 2
