--- a/internal/jobs/handover_test.go
+++ b/internal/jobs/handover_test.go
@@ -66,41 +66,41 @@
 // An update relayed by another process is applied unless the local list is newer. An older answer to a call that
 // began before the update does not revert it.
 func TestRelayedListUpdates(t *testing.T) {
-	h := newHarness(t)
+	harness := newHarness(t)
 	readyWorkers := func() (ready int) {
-		h.engine.EachReadyAddr(func(string) { ready++ })
+		harness.engine.EachReadyAddr(func(string) { ready++ })
 		return ready
 	}
-	h.discovery.Watch(true)
-	require.NoError(t, h.discovery.ApplyRelayed(2, []byte(`{"endpoints":[{"name":"a","address":"x:1","status":"DRAINING"}]}`)))
+	harness.discovery.Watch(true)
+	require.NoError(t, harness.discovery.ApplyRelayed(2, []byte(`{"endpoints":[{"name":"a","address":"x:1","status":"DRAINING"}]}`)))
 	assert.Equal(t, 1, readyWorkers(), "older than the local list")
-	require.NoError(t, h.discovery.ApplyRelayed(9, []byte(`{"index":9,"endpoints":[{"name":"a","address":"x:1","zone":"here","status":"DRAINING"}]}`)))
+	require.NoError(t, harness.discovery.ApplyRelayed(9, []byte(`{"index":9,"endpoints":[{"name":"a","address":"x:1","zone":"here","status":"DRAINING"}]}`)))
 	assert.Zero(t, readyWorkers())
-	h.discovery.ApplyRelayed(9, []byte(`{"endpoints":[{"name":"a","address":"x:1","status":"SERVING"}]}`))
-	h.discovery.relayedAt = h.engine.Now() + 1 // within the same microsecond
+	harness.discovery.ApplyRelayed(9, []byte(`{"endpoints":[{"name":"a","address":"x:1","status":"SERVING"}]}`))
+	harness.discovery.relayedAt = harness.engine.Now() + 1 // within the same microsecond
 	body := `{"index":4,"snapshot":true,"endpoints":[{"name":"a","address":"x:1","zone":"here","type":"box","status":"SERVING"}]}`
-	h.dialer.conn.handler.Data([]byte("HTTP/1.1 200 OK\r\nContent-Length: " + formatInt(int64(len(body))) + "\r\n\r\n" + body))
+	harness.dialer.conn.handler.Data([]byte("HTTP/1.1 200 OK\r\nContent-Length: " + formatInt(int64(len(body))) + "\r\n\r\n" + body))
 	assert.Zero(t, readyWorkers(), "older than the relayed update")
-	assert.EqualValues(t, 9, h.discovery.Index())
-	assert.Error(t, h.discovery.ApplyRelayed(10, []byte(`{`)))
-	require.NoError(t, h.discovery.ApplyRelayed(10, []byte(`{"snapshot":true,"endpoints":[{"name":"b","address":"y:1","zone":"here","status":"SERVING"}]}`)))
+	assert.EqualValues(t, 9, harness.discovery.Index())
+	assert.Error(t, harness.discovery.ApplyRelayed(10, []byte(`{`)))
+	require.NoError(t, harness.discovery.ApplyRelayed(10, []byte(`{"snapshot":true,"endpoints":[{"name":"b","address":"y:1","zone":"here","status":"SERVING"}]}`)))
 	assert.Equal(t, 1, readyWorkers())
 }
 
 // A job adopted from another process is booked in its pool and released once. It was once released without having
 // been booked, which freed capacity that other jobs were using.
 func TestAdoptedJobIsBooked(t *testing.T) {
-	h := newHarness(t)
+	harness := newHarness(t)
 	p := pool.New("", pool.Limits{FleetInFlight: 9}, make([]pool.Limits, 2), nil, nil)
 	open := 0
 	p.TakeFleet = func(k pool.FleetKind, _ int) bool { open++; return true }
 	p.ReturnFleet = func(int) { open-- }
-	h.server.Main.Pool, h.server.Main.Workers = p, h.workers
+	harness.server.Main.Pool, harness.server.Main.Workers = p, harness.workers
 	for _, ending := range []string{"answered", "left"} {
 		client, worker := &fakeConn{writeAtOnce: true}, &fakeConn{writeAtOnce: true}
 		job := &HandoverJob{Class: "send", Method: "POST", Target: "/p", ID: ending, Body: []byte("hi"), KeepAlive: true,
-			Job: engine.HandoverRequest{GiveUpAt: h.engine.Now() + 9e6, Came: h.engine.Now(), Tried: []engine.HandoverAttempt{{Worker: "a", Addr: "x:1", Sent: h.engine.Now(), Out: true, MayHaveRun: true}}}}
-		h.server.Adopt(h.server.Main, job, client, worker)
+			Job: engine.HandoverRequest{GiveUpAt: harness.engine.Now() + 9e6, Came: harness.engine.Now(), Tried: []engine.HandoverAttempt{{Worker: "a", Addr: "x:1", Sent: harness.engine.Now(), Out: true, MayHaveRun: true}}}}
+		harness.server.Adopt(harness.server.Main, job, client, worker)
 		assert.Equal(t, []int{1, 1}, []int{p.InFlight(), open}, ending)
 		if ending == "left" {
 			client.handler.Closed()
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -114,13 +114,13 @@
 			{Effect: decide.Safe, Aim: 2e6, Stretch: 2, Deadline: 9e6, Worth: 1, Kind: -1},
 			{Effect: decide.Unsafe, Aim: 2e6, Stretch: 2, Deadline: 9e6, Worth: 1, Kind: -1}}}})
 	require.NoError(t, err)
-	h := &harness{engine: e, dialer: &fakeDialer{conn: &fakeConn{}}, server: NewServer(NewService("", e, []string{"view", "send"}))}
-	h.workers = &Workers{Engine: e, Dialer: h.dialer, Reports: testReports, Host: "app.svc"}
-	h.discovery = &Discovery{Engine: e, Dialer: h.dialer, Addr: "d"}
-	e.SetBackends(h, h.discovery)
-	require.NoError(t, h.discovery.LoadKnown([]byte(`{"index":3,"snapshot":true,"endpoints":[{"name":"a","address":"x:1",
+	harness := &harness{engine: e, dialer: &fakeDialer{conn: &fakeConn{}}, server: NewServer(NewService("", e, []string{"view", "send"}))}
+	harness.workers = &Workers{Engine: e, Dialer: harness.dialer, Reports: testReports, Host: "app.svc"}
+	harness.discovery = &Discovery{Engine: e, Dialer: harness.dialer, Addr: "d"}
+	e.SetBackends(harness, harness.discovery)
+	require.NoError(t, harness.discovery.LoadKnown([]byte(`{"index":3,"snapshot":true,"endpoints":[{"name":"a","address":"x:1",
 		"zone":"here","type":"box","status":"SERVING","weight":1,"since_ms":0}]}`)))
-	return h
+	return harness
 }
 
 // client opens a client connection.
@@ -183,12 +183,12 @@
 		"too long a line":     {ok + chunk(strings.Repeat("x", maxLineBytes+1)), staysOpen, decide.Reset, 0},
 	} {
 		for _, size := range []int{1 << 20, 1} {
-			h := newHarness(t)
-			client := h.client()
+			harness := newHarness(t)
+			client := harness.client()
 			client.handler.Data([]byte(requestHead + "X-Budget: 8000m\r\nContent-Length: 2\r\n\r\nhi"))
-			require.Len(t, h.pushed, 1, name)
-			h.workers.Push(h.pushed[0])
-			conn := h.dialer.conn
+			require.Len(t, harness.pushed, 1, name)
+			harness.workers.Push(harness.pushed[0])
+			conn := harness.dialer.conn
 			assert.True(t, strings.HasPrefix(conn.out, "POST /api/7?q=1 HTTP/1.1\r\n"), name)
 			assert.Contains(t, conn.out, "X-Call-Id: 9b\r\n")
 			assert.Contains(t, conn.out, "Idempotency-Key: k\r\n")
@@ -207,8 +207,8 @@
 					conn.handler.Closed()
 				}
 			}
-			assert.Equal(t, 1, h.engine.Counts.Outcomes[c.want], "%s in pieces of %d: %s", name, size, h.engine.Counts.String())
-			assert.Equal(t, c.kept, h.dialer.kept, "%s: connections kept", name)
+			assert.Equal(t, 1, harness.engine.Counts.Outcomes[c.want], "%s in pieces of %d: %s", name, size, harness.engine.Counts.String())
+			assert.Equal(t, c.kept, harness.dialer.kept, "%s: connections kept", name)
 			switch {
 			case c.want == decide.Served:
 				assert.Contains(t, client.out, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\na\"b", name)
@@ -223,20 +223,20 @@
 
 // An attempt is not sent if its client disconnects or its worker drains or leaves during the dial.
 func TestSendableIsCheckedAfterDial(t *testing.T) {
-	for name, duringDial := range map[string]func(h *harness, c *fakeConn){
-		"client gone": func(h *harness, c *fakeConn) { c.handler.Closed() },
-		"worker drains": func(h *harness, c *fakeConn) {
-			h.engine.Announce(decide.ListDelta, []engine.Entry{{Name: "a", State: decide.Draining}})
+	for name, duringDial := range map[string]func(harness *harness, c *fakeConn){
+		"client gone": func(harness *harness, c *fakeConn) { c.handler.Closed() },
+		"worker drains": func(harness *harness, c *fakeConn) {
+			harness.engine.Announce(decide.ListDelta, []engine.Entry{{Name: "a", State: decide.Draining}})
 		},
-		"worker gone": func(h *harness, c *fakeConn) { h.engine.Announce(decide.ListFull, nil) },
+		"worker gone": func(harness *harness, c *fakeConn) { harness.engine.Announce(decide.ListFull, nil) },
 	} {
-		h := newHarness(t)
-		client := h.client()
+		harness := newHarness(t)
+		client := harness.client()
 		client.handler.Data([]byte(requestHead + "X-Budget: 8000m\r\nContent-Length: 0\r\n\r\n"))
-		require.Len(t, h.pushed, 1, name)
-		duringDial(h, client)
-		h.workers.Push(h.pushed[0])
-		assert.Empty(t, h.dialer.conn.out, name)
+		require.Len(t, harness.pushed, 1, name)
+		duringDial(harness, client)
+		harness.workers.Push(harness.pushed[0])
+		assert.Empty(t, harness.dialer.conn.out, name)
 	}
 }
 
@@ -253,16 +253,16 @@
 		"in a header":     {"200 OK\r\nX-Load-Report: {\"util\":0.5}\r\nContent-Length: 0\r\n\r\n", decide.Served, decide.HasUtil},
 		"unwell":          {"503 No\r\nContent-Length: 0\r\n\r\n", decide.Error, 0},
 	} {
-		h := newHarness(t)
-		h.holdProbes = true
-		h.client().handler.Data([]byte(requestHead + "X-Budget: 8000m\r\nContent-Length: 0\r\n\r\n"))
-		require.Len(t, h.probes, 1, name)
-		h.workers.Probe(h.probes[0])
-		assert.Equal(t, "GET /-/load HTTP/1.1\r\nHost: app.svc\r\n\r\n", h.dialer.conn.out, name)
-		h.dialer.conn.done(Written)
-		x := h.dialer.conn.handler.(*exchange)
+		harness := newHarness(t)
+		harness.holdProbes = true
+		harness.client().handler.Data([]byte(requestHead + "X-Budget: 8000m\r\nContent-Length: 0\r\n\r\n"))
+		require.Len(t, harness.probes, 1, name)
+		harness.workers.Probe(harness.probes[0])
+		assert.Equal(t, "GET /-/load HTTP/1.1\r\nHost: app.svc\r\n\r\n", harness.dialer.conn.out, name)
+		harness.dialer.conn.done(Written)
+		x := harness.dialer.conn.handler.(*exchange)
 		feedInPieces(x.Data, "HTTP/1.1 "+c.in, 1)
-		assert.Equal(t, 1, h.engine.Counts.Probes[c.want], name)
+		assert.Equal(t, 1, harness.engine.Counts.Probes[c.want], name)
 		assert.Equal(t, c.has, x.report.Has, name)
 	}
 }
@@ -285,58 +285,58 @@
 		"write unknown":        {func(c *fakeConn) { c.done(WriteUnknown) }, func(c *fakeConn) { c.handler.Data([]byte(ok)) }, decide.Served, 1},
 		"write incomplete":     {func(c *fakeConn) { c.done(WriteIncomplete) }, func(c *fakeConn) { c.done(WriteIncomplete) }, decide.ConnectFailed, 1},
 	} {
-		h := newHarness(t)
-		h.holdProbes = true
-		h.client().handler.Data([]byte(requestHead + "X-Budget: 8000m\r\n\r\n"))
-		require.Len(t, h.probes, 1)
-		h.workers.Probe(h.probes[0])
+		harness := newHarness(t)
+		harness.holdProbes = true
+		harness.client().handler.Data([]byte(requestHead + "X-Budget: 8000m\r\n\r\n"))
+		require.Len(t, harness.probes, 1)
+		harness.workers.Probe(harness.probes[0])
 		for _, step := range []func(*fakeConn){c.first, c.second} {
 			if step != nil {
 				conn := &fakeConn{}
-				*conn = *h.dialer.conn
-				h.dialer.conn = &fakeConn{}
+				*conn = *harness.dialer.conn
+				harness.dialer.conn = &fakeConn{}
 				if !strings.HasPrefix(name, "write") {
 					conn.done(Written)
 				}
 				step(conn)
 			}
 		}
-		assert.Equal(t, 1, h.engine.Counts.Probes[c.want], "%s: %s", name, h.engine.Counts.String())
-		assert.Equal(t, c.dials, h.dialer.fresh, name)
+		assert.Equal(t, 1, harness.engine.Counts.Probes[c.want], "%s: %s", name, harness.engine.Counts.String())
+		assert.Equal(t, c.dials, harness.dialer.fresh, name)
 	}
 	for class, fresh := range map[string]int{"view": 0, "send": 1} {
-		h := newHarness(t)
-		h.client().handler.Data([]byte(strings.ReplaceAll(requestHead, "send", class) + "X-Budget: 8000m\r\n\r\n"))
-		require.Len(t, h.pushed, 1)
-		h.workers.Push(h.pushed[0])
-		assert.Equal(t, fresh, h.dialer.fresh, class)
+		harness := newHarness(t)
+		harness.client().handler.Data([]byte(strings.ReplaceAll(requestHead, "send", class) + "X-Budget: 8000m\r\n\r\n"))
+		require.Len(t, harness.pushed, 1)
+		harness.workers.Push(harness.pushed[0])
+		assert.Equal(t, fresh, harness.dialer.fresh, class)
 	}
 }
 
 // A worker that does not answer holds only a few probe connections, and one answer serves all probes that wait for
 // it.
 func TestProbesOfOneWorkerShareAnswers(t *testing.T) {
-	h := newHarness(t)
-	h.holdProbes = true
+	harness := newHarness(t)
+	harness.holdProbes = true
 	for range 10 {
-		h.client().handler.Data([]byte(strings.Replace(requestHead, "9b", fmt.Sprint(len(h.probes)), 1) + "X-Budget: 8000m\r\n\r\n"))
+		harness.client().handler.Data([]byte(strings.Replace(requestHead, "9b", fmt.Sprint(len(harness.probes)), 1) + "X-Budget: 8000m\r\n\r\n"))
 	}
-	n := len(h.probes)
+	n := len(harness.probes)
 	require.Greater(t, n, maxConcurrentProbes+1)
-	h.dialer.conn = nil // the dial fails, but later
+	harness.dialer.conn = nil // the dial fails, but later
 	var ready []func(Conn)
-	h.workers.Dialer = manualDialer(func(f func(Conn)) { ready = append(ready, f) })
-	for _, p := range h.probes {
-		h.workers.Probe(p)
+	harness.workers.Dialer = manualDialer(func(f func(Conn)) { ready = append(ready, f) })
+	for _, p := range harness.probes {
+		harness.workers.Probe(p)
 	}
 	assert.Len(t, ready, maxConcurrentProbes)
 	ready[0](nil)
-	assert.Equal(t, 1, h.engine.Counts.Probes[decide.ConnectFailed])
+	assert.Equal(t, 1, harness.engine.Counts.Probes[decide.ConnectFailed])
 	for _, f := range ready[1:] {
 		f(nil)
 	}
-	assert.Equal(t, n, h.engine.Counts.Probes[decide.ConnectFailed])
-	assert.Empty(t, h.workers.pendingProbes)
+	assert.Equal(t, n, harness.engine.Counts.Probes[decide.ConnectFailed])
+	assert.Empty(t, harness.workers.pendingProbes)
 }
 
 // manualDialer is a dialer that gives connections when the test calls ready.
@@ -371,22 +371,22 @@
 		"too late":      {requestHead + "X-Budget: 5m\r\n\r\n", 503, false},
 	} {
 		for _, size := range []int{1 << 20, 1} {
-			h := newHarness(t)
-			conn := h.client()
+			harness := newHarness(t)
+			conn := harness.client()
 			feedInPieces(conn.handler.Data, c.in, size)
 			assert.True(t, strings.HasPrefix(conn.out, fmt.Sprintf("HTTP/1.1 %d ", c.status)), "%s: %s", name, conn.out)
 			assert.Equal(t, 1, strings.Count(conn.out, "HTTP/1.1"), name)
 			assert.Equal(t, c.closed, conn.closed, name)
-			assert.Zero(t, h.engine.OpenRequests(), name)
+			assert.Zero(t, harness.engine.OpenRequests(), name)
 		}
 	}
-	h := newHarness(t)
-	x := h.client()
+	harness := newHarness(t)
+	x := harness.client()
 	x.handler.Data([]byte(requestHead + "X-Budget: 8000m\r\nContent-Length: 2\r\n\r\nhi there"))
 	assert.Contains(t, x.out, "HTTP/1.1 400 ", "the request's length is in doubt")
 	assert.True(t, x.closed)
-	assert.Empty(t, h.pushed, "no part of it is passed on")
-	x = h.client()
+	assert.Empty(t, harness.pushed, "no part of it is passed on")
+	x = harness.client()
 	x.handler.Data([]byte(requestHead + "X-Budget: 5m\r\n\r\n"))
 	assert.Contains(t, x.out, "Retry-After: 1.500\r\n", "the longest wait that the settings allow")
 }
@@ -394,11 +394,11 @@
 // Hundreds of silent clients once displaced active clients and the connections to workers. Silent clients are evicted
 // first, except new ones, whose first request may still be on its way.
 func TestUnprovenClientsAreEvictedFirst(t *testing.T) {
-	h := newHarness(t)
-	silent, asked, working, newcomer := h.client(), h.client(), h.client(), h.client()
+	harness := newHarness(t)
+	silent, asked, working, newcomer := harness.client(), harness.client(), harness.client(), harness.client()
 	asked.handler.Data([]byte("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"))
 	working.handler.Data([]byte(requestHead + "X-Budget: 8000m\r\n\r\n"))
-	h.pushed[0].End(decide.Served, []byte("x"), decide.Report{})
+	harness.pushed[0].End(decide.Served, []byte("x"), decide.Report{})
 	closed := func() (out []bool) {
 		for _, c := range []*fakeConn{silent, asked, working, newcomer} {
 			out = append(out, c.closed)
@@ -407,13 +407,13 @@
 	}
 	l := pace.Defaults(1 << 20)
 	l.NewPeerGrace = 1 << 40
-	h.server.Pace.SetLimits(l)
-	assert.Zero(t, h.server.EvictClients(9, true))
-	assert.Equal(t, 1, h.server.EvictClients(1, false))
+	harness.server.Pace.SetLimits(l)
+	assert.Zero(t, harness.server.EvictClients(9, true))
+	assert.Equal(t, 1, harness.server.EvictClients(1, false))
 	assert.Equal(t, []bool{false, false, true, false}, closed())
 	l.NewPeerGrace = 0
-	h.server.Pace.SetLimits(l)
-	assert.Equal(t, 3, h.server.EvictClients(9, true))
+	harness.server.Pace.SetLimits(l)
+	assert.Equal(t, 3, harness.server.EvictClients(9, true))
 	assert.Equal(t, []bool{true, true, true, true}, closed())
 }
 
@@ -429,9 +429,9 @@
 // A client gets an answer or is closed soon after it connects, even if its request is incomplete. No pace is required
 // between requests or while a job is open.
 func TestSlowClients(t *testing.T) {
-	h := newHarness(t)
-	h.removeGrace()
-	silent, half, working := h.client(), h.client(), h.client()
+	harness := newHarness(t)
+	harness.removeGrace()
+	silent, half, working := harness.client(), harness.client(), harness.client()
 	half.handler.Data([]byte("POST /api HTTP/1.1\r\nHost: a\r\nX-Ca"))
 	for _, c := range []*fakeConn{silent, half} { // the unread data may complete the request
 		c.unread = true
@@ -453,12 +453,12 @@
 	assert.True(t, half.closed)
 	assert.Contains(t, half.out, "HTTP/1.1 408 ")
 	assert.False(t, working.closed)
-	h.pushed[0].End(decide.Served, []byte("x"), decide.Report{})
+	harness.pushed[0].End(decide.Served, []byte("x"), decide.Report{})
 	workingClient.checkPace()
 	assert.False(t, working.closed)
-	assert.Equal(t, pace.Never, workingClient.peer.NextCheck(h.engine.Now()), "no pace is required between requests")
+	assert.Equal(t, pace.Never, workingClient.peer.NextCheck(harness.engine.Now()), "no pace is required between requests")
 	assert.Nil(t, workingClient.paceTimer)
-	assert.Equal(t, 1, h.server.Pace.Counts().Peers)
+	assert.Equal(t, 1, harness.server.Pace.Counts().Peers)
 }
 
 // A client that does not read its answer is closed; the request counts as served and is not retried.
@@ -467,22 +467,22 @@
 		queued, inKernel int
 		closed           bool
 	}{"all received": {0, 0, false}, "queued in the system": {0, 9, true}, "queued here": {9, 9, true}} {
-		h := newHarness(t)
-		h.removeGrace()
-		conn := h.client()
+		harness := newHarness(t)
+		harness.removeGrace()
+		conn := harness.client()
 		conn.handler.Data([]byte(requestHead + "X-Budget: 8000m\r\n\r\n"))
 		x := conn.handler.(*client)
 		conn.queued, conn.inKernel, conn.writeAtOnce = c.queued, c.inKernel, c.queued == 0
-		h.pushed[0].End(decide.Served, []byte("x"), decide.Report{})
-		assert.GreaterOrEqual(t, h.server.Pace.Counts().Bytes, c.queued, name)
+		harness.pushed[0].End(decide.Served, []byte("x"), decide.Report{})
+		assert.GreaterOrEqual(t, harness.server.Pace.Counts().Bytes, c.queued, name)
 		time.Sleep(time.Millisecond)
 		x.checkPace()
 		assert.Equal(t, c.closed, conn.closed, name)
-		assert.Equal(t, 1, h.engine.Counts.Served, name)
-		assert.Len(t, h.pushed, 1, "%s: not retried", name)
+		assert.Equal(t, 1, harness.engine.Counts.Served, name)
+		assert.Len(t, harness.pushed, 1, "%s: not retried", name)
 		if c.closed {
-			assert.Equal(t, 1, h.server.Pace.Counts().CutOut, name)
-			assert.Zero(t, h.server.Pace.Counts().Bytes, name)
+			assert.Equal(t, 1, harness.server.Pace.Counts().CutOut, name)
+			assert.Zero(t, harness.server.Pace.Counts().Bytes, name)
 		}
 	}
 }
@@ -490,9 +490,9 @@
 // A request that becomes complete while its sender is being cut becomes a job with one answer, or no job at all.
 func TestRequestCompletesAsClientIsCut(t *testing.T) {
 	for _, first := range []string{"cut", "whole"} {
-		h := newHarness(t)
-		h.removeGrace()
-		conn := h.client()
+		harness := newHarness(t)
+		harness.removeGrace()
+		conn := harness.client()
 		text := requestHead + "X-Budget: 8000m\r\n\r\n"
 		conn.handler.Data([]byte(text[:20]))
 		clientState := conn.handler.(*client)
@@ -500,15 +500,15 @@
 		if first == "whole" {
 			conn.handler.Data([]byte(text[20:]))
 			clientState.checkPace()
-			require.Len(t, h.pushed, 1)
-			h.pushed[0].End(decide.Served, []byte("x"), decide.Report{})
+			require.Len(t, harness.pushed, 1)
+			harness.pushed[0].End(decide.Served, []byte("x"), decide.Report{})
 			assert.Equal(t, 1, strings.Count(conn.out, "HTTP/1.1"))
 			assert.Contains(t, conn.out, "HTTP/1.1 200 ")
 			continue
 		}
 		clientState.checkPace()
 		conn.handler.Data([]byte(text[20:]))
-		assert.Empty(t, h.pushed)
+		assert.Empty(t, harness.pushed)
 		assert.Equal(t, 1, strings.Count(conn.out, "HTTP/1.1"))
 		assert.Contains(t, conn.out, "HTTP/1.1 408 ")
 		assert.True(t, conn.closed)
@@ -530,15 +530,15 @@
 		"writes a line too slowly": {true, `{"id":"9b","sta`, true, decide.Reset},
 		"completes the line":       {true, `{"id":"9b","state":"done","result":"x"}` + "\n", true, decide.Served},
 	} {
-		h := newHarness(t)
-		h.removeGrace()
-		h.client().handler.Data([]byte(requestHead + "X-Budget: 8000m\r\n\r\n"))
-		conn := h.dialer.conn
+		harness := newHarness(t)
+		harness.removeGrace()
+		harness.client().handler.Data([]byte(requestHead + "X-Budget: 8000m\r\n\r\n"))
+		conn := harness.dialer.conn
 		if !c.requestSent {
 			conn.queued = 9
 		}
-		h.workers.Push(h.pushed[0])
-		exchange := h.pushed[0].State.(*exchange)
+		harness.workers.Push(harness.pushed[0])
+		exchange := harness.pushed[0].State.(*exchange)
 		if c.requestSent {
 			conn.done(Written)
 			conn.handler.Data([]byte("HTTP/1.1 200 OK\r\n\r\n" + c.in))
@@ -549,38 +549,38 @@
 		}
 		assert.Equal(t, c.ended, exchange.ended || exchange.finalLineSeen, name)
 		if c.ended {
-			assert.Equal(t, 1, h.engine.Counts.Outcomes[c.want], "%s: %s", name, &h.engine.Counts)
+			assert.Equal(t, 1, harness.engine.Counts.Outcomes[c.want], "%s: %s", name, &harness.engine.Counts)
 		}
 	}
 }
 
 // A second job with the call ID of another could get the other job's answer or run its work twice.
 func TestCallIDsAreUsedOnce(t *testing.T) {
-	h := newHarness(t)
-	first, second := h.client(), h.client()
+	harness := newHarness(t)
+	first, second := harness.client(), harness.client()
 	first.handler.Data([]byte(requestHead + "X-Budget: 8000m\r\n\r\n"))
 	second.handler.Data([]byte(requestHead + "X-Budget: 8000m\r\n\r\n"))
 	assert.Contains(t, second.out, "HTTP/1.1 409 ")
-	assert.Len(t, h.pushed, 1)
-	h.pushed[0].End(decide.Served, []byte("x"), decide.Report{})
+	assert.Len(t, harness.pushed, 1)
+	harness.pushed[0].End(decide.Served, []byte("x"), decide.Report{})
 	assert.Contains(t, first.out, "HTTP/1.1 200 ")
 	second.out = ""
 	second.handler.Data([]byte(requestHead + "X-Budget: 8000m\r\n\r\n"))
 	assert.Contains(t, second.out, "HTTP/1.1 409 ", "answered recently")
 	for i := range 2 * maxRecentIDs {
-		h.server.claimCallID(&client{}, fmt.Sprint(i))
-		h.server.releaseRequest(&client{callID: fmt.Sprint(i)})
+		harness.server.claimCallID(&client{}, fmt.Sprint(i))
+		harness.server.releaseRequest(&client{callID: fmt.Sprint(i)})
 	}
-	assert.Len(t, h.server.callIDs, maxRecentIDs)
+	assert.Len(t, harness.server.callIDs, maxRecentIDs)
 	second.handler.Data([]byte(requestHead + "X-Budget: 8000m\r\n\r\n"))
-	assert.Len(t, h.pushed, 2, "no longer remembered")
+	assert.Len(t, harness.pushed, 2, "no longer remembered")
 }
 
 // The next request waits until the answer before it has been sent, so answers do not accumulate for a client that
 // does not read.
 func TestAnswersDoNotPileUp(t *testing.T) {
-	h := newHarness(t)
-	x := h.client()
+	harness := newHarness(t)
+	x := harness.client()
 	x.writeAtOnce = false
 	for range 1000 {
 		x.handler.Data([]byte("GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n"))
@@ -590,7 +590,7 @@
 		x.done(Written)
 	}
 	assert.Less(t, strings.Count(x.out, "HTTP/1.1 404"), 1000, "data beyond the pipelining limit is dropped and the connection is closed")
-	x = h.client()
+	x = harness.client()
 	x.writeAtOnce = false
 	x.handler.Data([]byte("GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n"))
 	x.done(WriteUnknown)
@@ -599,40 +599,40 @@
 
 // All request bodies together have a limit, because many large ones could exhaust the memory.
 func TestTotalBodyLimit(t *testing.T) {
-	h := newHarness(t)
+	harness := newHarness(t)
 	l := pace.Defaults(100 << 10)
 	l.PrefixBytes, l.PeerBytes = l.TotalBytes, l.TotalBytes
-	h.server.Pace.SetLimits(l)
-	half, large := h.client(), h.client()
+	harness.server.Pace.SetLimits(l)
+	half, large := harness.client(), harness.client()
 	half.handler.Data([]byte(requestHead + "X-Budget: 8000m\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", 60<<10)))
 	large.handler.Data([]byte(strings.Replace(requestHead, "9b", "9c", 1) + "X-Budget: 8000m\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", 50<<10)))
 	assert.Contains(t, large.out, "HTTP/1.1 503 ")
 	assert.True(t, large.closed)
 	half.handler.Data([]byte(strings.Repeat("x", 4<<10)))
-	require.Len(t, h.pushed, 1)
-	h.pushed[0].End(decide.Served, []byte("x"), decide.Report{})
-	assert.Zero(t, h.server.Pace.Counts().Bytes)
+	require.Len(t, harness.pushed, 1)
+	harness.pushed[0].End(decide.Served, []byte("x"), decide.Report{})
+	assert.Zero(t, harness.server.Pace.Counts().Bytes)
 }
 
 // Pipelined requests are answered one after another, in order.
 func TestPipelining(t *testing.T) {
-	h := newHarness(t)
-	x := h.client()
+	harness := newHarness(t)
+	x := harness.client()
 	x.handler.Data([]byte(requestHead + "X-Budget: 8000m\r\n\r\nGET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"))
 	assert.Empty(t, x.out)
-	h.pushed[0].End(decide.Served, []byte("one"), decide.Report{})
+	harness.pushed[0].End(decide.Served, []byte("one"), decide.Report{})
 	assert.Equal(t, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\noneHTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nready\n", x.out)
 }
 
 // If descriptors run short, the connection that has been idle longest is closed first.
 func TestLongestIdleIsEvictedFirst(t *testing.T) {
-	h := newHarness(t)
-	conns := []*fakeConn{h.client(), h.client(), h.client(), h.client()}
+	harness := newHarness(t)
+	conns := []*fakeConn{harness.client(), harness.client(), harness.client(), harness.client()}
 	conns[0].handler.Data([]byte("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")) // just answered
 	l := pace.Defaults(1 << 20)
 	l.NewPeerGrace = 0
-	h.server.Pace.SetLimits(l)
-	assert.Equal(t, 2, h.server.EvictClients(2, false))
+	harness.server.Pace.SetLimits(l)
+	assert.Equal(t, 2, harness.server.EvictClients(2, false))
 	for i, want := range []bool{false, true, true, false} {
 		assert.Equal(t, want, conns[i].closed, i)
 	}
@@ -641,79 +641,79 @@
 // During a shutdown the scheduler still serves requests, reports that it is not ready, and closes each connection
 // after its answer.
 func TestClosing(t *testing.T) {
-	h := newHarness(t)
-	busy, idle, half := h.client(), h.client(), h.client()
+	harness := newHarness(t)
+	busy, idle, half := harness.client(), harness.client(), harness.client()
 	busy.handler.Data([]byte(requestHead + "X-Budget: 8000m\r\n\r\n"))
 	half.handler.Data([]byte("POST /a HT"))
-	h.server.StartClosing()
-	h.server.CloseIdle()
+	harness.server.StartClosing()
+	harness.server.CloseIdle()
 	assert.True(t, idle.closed)
 	assert.False(t, busy.closed || half.closed, "one has an open request, the other is receiving one")
-	h.pushed[0].End(decide.Served, []byte("x"), decide.Report{})
+	harness.pushed[0].End(decide.Served, []byte("x"), decide.Report{})
 	assert.Contains(t, busy.out, "Connection: close\r\n")
 	assert.True(t, busy.closed)
-	late := h.client()
+	late := harness.client()
 	late.handler.Data([]byte("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"))
 	assert.Contains(t, late.out, "HTTP/1.1 503 ")
-	h.server.RefuseNew()
+	harness.server.RefuseNew()
 	half.handler.Data([]byte("TP/1.1\r\n" + strings.Replace(requestHead[strings.Index(requestHead, "\n")+1:], "9b", "9c", 1) + "X-Budget: 8000m\r\n\r\n"))
 	assert.Contains(t, half.out, "HTTP/1.1 503 ", "complete too late to be accepted")
 	assert.True(t, half.closed)
-	assert.Len(t, h.pushed, 1)
+	assert.Len(t, harness.pushed, 1)
 }
 
 // A watch is renewed from the last index received. A failure is reported at once, and the next call uses the same
 // index.
 func TestWatch(t *testing.T) {
-	h := newHarness(t)
-	conn := h.dialer.conn
+	harness := newHarness(t)
+	conn := harness.dialer.conn
 	answer := func(body string) {
 		conn.out = ""
 		conn.handler.Data([]byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)))
 	}
-	h.discovery.Watch(true)
+	harness.discovery.Watch(true)
 	assert.Contains(t, conn.out, "GET /api/targets?from=3&hold_ms=1 HTTP/1.1")
 	answer(`{"index":5,"snapshot":false,"endpoints":[{"name":"z","address":"y:1","zone":"here","type":"box","status":"SERVING"}]}`)
 	assert.Contains(t, conn.out, "from=5&hold_ms=8000")
 	n := 0
-	h.engine.EachReadyAddr(func(string) { n++ })
+	harness.engine.EachReadyAddr(func(string) { n++ })
 	assert.Equal(t, 2, n)
 	answer(`{"index":6,"snapshot":true,"endpoints":[]}`)
-	h.engine.EachReadyAddr(func(string) { n-- })
+	harness.engine.EachReadyAddr(func(string) { n-- })
 	assert.Equal(t, 2, n, "a whole list without the two workers removes them")
 	conn.out = ""
 	conn.handler.Closed()
 	assert.Empty(t, conn.out, "the dispatcher decides when to call again")
-	assert.Equal(t, 1, h.engine.Counts.ListFailed)
-	h.discovery.Watch(true)
+	assert.Equal(t, 1, harness.engine.Counts.ListFailed)
+	harness.discovery.Watch(true)
 	assert.Contains(t, conn.out, "from=6&hold_ms=1 ")
 }
 
 // Another discovery has other indexes, so calls to it name none until its whole list has arrived, even after a
 // failure. The old discovery's answers are ignored.
 func TestMoveToAnotherDiscovery(t *testing.T) {
-	h := newHarness(t)
-	h.discovery.Watch(true)
-	old := h.dialer.conn
+	harness := newHarness(t)
+	harness.discovery.Watch(true)
+	old := harness.dialer.conn
 	held := old.handler
-	h.dialer.conn = &fakeConn{}
-	h.discovery.Move("e")
+	harness.dialer.conn = &fakeConn{}
+	harness.discovery.Move("e")
 	assert.True(t, old.closed)
-	assert.Contains(t, h.dialer.conn.out, "GET /api/targets HTTP/1.1\r\nHost: e\r\n")
+	assert.Contains(t, harness.dialer.conn.out, "GET /api/targets HTTP/1.1\r\nHost: e\r\n")
 	held.Closed()
 	held.Data([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"))
-	assert.Zero(t, h.engine.Counts.ListFailed)
-	failed := h.dialer.conn
+	assert.Zero(t, harness.engine.Counts.ListFailed)
+	failed := harness.dialer.conn
 	failed.handler.Closed()
-	assert.Equal(t, 1, h.engine.Counts.ListFailed)
-	h.dialer.conn = &fakeConn{}
-	h.discovery.Watch(true)
-	assert.Contains(t, h.dialer.conn.out, "GET /api/targets HTTP/1.1\r\n")
+	assert.Equal(t, 1, harness.engine.Counts.ListFailed)
+	harness.dialer.conn = &fakeConn{}
+	harness.discovery.Watch(true)
+	assert.Contains(t, harness.dialer.conn.out, "GET /api/targets HTTP/1.1\r\n")
 	body := `{"index":1,"snapshot":true,"endpoints":[]}`
-	h.dialer.conn.handler.Data([]byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)))
-	assert.Contains(t, h.dialer.conn.out, "from=1&hold_ms=8000")
+	harness.dialer.conn.handler.Data([]byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)))
+	assert.Contains(t, harness.dialer.conn.out, "from=1&hold_ms=8000")
 	n := 0
-	h.engine.EachReadyAddr(func(string) { n++ })
+	harness.engine.EachReadyAddr(func(string) { n++ })
 	assert.Zero(t, n, "the workers of the old discovery are removed")
 }
 
@@ -825,29 +825,29 @@
 		"too long a list": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(longBody), longBody),
 		"nothing":         "",
 	} {
-		h := newHarness(t)
-		h.discovery.Cadence = Cadence{Nodes: 80, AskWithin: 10 * time.Second}
-		before := h.discovery.Cadence.NextDelay(0.5)
-		h.discovery.Watch(true)
-		conn := h.dialer.conn
+		harness := newHarness(t)
+		harness.discovery.Cadence = Cadence{Nodes: 80, AskWithin: 10 * time.Second}
+		before := harness.discovery.Cadence.NextDelay(0.5)
+		harness.discovery.Watch(true)
+		conn := harness.dialer.conn
 		conn.handler.Data([]byte(answer))
 		conn.handler.Closed()
-		assert.Equal(t, 1, h.engine.Counts.ListFailed, name)
-		assert.Greater(t, h.discovery.Cadence.NextDelay(0.5), before, name)
+		assert.Equal(t, 1, harness.engine.Counts.ListFailed, name)
+		assert.Greater(t, harness.discovery.Cadence.NextDelay(0.5), before, name)
 		addrs := map[string]bool{}
-		h.engine.EachReadyAddr(func(addr string) { addrs[addr] = true })
+		harness.engine.EachReadyAddr(func(addr string) { addrs[addr] = true })
 		assert.Equal(t, map[string]bool{"x:1": true}, addrs, name)
-		h.dialer.conn = &fakeConn{}
-		h.discovery.Watch(true)
-		assert.Contains(t, h.dialer.conn.out, "from=3&", name)
+		harness.dialer.conn = &fakeConn{}
+		harness.discovery.Watch(true)
+		assert.Contains(t, harness.dialer.conn.out, "from=3&", name)
 		body := `{"index":4,"endpoints":[{"name":"a","address":"x:2","zone":"here","type":"box","status":"SERVING"}]}`
-		h.dialer.conn.handler.Data([]byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)))
+		harness.dialer.conn.handler.Data([]byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)))
 		clear(addrs)
-		h.engine.EachReadyAddr(func(addr string) { addrs[addr] = true })
+		harness.engine.EachReadyAddr(func(addr string) { addrs[addr] = true })
 		assert.Equal(t, map[string]bool{"x:2": true}, addrs, "%s: the address changed under the name", name)
 	}
-	h := newHarness(t)
-	h.dialer.conn = nil // the dial is refused
-	h.discovery.Watch(true)
-	assert.Equal(t, 1, h.engine.Counts.ListFailed, "dial refused")
+	harness := newHarness(t)
+	harness.dialer.conn = nil // the dial is refused
+	harness.discovery.Watch(true)
+	assert.Equal(t, 1, harness.engine.Counts.ListFailed, "dial refused")
 }
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -39,19 +39,19 @@
 	return fixture
 }
 
-func (fixture *testDriver) Data([]byte) {}
-func (fixture *testDriver) Closed()     { fixture.ended <- struct{}{} }
+func (g *testDriver) Data([]byte) {}
+func (g *testDriver) Closed()     { g.ended <- struct{}{} }
 
 // do runs f on the loop and waits for it.
-func (fixture *testDriver) do(f func()) {
+func (g *testDriver) do(f func()) {
 	done := make(chan struct{})
-	fixture.loop.Post(func() { f(); close(done) })
+	g.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-func (fixture *testDriver) get(addr string) jobs.Conn {
+func (g *testDriver) get(addr string) jobs.Conn {
 	got := make(chan jobs.Conn, 1)
-	fixture.do(func() { fixture.driver.Get(addr, false, func(c jobs.Conn) { got <- c }) })
+	g.do(func() { g.driver.Get(addr, false, func(c jobs.Conn) { got <- c }) })
 	return <-got
 }
 
@@ -228,7 +228,7 @@
 	count int
 }
 
-func (counter *byteCounter) Data(b []byte) { counter.count += len(b) }
+func (k *byteCounter) Data(b []byte) { k.count += len(b) }
 
 // While the loop is busy, the driver must stop reading, so that the client's writes block. Large bodies once
 // accumulated in memory.
