--- a/internal/router/calls_test.go
+++ b/internal/router/calls_test.go
@@ -304,12 +304,12 @@
 func TestEarlyResponseDoesNotCorruptBody(t *testing.T) {
 	const bodyBytes = 8 << 20
 	for _, path := range []string{"/unsafe/x", "/safe/x"} {
-		f := newFixture(t)
-		f.config.Limits.MaxBodyBytes = 2 * bodyBytes
-		f.update()
+		fixture := newFixture(t)
+		fixture.config.Limits.MaxBodyBytes = 2 * bodyBytes
+		fixture.update()
 		secondAnswered := make(chan struct{})
 		corrupted := make(chan string, 1)
-		f.addConnWorker("", func(conn net.Conn) {
+		fixture.addConnWorker("", func(conn net.Conn) {
 			reader := bufio.NewReader(conn)
 			request, err := http.ReadRequest(reader)
 			if err != nil {
@@ -325,12 +325,12 @@
 				corrupted <- "the body contains other bytes"
 			}
 		})
-		response, body := f.exchangeLargeBody(path, "first", bodyBytes)
+		response, body := fixture.exchangeLargeBody(path, "first", bodyBytes)
 		require.Contains(t, []int{http.StatusOK, http.StatusBadGateway}, response.StatusCode)
 		if response.StatusCode == http.StatusOK {
 			require.Equal(t, "early first", body)
 		}
-		second, body := f.exchangeLargeBody(path, "second", 10)
+		second, body := fixture.exchangeLargeBody(path, "second", 10)
 		close(secondAnswered)
 		require.Equal(t, http.StatusOK, second.StatusCode)
 		require.Equal(t, "early second", body)
--- a/internal/router/clientconns_test.go
+++ b/internal/router/clientconns_test.go
@@ -84,19 +84,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := startShutdownFixture(0)
+				fixture := startShutdownFixture(0)
 				placer := &countingPlacer{}
-				f.router.options.Placer = placer
+				fixture.router.options.Placer = placer
 				client, server := net.Pipe()
 				interrupted := &interruptedConn{Conn: server}
-				f.clientListener.conns <- interrupted
+				fixture.clientListener.conns <- interrupted
 				require.Equal(t, http.StatusServiceUnavailable, sendGet(client, "/a/x").StatusCode)
 				synctest.Wait()
-				interrupt := func() { closeConns(f.router.conns) }
+				interrupt := func() { closeConns(fixture.router.conns) }
 				interrupted.interrupt.Store(&interrupt)
 				require.Nil(t, sendGet(client, "/a/x"))
-				f.shutDown(newShutdownSchedule(time.Second))
-				<-f.done
+				fixture.shutDown(newShutdownSchedule(time.Second))
+				<-fixture.done
 				require.EqualValues(t, 1, placer.placed.Load())
 			})
 		})
--- a/internal/router/forward_test.go
+++ b/internal/router/forward_test.go
@@ -62,8 +62,8 @@
 // http.Transport sends such a request again if its method is idempotent. The router must not.
 func TestRequestIsNotResentWhenReusedConnectionBreaks(t *testing.T) {
 	t.Run("control: http.Transport resends", func(t *testing.T) {
-		f, received := newFixture(t), &requestCounter{}
-		address := f.addRawWorker("", breakingWorker(received))
+		fixture, received := newFixture(t), &requestCounter{}
+		address := fixture.addRawWorker("", breakingWorker(received))
 		transport := &http.Transport{DisableCompression: true}
 		defer transport.CloseIdleConnections()
 		for _, id := range []string{"first", "second"} {
@@ -80,23 +80,23 @@
 	})
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodOptions} {
 		t.Run(method, func(t *testing.T) {
-			f, received := newFixture(t), &requestCounter{}
-			f.addRawWorker("", breakingWorker(received))
-			response, body := f.exchange(method, "/unsafe/x", "first")
+			fixture, received := newFixture(t), &requestCounter{}
+			fixture.addRawWorker("", breakingWorker(received))
+			response, body := fixture.exchange(method, "/unsafe/x", "first")
 			require.Equal(t, http.StatusOK, response.StatusCode)
 			require.Equal(t, "ok", body)
-			response, _ = f.exchange(method, "/unsafe/x", "second")
+			response, _ = fixture.exchange(method, "/unsafe/x", "second")
 			require.Equal(t, http.StatusBadGateway, response.StatusCode)
 			require.Equal(t, 1, received.count("second"))
-			require.Equal(t, []placement.Result{placement.ResultServed, placement.ResultConnectionBroken}, f.placer.pushResults())
+			require.Equal(t, []placement.Result{placement.ResultServed, placement.ResultConnectionBroken}, fixture.placer.pushResults())
 		})
 	}
 }
 
 func TestConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
-	f, received := newFixture(t), &requestCounter{}
+	fixture, received := newFixture(t), &requestCounter{}
 	closed := make(chan struct{}, 2)
-	f.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
+	fixture.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
 		request := next()
 		if request == nil {
 			return
@@ -107,24 +107,24 @@
 		_ = conn.Close()
 		closed <- struct{}{}
 	})
-	f.exchange(http.MethodGet, "/unsafe/x", "first")
+	fixture.exchange(http.MethodGet, "/unsafe/x", "first")
 	<-closed
-	pool := f.router.options.Pool
+	pool := fixture.router.options.Pool
 	require.Eventually(t, func() bool { // until the pool returns a new connection instead of the closed one
-		conn, err := pool.Acquire(context.Background(), f.placer.targets[""][0].Address, 1, upstream.AnyIdleTime)
+		conn, err := pool.Acquire(context.Background(), fixture.placer.targets[""][0].Address, 1, upstream.AnyIdleTime)
 		if err != nil {
 			return false
 		}
 		defer conn.Discard()
 		return !conn.Sent()
 	}, testTimeout, time.Millisecond)
-	response, _ := f.exchange(http.MethodGet, "/unsafe/x", "second")
+	response, _ := fixture.exchange(http.MethodGet, "/unsafe/x", "second")
 	require.Equal(t, http.StatusOK, response.StatusCode)
 }
 
 func TestResponseToAnotherRequestIsNotRelayed(t *testing.T) {
-	f, received := newFixture(t), &requestCounter{}
-	f.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
+	fixture, received := newFixture(t), &requestCounter{}
+	fixture.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
 		request := next()
 		if request == nil {
 			return
@@ -134,11 +134,11 @@
 		_, _ = io.WriteString(conn, validResponse("another", "secret"))
 		require.Nil(t, next(), "the router must close the connection")
 	})
-	response, body := f.exchange(http.MethodGet, "/unsafe/x", "id")
+	response, body := fixture.exchange(http.MethodGet, "/unsafe/x", "id")
 	require.Equal(t, http.StatusBadGateway, response.StatusCode)
 	require.Empty(t, body)
 	require.Empty(t, response.Header.Get("Response-Signature"))
-	require.Equal(t, []placement.Result{placement.ResultConnectionBroken}, f.placer.pushResults())
+	require.Equal(t, []placement.Result{placement.ResultConnectionBroken}, fixture.placer.pushResults())
 }
 
 // A valid load report in a response is passed on whether the request ran or not. A malformed one, and one in a response to
@@ -158,13 +158,13 @@
 		{serverLoad: "3,x,8"},
 		{serverLoad: "-1,0,8"},
 	} {
-		f := newFixture(t)
+		fixture := newFixture(t)
 		var reported []placement.Load
-		f.router.options.OnLoadReport = func(target *fleetwire.Instance, load placement.Load) {
+		fixture.router.options.OnLoadReport = func(target *fleetwire.Instance, load placement.Load) {
 			require.Equal(t, "plain", target.Service)
 			reported = append(reported, load)
 		}
-		f.addWorker("", func(w http.ResponseWriter, r *http.Request) {
+		fixture.addWorker("", func(w http.ResponseWriter, r *http.Request) {
 			setValidHeader(w, r, "s")
 			w.Header().Set("Server-Load", test.serverLoad)
 			if test.otherRequest {
@@ -175,21 +175,21 @@
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
 		})
-		f.exchange(http.MethodGet, "/unsafe/x", "id")
+		fixture.exchange(http.MethodGet, "/unsafe/x", "id")
 		require.Equal(t, test.reported, reported, "%+v", test)
 	}
 }
 
 func TestSurplusResponsesAreNotRelayed(t *testing.T) {
-	f := newFixture(t)
-	f.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
+	fixture := newFixture(t)
+	fixture.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
 		for request := next(); request != nil; request = next() {
 			id := request.Header.Get("Request-Id")
 			_, _ = io.WriteString(conn, validResponse(id, "body of "+id)+validResponse("surplus", "stray"))
 		}
 	})
 	for _, id := range []string{"one", "two", "three", "four", "five", "six"} {
-		response, body := f.exchange(http.MethodGet, "/safe/x", id)
+		response, body := fixture.exchange(http.MethodGet, "/safe/x", id)
 		if response.StatusCode == http.StatusOK {
 			require.Equal(t, "body of "+id, body)
 		} else {
@@ -209,13 +209,13 @@
 		"silence":         "",
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFixture(t)
-			f.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
+			fixture := newFixture(t)
+			fixture.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
 				if next() != nil {
 					_, _ = io.WriteString(conn, rawResponse)
 				}
 			})
-			response, body := f.exchange(http.MethodGet, "/unsafe/x", "id")
+			response, body := fixture.exchange(http.MethodGet, "/unsafe/x", "id")
 			require.Equal(t, http.StatusBadGateway, response.StatusCode)
 			require.Empty(t, body)
 		})
@@ -223,29 +223,29 @@
 }
 
 func TestTruncatedLargeResponseDoesNotLookComplete(t *testing.T) {
-	f := newFixture(t)
-	f.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
+	fixture := newFixture(t)
+	fixture.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
 		if next() == nil {
 			return
 		}
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nRequest-Id: id\r\nResponse-Signature: s\r\nContent-Length: 3000000\r\n\r\n")
 		_, _ = io.WriteString(conn, strings.Repeat("x", 2000000))
 	})
-	response := f.send(f.newRequest(http.MethodGet, "/safe/x", "id", ""))
+	response := fixture.send(fixture.newRequest(http.MethodGet, "/safe/x", "id", ""))
 	require.Equal(t, http.StatusOK, response.StatusCode)
 	_, err := io.ReadAll(response.Body)
 	require.Error(t, err)
-	require.Len(t, f.placer.pushResults(), 1)
+	require.Len(t, fixture.placer.pushResults(), 1)
 }
 
 func TestLargeResponseIsRelayedWhole(t *testing.T) {
-	f := newFixture(t)
+	fixture := newFixture(t)
 	large := strings.Repeat("0123456789", 300000)
-	f.addWorker("", func(w http.ResponseWriter, r *http.Request) {
+	fixture.addWorker("", func(w http.ResponseWriter, r *http.Request) {
 		setValidHeader(w, r, "s")
 		_, _ = io.WriteString(w, large)
 	})
-	_, body := f.exchange(http.MethodGet, "/safe/x", "id")
+	_, body := fixture.exchange(http.MethodGet, "/safe/x", "id")
 	require.True(t, large == body)
 }
 
@@ -266,17 +266,17 @@
 		"bad request":              {"400 X\r\nResponse-Signature: s", "/unsafe/x", 400, true, placement.ResultServed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFixture(t)
-			f.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
+			fixture := newFixture(t)
+			fixture.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
 				for next() != nil {
 					_, _ = io.WriteString(conn, "HTTP/1.1 "+test.head+"\r\nRequest-Id: id\r\nContent-Length: 1\r\n\r\n!")
 				}
 			})
-			response, body := f.exchange(http.MethodGet, test.path, "id")
+			response, body := fixture.exchange(http.MethodGet, test.path, "id")
 			require.Equal(t, test.status, response.StatusCode)
 			require.Equal(t, test.relayed, response.Header.Get("Response-Signature") == "s")
 			require.Equal(t, test.relayed, body == "!")
-			require.Equal(t, []placement.Result{test.result}, f.placer.pushResults())
+			require.Equal(t, []placement.Result{test.result}, fixture.placer.pushResults())
 		})
 	}
 }
@@ -284,24 +284,24 @@
 // Guards against a retry that takes a late response for its own. If a worker sends a rejection twice, the second one carries
 // the request's ID too, so that a retry on the same connection would take it for its response.
 func TestRetryDoesNotReuseItsConnection(t *testing.T) {
-	f := newFixture(t)
+	fixture := newFixture(t)
 	accepted := make(chan struct{}, 4)
-	address := f.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
+	address := fixture.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
 		accepted <- struct{}{}
 		for next() != nil {
 			_, _ = io.WriteString(conn, "HTTP/1.1 503 X\r\nNot-Executed: 1\r\nRequest-Id: id\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
-	f.addTarget("", address)
-	f.exchange(http.MethodGet, "/unsafe/x", "id")
+	fixture.addTarget("", address)
+	fixture.exchange(http.MethodGet, "/unsafe/x", "id")
 	<-accepted
 	<-accepted
-	require.Equal(t, []placement.Result{placement.ResultNotExecuted, placement.ResultNotExecuted}, f.placer.pushResults())
+	require.Equal(t, []placement.Result{placement.ResultNotExecuted, placement.ResultNotExecuted}, fixture.placer.pushResults())
 }
 
 func TestNoRequestIsLostAtWorkersConnectionLimit(t *testing.T) {
-	f := newFixture(t)
-	f.router.options.Pool = upstream.New(upstream.Options{VerifyMargin: 100 * time.Millisecond}) // to see the reset on a busy machine too
+	fixture := newFixture(t)
+	fixture.router.options.Pool = upstream.New(upstream.Options{VerifyMargin: 100 * time.Millisecond}) // to see the reset on a busy machine too
 	var received requestCounter
 	fullWorker, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -316,17 +316,17 @@
 			_ = conn.Close()
 		}
 	}()
-	f.addTarget("", fullWorker.Addr().String())
-	f.addWorker("", func(w http.ResponseWriter, r *http.Request) {
+	fixture.addTarget("", fullWorker.Addr().String())
+	fixture.addWorker("", func(w http.ResponseWriter, r *http.Request) {
 		received.add(r.Header.Get("Request-Id"))
 		setValidHeader(w, r, "s")
 		_, _ = io.WriteString(w, "ok")
 	})
-	response, body := f.exchange(http.MethodPost, "/unsafe/x", "once")
+	response, body := fixture.exchange(http.MethodPost, "/unsafe/x", "once")
 	require.Equal(t, http.StatusOK, response.StatusCode)
 	require.Equal(t, "ok", body)
 	require.Equal(t, 1, received.count("once"))
-	results := f.placer.pushResults()
+	results := fixture.placer.pushResults()
 	require.Len(t, results, 2)
 	unsentResults := []placement.Result{placement.ResultNotExecuted, placement.ResultConnectFailed}
 	require.Contains(t, unsentResults, results[0], "the reset may come before or after the connection is established")
@@ -334,21 +334,21 @@
 }
 
 func TestFailedConnectionGives503(t *testing.T) {
-	f := newFixture(t)
+	fixture := newFixture(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	f.addTarget("", listener.Addr().String())
+	fixture.addTarget("", listener.Addr().String())
 	require.NoError(t, listener.Close())
-	response, _ := f.exchange(http.MethodPost, "/unsafe/x", "id")
+	response, _ := fixture.exchange(http.MethodPost, "/unsafe/x", "id")
 	require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
-	require.Equal(t, []placement.Result{placement.ResultConnectFailed}, f.placer.pushResults())
+	require.Equal(t, []placement.Result{placement.ResultConnectFailed}, fixture.placer.pushResults())
 }
 
 func TestDeadlineEndsRequest(t *testing.T) {
-	f := newFixture(t)
-	f.addWorker("", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	request := f.newRequest(http.MethodGet, "/unsafe/x", "id", "")
+	fixture := newFixture(t)
+	fixture.addWorker("", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	request := fixture.newRequest(http.MethodGet, "/unsafe/x", "id", "")
 	request.Header.Set("Deadline-Ms", "40")
-	require.Equal(t, http.StatusGatewayTimeout, f.send(request).StatusCode)
-	require.Equal(t, []placement.Result{placement.ResultTimedOut}, f.placer.pushResults())
+	require.Equal(t, http.StatusGatewayTimeout, fixture.send(request).StatusCode)
+	require.Equal(t, []placement.Result{placement.ResultTimedOut}, fixture.placer.pushResults())
 }
--- a/internal/router/generation_test.go
+++ b/internal/router/generation_test.go
@@ -73,11 +73,11 @@
 }
 
 func TestPrefillHandsKVHandleToDecodeWorker(t *testing.T) {
-	f := newFixture(t)
+	fixture := newFixture(t)
 	freed, headers := make(chan string, 1), make(chan http.Header, 1)
-	prefill := f.addWorker(fleetwire.StagePrefill, prefillWorker(freed))
-	decode := f.addWorker(fleetwire.StageDecode, decodeWorker(headers))
-	response := f.send(f.newGenerationRequest("id"))
+	prefill := fixture.addWorker(fleetwire.StagePrefill, prefillWorker(freed))
+	decode := fixture.addWorker(fleetwire.StageDecode, decodeWorker(headers))
+	response := fixture.send(fixture.newGenerationRequest("id"))
 	body, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
 	require.Equal(t, "id: 1\ndata: a\n\n", string(body))
@@ -89,7 +89,7 @@
 	require.Equal(t, "i-"+decode, header.Get("Expected-Instance"))
 	require.NotContains(t, header, "Serving-Stage")
 	require.Empty(t, freed, "a KV handle that was fetched must not be freed")
-	jobs := f.placer.jobs
+	jobs := fixture.placer.jobs
 	require.Len(t, jobs, 2)
 	require.Equal(t, fleetwire.StagePrefill, jobs[0].Stage)
 	require.True(t, jobs[0].Repeatable)
@@ -102,13 +102,13 @@
 }
 
 func TestRejectedKVHandleIsOfferedTwiceThenFreed(t *testing.T) {
-	f := newFixture(t)
+	fixture := newFixture(t)
 	freed, headers := make(chan string, 1), make(chan http.Header, 3)
-	f.addWorker(fleetwire.StagePrefill, prefillWorker(freed))
-	f.addWorker(fleetwire.StageDecode, rejectingDecodeWorker(headers))
-	f.addWorker(fleetwire.StageDecode, rejectingDecodeWorker(headers))
-	f.addWorker(fleetwire.StageDecode, decodeWorker(headers))
-	body, err := io.ReadAll(f.send(f.newGenerationRequest("id")).Body)
+	fixture.addWorker(fleetwire.StagePrefill, prefillWorker(freed))
+	fixture.addWorker(fleetwire.StageDecode, rejectingDecodeWorker(headers))
+	fixture.addWorker(fleetwire.StageDecode, rejectingDecodeWorker(headers))
+	fixture.addWorker(fleetwire.StageDecode, decodeWorker(headers))
+	body, err := io.ReadAll(fixture.send(fixture.newGenerationRequest("id")).Body)
 	require.NoError(t, err)
 	require.NotEmpty(t, body)
 	require.NotEmpty(t, receive(t, headers).Get("Kv-From"))
@@ -126,41 +126,41 @@
 		"prefill breaks":   {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFixture(t)
+			fixture := newFixture(t)
 			headers := make(chan http.Header, 1)
-			f.addWorker(fleetwire.StagePrefill, test.prefill)
-			f.addWorker(fleetwire.StageDecode, decodeWorker(headers))
-			f.send(f.newGenerationRequest("id"))
+			fixture.addWorker(fleetwire.StagePrefill, test.prefill)
+			fixture.addWorker(fleetwire.StageDecode, decodeWorker(headers))
+			fixture.send(fixture.newGenerationRequest("id"))
 			receive(t, headers)
-			require.Len(t, f.placer.jobs, 2)
-			require.True(t, f.placer.jobs[0].FirstPushFree)
-			require.Equal(t, test.firstPushFree, f.placer.jobs[1].FirstPushFree, "a prefill that broke must count as an arrival")
+			require.Len(t, fixture.placer.jobs, 2)
+			require.True(t, fixture.placer.jobs[0].FirstPushFree)
+			require.Equal(t, test.firstPushFree, fixture.placer.jobs[1].FirstPushFree, "a prefill that broke must count as an arrival")
 		})
 	}
 }
 
 func TestKVHandleIsFreedWhenDecodeIsRefused(t *testing.T) {
-	f := newFixture(t)
+	fixture := newFixture(t)
 	freed, headers := make(chan string, 1), make(chan http.Header, 3)
-	f.addWorker(fleetwire.StagePrefill, prefillWorker(freed))
-	f.addWorker(fleetwire.StageDecode, rejectingDecodeWorker(headers))
-	response := f.send(f.newGenerationRequest("id"))
+	fixture.addWorker(fleetwire.StagePrefill, prefillWorker(freed))
+	fixture.addWorker(fleetwire.StageDecode, rejectingDecodeWorker(headers))
+	response := fixture.send(fixture.newGenerationRequest("id"))
 	require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
 	require.NotEmpty(t, response.Header.Get("Retry-After"))
 	require.Equal(t, "h-id", receive(t, freed))
 }
 
 func TestKVHandleIsFreedWhenClientDisconnects(t *testing.T) {
-	f := newFixture(t)
+	fixture := newFixture(t)
 	freed, started := make(chan string, 1), make(chan struct{})
-	f.addWorker(fleetwire.StagePrefill, prefillWorker(freed))
-	f.addWorker(fleetwire.StageDecode, func(_ http.ResponseWriter, r *http.Request) {
+	fixture.addWorker(fleetwire.StagePrefill, prefillWorker(freed))
+	fixture.addWorker(fleetwire.StageDecode, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body) // net/http detects a closed connection only after the body is read
 		close(started)
 		<-r.Context().Done()
 	})
 	ctx, disconnect := context.WithCancel(context.Background())
-	request := f.newGenerationRequest("id").WithContext(ctx)
+	request := fixture.newGenerationRequest("id").WithContext(ctx)
 	go func() {
 		<-started
 		disconnect()
@@ -171,30 +171,30 @@
 }
 
 func TestDecodeWorkerProcessesPromptWithoutPrefill(t *testing.T) {
-	for name, prepare := range map[string]func(f *fixture){
+	for name, prepare := range map[string]func(fixture *fixture){
 		"no prefill worker": func(*fixture) {},
-		"prefill breaks": func(f *fixture) {
-			f.addWorker(fleetwire.StagePrefill, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+		"prefill breaks": func(fixture *fixture) {
+			fixture.addWorker(fleetwire.StagePrefill, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 		},
-		"prefill fails": func(f *fixture) {
-			f.addWorker(fleetwire.StagePrefill, func(w http.ResponseWriter, r *http.Request) {
+		"prefill fails": func(fixture *fixture) {
+			fixture.addWorker(fleetwire.StagePrefill, func(w http.ResponseWriter, r *http.Request) {
 				w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
 				w.WriteHeader(http.StatusInternalServerError)
 			})
 		},
-		"handle of another request": func(f *fixture) {
-			f.addWorker(fleetwire.StagePrefill, func(w http.ResponseWriter, _ *http.Request) {
+		"handle of another request": func(fixture *fixture) {
+			fixture.addWorker(fleetwire.StagePrefill, func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set("Request-Id", "another")
 				_, _ = io.WriteString(w, `{"KvHandle":"theirs","Tokens":1,"Version":1}`)
 			})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFixture(t)
+			fixture := newFixture(t)
 			headers := make(chan http.Header, 1)
-			prepare(f)
-			f.addWorker(fleetwire.StageDecode, decodeWorker(headers))
-			response := f.send(f.newGenerationRequest("id"))
+			prepare(fixture)
+			fixture.addWorker(fleetwire.StageDecode, decodeWorker(headers))
+			response := fixture.send(fixture.newGenerationRequest("id"))
 			require.Equal(t, http.StatusOK, response.StatusCode)
 			require.NotContains(t, receive(t, headers), "Kv-From")
 		})
@@ -202,13 +202,13 @@
 }
 
 func TestPromptOfUnknownSizeSkipsPrefill(t *testing.T) {
-	f := newFixture(t)
+	fixture := newFixture(t)
 	headers := make(chan http.Header, 1)
-	f.addWorker(fleetwire.StagePrefill, func(http.ResponseWriter, *http.Request) { f.t.Error("the prefill worker was called") })
-	f.addWorker(fleetwire.StageDecode, decodeWorker(headers))
-	request := f.newGenerationRequest("id")
+	fixture.addWorker(fleetwire.StagePrefill, func(http.ResponseWriter, *http.Request) { fixture.t.Error("the prefill worker was called") })
+	fixture.addWorker(fleetwire.StageDecode, decodeWorker(headers))
+	request := fixture.newGenerationRequest("id")
 	request.Header.Del("Token-Count")
-	response := f.send(request)
+	response := fixture.send(request)
 	require.Equal(t, http.StatusOK, response.StatusCode)
 	require.NotContains(t, receive(t, headers), "Kv-From")
 }
@@ -223,13 +223,13 @@
 }
 
 func TestFurtherPrefillAttemptsReduceMaxRuns(t *testing.T) {
-	f := newFixture(t)
+	fixture := newFixture(t)
 	headers := make(chan http.Header, 1)
 	for range 2 {
-		f.addWorker(fleetwire.StagePrefill, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+		fixture.addWorker(fleetwire.StagePrefill, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	}
-	f.addWorker(fleetwire.StageDecode, decodeWorker(headers))
-	require.Equal(t, http.StatusOK, f.send(f.newGenerationRequest("id")).StatusCode)
-	require.Equal(t, 2, f.placer.jobs[1].MaxRuns, fmt.Sprint(f.placer.pushResults()))
-	require.Zero(t, f.placer.jobs[1].Runs)
+	fixture.addWorker(fleetwire.StageDecode, decodeWorker(headers))
+	require.Equal(t, http.StatusOK, fixture.send(fixture.newGenerationRequest("id")).StatusCode)
+	require.Equal(t, 2, fixture.placer.jobs[1].MaxRuns, fmt.Sprint(fixture.placer.pushResults()))
+	require.Zero(t, fixture.placer.jobs[1].Runs)
 }
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -86,14 +86,14 @@
 
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	f := &fixture{t: t, placer: &fakePlacer{targets: map[string][]fleetwire.Instance{}}}
+	fixture := &fixture{t: t, placer: &fakePlacer{targets: map[string][]fleetwire.Instance{}}}
 	plainSplit := []fleetwire.WeightedService{{Service: "plain", Weight: 1}}
 	engineSplit := []fleetwire.WeightedService{{Service: "engine", Weight: 1}}
 	streamRoute := func(name string, split []fleetwire.WeightedService, resumable bool) fleetwire.Route {
 		return fleetwire.Route{Name: name, Hostname: "a.example", PathPrefix: "/" + name + "/", RouteType: "streaming", TimeoutMs: 8000,
 			Priority: 3, Split: split, MaxAttempts: 3, Resumable: resumable}
 	}
-	f.config = &fleetwire.Config{
+	fixture.config = &fleetwire.Config{
 		Version: 1,
 		Routes: []fleetwire.Route{
 			{Name: "unsafe", Hostname: "a.example", PathPrefix: "/unsafe/", RouteType: "unsafe", TimeoutMs: 8000, Split: plainSplit, MaxAttempts: 3},
@@ -108,11 +108,11 @@
 		},
 		Limits: fleetwire.Limits{MaxHeaderBytes: 4096, MaxBodyBytes: 1000, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000},
 	}
-	f.router = New(Options{Placer: f.placer, Pool: upstream.New(upstream.Options{})})
-	f.server = httptest.NewServer(f.router)
-	t.Cleanup(f.server.Close)
-	f.update()
-	return f
+	fixture.router = New(Options{Placer: fixture.placer, Pool: upstream.New(upstream.Options{})})
+	fixture.server = httptest.NewServer(fixture.router)
+	t.Cleanup(fixture.server.Close)
+	fixture.update()
+	return fixture
 }
 
 // update applies the configuration and all targets to the router.
--- a/internal/router/ingress_test.go
+++ b/internal/router/ingress_test.go
@@ -89,50 +89,50 @@
 }
 
 func TestErrorResponsesOfRouter(t *testing.T) {
-	f := newFixture(t)
-	response, _ := f.exchange(http.MethodGet, "/none/x", "id-1")
+	fixture := newFixture(t)
+	response, _ := fixture.exchange(http.MethodGet, "/none/x", "id-1")
 	require.Equal(t, http.StatusNotFound, response.StatusCode)
-	response = f.send(f.newRequest(http.MethodPost, "/safe/x", "id-2", strings.Repeat("x", 1001)))
+	response = fixture.send(fixture.newRequest(http.MethodPost, "/safe/x", "id-2", strings.Repeat("x", 1001)))
 	require.Equal(t, http.StatusRequestEntityTooLarge, response.StatusCode)
-	chunked := f.newRequest(http.MethodPost, "/safe/x", "id-3", "")
+	chunked := fixture.newRequest(http.MethodPost, "/safe/x", "id-3", "")
 	chunked.Body, chunked.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", 1001))), -1
-	require.Equal(t, http.StatusRequestEntityTooLarge, f.send(chunked).StatusCode)
-	long := f.newRequest(http.MethodGet, "/safe/x", "id-4", "")
+	require.Equal(t, http.StatusRequestEntityTooLarge, fixture.send(chunked).StatusCode)
+	long := fixture.newRequest(http.MethodGet, "/safe/x", "id-4", "")
 	long.Header.Set("Long", strings.Repeat("x", 5000))
-	require.Equal(t, http.StatusRequestHeaderFieldsTooLarge, f.send(long).StatusCode)
-	response, _ = f.exchange(http.MethodGet, "/safe/x", "id-5") // the service has no workers
+	require.Equal(t, http.StatusRequestHeaderFieldsTooLarge, fixture.send(long).StatusCode)
+	response, _ = fixture.exchange(http.MethodGet, "/safe/x", "id-5") // the service has no workers
 	require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
 	require.Equal(t, "0.25", response.Header.Get("Retry-After"))
 	require.Empty(t, response.Header.Get("Date"))
 }
 
 func TestNothingIsReadyOrServedWithoutSnapshot(t *testing.T) {
-	f := newFixture(t)
-	router := New(Options{Placer: f.placer})
+	fixture := newFixture(t)
+	router := New(Options{Placer: fixture.placer})
 	require.False(t, router.Ready())
-	f.router = router
-	f.server.Config.Handler = router
-	response, _ := f.exchange(http.MethodGet, "/safe/x", "id-1")
+	fixture.router = router
+	fixture.server.Config.Handler = router
+	response, _ := fixture.exchange(http.MethodGet, "/safe/x", "id-1")
 	require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
-	router.Update(&watch.Snapshot{Version: fleetwire.Version{ConfigRevision: 2}, Config: f.config})
+	router.Update(&watch.Snapshot{Version: fleetwire.Version{ConfigRevision: 2}, Config: fixture.config})
 	require.False(t, router.Ready(), "an instance list is needed too")
-	newer := &watch.Snapshot{Version: fleetwire.Version{ConfigRevision: 2, Instances: fleetwire.ListVersion{Token: 1}}, Config: f.config}
+	newer := &watch.Snapshot{Version: fleetwire.Version{ConfigRevision: 2, Instances: fleetwire.ListVersion{Token: 1}}, Config: fixture.config}
 	router.Update(newer)
 	require.True(t, router.Ready())
-	router.Update(&watch.Snapshot{Version: fleetwire.Version{ConfigRevision: 1, Instances: fleetwire.ListVersion{Token: 9}}, Config: f.config})
+	router.Update(&watch.Snapshot{Version: fleetwire.Version{ConfigRevision: 1, Instances: fleetwire.ListVersion{Token: 9}}, Config: fixture.config})
 	require.Same(t, newer, router.view.Load().snapshot, "a snapshot with an older configuration must be ignored")
 	router.beginShutdown(time.Now())
 	require.False(t, router.Ready())
 }
 
 func TestRequestAndResponsePassUnchanged(t *testing.T) {
-	f := newFixture(t)
+	fixture := newFixture(t)
 	type receivedRequest struct {
 		request *http.Request
 		body    string
 	}
 	received := make(chan receivedRequest, 1)
-	address := f.addWorker("", func(w http.ResponseWriter, r *http.Request) {
+	address := fixture.addWorker("", func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		received <- receivedRequest{r, string(body)}
 		setValidHeader(w, r, "stamp")
@@ -141,7 +141,7 @@
 		w.WriteHeader(http.StatusAccepted)
 		_, _ = io.WriteString(w, "<html>bytes")
 	})
-	request := f.newRequest("PATCH", "/unsafe/a%2Fb/../c?x=%20&y", "id-7", "payload")
+	request := fixture.newRequest("PATCH", "/unsafe/a%2Fb/../c?x=%20&y", "id-7", "payload")
 	request.URL.Opaque = "/unsafe/a%2Fb/../c"
 	request.Header.Set("Other", "kept")
 	request.Header.Set("Connection", "Secret")
@@ -149,7 +149,7 @@
 	request.Header.Set("Kv-From", "1.2.3.4:5/x")
 	request.Header.Set("Serving-Stage", "prefill")
 	request.Header["User-Agent"] = nil
-	response := f.send(request)
+	response := fixture.send(request)
 	body, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusAccepted, response.StatusCode)
@@ -179,14 +179,14 @@
 }
 
 func TestClientDisconnectEndsPush(t *testing.T) {
-	f := newFixture(t)
+	fixture := newFixture(t)
 	started, closed := make(chan struct{}), make(chan struct{})
-	f.addWorker("", func(_ http.ResponseWriter, r *http.Request) {
+	fixture.addWorker("", func(_ http.ResponseWriter, r *http.Request) {
 		close(started)
 		<-r.Context().Done()
 		close(closed)
 	})
-	client, err := net.Dial("tcp", f.server.Listener.Addr().String())
+	client, err := net.Dial("tcp", fixture.server.Listener.Addr().String())
 	require.NoError(t, err)
 	_, err = io.WriteString(client, "GET /unsafe/x HTTP/1.1\r\nHost: a.example\r\nRequest-Id: id\r\nDeadline-Ms: 5000\r\n\r\n")
 	require.NoError(t, err)
@@ -200,10 +200,10 @@
 }
 
 func TestDrainingWorkerGetsNoRequest(t *testing.T) {
-	f := newFixture(t)
-	f.addWorker("", func(http.ResponseWriter, *http.Request) { t.Error("the worker was called") })
-	f.placer.ready = func() bool { return false }
-	response, _ := f.exchange(http.MethodGet, "/unsafe/x", "id")
+	fixture := newFixture(t)
+	fixture.addWorker("", func(http.ResponseWriter, *http.Request) { t.Error("the worker was called") })
+	fixture.placer.ready = func() bool { return false }
+	response, _ := fixture.exchange(http.MethodGet, "/unsafe/x", "id")
 	require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
-	require.Equal(t, []placement.Result{placement.ResultNotExecuted}, f.placer.pushResults())
+	require.Equal(t, []placement.Result{placement.ResultNotExecuted}, fixture.placer.pushResults())
 }
--- a/internal/router/observations_test.go
+++ b/internal/router/observations_test.go
@@ -67,36 +67,36 @@
 }
 
 func TestPushResultIsRecorded(t *testing.T) {
-	f := newFixture(t)
-	address := f.addWorker("", func(w http.ResponseWriter, r *http.Request) {
+	fixture := newFixture(t)
+	address := fixture.addWorker("", func(w http.ResponseWriter, r *http.Request) {
 		setValidHeader(w, r, "s")
 		w.WriteHeader(http.StatusInternalServerError)
 	})
-	f.exchange(http.MethodPost, "/unsafe/x", "r1")
-	require.Equal(t, map[string]evidence.Kind{"i-" + address: evidence.Failed}, polledKinds(f.router.observations))
+	fixture.exchange(http.MethodPost, "/unsafe/x", "r1")
+	require.Equal(t, map[string]evidence.Kind{"i-" + address: evidence.Failed}, polledKinds(fixture.router.observations))
 }
 
 func TestOwnConnectionLimitIsNotRecorded(t *testing.T) {
-	f := newFixture(t)
-	f.config.Services[0].MaxConnections = 1
+	fixture := newFixture(t)
+	fixture.config.Services[0].MaxConnections = 1
 	entered, release := make(chan struct{}), make(chan struct{})
-	f.addWorker("", func(w http.ResponseWriter, r *http.Request) {
+	fixture.addWorker("", func(w http.ResponseWriter, r *http.Request) {
 		close(entered)
 		<-release
 		setValidHeader(w, r, "s")
 	})
 	first := make(chan int, 1)
 	go func() {
-		response, _ := f.exchange(http.MethodPost, "/unsafe/x", "r1")
+		response, _ := fixture.exchange(http.MethodPost, "/unsafe/x", "r1")
 		first <- response.StatusCode
 	}()
 	<-entered
-	second, _ := f.exchange(http.MethodPost, "/unsafe/x", "r2")
+	second, _ := fixture.exchange(http.MethodPost, "/unsafe/x", "r2")
 	require.Equal(t, http.StatusServiceUnavailable, second.StatusCode)
-	require.Equal(t, []placement.Result{placement.ResultNotExecuted}, f.placer.pushResults())
+	require.Equal(t, []placement.Result{placement.ResultNotExecuted}, fixture.placer.pushResults())
 	close(release)
 	require.Equal(t, http.StatusOK, <-first)
-	require.Empty(t, polledKinds(f.router.observations))
+	require.Empty(t, polledKinds(fixture.router.observations))
 }
 
 func TestGaveUpWaiting(t *testing.T) {
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -97,9 +97,9 @@
 
 // startShutdownFixture starts a router that refuses each request after the delay.
 func startShutdownFixture(delay time.Duration) *shutdownFixture {
-	f := &shutdownFixture{clientListener: newPipeListener(), probeListener: newPipeListener(), done: make(chan struct{})}
-	f.router = New(Options{Placer: slowPlacer{delay}, Pool: nil, Log: zap.NewNop()})
-	f.router.Update(&watch.Snapshot{
+	fixture := &shutdownFixture{clientListener: newPipeListener(), probeListener: newPipeListener(), done: make(chan struct{})}
+	fixture.router = New(Options{Placer: slowPlacer{delay}, Pool: nil, Log: zap.NewNop()})
+	fixture.router.Update(&watch.Snapshot{
 		Version: fleetwire.Version{ConfigRevision: 1, Instances: fleetwire.ListVersion{Token: 1}},
 		Config: &fleetwire.Config{
 			Routes: []fleetwire.Route{{Hostname: "a.example", PathPrefix: "/a/", TimeoutMs: 60000, RouteType: "unsafe",
@@ -107,11 +107,11 @@
 			Services: []fleetwire.Service{{Name: "s"}},
 		},
 	})
-	f.clientServer = f.router.newClientServer()
-	f.probeServer = &http.Server{Handler: f.router.ReadinessHandler()}
-	go func() { _ = f.clientServer.Serve(f.clientListener) }()
-	go func() { _ = f.probeServer.Serve(f.probeListener) }()
-	return f
+	fixture.clientServer = fixture.router.newClientServer()
+	fixture.probeServer = &http.Server{Handler: fixture.router.ReadinessHandler()}
+	go func() { _ = fixture.clientServer.Serve(fixture.clientListener) }()
+	go func() { _ = fixture.probeServer.Serve(fixture.probeListener) }()
+	return fixture
 }
 
 // shutDown starts the shutdown in a goroutine and waits until all goroutines are blocked.
@@ -125,23 +125,23 @@
 
 func TestShutdownSteps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := startShutdownFixture(4 * time.Second)
-		require.Equal(t, http.StatusOK, sendGet(f.probeListener.dial(), "/ready").StatusCode)
+		fixture := startShutdownFixture(4 * time.Second)
+		require.Equal(t, http.StatusOK, sendGet(fixture.probeListener.dial(), "/ready").StatusCode)
 		inFlight := make(chan *http.Response, 1)
-		go func() { inFlight <- sendGet(f.clientListener.dial(), "/a/x") }()
+		go func() { inFlight <- sendGet(fixture.clientListener.dial(), "/a/x") }()
 		synctest.Wait()
 		started := time.Now()
-		f.shutDown(newShutdownSchedule(8 * time.Second))
-		require.Equal(t, http.StatusServiceUnavailable, sendGet(f.probeListener.dial(), "/ready").StatusCode, "the router must become not ready at once")
+		fixture.shutDown(newShutdownSchedule(8 * time.Second))
+		require.Equal(t, http.StatusServiceUnavailable, sendGet(fixture.probeListener.dial(), "/ready").StatusCode, "the router must become not ready at once")
 		time.Sleep(2 * time.Second)
 		// The platform sends new clients until the readiness probes have failed for two seconds, so new connections are still served.
-		late := sendGet(f.clientListener.dial(), "/none/x")
+		late := sendGet(fixture.clientListener.dial(), "/none/x")
 		require.Equal(t, http.StatusNotFound, late.StatusCode)
 		require.True(t, late.Close, "the response must close the connection")
-		<-f.clientListener.closed
+		<-fixture.clientListener.closed
 		require.Equal(t, 2500*time.Millisecond, time.Since(started).Round(100*time.Millisecond))
 		require.Equal(t, http.StatusServiceUnavailable, (<-inFlight).StatusCode, "a request that was read must get a response")
-		<-f.done
+		<-fixture.done
 		require.Less(t, time.Since(started), 6*time.Second)
 	})
 }
@@ -150,14 +150,14 @@
 // process exited.
 func TestDrainRefusesRequestsThatMayOutlastShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := startShutdownFixture(6 * time.Second)
-		f.shutDown(newShutdownSchedule(8 * time.Second))
+		fixture := startShutdownFixture(6 * time.Second)
+		fixture.shutDown(newShutdownSchedule(8 * time.Second))
 		time.Sleep(2 * time.Second)
-		response := sendGet(f.clientListener.dial(), "/a/x") // without Deadline-Ms, its deadline is the route timeout of a minute
+		response := sendGet(fixture.clientListener.dial(), "/a/x") // without Deadline-Ms, its deadline is the route timeout of a minute
 		require.NotNil(t, response, "the connection was closed without a response")
 		require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
 		require.True(t, response.Close)
-		<-f.done
+		<-fixture.done
 	})
 }
 
@@ -174,9 +174,9 @@
 // A request whose deadline is before the abort time is served until the end of the drain.
 func TestDrainServesRequestsThatEndInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := startShutdownFixture(time.Second)
-		f.shutDown(newShutdownSchedule(8 * time.Second))
-		conn := f.clientListener.dial()
+		fixture := startShutdownFixture(time.Second)
+		fixture.shutDown(newShutdownSchedule(8 * time.Second))
+		conn := fixture.clientListener.dial()
 		started := time.Now()
 		_, err := io.WriteString(conn, "GET /a/x HTTP/1.1\r\nHost: a.example\r\nRequest-Id: id\r\nDeadline-Ms: 2500\r\n\r\n")
 		require.NoError(t, err)
@@ -184,24 +184,24 @@
 		require.NoError(t, err)
 		require.Equal(t, http.StatusServiceUnavailable, response.StatusCode, "the response must come from slowPlacer")
 		require.Equal(t, time.Second, time.Since(started), "the request must reach the placer")
-		<-f.done
+		<-fixture.done
 	})
 }
 
 func TestAbortedRequestsGetResponsesWithinGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const grace = 8 * time.Second
-		f := startShutdownFixture(time.Hour)
+		fixture := startShutdownFixture(time.Hour)
 		aborted := make(chan *http.Response, 1)
-		go func() { aborted <- sendGet(f.clientListener.dial(), "/a/x") }()
+		go func() { aborted <- sendGet(fixture.clientListener.dial(), "/a/x") }()
 		synctest.Wait()
 		started := time.Now()
-		f.shutDown(newShutdownSchedule(grace))
+		fixture.shutDown(newShutdownSchedule(grace))
 		response := <-aborted
 		require.NotNil(t, response, "the connection was closed without a response")
 		require.Equal(t, http.StatusServiceUnavailable, response.StatusCode, "no worker has received the request")
 		require.Equal(t, 7600*time.Millisecond, time.Since(started).Round(100*time.Millisecond))
-		<-f.done
+		<-fixture.done
 		require.Less(t, time.Since(started), grace)
 	})
 }
@@ -210,13 +210,13 @@
 func TestShutdownLogsAbortedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, logged := observer.New(zap.InfoLevel)
-		f := startShutdownFixture(time.Hour)
-		f.router.options.Log = zap.New(core)
-		go func() { _ = sendGet(f.clientListener.dial(), "/a/x") }()
+		fixture := startShutdownFixture(time.Hour)
+		fixture.router.options.Log = zap.New(core)
+		go func() { _ = sendGet(fixture.clientListener.dial(), "/a/x") }()
 		synctest.Wait()
-		f.shutDown(newShutdownSchedule(8 * time.Second))
-		_ = sendGet(f.clientListener.dial(), "/a/x")
-		<-f.done
+		fixture.shutDown(newShutdownSchedule(8 * time.Second))
+		_ = sendGet(fixture.clientListener.dial(), "/a/x")
+		<-fixture.done
 		abortLines := logged.FilterMessage("request ended with the process").All()
 		require.Len(t, abortLines, 1)
 		require.Equal(t, "id", abortLines[0].ContextMap()["request"])
@@ -230,8 +230,8 @@
 // the next request on the same connection.
 func TestWriteDeadlineDoesNotAffectNextRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := startShutdownFixture(10 * time.Millisecond)
-		conn := f.clientListener.dial()
+		fixture := startShutdownFixture(10 * time.Millisecond)
+		conn := fixture.clientListener.dial()
 		reader := bufio.NewReader(conn)
 		exchange := func(path string) *http.Response {
 			head := "GET " + path + " HTTP/1.1\r\nHost: a.example\r\nRequest-Id: id\r\nDeadline-Ms: 100\r\n\r\n"
@@ -250,7 +250,7 @@
 		require.NotNil(t, second, "the connection was closed without a response")
 		require.Equal(t, http.StatusNotFound, second.StatusCode)
 		_ = conn.Close()
-		f.shutDown(newShutdownSchedule(time.Second))
-		<-f.done
+		fixture.shutDown(newShutdownSchedule(time.Second))
+		<-fixture.done
 	})
 }
--- a/internal/router/stream_test.go
+++ b/internal/router/stream_test.go
@@ -26,9 +26,9 @@
 }
 
 func TestEventsAreRelayedWithoutDelay(t *testing.T) {
-	f := newFixture(t)
+	fixture := newFixture(t)
 	firstRelayed := make(chan struct{})
-	f.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
+	fixture.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
 		writeStreamHead(conn, next().Header.Get("Request-Id"), "s")
 		writeChunk(conn, "id: 1\ndata: a\n\nid: 2\nda")
 		<-firstRelayed
@@ -36,7 +36,7 @@
 		writeChunk(conn, "")
 		next()
 	})
-	response := f.send(f.newRequest(http.MethodPost, "/stream/x", "id", "prompt"))
+	response := fixture.send(fixture.newRequest(http.MethodPost, "/stream/x", "id", "prompt"))
 	require.Equal(t, "text/event-stream", response.Header.Get("Content-Type"))
 	reader := bufio.NewReader(response.Body)
 	for _, want := range []string{"id: 1\n", "data: a\n", "\n"} {
@@ -51,39 +51,39 @@
 }
 
 func TestBrokenStreamDoesNotLookComplete(t *testing.T) {
-	f := newFixture(t)
+	fixture := newFixture(t)
 	for range 2 { // the second worker must get no request
-		f.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
+		fixture.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
 			writeStreamHead(conn, next().Header.Get("Request-Id"), "s")
 			writeChunk(conn, "id: 1\ndata: a\n\nid: 2\nda")
 		})
 	}
-	response := f.send(f.newRequest(http.MethodPost, "/stream/x", "id", ""))
+	response := fixture.send(fixture.newRequest(http.MethodPost, "/stream/x", "id", ""))
 	body, err := io.ReadAll(response.Body)
 	require.Error(t, err)
 	require.Equal(t, "id: 1\ndata: a\n\n", string(body))
-	require.Equal(t, []placement.Result{placement.ResultConnectionBroken}, f.placer.pushResults())
+	require.Equal(t, []placement.Result{placement.ResultConnectionBroken}, fixture.placer.pushResults())
 }
 
 func TestStreamBrokenBeforeFirstEventGives502(t *testing.T) {
-	f := newFixture(t)
-	f.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
+	fixture := newFixture(t)
+	fixture.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
 		writeStreamHead(conn, next().Header.Get("Request-Id"), "s")
 		writeChunk(conn, "id: 1\nda")
 	})
-	response, body := f.exchange(http.MethodPost, "/stream/x", "id")
+	response, body := fixture.exchange(http.MethodPost, "/stream/x", "id")
 	require.Equal(t, http.StatusBadGateway, response.StatusCode)
 	require.Empty(t, body)
 }
 
 func TestResumableStreamContinuesAtAnotherWorker(t *testing.T) {
-	f := newFixture(t)
+	fixture := newFixture(t)
 	resumedAt := make(chan string, 1)
-	f.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
+	fixture.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
 		writeStreamHead(conn, next().Header.Get("Request-Id"), "first")
 		writeChunk(conn, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n")
 	})
-	f.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
+	fixture.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
 		request := next()
 		resumedAt <- request.Header.Get("Last-Event-Id")
 		writeStreamHead(conn, request.Header.Get("Request-Id"), "second")
@@ -92,19 +92,19 @@
 		writeChunk(conn, "")
 		next()
 	})
-	response, body := f.exchange(http.MethodPost, "/resume/x", "id")
+	response, body := fixture.exchange(http.MethodPost, "/resume/x", "id")
 	require.Equal(t, "first", response.Header.Get("Response-Signature"))
 	require.Equal(t, "2", <-resumedAt)
 	require.Equal(t, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\nid: 4\ndata: d\n\n", body)
-	require.Equal(t, []placement.Result{placement.ResultConnectionBroken, placement.ResultServed}, f.placer.pushResults())
+	require.Equal(t, []placement.Result{placement.ResultConnectionBroken, placement.ResultServed}, fixture.placer.pushResults())
 }
 
 func TestResumableStreamBrokenBeforeFirstEventRestarts(t *testing.T) {
-	f := newFixture(t)
-	f.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
+	fixture := newFixture(t)
+	fixture.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
 		writeStreamHead(conn, next().Header.Get("Request-Id"), "first")
 	})
-	f.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
+	fixture.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
 		request := next()
 		require.NotContains(t, request.Header, "Last-Event-Id")
 		writeStreamHead(conn, request.Header.Get("Request-Id"), "second")
@@ -112,39 +112,39 @@
 		writeChunk(conn, "")
 		next()
 	})
-	response, body := f.exchange(http.MethodPost, "/resume/x", "id")
+	response, body := fixture.exchange(http.MethodPost, "/resume/x", "id")
 	require.Equal(t, "second", response.Header.Get("Response-Signature"), "the head and the body must come from the same run")
 	require.Equal(t, "id: 1\ndata: a\n\n", body)
 }
 
 func TestResumableStreamIsAbortedIfNoWorkerResumesIt(t *testing.T) {
-	f := newFixture(t)
-	f.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
+	fixture := newFixture(t)
+	fixture.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
 		writeStreamHead(conn, next().Header.Get("Request-Id"), "first")
 		writeChunk(conn, "id: 1\ndata: a\n\n")
 	})
-	f.addWorker("", func(w http.ResponseWriter, r *http.Request) {
+	fixture.addWorker("", func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
 		w.WriteHeader(http.StatusInternalServerError)
 	})
-	response := f.send(f.newRequest(http.MethodPost, "/resume/x", "id", ""))
+	response := fixture.send(fixture.newRequest(http.MethodPost, "/resume/x", "id", ""))
 	body, err := io.ReadAll(response.Body)
 	require.Error(t, err)
 	require.Equal(t, "id: 1\ndata: a\n\n", string(body))
 }
 
 func TestRejectedResumptionIsNotRelayed(t *testing.T) {
-	f := newFixture(t)
-	f.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
+	fixture := newFixture(t)
+	fixture.addRawWorker("", func(conn net.Conn, next func() *http.Request) {
 		writeStreamHead(conn, next().Header.Get("Request-Id"), "first")
 		writeChunk(conn, "id: 1\ndata: a\n\n")
 	})
-	f.addWorker("", func(w http.ResponseWriter, r *http.Request) {
+	fixture.addWorker("", func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
 		w.Header().Set("Not-Executed", "full")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	response := f.send(f.newRequest(http.MethodPost, "/resume/x", "id", ""))
+	response := fixture.send(fixture.newRequest(http.MethodPost, "/resume/x", "id", ""))
 	_, err := io.ReadAll(response.Body)
 	require.Error(t, err)
 }
