--- a/coordination/lease/simulation_test.go
+++ b/coordination/lease/simulation_test.go
@@ -48,18 +48,18 @@
 
 func newSimulation(t *rapid.T) *simulation {
 	seed := rapid.Uint64().Draw(t, "seed")
-	s := &simulation{random: rand.New(rand.NewPCG(seed, 1)), members: make(map[string]*simulatedMember)}
-	s.blockedUntil = make(map[[2]string]time.Duration)
+	sim := &simulation{random: rand.New(rand.NewPCG(seed, 1)), members: make(map[string]*simulatedMember)}
+	sim.blockedUntil = make(map[[2]string]time.Duration)
 	count := rapid.SampledFrom([]int{3, 5}).Draw(t, "members")
 	for i := range count {
 		address := "m" + strconv.Itoa(i)
-		s.voters = append(s.voters, address)
-		s.members[address] = &simulatedMember{offset: time.Duration(s.draw(0, 5000)) * time.Millisecond}
+		sim.voters = append(sim.voters, address)
+		sim.members[address] = &simulatedMember{offset: time.Duration(sim.draw(0, 5000)) * time.Millisecond}
 	}
-	for _, address := range s.voters {
-		s.start(address, true)
+	for _, address := range sim.voters {
+		sim.start(address, true)
 	}
-	return s
+	return sim
 }
 
 // draw returns a random number from low to high, both included.
@@ -190,13 +190,13 @@
 
 func TestAtMostOneHolderActsAndTokensRise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newSimulation(t)
+		sim := newSimulation(t)
 		highest := uint64(0)
 		for number := range 1500 {
-			s.injectFault()
-			s.step(number)
-			tokens := s.heldTokens()
-			require.LessOrEqual(t, len(tokens), 1, "holders at %v", s.now)
+			sim.injectFault()
+			sim.step(number)
+			tokens := sim.heldTokens()
+			require.LessOrEqual(t, len(tokens), 1, "holders at %v", sim.now)
 			if len(tokens) == 1 {
 				require.GreaterOrEqual(t, tokens[0], highest)
 				highest = tokens[0]
@@ -207,28 +207,28 @@
 
 func TestGroupElectsHolderAfterFaultsEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newSimulation(t)
+		sim := newSimulation(t)
 		number := 0
-		for range s.draw(0, 800) {
-			s.injectFault()
-			s.step(number)
+		for range sim.draw(0, 800) {
+			sim.injectFault()
+			sim.step(number)
 			number++
 		}
-		s.reliable = true
-		clear(s.blockedUntil)
-		for _, address := range s.voters {
-			member := s.members[address]
+		sim.reliable = true
+		clear(sim.blockedUntil)
+		for _, address := range sim.voters {
+			member := sim.members[address]
 			member.isolated = false
 			member.resumesAt = 0
 			if member.participant.leaving {
-				s.start(address, false)
+				sim.start(address, false)
 			}
-			s.learn(address, s.record)
+			sim.learn(address, sim.record)
 		}
 		for range 600 {
-			s.step(number)
+			sim.step(number)
 			number++
-			if len(s.heldTokens()) == 1 {
+			if len(sim.heldTokens()) == 1 {
 				return
 			}
 		}
--- a/coordination/watch/follower_test.go
+++ b/coordination/watch/follower_test.go
@@ -31,27 +31,27 @@
 
 func newHubFleet(t *testing.T, options FollowerOptions) *hubFleet {
 	options.Self.Name = "frontend-1"
-	f := &hubFleet{t: t, network: newNetwork(), order: rendezvous.Rank(options.Self.Name, controllerAddresses(3))}
-	f.hubs = map[string]*Hub{}
-	f.quorumLinks = map[string]*quorumLink{}
-	for _, address := range f.order {
-		f.quorumLinks[address] = &quorumLink{}
-		f.hubs[address] = NewHub(HubOptions{QuorumAge: f.quorumLinks[address].age})
-		f.network.add(address, f.hubs[address])
+	fleet := &hubFleet{t: t, network: newNetwork(), order: rendezvous.Rank(options.Self.Name, controllerAddresses(3))}
+	fleet.hubs = map[string]*Hub{}
+	fleet.quorumLinks = map[string]*quorumLink{}
+	for _, address := range fleet.order {
+		fleet.quorumLinks[address] = &quorumLink{}
+		fleet.hubs[address] = NewHub(HubOptions{QuorumAge: fleet.quorumLinks[address].age})
+		fleet.network.add(address, fleet.hubs[address])
 	}
 	if options.Sources == nil {
-		options.Sources = func() []string { return f.order }
+		options.Sources = func() []string { return fleet.order }
 	}
-	options.Client = f.network
+	options.Client = fleet.network
 	onChange := options.OnChange
 	options.OnChange = func(snapshot *Snapshot) {
-		f.changes = append(f.changes, snapshot)
+		fleet.changes = append(fleet.changes, snapshot)
 		if onChange != nil {
 			onChange(snapshot)
 		}
 	}
-	f.follower = NewFollower(options)
-	return f
+	fleet.follower = NewFollower(options)
+	return fleet
 }
 
 // run starts the follower. It stops when the test ends.
@@ -98,42 +98,42 @@
 
 func TestFollowerReceivesNewVersionAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newHubFleet(t, FollowerOptions{})
-		f.publish(1)
-		f.run()
-		f.advance(10 * time.Millisecond)
-		f.requireRevision(1)
-		require.Equal(t, f.order[0], f.follower.Source())
-		f.advance(time.Second)
-		f.publish(2)
-		f.advance(10 * time.Millisecond)
-		f.requireRevision(2)
+		fleet := newHubFleet(t, FollowerOptions{})
+		fleet.publish(1)
+		fleet.run()
+		fleet.advance(10 * time.Millisecond)
+		fleet.requireRevision(1)
+		require.Equal(t, fleet.order[0], fleet.follower.Source())
+		fleet.advance(time.Second)
+		fleet.publish(2)
+		fleet.advance(10 * time.Millisecond)
+		fleet.requireRevision(2)
 	})
 }
 
 // TestFollowerFailsOverFromEachFault makes the source fail in several ways, at different moments of a poll, while the other
 // hubs publish a new configuration. The follower must fail over and receive it within the propagation bound.
 func TestFollowerFailsOverFromEachFault(t *testing.T) {
-	faults := map[string]func(f *hubFleet, address string){
-		"partitioned from the follower": func(f *hubFleet, address string) { f.network.setLink(address, linkSilent) },
-		"frozen":                        func(f *hubFleet, address string) { f.network.setLink(address, linkSilent) },
-		"killed":                        func(f *hubFleet, address string) { f.network.setLink(address, linkRefused) },
-		"partitioned from the quorum":   func(f *hubFleet, address string) { f.quorumLinks[address].lose() },
-		"stopped gracefully":            func(f *hubFleet, address string) { f.hubs[address].Close() },
+	faults := map[string]func(fleet *hubFleet, address string){
+		"partitioned from the follower": func(fleet *hubFleet, address string) { fleet.network.setLink(address, linkSilent) },
+		"frozen":                        func(fleet *hubFleet, address string) { fleet.network.setLink(address, linkSilent) },
+		"killed":                        func(fleet *hubFleet, address string) { fleet.network.setLink(address, linkRefused) },
+		"partitioned from the quorum":   func(fleet *hubFleet, address string) { fleet.quorumLinks[address].lose() },
+		"stopped gracefully":            func(fleet *hubFleet, address string) { fleet.hubs[address].Close() },
 	}
 	for name, inject := range faults {
 		for moment := time.Duration(0); moment < DefaultMaxWait; moment += 100 * time.Millisecond {
 			t.Run(name+" at "+moment.String(), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					f := newHubFleet(t, FollowerOptions{})
-					f.publish(1)
-					f.run()
-					f.advance(time.Second + moment)
-					inject(f, f.order[0])
-					f.publish(2, f.order[0])
-					f.advance(propagationBound - 200*time.Millisecond)
-					f.requireRevision(2)
-					require.Equal(t, f.order[1], f.follower.Source())
+					fleet := newHubFleet(t, FollowerOptions{})
+					fleet.publish(1)
+					fleet.run()
+					fleet.advance(time.Second + moment)
+					inject(fleet, fleet.order[0])
+					fleet.publish(2, fleet.order[0])
+					fleet.advance(propagationBound - 200*time.Millisecond)
+					fleet.requireRevision(2)
+					require.Equal(t, fleet.order[1], fleet.follower.Source())
 				})
 			})
 		}
@@ -142,159 +142,159 @@
 
 func TestFollowerSkipsTwoSilentHubs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newHubFleet(t, FollowerOptions{})
-		f.publish(1)
-		f.run()
-		f.advance(time.Second)
-		f.network.setLink(f.order[0], linkSilent)
-		f.network.setLink(f.order[1], linkSilent)
-		f.publish(2, f.order[0], f.order[1])
-		f.advance(propagationBound)
-		f.requireRevision(2)
+		fleet := newHubFleet(t, FollowerOptions{})
+		fleet.publish(1)
+		fleet.run()
+		fleet.advance(time.Second)
+		fleet.network.setLink(fleet.order[0], linkSilent)
+		fleet.network.setLink(fleet.order[1], linkSilent)
+		fleet.publish(2, fleet.order[0], fleet.order[1])
+		fleet.advance(propagationBound)
+		fleet.requireRevision(2)
 	})
 }
 
 func TestFollowerReturnsToPreferredHubAfterRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newHubFleet(t, FollowerOptions{})
-		f.publish(1)
-		for _, hub := range f.hubs {
-			hub.SetControllers(f.order)
+		fleet := newHubFleet(t, FollowerOptions{})
+		fleet.publish(1)
+		for _, hub := range fleet.hubs {
+			hub.SetControllers(fleet.order)
 		}
-		f.run()
-		f.advance(time.Second)
-		f.network.setLink(f.order[0], linkSilent)
-		f.advance(2 * time.Second)
-		require.Equal(t, f.order[1], f.follower.Source())
-		f.network.setLink(f.order[0], linkUp)
-		f.advance(2 * probeInterval)
-		require.Equal(t, f.order[0], f.follower.Source())
+		fleet.run()
+		fleet.advance(time.Second)
+		fleet.network.setLink(fleet.order[0], linkSilent)
+		fleet.advance(2 * time.Second)
+		require.Equal(t, fleet.order[1], fleet.follower.Source())
+		fleet.network.setLink(fleet.order[0], linkUp)
+		fleet.advance(2 * probeInterval)
+		require.Equal(t, fleet.order[0], fleet.follower.Source())
 	})
 }
 
 func TestFollowerVersionNeverDecreases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newHubFleet(t, FollowerOptions{})
+		fleet := newHubFleet(t, FollowerOptions{})
 		older := fleetwire.ListVersion{Token: 1, Sequence: 99}
 		newest := fleetwire.ListVersion{Token: 2, Sequence: 1}
-		f.publish(5)
-		f.hubs[f.order[0]].PublishInstances(newest, testList("new"))
-		f.run()
-		f.advance(time.Second)
-		f.requireRevision(5)
-		for _, address := range f.order[1:] { // these hubs restart with an older state
+		fleet.publish(5)
+		fleet.hubs[fleet.order[0]].PublishInstances(newest, testList("new"))
+		fleet.run()
+		fleet.advance(time.Second)
+		fleet.requireRevision(5)
+		for _, address := range fleet.order[1:] { // these hubs restart with an older state
 			hub := NewHub(HubOptions{})
 			require.NoError(t, hub.PublishConfig(4, testConfig(4)))
 			require.NoError(t, hub.PublishInstances(older, testList("old")))
-			f.network.add(address, hub)
+			fleet.network.add(address, hub)
 		}
-		f.network.setLink(f.order[0], linkRefused)
-		f.advance(5 * time.Second)
-		f.requireRevision(5)
-		require.Equal(t, newest, f.follower.Current().Version.Instances)
-		require.Equal(t, "new", f.follower.Current().Instances[0].ID)
-		for i, change := range f.changes[1:] {
-			require.False(t, newer(f.changes[i].Version, change.Version), "the version decreased")
+		fleet.network.setLink(fleet.order[0], linkRefused)
+		fleet.advance(5 * time.Second)
+		fleet.requireRevision(5)
+		require.Equal(t, newest, fleet.follower.Current().Version.Instances)
+		require.Equal(t, "new", fleet.follower.Current().Instances[0].ID)
+		for i, change := range fleet.changes[1:] {
+			require.False(t, newer(fleet.changes[i].Version, change.Version), "the version decreased")
 		}
 	})
 }
 
 func TestFirstSnapshotRequiresQuorumContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newHubFleet(t, FollowerOptions{})
-		f.publish(1)
-		for _, address := range f.order {
-			f.quorumLinks[address].lose()
+		fleet := newHubFleet(t, FollowerOptions{})
+		fleet.publish(1)
+		for _, address := range fleet.order {
+			fleet.quorumLinks[address].lose()
 		}
-		f.advance(2 * DefaultMaxQuorumAge)
-		f.run()
-		f.advance(5 * time.Second)
-		require.Nil(t, f.follower.Current())
-		for _, address := range f.order {
-			require.Greater(t, f.network.callCount(address), 3, "all hubs must be tried in turn")
+		fleet.advance(2 * DefaultMaxQuorumAge)
+		fleet.run()
+		fleet.advance(5 * time.Second)
+		require.Nil(t, fleet.follower.Current())
+		for _, address := range fleet.order {
+			require.Greater(t, fleet.network.callCount(address), 3, "all hubs must be tried in turn")
 		}
-		f.publish(2, f.order[:2]...)
-		f.quorumLinks[f.order[2]].regain()
-		f.advance(time.Second)
-		f.requireRevision(2)
+		fleet.publish(2, fleet.order[:2]...)
+		fleet.quorumLinks[fleet.order[2]].regain()
+		fleet.advance(time.Second)
+		fleet.requireRevision(2)
 	})
 }
 
 func TestNewerVersionIsAcceptedFromStaleHub(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newHubFleet(t, FollowerOptions{})
-		f.publish(1)
-		f.run()
-		f.advance(time.Second)
-		for _, address := range f.order {
-			f.quorumLinks[address].lose()
+		fleet := newHubFleet(t, FollowerOptions{})
+		fleet.publish(1)
+		fleet.run()
+		fleet.advance(time.Second)
+		for _, address := range fleet.order {
+			fleet.quorumLinks[address].lose()
 		}
-		f.advance(5 * time.Second)
-		f.requireRevision(1)
-		require.Empty(t, f.follower.Source())
-		require.NoError(t, f.hubs[f.order[2]].PublishConfig(2, testConfig(2)))
-		f.advance(time.Second)
-		f.requireRevision(2)
-		require.Greater(t, f.follower.QuorumAge(), 5*time.Second, "the quorum age must not be reset")
+		fleet.advance(5 * time.Second)
+		fleet.requireRevision(1)
+		require.Empty(t, fleet.follower.Source())
+		require.NoError(t, fleet.hubs[fleet.order[2]].PublishConfig(2, testConfig(2)))
+		fleet.advance(time.Second)
+		fleet.requireRevision(2)
+		require.Greater(t, fleet.follower.QuorumAge(), 5*time.Second, "the quorum age must not be reset")
 	})
 }
 
 func TestBackoffLimitsCallsToRefusingHubs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newHubFleet(t, FollowerOptions{})
-		for _, address := range f.order {
-			f.network.setLink(address, linkRefused)
+		fleet := newHubFleet(t, FollowerOptions{})
+		for _, address := range fleet.order {
+			fleet.network.setLink(address, linkRefused)
 		}
-		f.run()
-		f.advance(30 * time.Second)
+		fleet.run()
+		fleet.advance(30 * time.Second)
 		calls := 0
-		for _, address := range f.order {
-			calls += f.network.callCount(address)
+		for _, address := range fleet.order {
+			calls += fleet.network.callCount(address)
 		}
 		require.Less(t, calls, 250, "refusals are immediate, so only the backoff limits the calls")
-		f.publish(1)
-		f.network.setLink(f.order[1], linkUp)
-		f.advance(3*maxBackoff + 50*time.Millisecond)
-		f.requireRevision(1)
+		fleet.publish(1)
+		fleet.network.setLink(fleet.order[1], linkUp)
+		fleet.advance(3*maxBackoff + 50*time.Millisecond)
+		fleet.requireRevision(1)
 	})
 }
 
 func TestKnownControllersAreUsedWhenSeedsFail(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var f *hubFleet
+		var fleet *hubFleet
 		seeds := []string{}
-		f = newHubFleet(t, FollowerOptions{Sources: func() []string { return seeds }})
-		seeds = []string{f.order[2]}
-		for _, hub := range f.hubs {
-			hub.SetControllers(f.order)
+		fleet = newHubFleet(t, FollowerOptions{Sources: func() []string { return seeds }})
+		seeds = []string{fleet.order[2]}
+		for _, hub := range fleet.hubs {
+			hub.SetControllers(fleet.order)
 		}
-		f.publish(1)
-		f.run()
-		f.advance(time.Second)
-		require.Equal(t, f.order[0], f.follower.Source(), "the follower must move to the preferred hub that a reply named")
-		f.network.setLink(f.order[2], linkSilent)
+		fleet.publish(1)
+		fleet.run()
+		fleet.advance(time.Second)
+		require.Equal(t, fleet.order[0], fleet.follower.Source(), "the follower must move to the preferred hub that a reply named")
+		fleet.network.setLink(fleet.order[2], linkSilent)
 		seeds = []string{"10.9.9.9:1"}
-		f.network.setLink(f.order[0], linkSilent)
-		f.publish(2, f.order[0], f.order[2])
-		f.advance(propagationBound)
-		f.requireRevision(2)
+		fleet.network.setLink(fleet.order[0], linkSilent)
+		fleet.publish(2, fleet.order[0], fleet.order[2])
+		fleet.advance(propagationBound)
+		fleet.requireRevision(2)
 	})
 }
 
 func TestSnapshotAges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newHubFleet(t, FollowerOptions{})
-		first := f.hubs[f.order[0]]
+		fleet := newHubFleet(t, FollowerOptions{})
+		first := fleet.hubs[fleet.order[0]]
 		require.NoError(t, first.PublishInstances(fleetwire.ListVersion{Token: 1, Sequence: 1}, testList("a")))
-		f.run()
-		f.advance(3 * time.Second)
-		snapshot := f.follower.Current()
+		fleet.run()
+		fleet.advance(3 * time.Second)
+		snapshot := fleet.follower.Current()
 		age := snapshot.ListAgeAt(time.Now())
 		require.InDelta(t, 3*time.Second, age, float64(10*time.Millisecond))
 		first.ConfirmInstances(time.Now())
-		f.advance(DefaultMaxWait + 10*time.Millisecond)
-		require.Less(t, f.follower.Current().ListAgeAt(time.Now()), time.Second)
-		require.Less(t, f.follower.Current().QuorumAgeAt(time.Now()), DefaultMaxWait+20*time.Millisecond)
+		fleet.advance(DefaultMaxWait + 10*time.Millisecond)
+		require.Less(t, fleet.follower.Current().ListAgeAt(time.Now()), time.Second)
+		require.Less(t, fleet.follower.Current().QuorumAgeAt(time.Now()), DefaultMaxWait+20*time.Millisecond)
 	})
 }
 
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -88,10 +88,10 @@
 func newFakeBackendsWith(t *testing.T, s decide.Settings) *fakeBackends {
 	engine, err := New(NewLoop(), Config{Zones: []string{"here"}, Settings: s})
 	require.NoError(t, err)
-	f := &fakeBackends{engine: engine}
-	engine.SetBackends(f, f)
+	backends := &fakeBackends{engine: engine}
+	engine.SetBackends(backends, backends)
 	engine.Announce(decide.ListCached, []Entry{{Name: "a", Zone: "here", State: decide.Ready}, {Name: "b", Zone: "elsewhere", State: decide.Ready}})
-	return f
+	return backends
 }
 
 func (f *fakeBackends) submit(class int) *Request {
@@ -100,13 +100,13 @@
 
 // A request gets exactly one final answer and an attempt ends once, in whatever order events arrive.
 func TestOneFinalAnswer(t *testing.T) {
-	end := func(s decide.Status) func(f *fakeBackends, r *Request) {
-		return func(f *fakeBackends, r *Request) { f.attempts[0].End(s, []byte("x"), decide.Report{}) }
+	end := func(s decide.Status) func(backends *fakeBackends, r *Request) {
+		return func(backends *fakeBackends, r *Request) { backends.attempts[0].End(s, []byte("x"), decide.Report{}) }
 	}
-	hangup := func(f *fakeBackends, r *Request) { f.engine.Hangup(r) }
+	hangup := func(backends *fakeBackends, r *Request) { backends.engine.Hangup(r) }
 	for name, c := range map[string]struct {
 		class int
-		steps []func(f *fakeBackends, r *Request)
+		steps []func(backends *fakeBackends, r *Request)
 		want  string
 	}{
 		"served":                   {0, []func(*fakeBackends, *Request){end(decide.Served)}, "push served:x "},
@@ -117,14 +117,14 @@
 		"unsafe reset":             {1, []func(*fakeBackends, *Request){end(decide.Reset)}, "push failed "},
 		"safe timed out":           {0, []func(*fakeBackends, *Request){end(decide.TimedOut)}, "push refused:1s "},
 	} {
-		f := newFakeBackends(t)
-		r := f.submit(c.class)
+		backends := newFakeBackends(t)
+		r := backends.submit(c.class)
 		for _, step := range c.steps {
-			step(f, r)
+			step(backends, r)
 		}
-		assert.Equal(t, c.want, f.log, name)
-		assert.Zero(t, f.engine.OpenRequests(), name)
-		assert.Empty(t, f.engine.requests, "%s: no request is left", name)
+		assert.Equal(t, c.want, backends.log, name)
+		assert.Zero(t, backends.engine.OpenRequests(), name)
+		assert.Empty(t, backends.engine.requests, "%s: no request is left", name)
 	}
 }
 
@@ -133,44 +133,44 @@
 func TestServedAfterClientHangup(t *testing.T) {
 	s := testSettings
 	s.CanCancel = false
-	f := newFakeBackendsWith(t, s)
-	f.engine.Hangup(f.submit(0))
-	assert.Len(t, f.engine.requests, 1, "its attempt is still in flight")
-	f.attempts[0].End(decide.Served, nil, decide.Report{})
-	assert.Equal(t, "push ", f.log)
-	assert.Zero(t, f.engine.Counts.Served)
-	assert.Zero(t, f.engine.OpenRequests())
-	assert.Empty(t, f.engine.requests)
+	backends := newFakeBackendsWith(t, s)
+	backends.engine.Hangup(backends.submit(0))
+	assert.Len(t, backends.engine.requests, 1, "its attempt is still in flight")
+	backends.attempts[0].End(decide.Served, nil, decide.Report{})
+	assert.Equal(t, "push ", backends.log)
+	assert.Zero(t, backends.engine.Counts.Served)
+	assert.Zero(t, backends.engine.OpenRequests())
+	assert.Empty(t, backends.engine.requests)
 }
 
 func TestIDsAreNotReusedWhileInUse(t *testing.T) {
-	f := newFakeBackends(t)
-	first := f.submit(0)
-	f.engine.lastRequestID = first.ID - 1 // as if the IDs had wrapped around
-	assert.NotEqual(t, first.ID, f.submit(0).ID)
-	f.engine.lastRequestID = 1<<32 - 1
-	assert.NotZero(t, f.submit(0).ID)
+	backends := newFakeBackends(t)
+	first := backends.submit(0)
+	backends.engine.lastRequestID = first.ID - 1 // as if the IDs had wrapped around
+	assert.NotEqual(t, first.ID, backends.submit(0).ID)
+	backends.engine.lastRequestID = 1<<32 - 1
+	assert.NotZero(t, backends.submit(0).ID)
 }
 
 // A worker's name keeps its ID when its address changes, and removed names are freed once no attempt uses them.
 func TestWorkerNamesKeepTheirIDs(t *testing.T) {
-	f := newFakeBackends(t)
-	id := f.engine.workersByName["a"].ID
-	f.engine.Announce(decide.ListDelta, []Entry{{Name: "a", Addr: "new:1", Zone: "here", State: decide.Ready}})
-	assert.Equal(t, id, f.engine.workersByName["a"].ID)
-	assert.Equal(t, "new:1", f.engine.workersByName["a"].Addr)
-	r := f.submit(0)
-	worker := f.attempts[0].Worker
+	backends := newFakeBackends(t)
+	id := backends.engine.workersByName["a"].ID
+	backends.engine.Announce(decide.ListDelta, []Entry{{Name: "a", Addr: "new:1", Zone: "here", State: decide.Ready}})
+	assert.Equal(t, id, backends.engine.workersByName["a"].ID)
+	assert.Equal(t, "new:1", backends.engine.workersByName["a"].Addr)
+	r := backends.submit(0)
+	worker := backends.attempts[0].Worker
 	for i := range 100 {
-		f.engine.Announce(decide.ListFull, []Entry{{Name: fmt.Sprint(i), State: decide.Ready}})
+		backends.engine.Announce(decide.ListFull, []Entry{{Name: fmt.Sprint(i), State: decide.Ready}})
 	}
-	assert.Len(t, f.engine.workersByName, 2, "the last one and the one with an attempt in flight")
-	assert.False(t, f.attempts[0].Sendable())
-	assert.Equal(t, worker, f.engine.workersByName[worker.Name])
-	f.engine.Hangup(r)
-	f.engine.Announce(decide.ListDelta, nil)
-	assert.Len(t, f.engine.workersByName, 1)
-	assert.Len(t, f.engine.workersByID, 1)
+	assert.Len(t, backends.engine.workersByName, 2, "the last one and the one with an attempt in flight")
+	assert.False(t, backends.attempts[0].Sendable())
+	assert.Equal(t, worker, backends.engine.workersByName[worker.Name])
+	backends.engine.Hangup(r)
+	backends.engine.Announce(decide.ListDelta, nil)
+	assert.Len(t, backends.engine.workersByName, 1)
+	assert.Len(t, backends.engine.workersByID, 1)
 }
 
 // An engine is ready once the list has contained a ready worker, and stays so if the list becomes empty later,
@@ -196,9 +196,9 @@
 }
 
 func TestCounts(t *testing.T) {
-	f := newFakeBackends(t)
-	f.submit(0)
-	f.attempts[0].End(decide.Served, nil, decide.Report{})
-	assert.Contains(t, f.engine.Counts.String(), "taken=1 served=1 refused=0 failed=0")
-	assert.Contains(t, f.engine.Counts.String(), "attempts.served=1 probes.served=2 ")
+	backends := newFakeBackends(t)
+	backends.submit(0)
+	backends.attempts[0].End(decide.Served, nil, decide.Report{})
+	assert.Contains(t, backends.engine.Counts.String(), "taken=1 served=1 refused=0 failed=0")
+	assert.Contains(t, backends.engine.Counts.String(), "attempts.served=1 probes.served=2 ")
 }
