--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -20,7 +20,7 @@
 func newDispatcher(t *testing.T, s Settings, workers ...Worker) (*Dispatcher, *recorder) {
 	t.Helper()
 	r := &recorder{}
-	d, err := New(s, 1, r)
+	dispatcher, err := New(s, 1, r)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,8 +30,8 @@
 		}
 		workers[i].State = max(workers[i].State, Ready)
 	}
-	d.Announce(startTime, ListCached, workers)
-	return d, r
+	dispatcher.Announce(startTime, ListCached, workers)
+	return dispatcher, r
 }
 
 func fleet(n int) []Worker { return make([]Worker, n) }
@@ -39,18 +39,18 @@
 func freeSlots(n float64) Report { return Report{Has: HasFreeSlots, FreeSlots: n} }
 
 // arrive passes in job 1 of a class and returns the probes that followed.
-func arrive(d *Dispatcher, r *recorder, class int) []action {
+func arrive(dispatcher *Dispatcher, r *recorder, class int) []action {
 	r.take("")
-	d.Arrive(startTime, Job{ID: 1, Class: class, GiveUpAt: startTime + d.settings.Classes[class].Deadline})
+	dispatcher.Arrive(startTime, Job{ID: 1, Class: class, GiveUpAt: startTime + dispatcher.settings.Classes[class].Deadline})
 	return r.take("probe")
 }
 
 // pushJob pushes job 1 to a worker: both workers of the pair answer, the first with more room.
-func pushJob(t *testing.T, d *Dispatcher, r *recorder, class int) WorkerID {
+func pushJob(t *testing.T, dispatcher *Dispatcher, r *recorder, class int) WorkerID {
 	t.Helper()
-	probes := arrive(d, r, class)
+	probes := arrive(dispatcher, r, class)
 	for i, p := range probes {
-		d.ProbeResult(startTime+ms, p.worker, Served, ms, freeSlots(float64(3-i)))
+		dispatcher.ProbeResult(startTime+ms, p.worker, Served, ms, freeSlots(float64(3-i)))
 	}
 	pushes := r.take("push")
 	if len(pushes) != 1 || pushes[0].worker != probes[0].worker {
@@ -70,33 +70,33 @@
 }
 
 // fireTimers fires the recorded timers of one purpose at the given time.
-func fireTimers(d *Dispatcher, actions []action, purpose uint64, at Time) {
+func fireTimers(dispatcher *Dispatcher, actions []action, purpose uint64, at Time) {
 	for _, a := range actions {
 		if a.kind == "wake" && a.token>>56 == purpose>>56 {
-			d.Wake(at, a.token)
+			dispatcher.Wake(at, a.token)
 		}
 	}
 }
 
 func TestDrawPushesToLessLoadedOfTwoDistinctWorkers(t *testing.T) {
-	d, r := newDispatcher(t, testSettings(), fleet(5)...)
-	probes := arrive(d, r, 0)
+	dispatcher, r := newDispatcher(t, testSettings(), fleet(5)...)
+	probes := arrive(dispatcher, r, 0)
 	if len(probes) != 2 || probes[0].worker == probes[1].worker {
 		t.Fatalf("probes %+v", probes)
 	}
-	d.ProbeResult(startTime+ms, probes[0].worker, Served, ms, freeSlots(1))
+	dispatcher.ProbeResult(startTime+ms, probes[0].worker, Served, ms, freeSlots(1))
 	if got := r.take("push"); len(got) != 0 {
 		t.Fatal("pushed before both answered")
 	}
-	d.ProbeResult(startTime+2*ms, probes[1].worker, Served, 2*ms, freeSlots(2))
+	dispatcher.ProbeResult(startTime+2*ms, probes[1].worker, Served, 2*ms, freeSlots(2))
 	if got := r.take("push"); len(got) != 1 || got[0].worker != probes[1].worker {
 		t.Errorf("pushes %+v, want one to the worker with more free slots", got)
 	}
 }
 
 func TestWorkerWithoutProbeAnswerIsNotChosen(t *testing.T) {
-	d, r := newDispatcher(t, testSettings(), fleet(5)...)
-	d.Arrive(startTime, Job{ID: 1, GiveUpAt: startTime + 5*second})
+	dispatcher, r := newDispatcher(t, testSettings(), fleet(5)...)
+	dispatcher.Arrive(startTime, Job{ID: 1, GiveUpAt: startTime + 5*second})
 	actions := r.take("")
 	var probed []WorkerID
 	for _, a := range actions {
@@ -104,34 +104,34 @@
 			probed = append(probed, a.worker)
 		}
 	}
-	d.ProbeResult(startTime+ms, probed[1], Served, ms, freeSlots(1))
-	fireTimers(d, actions, wakeProbes, startTime+probeTimeout)
+	dispatcher.ProbeResult(startTime+ms, probed[1], Served, ms, freeSlots(1))
+	fireTimers(dispatcher, actions, wakeProbes, startTime+probeTimeout)
 	if got := r.take("push"); len(got) != 1 || got[0].worker != probed[1] {
 		t.Errorf("pushes %+v, want one to the worker that answered", got)
 	}
 }
 
 func TestNoRoomLeadsToBackoffAndRedraw(t *testing.T) {
-	d, r := newDispatcher(t, testSettings(), fleet(5)...)
-	for _, p := range arrive(d, r, 0) {
-		d.ProbeResult(startTime+ms, p.worker, Served, ms, freeSlots(0))
+	dispatcher, r := newDispatcher(t, testSettings(), fleet(5)...)
+	for _, p := range arrive(dispatcher, r, 0) {
+		dispatcher.ProbeResult(startTime+ms, p.worker, Served, ms, freeSlots(0))
 	}
 	actions := r.take("")
 	if countKind(actions, "push")+countKind(actions, "refuse") != 0 {
 		t.Fatalf("actions %+v", actions)
 	}
-	fireTimers(d, actions, wakeRedraw, startTime+20*ms)
+	fireTimers(dispatcher, actions, wakeRedraw, startTime+20*ms)
 	if n := countKind(r.take(""), "probe"); n != 2 {
 		t.Errorf("%d probes in the redraw", n)
 	}
 }
 
 func TestJobNeedsFreeMemory(t *testing.T) {
-	d, r := newDispatcher(t, testSettings(), fleet(2)...)
+	dispatcher, r := newDispatcher(t, testSettings(), fleet(2)...)
 	r.take("")
-	d.Arrive(startTime, Job{ID: 1, Memory: 2, GiveUpAt: startTime + 5*second})
+	dispatcher.Arrive(startTime, Job{ID: 1, Memory: 2, GiveUpAt: startTime + 5*second})
 	for _, p := range r.take("probe") {
-		d.ProbeResult(startTime+ms, p.worker, Served, ms, Report{Has: HasFreeSlots | HasFreeMemory, FreeSlots: 3, FreeMemory: 1})
+		dispatcher.ProbeResult(startTime+ms, p.worker, Served, ms, Report{Has: HasFreeSlots | HasFreeMemory, FreeSlots: 3, FreeMemory: 1})
 	}
 	if n := countKind(r.take(""), "push"); n != 0 {
 		t.Error("pushed to a worker without enough memory")
@@ -139,17 +139,17 @@
 }
 
 func TestSingleOrNoReadyWorker(t *testing.T) {
-	d, r := newDispatcher(t, testSettings(), fleet(1)...)
-	if p := arrive(d, r, 0); len(p) != 1 {
+	dispatcher, r := newDispatcher(t, testSettings(), fleet(1)...)
+	if p := arrive(dispatcher, r, 0); len(p) != 1 {
 		t.Fatalf("one worker: probes %+v", p)
 	}
-	d.ProbeResult(startTime+ms, 1, Served, ms, freeSlots(1))
+	dispatcher.ProbeResult(startTime+ms, 1, Served, ms, freeSlots(1))
 	if got := r.take("push"); len(got) != 1 {
 		t.Error("no push to the only worker, which has room")
 	}
 	for name, ws := range map[string][]Worker{"none": nil, "all draining": {{State: Draining}, {State: Draining}}} {
-		d, r := newDispatcher(t, testSettings(), ws...)
-		d.Arrive(startTime, Job{ID: 1, Class: 1, GiveUpAt: startTime + 5*second})
+		dispatcher, r := newDispatcher(t, testSettings(), ws...)
+		dispatcher.Arrive(startTime, Job{ID: 1, Class: 1, GiveUpAt: startTime + 5*second})
 		for at := startTime; at < startTime+5*second; at += 50 * ms {
 			actions := r.take("")
 			if countKind(actions, "push")+countKind(actions, "probe") > 0 {
@@ -158,7 +158,7 @@
 			if countKind(actions, "refuse") == 1 {
 				return
 			}
-			fireTimers(d, actions, wakeRedraw, at)
+			fireTimers(dispatcher, actions, wakeRedraw, at)
 		}
 		t.Errorf("%s: never answered", name)
 	}
@@ -167,9 +167,9 @@
 func TestPushWithoutProbes(t *testing.T) {
 	s := testSettings()
 	s.CanProbe = false
-	d, r := newDispatcher(t, s, fleet(4)...)
+	dispatcher, r := newDispatcher(t, s, fleet(4)...)
 	r.take("")
-	d.Arrive(startTime, Job{ID: 1, GiveUpAt: startTime + 5*second})
+	dispatcher.Arrive(startTime, Job{ID: 1, GiveUpAt: startTime + 5*second})
 	if actions := r.take(""); countKind(actions, "push") != 1 || countKind(actions, "probe") != 0 {
 		t.Errorf("actions %+v", actions)
 	}
@@ -195,16 +195,16 @@
 		{"unsafe time-out", unsafe, TimedOut, "fail"},
 		{"safe time-out", safe, TimedOut, "refuse"},
 	} {
-		d, r := newDispatcher(t, testSettings(), fleet(5)...)
-		w := pushJob(t, d, r, c.class)
-		d.Note(startTime+5*ms, 1, 0, NoteStarted, 0)
+		dispatcher, r := newDispatcher(t, testSettings(), fleet(5)...)
+		w := pushJob(t, dispatcher, r, c.class)
+		dispatcher.Note(startTime+5*ms, 1, 0, NoteStarted, 0)
 		r.take("")
-		d.Outcome(startTime+50*ms, Outcome{Job: 1, Worker: w, Status: c.status, Closed: c.status == Served})
+		dispatcher.Outcome(startTime+50*ms, Outcome{Job: 1, Worker: w, Status: c.status, Closed: c.status == Served})
 		actions := r.take("")
 		finals := countKind(actions, "fail") + countKind(actions, "refuse")
 		switch c.want {
 		case "redraw":
-			fireTimers(d, actions, wakeRedraw, startTime+100*ms)
+			fireTimers(dispatcher, actions, wakeRedraw, startTime+100*ms)
 			if finals != 0 || countKind(r.take(""), "probe") == 0 {
 				t.Errorf("%s: %+v, want another draw", c.name, actions)
 			}
@@ -223,18 +223,18 @@
 // A job whose start is overdue is hedged if it may be repeated, and not otherwise.
 func TestOverdueStartHedgesRepeatableJobs(t *testing.T) {
 	for class, hedges := range map[int]bool{0: true, 1: false, 2: true} {
-		d, r := newDispatcher(t, testSettings(), fleet(6)...)
-		probes := arrive(d, r, class)
+		dispatcher, r := newDispatcher(t, testSettings(), fleet(6)...)
+		probes := arrive(dispatcher, r, class)
 		for _, p := range probes {
-			d.ProbeResult(startTime+ms, p.worker, Served, ms, freeSlots(2))
+			dispatcher.ProbeResult(startTime+ms, p.worker, Served, ms, freeSlots(2))
 		}
 		actions := r.take("")
-		fireTimers(d, actions, wakeStartDue, startTime+ms+startTimeout)
+		fireTimers(dispatcher, actions, wakeStartDue, startTime+ms+startTimeout)
 		if got := countKind(r.take(""), "probe") > 0; got != hedges {
 			t.Errorf("class %d: hedged %v, want %v", class, got, hedges)
 		}
-		d.Note(startTime+150*ms, 1, 0, NoteStarted, 0)
-		for _, w := range d.ready {
+		dispatcher.Note(startTime+150*ms, 1, 0, NoteStarted, 0)
+		for _, w := range dispatcher.ready {
 			if w.overdueStarts != 0 {
 				t.Errorf("class %d: worker %d still counts as overdue after the start", class, w.ID)
 			}
@@ -247,7 +247,7 @@
 func TestWatchIsRequestedUntilEstablished(t *testing.T) {
 	settings := testSettings()
 	settings.MustAsk, settings.AskWithin = true, 10*second
-	d, r := newDispatcher(t, settings, fleet(3)...)
+	dispatcher, r := newDispatcher(t, settings, fleet(3)...)
 	now, lastRequest := startTime, startTime
 	var timers []timer
 	for now < startTime+200*second {
@@ -258,13 +258,13 @@
 				timers = append(timers, timer{now + a.span, a.token})
 			case "watch":
 				lastRequest = now
-				d.Announce(now, ListFailed, nil)
+				dispatcher.Announce(now, ListFailed, nil)
 			}
 		}
 		kept := timers[:0:0]
 		for _, tm := range timers {
 			if tm.at <= now {
-				d.Wake(now, tm.token)
+				dispatcher.Wake(now, tm.token)
 			} else {
 				kept = append(kept, tm)
 			}
@@ -281,13 +281,13 @@
 
 // The price of a slot once started at a huge value if no job arrived in the first second.
 func TestIdleStartSetsNoPrice(t *testing.T) {
-	d, r := newDispatcher(t, testSettings(), fleet(4)...)
-	d.Wake(startTime+3*second, wakeWatch)
-	d.Wake(startTime+5*second, wakeWatch)
+	dispatcher, r := newDispatcher(t, testSettings(), fleet(4)...)
+	dispatcher.Wake(startTime+3*second, wakeWatch)
+	dispatcher.Wake(startTime+5*second, wakeWatch)
 	r.take("")
-	d.Arrive(startTime+6*second, Job{ID: 1, GiveUpAt: startTime + 11*second})
+	dispatcher.Arrive(startTime+6*second, Job{ID: 1, GiveUpAt: startTime + 11*second})
 	for _, p := range r.take("probe") {
-		d.ProbeResult(startTime+6*second, p.worker, Served, 0, freeSlots(4))
+		dispatcher.ProbeResult(startTime+6*second, p.worker, Served, 0, freeSlots(4))
 	}
 	if len(r.take("push")) != 1 {
 		t.Error("the first job of an idle fleet was not pushed")
@@ -299,36 +299,36 @@
 // can pay it.
 func TestPriceIsBoundedByOpenJobs(t *testing.T) {
 	for _, canPay := range []bool{false, true} {
-		d, r := newDispatcher(t, testSettings(), fleet(4)...)
+		dispatcher, r := newDispatcher(t, testSettings(), fleet(4)...)
 		probe := func(now Time) (pushed int) {
 			for _, p := range r.take("probe") {
-				d.ProbeResult(now, p.worker, Served, 0, freeSlots(4))
+				dispatcher.ProbeResult(now, p.worker, Served, 0, freeSlots(4))
 			}
 			return len(r.take("push"))
 		}
 		now, pushed := startTime, 0
-		d.Arrive(now, Job{ID: 1, GiveUpAt: now + 60*second})
+		dispatcher.Arrive(now, Job{ID: 1, GiveUpAt: now + 60*second})
 		if canPay { // the job stays open throughout
-			j := d.jobs[1]
-			d.price = d.slotValue(j)
+			j := dispatcher.jobs[1]
+			dispatcher.price = dispatcher.slotValue(j)
 		}
 		probe(now)
-		value := d.slotValue(d.jobs[1])
+		value := dispatcher.slotValue(dispatcher.jobs[1])
 		if !canPay {
-			d.Outcome(now, Outcome{Job: 1, Worker: 1, Status: Served})
-			d.Hangup(now, 1)
-			d.price = 300 * value
+			dispatcher.Outcome(now, Outcome{Job: 1, Worker: 1, Status: Served})
+			dispatcher.Hangup(now, 1)
+			dispatcher.price = 300 * value
 		}
 		for id := uint32(2); id < 40; id++ {
 			now += 100 * ms
-			d.Arrive(now, Job{ID: id, GiveUpAt: now + 5*second})
+			dispatcher.Arrive(now, Job{ID: id, GiveUpAt: now + 5*second})
 			pushed += probe(now)
 		}
 		if pushed < 20 {
 			t.Errorf("open job can pay %v: %d of 38 jobs pushed in 4 s though slots are free", canPay, pushed)
 		}
-		if canPay && d.price < value/2 {
-			t.Errorf("an open job can pay the price, but it fell from %v to %v", value, d.price)
+		if canPay && dispatcher.price < value/2 {
+			t.Errorf("an open job can pay the price, but it fell from %v to %v", value, dispatcher.price)
 		}
 	}
 }
@@ -337,65 +337,65 @@
 // draws, and only for a job that can pay it. The price once rose with late starts instead, which found no scarcity where
 // queues are short.
 func TestPriceRisesOnlyUnderScarcity(t *testing.T) {
-	d, _ := newDispatcher(t, testSettings(), fleet(4)...)
+	dispatcher, _ := newDispatcher(t, testSettings(), fleet(4)...)
 	drawWithoutRoom := func(class int) float64 {
-		j := d.newJob(Job{ID: uint32(len(d.jobs) + 1), Class: class, GiveUpAt: d.now + 5*second})
-		d.estimate(j)
-		j.pair[0], j.answered[0] = d.workers[1], true
+		j := dispatcher.newJob(Job{ID: uint32(len(dispatcher.jobs) + 1), Class: class, GiveUpAt: dispatcher.now + 5*second})
+		dispatcher.estimate(j)
+		j.pair[0], j.answered[0] = dispatcher.workers[1], true
 		j.reports[0] = freeSlots(0)
-		before := d.price
-		d.resolveDraw(j)
-		return d.price / before
+		before := dispatcher.price
+		dispatcher.resolveDraw(j)
+		return dispatcher.price / before
 	}
 	if factor := drawWithoutRoom(2); factor > 1.01 {
 		t.Errorf("the price rose %v times with free slots everywhere", factor)
 	}
-	d.noRoomShare = 1
+	dispatcher.noRoomShare = 1
 	if factor := drawWithoutRoom(2); factor < 1.1 {
 		t.Errorf("the price rose only %v times though slots are contended", factor)
 	}
-	silent := d.newJob(Job{ID: 80, Class: 2, GiveUpAt: d.now + 5*second})
-	d.estimate(silent)
-	silent.pair[0] = d.workers[1]
-	before := d.price
-	if d.resolveDraw(silent); d.price != before {
+	silent := dispatcher.newJob(Job{ID: 80, Class: 2, GiveUpAt: dispatcher.now + 5*second})
+	dispatcher.estimate(silent)
+	silent.pair[0] = dispatcher.workers[1]
+	before := dispatcher.price
+	if dispatcher.resolveDraw(silent); dispatcher.price != before {
 		t.Error("the price changed after a lost probe")
 	}
-	d.price = 1e6
+	dispatcher.price = 1e6
 	if factor := drawWithoutRoom(2); factor != 1 {
 		t.Errorf("the price rose %v times for a job that can't pay it", factor)
 	}
-	j := d.newJob(Job{ID: 90, GiveUpAt: d.now + second})
-	d.push(j, d.workers[2], 0)
-	if d.Note(d.now, 90, 0, NoteStarted, 0); d.price >= 1e6 {
+	j := dispatcher.newJob(Job{ID: 90, GiveUpAt: dispatcher.now + second})
+	dispatcher.push(j, dispatcher.workers[2], 0)
+	if dispatcher.Note(dispatcher.now, 90, 0, NoteStarted, 0); dispatcher.price >= 1e6 {
 		t.Error("a start in time did not lower the price")
 	}
 }
 
 // A full list after a cached one once duplicated every entry.
 func TestFullListDoesNotDuplicate(t *testing.T) {
-	d, _ := newDispatcher(t, testSettings(), Worker{ID: 1}, Worker{ID: 2}, Worker{ID: 3})
+	dispatcher, _ := newDispatcher(t, testSettings(), Worker{ID: 1}, Worker{ID: 2}, Worker{ID: 3})
 	for range 3 {
-		d.Announce(startTime, ListFull, []Worker{{ID: 1, State: Ready}, {ID: 2, State: Draining}})
+		dispatcher.Announce(startTime, ListFull, []Worker{{ID: 1, State: Ready}, {ID: 2, State: Draining}})
 	}
-	if len(d.ready) != 1 || len(d.listed) != 2 || len(d.workers) != 2 {
-		t.Errorf("ready %d listed %d known %d", len(d.ready), len(d.listed), len(d.workers))
+	if len(dispatcher.ready) != 1 || len(dispatcher.listed) != 2 || len(dispatcher.workers) != 2 {
+		t.Errorf("ready %d listed %d known %d", len(dispatcher.ready), len(dispatcher.listed), len(dispatcher.workers))
 	}
-	d.Announce(startTime, ListDelta, []Worker{{ID: 2, State: Ready}})
-	if len(d.ready) != 2 {
+	dispatcher.Announce(startTime, ListDelta, []Worker{{ID: 2, State: Ready}})
+	if len(dispatcher.ready) != 2 {
 		t.Error("a drained worker that is ready again is not drawn")
 	}
 }
 
 // With a shared cause all workers look bad; ejecting all of them would leave none to draw.
 func TestEjectionIsLimitedOnASharedCause(t *testing.T) {
-	d, _ := newDispatcher(t, testSettings(), fleet(10)...)
-	for _, w := range d.ready {
-		d.eject(w)
+	dispatcher, _ := newDispatcher(t, testSettings(), fleet(10)...)
+	for _, w := range dispatcher.ready {
+		dispatcher.eject(w)
 	}
 	ejected := 0
-	for _, w := range d.ready {
-		if w.ejectedUntil > d.now {
+	for _, w := range dispatcher.ready {
+		if w.ejectedUntil > dispatcher.now {
 			ejected++
 		}
 	}
@@ -405,30 +405,30 @@
 }
 
 func TestUnknownEventsAreIgnored(t *testing.T) {
-	d, r := newDispatcher(t, testSettings(), fleet(3)...)
-	w := pushJob(t, d, r, 1)
+	dispatcher, r := newDispatcher(t, testSettings(), fleet(3)...)
+	w := pushJob(t, dispatcher, r, 1)
 	r.take("")
-	d.Outcome(startTime, Outcome{Job: 99, Status: Error})
-	d.Outcome(startTime, Outcome{Job: 1, Attempt: 7, Status: Error})
-	d.Outcome(startTime, Outcome{Job: 1, Attempt: -1, Status: Error})
-	d.Note(startTime, 1, 5, NoteStarted, 0)
-	d.Note(startTime, 55, 0, NoteProgress, math.NaN())
-	d.ProbeResult(startTime, 77, Served, 0, freeSlots(3))
-	d.ProbeResult(startTime, w, Served, 0, freeSlots(math.Inf(1)))
-	d.Hangup(startTime, 1234)
-	d.PeerMessage(startTime, 3, []byte{1, 2, 3})
-	d.StreamStarted(startTime, 8, 0)
+	dispatcher.Outcome(startTime, Outcome{Job: 99, Status: Error})
+	dispatcher.Outcome(startTime, Outcome{Job: 1, Attempt: 7, Status: Error})
+	dispatcher.Outcome(startTime, Outcome{Job: 1, Attempt: -1, Status: Error})
+	dispatcher.Note(startTime, 1, 5, NoteStarted, 0)
+	dispatcher.Note(startTime, 55, 0, NoteProgress, math.NaN())
+	dispatcher.ProbeResult(startTime, 77, Served, 0, freeSlots(3))
+	dispatcher.ProbeResult(startTime, w, Served, 0, freeSlots(math.Inf(1)))
+	dispatcher.Hangup(startTime, 1234)
+	dispatcher.PeerMessage(startTime, 3, []byte{1, 2, 3})
+	dispatcher.StreamStarted(startTime, 8, 0)
 	for _, purpose := range []uint64{wakeGiveUp, wakeProbes, wakeRedraw, wakeStartDue, 200 << 56} {
-		d.Wake(startTime, purpose|77)
+		dispatcher.Wake(startTime, purpose|77)
 	}
-	d.Wake(startTime, wakeRedraw|9<<32|1)
+	dispatcher.Wake(startTime, wakeRedraw|9<<32|1)
 	if actions := r.take(""); len(actions) != 0 {
 		t.Errorf("actions %+v", actions)
 	}
-	d.Outcome(startTime+ms, Outcome{Job: 1, Worker: w, Status: Served, Closed: true})
-	d.Outcome(startTime+ms, Outcome{Job: 1, Worker: w, Status: Error})
-	d.Arrive(startTime+ms, Job{ID: 2, Class: 50, GiveUpAt: startTime + second})
-	d.Arrive(startTime+ms, Job{ID: 3, Slots: math.NaN(), Memory: math.Inf(1), GiveUpAt: startTime + second})
+	dispatcher.Outcome(startTime+ms, Outcome{Job: 1, Worker: w, Status: Served, Closed: true})
+	dispatcher.Outcome(startTime+ms, Outcome{Job: 1, Worker: w, Status: Error})
+	dispatcher.Arrive(startTime+ms, Job{ID: 2, Class: 50, GiveUpAt: startTime + second})
+	dispatcher.Arrive(startTime+ms, Job{ID: 3, Slots: math.NaN(), Memory: math.Inf(1), GiveUpAt: startTime + second})
 	if actions := r.take(""); countKind(actions, "refuse") != 1 {
 		t.Errorf("actions %+v", actions)
 	}
@@ -480,9 +480,9 @@
 	for _, respected := range []Time{0, 300 * ms, 60 * second} {
 		s := testSettings()
 		s.MaxRetryAfter = respected
-		d, r := newDispatcher(t, s) // without workers the job is refused
-		arrive(d, r, 0)
-		d.Wake(startTime+second, wakeGiveUp|1)
+		dispatcher, r := newDispatcher(t, s) // without workers the job is refused
+		arrive(dispatcher, r, 0)
+		dispatcher.Wake(startTime+second, wakeGiveUp|1)
 		actions := r.take("refuse")
 		if want := min(retryAfter, respected); len(actions) != 1 || actions[0].span != want {
 			t.Errorf("clients respect %d: %+v, want a Retry-After of %d", respected, actions, want)
--- a/decide/failures_test.go
+++ b/decide/failures_test.go
@@ -6,26 +6,26 @@
 func TestTwoComplaintsEjectAWorker(t *testing.T) {
 	settings := testSettings()
 	settings.CanMessagePeers = true
-	d, r := newDispatcher(t, settings, fleet(10)...)
+	dispatcher, r := newDispatcher(t, settings, fleet(10)...)
 	complaint := []byte{0, 0, 0, 0, 0, 0, 0, 3}
-	d.PeerMessage(startTime, 1, complaint)
-	if d.workers[3].ejectedUntil > startTime {
+	dispatcher.PeerMessage(startTime, 1, complaint)
+	if dispatcher.workers[3].ejectedUntil > startTime {
 		t.Error("a single complaint ejected the worker")
 	}
-	d.PeerMessage(startTime+second, 2, complaint)
-	if d.workers[3].ejectedUntil <= startTime {
+	dispatcher.PeerMessage(startTime+second, 2, complaint)
+	if dispatcher.workers[3].ejectedUntil <= startTime {
 		t.Error("two complaints did not eject the worker")
 	}
-	d.PeerMessage(startTime, 2, []byte("garbage"))
-	d.PeerMessage(startTime, 2, []byte{9, 9, 9, 9, 9, 9, 9, 9})
+	dispatcher.PeerMessage(startTime, 2, []byte("garbage"))
+	dispatcher.PeerMessage(startTime, 2, []byte{9, 9, 9, 9, 9, 9, 9, 9})
 	r.take("")
-	d.eject(d.workers[5])
+	dispatcher.eject(dispatcher.workers[5])
 	if n := countKind(r.take(""), "tell"); n != 1 {
 		t.Errorf("%d complaints sent", n)
 	}
 	settings.CanMessagePeers = false
-	d, r = newDispatcher(t, settings, fleet(10)...)
-	d.eject(d.workers[5])
+	dispatcher, r = newDispatcher(t, settings, fleet(10)...)
+	dispatcher.eject(dispatcher.workers[5])
 	if n := countKind(r.take(""), "tell"); n != 0 {
 		t.Error("sent a message to peers where that is not allowed")
 	}
@@ -33,24 +33,24 @@
 
 // After an ejection a worker is tried with repeatable jobs before an unsafe job is risked on it.
 func TestEjectedWorkerIsTriedWithRepeatableJobs(t *testing.T) {
-	d, r := newDispatcher(t, testSettings(), fleet(10)...)
-	w := d.workers[1]
-	d.eject(w)
-	d.now = w.ejectedUntil + 1
-	unsafe, safe := &job{class: &d.settings.Classes[1]}, &job{class: &d.settings.Classes[0]}
-	if d.eligible(unsafe, w) || !d.eligible(safe, w) {
+	dispatcher, r := newDispatcher(t, testSettings(), fleet(10)...)
+	w := dispatcher.workers[1]
+	dispatcher.eject(w)
+	dispatcher.now = w.ejectedUntil + 1
+	unsafe, safe := &job{class: &dispatcher.settings.Classes[1]}, &job{class: &dispatcher.settings.Classes[0]}
+	if dispatcher.eligible(unsafe, w) || !dispatcher.eligible(safe, w) {
 		t.Error("a worker back from ejection is tried with the wrong kind of job")
 	}
 	w.ejectionLevel = 0
-	if !d.eligible(unsafe, w) {
+	if !dispatcher.eligible(unsafe, w) {
 		t.Error("a worker that served is still not eligible")
 	}
 	s := testSettings()
 	s.Classes = s.Classes[1:2]
-	d, _ = newDispatcher(t, s, fleet(10)...)
-	d.eject(d.workers[1])
-	d.now = d.workers[1].ejectedUntil + 1
-	if !d.eligible(&job{class: &d.settings.Classes[0]}, d.workers[1]) {
+	dispatcher, _ = newDispatcher(t, s, fleet(10)...)
+	dispatcher.eject(dispatcher.workers[1])
+	dispatcher.now = dispatcher.workers[1].ejectedUntil + 1
+	if !dispatcher.eligible(&job{class: &dispatcher.settings.Classes[0]}, dispatcher.workers[1]) {
 		t.Error("with unsafe classes alone an ejected worker is never eligible again")
 	}
 	_ = r
@@ -59,15 +59,15 @@
 // Where reports are a second old, a second copy is placed no better than the first.
 func TestNoHedgingWithOldReports(t *testing.T) {
 	for every, want := range map[Time]bool{100 * ms: true, 1000 * ms: false} {
-		d, _ := newDispatcher(t, testSettings(), fleet(3)...)
-		w := d.workers[1]
+		dispatcher, _ := newDispatcher(t, testSettings(), fleet(3)...)
+		w := dispatcher.workers[1]
 		for i := range Time(300) {
-			d.now += 50 * ms
+			dispatcher.now += 50 * ms
 			w.inFlight++ // our own jobs there have changed
-			d.learnRefresh(w, freeSlots(1+float64(i*50*ms/every%7)/10))
+			dispatcher.learnRefresh(w, freeSlots(1+float64(i*50*ms/every%7)/10))
 		}
-		j := &job{class: &d.settings.Classes[0], attempts: []attempt{{w: w, inFlight: true}}}
-		if d.startOverdue(j, 0); j.drawing != want {
+		j := &job{class: &dispatcher.settings.Classes[0], attempts: []attempt{{w: w, inFlight: true}}}
+		if dispatcher.startOverdue(j, 0); j.drawing != want {
 			t.Errorf("reports every %d ms: second copies %v", every/ms, !want)
 		}
 	}
@@ -75,14 +75,14 @@
 
 // A machine whose cores are taken by another program reports free slots, but answers probes slowly.
 func TestSlowWorkerIsAvoided(t *testing.T) {
-	d, r := newDispatcher(t, testSettings(), fleet(2)...)
+	dispatcher, r := newDispatcher(t, testSettings(), fleet(2)...)
 	for range 50 {
-		d.learnRTT(d.workers[1], ms)
+		dispatcher.learnRTT(dispatcher.workers[1], ms)
 	}
-	d.meanRunByClass[0] = float64(200 * ms)
-	probes := arrive(d, r, 0)
-	d.ProbeResult(startTime+ms, probes[0].worker, Served, ms, freeSlots(1))
-	d.ProbeResult(startTime+8*ms, probes[1].worker, Served, 8*ms, freeSlots(3))
+	dispatcher.meanRunByClass[0] = float64(200 * ms)
+	probes := arrive(dispatcher, r, 0)
+	dispatcher.ProbeResult(startTime+ms, probes[0].worker, Served, ms, freeSlots(1))
+	dispatcher.ProbeResult(startTime+8*ms, probes[1].worker, Served, 8*ms, freeSlots(3))
 	if got := r.take("push"); len(got) != 1 || got[0].worker != probes[0].worker {
 		t.Errorf("pushes %+v, want one to the fast worker", got)
 	}
@@ -90,35 +90,35 @@
 
 // Guards against incident i59d148: a wide job that does not fit waits at the head of the worker's queue and blocks it.
 func TestWideJobNeedsAllItsSlots(t *testing.T) {
-	d, _ := newDispatcher(t, testSettings(), fleet(2)...)
-	j := &job{Job: Job{Slots: 4}, class: &d.settings.Classes[0]}
-	if _, _, fits := d.estimateRoom(j, d.workers[1], freeSlots(3.4)); fits {
+	dispatcher, _ := newDispatcher(t, testSettings(), fleet(2)...)
+	j := &job{Job: Job{Slots: 4}, class: &dispatcher.settings.Classes[0]}
+	if _, _, fits := dispatcher.estimateRoom(j, dispatcher.workers[1], freeSlots(3.4)); fits {
 		t.Error("a job of four slots fits in 3.4 free slots")
 	}
-	if _, _, fits := d.estimateRoom(j, d.workers[1], freeSlots(3.6)); !fits {
+	if _, _, fits := dispatcher.estimateRoom(j, dispatcher.workers[1], freeSlots(3.6)); !fits {
 		t.Error("a job of four slots does not fit in 3.6 free slots, which a noisy report of an idle worker may show")
 	}
 	j.Slots = 1
-	if _, _, fits := d.estimateRoom(j, d.workers[1], freeSlots(0.7)); !fits {
+	if _, _, fits := dispatcher.estimateRoom(j, dispatcher.workers[1], freeSlots(0.7)); !fits {
 		t.Error("a job of one slot does not fit in 0.7 free slots, which a noisy report of one free slot may show")
 	}
 }
 
 // An idle worker once looked too small for a wide job because its report was noisy.
 func TestIdleWorkerHasAllItsSlots(t *testing.T) {
-	d, _ := newDispatcher(t, testSettings(), fleet(1)...)
-	w, j := d.workers[1], &job{Job: Job{Slots: 4}, class: &d.settings.Classes[0]}
+	dispatcher, _ := newDispatcher(t, testSettings(), fleet(1)...)
+	w, j := dispatcher.workers[1], &job{Job: Job{Slots: 4}, class: &dispatcher.settings.Classes[0]}
 	idle := Report{Has: HasFreeSlots | HasInFlight}
 	for _, shown := range []float64{4.4, 3.6, 4} {
 		idle.FreeSlots = shown
-		d.learnRefresh(w, idle)
+		dispatcher.learnRefresh(w, idle)
 	}
 	idle.FreeSlots = 3.1
-	if _, _, fits := d.estimateRoom(j, w, idle); !fits {
+	if _, _, fits := dispatcher.estimateRoom(j, w, idle); !fits {
 		t.Errorf("no room on an idle worker with %.1f slots", w.capacity)
 	}
 	idle.InFlight = 1
-	if _, _, fits := d.estimateRoom(j, w, idle); fits {
+	if _, _, fits := dispatcher.estimateRoom(j, w, idle); fits {
 		t.Error("room for four slots beside a job in flight")
 	}
 }
@@ -126,24 +126,24 @@
 // Redraws once probed workers that a probe had just shown full, and workers filled by our own jobs, at the cost of a probe and
 // of work for the worker: half of all probes were for wide jobs that had no chance.
 func TestNoProbeOfWorkersWithoutRoom(t *testing.T) {
-	d, r := newDispatcher(t, testSettings(), fleet(2)...)
-	for _, p := range arrive(d, r, 0) {
-		d.ProbeResult(startTime+ms, p.worker, Served, ms, freeSlots(0))
+	dispatcher, r := newDispatcher(t, testSettings(), fleet(2)...)
+	for _, p := range arrive(dispatcher, r, 0) {
+		dispatcher.ProbeResult(startTime+ms, p.worker, Served, ms, freeSlots(0))
 	}
 	timers := r.take("wake")
-	fireTimers(d, timers, wakeRedraw, startTime+50*ms)
+	fireTimers(dispatcher, timers, wakeRedraw, startTime+50*ms)
 	if probes := r.take("probe"); len(probes) != 0 {
 		t.Errorf("probes %+v of workers that were just seen full", probes)
 	}
-	d.Arrive(startTime+2*noRoomSpan, Job{ID: 2, GiveUpAt: startTime + 5*second})
+	dispatcher.Arrive(startTime+2*noRoomSpan, Job{ID: 2, GiveUpAt: startTime + 5*second})
 	if probes := r.take("probe"); len(probes) != 2 {
 		t.Errorf("probes %+v long after the workers were seen full", probes)
 	}
-	for _, w := range d.ready {
+	for _, w := range dispatcher.ready {
 		w.noRoomUntil, w.capacity, w.heldSlots = 0, 4, 3
 	}
 	for slots, want := range map[float64]int{1: 2, 2: 0} {
-		d.Arrive(startTime+2*noRoomSpan, Job{ID: 10 + uint32(slots), Slots: slots, GiveUpAt: startTime + 5*second})
+		dispatcher.Arrive(startTime+2*noRoomSpan, Job{ID: 10 + uint32(slots), Slots: slots, GiveUpAt: startTime + 5*second})
 		if probes := r.take("probe"); len(probes) != want {
 			t.Errorf("%g slots where our jobs hold 3 of 4: probes %+v", slots, probes)
 		}
@@ -152,13 +152,13 @@
 
 // A high price also saves probes, and admits a job of high worth.
 func TestPriceLimitsProbes(t *testing.T) {
-	d, r := newDispatcher(t, testSettings(), fleet(4)...)
-	d.price = 1e6
-	if probes := arrive(d, r, 0); len(probes) != 0 {
+	dispatcher, r := newDispatcher(t, testSettings(), fleet(4)...)
+	dispatcher.price = 1e6
+	if probes := arrive(dispatcher, r, 0); len(probes) != 0 {
 		t.Errorf("probes %+v for a job that can't afford a slot", probes)
 	}
-	d.price = 1e-3
-	d.Arrive(startTime, Job{ID: 2, GiveUpAt: startTime + 5*second})
+	dispatcher.price = 1e-3
+	dispatcher.Arrive(startTime, Job{ID: 2, GiveUpAt: startTime + 5*second})
 	if n := countKind(r.take(""), "probe"); n != 2 {
 		t.Errorf("%d probes", n)
 	}
@@ -167,31 +167,31 @@
 // After a long time without answers to probes most workers stay in draws, and the dispatcher recovers without intervention
 // once they answer.
 func TestRecoveryAfterLostProbes(t *testing.T) {
-	d, r := newDispatcher(t, testSettings(), fleet(10)...)
+	dispatcher, r := newDispatcher(t, testSettings(), fleet(10)...)
 	now := startTime
 	for id := uint32(1); id <= 40; id++ { // no worker answers
-		d.Arrive(now, Job{ID: id, Class: 1, GiveUpAt: now + 5*second})
+		dispatcher.Arrive(now, Job{ID: id, Class: 1, GiveUpAt: now + 5*second})
 		for _, a := range r.take("probe") {
-			d.ProbeResult(now+250*ms, a.worker, TimedOut, 250*ms, Report{})
+			dispatcher.ProbeResult(now+250*ms, a.worker, TimedOut, 250*ms, Report{})
 		}
 		now += 300 * ms
 	}
 	available := 0
-	for _, w := range d.ready {
-		if w.ejectedUntil <= d.now {
+	for _, w := range dispatcher.ready {
+		if w.ejectedUntil <= dispatcher.now {
 			available++
 		}
 	}
 	if available < 6 {
 		t.Errorf("only %d of 10 workers are left in draws", available)
 	}
-	now = d.now + 30*second
+	now = dispatcher.now + 30*second
 	pushed := 0
 	for id := uint32(100); id < 120; id++ {
 		r.take("")
-		d.Arrive(now, Job{ID: id, GiveUpAt: now + 5*second})
+		dispatcher.Arrive(now, Job{ID: id, GiveUpAt: now + 5*second})
 		for _, a := range r.take("probe") {
-			d.ProbeResult(now, a.worker, Served, 0, freeSlots(4))
+			dispatcher.ProbeResult(now, a.worker, Served, 0, freeSlots(4))
 		}
 		pushed += len(r.take("push"))
 		now += 100 * ms
@@ -205,17 +205,17 @@
 func TestFirstDrawStaysInTheZone(t *testing.T) {
 	s := testSettings()
 	s.Zones = 2
-	d, r := newDispatcher(t, s, Worker{}, Worker{}, Worker{}, Worker{Zone: 1}, Worker{Zone: 1}, Worker{Zone: 1})
-	for _, p := range arrive(d, r, 0) {
+	dispatcher, r := newDispatcher(t, s, Worker{}, Worker{}, Worker{}, Worker{Zone: 1}, Worker{Zone: 1}, Worker{Zone: 1})
+	for _, p := range arrive(dispatcher, r, 0) {
 		if p.worker > 3 {
 			t.Errorf("the first draw took worker %d of another zone", p.worker)
 		}
 	}
-	j := d.jobs[1]
+	j := dispatcher.jobs[1]
 	j.failedDraws = 3
 	otherZone := false
 	for range 40 {
-		otherZone = otherZone || d.pickWorker(j, nil).Zone == 1
+		otherZone = otherZone || dispatcher.pickWorker(j, nil).Zone == 1
 	}
 	if !otherZone {
 		t.Error("no worker of another zone in 40 draws")
@@ -225,7 +225,7 @@
 // BenchmarkJob measures one job from arrival to answer.
 func BenchmarkJob(b *testing.B) {
 	r := &recorder{}
-	d, err := New(testSettings(), 1, r)
+	dispatcher, err := New(testSettings(), 1, r)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -233,21 +233,21 @@
 	for i := range ws {
 		ws[i] = Worker{ID: WorkerID(i + 1), State: Ready}
 	}
-	d.Announce(startTime, ListFull, ws)
+	dispatcher.Announce(startTime, ListFull, ws)
 	b.ReportAllocs()
 	now := startTime
 	for i := 0; b.Loop(); i++ {
 		now += 10 * ms
 		r.actions = r.actions[:0]
 		id := uint32(i + 1)
-		d.Arrive(now, Job{ID: id, GiveUpAt: now + 5*second})
+		dispatcher.Arrive(now, Job{ID: id, GiveUpAt: now + 5*second})
 		for k := 0; k < len(r.actions); k++ {
 			switch a := r.actions[k]; a.kind {
 			case "probe":
-				d.ProbeResult(now, a.worker, Served, 0, freeSlots(2))
+				dispatcher.ProbeResult(now, a.worker, Served, 0, freeSlots(2))
 			case "push":
-				d.Note(now, id, 0, NoteStarted, 0)
-				d.Outcome(now, Outcome{Job: id, Worker: a.worker, Status: Served, Closed: true})
+				dispatcher.Note(now, id, 0, NoteStarted, 0)
+				dispatcher.Outcome(now, Outcome{Job: id, Worker: a.worker, Status: Served, Closed: true})
 			}
 		}
 	}
@@ -255,10 +255,10 @@
 
 // In overload a job backs off longer after each draw and is shed before its deadline, so retries do not accumulate.
 func TestRetriesBackOffInOverload(t *testing.T) {
-	d, r := newDispatcher(t, testSettings(), fleet(20)...)
-	d.meanRunByClass[0] = float64(500 * ms)
+	dispatcher, r := newDispatcher(t, testSettings(), fleet(20)...)
+	dispatcher.meanRunByClass[0] = float64(500 * ms)
 	r.take("")
-	d.Arrive(startTime, Job{ID: 1, GiveUpAt: startTime + 5*second})
+	dispatcher.Arrive(startTime, Job{ID: 1, GiveUpAt: startTime + 5*second})
 	probes, finals := 0, 0
 	var timers []timer
 	for now := startTime; now < startTime+6*second; now += 5 * ms {
@@ -268,7 +268,7 @@
 				timers = append(timers, timer{now + a.span, a.token})
 			case "probe":
 				probes++
-				d.ProbeResult(now, a.worker, Served, 0, freeSlots(0))
+				dispatcher.ProbeResult(now, a.worker, Served, 0, freeSlots(0))
 			case "refuse", "fail":
 				finals++
 			}
@@ -276,7 +276,7 @@
 		kept := timers[:0:0]
 		for _, tm := range timers {
 			if tm.at <= now {
-				d.Wake(now, tm.token)
+				dispatcher.Wake(now, tm.token)
 			} else {
 				kept = append(kept, tm)
 			}
@@ -290,17 +290,17 @@
 
 // When the whole fleet slows down at once no worker counts as slow.
 func TestNoWorkerIsSlowWhenAllAre(t *testing.T) {
-	d, _ := newDispatcher(t, testSettings(), fleet(5)...)
+	dispatcher, _ := newDispatcher(t, testSettings(), fleet(5)...)
 	for range 100 {
-		d.learnRTT(d.workers[1], ms)
+		dispatcher.learnRTT(dispatcher.workers[1], ms)
 	}
-	if d.slowness(d.workers[2], 6*ms) < 5 {
+	if dispatcher.slowness(dispatcher.workers[2], 6*ms) < 5 {
 		t.Error("a single slow worker is not detected")
 	}
 	for range 100 {
-		d.learnRTT(d.workers[1], 6*ms)
+		dispatcher.learnRTT(dispatcher.workers[1], 6*ms)
 	}
-	if got := d.slowness(d.workers[2], 6*ms); got > 1 {
+	if got := dispatcher.slowness(dispatcher.workers[2], 6*ms); got > 1 {
 		t.Errorf("slowness %v though all workers are equally slow", got)
 	}
 }
@@ -310,19 +310,19 @@
 func TestPartitionedZoneWhileListRequestsFail(t *testing.T) {
 	settings := testSettings()
 	settings.Zones, settings.MustAsk, settings.AskWithin = 2, true, 10*second
-	d, r := newDispatcher(t, settings, Worker{}, Worker{}, Worker{}, Worker{Zone: 1}, Worker{Zone: 1}, Worker{Zone: 1})
+	dispatcher, r := newDispatcher(t, settings, Worker{}, Worker{}, Worker{}, Worker{Zone: 1}, Worker{Zone: 1}, Worker{Zone: 1})
 	now, served := startTime, 0
-	d.Announce(now, ListFailed, nil)
-	d.Announce(now, ListDelta, []Worker{{ID: 3, State: Draining}})
+	dispatcher.Announce(now, ListFailed, nil)
+	dispatcher.Announce(now, ListDelta, []Worker{{ID: 3, State: Draining}})
 	for id := uint32(1); id <= 50; id++ {
 		now += 200 * ms
 		r.take("")
-		d.Arrive(now, Job{ID: id, GiveUpAt: now + 5*second})
+		dispatcher.Arrive(now, Job{ID: id, GiveUpAt: now + 5*second})
 		for _, a := range r.take("probe") {
 			if a.worker > 3 {
-				d.ProbeResult(now+250*ms, a.worker, ConnectFailed, 250*ms, Report{})
+				dispatcher.ProbeResult(now+250*ms, a.worker, ConnectFailed, 250*ms, Report{})
 			} else {
-				d.ProbeResult(now, a.worker, Served, 0, freeSlots(3))
+				dispatcher.ProbeResult(now, a.worker, Served, 0, freeSlots(3))
 			}
 		}
 		for _, a := range r.take("push") {
@@ -330,8 +330,8 @@
 				t.Fatalf("push to worker %d", a.worker)
 			}
 			served++
-			d.Note(now, a.job, 0, NoteStarted, 0)
-			d.Outcome(now, Outcome{Job: a.job, Worker: a.worker, Status: Served, Closed: true})
+			dispatcher.Note(now, a.job, 0, NoteStarted, 0)
+			dispatcher.Outcome(now, Outcome{Job: a.job, Worker: a.worker, Status: Served, Closed: true})
 		}
 	}
 	if served < 45 {
@@ -341,49 +341,49 @@
 
 // When the fleet shrinks and grows several-fold, all listed workers stay in draws, and no others.
 func TestFleetShrinksAndGrows(t *testing.T) {
-	d, r := newDispatcher(t, testSettings(), fleet(40)...)
+	dispatcher, r := newDispatcher(t, testSettings(), fleet(40)...)
 	for _, n := range []int{10, 80, 5, 60} {
 		list := fleet(n)
 		for i := range list {
 			list[i] = Worker{ID: WorkerID(i + 1), State: Ready}
 		}
-		d.Announce(startTime, ListFull, list)
-		if len(d.ready) != n || len(d.workers) != n {
-			t.Errorf("%d listed: %d ready, %d known", n, len(d.ready), len(d.workers))
+		dispatcher.Announce(startTime, ListFull, list)
+		if len(dispatcher.ready) != n || len(dispatcher.workers) != n {
+			t.Errorf("%d listed: %d ready, %d known", n, len(dispatcher.ready), len(dispatcher.workers))
 		}
 	}
-	if p := arrive(d, r, 0); len(p) != 2 {
+	if p := arrive(dispatcher, r, 0); len(p) != 2 {
 		t.Errorf("probes %+v", p)
 	}
 }
 
 // Occasional resets once ejected a third of a healthy fleet.
 func TestSingleResetsDoNotEject(t *testing.T) {
-	d, r := newDispatcher(t, testSettings(), fleet(6)...)
-	w := d.workers[pushJob(t, d, r, 0)]
+	dispatcher, r := newDispatcher(t, testSettings(), fleet(6)...)
+	w := dispatcher.workers[pushJob(t, dispatcher, r, 0)]
 	for i := range resetsToEject {
-		if w.ejectedUntil > d.now {
+		if w.ejectedUntil > dispatcher.now {
 			t.Errorf("ejected after %d resets", i)
 		}
-		j := d.newJob(Job{ID: 10 + uint32(i), Class: 0, GiveUpAt: startTime + 5*second})
-		d.push(j, w, 0)
-		d.Outcome(startTime+2*ms, Outcome{Job: j.ID, Worker: w.ID, Status: Reset})
+		j := dispatcher.newJob(Job{ID: 10 + uint32(i), Class: 0, GiveUpAt: startTime + 5*second})
+		dispatcher.push(j, w, 0)
+		dispatcher.Outcome(startTime+2*ms, Outcome{Job: j.ID, Worker: w.ID, Status: Reset})
 	}
-	if w.ejectedUntil <= d.now {
+	if w.ejectedUntil <= dispatcher.now {
 		t.Error("not ejected after so many resets in a row")
 	}
-	probed := d.ready[0]
+	probed := dispatcher.ready[0]
 	if probed == w {
-		probed = d.ready[1]
+		probed = dispatcher.ready[1]
 	}
-	d.checkWorker(probed, nil, 0)
+	dispatcher.checkWorker(probed, nil, 0)
 	for i := range Time(lossesToEject) {
-		if probed.ejectedUntil > d.now {
+		if probed.ejectedUntil > dispatcher.now {
 			t.Errorf("ejected after %d lost probes", i)
 		}
-		d.ProbeResult(startTime+(i+3)*ms, probed.ID, Reset, ms, Report{})
+		dispatcher.ProbeResult(startTime+(i+3)*ms, probed.ID, Reset, ms, Report{})
 	}
-	if probed.ejectedUntil <= d.now {
+	if probed.ejectedUntil <= dispatcher.now {
 		t.Error("not ejected after the second lost probe in a row")
 	}
 }
@@ -406,17 +406,17 @@
 		settings := testSettings()
 		settings.SecondCopies = false
 		settings.Classes[c.class].Aim = 4 * second
-		d, r := newDispatcher(t, settings, fleet(3)...)
-		w := d.workers[pushJob(t, d, r, c.class)]
+		dispatcher, r := newDispatcher(t, settings, fleet(3)...)
+		w := dispatcher.workers[pushJob(t, dispatcher, r, c.class)]
 		timers := r.take("")
-		d.Wake(startTime+startTimeout, wakeStartDue|1)
+		dispatcher.Wake(startTime+startTimeout, wakeStartDue|1)
 		for i := range Time(lossesToEject) {
 			now := startTime + startTimeout + (i+1)*checkInterval
-			d.Wake(now, wakeCheck|1)
+			dispatcher.Wake(now, wakeCheck|1)
 			if probes := r.take("probe"); len(probes) != 1 || probes[0].worker != w.ID {
 				t.Fatalf("%s: probes %+v after %+v", c.name, probes, timers)
 			}
-			d.ProbeResult(now+ms, w.ID, Served, ms, c.shown)
+			dispatcher.ProbeResult(now+ms, w.ID, Served, ms, c.shown)
 		}
 		if n := len(r.take("cancel")); n != c.cancels || w.overdueStarts != c.overdue {
 			t.Errorf("%s: %d cancels, %d overdue starts", c.name, n, w.overdueStarts)
@@ -428,15 +428,15 @@
 func TestJobsOfALostWorkerAreCancelledForRetry(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].Aim = 4 * second
-	d, r := newDispatcher(t, s, fleet(3)...)
-	w := d.workers[pushJob(t, d, r, 0)]
-	d.Note(startTime+2*ms, 1, 0, NoteStarted, 0)
-	d.checkWorker(w, nil, 0)
+	dispatcher, r := newDispatcher(t, s, fleet(3)...)
+	w := dispatcher.workers[pushJob(t, dispatcher, r, 0)]
+	dispatcher.Note(startTime+2*ms, 1, 0, NoteStarted, 0)
+	dispatcher.checkWorker(w, nil, 0)
 	for i := range Time(lossesToEject) {
 		if probes := r.take("probe"); len(probes) != 1 {
 			t.Fatalf("%d probes in flight", len(probes))
 		}
-		d.ProbeResult(startTime+(i+1)*500*ms, w.ID, TimedOut, 500*ms, Report{})
+		dispatcher.ProbeResult(startTime+(i+1)*500*ms, w.ID, TimedOut, 500*ms, Report{})
 	}
 	if n := len(r.take("cancel")); n != 1 {
 		t.Errorf("%d cancels", n)
@@ -446,24 +446,24 @@
 // Workers that never started the jobs of one class but served all others were still drawn for that class, and each of its jobs
 // was lost until its client's deadline.
 func TestClassIsKeptOffAWorkerThatDoesNotStartIt(t *testing.T) {
-	d, r := newDispatcher(t, testSettings(), fleet(3)...)
-	w := d.workers[pushJob(t, d, r, 0)]
-	d.Outcome(startTime+5*second, Outcome{Job: 1, Worker: w.ID, Status: TimedOut})
-	j, other := d.newJob(Job{ID: 2, Class: 0}), d.newJob(Job{ID: 3, Class: 2})
-	if d.eligible(j, w) || !d.eligible(other, w) {
+	dispatcher, r := newDispatcher(t, testSettings(), fleet(3)...)
+	w := dispatcher.workers[pushJob(t, dispatcher, r, 0)]
+	dispatcher.Outcome(startTime+5*second, Outcome{Job: 1, Worker: w.ID, Status: TimedOut})
+	j, other := dispatcher.newJob(Job{ID: 2, Class: 0}), dispatcher.newJob(Job{ID: 3, Class: 2})
+	if dispatcher.eligible(j, w) || !dispatcher.eligible(other, w) {
 		t.Error("want that class, and no other, kept off the worker")
 	}
-	first := w.classEjections[0].until - d.now
-	d.ejectForClass(w, 0)
-	if second := w.classEjections[0].until - d.now; second <= first {
+	first := w.classEjections[0].until - dispatcher.now
+	dispatcher.ejectForClass(w, 0)
+	if second := w.classEjections[0].until - dispatcher.now; second <= first {
 		t.Errorf("the second term is %d ms after a first of %d ms", second/ms, first/ms)
 	}
-	d.now = w.classEjections[0].until
-	if !d.eligible(j, w) {
+	dispatcher.now = w.classEjections[0].until
+	if !dispatcher.eligible(j, w) {
 		t.Error("the class is still kept off after the term")
 	}
-	d.push(j, w, 0)
-	d.Outcome(d.now+ms, Outcome{Job: 2, Worker: w.ID, Status: Served})
+	dispatcher.push(j, w, 0)
+	dispatcher.Outcome(dispatcher.now+ms, Outcome{Job: 2, Worker: w.ID, Status: Served})
 	if w.classEjections[0].strikes != 0 {
 		t.Error("the strikes remain after a served job")
 	}
@@ -473,26 +473,31 @@
 // after the end of its attempt, since a report might not show the end yet.
 func TestClaimEndsWithItsAttempt(t *testing.T) {
 	for name, c := range map[string]struct {
-		end  func(d *Dispatcher)
+		end  func(dispatcher *Dispatcher)
 		fits bool
 	}{
-		"runs":                   {func(d *Dispatcher) {}, false},
-		"started":                {func(d *Dispatcher) { d.Note(startTime+10*ms, 1, 0, NoteStarted, 0) }, false},
-		"served":                 {func(d *Dispatcher) { d.Outcome(startTime+10*ms, Outcome{Job: 1, Status: Served}) }, true},
-		"failed":                 {func(d *Dispatcher) { d.Outcome(startTime+10*ms, Outcome{Job: 1, Status: Full}) }, true},
-		"cancelled":              {func(d *Dispatcher) { d.Hangup(startTime, 1); d.Outcome(startTime, Outcome{Job: 1, Status: Cancelled}) }, true},
-		"end of another attempt": {func(d *Dispatcher) { d.Outcome(startTime+10*ms, Outcome{Job: 1, Attempt: 1, Status: Served}) }, false},
+		"runs":    {func(dispatcher *Dispatcher) {}, false},
+		"started": {func(dispatcher *Dispatcher) { dispatcher.Note(startTime+10*ms, 1, 0, NoteStarted, 0) }, false},
+		"served":  {func(dispatcher *Dispatcher) { dispatcher.Outcome(startTime+10*ms, Outcome{Job: 1, Status: Served}) }, true},
+		"failed":  {func(dispatcher *Dispatcher) { dispatcher.Outcome(startTime+10*ms, Outcome{Job: 1, Status: Full}) }, true},
+		"cancelled": {func(dispatcher *Dispatcher) {
+			dispatcher.Hangup(startTime, 1)
+			dispatcher.Outcome(startTime, Outcome{Job: 1, Status: Cancelled})
+		}, true},
+		"end of another attempt": {func(dispatcher *Dispatcher) {
+			dispatcher.Outcome(startTime+10*ms, Outcome{Job: 1, Attempt: 1, Status: Served})
+		}, false},
 	} {
-		d, r := newDispatcher(t, testSettings(), fleet(2)...)
-		w := d.workers[pushJob(t, d, r, 0)]
-		c.end(d)
-		if _, _, fits := d.estimateRoom(&job{Job: Job{Slots: 1}}, w, freeSlots(1)); fits != c.fits {
+		dispatcher, r := newDispatcher(t, testSettings(), fleet(2)...)
+		w := dispatcher.workers[pushJob(t, dispatcher, r, 0)]
+		c.end(dispatcher)
+		if _, _, fits := dispatcher.estimateRoom(&job{Job: Job{Slots: 1}}, w, freeSlots(1)); fits != c.fits {
 			t.Errorf("%s: room for another job in the one free slot: %v", name, fits)
 		}
-		if d.now = startTime + reportLag + 2*ms; len(w.claims) == 0 != c.fits {
+		if dispatcher.now = startTime + reportLag + 2*ms; len(w.claims) == 0 != c.fits {
 			t.Errorf("%s: claims %+v", name, w.claims)
 		}
-		if _, _, fits := d.estimateRoom(&job{Job: Job{Slots: 1}}, w, freeSlots(1)); !fits {
+		if _, _, fits := dispatcher.estimateRoom(&job{Job: Job{Slots: 1}}, w, freeSlots(1)); !fits {
 			t.Errorf("%s: no room though reports show the push by then", name)
 		}
 	}
@@ -509,22 +514,22 @@
 		"more and less":  {func(w *worker, i int) { w.inFlight = i % 2 }, 50 * ms},
 		"never reported": {func(w *worker, i int) { w.inFlight = i }, maxRefresh},
 	} {
-		d, _ := newDispatcher(t, testSettings(), fleet(1)...)
-		w := d.workers[1]
+		dispatcher, _ := newDispatcher(t, testSettings(), fleet(1)...)
+		w := dispatcher.workers[1]
 		for i := range 1000 {
 			c.change(w, i)
-			d.now += 50 * ms
+			dispatcher.now += 50 * ms
 			r := Report{Has: HasFreeSlots, FreeSlots: 4}
 			if c.want == 50*ms {
 				r.FreeSlots -= float64(w.inFlight)
 			}
-			d.learnRefresh(w, r)
+			dispatcher.learnRefresh(w, r)
 		}
 		if c.want == 0 {
 			c.want = reportLag // the initial value
 		}
-		if d.refresh > c.want+c.want/10 || d.refresh < c.want-c.want/10 {
-			t.Errorf("%s: reports stay the same for %d us, want %d", name, d.refresh, c.want)
+		if dispatcher.refresh > c.want+c.want/10 || dispatcher.refresh < c.want-c.want/10 {
+			t.Errorf("%s: reports stay the same for %d us, want %d", name, dispatcher.refresh, c.want)
 		}
 	}
 }
@@ -533,15 +538,15 @@
 func TestSpansScaleWithRunningTimes(t *testing.T) {
 	for run, want := range map[Time][3]Time{1000 * ms: {reportLag, noRoomSpan, backoffMin}, 20 * ms: {50 * ms, 30 * ms, 3 * ms},
 		0: {ms, ms, ms}} {
-		d, _ := newDispatcher(t, testSettings(), fleet(1)...)
-		j := &job{class: &d.settings.Classes[0]}
-		a := &attempt{w: d.workers[1], started: true}
+		dispatcher, _ := newDispatcher(t, testSettings(), fleet(1)...)
+		j := &job{class: &dispatcher.settings.Classes[0]}
+		a := &attempt{w: dispatcher.workers[1], started: true}
 		for range 1000 {
-			a.startedAt = d.now - run
-			d.learnOutcome(j, a, Served)
+			a.startedAt = dispatcher.now - run
+			dispatcher.learnOutcome(j, a, Served)
 		}
 		for i, span := range []Time{reportLag, noRoomSpan, backoffMin} {
-			if got := d.scaleSpan(span); max(got-want[i], want[i]-got) > ms/100 {
+			if got := dispatcher.scaleSpan(span); max(got-want[i], want[i]-got) > ms/100 {
 				t.Errorf("jobs of %d us: a span of %d us, want %d", run, got, want[i])
 			}
 		}
@@ -550,16 +555,16 @@
 
 // The end of a job frees a slot of a full worker, so an earlier probe that showed it full no longer counts.
 func TestJobEndVoidsALackOfRoom(t *testing.T) {
-	d, r := newDispatcher(t, testSettings(), fleet(2)...)
-	w := d.workers[pushJob(t, d, r, 0)]
-	j := &job{Job: Job{Slots: 1}, class: &d.settings.Classes[0]}
+	dispatcher, r := newDispatcher(t, testSettings(), fleet(2)...)
+	w := dispatcher.workers[pushJob(t, dispatcher, r, 0)]
+	j := &job{Job: Job{Slots: 1}, class: &dispatcher.settings.Classes[0]}
 	w.noRoomUntil, w.noRoomSlots = startTime+noRoomSpan, 1
-	d.Note(startTime+5*ms, 1, 0, NoteStarted, 0)
-	if !d.lacksRoom(j, w) {
+	dispatcher.Note(startTime+5*ms, 1, 0, NoteStarted, 0)
+	if !dispatcher.lacksRoom(j, w) {
 		t.Error("a start voided the lack of room")
 	}
-	d.Outcome(startTime+10*ms, Outcome{Job: 1, Status: Served})
-	if d.lacksRoom(j, w) {
+	dispatcher.Outcome(startTime+10*ms, Outcome{Job: 1, Status: Served})
+	if dispatcher.lacksRoom(j, w) {
 		t.Error("still without room after the end of the job")
 	}
 }
@@ -582,12 +587,12 @@
 	} {
 		settings := testSettings()
 		settings.Nodes = c.nodes
-		d, _ := newDispatcher(t, settings, fleet(2)...)
-		w := d.workers[1]
-		w.capacity, w.heldSlots, w.inFlight, d.refresh = 4, 2, 2, c.refresh
-		w.claims = []claim{{at: d.now, job: 1, slots: 1}, {at: d.now, job: 2, slots: 1}}
-		d.now += 10 * ms
-		r, _, fits := d.estimateRoom(&job{Job: Job{Slots: 1}}, w, freeSlots(c.shown))
+		dispatcher, _ := newDispatcher(t, settings, fleet(2)...)
+		w := dispatcher.workers[1]
+		w.capacity, w.heldSlots, w.inFlight, dispatcher.refresh = 4, 2, 2, c.refresh
+		w.claims = []claim{{at: dispatcher.now, job: 1, slots: 1}, {at: dispatcher.now, job: 2, slots: 1}}
+		dispatcher.now += 10 * ms
+		r, _, fits := dispatcher.estimateRoom(&job{Job: Job{Slots: 1}}, w, freeSlots(c.shown))
 		if fits != c.fits || r.FreeSlots > c.shown {
 			t.Errorf("%s: fits %v with %.1f free", name, fits, r.FreeSlots)
 		}
@@ -611,11 +616,11 @@
 		"two slots taken, two more wait": {4, 0, 1, 2.1, 4.1, false},
 		"one slot taken by two, noise":   {4, 0, 1, 3, 1.6, true},
 	} {
-		d, _ := newDispatcher(t, testSettings(), fleet(2)...)
-		w := d.workers[1]
-		w.capacity, d.capacityByKind[w.Kind] = c.capacity, c.kindCapacity
+		dispatcher, _ := newDispatcher(t, testSettings(), fleet(2)...)
+		w := dispatcher.workers[1]
+		w.capacity, dispatcher.capacityByKind[w.Kind] = c.capacity, c.kindCapacity
 		load := Report{Has: HasFreeSlots | HasInFlight, FreeSlots: c.shown, InFlight: c.inFlight}
-		if _, _, fits := d.estimateRoom(&job{Job: Job{Slots: c.need}}, w, load); fits != c.fits {
+		if _, _, fits := dispatcher.estimateRoom(&job{Job: Job{Slots: c.need}}, w, load); fits != c.fits {
 			t.Errorf("%s: fits %v", name, fits)
 		}
 	}
@@ -635,17 +640,17 @@
 			list[i].StartedAt = startTime - settings.ColdSpan/2 // 0.6 warm
 		}
 	}
-	d, _ := newDispatcher(t, settings, list...)
-	d.sentWork = [2]float64{34e4, 0} // to five workers of our zone, one of them warm: 3.4 of warm capacity
-	d.updateWarmRate(float64(second))
-	if got := d.warmRate; got[0] < 0.99e5 || got[0] > 1.01e5 || got[1] != 0 {
+	dispatcher, _ := newDispatcher(t, settings, list...)
+	dispatcher.sentWork = [2]float64{34e4, 0} // to five workers of our zone, one of them warm: 3.4 of warm capacity
+	dispatcher.updateWarmRate(float64(second))
+	if got := dispatcher.warmRate; got[0] < 0.99e5 || got[0] > 1.01e5 || got[1] != 0 {
 		t.Errorf("rate per warm worker %v", got)
 	}
 	for id, want := range map[WorkerID][2]int{1: {430, 570}, 2: {0, 0}} { // own zone: 1.6 x 0.62 x 0.1 s of credit per 0.2 s
-		w, n := d.workers[id], 0
+		w, n := dispatcher.workers[id], 0
 		for range 1000 {
-			w.coldCredit, w.coldCreditAt = 0, d.now-second
-			if d.admitCold(&job{Job: Job{Slots: 1}, expectedRun: 200 * ms}, w) {
+			w.coldCredit, w.coldCreditAt = 0, dispatcher.now-second
+			if dispatcher.admitCold(&job{Job: Job{Slots: 1}, expectedRun: 200 * ms}, w) {
 				n++
 			}
 		}
@@ -654,9 +659,9 @@
 		}
 	}
 	for capacity, want := range map[float64]bool{0: true, 4: false} { // a job beyond its slots, though not beyond its traffic
-		w := d.workers[1]
-		w.capacity, d.warmRate[0], w.coldCredit = capacity, 3e6, 1e9
-		if got := d.admitCold(&job{Job: Job{Slots: 4}, expectedRun: 2800 * ms}, w); got != want {
+		w := dispatcher.workers[1]
+		w.capacity, dispatcher.warmRate[0], w.coldCredit = capacity, 3e6, 1e9
+		if got := dispatcher.admitCold(&job{Job: Job{Slots: 4}, expectedRun: 2800 * ms}, w); got != want {
 			t.Errorf("%v slots: admitted %v", capacity, got)
 		}
 	}
@@ -671,13 +676,13 @@
 		keptOff bool
 	}{"it drains": {Error, ms, true}, "it is gone": {ConnectFailed, ms, true}, "it may be far": {ConnectFailed, 250 * ms, false},
 		"it answers": {Served, ms, false}, "the connection broke": {Reset, ms, false}} {
-		d, r := newDispatcher(t, testSettings(), fleet(10)...)
-		j := &job{class: &d.settings.Classes[1], Job: Job{Class: 1}}
+		dispatcher, r := newDispatcher(t, testSettings(), fleet(10)...)
+		j := &job{class: &dispatcher.settings.Classes[1], Job: Job{Class: 1}}
 		r.take("")
 		for range 2 {
-			for _, w := range d.ready { // all at once: the limit for shared causes does not apply
-				d.learnProbe(w, c.status, c.rtt)
-				if c.keptOff && (d.eligible(j, w) || w.fullUntil-d.now < refusedMin/2*Time(w.refusedProbes)) {
+			for _, w := range dispatcher.ready { // all at once: the limit for shared causes does not apply
+				dispatcher.learnProbe(w, c.status, c.rtt)
+				if c.keptOff && (dispatcher.eligible(j, w) || w.fullUntil-dispatcher.now < refusedMin/2*Time(w.refusedProbes)) {
 					t.Errorf("%s: still eligible, or not kept off for longer the second time", name)
 				} else if !c.keptOff && w.refusedProbes > 0 {
 					t.Errorf("%s: counted as a refused probe", name)
@@ -686,12 +691,12 @@
 			if c.keptOff && countKind(r.take(""), "probe") > 0 {
 				t.Errorf("%s: probed again", name)
 			}
-			if d.now += 4 * second; c.keptOff && d.ready[0].refusedProbes == 1 && !d.eligible(j, d.ready[0]) {
+			if dispatcher.now += 4 * second; c.keptOff && dispatcher.ready[0].refusedProbes == 1 && !dispatcher.eligible(j, dispatcher.ready[0]) {
 				t.Errorf("%s: not eligible after its term", name)
 			}
 		}
-		d.updateList(ListDelta, []Worker{{ID: d.ready[0].ID, State: Ready, StartedAt: d.now}})
-		if !d.eligible(j, d.ready[0]) {
+		dispatcher.updateList(ListDelta, []Worker{{ID: dispatcher.ready[0].ID, State: Ready, StartedAt: dispatcher.now}})
+		if !dispatcher.eligible(j, dispatcher.ready[0]) {
 			t.Errorf("%s: a new process is not eligible", name)
 		}
 	}
@@ -715,21 +720,21 @@
 		"queue not reported, one of ours ended": {HasFreeSlots, 1, 0, 0, 1, false},
 		"wide jobs":                             {reported, 2, 0, 0, 1, false},
 	} {
-		d, _ := newDispatcher(t, testSettings(), fleet(2)...)
-		w := d.workers[1]
-		w.capacity, d.widestJob = 4, c.widestJob
+		dispatcher, _ := newDispatcher(t, testSettings(), fleet(2)...)
+		w := dispatcher.workers[1]
+		w.capacity, dispatcher.widestJob = 4, c.widestJob
 		if c.endedSlots > 0 {
-			w.releaseClaim(d.now, 1, 0, c.endedSlots)
+			w.releaseClaim(dispatcher.now, 1, 0, c.endedSlots)
 		}
 		load := Report{Has: c.has, FreeSlots: c.free, Queue: c.queue}
-		if _, _, fits := d.estimateRoom(&job{Job: Job{Slots: 1}}, w, load); fits != c.fits {
+		if _, _, fits := dispatcher.estimateRoom(&job{Job: Job{Slots: 1}}, w, load); fits != c.fits {
 			t.Errorf("%s: fits %v", name, fits)
 		}
 	}
-	d, r := newDispatcher(t, testSettings(), fleet(2)...)
-	j := d.newJob(Job{ID: 1, GiveUpAt: startTime + 5*second})
+	dispatcher, r := newDispatcher(t, testSettings(), fleet(2)...)
+	j := dispatcher.newJob(Job{ID: 1, GiveUpAt: startTime + 5*second})
 	r.take("")
-	d.push(j, d.workers[1], 300*ms)
+	dispatcher.push(j, dispatcher.workers[1], 300*ms)
 	for _, a := range r.take("wake") {
 		if a.token>>56 == wakeStartDue>>56 && a.span != startTimeout+300*ms {
 			t.Errorf("the start is overdue after %d ms", a.span/ms)
@@ -741,45 +746,45 @@
 // were refused, though the repeat of a keyed job costs next to nothing. Unsafe jobs avoid such a worker until it has served
 // several jobs in a row: a single success by chance once brought the next unsafe job to a faulty worker.
 func TestFailingWorkerIsTheLastResort(t *testing.T) {
-	d, _ := newDispatcher(t, testSettings(), fleet(10)...)
-	w := d.workers[1]
+	dispatcher, _ := newDispatcher(t, testSettings(), fleet(10)...)
+	w := dispatcher.workers[1]
 	end := func(s Status) {
-		j := d.newJob(Job{ID: uint32(d.now), Class: 0, GiveUpAt: d.now + second})
-		d.push(j, w, 0)
-		d.Outcome(d.now+ms, Outcome{Job: j.ID, Status: s, Closed: true})
+		j := dispatcher.newJob(Job{ID: uint32(dispatcher.now), Class: 0, GiveUpAt: dispatcher.now + second})
+		dispatcher.push(j, w, 0)
+		dispatcher.Outcome(dispatcher.now+ms, Outcome{Job: j.ID, Status: s, Closed: true})
 	}
 	end(Error)
 	end(Error)
-	keyed, unsafe := &job{class: &d.settings.Classes[2]}, &job{class: &d.settings.Classes[1]}
-	if d.eligible(keyed, w) {
+	keyed, unsafe := &job{class: &dispatcher.settings.Classes[2]}, &job{class: &dispatcher.settings.Classes[1]}
+	if dispatcher.eligible(keyed, w) {
 		t.Error("eligible for the first draw")
 	}
 	keyed.failedDraws, unsafe.failedDraws = 1, 1
-	if !d.eligible(keyed, w) || d.eligible(unsafe, w) {
+	if !dispatcher.eligible(keyed, w) || dispatcher.eligible(unsafe, w) {
 		t.Error("without room elsewhere, want it eligible for repeatable jobs only")
 	}
-	keyed.attempts = make([]attempt, d.settings.MaxAttempts-1)
+	keyed.attempts = make([]attempt, dispatcher.settings.MaxAttempts-1)
 	for i := range keyed.attempts {
-		keyed.attempts[i] = attempt{w: w, sent: d.now, mayHaveRun: true}
+		keyed.attempts[i] = attempt{w: w, sent: dispatcher.now, mayHaveRun: true}
 	}
-	if d.eligible(keyed, w) {
+	if dispatcher.eligible(keyed, w) {
 		t.Error("eligible for the last attempt")
 	}
-	d.now = w.ejectedUntil + 1
+	dispatcher.now = w.ejectedUntil + 1
 	for w.ejectionLevel > 0 {
 		end(Served)
 	}
-	if d.eligible(unsafe, w) {
+	if dispatcher.eligible(unsafe, w) {
 		t.Error("eligible for unsafe jobs after too few served jobs")
 	}
 	for range 3 {
 		end(Served)
 	}
-	if !d.eligible(unsafe, w) {
+	if !dispatcher.eligible(unsafe, w) {
 		t.Error("a worker that serves again is not eligible for unsafe jobs")
 	}
-	w.ejectedUntil, w.lostProbes, w.failureRate = d.now+second, lossesToEject, 1
-	if keyed.attempts = nil; d.eligible(keyed, w) {
+	w.ejectedUntil, w.lostProbes, w.failureRate = dispatcher.now+second, lossesToEject, 1
+	if keyed.attempts = nil; dispatcher.eligible(keyed, w) {
 		t.Error("eligible though it answers no probe")
 	}
 }
@@ -802,24 +807,24 @@
 		"too late on a slow one":                     {2.5, 0, 100 * ms, -140 * ms, false},
 		"its running time is known and is not short": {1, 1, 200 * ms, -30 * ms, true},
 	} {
-		d, r := newDispatcher(t, testSettings(), fleet(4)...)
-		w := d.workers[1]
-		w.capacity, d.meanRun, d.meanRunByClass[0], d.widestJob = 4, 100e3, 100e3, 1
-		j := d.newJob(Job{ID: 1, GiveUpAt: startTime + 5*second, Hint: c.hint, Slots: 1})
-		d.estimate(j)
-		slack := Time(shortRunShare * float64(d.meanRunByClass[0]))
+		dispatcher, r := newDispatcher(t, testSettings(), fleet(4)...)
+		w := dispatcher.workers[1]
+		w.capacity, dispatcher.meanRun, dispatcher.meanRunByClass[0], dispatcher.widestJob = 4, 100e3, 100e3, 1
+		j := dispatcher.newJob(Job{ID: 1, GiveUpAt: startTime + 5*second, Hint: c.hint, Slots: 1})
+		dispatcher.estimate(j)
+		slack := Time(shortRunShare * float64(dispatcher.meanRunByClass[0]))
 		if c.hint > 0 {
 			slack = c.hint
 		}
-		if got := d.latestStart(j, 1) - j.aimAt; got != slack || c.hint == 0 && got == j.expectedRun {
+		if got := dispatcher.latestStart(j, 1) - j.aimAt; got != slack || c.hint == 0 && got == j.expectedRun {
 			t.Errorf("%s: %d ms of slack, want %d", name, got/ms, slack/ms)
 		}
-		d.now = d.latestStart(j, 1) + c.late
-		d.medianRTT[0] = float64(10 * ms)
+		dispatcher.now = dispatcher.latestStart(j, 1) + c.late
+		dispatcher.medianRTT[0] = float64(10 * ms)
 		j.pair[0], j.answered[0], j.rtt[0] = w, true, Time(c.slow*float64(10*ms))
 		j.reports[0] = Report{Has: HasFreeSlots | HasQueue, FreeSlots: 1 - c.queue}
 		r.take("")
-		d.resolveDraw(j)
+		dispatcher.resolveDraw(j)
 		if pushed := countKind(r.take(""), "push") == 1; pushed != c.pushed {
 			t.Errorf("%s: pushed %v", name, pushed)
 		}
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -124,11 +124,11 @@
 func newSimulation(t *testing.T, s Settings, seed uint64, n int) *simulation {
 	sim := &simulation{fields: 255, t: t, rng: rand.New(rand.NewPCG(seed, 1)), settings: s, now: 1000 * second, roomChance: 0.7,
 		drainSeenAt: map[WorkerID]Time{}, jobs: map[uint32]*simulatedJob{}}
-	d, err := New(s, seed, &sim.recorder)
+	dispatcher, err := New(s, seed, &sim.recorder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	sim.dispatcher = d
+	sim.dispatcher = dispatcher
 	for i := range n {
 		e := Worker{ID: WorkerID(i + 1), Zone: i % s.Zones, Kind: i % 2, Cell: i / 3, State: Ready, Weight: 1}
 		if sim.rng.IntN(4) == 0 {
@@ -136,7 +136,7 @@
 		}
 		sim.workers = append(sim.workers, e)
 	}
-	d.Announce(sim.now, ListCached, sim.workers)
+	dispatcher.Announce(sim.now, ListCached, sim.workers)
 	sim.handleActions()
 	return sim
 }
@@ -305,15 +305,15 @@
 
 // handOver replaces the dispatcher by another one that continues its jobs, as in an upgrade. The rules hold across both.
 func (sim *simulation) handOver() {
-	d, err := New(sim.settings, sim.rng.Uint64(), &sim.recorder)
+	dispatcher, err := New(sim.settings, sim.rng.Uint64(), &sim.recorder)
 	if err != nil {
 		sim.t.Fatal(err)
 	}
 	sim.timers, sim.probes, sim.listRequests = nil, nil, 0
-	d.Announce(sim.now, ListCached, sim.workers)
+	dispatcher.Announce(sim.now, ListCached, sim.workers)
 	want := sim.dispatcher.Learnt()
-	d.Learn(sim.now, want)
-	if got := d.Learnt(); !equalLearnt(got, want) {
+	dispatcher.Learn(sim.now, want)
+	if got := dispatcher.Learnt(); !equalLearnt(got, want) {
 		sim.fatalf("the new dispatcher has the state %+v, want %+v", got, want)
 	}
 	for _, j := range sim.openJobs {
@@ -322,10 +322,10 @@
 			sim.fatalf("job %d: open in the dispatcher %v, closed in the simulation %v", j.ID, ok, j.closed)
 		}
 		if ok {
-			d.Adopt(sim.now, in, attempts)
+			dispatcher.Adopt(sim.now, in, attempts)
 		}
 	}
-	sim.dispatcher = d
+	sim.dispatcher = dispatcher
 	sim.handleActions()
 }
 
--- a/decide/holder_test.go
+++ b/decide/holder_test.go
@@ -12,7 +12,7 @@
 	var r recorder
 	settings := testSettings()
 	settings.Zones = 2
-	d, err := New(settings, seed, &r)
+	dispatcher, err := New(settings, seed, &r)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -20,13 +20,13 @@
 	for id := WorkerID(1); id <= 6; id++ {
 		list = append(list, Worker{ID: id, Zone: int(id % 2), State: Ready})
 	}
-	d.Announce(second, ListFull, list)
-	d.Arrive(second, j)
+	dispatcher.Announce(second, ListFull, list)
+	dispatcher.Arrive(second, j)
 	for _, a := range r.take("probe") {
 		probed = append(probed, a.worker)
 	}
 	for _, id := range probed {
-		d.ProbeResult(second+ms, id, Served, ms, show(id))
+		dispatcher.ProbeResult(second+ms, id, Served, ms, show(id))
 	}
 	for _, a := range r.take("push") {
 		pushed = a.worker
@@ -78,15 +78,15 @@
 
 func TestAddClassLeavesKnownWorkersUsable(t *testing.T) {
 	var r recorder
-	d, err := New(testSettings(), 1, &r)
+	dispatcher, err := New(testSettings(), 1, &r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Announce(second, ListFull, []Worker{{ID: 1, State: Ready}, {ID: 2, State: Ready}})
-	class := d.AddClass(Class{Effect: Unsafe, Aim: second, Deadline: 5 * second, Worth: 1, Kind: -1}, second/10)
-	d.Arrive(second, Job{ID: 1, Class: class, GiveUpAt: 6 * second})
+	dispatcher.Announce(second, ListFull, []Worker{{ID: 1, State: Ready}, {ID: 2, State: Ready}})
+	class := dispatcher.AddClass(Class{Effect: Unsafe, Aim: second, Deadline: 5 * second, Worth: 1, Kind: -1}, second/10)
+	dispatcher.Arrive(second, Job{ID: 1, Class: class, GiveUpAt: 6 * second})
 	for _, a := range r.take("probe") {
-		d.ProbeResult(second+ms, a.worker, Served, ms, Report{Has: HasFreeSlots, FreeSlots: 4})
+		dispatcher.ProbeResult(second+ms, a.worker, Served, ms, Report{Has: HasFreeSlots, FreeSlots: 4})
 	}
 	if pushes := r.take("push"); len(pushes) != 1 {
 		t.Fatalf("%d pushes of a job of the added class", len(pushes))
@@ -98,15 +98,15 @@
 		var r recorder
 		s := testSettings()
 		s.Unpriced = unpriced
-		d, err := New(s, 1, &r)
+		dispatcher, err := New(s, 1, &r)
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Announce(second, ListFull, []Worker{{ID: 1, State: Ready}, {ID: 2, State: Ready}})
-		d.price = 1e12
+		dispatcher.Announce(second, ListFull, []Worker{{ID: 1, State: Ready}, {ID: 2, State: Ready}})
+		dispatcher.price = 1e12
 		drawn := 0
 		for id := uint32(1); id <= 100; id++ {
-			d.Arrive(second, Job{ID: id, GiveUpAt: 5 * second, Slots: 32})
+			dispatcher.Arrive(second, Job{ID: id, GiveUpAt: 5 * second, Slots: 32})
 			drawn += min(1, len(r.take("probe")))
 		}
 		if want := map[bool]int{false: 0, true: 100}[unpriced]; drawn != want {
@@ -125,13 +125,13 @@
 func newHolderDraw(t *testing.T) *holderDraw {
 	t.Helper()
 	draw := &holderDraw{}
-	d, err := New(testSettings(), 1, &draw.actions)
+	dispatcher, err := New(testSettings(), 1, &draw.actions)
 	if err != nil {
 		t.Fatal(err)
 	}
-	draw.Dispatcher = d
-	d.Announce(second, ListFull, []Worker{{ID: 1, State: Ready}, {ID: 2, State: Ready}})
-	d.Arrive(second, Job{ID: 1, GiveUpAt: 6 * second, Holder: 1, SavedSlots: 2, EnoughSlots: 10})
+	draw.Dispatcher = dispatcher
+	dispatcher.Announce(second, ListFull, []Worker{{ID: 1, State: Ready}, {ID: 2, State: Ready}})
+	dispatcher.Arrive(second, Job{ID: 1, GiveUpAt: 6 * second, Holder: 1, SavedSlots: 2, EnoughSlots: 10})
 	draw.timeout = draw.expect(t, []WorkerID{1}, nil)
 	return draw
 }
@@ -195,14 +195,14 @@
 
 func TestSingleHolderGetsTheJobAfterItsAnswer(t *testing.T) {
 	var actions recorder
-	d, err := New(testSettings(), 1, &actions)
+	dispatcher, err := New(testSettings(), 1, &actions)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Announce(second, ListFull, []Worker{{ID: 1, State: Ready}})
-	d.Arrive(second, Job{ID: 1, GiveUpAt: 6 * second, Holder: 1, EnoughSlots: 10})
+	dispatcher.Announce(second, ListFull, []Worker{{ID: 1, State: Ready}})
+	dispatcher.Arrive(second, Job{ID: 1, GiveUpAt: 6 * second, Holder: 1, EnoughSlots: 10})
 	actions.take("")
-	d.ProbeResult(second+ms, 1, Served, ms, Report{Has: HasFreeSlots, FreeSlots: 2})
+	dispatcher.ProbeResult(second+ms, 1, Served, ms, Report{Has: HasFreeSlots, FreeSlots: 2})
 	if pushes := actions.take("push"); len(pushes) != 1 {
 		t.Fatalf("%d pushes, want one: there is no other worker", len(pushes))
 	}
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -117,12 +117,12 @@
 		}
 		for i := range nodes {
 			r := &recorder{}
-			d, err := New(settings, uint64(i), r)
+			dispatcher, err := New(settings, uint64(i), r)
 			if err != nil {
 				t.Fatal(err)
 			}
-			d.Announce(now, ListCached, fleet)
-			recorders, dispatchers = append(recorders, r), append(dispatchers, d)
+			dispatcher.Announce(now, ListCached, fleet)
+			recorders, dispatchers = append(recorders, r), append(dispatchers, dispatcher)
 		}
 		const run = 200 * ms
 		id, restartAt, coldPushes := uint32(0), now+20*second, 0
@@ -132,12 +132,12 @@
 			now += gap
 			if now >= restartAt && now < restartAt+gap {
 				fleet[0].StartedAt = now
-				for _, d := range dispatchers {
-					d.Announce(now, ListDelta, fleet[:1])
+				for _, dispatcher := range dispatchers {
+					dispatcher.Announce(now, ListDelta, fleet[:1])
 				}
 			}
 			i := step % nodes
-			d, r := dispatchers[i], recorders[i]
+			dispatcher, r := dispatchers[i], recorders[i]
 			for other, v := range recorders {
 				for _, a := range v.take("wake") {
 					if a.token>>56 == wakeRedraw>>56 {
@@ -146,7 +146,7 @@
 				}
 			}
 			id++
-			d.Arrive(now, Job{ID: id, Class: 1, GiveUpAt: now + 5*second})
+			dispatcher.Arrive(now, Job{ID: id, Class: 1, GiveUpAt: now + 5*second})
 			for range 4 {
 				for _, a := range r.take("") {
 					switch a.kind {
@@ -155,15 +155,15 @@
 						if a.worker == 1 {
 							free = 4
 						}
-						d.ProbeResult(now, a.worker, Served, 0, Report{Has: HasFreeSlots, FreeSlots: free})
+						dispatcher.ProbeResult(now, a.worker, Served, 0, Report{Has: HasFreeSlots, FreeSlots: free})
 					case "push":
 						if a.worker == 1 && now >= restartAt {
 							sent[(now-restartAt)/second] += float64(run)
 							coldPushes++
 						}
-						d.Note(now, a.job, 0, NoteStarted, 0)
-						d.Outcome(now+run, Outcome{Job: a.job, Worker: a.worker, Status: Served, Closed: true})
-						d.now = now
+						dispatcher.Note(now, a.job, 0, NoteStarted, 0)
+						dispatcher.Outcome(now+run, Outcome{Job: a.job, Worker: a.worker, Status: Served, Closed: true})
+						dispatcher.now = now
 					}
 				}
 			}
