--- a/coordination/register/node_test.go
+++ b/coordination/register/node_test.go
@@ -390,6 +390,7 @@
 	value.set(false, hang)
 	_, err := machines[1].node.Update(ctx, setData("the write hangs at one replica"))
 	require.NoError(t, err)
+	require.Eventually(t, func() bool { return value.saves() > 0 }, testDeadline, time.Millisecond, "the write has begun")
 
 	brief, cancel := context.WithCancel(ctx)
 	cancel()
@@ -398,11 +399,11 @@
 	close(hang)
 	value.set(false, nil)
 	closing.Close(ctx)
+	defer func() { <-closing.diskSlot }() // stop calls Close again, which needs the slot
 	before := value.saves()
 	_, err = machines[1].node.Update(ctx, setData("after the close"))
 	require.NoError(t, err)
 	require.Equal(t, before, value.saves())
-	<-closing.diskSlot // stop calls Close again, which needs the slot
 }
 
 func TestHungDiskBlocksNoOperation(t *testing.T) {
