--- a/internal/fleetconfig/parse.go
+++ b/internal/fleetconfig/parse.go
@@ -120,7 +120,7 @@
 			return routeError(KindUnknownService, route, "TrafficSplit", target.GetService())
 		}
 		if weight := target.GetWeight(); !(weight >= 0 && weight <= math.MaxFloat64) { // also true of NaN
-			return routeError(KindWeights, route, "TrafficSplit", "a weight is negative or not finite")
+			return routeError(KindWeights, route, "TrafficSplit", "a weight below 0 or without end")
 		}
 		sum += target.GetWeight()
 	}
