--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost hosts instances of the decision module on the simulator's wire: batches of events on
-// standard input, one reply each on standard output. Instances share nothing.
+// Command simhost runs instances of package decide for an external simulator. It reads batches of events
+// from standard input and writes one reply for each to standard output. Instances share no state.
 package main
 
 import (
@@ -14,7 +14,8 @@
 )
 
 func main() {
-	// A collection costs CPU that is booked to whatever request is at hand; live state is small.
+	// The CPU time of a garbage collection is charged to the request in progress. Live state is small, so
+	// collecting less often costs little memory.
 	debug.SetGCPercent(400)
 	if err := serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
@@ -22,7 +23,7 @@
 	}
 }
 
-// node is one instance with the layout of its site's load reports.
+// instance is one dispatcher with the layout of its site's load reports.
 type instance struct {
 	*decide.Dispatcher
 	layout wire.Layout
@@ -31,10 +32,10 @@
 type server struct {
 	decoder   *wire.Decoder
 	encoder   *wire.Encoder
-	instances map[uint32]instance // looked up by number only, never walked
+	instances map[uint32]instance // by instance number; never iterated, so that map order has no effect
 }
 
-// serve answers batches until the input ends.
+// serve replies to batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	s := &server{
 		decoder:   wire.NewDecoder(bufio.NewReaderSize(in, 1<<16)),
@@ -64,7 +65,8 @@
 	}
 }
 
-// guarded hands on one event; a panic of the decision module is reported on the wire for its instance.
+// handleRecovering handles one event. If the decision module panics, it reports the panic in the reply
+// and removes the instance.
 func (h *server) handleRecovering(ev *wire.Event) {
 	defer func() {
 		if r := recover(); r != nil {
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -8,7 +8,7 @@
 	"weldscale/decide"
 )
 
-// Codes of the actions.
+// Record codes of the actions in a reply.
 const (
 	actRefuse   = 10
 	actWake     = 30
@@ -22,8 +22,8 @@
 	actSendPeer = 120
 )
 
-// Encoder gathers the actions of one reply. It implements decide.Actions for the instance last named
-// with For.
+// Encoder collects the actions of one reply. It implements decide.Actions for the instance that was last
+// set with SetInstance.
 type Encoder struct {
 	buf      []byte
 	instance uint32
@@ -34,10 +34,10 @@
 // NewEncoder returns an encoder with an empty reply.
 func NewEncoder() *Encoder { return &Encoder{buf: make([]byte, 4, 1<<16)} }
 
-// For names the instance that acts from here on.
+// SetInstance sets the instance that the following actions belong to.
 func (e *Encoder) SetInstance(instance uint32) { e.instance = instance }
 
-// Flush writes the reply to w and starts the next one.
+// Flush writes the reply to w and starts an empty one.
 func (e *Encoder) Flush(w io.Writer) error {
 	binary.BigEndian.PutUint32(e.buf, uint32(len(e.buf)))
 	_, err := w.Write(e.buf)
@@ -60,10 +60,12 @@
 	e.u16(uint16(w))
 }
 
-// span encodes a time-out or a wait. The wire reads the highest bit as a sign, so a longer span is cut.
+// duration encodes a timeout or a wait. The protocol reads the highest bit as a sign, so durations are
+// clamped to 31 bits.
 func (e *Encoder) duration(t decide.Time) { e.u32(uint32(max(0, min(t, math.MaxInt32)))) }
 
-// Push implements decide.Actions. A time-out of nothing would mean none at all on the wire; it becomes 1 us.
+// Push implements decide.Actions. The protocol reads a timeout of 0 as no timeout, so the shortest one
+// sent is 1 us.
 func (e *Encoder) Push(job uint32, worker decide.WorkerID, timeout decide.Time) {
 	e.beginRecord(actPush, 18)
 	e.u32(job)
@@ -130,7 +132,7 @@
 	e.buf = append(e.buf, data...)
 }
 
-// BailOut says that the decision code of the instance failed.
+// BailOut reports that the decision code of the instance failed. The text is cut after 1000 bytes.
 func (e *Encoder) BailOut(text string) {
 	text = text[:min(len(text), 1000)]
 	e.beginRecord(actBailOut, 6+len(text))
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,10 +9,11 @@
 	"weldscale/decide"
 )
 
-// Layout says which figure stands at each place of a site's load reports. 0 marks one that is not used.
+// Layout lists the report field at each position of a site's load reports. 0 marks a position that is
+// not used.
 type Layout []decide.Fields
 
-// Report turns the values of an event into a report. Figures that are not finite are left out.
+// Report converts the values of an event to a load report. Values that are not finite are left out.
 func (l Layout) Report(values []float32) decide.Report {
 	var r decide.Report
 	for i, field := range l {
@@ -46,7 +47,7 @@
 	return r
 }
 
-// params is the settings text, with the first fault met while reading it.
+// settingsReader holds the parsed lines of the settings text and the first error found in them.
 type settingsReader struct {
 	values map[string]string
 	err    error
@@ -108,7 +109,8 @@
 	return strings.Split(p.values[key], ",")
 }
 
-// listNum reads one number of a joined list; a list that is too short or absent gives def.
+// numberAt reads one number of a comma-separated list. It returns fallback if the list is absent or too
+// short.
 func (p *settingsReader) numberAt(key string, i int, fallback float64) float64 {
 	words := p.words(key)
 	if i >= len(words) {
@@ -122,7 +124,8 @@
 	return v
 }
 
-// ParseSettings reads the settings of a Begin event. Unknown keys are passed over. An error names the key.
+// ParseSettings reads the settings of a CodeInstanceBegin event. Unknown keys are ignored. An error names
+// the key.
 func ParseSettings(text []byte) (decide.Settings, Layout, error) {
 	p := settingsReader{values: make(map[string]string, 160)}
 	for line := range strings.Lines(string(text)) {
@@ -167,7 +170,8 @@
 	return s, p.readLayout(), p.err
 }
 
-// maxListed bounds the counts that the settings may name, so that a damaged one can't make us allocate.
+// maxCount is the largest count that the settings may contain. It keeps a damaged count from causing a
+// huge allocation.
 const maxCount = 65536
 
 func (p *settingsReader) readCount(key string) int {
